--- a/bench/cold_sum.py
+++ b/bench/cold_sum.py
@@ -106,7 +106,8 @@
 @dataclass(frozen=True)
 class Rule:
     """How a router spends its share. debt: visits, the most that it owes the machine at its start; by_root: it saves
-    up its part of the rule's 2 sqrt(N), while the machine bears less than a warm one can do; else half a span."""
+    up its part of the rule's 2 sqrt(N), while the machine bears less than a warm one can do; else half a span.
+    """
 
     name: str
     debt: float
@@ -123,7 +124,8 @@
 @dataclass(frozen=True)
 class Found:
     """Of many cold starts: how many had a window over the allowance, how many of those broke the rule, the worst
-    window over its allowance, and the share of what was asked that the cold machine took."""
+    window over its allowance, and the share of what was asked that the cold machine took.
+    """
 
     fell: float
     broke: float
@@ -391,7 +393,8 @@
 
 def on_sockets(processes: int, budget: float, seed: int, seconds: float = 12.0) -> dict[str, Any]:
     """Router processes before the rig's cold cache, asked for three times what it bears; a third of them is killed and
-    started again. The cache is a minute old and warms slowly, so N hardly changes."""
+    started again. The cache is a minute old and warms slowly, so N hardly changes.
+    """
     place = random.Random(seed).sample(range(processes), int(RESTARTED * processes))
     begins = 4.0
     killed = tuple(Fault("kill", begins + 1.0 + turn * 0.8, 0.5, (one,)) for turn, one in enumerate(place))
--- a/bench/lab.py
+++ b/bench/lab.py
@@ -70,7 +70,8 @@
 @click.option("--json", "_", is_flag=True)
 def speed(caches: str, seconds: float, rounds: int, _: bool) -> None:
     """What a visit and an event cost by the fleet's size: ten caches and five routers a location, the same visits a
-    second a cache at each size."""
+    second a cache at each size.
+    """
     answer: dict[str, Any] = {"rounds": rounds, "virtual_seconds": seconds}
     sizes = [int(one) for one in caches.split(",")]
     by_size: dict[int, dict[str, float]] = {}
--- a/bench/peers.py
+++ b/bench/peers.py
@@ -130,7 +130,8 @@
 
 def on_sockets_used(routers: int, seed: int, shared: bool, seconds: float = 16.0) -> list[float]:
     """Of what a cold cache bears, in true time, where one router of its zone wants twice that and all hear each other;
-    and the worst window."""
+    and the worst window.
+    """
     told = Schedule(seed, routers, 1, (), routers, 18.0, seconds)
     with (
         tempfile.TemporaryDirectory(prefix="wickhinge-") as folder,
--- a/bench/scale/day_change_log.py
+++ b/bench/scale/day_change_log.py
@@ -28,7 +28,8 @@
 class ChangeLogDay(msgspec.Struct, frozen=True):
     """What came of it. `missed` counts pairs of a follower and an entry; `worst_delay_s` is from a majority of the
     replicas to each follower that ran and was not cut off, whatever happened to replicas and relays; the calm one is
-    of entries stored in the `calm_s` seconds in which all replicas and relays ran and nothing was cut."""
+    of entries stored in the `calm_s` seconds in which all replicas and relays ran and nothing was cut.
+    """
 
     followers: int
     restarts: int
--- a/bench/scale/fleet_caches.py
+++ b/bench/scale/fleet_caches.py
@@ -40,7 +40,8 @@
 
 class CachesReport(msgspec.Struct):
     """`judged`: requests at machines for purged objects, of routers with control; `unlimited` of them set no limit, and
-    `too_loose` let copies of before the purge pass."""
+    `too_loose` let copies of before the purge pass.
+    """
 
     requests: int = 0
     answered: int = 0
--- a/bench/scale/fleet_judge.py
+++ b/bench/scale/fleet_judge.py
@@ -40,7 +40,8 @@
 
 class Verdict(msgspec.Struct):
     """`stale_served`: times that a router would have let a copy pass that a purge, over its grace, had voided.
-    `unequal`: routers whose changes at the end differ from the others'."""
+    `unequal`: routers whose changes at the end differ from the others'.
+    """
 
     quiet: Delays
     faults: Delays
--- a/bench/scale/fleet_measure.py
+++ b/bench/scale/fleet_measure.py
@@ -16,7 +16,8 @@
 
 class Usage(msgspec.Struct, frozen=True):
     """Of one process at `time`: CPU seconds so far, resident bytes, and its share of them (pages shared with others in
-    parts)."""
+    parts).
+    """
 
     time: float
     cpu_s: float
--- a/bench/scale/fleet_processes.py
+++ b/bench/scale/fleet_processes.py
@@ -34,7 +34,8 @@
 class Processes:
     """A context manager. `folder`: for their output, a file each. Within it SIGTERM is like SIGINT: KeyboardInterrupt,
     so that all are ended. While a process is started or ended the exception waits: raised in a callback of fork it
-    would be lost, and the process with it. To be used by the main thread."""
+    would be lost, and the process with it. To be used by the main thread.
+    """
 
     def __init__(self, folder: Path) -> None:
         self._folder = folder
--- a/bench/scale/fleet_real.py
+++ b/bench/scale/fleet_real.py
@@ -68,7 +68,8 @@
 
 def purges_of(output: Path, ahead_s: float) -> tuple[dict[int, float], int]:
     """By key the time at which the router had the purge, in their order, and how many faults it logged. Of a purge that
-    is in the log twice, as its proposer had no answer to the first, the later one counts."""
+    is in the log twice, as its proposer had no answer to the first, the later one counts.
+    """
     times: dict[int, float] = {}
     faults = 0
     for line in output.read_bytes().splitlines():
--- a/bench/scale/fleet_records.py
+++ b/bench/scale/fleet_records.py
@@ -42,7 +42,8 @@
 
 class Schedule(msgspec.Struct, frozen=True):
     """`quiet_until`: no fault before it. Changes are proposed from `start` to `last_change`, `rate` purges a second;
-    hollow routers report at `end`."""
+    hollow routers report at `end`.
+    """
 
     start: float
     quiet_until: float
@@ -55,7 +56,8 @@
 class Plan(msgspec.Struct, frozen=True):
     """What every process of a run is told before its start. `block`: of its addresses. `groups`: the routers of each
     hollow process. `plant`: a fault put in on purpose, "" for none. `service`: host and port of the flat design's.
-    `caches_port`: the first one of fleet_caches."""
+    `caches_port`: the first one of fleet_caches.
+    """
 
     folder: str
     block: int
@@ -75,7 +77,8 @@
 
 class ZoneTimes(msgspec.Struct):
     """Of the routers of one zone in one process, by number of the change: the latest time at which one applied it, and
-    how many did."""
+    how many did.
+    """
 
     zone: int
     region: int
@@ -86,7 +89,8 @@
 
 class Vouched(msgspec.Struct, frozen=True):
     """At `time`, `routers` routers had applied all up to `number` and let copies pass up to the age `limit` (seconds);
-    None: of any age."""
+    None: of any age.
+    """
 
     time: float
     number: int
@@ -96,7 +100,8 @@
 
 class Traffic(msgspec.Struct, frozen=True):
     """Of the routers of one zone in one process, up to `time`: messages and bytes with their headers; `worst`: the most
-    bytes that one router had in the last WORST_SPAN_S."""
+    bytes that one router had in the last WORST_SPAN_S.
+    """
 
     time: float
     messages: int
@@ -124,7 +129,8 @@
 
 class Change(msgspec.Struct, frozen=True):
     """A change as its proposer knows it. `identity`: the key of a purge, or the negative serial of a setting. `asked`
-    is when it was first proposed, `stamped` when the order counted it, `acknowledged` when the proposer was told."""
+    is when it was first proposed, `stamped` when the order counted it, `acknowledged` when the proposer was told.
+    """
 
     number: int
     identity: int
--- a/bench/scale/fleet_report.py
+++ b/bench/scale/fleet_report.py
@@ -19,7 +19,8 @@
 class Figures(msgspec.Struct, omit_defaults=False):
     """Of one design. `_faults`: while faults were played, from reunion for those cut off; without it: before them.
     Delays are from the first asking, of hollow and real routers, to the last router. Bytes and messages: of a hollow
-    router, both ways, with headers. Core and memory: a real router with the design's control less one without."""
+    router, both ways, with headers. Core and memory: a real router with the design's control less one without.
+    """
 
     purge_max_s: float
     purge_max_faults_s: float
@@ -85,7 +86,8 @@
     run: LogRun | FlatRun, real: str, hollow: str, plain: list[Moment], machines: int, routers: int
 ) -> Figures:
     """`real` and `hollow`: how the names of these processes begin. `plain`: moments of a run with routers that have
-    no control, whose names begin with "plain"."""
+    no control, whose names begin with "plain".
+    """
     verdict, moments, found = run.verdict, run.moments, run.schedule
     with_control, without = shares(moments, 0, real), shares(plain, 0, "plain")
     memory = added(resident_mb(moments[-1], real), resident_mb(plain[-1], "plain"))
--- a/bench/scale/fleet_schedule.py
+++ b/bench/scale/fleet_schedule.py
@@ -11,7 +11,8 @@
 class Timing(msgspec.Struct, frozen=True):
     """`quiet_s`: without faults. Offsets from its end: a region cut off, a hollow process stopped, a relay killed and
     started again, a replica and then the leader killed, both started again, a region that hears nothing, the last
-    change, the end. None: not played."""
+    change, the end. None: not played.
+    """
 
     quiet_s: float
     cut: tuple[float, float]
--- a/bench/scale/meter.py
+++ b/bench/scale/meter.py
@@ -57,7 +57,8 @@
 
 def reference(runs: int = 5) -> float:
     """CPU seconds of a loop that does the same everywhere, for comparing machines and moments: the median of so many
-    runs."""
+    runs.
+    """
 
     def once() -> float:
         began, total = time.thread_time(), 0
--- a/bench/scale/page.py
+++ b/bench/scale/page.py
@@ -25,7 +25,8 @@
 
 def generated(text: str, known: Known) -> str:
     """The page with each marked part as the records give it. Raises Unusable for a marker that is not known or
-    missing."""
+    missing.
+    """
     names = [found[1] for found in MARKED.findall(text)]
     if sorted(names) != sorted(PARTS):
         raise Unusable(f"{PAGE.name}: its marked parts are {', '.join(names)}; they must be {', '.join(PARTS)}")
--- a/bench/scale/records.py
+++ b/bench/scale/records.py
@@ -49,7 +49,8 @@
 
     def at(self, size: float) -> float:
         """The cost at a size: between two measured ones by interpolation, beyond them by the fit. A cost that fell with
-        the size is not taken to fall further than was seen."""
+        the size is not taken to fall further than was seen.
+        """
         if self.sizes[0] <= size <= self.sizes[-1]:
             return float(numpy.interp(size, self.sizes, self.values))
         fitted = fit(self.sizes, self.values).at(size)
--- a/bench/scale/spread.py
+++ b/bench/scale/spread.py
@@ -22,7 +22,8 @@
 
 class Zone:
     """All routers of a zone with their counts, carried by the datagrams that they send for these alone: of the failure
-    detector's few go to the zone."""
+    detector's few go to the zone.
+    """
 
     def __init__(self, routers: int, seed: int) -> None:
         self.now, self.random = 0.0, random.Random(seed)
--- a/bench/store.py
+++ b/bench/store.py
@@ -390,7 +390,8 @@
 
 def sessions(random: Any, count: int, objects: int, skew: float, shift: int = 0, parts: int = 17) -> list[Any]:
     """Zipf over objects; a session reads parts in order and mostly ends early. shift: every so many sessions the
-    popularity moves on by a tenth of the objects."""
+    popularity moves on by a tenth of the objects.
+    """
     weights = 1.0 / np.arange(1, objects + 1) ** skew
     keys = random.choice(objects, count, p=weights / weights.sum())
     lasts = np.minimum(random.geometric(0.2, count), parts)
--- a/tests/changelog_fleet.py
+++ b/tests/changelog_fleet.py
@@ -239,7 +239,8 @@
 
     def maxage(self, key):
         """Of a request for an object, in seconds, as a cache is asked; None without one. A router that stood still
-        denies what it takes for late: that is asked again."""
+        denies what it takes for late: that is asked again.
+        """
         client = self.stand.client()
         eventually(lambda: client.answer(client.ask(obj=f"{key:016x}"))[2] is None)
         found = self.requests.get(timeout=PATIENT).get("maxage")
--- a/tests/stand.py
+++ b/tests/stand.py
@@ -142,7 +142,8 @@
 
     def shut(self, place):
         """No connection to a machine comes up from now on, though none is refused; the call that ends it gives the
-        router's, which has tried again and again meanwhile."""
+        router's, which has tried again and again meanwhile.
+        """
         self.places[place].listen(0)
         fillers = [self.stack.enter_context(socket.socket()) for _ in range(4)]
         for one in fillers:
--- a/tests/test_client_gone.py
+++ b/tests/test_client_gone.py
@@ -1,7 +1,8 @@
 """A client that closes or cancels has gone: no attempt for it begins later than 0.1 s after that reached the socket.
 
 Machines are the test itself and count the attempts that come to them. Each test takes one place where a request waits
-before it is sent; `docs/notes/crossings.md` lists them."""
+before it is sent; `docs/notes/crossings.md` lists them.
+"""
 
 import os
 import socket
--- a/tests/test_clock_wrong_at_start.py
+++ b/tests/test_clock_wrong_at_start.py
@@ -97,7 +97,8 @@
 def test_a_server_is_as_cold_as_it_is(faulty, age, off):
     """Whatever goes to one that started just now is a fill, since a look would miss, and only as its share allows. One
     that started long ago is looked at as ever, once an answer has shown what time it is; to a clock that is behind, the
-    service has to: an answer's time may be spoilt."""
+    service has to: an answer's time may be spoilt.
+    """
     made, _ = faulty(before=lambda shim: shim.step_wall_clock(off))
     made.tell(journal.WHOLE, records(made.places, unix_ms() - int(age * 1000)))
     made.router.wait('"event":"list"')
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -1,5 +1,6 @@
 """Two events that cross, each order forced: docs/notes/crossings.md lists the pairs. On sockets the machines and the
-journal service are the test; what has to happen first is waited for, never hoped for."""
+journal service are the test; what has to happen first is waited for, never hoped for.
+"""
 
 import gc
 import json
--- a/tests/test_decide.py
+++ b/tests/test_decide.py
@@ -447,7 +447,8 @@
 
 def test_while_the_origin_refuses_parents_give_what_they_hold_and_fetches_go_in_turn():
     """Else all that a parent holds is denied with what it lacks, and refused calls, each tried again by caches and
-    parents, push the origin until it stops (a day of a slow origin alone: 77% of visits refused)."""
+    parents, push the origin until it stops (a day of a slow origin alone: 77% of visits refused).
+    """
     made = router()
     caller = refused(made, MISS)  # the source is there and lacks it: the origin refused, fetched once more in turn
     assert made.gap > 0.0 and caller.forwards[-1].held is False
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -207,7 +207,7 @@
     detector.tick(fleet.now + 5.0)
     assert detector.health.doubt == DOUBT and {entry.state for entry in detector.members.values()} == {ALIVE}
     assert detector.view(fleet.now + 5.0).cut_since == pytest.approx(detector.health.answered)
-    assert 5.0 > CUT * PERIOD
+    assert CUT * PERIOD < 5.0
 
 
 def test_a_restarted_name_is_claimed_above_the_old_life_and_the_old_life_never_gets_it_back():
--- a/tests/test_shared.py
+++ b/tests/test_shared.py
@@ -64,7 +64,8 @@
 
 def vouched_at_once(seed, count, forgetful=False):
     """Whether both of two lives of a name ever hold a majority. Each of the others grants to whichever asks it; clocks
-    differ, grants arrive late, voters restart and remember nothing."""
+    differ, grants arrive late, voters restart and remember nothing.
+    """
     rand = random.Random(seed)
     others = [SimpleNamespace(rate=1.0 + rand.uniform(-0.05, 0.05), born=-1e3) for _ in range(count - 1)]
     lives = [SimpleNamespace(rate=1.0 + rand.uniform(-0.05, 0.05), ahead=rand.uniform(0, 1e5)) for _ in range(2)]
--- a/tests/test_stalls.py
+++ b/tests/test_stalls.py
@@ -208,7 +208,8 @@
 
 def test_a_request_within_the_stop_of_an_idle_close_is_answered(stand):
     """Idle connections are closed 5 s after their last answer, found by a sweep each 0.25 s. The router stands still
-    again and again about then; nothing that is written on a connection that has not ended is lost."""
+    again and again about then; nothing that is written on a connection that has not ended is lost.
+    """
     made = stand()
     clients = [made.client() for _ in range(200)]
     for client in clients:
--- a/wickhinge/changelog/addresses.py
+++ b/wickhinge/changelog/addresses.py
@@ -15,7 +15,8 @@
 
 class Learned:
     """The address of a process that the settings do not name, the latest token that came from there, and the sessions
-    that it had before."""
+    that it had before.
+    """
 
     __slots__ = ("address", "token", "heard_at", "former")
 
--- a/wickhinge/changelog/administration.py
+++ b/wickhinge/changelog/administration.py
@@ -35,7 +35,8 @@
 class Status(msgspec.Struct):
     """Where a replica or a relay stands. `number`: the last committed one that it has. `age_s`: it knows all up to so
     long ago; None where it can't say. `state` (of an election), `term`, `leader`, `blank`: of a replica; `source`: the
-    replica that a relay follows. Bytes are with IP and UDP headers."""
+    replica that a relay follows. Bytes are with IP and UDP headers.
+    """
 
     name: str
     role: str
@@ -71,7 +72,8 @@
 
 class AppendRequest(msgspec.Struct, array_like=True):
     """`id` names the request: asked again with it, the answer tells how it stands, and nothing is appended anew. The
-    change is encoded, its stamp is the leader's."""
+    change is encoded, its stamp is the leader's.
+    """
 
     id: bytes
     change: bytes
@@ -94,7 +96,8 @@
 
 class Administration:
     """Answers asks that come to `node`. `ingest_s`: a change that is not committed after so long has failed.
-    `wall_clock`: Unix time in seconds."""
+    `wall_clock`: Unix time in seconds.
+    """
 
     def __init__(
         self,
--- a/wickhinge/changelog/daemon.py
+++ b/wickhinge/changelog/daemon.py
@@ -33,7 +33,8 @@
 class Daemon:
     """One replica, where `storage` is given, or one relay. `reread` reads the settings anew, for other keys; it raises
     Malformed. `run` returns the process's exit code; it raises OSError where the address cannot be had, and Malformed
-    where a key can't be read."""
+    where a key can't be read.
+    """
 
     def __init__(
         self,
--- a/wickhinge/changelog/effects.py
+++ b/wickhinge/changelog/effects.py
@@ -1,5 +1,6 @@
 """What a state machine wants done, as values. They are to be done in the order in which they are returned, over all
-calls: a Send that follows a Persist waits for it, also where the machine is called again meanwhile."""
+calls: a Send that follows a Persist waits for it, also where the machine is called again meanwhile.
+"""
 
 from __future__ import annotations
 
@@ -19,7 +20,8 @@
 
 class Persist(msgspec.Struct, frozen=True):
     """To be on stable storage before any later effect is done: epoch, term and vote ("" for none), then the log cut
-    after `kept` (numbers above it are removed) and `records` appended."""
+    after `kept` (numbers above it are removed) and `records` appended.
+    """
 
     epoch: int
     term: int
@@ -30,7 +32,8 @@
 
 class PersistSnapshot(msgspec.Struct, frozen=True):
     """To be on stable storage before any later effect is done: the snapshot replaces all records up to its number, and
-    all others too where `clear`."""
+    all others too where `clear`.
+    """
 
     snapshot: Snapshot
     clear: bool
@@ -38,7 +41,8 @@
 
 class Accepted(msgspec.Struct, frozen=True):
     """The change proposed has this number if it is committed in this term; another change may get the number if the
-    leader changes first. The proposer waits for a Committed that holds the same change under this number."""
+    leader changes first. The proposer waits for a Committed that holds the same change under this number.
+    """
 
     number: int
     term: int
@@ -46,7 +50,8 @@
 
 class Committed(msgspec.Struct, frozen=True):
     """These entries are committed: they never change within their epoch. After a restart, those that follow the stored
-    snapshot come again."""
+    snapshot come again.
+    """
 
     entries: tuple[Entry, ...]
 
@@ -59,7 +64,8 @@
 
 class Reset(msgspec.Struct, frozen=True):
     """The state is the snapshot's now: its settings replace all others, its purges are added to those known. Its epoch
-    and number may be lower than before only where a majority of relays contradicted the log."""
+    and number may be lower than before only where a majority of relays contradicted the log.
+    """
 
     snapshot: Snapshot
 
--- a/wickhinge/changelog/feed.py
+++ b/wickhinge/changelog/feed.py
@@ -30,7 +30,8 @@
 
 class SubscriberRow(msgspec.Struct, frozen=True):
     """One subscriber for a `show` command. `age_s`: since it was last heard; `uninformed_s`: as it said itself;
-    `agrees`: whether its digest is ours at its number, None where that is not known."""
+    `agrees`: whether its digest is ours at its number, None where that is not known.
+    """
 
     name: str
     number: int
@@ -239,7 +240,8 @@
 
     def _kept(self, request: FetchSnapshot, now: float) -> KeptSnapshot:
         """The snapshot asked for while it is kept, else the youngest, else a new one. One whose next entry is no longer
-        retained is of no use."""
+        retained is of no use.
+        """
         self._snapshots = [
             kept
             for kept in self._snapshots
--- a/wickhinge/changelog/follower.py
+++ b/wickhinge/changelog/follower.py
@@ -74,7 +74,8 @@
 
     def informed_until(self, now: float) -> float:
         """The latest time, by this clock, such that each change that was at the replicas' majority before it is known
-        here; -inf where there is none."""
+        here; -inf where there is none.
+        """
         self._learn(now)
         return self._informed_until
 
@@ -88,7 +89,8 @@
     def oldest(self, now: float, grace: float) -> float | None:
         """None while informed. Else the greatest age in seconds of a copy that may be served: none of that age is
         older than a purge whose grace is over. Where the bound is longer than `grace` allows, being informed is not
-        enough, and the age is given, too."""
+        enough, and the age is given, too.
+        """
         safe = grace * (1 - CLOCK_DRIFT)
         unknown_for = now - self._informed_until + self._settings.ingest_s
         if not self.uninformed(now) and unknown_for <= safe:
--- a/wickhinge/changelog/leadership.py
+++ b/wickhinge/changelog/leadership.py
@@ -29,7 +29,8 @@
 
     def answered(self, peer: str, round_number: int, now: float) -> tuple[float, int] | None:
         """Notes an answer. Where it makes a later round one that a majority has answered: when that round was begun,
-        and the last number then. No other leader had been elected at that time."""
+        and the last number then. No other leader had been elected at that time.
+        """
         self._answered[peer] = max(self._answered[peer], min(round_number, self.round))
         confirmed = self.majority(self._answered, self.round)
         found = None
--- a/wickhinge/changelog/log.py
+++ b/wickhinge/changelog/log.py
@@ -81,7 +81,8 @@
 
     def entries_from(self, number: int, most_bytes: int, most_entries: int) -> tuple[Entry, ...]:
         """Entries from `number` on: at least one, else as many as fit by their size at most. Empty where `number` is
-        past the last or no longer retained."""
+        past the last or no longer retained.
+        """
         if not self.first <= number <= self.last:
             return ()
         found, size = [], 0
--- a/wickhinge/changelog/messages.py
+++ b/wickhinge/changelog/messages.py
@@ -44,7 +44,8 @@
 
 class Batch(msgspec.Struct, frozen=True):
     """Entries `first` .. in order, at most MOST_BATCH_ENTRIES, and a heartbeat. `digest` is the log's at the last of
-    the entries; `head` may be past it."""
+    the entries; `head` may be past it.
+    """
 
     epoch: int
     first: int
@@ -108,7 +109,8 @@
 class Append(msgspec.Struct, frozen=True):
     """A leader's records after `previous_number`, none in a plain heartbeat. All that was stored at a majority `age_ms`
     ago has numbers up to `commit`. `first`: the leader retains records from this number on; who needs earlier ones
-    fetches a snapshot. `round` counts the leader's rounds of this message."""
+    fetches a snapshot. `round` counts the leader's rounds of this message.
+    """
 
     epoch: int
     term: int
@@ -123,7 +125,8 @@
 
 class Appended(msgspec.Struct, frozen=True):
     """The answer: the log agrees with the leader's up to `match`; where `success` is False, `match` is where the leader
-    should try next."""
+    should try next.
+    """
 
     epoch: int
     term: int
@@ -149,7 +152,8 @@
 
 class Packet(msgspec.Struct, frozen=True):
     """One datagram's content. `format`: of its body; `newest`: the newest format that the sender reads. `token` and
-    `echo` are 0 where there is none."""
+    `echo` are 0 where there is none.
+    """
 
     sender: str
     format: int
--- a/wickhinge/changelog/nodes.py
+++ b/wickhinge/changelog/nodes.py
@@ -150,7 +150,8 @@
 
     def _run_tick(self) -> None:
         """The next tick is due TICK_S after this one was, so that lateness does not add up; what was missed while the
-        process stood still is not made up for."""
+        process stood still is not made up for.
+        """
         if self.closed:
             return
         now = self.clock()
@@ -287,7 +288,8 @@
 
     def oldest(self, grace_s: float) -> float | None:
         """The greatest age in seconds of a copy that may be served now; None: no limit. Asked for each request, so that
-        what was found is kept until something is heard."""
+        what was found is kept until something is heard.
+        """
         now = self.clock()
         if grace_s == self._unlimited_grace_s and now < self._unlimited_until:
             return None
@@ -378,7 +380,8 @@
 
     def propose(self, change: Change, within_s: float, resolved: Callable[[Outcome], None]) -> int:
         """The number that the change has if it is committed; `resolved` is called once, later or before this returns.
-        Raises NotLeader, Overloaded, entries.InvalidChange."""
+        Raises NotLeader, Overloaded, entries.InvalidChange.
+        """
         if len(self._proposals) >= MOST_WAITING:
             raise Overloaded
         now = self.clock()
--- a/wickhinge/changelog/proposals.py
+++ b/wickhinge/changelog/proposals.py
@@ -27,7 +27,8 @@
 
 class Proposals:
     """By number. A replica that lost and regained its leadership may have two proposals of one number: the earlier one
-    was overtaken."""
+    was overtaken.
+    """
 
     def __init__(self) -> None:
         self._waiting: dict[int, Proposal] = {}
--- a/wickhinge/changelog/records.py
+++ b/wickhinge/changelog/records.py
@@ -75,7 +75,8 @@
 
     def merge(self, records: tuple[Record, ...]) -> tuple[int, tuple[Record, ...]]:
         """Takes a leader's records, which fit on: what differs is cut, what is new is appended. The number up to which
-        the log was kept, and what was appended after it."""
+        the log was kept, and what was appended after it.
+        """
         new = [record for record in records if record.entry.number > self.base]
         while new and self.term_at(new[0].entry.number) == new[0].term:
             new.pop(0)
--- a/wickhinge/changelog/relay.py
+++ b/wickhinge/changelog/relay.py
@@ -60,7 +60,8 @@
 
     def vouched_until(self, now: float) -> float | None:
         """All changes that were at the replicas' majority before this time, by this clock, are in this log. None while
-        the replicas' logs are seen to differ."""
+        the replicas' logs are seen to differ.
+        """
         return None if self._subscription.disputed(now) else self._subscription.known_until()
 
     def rows(self, now: float) -> list[SubscriberRow]:
--- a/wickhinge/changelog/replica.py
+++ b/wickhinge/changelog/replica.py
@@ -101,7 +101,8 @@
 
     def heard(self, packet: Packet, now: float) -> list[Effect]:
         """One packet as `codec` read it, of a replica or of a relay. Effects: Persist, PersistSnapshot, Send,
-        Committed."""
+        Committed.
+        """
         message = packet.message
         if not isinstance(message, RequestVote | Vote | Append | Appended | SnapshotPart):
             return list(self._feed.heard(packet, now, self.vouched_until()))
@@ -125,7 +126,8 @@
 
     def propose(self, change: Change, now: float) -> list[Effect]:
         """Effects: Persist, Accepted, Send, and Committed where this replica is alone. Raises NotLeader, Overloaded,
-        entries.InvalidChange."""
+        entries.InvalidChange.
+        """
         if self._leadership is None:
             raise NotLeader(self.leader)
         check(change)
@@ -322,7 +324,8 @@
 
     def _adopt_epoch(self, epoch: int, now: float) -> None:
         """The log was restarted elsewhere: this replica is blank in the new epoch. The new epoch is persisted first, so
-        that a replica that ends meanwhile is not blank in the old one."""
+        that a replica that ends meanwhile is not blank in the old one.
+        """
         self.epoch = epoch
         self.blank = True
         self._leadership = None
--- a/wickhinge/changelog/settings_table.py
+++ b/wickhinge/changelog/settings_table.py
@@ -73,7 +73,8 @@
 
     def replace(self, settings: tuple[Setting, ...]) -> None:
         """The log was told whole. What it no longer holds is no longer shown, and stays in force until another value
-        is told or the router starts anew."""
+        is told or the router starts anew.
+        """
         names = {setting.name for setting in settings}
         for name in [name for name in self.rows if name not in names]:
             del self.rows[name]
--- a/wickhinge/changelog/sources.py
+++ b/wickhinge/changelog/sources.py
@@ -108,7 +108,8 @@
 
     def _lags(self, now: float) -> bool:
         """Whether the second source knows more: its head has been ahead for longer than `lag_s`, or its knowledge is
-        younger by so much."""
+        younger by so much.
+        """
         current, watch, lag_s = self.current, self.watch, self._settings.lag_s
         if not self._usable(watch, now) or now - watch.heard_at > self._settings.silent_s:
             self._behind = None
--- a/wickhinge/changelog/storage.py
+++ b/wickhinge/changelog/storage.py
@@ -259,7 +259,8 @@
 
 def read_blocks(data: bytes, former: bytes) -> tuple[list[Persist], int, bytes]:
     """The effects, where the last whole block ends, and its checksum. Raises Malformed where the first block is not
-    whole, or a damaged one is not the last: then more is lost than what was being written."""
+    whole, or a damaged one is not the last: then more is lost than what was being written.
+    """
     effects, place = [], 0
     while place < len(data):
         end = place + HEAD_BYTES + int.from_bytes(data[place : place + LENGTH_BYTES], "big")
--- a/wickhinge/changelog/subscription.py
+++ b/wickhinge/changelog/subscription.py
@@ -205,7 +205,8 @@
 
     def _switched(self, former: Source, now: float, uninformed_ms: int) -> list[Effect]:
         """The new source is subscribed to, and asked for what comes next, at once; the old one, where it is not the
-        second one now, is told."""
+        second one now, is told.
+        """
         self.sequencer.drop_held()
         self._assembly = None
         self._fetch_at = None
--- a/wickhinge/changelog/vouches.py
+++ b/wickhinge/changelog/vouches.py
@@ -8,7 +8,8 @@
 
 class Vouches:
     """A vouch (until, number) says: all that was stored at the replicas' majority before `until` has numbers up to
-    `number`."""
+    `number`.
+    """
 
     def __init__(self) -> None:
         self._pending: list[tuple[float, int]] = []  # both rise
--- a/wickhinge/cli/changelog_client.py
+++ b/wickhinge/cli/changelog_client.py
@@ -50,7 +50,8 @@
 
 class Router(msgspec.Struct):
     """A follower, as the relay that it follows, or has as its second one, tells of it. `uninformed_s`: 0 where it is
-    informed; None where it never was."""
+    informed; None where it never was.
+    """
 
     name: str
     relay: str
@@ -98,7 +99,8 @@
 
     def append(self, change: Change, timeout_s: float) -> AppendAnswer:
         """Returns once the change is committed, and is stamped by the leader no earlier than ingest_s before that.
-        Raises NotAppended."""
+        Raises NotAppended.
+        """
         deadline = time.monotonic() + timeout_s
         why = "no replica answers"
         request = AppendRequest(os.urandom(REQUEST_ID_BYTES), encode(change))
@@ -128,7 +130,8 @@
 
     def wait_for_routers(self, number: int, timeout_s: float) -> tuple[list[str], list[str], list[str]]:
         """Until each router that a relay knows of has the log up to `number`, or the time is over. The routers that
-        have it, those that lack it, and the relays that do not answer."""
+        have it, those that lack it, and the relays that do not answer.
+        """
         deadline = time.monotonic() + timeout_s
         while True:
             machines = self.machines(self.relays)
@@ -180,7 +183,8 @@
 
 def backup(options: Changelog, timeout_s: float, done: Callable[[bytes, int], None], reactor: Any) -> str:
     """Follows the relays until the whole log is known, then calls done(encoded snapshot, its number). Returns why it
-    failed, "" where it did not."""
+    failed, "" where it did not.
+    """
     from wickhinge.changelog.entries import Entry
     from wickhinge.changelog.log import Log, Snapshot
     from wickhinge.changelog.nodes import FollowerNode
--- a/wickhinge/decide.py
+++ b/wickhinge/decide.py
@@ -82,7 +82,7 @@
         self.kept = self.kept_middle = 0.0
 
     def visit(self, key: int, part: int, now: float) -> Item:
-        """k rises by p at the p-th request, gLRU(1), times the routers for which a visit seen here stands."""
+        """K rises by p at the p-th request, gLRU(1), times the routers for which a visit seen here stands."""
         item = self.items[key] = self.items.pop(key, None) or Item(key, now)
         first = next(iter(self.items.values()))
         if len(self.items) > self.size or now - first.last > 4 * self.idle:  # k is a sixteenth by then
@@ -125,9 +125,7 @@
         book[name] = max(made, book.get(name, made))
         if len(self.objects) > 500:
             self.objects = {
-                name: when
-                for name, when in self.objects.items()
-                if now - self.instant(when, now) <= self.done
+                name: when for name, when in self.objects.items() if now - self.instant(when, now) <= self.done
             }
 
     def oldest(self, key: int, group: int, now: float) -> float | None:
@@ -140,7 +138,8 @@
 
 class Cold:
     """A router's share of what machines that started lately can do, against toppling them: routers spend
-    unknown to each other, so each its share alone, and two thirds of the rule's, as sizes vary."""
+    unknown to each other, so each its share alone, and two thirds of the rule's, as sizes vary.
+    """
 
     def __init__(self, multiple: float, span: float, floor: float, warm: float) -> None:
         self.multiple, self.span, self.floor, self.warm = multiple, span, floor, warm
@@ -163,7 +162,8 @@
     def room(self, cache: Cache, mine: float, share: float, work: float, now: float) -> bool:
         """One visit may be more than a share: it is sent on credit, and the debt sat out. Saved up is half a
         span's worth, and no more than the share of the rule's 2 root of N while a warm machine can do more
-        than this one bears: one router that has not been told then adds much to what all others saved."""
+        than this one bears: one router that has not been told then adds much to what all others saved.
+        """
         self.mean += 0.1 * (work - self.mean) if self.mean else work
         bears = self.multiple * self.part(cache, now)  # in what a warm one can do
         rate = 0.65 * bears * mine
@@ -631,9 +631,7 @@
     def list_lost(self, now: float) -> None:
         self.outside.wake(self.ask_again * (0.5 + self.chance.draw()), lambda then: self.outside.follow())
 
-    def take(
-        self, caller: Caller, tariff: Tariff, request: Request, now: float, waited: float = 0.0
-    ) -> Visit:
+    def take(self, caller: Caller, tariff: Tariff, request: Request, now: float, waited: float = 0.0) -> Visit:
         item = self.shelf.visit(request.key, request.part, now)
         work = request.size / self.flow if request.size else item.work or self.mean(tariff)
         self.fleet.count()
@@ -699,7 +697,8 @@
 
     def pace(self, fine: bool) -> None:
         """Against an origin that refuses: caches and parents try each call again; pushed further it stops.
-        Time between two fetches by this router, doubled from half a round to four."""
+        Time between two fetches by this router, doubled from half a round to four.
+        """
         self.gap = 0.3 * self.gap if fine else min(max(2 * self.gap, 0.5 * ROUND), 4 * ROUND)
         self.gap *= self.gap > 0.1
 
--- a/wickhinge/lab/changelog/schedule.py
+++ b/wickhinge/lab/changelog/schedule.py
@@ -37,7 +37,8 @@
 
 class Schedule(msgspec.Struct, frozen=True):
     """`loss` and `duplication` are shares of all packets, `jitter_s` a mean; they last from start to end.
-    `newest_leader`: proposals go to the leader of the latest term, else to any that takes them."""
+    `newest_leader`: proposals go to the leader of the latest term, else to any that takes them.
+    """
 
     seed: int
     followers: tuple[str, ...]
@@ -53,7 +54,8 @@
 
 def one_relay_lost(schedule: Schedule) -> bool:
     """Whether nothing else happens than that single relays end or stand still, one after the other: no follower is cut
-    off then, and each entry is due within the bound throughout."""
+    off then, and each entry is due within the bound throughout.
+    """
     faults = sorted(schedule.faults, key=lambda fault: fault.at_s)
     alone = all(fault.kind in ("kill", "pause") and set(fault.names) <= set(RELAYS) for fault in faults)
     single = all(len(fault.names) == 1 for fault in faults)
--- a/wickhinge/lab/experiments.py
+++ b/wickhinge/lab/experiments.py
@@ -39,7 +39,8 @@
     run: Callable[[Scenario, Connection], None] = child,
 ) -> list[dict[str, Any]]:
     """A result for each, in their order; one that dies says `failed` and costs none of the others'. On Ctrl-C those
-    that are done are returned."""
+    that are done are returned.
+    """
     left = list(enumerate(scenarios))[::-1]
     results: dict[int, dict[str, Any]] = {}
     under_way: dict[Any, tuple[int, Scenario, Any]] = {}
--- a/wickhinge/lab/machines.py
+++ b/wickhinge/lab/machines.py
@@ -168,7 +168,8 @@
         held: bool = False,
     ) -> Callable[[], None]:
         """then(outcome, made, note), a hop later each way; runs() if it has effects and runs. held: the source gives
-        only what it holds. Returns what gives it up."""
+        only what it holds. Returns what gives it up.
+        """
         state: dict[str, Any] = {"off": False}
 
         def back(outcome: Outcome, made: float | None = None, note: Note | None = None) -> None:
--- a/wickhinge/lab/many/between.py
+++ b/wickhinge/lab/many/between.py
@@ -1,5 +1,6 @@
 """What becomes of a datagram on its way from one place to another, by the faults that are active: for both ways to
-play a schedule."""
+play a schedule.
+"""
 
 from __future__ import annotations
 
--- a/wickhinge/lab/many/director.py
+++ b/wickhinge/lab/many/director.py
@@ -14,7 +14,8 @@
 
 class Director:
     """Its players have processes that can `kill`, `stop`, `go_on` and `reroster`, and say `now`, `at`, `start` and
-    `arrive`."""
+    `arrive`.
+    """
 
     def __init__(self, schedule: Schedule) -> None:
         self.schedule = schedule
--- a/wickhinge/lab/many/judges.py
+++ b/wickhinge/lab/many/judges.py
@@ -13,7 +13,8 @@
 
 def lives(history: History) -> list[str]:
     """Safety: each datagram is believed once by a life of the receiver; what a process believes of a name only rises;
-    a process that was replaced claims nothing by its old life."""
+    a process that was replaced claims nothing by its old life.
+    """
     faults, seen = [], set()
     top: dict[tuple[int, str], tuple[int, int]] = defaultdict(lambda: (0, 0))
     for when, name, process, event, told in history:
@@ -32,7 +33,8 @@
 
 def together(history: History, schedule: Schedule) -> list[str]:
     """Liveness: at the end each process that runs hears all of the roster, is not cut off and has its name; where two
-    run under one name, one has it."""
+    run under one name, one has it.
+    """
     last: dict[str, dict[int, dict[str, Any]]] = defaultdict(dict)
     for _, name, process, event, told in history:
         if event == "started":
@@ -57,7 +59,8 @@
 
 def unfounded(history: History, schedule: Schedule, after: float = 8.0) -> list[str]:
     """Each time that a process calls another gone to which nothing has happened lately: its own trouble, or a third's,
-    taken for the other's. Not forbidden, since a lossy link looks the same from both its ends; counted."""
+    taken for the other's. Not forbidden, since a lossy link looks the same from both its ends; counted.
+    """
     found = []
     for when, name, _, event, told in history:
         if event != "peer" or told["state"] != "gone":
--- a/wickhinge/lab/many/rig.py
+++ b/wickhinge/lab/many/rig.py
@@ -167,7 +167,8 @@
         counts: bool = False,
     ) -> None:
         """scene: machines and what clients ask, none without; shared: whether limits are dealt; judgements: whether
-        routers tell each other of machines; counts: and of what they have out there."""
+        routers tell each other of machines; counts: and of what they have out there.
+        """
         super().__init__(schedule)
         self.folder, self.shared, self.judgements, self.counts = folder, shared, judgements, counts
         self.selector = selectors.DefaultSelector()
--- a/wickhinge/lab/many/schedule.py
+++ b/wickhinge/lab/many/schedule.py
@@ -17,7 +17,8 @@
 
 class Fault(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """one, other: places of routers; what is on neither side is on both (a bridge). amount: a share, seconds or a
-    rate, by kind."""
+    rate, by kind.
+    """
 
     kind: str
     at_s: float
@@ -48,7 +49,8 @@
 
 def bound(routers: int) -> float:
     """Seconds after the last fault in which all have to see all again: each finds whom it lost by its fourth probe,
-    in turn, and one finder is enough where news spread; then a suspicion or two may still run out."""
+    in turn, and one finder is enough where news spread; then a suspicion or two may still run out.
+    """
     return 12.0 + 1.0 * routers
 
 
--- a/wickhinge/lab/many/stands.py
+++ b/wickhinge/lab/many/stands.py
@@ -34,7 +34,8 @@
 class Scene:
     """cold: one cold cache a zone and a cold parent, asked for `needs(process, now)` times what the cache bears, a
     multiple; else `boxes` warm ones a zone, asked for `needs` visits a second. work: seconds of an answer, by the
-    cache's number in its zone, the place of the router that asks, and the time."""
+    cache's number in its zone, the place of the router that asks, and the time.
+    """
 
     needs: Callable[[Any, float], float]
     cold: bool = True
@@ -117,7 +118,8 @@
 
 class Client:
     """Asks one process as often as its place needs; each visit has one answer in time, where nothing is done to the
-    process meanwhile."""
+    process meanwhile.
+    """
 
     def __init__(self, stands: Stands, process: Any, address: tuple[str, int]) -> None:
         self.stands, self.process, self.address = stands, process, address
--- a/wickhinge/lab/play.py
+++ b/wickhinge/lab/play.py
@@ -21,7 +21,8 @@
 
 def emulated(outside: Any, chance: Chance, zone: str, routers: int, cold: tuple[float, float, float, float]) -> Router:
     """The module as a front builds it, with what the laboratory does not vary. routers: of its location; cold: what
-    topples a machine times its capacity, over which seconds, its pace at first, seconds until it is warm."""
+    topples a machine times its capacity, over which seconds, its pace at first, seconds until it is warm.
+    """
     fleet = Fleet(chance, zone, routers, "parent", "origin", True, Cold(*cold), Cold(*cold))
     permitted = Permitted(
         joins=False, direct=True, second_copies=True, cancel=True, probes=True, loads=False, follows=False
--- a/wickhinge/membership/members.py
+++ b/wickhinge/membership/members.py
@@ -137,7 +137,8 @@
 
     def caught_up(self, now: float, number: int, unbroken: bool) -> None:
         """It has nothing more to tell for now. unbroken: it went on from the number that was remembered, so the
-        remembered list and its changes are the live list."""
+        remembered list and its changes are the live list.
+        """
         self.heard, self.number = now, number
         if unbroken and not self.whole and self.memory is not None:
             for row in self.memory.machines:
--- a/wickhinge/membership/trust.py
+++ b/wickhinge/membership/trust.py
@@ -36,7 +36,7 @@
     __slots__ = ("age", "hint", "proofs", "width", "failures", "by_visit", "upper_first")
 
     def __init__(self, age: float | None, count: int, hint: float) -> None:
-        """age None, or below 0: written by a clock that was ahead, or nobody knows when."""
+        """Age None, or below 0: written by a clock that was ahead, or nobody knows when."""
         known = age is not None and age >= -5.0
         self.age = max(age, 0.0) if known else hint + 1.0
         self.hint = self.age > hint
--- a/wickhinge/net/accept.py
+++ b/wickhinge/net/accept.py
@@ -86,7 +86,8 @@
 
     def receive(self, data: bytes, arrival: float) -> None:
         """Heed what was read, and begin nothing: a request's abort may have come beside it. arrival: when it came, at
-        the earliest."""
+        the earliest.
+        """
         self.arrival = arrival
         try:
             messages = self.stream.feed(data)
@@ -100,7 +101,8 @@
 
     def look(self) -> None:
         """Read the socket to its end where an abort, a close or a reset may lie unread there for long: the reactor
-        was busy, or more came than one read gives. Called before each attempt, so it begins no request itself."""
+        was busy, or more came than one read gives. Called before each attempt, so it begins no request itself.
+        """
         settled = self.clients.arrivals.settled
         known = max(self.looked, settled if settled > self.made else 0.0)
         if not self.ended and not (self.dry and self.clients.deadlines.now() - known <= UNSEEN):
@@ -172,7 +174,8 @@
 
     def queue(self, call: int, method: str, params: list[Any]) -> None:
         """To begin when all that came with it has been heeded, or after the hold. In a hold it is kept in memory
-        that all clients share; past that it is refused, since unread it would hide an abort behind it."""
+        that all clients share; past that it is refused, since unread it would hide an abort behind it.
+        """
         size = 0
         if self.held:
             size = sum(len(item) if type(item) is bytes else len(repr(item)) for item in params)
@@ -313,7 +316,8 @@
     def throttle(self) -> None:
         """In a hold it is read on and nothing new is begun: unread, one that leaves or gives a request up is not
         seen to, and what waits for it would still be sent on. Its answers are bounded by what it may have open, so
-        one that reads slowly is no reason for a hold: its requests would run out."""
+        one that reads slowly is no reason for a hold: its requests would run out.
+        """
         if self.ended:
             return
         now = self.clients.deadlines.now()
@@ -337,7 +341,8 @@
 
     def close(self, why: str) -> bool:
         """It rests, and its socket was read to the end just now. Closed in this call, since a turn of the loop may last
-        long: a request on its way crosses the close and is sent again. False where one has come meanwhile."""
+        long: a request on its way crosses the close and is sent again. False where one has come meanwhile.
+        """
         transport = self.transport
         if not transport.end_unless_unread():
             return False
@@ -393,7 +398,8 @@
 
 class Clients(Factory):
     """All connections of clients. Three tables in order of time say which must go: those that have asked
-    nothing, those with half a request, and those with nothing open."""
+    nothing, those with half a request, and those with nothing open.
+    """
 
     noisy = False
 
@@ -425,7 +431,8 @@
 
     def shed_one(self) -> bool:
         """The one that rests for longest: one that has asked nothing, else one that had its answers, else one with
-        half a request. Never one that came just now: what it asks may be on its way, and the others can wait."""
+        half a request. Never one that came just now: what it asks may be on its way, and the others can wait.
+        """
         now = self.deadlines.now()
         for table, least in ((self.silent, UNREAD), (self.idle, 0.0), (self.half, UNREAD)):
             oldest = [client for client, since in islice(table.items(), LOOKED) if now - since >= least]
--- a/wickhinge/net/arrivals.py
+++ b/wickhinge/net/arrivals.py
@@ -44,7 +44,8 @@
 
     def waited(self, entered: float, limit: float, returned: float, count: int, most: int, asked: bool) -> None:
         """A wait of up to `limit` seconds ended with `count` of `most` events. asked: a poll just before it found none;
-        else something may have come within `SOON` before it began."""
+        else something may have come within `SOON` before it began.
+        """
         if count == most and not asked:
             self.polled(entered, returned, count, most)
             return
--- a/wickhinge/net/caches.py
+++ b/wickhinge/net/caches.py
@@ -100,7 +100,8 @@
 
     def drain(self) -> None:
         """Straight into the socket: what the transport held would still go out after its request's final answer. The
-        transport only tells when the socket takes more."""
+        transport only tells when the socket takes more.
+        """
         while self.queue and not self.cut:
             first = self.queue[0]
             data = first.data
@@ -199,7 +200,8 @@
 
     def watch(self) -> None:
         """An answer that stops short would take the bytes of all that follow for its own, and one that comes byte by
-        byte without an end would hold all that follow up."""
+        byte without an end would hold all that follow up.
+        """
         self.watched = False
         if self.down or not self.stream.busy():
             return
@@ -313,7 +315,8 @@
 
     def doubt(self, since: float) -> None:
         """Silent, maybe vanished: nothing new may pile up on what has not been heard from, on any connection;
-        the next one is made anew, and one that does not come up proves that nothing ran."""
+        the next one is made anew, and one that does not come up proves that nothing ran.
+        """
         for line in list(self.lines):
             line.doubted = line.doubted or line.heard < since
             line.settle()
@@ -369,7 +372,8 @@
 
     def may_connect(self, needed: bool) -> bool:
         """Whether there is a descriptor for one connection more. needed: the machine has none that could be used, so
-        the connection to another that rests for longest goes for it."""
+        the connection to another that rests for longest goes for it.
+        """
         free = self.most - sum(len(machine.lines) for machine in self.machines.values())
         if needed and free == 0 and self.close_resting():
             free = 1
--- a/wickhinge/net/changes.py
+++ b/wickhinge/net/changes.py
@@ -121,7 +121,8 @@
 
     def _note_state(self) -> None:
         """Logs what changed since the last tick. What was decided without a limit, and is not written yet, is decided
-        anew once there is one: it may be written much later."""
+        anew once there is one: it may be written much later.
+        """
         source = self.follower.machine.source
         if source != self._source:
             self._source = source
--- a/wickhinge/net/descriptors.py
+++ b/wickhinge/net/descriptors.py
@@ -30,7 +30,8 @@
 
 class Admission:
     """Connections of clients, counted until their descriptors are free again: one that was hung up on holds its
-    descriptor for some turns of the loop more."""
+    descriptor for some turns of the loop more.
+    """
 
     def __init__(self, most: int) -> None:
         self.most = self.allowed = most
@@ -53,7 +54,8 @@
 
     def to_shed(self) -> int:
         """How many clients to hang up on while connections wait: one, and twice as many each time, as long as more
-        wait."""
+        wait.
+        """
         return max(self.step, self.held - self.allowed + 1)
 
     def shed(self, count: int) -> None:
--- a/wickhinge/net/fellows.py
+++ b/wickhinge/net/fellows.py
@@ -62,7 +62,8 @@
 
     def share(self, division: Any, judgements: bool, counts: bool) -> None:
         """Cold machines' limits are asked of the fleet's budgets from now on; judgements: and machines told of;
-        counts: and what is out there."""
+        counts: and what is out there.
+        """
         from wickhinge.shared import cold
         from wickhinge.shared.counts import Counts
         from wickhinge.shared.judge import Judge
@@ -207,7 +208,8 @@
 
     def reload(self, options: Any) -> None:
         """Another roster and other keys from now on; shares move by the roster at once. Raises Malformed, and then
-        nothing has changed."""
+        nothing has changed.
+        """
         roster, keys = told_by(options, self.detector.roster.mine.name)
         if roster.mine.address != self.detector.roster.mine.address:
             raise Malformed("peers.roster: our own address changes at a restart only")
--- a/wickhinge/net/forwards.py
+++ b/wickhinge/net/forwards.py
@@ -124,7 +124,8 @@
 
     def recall(self, number: int, whole: bool = False) -> None:
         """Not sent after all where it still waits for its connection. whole: also where it has begun to go; the
-        rest would make it a request, sent after its visit was over."""
+        rest would make it a request, sent after its visit was over.
+        """
         sent = self.slots.get(number)
         if sent is None or sent.line is None or sent.tag not in sent.line.unwritten:
             return
@@ -134,7 +135,8 @@
 
     def overtaken(self, holds: Callable[[Sent], bool]) -> None:
         """Something was told that forms a bar to what was decided before it. A send counts from its first byte, and
-        a connection may come up, or take more, long after the bar's grace."""
+        a connection may come up, or take more, long after the bar's grace.
+        """
         for machine in self.caches.machines.values():
             for number in [line.open[tag] for line in machine.lines for tag in line.unwritten if tag in line.open]:
                 sent = self.slots.get(number)
@@ -145,7 +147,8 @@
     def begin(self, number: int) -> bytes | None:
         """A request as it goes out now; None where it is not to be sent any more. The process may have stood still
         since it was decided, and its connection may have come up late: so its client, its time and what was told are
-        looked at here, and once more where this took long."""
+        looked at here, and once more where this took long.
+        """
         sent = self.slots.get(number)
         if sent is None or sent.door is None:
             return None
@@ -188,7 +191,8 @@
 
     def answered(self, number: int, word: bytes, told: bytes, body: Any) -> bool | None:
         """False for a word that does not fit what was asked: nothing on that connection can be trusted. None for one
-        that is not the answer: the look's miss once more, as its fill goes under the same id."""
+        that is not the answer: the look's miss once more, as its fill goes under the same id.
+        """
         end, sent = WORDS.get(word, End.UNREADABLE), self.slots.get(number)
         if end is End.MISS and sent is not None and sent.fills:
             if body is not None:
--- a/wickhinge/net/journal.py
+++ b/wickhinge/net/journal.py
@@ -221,7 +221,8 @@
 
     def prove(self, reading: Reading) -> None:
         """Events came, all that there were, most likely; the frame that says so may take a second. Who connects with
-        the last number is told at once that it has all. One connection more a start, and no guess."""
+        the last number is told at once that it has all. One connection more a start, and no guess.
+        """
         if self.reading is reading and self.proven != self.last and not self.closed:
             self.reading = None
             reading.transport.loseConnection()
@@ -229,7 +230,8 @@
 
     def frame(self, number: int, kind: int, payload: bytes) -> None:
         """No gap or bad frame is guessed over: the connection goes, and the rest is asked for again. An event
-        had already is no gap; the service may write one twice."""
+        had already is no gap; the service may write one twice.
+        """
         if kind == NOTHING and number <= self.last:
             # Below what we have, it is another count than the one that was remembered.
             self.unbroken = self.unbroken and number == self.last
--- a/wickhinge/net/listener.py
+++ b/wickhinge/net/listener.py
@@ -103,7 +103,8 @@
 
     def wait(self, problem: OSError) -> None:
         """It failed again and again. Where the system has no descriptor and that lasts, clients that rest make room;
-        what waits is tried again soon, and with the next descriptor that is free."""
+        what waits is tried again soon, and with the next descriptor that is free.
+        """
         self.leave_waiting()
         self.pause()
         self.deadlines.after(AGAIN, self.resume)
--- a/wickhinge/net/opening.py
+++ b/wickhinge/net/opening.py
@@ -35,7 +35,8 @@
         taken: Callable[[OSError], None],
     ) -> None:
         """Raises OSError where the address is in use; taken(problem) where another that waited got it meanwhile:
-        the system lets several be bound who may use it again, and one listen."""
+        the system lets several be bound who may use it again, and one listen.
+        """
         self.taken = taken
         self.reactor, self.clients, self.deadlines, self.log = reactor, clients, deadlines, log
         self.socket: socket.socket | None = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
--- a/wickhinge/net/router.py
+++ b/wickhinge/net/router.py
@@ -320,7 +320,8 @@
 
     def reload(self) -> None:
         """On SIGHUP. The journal's address, the fellows' roster and keys, and the change log's keys may change while
-        running; a faulty file changes nothing."""
+        running; a faulty file changes nothing.
+        """
         if self.leaving:
             return
         try:
@@ -379,7 +380,8 @@
     def busy(self, last: float) -> bool:
         """Whether a client still has something to get, or to be read: with little CPU a request may lie unread, or its
         connection untaken, at the moment when nothing is open. Past the last time all is read and given up on, however
-        long the process stood still before."""
+        long the process stood still before.
+        """
         now = self.deadlines.now()
         if now >= last:
             self.clients.read_all()
@@ -392,7 +394,8 @@
 
     def end(self, last: float) -> None:
         """The machines are hung up on: who still comes is denied. First nobody new is taken, then each client is closed
-        as nothing of it lies unread."""
+        as nothing of it lies unread.
+        """
         self.visits.give_up()
         if self.busy(last) or not (self.opening.close() and self.clients.close_all() or self.passes >= PASSES):
             self.deadlines.after(0.01, self.end, last)
--- a/wickhinge/net/transport.py
+++ b/wickhinge/net/transport.py
@@ -31,7 +31,8 @@
 
     def end_unless_unread(self) -> bool:
         """Ends the connection, unless something lies unread there, or that cannot be told just now. The look and the
-        end are one step: the process may stand still between any two. Nothing may wait to be written."""
+        end are one step: the process may stand still between any two. Nothing may wait to be written.
+        """
         socket = self.socket
         try:
             if socket.recv(1, MSG_PEEK):
--- a/wickhinge/options/load.py
+++ b/wickhinge/options/load.py
@@ -169,7 +169,7 @@
     try:
         return Build().transform(grammar().parse(source))
     except UnexpectedInput as problem:
-        line = source.splitlines()[problem.line - 1].strip() if 0 < problem.line else "the end"
+        line = source.splitlines()[problem.line - 1].strip() if problem.line > 0 else "the end"
         raise Fault(f"{name}:{problem.line}: cannot be read at {line!r}") from None
 
 
--- a/wickhinge/peers/detector.py
+++ b/wickhinge/peers/detector.py
@@ -210,7 +210,8 @@
 
     def asks(self, name: str, now: float) -> None:
         """Another process speaks from its address, of now. The one believed is asked itself; if it is silent while the
-        other is heard, it is gone, and no link is to blame: also where we hear nobody else."""
+        other is heard, it is gone, and no link is to blame: also where we hear nobody else.
+        """
         member, line = self.members[name], self.lines[name]
         if not member.is_up():
             return
--- a/wickhinge/peers/lines.py
+++ b/wickhinge/peers/lines.py
@@ -46,7 +46,8 @@
 
     def judge(self, epoch: int, life: int, counter: int, token: int, echo: int, now: float, chance: Any) -> str:
         """One of FRESH, ADOPTED (believed from now on), REPLAYED, SMALLER (a life that has been replaced), ASKING (of
-        now, and claims nothing) or STRANGE (not believed yet: answer it, with `token`)."""
+        now, and claims nothing) or STRANGE (not believed yet: answer it, with `token`).
+        """
         if not (0 < life <= MASK and 0 <= epoch < MOST and 0 < counter < MOST):
             self.refused += 1
             return REPLAYED
@@ -57,7 +58,7 @@
             self.refused += 1
             return REPLAYED
         self.theirs = token
-        if 0 < epoch and (epoch, life) < (self.epoch, self.life):
+        if epoch > 0 and (epoch, life) < (self.epoch, self.life):
             self.refused += 1
             return SMALLER
         if self.token and echo == self.token:
--- a/wickhinge/peers/members.py
+++ b/wickhinge/peers/members.py
@@ -113,7 +113,8 @@
 
     def heard_of(self, news: News, witness: str, now: float) -> bool:
         """News of a third. A witness alone can make nobody larger than it said itself. Whether the name should be
-        asked itself soon: its own word is better."""
+        asked itself soon: its own word is better.
+        """
         name, epoch, life, count, state = news
         member = self.get(name)
         if member is None or not 0 < state <= GONE or not (0 < epoch < lines.MOST and 0 < life <= lines.MASK):
--- a/wickhinge/shared/bucket.py
+++ b/wickhinge/shared/bucket.py
@@ -28,7 +28,8 @@
 
     def set(self, most: float, now: float, unit: float | None = None) -> None:
         """Another budget; what was saved up by the old one is cut to the new one's depth. One that is less than a piece
-        for each place is spent by nobody: it could not be kept."""
+        for each place is spent by nobody: it could not be kept.
+        """
         if self.filled < now:
             self.fill(now)
         self.most, self.unit = most, self.unit if unit is None else unit
--- a/wickhinge/shared/cold.py
+++ b/wickhinge/shared/cold.py
@@ -65,7 +65,8 @@
 
     def room(self, cache: Any, upper: bool, cold: Any, part: float, work: float, now: float) -> bool:
         """Whether a visit of `work` seconds may go to the machine, which bears `part` of what it bears warm (cold:
-        decide.Cold, with the settings' limit). What is sent, `policy` takes off cache.credit."""
+        decide.Cold, with the settings' limit). What is sent, `policy` takes off cache.credit.
+        """
         number, window = self.first + (UPPER if upper else EDGE), cold.span
         most = cold.multiple * part * cache.weight * window
         budget = self.limiter.budgets[number]
--- a/wickhinge/shared/judge.py
+++ b/wickhinge/shared/judge.py
@@ -86,7 +86,8 @@
 
     def own(self, seen: Seen, pace: float, gap: float, now: float, policy_now: float) -> None:
         """What we have seen of it ourselves since the last look, `gap` ago. pace: the middle of what its fellows bear
-        of what they should; policy_now: the time by which `policy` counts."""
+        of what they should; policy_now: the time by which `policy` counts.
+        """
         cache, was = seen.cache, seen.verdict
         heard = now - max(policy_now - cache.heard, 0.0)
         seen.answers = seen.answers * 0.5 ** (gap / FRESH) + (cache.heard > seen.heard)
@@ -182,7 +183,8 @@
 
     def heard_of(self, mark: int, sick: set[str]) -> tuple[int, list[tuple[float, Word]]]:
         """The verdict that enough others share, WELL for none, and their words. Who believes that it is just back from
-        being lost had lost it: where they do not agree on that, it counts as lost."""
+        being lost had lost it: where they do not agree on that, it counts as lost.
+        """
         found = [(when, word) for name, (when, word) in self.told.get(mark, {}).items() if name not in sick]
         well = finding_well(found)
         for verdict, verdicts in ((COLD, (COLD,)), (LOST, (LOST, COLD)), (SLOW, (SLOW,))):
--- a/wickhinge/shared/lending.py
+++ b/wickhinge/shared/lending.py
@@ -59,7 +59,8 @@
 @dataclass(frozen=True, slots=True)
 class Dealt:
     """What a budget is dealt among and of: zone's routers alone, "" for all; bucket (most, window, unit) its one, or
-    None where machines have one each, put there by who spends."""
+    None where machines have one each, put there by who spends.
+    """
 
     zone: str = ""
     bucket: tuple[float, float, float] | None = None
--- a/wickhinge/shared/loans.py
+++ b/wickhinge/shared/loans.py
@@ -127,7 +127,8 @@
 
     def lost(self) -> None:
         """Our life is another: what it lent is not ours to reckon with (the name is not vouched for until that has
-        ended), what it borrowed is not ours."""
+        ended), what it borrowed is not ours.
+        """
         self.out.clear()
         self.had.clear()
         self.asked.clear()
--- a/wickhinge/shared/name_lease.py
+++ b/wickhinge/shared/name_lease.py
@@ -21,7 +21,8 @@
 
 def term(routers: int) -> float:
     """Seconds of a vouched term. Work a second is the same at any size, so a larger fleet takes longer to hear a
-    majority: half as many periods as there are routers. Twice that, and time for a loan."""
+    majority: half as many periods as there are routers. Twice that, and time for a loan.
+    """
     return LEAST + 2 * EACH * routers * PERIOD
 
 
--- a/wickhinge/store/counts.py
+++ b/wickhinge/store/counts.py
@@ -40,7 +40,7 @@
         return 0
 
     def put(self, key: int, k: int) -> None:
-        """k as it stands; 0 takes the object out. In a full bucket the most faded, then oldest, goes."""
+        """K as it stands; 0 takes the object out. In a full bucket the most faded, then oldest, goes."""
         self.calls += 1
         if self.calls >= AGE * WAYS * self.buckets:
             self.calls, self.age = 0, self.age + 1 & 255
--- a/wickhinge/store/keep.py
+++ b/wickhinge/store/keep.py
@@ -54,7 +54,8 @@
 
     def put(self, copy: Copy, front: bool = True) -> list[Copy]:
         """What had to go, the one that it replaces among it. front: False for what was recovered, whose last use
-        is not known."""
+        is not known.
+        """
         old = self.find(copy.key, copy.part)
         gone = [old] if old is not None else []
         for one in gone:
@@ -142,7 +143,8 @@
 
     def recovered(self, copy: Copy, k: int) -> list[Copy]:
         """What a start found on disk. Of two copies of a part the newer made counts, then the later written; one of
-        this run is never replaced. Returns what goes instead, the new one itself where it is not believed."""
+        this run is never replaced. Returns what goes instead, the new one itself where it is not believed.
+        """
         old = self.find(copy.key, copy.part)
         if old is not None and (old.proven or (old.made, old.serial) >= (copy.made, copy.serial)):
             return [copy]
--- a/wickhinge/store/purged.py
+++ b/wickhinge/store/purged.py
@@ -11,7 +11,8 @@
 
 class Purge(NamedTuple):
     """key: an object, or None for a group, or for everything where group is -1. stamp in seconds; segment: the
-    newest when it was told; number: the journal's."""
+    newest when it was told; number: the journal's.
+    """
 
     key: int | None
     group: int
--- a/wickhinge/store/store.py
+++ b/wickhinge/store/store.py
@@ -335,7 +335,8 @@
 
     def caught_up(self, now: float, whole: bool) -> None:
         """The journal has nothing more to tell for now. whole: it has told all since the number that the purge
-        log had at the start, in the service's own unbroken count."""
+        log had at the start, in the service's own unbroken count.
+        """
         self.heard = now
         if whole and self.continues and not self.trusted:
             self.trusted = True
--- a/wickhinge/store/volume.py
+++ b/wickhinge/store/volume.py
@@ -189,7 +189,8 @@
 
     def heads(self, number: int, start: int, bodies: bool) -> Iterator[tuple[format.Head, int]]:
         """Every record of a segment from there on, with its offset; bodies: checked as well. Past a damaged
-        place it goes on with the next head."""
+        place it goes on with the next head.
+        """
         handle, seed = self.handles[number], format.seed(self.mark, number)
         size, offset = self.files.size(handle), start
         window, base = b"", 0
@@ -247,7 +248,8 @@
 
     def rewrite(self, purges: list[Purge], number: int) -> None:
         """The log anew, one file after the other: at each moment one of them is whole. number: the journal's, up
-        to which these are all."""
+        to which these are all.
+        """
         every = next((purge for purge in purges if purge.key is None and purge.group < 0), None)
         base = every or Purge(None, -1, 0.0, self.last, number)
         lines = [format.line(self.sequence, believe.BASE, base._replace(number=number))]
@@ -269,7 +271,8 @@
         self, objects: Iterable[tuple[int, int, list[Copy]]], marks: dict[int, int], counts: bytes, serial: int
     ) -> int:
         """objects: (object, k, copies), the latest used first. marks: to where each segment is known in them.
-        Every byte that it names is made durable first. Returns the generation."""
+        Every byte that it names is made durable first. Returns the generation.
+        """
         for number in marks:
             handle = self.handles.get(number)
             if handle is not None and number not in self.sizes:
@@ -313,7 +316,8 @@
 
     def recover(self, begin: Callable[[int, bytes], None]) -> Iterator[list[Found]]:
         """What the directory holds, in batches, the latest used first: the newest whole snapshot, then what was
-        written after it. begin(serial, counts) is told before the first."""
+        written after it. begin(serial, counts) is told before the first.
+        """
         marks, serial = {}, 0
         names = [name for name in self.names() if INDEX.match(name)] if self.sizes else []
         for name in reversed(names):
