--- a/.ci/known_red.py
+++ b/.ci/known_red.py
@@ -1,7 +1,7 @@
 """Runs the test suite, passing over exactly the tests that KNOWN-RED.txt lists.
 
 A line of KNOWN-RED.txt: `test id | cause | issue`, for example
-`tests/test_net.py::test_name | the pool is filled by slow readers | issue 38`.
+`tests/net/test_net.py::test_name | the pool is filled by slow readers | issue 38`.
 
 The run fails where the list is malformed or too long, where any other test fails, and where a listed test passes or
 does not exist. Each listed test is printed with its cause. This file is also the pytest plugin that deselects them.
--- a/tests/test_bench_store.py
+++ b/tests/bench/test_bench_store.py
@@ -1,7 +1,8 @@
 """The tier's measurements in their short form: the program killed under load, and faults planted that must be found."""
 
 import pytest
-from measured import together
+
+from tests.support.measurements import together
 
 KILL = "bench.store kill --kills 5 --seconds 14"
 
--- a/tests/test_fleet_run.py
+++ b/tests/bench/test_fleet_run.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-ROOT = Path(__file__).parent.parent
+ROOT = Path(__file__).parents[2]
 COMMAND = [sys.executable, "-m", "bench.scale", "fleet", "--quick", "--no-flat", "--json"]
 SMALL = ["--routers", "50", "--real-routers", "2"]
 INTERRUPTED_IN_FORK = """
--- a/tests/test_scale.py
+++ b/tests/bench/test_scale.py
@@ -14,7 +14,7 @@
 from bench.scale.one_router import OneRouter
 from bench.scale.records import Known, Record, Unusable, parse, row, write
 
-ROOT = Path(__file__).parent.parent
+ROOT = Path(__file__).parents[2]
 SIZES = [10, 50, 200, 800]
 
 
--- a/tests/test_changelog_control.py
+++ b/tests/changelog/test_changelog_control.py
@@ -3,7 +3,8 @@
 import socket
 
 import pytest
-from changelog_fleet import (
+
+from tests.support.changelog_fleet import (
     BOUND_S,
     LIMIT_S,
     RELAYS,
@@ -16,8 +17,7 @@
     running,
     uninformed_after,
 )
-from test_sockets import PATIENT
-
+from tests.support.processes import PATIENT
 from wickhinge.changelog.entries import Purge, Setting
 
 
--- a/tests/test_changelog_nodes.py
+++ b/tests/changelog/test_changelog_nodes.py
@@ -6,7 +6,8 @@
 import time
 
 import pytest
-from changelog_fleet import (
+
+from tests.support.changelog_fleet import (
     BOUND_S,
     LIMIT_S,
     RELAYS,
@@ -19,8 +20,7 @@
     running,
     uninformed_after,
 )
-from test_sockets import PATIENT
-
+from tests.support.processes import PATIENT
 from wickhinge.changelog.entries import Purge
 from wickhinge.cli.changelog_client import Client
 from wickhinge.options import load
--- a/tests/test_changelog_storage.py
+++ b/tests/changelog/test_changelog_storage.py
@@ -3,8 +3,8 @@
 import errno
 
 import pytest
-from disk import Crash, Disk, Node
 
+from tests.support.faulty_disk import Crash, Disk, Node
 from wickhinge.changelog import storage
 from wickhinge.changelog.effects import Persist, PersistSnapshot
 from wickhinge.changelog.entries import Entry, Noop, Purge, Setting, Unknown
--- a/tests/test_known_red.py
+++ b/tests/ci/test_known_red.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-RUNNER = Path(__file__).resolve().parent.parent / ".ci" / "known_red.py"
+RUNNER = Path(__file__).resolve().parents[2] / ".ci" / "known_red.py"
 TESTS = """
 import pytest
 
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,9 +1,9 @@
 """Fixtures that several files share."""
 
 import pytest
-from stand import Stand
 
 from bench.faults import shim
+from tests.support.router_process import Stand
 
 
 @pytest.fixture
--- a/tests/test_many.py
+++ b/tests/lab/test_many.py
@@ -17,7 +17,7 @@
 from wickhinge.lab.many.schedule import Fault, Schedule
 from wickhinge.options.load import check
 
-ROOT = Path(__file__).parent.parent
+ROOT = Path(__file__).parents[2]
 
 
 def test_several_processes_find_each_other_again_after_all_that_breaks_between_them():
--- a/tests/test_discovery.py
+++ b/tests/membership/test_discovery.py
@@ -7,8 +7,9 @@
 import time
 
 import pytest
-from measured import together
-from test_sockets import PATIENT, Client, Deployment, Process, free
+
+from tests.support.measurements import together
+from tests.support.processes import PATIENT, Client, Deployment, Process, free
 
 
 @pytest.fixture(scope="module")
--- a/tests/test_membership.py
+++ b/tests/membership/test_membership.py
@@ -4,10 +4,10 @@
 from types import SimpleNamespace
 
 import pytest
-from disk import Crash, Disk
-from helpers import end, listing, router, take, tariff
-from test_net import reading
 
+from tests.support.connections import reading
+from tests.support.faulty_disk import Crash, Disk
+from tests.support.routing import end, listing, router, take, tariff
 from wickhinge.decide import Chance
 from wickhinge.interface import Effect, Outcome
 from wickhinge.membership import remembered, siblings
--- a/tests/test_client_gone.py
+++ b/tests/net/test_client_gone.py
@@ -10,9 +10,10 @@
 import time
 
 import pytest
-from stand import SERVED
-from test_sockets import PATIENT
 
+from tests.support.clients import patient, warmed
+from tests.support.processes import PATIENT
+from tests.support.router_process import SERVED
 from wickhinge.net import msgpack
 
 LATE = 0.15  # seconds; past the 0.1 in which an attempt may still begin
@@ -37,26 +38,11 @@
         client.socket.close()
 
 
-def patient(conf):
-    """Connections may take long to come up, and results are worth waiting for."""
-    conf["limits"]["connectTimeoutMs"] = 9000
-    conf["classes"][1]["onTimeMs"] = 2900
-
-
 def request(call, tariff="pages", body=b"", **fields):
     told = {"rid": os.urandom(8).hex(), "budget": "3000", "obj": "00000000000000aa", **fields}
     return msgpack.pack([0, call, tariff, [told, body]])
 
 
-def warmed(made, client, place=0):
-    """The machine's connection, up and idle."""
-    call = client.ask("pages" if place == 0 else "results", block="7")
-    line = made.line(place)
-    line.next().answer("OK", SERVED, b"x")
-    assert client.answer(call)[2] is None
-    return line
-
-
 def hold(client):
     """Bad requests in one write: nothing of this client is begun for the next second."""
     calls = range(101, 106)
--- a/tests/test_clock_steps.py
+++ b/tests/net/test_clock_steps.py
@@ -11,7 +11,8 @@
 from contextlib import suppress
 
 import pytest
-from stand import SERVED
+
+from tests.support.router_process import SERVED
 
 HOUR = 3600.0
 STEPS = [-HOUR, -3.0, 3.0, HOUR]
--- a/tests/test_clock_wrong_at_start.py
+++ b/tests/net/test_clock_wrong_at_start.py
@@ -3,8 +3,8 @@
 import time
 
 import pytest
-from test_sockets import PATIENT
 
+from tests.support.processes import PATIENT
 from wickhinge.net import journal
 
 HOUR = 3600.0
--- a/tests/test_crossings.py
+++ b/tests/net/test_crossings.py
@@ -10,11 +10,11 @@
 from types import SimpleNamespace
 
 import pytest
-from helpers import end, router, take, tariff
-from stand import SERVED, host
-from test_sockets import ROOT, Client
-from wires import line
 
+from tests.support.connections import line
+from tests.support.processes import ROOT, Client
+from tests.support.router_process import SERVED, host
+from tests.support.routing import end, router, take, tariff
 from wickhinge.clocks import steady
 from wickhinge.decide import Forward
 from wickhinge.fields import Malformed
--- a/tests/test_descriptors.py
+++ b/tests/net/test_descriptors.py
@@ -16,12 +16,12 @@
 from types import SimpleNamespace
 
 import pytest
-from stand import SERVED, Stand
-from test_sockets import PATIENT
 from twisted.internet.error import ConnectionDone
 from twisted.python.failure import Failure
-from wires import Wire, pool
 
+from tests.support.connections import Wire, pool
+from tests.support.processes import PATIENT
+from tests.support.router_process import SERVED, Stand
 from wickhinge.net import msgpack, resp
 from wickhinge.net.accept import Clients
 from wickhinge.net.arrivals import Arrivals
--- a/tests/test_failing_calls.py
+++ b/tests/net/test_failing_calls.py
@@ -11,10 +11,10 @@
 from contextlib import suppress
 
 import pytest
-from stand import SERVED
-from test_sockets import PATIENT, Client
 
 from bench.faults.shim import Call, Shim
+from tests.support.processes import PATIENT, Client
+from tests.support.router_process import SERVED
 
 ONE_IN_FIVE = 0.2
 ACCEPT_ERRORS = [
--- a/tests/test_net.py
+++ b/tests/net/test_net.py
@@ -9,12 +9,12 @@
 from types import SimpleNamespace
 
 import pytest
-from helpers import router, tariff
 from twisted.internet import error
 from twisted.python import log
 from twisted.python.failure import Failure
-from wires import Wire, line, pool
 
+from tests.support.connections import Wire, line, pool, reading
+from tests.support.routing import router, tariff
 from wickhinge.fields import Malformed
 from wickhinge.interface import Outcome
 from wickhinge.net import config, journal, msgpack, resp
@@ -152,25 +152,6 @@
 RECORD = journal.RECORD.pack(0xC41F7A, 0x7F000009, 10080, 1, 2, 0, 3, 4500, 1764576000123)
 
 
-def reading(last=40):
-    told = []
-    clock = SimpleNamespace(after=lambda *_: None, now=lambda: 1.0)
-    made = journal.Journal(
-        None,
-        clock,
-        ("127.0.0.1", 1),
-        last,
-        0.4,
-        lambda *a: told.append(a),
-        lambda *a: told.append(a),
-        lambda *a, **k: None,
-    )
-    made.reading = SimpleNamespace(
-        stream=journal.Stream(), transport=SimpleNamespace(abortConnection=lambda: told.append("dropped"))
-    )
-    return made, told
-
-
 def test_journal_frames_at_every_split():
     data = (
         frame(41, 1, RECORD)
--- a/tests/test_sockets.py
+++ b/tests/net/test_sockets.py
@@ -2,136 +2,16 @@
 
 import json
 import os
-import queue
 import signal
 import socket
-import subprocess
-import sys
-import threading
 import time
 from contextlib import ExitStack
-from pathlib import Path
 
 import pytest
 
+from tests.support.processes import PATIENT, ROOT, Client, Deployment, Process, free
 from wickhinge.net import msgpack
 
-ROOT = Path(__file__).parent.parent
-PATIENT = 20.0  # seconds: only a failing test waits so long, also where cores are busy
-
-
-class Process:
-    """A child whose output lines can be waited for."""
-
-    def __init__(self, *command, **more):
-        self.child = subprocess.Popen(
-            [sys.executable, *command],
-            cwd=ROOT,
-            stdin=subprocess.PIPE,
-            stdout=subprocess.PIPE,
-            stderr=subprocess.STDOUT,
-            text=True,
-            **more,
-        )
-        self.lines = queue.Queue()
-        threading.Thread(target=self.pump, daemon=True).start()
-
-    def pump(self):
-        for line in self.child.stdout:
-            self.lines.put(line)
-
-    def wait(self, word):
-        end = time.monotonic() + PATIENT
-        while time.monotonic() < end:
-            line = self.lines.get(timeout=PATIENT)
-            if word in line:
-                return line
-        raise AssertionError(f"no {word}")
-
-    def say(self, text):
-        self.child.stdin.write(text + "\n")
-        self.child.stdin.flush()
-
-    def close(self):
-        if self.child.poll() is None:
-            self.child.kill()
-        self.child.wait(PATIENT)
-
-
-def free(count):
-    """A port with so many free ones after it."""
-    while True:
-        with ExitStack() as stack:
-            # Below the ports that the system gives to connections, which would take one that is free for now.
-            base = 10_000 + int.from_bytes(os.urandom(4)) % 20_000
-            try:
-                for port in range(base, base + count):
-                    stack.enter_context(socket.create_server(("127.0.0.1", port)))
-                return base
-            except (OSError, OverflowError):
-                continue
-
-
-class Deployment:
-    def __init__(self, folder):
-        base = free(6)
-        conf = json.loads((ROOT / "example/config.json").read_text())
-        conf |= {
-            "listen": f"127.0.0.1:{base + 5}",
-            "journal": f"127.0.0.1:{base}",
-            "limits": {"memory_mb": 64, "sockets": 128},
-        }
-        self.address = ("127.0.0.1", base + 5)
-        self.path = folder / "config.json"
-        self.path.write_text(json.dumps(conf))
-        self.toy = Process("example/toy.py", str(base))
-        self.toy.wait("ready")
-        told = {**os.environ, "RELAY_CONFIG": str(self.path)}
-        self.router = Process("-m", "wickhinge", env=told)
-        self.router.wait('"event":"open"')
-
-    def client(self):
-        return Client(self.address)
-
-    def close(self):
-        self.router.close()
-        self.toy.close()
-
-
-class Client:
-    def __init__(self, address):
-        self.socket = socket.create_connection(address, PATIENT)
-        self.stream, self.had, self.calls = msgpack.Stream(300_000), [], 0
-
-    def ask(self, tariff="pages", body=b"", drop=(), **fields):
-        self.calls += 1
-        told = {
-            "rid": os.urandom(8).hex(),
-            "budget": "3000",
-            "obj": "00000000000000aa",
-            "block": "0",
-            "family": "1",
-            **fields,
-        }
-        told = {name: value for name, value in told.items() if name not in drop}
-        self.socket.sendall(msgpack.pack([0, self.calls, tariff, [told, body]]))
-        return self.calls
-
-    def ping(self):
-        self.calls += 1
-        self.socket.sendall(msgpack.pack([0, self.calls, "ping", [{}]]))
-        return self.answer(self.calls)[3][0]
-
-    def answer(self, call):
-        while True:
-            for message in self.had:
-                if message[1] == call:
-                    self.had.remove(message)
-                    return message
-            data = self.socket.recv(65536)
-            assert data, "closed"
-            self.had += self.stream.feed(data)
-
 
 @pytest.fixture
 def deployment(tmp_path):
--- a/tests/test_stalls.py
+++ b/tests/net/test_stalls.py
@@ -12,10 +12,10 @@
 from contextlib import suppress
 
 import pytest
-from stand import SERVED, Line
-from test_client_gone import patient, warmed
-from test_sockets import PATIENT
 
+from tests.support.clients import patient, warmed
+from tests.support.processes import PATIENT
+from tests.support.router_process import SERVED, Line
 from wickhinge.net import msgpack
 
 SLACK = 0.15  # seconds that the deadline passed on may be more than what is left
--- a/tests/test_start.py
+++ b/tests/net/test_start.py
@@ -1,14 +1,14 @@
 """What a start of the router imports, in a process of its own that goes as far as its `start` event."""
 
-import os
-import re
 import subprocess
 import sys
 from pathlib import Path
 
 import pytest
 
-ROOT = Path(__file__).parent.parent
+from tests.support.imports import modules_of_a_start
+
+ROOT = Path(__file__).parents[2]
 OURS = {
     "wickhinge",
     "wickhinge.clocks",
@@ -37,25 +37,6 @@
     "zope",
 }
 NEVER_USED = {"asyncio.base_events", "email", "http.client", "logging.handlers", "ssl", "urllib.request"}
-IMPORTED = re.compile(r"import time: +\d+ \| +\d+ \| +(\S+)")
-
-
-def modules_of_a_start():
-    """The modules that a plain start has executed when the router says `start`."""
-    child = subprocess.Popen(
-        [sys.executable, "-X", "importtime", "-m", "wickhinge"],
-        cwd=ROOT,
-        env={**os.environ, "RELAY_CONFIG": "example/config.json"},
-        stdout=subprocess.PIPE,
-        stderr=subprocess.PIPE,
-        text=True,
-    )
-    try:
-        assert '"event":"start"' in child.stdout.readline()
-    finally:
-        child.kill()
-        told = child.communicate()[1]
-    return set(IMPORTED.findall(told))
 
 
 @pytest.fixture(scope="module")
--- a/tests/test_options.py
+++ b/tests/options/test_options.py
@@ -4,15 +4,15 @@
 
 import pytest
 from click.testing import CliRunner
-from test_start import modules_of_a_start
 
+from tests.support.imports import modules_of_a_start
 from wickhinge.cli import main
 from wickhinge.options import Fault, load
 from wickhinge.options.load import check
 from wickhinge.store.keep import Copy
 from wickhinge.store.tools import opened
 
-ROOT = Path(__file__).parent.parent
+ROOT = Path(__file__).parents[2]
 
 
 def test_what_is_off_is_not_imported():
--- a/tests/test_desk.py
+++ b/tests/peers/test_desk.py
@@ -15,7 +15,7 @@
 from wickhinge.lab.many.rig import free_port, with_us
 from wickhinge.peers import desk, wire
 
-ROOT = Path(__file__).parent.parent
+ROOT = Path(__file__).parents[2]
 KEY, OTHER = b"k" * 16, b"o" * 16
 HERE, THERE = ("127.0.0.1", 5), ("127.0.0.1", 6)
 
--- a/tests/test_cold_sum.py
+++ b/tests/routing/test_cold_sum.py
@@ -4,9 +4,9 @@
 from types import SimpleNamespace
 
 import pytest
-from helpers import listing, router, tariff
 
 from bench.cold_sum import EDGE, PARENT, PRESENT, SCENES, Play, Rule, Scene, chernoff, distribution
+from tests.support.routing import listing, router, tariff
 from wickhinge.decide import FIRST_DEBT, Cold
 
 HERD, THIN = SCENES[0], SCENES[1]
--- a/tests/test_decide.py
+++ b/tests/routing/test_decide.py
@@ -2,8 +2,8 @@
 from types import SimpleNamespace
 
 import pytest
-from helpers import Recorder, end, listing, router, take, tariff
 
+from tests.support.routing import Recorder, end, listing, router, take, tariff
 from wickhinge.decide import NEVER_RAN, Chance, Cold, Item, Purges, Shelf
 from wickhinge.interface import Effect, Outcome, Request
 
--- a/tests/test_cold_shares.py
+++ b/tests/shared/test_cold_shares.py
@@ -7,11 +7,11 @@
 from pathlib import Path
 from types import SimpleNamespace
 
-import helpers
 import pytest
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
+from tests.support import routing as helpers
 from wickhinge.decide import Chance, Cold
 from wickhinge.interface import Outcome
 from wickhinge.lab.many import judges, play
@@ -23,7 +23,7 @@
 from wickhinge.shared.lending import FLOOR, SPAN, Division, LendingLimiter
 from wickhinge.shared.name_lease import DRIFT
 
-ROOT = Path(__file__).parent.parent
+ROOT = Path(__file__).parents[2]
 LIMITS = Cold(4.0, 3.0, 0.2, 100.0)
 
 
--- a/tests/test_counts.py
+++ b/tests/shared/test_counts.py
@@ -2,11 +2,11 @@
 
 import random
 
-import helpers
 import pytest
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
+from tests.support import routing as helpers
 from wickhinge.decide import Chance
 from wickhinge.peers.detector import FailureDetector
 from wickhinge.peers.messages import ALIVE
--- a/tests/test_judge.py
+++ b/tests/shared/test_judge.py
@@ -3,11 +3,11 @@
 import random
 from types import SimpleNamespace
 
-import helpers
 import pytest
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
+from tests.support import routing as helpers
 from wickhinge.decide import Chance
 from wickhinge.interface import Outcome
 from wickhinge.peers.detector import FailureDetector
--- a/tests/test_store.py
+++ b/tests/store/test_store.py
@@ -6,11 +6,11 @@
 from types import SimpleNamespace
 
 import pytest
-from disk import Disk
-from helpers import end, router, take, tariff
-from test_net import pool, reading
-from test_store_faults import World
 
+from tests.support.connections import pool, reading
+from tests.support.faulty_disk import Disk
+from tests.support.routing import end, router, take, tariff
+from tests.support.store_world import World
 from wickhinge.clocks import OthersTime
 from wickhinge.interface import Effect, Outcome
 from wickhinge.net import resp
--- a/tests/changelog_fleet.py
+++ b/tests/support/changelog_fleet.py
@@ -13,9 +13,8 @@
 from collections import Counter
 from contextlib import ExitStack, contextmanager
 
-from stand import SERVED, Line, Stand
-from test_sockets import PATIENT, ROOT, Process
-
+from tests.support.processes import PATIENT, ROOT, Process
+from tests.support.router_process import SERVED, Line, Stand
 from wickhinge.changelog.entries import Purge, Setting
 from wickhinge.cli.changelog_client import Client, NotAppended, routers_of
 from wickhinge.options import load
--- a/tests/wires.py
+++ b/tests/support/connections.py
@@ -2,6 +2,7 @@
 
 from types import SimpleNamespace
 
+from wickhinge.net import journal
 from wickhinge.net.arrivals import Arrivals
 from wickhinge.net.buffers import Pool
 from wickhinge.net.caches import Caches, Line
@@ -51,3 +52,22 @@
     made.transport = made.socket = Wire(room)
     made.up = True
     return made, ends, soon, now
+
+
+def reading(last=40):
+    told = []
+    clock = SimpleNamespace(after=lambda *_: None, now=lambda: 1.0)
+    made = journal.Journal(
+        None,
+        clock,
+        ("127.0.0.1", 1),
+        last,
+        0.4,
+        lambda *a: told.append(a),
+        lambda *a: told.append(a),
+        lambda *a, **k: None,
+    )
+    made.reading = SimpleNamespace(
+        stream=journal.Stream(), transport=SimpleNamespace(abortConnection=lambda: told.append("dropped"))
+    )
+    return made, told
--- a/tests/measured.py
+++ b/tests/support/measurements.py
@@ -6,7 +6,7 @@
 
 import orjson
 
-ROOT = Path(__file__).parent.parent
+ROOT = Path(__file__).parents[2]
 
 
 def together(**commands):
--- a/tests/stand.py
+++ b/tests/support/router_process.py
@@ -6,8 +6,7 @@
 import socket
 from contextlib import ExitStack, contextmanager
 
-from test_sockets import PATIENT, ROOT, Client, Process, free
-
+from tests.support.processes import PATIENT, ROOT, Client, Process, free
 from wickhinge.net import journal, resp
 from wickhinge.net.buffers import Pool
 
