--- a/bench/discovery.py
+++ b/bench/discovery.py
@@ -25,10 +25,10 @@
 from wickhinge.interface import Effect, Listing, Outcome, Refusal, Request, Tariff
 from wickhinge.lab.play import emulated
 from wickhinge.lab.wheel import Wheel
-from wickhinge.membership.keeper import Keeper
-from wickhinge.membership.members import Members
-from wickhinge.membership.remembered import Memory, deployment, row
-from wickhinge.membership.statements import REMEMBERED, Statement
+from wickhinge.membership.controller import Members
+from wickhinge.membership.endpoint_list_file import Keeper
+from wickhinge.membership.statement_table import REMEMBERED, Statement
+from wickhinge.membership.stored_list import Memory, deployment, row
 from wickhinge.store.files import Files
 
 AGES = {"1s": 1.0, "1min": 60.0, "1h": 3600.0, "3d": 259_200.0}
--- a/bench/planted.py
+++ b/bench/planted.py
@@ -16,7 +16,7 @@
         put_down = Volume.purge
         Volume.purge = lambda self, purges: put_down(self, [purge._replace(key=0, group=0) for purge in purges])
     elif fault in ("trust", "blind"):  # whatever a list names is as good as vouched for
-        from wickhinge.membership.members import Members
+        from wickhinge.membership.controller import Members
 
         adopt = Members.adopt
 
--- a/tests/membership/test_membership.py
+++ b/tests/membership/test_membership.py
@@ -10,14 +10,14 @@
 from tests.support.routing import end, listing, router, take, tariff
 from wickhinge.decide import Chance
 from wickhinge.interface import Effect, Outcome
-from wickhinge.membership import remembered, siblings
+from wickhinge.membership import list_exchange, stored_list
 from wickhinge.membership.backoff import Backoff
-from wickhinge.membership.compare import compare
-from wickhinge.membership.gap import Gap
-from wickhinge.membership.keeper import Keeper, Unusable
-from wickhinge.membership.members import Members
-from wickhinge.membership.statements import GONE_MOST, LIVE, REMEMBERED, SIBLING, STATIC, Book, Statement
-from wickhinge.membership.trust import LONGEST, Proving, Stage, Terms
+from wickhinge.membership.comparison import compare
+from wickhinge.membership.controller import Members
+from wickhinge.membership.endpoint_list_file import Keeper, Unusable
+from wickhinge.membership.probation import LONGEST, Proving, Stage, Terms
+from wickhinge.membership.purge_gap import Gap
+from wickhinge.membership.statement_table import GONE_MOST, LIVE, REMEMBERED, SIBLING, STATIC, Book, Statement
 from wickhinge.net.journal import Unreadable
 
 DAY = 86400.0
@@ -226,9 +226,9 @@
             6.0,
         )
         self.members.told_purge = lambda *a: self.purges.append(a)
-        rows = [remembered.row(said(mark, when=1000.0 - (age or 0))) for mark in range(1, 6)]
+        rows = [stored_list.row(said(mark, when=1000.0 - (age or 0))) for mark in range(1, 6)]
         self.memory = (
-            remembered.Memory("d", 1000.0 - (age or 0), 1000.0 - (age or 0), 7, rows, [(9, 5.0)], [(5, 0, 995.0)])
+            stored_list.Memory("d", 1000.0 - (age or 0), 1000.0 - (age or 0), 7, rows, [(9, 5.0)], [(5, 0, 995.0)])
             if memory
             else None
         )
@@ -283,9 +283,9 @@
 )
 def test_a_list_of_another_deployment_is_none_and_one_from_the_future_only_a_hint(change, proofs):
     world = World(memory=False)
-    rows = [remembered.row(said(1))]
+    rows = [stored_list.row(said(1))]
     world.members.start(
-        remembered.Memory(
+        stored_list.Memory(
             **{"deployment": "d", "written": 990.0, "heard": 990.0, "number": 1, "machines": rows, **change}
         ),
         [],
@@ -300,8 +300,8 @@
 def test_a_siblings_word_that_a_machine_leaves_counts_at_once(state):
     world = World()
     world.prove(1000.6)
-    rows = [remembered.row(said(1, "draining", when=2.0))] if state == "draining" else []
-    told = siblings.Told("d", 5000.0, 3, rows, [1] if state == "gone" else [], [(8, 0, 999.0)])
+    rows = [stored_list.row(said(1, "draining", when=2.0))] if state == "draining" else []
+    told = list_exchange.Told("d", 5000.0, 3, rows, [1] if state == "gone" else [], [(8, 0, 999.0)])
     assert world.members.sibling(told, 1001.0)
     assert world.told[1][-1] == (state, False) and (8, 0, 999.0) in world.purges
     world.prove(1002.0)
@@ -311,11 +311,11 @@
 def test_a_siblings_older_list_adds_nothing_and_one_of_another_deployment_is_not_heard():
     world = World(age=10.0)
     world.prove(1000.6)
-    rows = [remembered.row(said(mark, when=50.0)) for mark in (1, 77)]
-    assert world.members.sibling(siblings.Told("d", 5000.0, 3, rows), 1001.0)
+    rows = [stored_list.row(said(mark, when=50.0)) for mark in (1, 77)]
+    assert world.members.sibling(list_exchange.Told("d", 5000.0, 3, rows), 1001.0)
     assert 77 not in world.members.book.machines and world.sources() == ["remembered"]
-    assert not world.members.sibling(siblings.Told("x", 1.0, 3, rows), 1001.0)
-    assert world.members.sibling(siblings.Told("d", 2.0, 3, rows), 1001.0)
+    assert not world.members.sibling(list_exchange.Told("x", 1.0, 3, rows), 1001.0)
+    assert world.members.sibling(list_exchange.Told("d", 2.0, 3, rows), 1001.0)
     assert 77 in world.members.book.machines and world.sources() == ["remembered", "sibling"]
 
 
@@ -360,7 +360,7 @@
     world.members.purge(7, 0, 999.0, 1000.2)
     world.members.purge(8, 0, 900.0, 1000.2)
     kept = world.members.remember(1001.0)
-    _, again = remembered.unpack(remembered.pack(kept, 4))
+    _, again = stored_list.unpack(stored_list.pack(kept, 4))
     assert again == kept and again.purges == [(7, 0, 999.0)] and (again.number, again.heard) == (9, 1000.1)
 
 
@@ -408,8 +408,8 @@
 @pytest.mark.parametrize("lost", [False, True])
 def test_whatever_call_fails_while_it_is_written_a_whole_list_is_left(how, lost):
     def kept(number):
-        return remembered.Memory(
-            "d", float(number), float(number), number, [remembered.row(said(mark)) for mark in range(number * 20)]
+        return stored_list.Memory(
+            "d", float(number), float(number), number, [stored_list.row(said(mark)) for mark in range(number * 20)]
         )
 
     call, dones = 0, []
@@ -455,8 +455,8 @@
     keeper = Keeper(Files(), str(tmp_path))
     keeper.open()
     for number in (1, 2):
-        keeper.write(remembered.Memory("d", 1.0, 1.0, number, [remembered.row(said(5))]))
-    path = tmp_path / remembered.NAMES[0]
+        keeper.write(stored_list.Memory("d", 1.0, 1.0, number, [stored_list.row(said(5))]))
+    path = tmp_path / stored_list.NAMES[0]
     path.write_bytes(damage(path.read_bytes()))
     memory, wrong = keeper.read()
     assert memory.number == 1 and told in wrong[0]
@@ -470,14 +470,14 @@
 
 
 def exchange(key=KEY, nonce=b"n" * 16, rows=2):
-    rows = [remembered.row(said(mark)) for mark in range(rows)]
-    return siblings.answer(key, nonce, siblings.Told("d", 1.0, 2, rows))
+    rows = [stored_list.row(said(mark)) for mark in range(rows)]
+    return list_exchange.answer(key, nonce, list_exchange.Told("d", 1.0, 2, rows))
 
 
 def test_an_answer_is_read_at_every_split():
     data = exchange()
     for split in range(0, len(data), 7):
-        stream = siblings.Stream(KEY, b"n" * 16)
+        stream = list_exchange.Stream(KEY, b"n" * 16)
         first = stream.feed(data[:split])
         assert (first or stream.feed(data[split:])).number == 2
 
@@ -489,25 +489,25 @@
         (exchange(nonce=b"m" * 16), "not under our key"),
         (b"\xff\xff\xff\xff", "bytes"),
         (exchange(rows=20_001), "list of 20001 machines"),
-        (siblings.LENGTH.pack(1) + b"\x05" + siblings.mac(KEY, b"n" * 16, b"\x05"), "another form"),
+        (list_exchange.LENGTH.pack(1) + b"\x05" + list_exchange.mac(KEY, b"n" * 16, b"\x05"), "another form"),
     ],
     ids=["key", "replayed", "length", "machines", "form"],
 )
 def test_a_wrong_answer_is_none(data, told):
-    with pytest.raises(siblings.Unreadable, match=told):
-        siblings.Stream(KEY, b"n" * 16).feed(data)
+    with pytest.raises(list_exchange.Unreadable, match=told):
+        list_exchange.Stream(KEY, b"n" * 16).feed(data)
 
 
 def test_a_list_of_a_hundred_thousand_machines_is_not_even_taken_in():
-    with pytest.raises(siblings.Unreadable, match="bytes"):
-        siblings.Stream(KEY, b"n" * 16).feed(exchange(rows=100_000)[:4])
+    with pytest.raises(list_exchange.Unreadable, match="bytes"):
+        list_exchange.Stream(KEY, b"n" * 16).feed(exchange(rows=100_000)[:4])
 
 
 @pytest.mark.parametrize("key, when, told", [(b"another key 1234", 100.0, "key"), (KEY, 900.0, "another time")])
 def test_a_wrong_request_is_not_answered(key, when, told):
-    assert siblings.read_request(KEY, siblings.request(KEY, b"n" * 16, 100.0), 101.0) == b"n" * 16
-    with pytest.raises(siblings.Unreadable, match=told):
-        siblings.read_request(KEY, siblings.request(key, b"n" * 16, when), 100.0)
+    assert list_exchange.read_request(KEY, list_exchange.request(KEY, b"n" * 16, 100.0), 101.0) == b"n" * 16
+    with pytest.raises(list_exchange.Unreadable, match=told):
+        list_exchange.read_request(KEY, list_exchange.request(key, b"n" * 16, when), 100.0)
 
 
 # The journal.
--- a/tests/membership/test_stored_list.py
+++ b/tests/membership/test_stored_list.py
@@ -6,8 +6,8 @@
 import shutil
 from pathlib import Path
 
-from wickhinge.membership.keeper import Keeper
-from wickhinge.membership.remembered import Memory, Row
+from wickhinge.membership.endpoint_list_file import Keeper
+from wickhinge.membership.stored_list import Memory, Row
 from wickhinge.store.files import Files
 
 STORED = Path(__file__).parents[1] / "data/membership/remembered-list"
--- a/tests/options/test_options.py
+++ b/tests/options/test_options.py
@@ -145,8 +145,8 @@
 
 
 def test_a_remembered_list_is_shown_compared_and_exported(tmp_path):
-    from wickhinge.membership.keeper import Keeper
-    from wickhinge.membership.remembered import Memory, Row
+    from wickhinge.membership.endpoint_list_file import Keeper
+    from wickhinge.membership.stored_list import Memory, Row
     from wickhinge.store.files import Files
 
     machines = [
--- a/wickhinge/cli/commands.py
+++ b/wickhinge/cli/commands.py
@@ -208,8 +208,8 @@
     """The newest whole list of a directory, or that of one file."""
     import os
 
-    from wickhinge.membership import remembered as form
-    from wickhinge.membership.keeper import Keeper
+    from wickhinge.membership import stored_list as form
+    from wickhinge.membership.endpoint_list_file import Keeper
     from wickhinge.store.files import Files
 
     try:
@@ -290,8 +290,8 @@
 @JSON
 def diff(file: str, other: str, as_json: bool) -> None:
     """What changed from one list to another, and what looks like a mistake; 1 if anything did."""
-    from wickhinge.membership.compare import compare
-    from wickhinge.membership.remembered import statement
+    from wickhinge.membership.comparison import compare
+    from wickhinge.membership.stored_list import statement
 
     answer = compare(*([statement(one) for one in remembered(path).machines] for path in (file, other)))
     answer = {
--- a/wickhinge/membership/compare.py
+++ b/wickhinge/membership/comparison.py
@@ -9,7 +9,7 @@
 from collections.abc import Iterable
 from typing import Any
 
-from wickhinge.membership.statements import Statement
+from wickhinge.membership.statement_table import Statement
 
 FEW = 0.5  # of what was known
 
--- a/wickhinge/membership/members.py
+++ b/wickhinge/membership/controller.py
@@ -5,10 +5,10 @@
 from collections.abc import Callable
 from typing import Any
 
-from wickhinge.membership import compare, remembered, siblings
-from wickhinge.membership.gap import Gap
-from wickhinge.membership.statements import LIVE, REMEMBERED, SIBLING, STATIC, Book, Statement
-from wickhinge.membership.trust import Proving, Stage
+from wickhinge.membership import comparison, list_exchange, stored_list
+from wickhinge.membership.probation import Proving, Stage
+from wickhinge.membership.purge_gap import Gap
+from wickhinge.membership.statement_table import LIVE, REMEMBERED, SIBLING, STATIC, Book, Statement
 
 NONE = "none"
 
@@ -36,7 +36,7 @@
         self.book = Book()
         self.proving = Proving(chance, routers, hint, upper)
         self.gap = Gap(untold, quiet)
-        self.memory: remembered.Memory | None = None
+        self.memory: stored_list.Memory | None = None
         self.static: list[Statement] = []
         self.began = 0.0
         self.source, self.since, self.why = NONE, 0.0, "started"
@@ -50,7 +50,7 @@
 
     # At the start.
 
-    def start(self, memory: remembered.Memory | None, static: list[Statement], now: float) -> None:
+    def start(self, memory: stored_list.Memory | None, static: list[Statement], now: float) -> None:
         """What was kept, or None; what the settings name. Nothing is used yet: the live list may come."""
         self.began = self.since = now
         self.memory, self.static = memory, static
@@ -81,7 +81,7 @@
 
     def fall_back(self, now: float) -> None:
         if self.memory is not None:
-            self.adopt([remembered.statement(row) for row in self.memory.machines], REMEMBERED, self.age(now), now)
+            self.adopt([stored_list.statement(row) for row in self.memory.machines], REMEMBERED, self.age(now), now)
         elif self.static:
             self.adopt(self.static, STATIC, None, now)
 
@@ -116,7 +116,7 @@
     def live(self, whole: bool, statements: list[Statement], now: float) -> None:
         """What it tells; the fleet has heeded it already, all of it trusted."""
         if whole:
-            told = compare.compare(self.book.machines.values(), statements)
+            told = comparison.compare(self.book.machines.values(), statements)
             if self.book.machines and self.source != LIVE or told["doubts"]:
                 self.log(
                     "list_compared",
@@ -142,7 +142,7 @@
         self.heard, self.number = now, number
         if unbroken and not self.whole and self.memory is not None:
             for row in self.memory.machines:
-                self.book.merge(remembered.statement(row))
+                self.book.merge(stored_list.statement(row))
             self.whole = True
             self.proving.machines.clear()
             self.tell([(one, one.state, True) for one in self.book.machines.values()])
@@ -152,7 +152,7 @@
 
     # Siblings.
 
-    def sibling(self, told: siblings.Told, now: float) -> bool:
+    def sibling(self, told: list_exchange.Told, now: float) -> bool:
         """A sibling's word; False where it is no use. draining and gone count at once, whatever its age."""
         if told.deployment != self.deployment:
             self.log("sibling_unusable", why="it is of another deployment")
@@ -168,7 +168,7 @@
             if stamp > self.purges.get((key, group), 0.0):
                 self.purge(key, group, stamp, now)
                 self.told_purge(key, group, stamp)
-        rows = [remembered.statement(row, SIBLING)._replace(said=now - max(row.said, 0.0)) for row in told.machines]
+        rows = [stored_list.statement(row, SIBLING)._replace(said=now - max(row.said, 0.0)) for row in told.machines]
         if self.source == LIVE:  # lost: only what takes machines out is heeded
             for one in rows:
                 if one.state == "draining" and self.book.merge(one):
@@ -182,13 +182,13 @@
         self.adopt(rows, SIBLING if rows else self.source, age, now)
         return True
 
-    def telling(self, now: float) -> siblings.Told:
+    def telling(self, now: float) -> list_exchange.Told:
         """What siblings are told, ages in place of times."""
         heard = now - self.heard if self.heard else -1.0
         if not self.heard and self.memory is not None and (age := self.age(now)) is not None:
             heard = age
-        rows = [remembered.row(one._replace(said=max(now - one.said, 0.0))) for one in self.book.machines.values()]
-        return siblings.Told(
+        rows = [stored_list.row(one._replace(said=max(now - one.said, 0.0))) for one in self.book.machines.values()]
+        return list_exchange.Told(
             self.deployment,
             heard,
             self.number,
@@ -231,24 +231,24 @@
 
     def purge(self, key: int | None, group: int, stamp: float, now: float) -> None:
         self.purges[key, group] = max(stamp, self.purges.get((key, group), 0.0))
-        if len(self.purges) > remembered.PURGES // 2:
+        if len(self.purges) > stored_list.PURGES // 2:
             self.purges = {name: when for name, when in self.purges.items() if now - when <= self.done}
-            while len(self.purges) > remembered.PURGES:
+            while len(self.purges) > stored_list.PURGES:
                 del self.purges[next(iter(self.purges))]
 
     # For the file and for whoever asks.
 
-    def remember(self, now: float) -> remembered.Memory | None:
+    def remember(self, now: float) -> stored_list.Memory | None:
         """What is worth keeping now; None while there is nothing better than what is kept already."""
         if not self.whole:
             return None
         purges = [(key, group, stamp) for (key, group), stamp in self.purges.items() if now - stamp <= self.done]
         rows = [
-            remembered.row(one, self.stage(one.mark), self.answered.get(one.mark, 0.0))
+            stored_list.row(one, self.stage(one.mark), self.answered.get(one.mark, 0.0))
             for one in self.book.machines.values()
         ]
         gone = list(self.book.gone.items())[-2000:]
-        return remembered.Memory(self.deployment, now, self.heard, self.number, rows, gone, purges, self.usual)
+        return stored_list.Memory(self.deployment, now, self.heard, self.number, rows, gone, purges, self.usual)
 
     def stage(self, mark: int) -> str:
         one = self.proving.machines.get(mark)
--- a/wickhinge/membership/keeper.py
+++ b/wickhinge/membership/endpoint_list_file.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from wickhinge.membership import remembered
+from wickhinge.membership import stored_list
 from wickhinge.store.files import Files, replace
 
 
@@ -30,10 +30,10 @@
         if self.locked is None:
             raise Unusable(f"{self.path} is in use by another process")
 
-    def read(self) -> tuple[remembered.Memory | None, list[str]]:
+    def read(self) -> tuple[stored_list.Memory | None, list[str]]:
         """The newest whole list, and what was wrong with others."""
         best, wrong = None, []
-        for name in remembered.NAMES:
+        for name in stored_list.NAMES:
             try:
                 handle = self.files.open(self.at(name))
             except FileNotFoundError:
@@ -42,9 +42,9 @@
                 wrong.append(f"{name} can't be read: {problem.strerror or problem}")
                 continue
             try:
-                data = self.files.read(handle, remembered.LONGEST + remembered.HEAD.size + 1, 0)
-                sequence, memory = remembered.unpack(data)
-            except (OSError, remembered.Unreadable) as problem:
+                data = self.files.read(handle, stored_list.LONGEST + stored_list.HEAD.size + 1, 0)
+                sequence, memory = stored_list.unpack(data)
+            except (OSError, stored_list.Unreadable) as problem:
                 wrong.append(f"{name} {problem}")
                 continue
             finally:
@@ -54,10 +54,10 @@
                 best = sequence, memory
         return best[1] if best else None, wrong
 
-    def write(self, memory: remembered.Memory) -> None:
+    def write(self, memory: stored_list.Memory) -> None:
         """Whole and lasting when it returns; the other generation stays as it is."""
         sequence = self.sequence + 1
-        replace(self.files, self.path, remembered.NAMES[sequence % 2], remembered.pack(memory, sequence))
+        replace(self.files, self.path, stored_list.NAMES[sequence % 2], stored_list.pack(memory, sequence))
         self.sequence = sequence
 
     def close(self) -> None:
--- a/wickhinge/membership/siblings.py
+++ b/wickhinge/membership/list_exchange.py
@@ -14,8 +14,8 @@
 
 import msgspec
 
-from wickhinge.membership.remembered import Row
-from wickhinge.membership.statements import MOST
+from wickhinge.membership.statement_table import MOST
+from wickhinge.membership.stored_list import Row
 
 MAGIC = b"WHL1"
 REQUEST = Struct(">4s16sQ")
--- a/wickhinge/membership/talk.py
+++ b/wickhinge/membership/list_exchange_tcp.py
@@ -9,7 +9,7 @@
 from twisted.internet.protocol import Factory, Protocol
 from twisted.python.failure import Failure
 
-from wickhinge.membership import siblings
+from wickhinge.membership import list_exchange
 from wickhinge.net.dial import Dial
 
 WITHIN = 2.0  # seconds for the whole of it
@@ -29,16 +29,16 @@
 
     def dataReceived(self, data: bytes) -> None:
         self.data += data
-        if self.done or len(self.data) < siblings.REQUEST_SIZE:
+        if self.done or len(self.data) < list_exchange.REQUEST_SIZE:
             return
         self.done = True
         try:
-            nonce = siblings.read_request(self.answering.key, self.data, self.answering.now())
-        except siblings.Unreadable as problem:
+            nonce = list_exchange.read_request(self.answering.key, self.data, self.answering.now())
+        except list_exchange.Unreadable as problem:
             self.answering.log("sibling_refused", why=str(problem), address=self.transport.getPeer().host)
             self.transport.abortConnection()
             return
-        self.transport.write(siblings.answer(self.answering.key, nonce, self.answering.telling()))
+        self.transport.write(list_exchange.answer(self.answering.key, nonce, self.answering.telling()))
         self.transport.loseConnection()
 
     def over(self) -> None:
@@ -59,7 +59,7 @@
         key: bytes,
         now: Callable[[], float],
         after: Callable[..., None],
-        telling: Callable[[], siblings.Told],
+        telling: Callable[[], list_exchange.Told],
         log: Callable[..., None],
     ) -> None:
         self.key, self.now, self.after, self.telling, self.log = key, now, after, telling, log
@@ -70,24 +70,24 @@
 
 
 class Ask(Protocol):
-    def __init__(self, key: bytes, now: float, then: Callable[[siblings.Told | None, str], None]) -> None:
+    def __init__(self, key: bytes, now: float, then: Callable[[list_exchange.Told | None, str], None]) -> None:
         self.key, self.when, self.then = key, now, then
         self.nonce = os.urandom(16)
-        self.stream = siblings.Stream(key, self.nonce)
+        self.stream = list_exchange.Stream(key, self.nonce)
 
     def connectionMade(self) -> None:
-        self.transport.write(siblings.request(self.key, self.nonce, self.when))
+        self.transport.write(list_exchange.request(self.key, self.nonce, self.when))
 
     def dataReceived(self, data: bytes) -> None:
         try:
             told = self.stream.feed(data)
-        except siblings.Unreadable as problem:
+        except list_exchange.Unreadable as problem:
             self.finish(None, str(problem))
             return
         if told is not None:
             self.finish(told, "")
 
-    def finish(self, told: siblings.Told | None, why: str) -> None:
+    def finish(self, told: list_exchange.Told | None, why: str) -> None:
         then, self.then = self.then, None
         if then is not None:
             if self.transport is not None:
@@ -104,7 +104,7 @@
     address: tuple[str, int],
     key: bytes,
     now: float,
-    then: Callable[[siblings.Told | None, str], None],
+    then: Callable[[list_exchange.Told | None, str], None],
 ) -> None:
     """then(list, "") or then(None, why), once, within WITHIN seconds."""
     made = Ask(key, now, then)
--- a/wickhinge/membership/trust.py
+++ b/wickhinge/membership/probation.py
@@ -14,7 +14,7 @@
 from enum import Enum
 from typing import Any
 
-from wickhinge.membership.statements import Statement
+from wickhinge.membership.statement_table import Statement
 
 MINUTE = 60.0
 REST, LONGEST = 0.5, 30.0  # seconds that a doubted machine is left alone, doubled each time
--- a/wickhinge/membership/remembered.py
+++ b/wickhinge/membership/stored_list.py
@@ -7,7 +7,7 @@
 import msgspec
 from xxhash import xxh3_64_intdigest
 
-from wickhinge.membership.statements import MOST, REMEMBERED, Statement
+from wickhinge.membership.statement_table import MOST, REMEMBERED, Statement
 
 VERSION = 1
 MAGIC = b"WHLIST\x00\x00"
--- a/wickhinge/net/members.py
+++ b/wickhinge/net/members.py
@@ -12,11 +12,11 @@
 from wickhinge.decide import Chance
 from wickhinge.fields import Malformed, endpoint
 from wickhinge.interface import Effect, Listing, Outcome
-from wickhinge.membership import remembered, talk
+from wickhinge.membership import list_exchange_tcp, stored_list
 from wickhinge.membership.backoff import Backoff
-from wickhinge.membership.keeper import Keeper, Unusable
-from wickhinge.membership.members import NONE, Members
-from wickhinge.membership.statements import LIVE, STATIC, Statement
+from wickhinge.membership.controller import NONE, Members
+from wickhinge.membership.endpoint_list_file import Keeper, Unusable
+from wickhinge.membership.statement_table import LIVE, STATIC, Statement
 from wickhinge.options import keys
 from wickhinge.store.files import Files
 from wickhinge.store.workers import Workers
@@ -68,7 +68,9 @@
     def start(self) -> None:
         if self.listen:
             host, port = endpoint(self.listen)
-            factory = talk.Answering(self.key, self.now, self.after, lambda: self.members.telling(self.now()), self.log)
+            factory = list_exchange_tcp.Answering(
+                self.key, self.now, self.after, lambda: self.members.telling(self.now()), self.log
+            )
             self.node.reactor.listenTCP(port, factory, interface=host)
         self.turn()
         if self.asking is not None:
@@ -171,7 +173,7 @@
         if self.members.source == LIVE and self.now() - self.members.heard <= self.members.quiet:
             self.after(1.0, self.ask)
             return
-        talk.ask(self.node.reactor, self.after, where, self.key, self.now(), self.told)
+        list_exchange_tcp.ask(self.node.reactor, self.after, where, self.key, self.now(), self.told)
 
     def told(self, told: Any, why: str) -> None:
         _, wait = self.asking.failed()
@@ -230,7 +232,7 @@
         lambda one: box[0].probe(one),
         node.log.event,
         chance,
-        remembered.deployment(node.zones, node.kinds, sorted(settings.tariffs(conf))),
+        stored_list.deployment(node.zones, node.kinds, sorted(settings.tariffs(conf))),
         found.routers or fleet.routers,
         (fleet.parent_kind, fleet.origin_kind),
         found.after_s,
