--- a/bench/discovery.py
+++ b/bench/discovery.py
@@ -25,10 +25,10 @@
 from wickhinge.interface import Effect, Listing, Outcome, Refusal, Request, Tariff
 from wickhinge.lab.play import emulated
 from wickhinge.lab.wheel import Wheel
-from wickhinge.membership.controller import Members
-from wickhinge.membership.endpoint_list_file import Keeper
-from wickhinge.membership.statement_table import REMEMBERED, Statement
-from wickhinge.membership.stored_list import Memory, deployment, row
+from wickhinge.membership.controller import EndpointListing, MembershipController, MembershipSettings
+from wickhinge.membership.endpoint_list_file import EndpointListFile
+from wickhinge.membership.statement_table import EndpointState, ListSource, Statement
+from wickhinge.membership.stored_list import StoredList, deployment_fingerprint, to_record
 from wickhinge.store.files import Files
 
 AGES = {"1s": 1.0, "1min": 60.0, "1h": 3600.0, "3d": 259_200.0}
@@ -70,31 +70,30 @@
         self.folder = folder
         folder.mkdir()
         now = time.time()
-        keeper = Keeper(Files(), str(folder / "list"))
-        keeper.open()
-        rows = [
-            row(
+        list_file = EndpointListFile(Files(), str(folder / "list"))
+        list_file.open()
+        records = [
+            to_record(
                 Statement(
                     old[place],
                     (fleet.HOST, self.world.base + place + 1),
-                    "ready",
+                    EndpointState.READY,
                     ("here", "hub")[min(fleet.SHAPES.index(kind), 1)],
                     kind,
                     0,
                     40.0,
                     None,
                     now - AGES[age],
-                    REMEMBERED,
+                    ListSource.REMEMBERED,
                 )
             )
             for place, kind in enumerate(PLACES)
         ]
         settings = fleet.SETTINGS
         names = sorted(entry["name"] for entry in settings["classes"])
-        keeper.write(
-            Memory(deployment(settings["zones"], settings["shapes"], names), now - AGES[age], now - AGES[age], 1, rows)
-        )
-        keeper.close()
+        fingerprint = deployment_fingerprint(settings["zones"], settings["shapes"], names)
+        list_file.write(StoredList(fingerprint, now - AGES[age], now - AGES[age], 1, records))
+        list_file.close()
         options = f'discovery: {{mode: "on", dir: "{folder}/list", routers: 1}}\n' if how != "wait" else None
         start = ["-m", "bench.planted", "blind" if how == "blind" else plant] if how == "blind" or plant else None
         self.router = fleet.RouterProcess(folder, self.world, options, start)
@@ -308,7 +307,7 @@
 
 
 class Herd:
-    """So many routers, each with its own decide.Router and Members, in one virtual time."""
+    """So many routers, each with its own decide.Router and MembershipController, in one virtual time."""
 
     SPAN, MULTIPLE, FLOOR, WARM = 3.0, 4.0, 0.2, 10.0
 
@@ -323,18 +322,18 @@
             Statement(
                 mark,
                 ("127.0.0.1", mark),
-                "ready",
+                EndpointState.READY,
                 "here" if mark < 100 else "hub",
                 "box" if mark < 100 else "parent" if mark < 200 else "origin",
                 0,
                 cell.weight,
                 None,
                 self.now - 30.0,
-                REMEMBERED,
+                ListSource.REMEMBERED,
             )
             for mark, cell in self.cells.items()
         ]
-        self.memory = Memory("d", self.now - 30.0, self.now - 30.0, 1, [row(one) for one in statements])
+        self.stored = StoredList("d", self.now - 30.0, self.now - 30.0, 1, [to_record(one) for one in statements])
         for number in range(routers):
             self.add(number, routers)
         # load: times what all caches bear when warm, in visits of 0.1 s of work
@@ -359,49 +358,35 @@
         made = emulated(outside, chance, "here", routers, (self.MULTIPLE, self.SPAN, self.FLOOR, self.WARM))
         made.means["clips"] = 0.1
 
-        def tell(machines: list[Any]) -> None:
-            made.fleet.listed(
-                [
-                    Listing(one.mark, one.zone, one.kind, one.cell, state, one.weight, one.started, trusted)
-                    for one, state, trusted in machines
-                ],
-                False,
-                self.now,
-            )
-
-        def probe(one: Statement) -> None:
-            self.cells[one.mark].probes.append(self.now)
-            self.at(self.now + 0.005, lambda: members.probed(one.mark, True, self.now))
-
-        members = Members(
-            tell,
-            probe,
-            lambda *a, **k: None,
-            Chance(number + 1000),
-            "d",
-            routers,
-            ("parent", "origin"),
-            0.5,
-            86400.0,
-            0.0,
-            3.0,
-            6.0,
+        port = HerdPort(self, made)
+        settings = MembershipSettings(
+            deployment="d",
+            routers=routers,
+            upper_kinds=("parent", "origin"),
+            fallback_delay_s=0.5,
+            hint_age_s=86400.0,
+            max_uninformed_copy_age_s=0.0,
+            quiet_s=3.0,
+            purge_done_s=6.0,
         )
-        members.start(self.memory, [], self.now)
+        members = port.members = MembershipController(port, Chance(number + 1000), settings)
+        members.start(self.stored, [], self.now)
         if self.blind:
             adopt = members.adopt
 
             def all_of_it(*words: Any) -> None:
                 adopt(*words)
-                members.proving.machines.clear()
-                tell([(one, "ready", True) for one in members.book.machines.values()])
+                members.probation.clear()
+                port.list_endpoints(
+                    [EndpointListing(one, one.state, is_trusted=True) for one in members.statements.endpoints.values()]
+                )
 
             members.adopt = all_of_it
         made.start(self.now)
         self.routers.append((made, members))
         self.ticking(members)
 
-    def ticking(self, members: Members) -> None:
+    def ticking(self, members: MembershipController) -> None:
         members.tick(self.now)
         self.at(self.now + 0.1, lambda: self.ticking(members))
 
@@ -455,10 +440,47 @@
         return most
 
 
+class HerdPort:
+    """A router's MembershipPort: its fleet, and servers that answer each health check after 5 ms."""
+
+    def __init__(self, herd: Herd, router: Router) -> None:
+        self.herd, self.router = herd, router
+        self.members: MembershipController
+
+    def list_endpoints(self, listings: list[EndpointListing]) -> None:
+        rows = []
+        for one in listings:
+            told = one.statement
+            rows.append(
+                Listing(
+                    told.endpoint_id,
+                    told.zone,
+                    told.kind,
+                    told.cell,
+                    one.state.value,
+                    told.weight,
+                    told.started_at,
+                    one.is_trusted,
+                )
+            )
+        self.router.fleet.listed(rows, False, self.herd.now)
+
+    def check_health(self, statement: Statement) -> None:
+        mark, herd = statement.endpoint_id, self.herd
+        herd.cells[mark].probes.append(herd.now)
+        herd.at(herd.now + 0.005, lambda: self.members.record_health_check(mark, herd.now, healthy=True))
+
+    def recover_purge(self, purge: Any) -> None:
+        pass
+
+    def log_event(self, event: str, /, **fields: object) -> None:
+        pass
+
+
 class HerdCaller:
     """A visit's client, and the network: looks at a cold cache miss, fills take the work's time."""
 
-    def __init__(self, herd: Herd, router: Router, members: Members) -> None:
+    def __init__(self, herd: Herd, router: Router, members: MembershipController) -> None:
         self.herd, self.router, self.members, self.gone = herd, router, members, set()
 
     def forward(
@@ -484,7 +506,7 @@
             if forward in self.gone:
                 return
             outcome = Outcome.HONOURED if filled else Outcome.MISS
-            self.members.ended(cache.mark, True, herd.now)
+            self.members.record_request(cache.mark, herd.now, answered=True)
             if outcome is Outcome.HONOURED and not forward.visit.done:
                 herd.served += 1
             forward.visit.ended(forward, outcome, took, outcome is Outcome.HONOURED, None, herd.now)
--- a/bench/planted.py
+++ b/bench/planted.py
@@ -16,16 +16,18 @@
         put_down = Volume.purge
         Volume.purge = lambda self, purges: put_down(self, [purge._replace(key=0, group=0) for purge in purges])
     elif fault in ("trust", "blind"):  # whatever a list names is as good as vouched for
-        from wickhinge.membership.controller import Members
+        from wickhinge.membership.controller import EndpointListing, MembershipController
 
-        adopt = Members.adopt
+        adopt = MembershipController.adopt
 
-        def all_of_it(self, statements, source, age, now):
-            adopt(self, statements, source, age, now)
-            self.proving.machines.clear()
-            self.tell([(one, one.state, True) for one in self.book.machines.values()])
+        def all_of_it(self, statements, source, age_s, now):
+            adopt(self, statements, source, age_s, now)
+            self.probation.clear()
+            self._port.list_endpoints(
+                [EndpointListing(one, one.state, is_trusted=True) for one in self.statements.endpoints.values()]
+            )
 
-        Members.adopt = all_of_it
+        MembershipController.adopt = all_of_it
     elif fault == "drains":
         from wickhinge.decide import Fleet
 
--- a/tests/membership/test_discovery.py
+++ b/tests/membership/test_discovery.py
@@ -75,7 +75,7 @@
     deployment = Deployment(tmp_path)
     other, address = second(deployment, tmp_path / "b", f"127.0.0.1:{port}", extra)
     try:
-        assert other.wait('"source":"sibling"' if served else '"event":"sibling_lost"')
+        assert other.wait('"source":"sibling"' if served else '"event":"membership_exchange_failed"')
         assert '"trusted"' in other.wait('"event":"open"') if served else other.wait('"event":"open"')
         assert honoured(Client(address), PATIENT if served else 1.0) is served
     finally:
@@ -93,7 +93,7 @@
                 first.settimeout(PATIENT)
                 assert first.recv(100)[:4] == b"WHL1"
                 first.sendall(b"\x00\x00\x10\x00half")
-                assert "did not finish" in other.wait('"event":"sibling_lost"')
+                assert "did not finish" in other.wait('"event":"membership_exchange_failed"')
                 silent.accept()[0].close()
         finally:
             other.close()
@@ -113,7 +113,7 @@
         deployment.path.write_text(json.dumps(conf))
         env = {**os.environ, "RELAY_CONFIG": str(deployment.path)}
         deployment.router = Process("-m", "wickhinge", env=env)
-        assert '"source":"remembered"' in deployment.router.wait('"event":"list_source"')
+        assert '"source":"remembered"' in deployment.router.wait('"event":"membership_source_changed"')
         assert '"trusted"' in deployment.router.wait('"event":"open"')
         assert honoured(deployment.client(), PATIENT)
     finally:
--- a/tests/membership/test_membership.py
+++ b/tests/membership/test_membership.py
@@ -11,20 +11,31 @@
 from wickhinge.decide import Chance
 from wickhinge.interface import Effect, Outcome
 from wickhinge.membership import list_exchange, stored_list
-from wickhinge.membership.backoff import Backoff
+from wickhinge.membership.backoff import AddressBackoff
 from wickhinge.membership.comparison import compare
-from wickhinge.membership.controller import Members
-from wickhinge.membership.endpoint_list_file import Keeper, Unusable
-from wickhinge.membership.probation import LONGEST, Proving, Stage, Terms
-from wickhinge.membership.purge_gap import Gap
-from wickhinge.membership.statement_table import GONE_MOST, LIVE, REMEMBERED, SIBLING, STATIC, Book, Statement
+from wickhinge.membership.controller import MembershipController, MembershipSettings
+from wickhinge.membership.endpoint_list_file import EndpointListFile
+from wickhinge.membership.errors import ListDirectoryError, ListExchangeError
+from wickhinge.membership.list_exchange import ReplicaAnswer
+from wickhinge.membership.probation import MAX_REST_S, Probation, ProbationTerms, TrustState
+from wickhinge.membership.purge_gap import PurgeGap
+from wickhinge.membership.recent_purges import PurgeRecord
+from wickhinge.membership.statement_table import (
+    MAX_GONE_ENDPOINTS,
+    EndpointState,
+    ListSource,
+    Statement,
+    StatementTable,
+)
+from wickhinge.membership.stored_list import StoredList, to_record
 from wickhinge.net.journal import Unreadable
 
 DAY = 86400.0
 
 
-def said(mark, state="ready", when=100.0, source=REMEMBERED, kind="box", port=None, zone="here"):
-    return Statement(mark, ("127.0.0.1", port or mark), state, zone, kind, 0, 4.0, None, when, source)
+def statement(mark, state="ready", when=100.0, source=ListSource.REMEMBERED, kind="box", port=None, zone="here"):
+    address = ("127.0.0.1", port or mark)
+    return Statement(mark, address, EndpointState(state), zone, kind, 0, 4.0, None, when, source)
 
 
 # Statements.
@@ -33,43 +44,76 @@
 @pytest.mark.parametrize(
     "first, second, state, source",
     [
-        (said(1), said(1, when=101, source=SIBLING), "ready", SIBLING),
-        (said(1, when=101), said(1, when=100, source=SIBLING), "ready", REMEMBERED),
-        (said(1), said(1, source=STATIC), "ready", REMEMBERED),
-        (said(1, when=101), said(1, "draining", when=50, source=SIBLING), "draining", SIBLING),
-        (said(1, "draining", when=50, source=SIBLING), said(1, when=400), "draining", SIBLING),
-        (said(1, "draining", when=50, source=SIBLING), said(1, when=60, source=LIVE), "ready", LIVE),
-        (said(1, source=LIVE), said(1, "draining", when=90, source=SIBLING), "ready", LIVE),
-        (said(1, source=LIVE), said(1, "draining", when=101, source=SIBLING), "draining", SIBLING),
-        (said(1, source=LIVE), said(1, "gone", when=90, source=SIBLING), None, None),
-        (said(1, "gone"), said(1, when=900, source=SIBLING), None, None),
+        (statement(1), statement(1, when=101, source=ListSource.SIBLING), "ready", ListSource.SIBLING),
+        (statement(1, when=101), statement(1, when=100, source=ListSource.SIBLING), "ready", ListSource.REMEMBERED),
+        (statement(1), statement(1, source=ListSource.STATIC), "ready", ListSource.REMEMBERED),
+        (
+            statement(1, when=101),
+            statement(1, "draining", when=50, source=ListSource.SIBLING),
+            "draining",
+            ListSource.SIBLING,
+        ),
+        (
+            statement(1, "draining", when=50, source=ListSource.SIBLING),
+            statement(1, when=400),
+            "draining",
+            ListSource.SIBLING,
+        ),
+        (
+            statement(1, "draining", when=50, source=ListSource.SIBLING),
+            statement(1, when=60, source=ListSource.LIVE),
+            "ready",
+            ListSource.LIVE,
+        ),
+        (
+            statement(1, source=ListSource.LIVE),
+            statement(1, "draining", when=90, source=ListSource.SIBLING),
+            "ready",
+            ListSource.LIVE,
+        ),
+        (
+            statement(1, source=ListSource.LIVE),
+            statement(1, "draining", when=101, source=ListSource.SIBLING),
+            "draining",
+            ListSource.SIBLING,
+        ),
+        (statement(1, source=ListSource.LIVE), statement(1, "gone", when=90, source=ListSource.SIBLING), None, None),
+        (statement(1, "gone"), statement(1, when=900, source=ListSource.SIBLING), None, None),
     ],
 )
 def test_of_two_words_on_a_machine_one_is_in_force(first, second, state, source):
-    book = Book()
-    book.merge(first)
-    book.merge(second)
-    now = book.machines.get(1)
+    table = StatementTable()
+    table.merge(first)
+    table.merge(second)
+    now = table.endpoints.get(1)
     assert (now.state, now.source) == (state, source) if state else now is None
 
 
 def test_a_whole_live_list_is_the_last_word_and_what_is_gone_is_bounded():
-    book = Book()
+    table = StatementTable()
     for mark in (1, 2, 3):
-        book.merge(said(mark))
-    book.leave(4, 90.0)
-    assert book.whole([said(2, source=LIVE, when=200), said(4, source=LIVE, when=200)], 200.0) == [1, 3]
-    assert set(book.machines) == {2, 4} and not book.merge(said(1, when=300))
-    for mark in range(10, GONE_MOST + 50):
-        book.leave(mark, 1.0)
-    assert len(book.gone) == GONE_MOST
+        table.merge(statement(mark))
+    table.remove(4, 90.0)
+    assert table.replace_all(
+        [statement(2, source=ListSource.LIVE, when=200), statement(4, source=ListSource.LIVE, when=200)], 200.0
+    ) == [1, 3]
+    assert set(table.endpoints) == {2, 4} and not table.merge(statement(1, when=300))
+    for mark in range(10, MAX_GONE_ENDPOINTS + 50):
+        table.remove(mark, 1.0)
+    assert len(table.gone) == MAX_GONE_ENDPOINTS
 
 
 def test_two_machines_whose_addresses_were_swapped_are_told_apart_by_their_ids():
-    book = Book()
-    book.merge(said(1, port=11)), book.merge(said(2, port=22))
-    book.whole([said(1, port=22, source=LIVE, when=200), said(2, port=11, source=LIVE, when=200)], 200.0)
-    assert book.addresses() == {("127.0.0.1", 22): [1], ("127.0.0.1", 11): [2]}
+    table = StatementTable()
+    table.merge(statement(1, port=11)), table.merge(statement(2, port=22))
+    table.replace_all(
+        [
+            statement(1, port=22, source=ListSource.LIVE, when=200),
+            statement(2, port=11, source=ListSource.LIVE, when=200),
+        ],
+        200.0,
+    )
+    assert table.ids_by_address() == {("127.0.0.1", 22): [1], ("127.0.0.1", 11): [2]}
 
 
 # Trust.
@@ -87,72 +131,85 @@
     ],
 )
 def test_an_older_list_is_trusted_less(age, proofs, width, hint):
-    terms = Terms(age, 12, DAY)
-    assert (terms.proofs, terms.width, terms.hint, terms.by_visit) == (proofs, width, hint, hint)
+    terms = ProbationTerms.of_age(age, 12, DAY)
+    assert (terms.proofs_needed, terms.max_proving, terms.is_hint) == (proofs, width, hint)
 
 
 def proving(age=1.0, count=6, routers=1):
-    made = Proving(Chance(3), routers, DAY, ("parent", "origin"))
+    made = Probation(Chance(3), routers, DAY, ("parent", "origin"))
     made.adopt(
-        [said(mark) for mark in range(1, count + 1)] + [said(100, kind="parent"), said(200, kind="origin")], age, 100.0
+        [statement(mark) for mark in range(1, count + 1)]
+        + [statement(100, kind="parent"), statement(200, kind="origin")],
+        age,
+        100.0,
     )
     return made
 
 
 def test_machines_are_asked_a_few_at_a_time_and_caches_after_parents_where_the_list_is_old():
     made = proving(age=3600.0)
-    asked = made.due(101.0)
-    assert [one.mark for one in asked][:2] in ([100, 200], [200, 100]) and len(asked) == 3
-    assert made.due(101.0) == []
-    assert made.probed(asked[0].mark, True, 101.0) and made.listed(asked[0].mark) == ("ready", False)
-    assert made.due(101.0) == []  # it is in proving, and takes its place still
-    (again,) = made.due(101.7)
-    assert again.mark == asked[0].mark and made.probed(again.mark, True, 101.7)
-    assert made.listed(again.mark) == ("ready", True)
-    assert len(made.due(101.8)) == 1
+    asked = made.start_due_checks(101.0)
+    assert [one.endpoint_id for one in asked][:2] in ([100, 200], [200, 100]) and len(asked) == 3
+    assert made.start_due_checks(101.0) == []
+    assert made.record_health_check(asked[0].endpoint_id, 101.0, healthy=True) and made.listing(
+        asked[0].endpoint_id
+    ) == ("ready", False)
+    assert made.start_due_checks(101.0) == []  # it is in proving, and takes its place still
+    (again,) = made.start_due_checks(101.7)
+    assert again.endpoint_id == asked[0].endpoint_id and made.record_health_check(
+        again.endpoint_id, 101.7, healthy=True
+    )
+    assert made.listing(again.endpoint_id) == ("ready", True)
+    assert len(made.start_due_checks(101.8)) == 1
 
 
 def test_a_hint_alone_never_proves_enough_for_what_has_effects():
     made = proving(age=3 * DAY)
-    (one, *_) = made.due(101.0)
+    (one, *_) = made.start_due_checks(101.0)
     for turn in range(8):
-        made.probed(one.mark, True, 101.0 + turn)
-    assert made.machines[one.mark].stage is Stage.PROVING
-    assert made.ended(one.mark, True, 110.0) and made.machines[one.mark].stage is Stage.PROVEN
+        made.record_health_check(one.endpoint_id, 101.0 + turn, healthy=True)
+    assert made.entries[one.endpoint_id].state is TrustState.PROVING
+    assert (
+        made.record_request(one.endpoint_id, 110.0, answered=True)
+        and made.entries[one.endpoint_id].state is TrustState.PROVEN
+    )
 
 
 def test_what_does_not_answer_rests_longer_each_time_and_is_dropped():
     made = proving(count=1)
     now, seen = 101.0, []
     for _ in range(200):
-        for one in made.due(now):
-            if one.mark == 1:
+        for one in made.start_due_checks(now):
+            if one.endpoint_id == 1:
                 seen.append(now)
-            made.probed(one.mark, False, now)
+            made.record_health_check(one.endpoint_id, now, healthy=False)
         now += 0.25
     rests = [after - before for before, after in zip(seen, seen[1:], strict=False)]
-    assert len(seen) == 6 and rests == sorted(rests) and made.machines[1].stage is Stage.DROPPED
-    assert made.listed(1) == ("draining", False) and max(rests) <= 2 * LONGEST
-    made.adopt([said(1, when=now)], 1.0, now + 1)
-    assert made.machines[1].stage is Stage.UNPROVEN
+    assert len(seen) == 6 and rests == sorted(rests) and made.entries[1].state is TrustState.DROPPED
+    assert made.listing(1) == ("draining", False) and max(rests) <= 2 * MAX_REST_S
+    made.adopt([statement(1, when=now)], 1.0, now + 1)
+    assert made.entries[1].state is TrustState.UNPROVEN
 
 
 def test_a_proven_machine_that_refuses_is_taken_out_at_once_and_an_address_that_changed_proves_nothing():
     made = proving()
-    (one, *_) = made.due(101.0)
-    made.probed(one.mark, True, 101.0)
-    assert made.ended(one.mark, False, 101.1) and made.listed(one.mark) == ("draining", False)
-    made.probed(one.mark, True, 103.0)
-    made.adopt([said(one.mark, port=9999, when=200.0)], 1.0, 200.0)
-    assert made.machines[one.mark].stage is Stage.UNPROVEN
+    (one, *_) = made.start_due_checks(101.0)
+    made.record_health_check(one.endpoint_id, 101.0, healthy=True)
+    assert made.record_request(one.endpoint_id, 101.1, answered=False) and made.listing(one.endpoint_id) == (
+        "draining",
+        False,
+    )
+    made.record_health_check(one.endpoint_id, 103.0, healthy=True)
+    made.adopt([statement(one.endpoint_id, port=9999, when=200.0)], 1.0, 200.0)
+    assert made.entries[one.endpoint_id].state is TrustState.UNPROVEN
 
 
 def test_a_hundred_routers_do_not_ask_one_machine_at_once():
     times = []
     for number in range(100):
-        made = Proving(Chance(number), 100, DAY, ())
-        made.adopt([said(1)], 1.0, 100.0)
-        times.append(made.machines[1].due - 100.0)
+        made = Probation(Chance(number), 100, DAY, ())
+        made.adopt([statement(1)], 1.0, 100.0)
+        times.append(made.entries[1].due_at - 100.0)
     assert max(times) > 1.5 and max(sum(t <= u < t + 0.1 for u in times) for t in times) < 20
 
 
@@ -173,84 +230,91 @@
     ],
 )
 def test_copies_from_before_the_gap_are_not_asked_for(heard, untold, now, oldest):
-    gap = Gap(untold, 3.0)
-    gap.remembered(heard) if heard is not None else gap.closed(1000.0)
-    assert gap.oldest(now) == oldest
+    gap = PurgeGap(untold, 3.0)
+    gap.open(heard) if heard is not None else gap.close(1000.0)
+    assert gap.max_copy_age_s(now) == oldest
 
 
 def test_addresses_are_tried_in_turn_and_later_each_round():
-    made = Backoff([("a", 1), ("b", 2)], SimpleNamespace(draw=lambda: 0.5), 0.1, 1.0)
-    tries = [made.failed() for _ in range(12)]
+    made = AddressBackoff([("a", 1), ("b", 2)], SimpleNamespace(draw=lambda: 0.5), 0.1, 1.0)
+    tries = [made.record_failure() for _ in range(12)]
     assert [where[0] for where, _ in tries[:3]] == ["b", "a", "b"]
     assert [wait for _, wait in tries[:4]] == [0.1, 0.2, 0.2, 0.4] and tries[-1][1] == 1.0
-    made.well()
-    assert made.failed()[1] == 0.1
-    made.moved(("c", 3))
-    assert [made.failed()[0][0] for _ in range(4)] == ["b", "c", "b", "c"]
+    made.record_success()
+    assert made.record_failure()[1] == 0.1
+    made.replace_first_address(("c", 3))
+    assert [made.record_failure()[0][0] for _ in range(4)] == ["b", "c", "b", "c"]
 
 
 @pytest.mark.parametrize(
     "new, doubts",
     [
         ([], "empty"),
-        ([said(1), said(100, kind="parent", zone="hub")], "2 machines where 6"),
-        ([said(mark) for mark in range(1, 6)], "zone hub"),
-        ([said(mark) for mark in range(1, 6)] + [said(100, kind="parent", zone="hub")], ""),
+        ([statement(1), statement(100, kind="parent", zone="hub")], "2 machines where 6"),
+        ([statement(mark) for mark in range(1, 6)], "zone hub"),
+        ([statement(mark) for mark in range(1, 6)] + [statement(100, kind="parent", zone="hub")], ""),
     ],
 )
 def test_a_list_that_is_suspiciously_small_is_told_so(new, doubts):
-    old = [said(mark) for mark in range(1, 6)] + [said(100, kind="parent", zone="hub")]
+    old = [statement(mark) for mark in range(1, 6)] + [statement(100, kind="parent", zone="hub")]
     answer = compare(old, new)
-    assert doubts in "; ".join(answer["doubts"]) and bool(answer["doubts"]) == bool(doubts)
-    assert len(answer["gone"]) == len(old) - len(new)
+    assert doubts in "; ".join(answer.warnings) and bool(answer.warnings) == bool(doubts)
+    assert len(answer.gone) == len(old) - len(new)
 
 
 # Members.
 
 
+SETTINGS = MembershipSettings(
+    deployment="d",
+    routers=1,
+    upper_kinds=("parent", "origin"),
+    fallback_delay_s=0.5,
+    hint_age_s=DAY,
+    max_uninformed_copy_age_s=0.0,
+    quiet_s=3.0,
+    purge_done_s=6.0,
+)
+
+
 class World:
-    def __init__(self, age=10.0, memory=True, static=(), **more):
+    """A controller and its port, which writes down what it is asked for."""
+
+    def __init__(self, age=10.0, memory=True, static=()):
         self.log, self.told, self.probes, self.purges = [], {}, [], []
-        self.members = Members(
-            self.tell,
-            self.probes.append,
-            lambda event, **f: self.log.append((event, f)),
-            Chance(1),
-            "d",
-            1,
-            ("parent", "origin"),
-            0.5,
-            DAY,
-            0.0,
-            3.0,
-            6.0,
-        )
-        self.members.told_purge = lambda *a: self.purges.append(a)
-        rows = [stored_list.row(said(mark, when=1000.0 - (age or 0))) for mark in range(1, 6)]
-        self.memory = (
-            stored_list.Memory("d", 1000.0 - (age or 0), 1000.0 - (age or 0), 7, rows, [(9, 5.0)], [(5, 0, 995.0)])
-            if memory
-            else None
-        )
+        self.members = MembershipController(self, Chance(1), SETTINGS)
+        rows = [to_record(statement(mark, when=1000.0 - (age or 0))) for mark in range(1, 6)]
+        since = 1000.0 - (age or 0)
+        purges = [PurgeRecord(5, 0, 995.0)]
+        self.memory = StoredList("d", since, since, 7, rows, [(9, 5.0)], purges) if memory else None
         self.members.start(self.memory, list(static), 1000.0)
 
-    def tell(self, machines):
-        for one, state, trusted in machines:
-            self.told.setdefault(one.mark, []).append((state, trusted))
+    def list_endpoints(self, listings):
+        for one in listings:
+            self.told.setdefault(one.statement.endpoint_id, []).append((one.state, one.is_trusted))
+
+    def check_health(self, statement):
+        self.probes.append(statement)
+
+    def recover_purge(self, purge):
+        self.purges.append(purge)
+
+    def log_event(self, event, /, **fields):
+        self.log.append((event, fields))
 
     def prove(self, now):
         self.members.tick(now)
         self.members.tick(now + 0.1)  # none is asked in the first moment: others may start with this one
         for one in self.probes:
-            self.members.probed(one.mark, True, now)
+            self.members.record_health_check(one.endpoint_id, now, healthy=True)
         self.probes.clear()
 
     def sources(self):
-        return [fields["source"] for event, fields in self.log if event == "list_source"]
+        return [fields["source"] for event, fields in self.log if event == "membership_source_changed"]
 
 
 def live(marks, now, state="ready"):
-    return [said(mark, state, now, LIVE) for mark in marks]
+    return [statement(mark, state, now, ListSource.LIVE) for mark in marks]
 
 
 def test_the_remembered_list_is_used_only_after_the_live_one_was_waited_for():
@@ -265,12 +329,14 @@
 
 def test_a_live_list_in_time_leaves_the_remembered_one_unread():
     world = World()
-    world.members.live(True, live([1, 2], 1000.2), 1000.2)
+    world.members.apply_live(live([1, 2], 1000.2), 1000.2, is_complete=True)
     world.members.tick(1002.0)
     assert world.sources() == ["live"] and not world.probes and not world.told
 
 
-@pytest.mark.parametrize("static, source", [((said(1, when=0.0, source=STATIC),), "static"), ((), None)])
+@pytest.mark.parametrize(
+    "static, source", [((statement(1, when=0.0, source=ListSource.STATIC),), "static"), ((), None)]
+)
 def test_with_no_list_at_all_the_settings_are_left_or_nothing(static, source):
     world = World(memory=False, static=static)
     world.prove(1001.0)
@@ -279,30 +345,42 @@
 
 @pytest.mark.parametrize(
     "change, proofs",
-    [({"deployment": "other"}, None), ({"heard": 5000.0}, 3), ({"written": 5000.0}, 3), ({"heard": 0.0}, 3)],
+    [
+        ({"deployment": "other"}, None),
+        ({"last_update_at": 5000.0}, 3),
+        ({"written_at": 5000.0}, 3),
+        ({"last_update_at": 0.0}, 3),
+    ],
 )
 def test_a_list_of_another_deployment_is_none_and_one_from_the_future_only_a_hint(change, proofs):
     world = World(memory=False)
-    rows = [stored_list.row(said(1))]
+    rows = [to_record(statement(1))]
     world.members.start(
-        stored_list.Memory(
-            **{"deployment": "d", "written": 990.0, "heard": 990.0, "number": 1, "machines": rows, **change}
+        StoredList(
+            **{
+                "deployment": "d",
+                "written_at": 990.0,
+                "last_update_at": 990.0,
+                "last_event": 1,
+                "endpoints": rows,
+                **change,
+            }
         ),
         [],
         1000.0,
     )
     world.members.tick(1001.0)
     assert world.sources() == ([] if proofs is None else ["remembered"])
-    assert proofs is None or world.members.proving.terms.proofs == proofs
+    assert proofs is None or world.members.probation.terms.proofs_needed == proofs
 
 
 @pytest.mark.parametrize("state", ["draining", "gone"])
 def test_a_siblings_word_that_a_machine_leaves_counts_at_once(state):
     world = World()
     world.prove(1000.6)
-    rows = [stored_list.row(said(1, "draining", when=2.0))] if state == "draining" else []
-    told = list_exchange.Told("d", 5000.0, 3, rows, [1] if state == "gone" else [], [(8, 0, 999.0)])
-    assert world.members.sibling(told, 1001.0)
+    rows = [to_record(statement(1, "draining", when=2.0))] if state == "draining" else []
+    told = ReplicaAnswer("d", 5000.0, 3, rows, [1] if state == "gone" else [], [PurgeRecord(8, 0, 999.0)])
+    assert world.members.apply_replica_answer(told, 1001.0)
     assert world.told[1][-1] == (state, False) and (8, 0, 999.0) in world.purges
     world.prove(1002.0)
     assert world.told[1][-1] == (state, False)
@@ -311,23 +389,25 @@
 def test_a_siblings_older_list_adds_nothing_and_one_of_another_deployment_is_not_heard():
     world = World(age=10.0)
     world.prove(1000.6)
-    rows = [stored_list.row(said(mark, when=50.0)) for mark in (1, 77)]
-    assert world.members.sibling(list_exchange.Told("d", 5000.0, 3, rows), 1001.0)
-    assert 77 not in world.members.book.machines and world.sources() == ["remembered"]
-    assert not world.members.sibling(list_exchange.Told("x", 1.0, 3, rows), 1001.0)
-    assert world.members.sibling(list_exchange.Told("d", 2.0, 3, rows), 1001.0)
-    assert 77 in world.members.book.machines and world.sources() == ["remembered", "sibling"]
+    rows = [to_record(statement(mark, when=50.0)) for mark in (1, 77)]
+    assert world.members.apply_replica_answer(ReplicaAnswer("d", 5000.0, 3, rows), 1001.0)
+    assert 77 not in world.members.statements.endpoints and world.sources() == ["remembered"]
+    assert not world.members.apply_replica_answer(ReplicaAnswer("x", 1.0, 3, rows), 1001.0)
+    assert world.members.apply_replica_answer(ReplicaAnswer("d", 2.0, 3, rows), 1001.0)
+    assert 77 in world.members.statements.endpoints and world.sources() == ["remembered", "sibling"]
 
 
 def test_the_service_returns_while_machines_are_being_proven():
     world = World()
     world.members.tick(1000.6)
     asked = list(world.probes)
-    world.members.live(True, live([2, 3, 50], 1000.7), 1000.7)
+    world.members.apply_live(live([2, 3, 50], 1000.7), 1000.7, is_complete=True)
     for one in asked:  # answers of probes that were out
-        world.members.probed(one.mark, True, 1000.8)
-        world.members.ended(one.mark, False, 1000.8)
-    assert not world.told and set(world.members.book.machines) == {2, 3, 50} and 1 in world.members.book.gone
+        world.members.record_health_check(one.endpoint_id, 1000.8, healthy=True)
+        world.members.record_request(one.endpoint_id, 1000.8, answered=False)
+    assert (
+        not world.told and set(world.members.statements.endpoints) == {2, 3, 50} and 1 in world.members.statements.gone
+    )
     world.members.tick(1001.0)
     assert world.sources() == ["remembered", "live"] and len(world.probes) == len(asked)
 
@@ -337,31 +417,31 @@
     world.prove(1000.6)
     for turn in range(20):
         now = 1001.0 + turn / 10
-        world.members.live(True, live([1, 2, 3], now), now)
-        world.members.caught_up(now, 4, False)
+        world.members.apply_live(live([1, 2, 3], now), now, is_complete=True)
+        world.members.live_caught_up(now, 4, is_continuous=False)
         world.members.tick(now + 0.05)
     assert world.sources() == ["remembered", "live"] and len(world.log) <= 2 + 5 + 1
 
 
 def test_remembered_and_caught_up_is_the_live_list_with_what_changed_meanwhile():
     world = World()
-    world.members.live(False, live([2], 1000.1, "draining"), 1000.1)
-    assert world.members.gap.oldest(1000.1) is not None
-    world.members.caught_up(1000.2, 8, True)
-    assert world.sources() == ["live"] and world.members.gap.oldest(1000.2) is None
+    world.members.apply_live(live([2], 1000.1, "draining"), 1000.1, is_complete=False)
+    assert world.members.max_copy_age_s(1000.1) is not None
+    world.members.live_caught_up(1000.2, 8, is_continuous=True)
+    assert world.sources() == ["live"] and world.members.max_copy_age_s(1000.2) is None
     assert world.told[1] == [("ready", True)] and world.told[2] == [("draining", True)]
 
 
 def test_what_is_written_can_be_started_from():
     world = World(memory=False)
-    assert world.members.remember(1000.0) is None
-    world.members.live(True, live([1, 2], 1000.0), 1000.0)
-    world.members.caught_up(1000.1, 9, False)
-    world.members.purge(7, 0, 999.0, 1000.2)
-    world.members.purge(8, 0, 900.0, 1000.2)
-    kept = world.members.remember(1001.0)
-    _, again = stored_list.unpack(stored_list.pack(kept, 4))
-    assert again == kept and again.purges == [(7, 0, 999.0)] and (again.number, again.heard) == (9, 1000.1)
+    assert world.members.snapshot(1000.0, (0.0, 0.0)) is None
+    world.members.apply_live(live([1, 2], 1000.0), 1000.0, is_complete=True)
+    world.members.live_caught_up(1000.1, 9, is_continuous=False)
+    world.members.record_purge(PurgeRecord(7, 0, 999.0), 1000.2)
+    world.members.record_purge(PurgeRecord(8, 0, 900.0), 1000.2)
+    kept = world.members.snapshot(1001.0, (0.0, 0.0))
+    _, again = stored_list.decode(stored_list.encode(kept, 4))
+    assert again == kept and again.purges == [(7, 0, 999.0)] and (again.last_event, again.last_update_at) == (9, 1000.1)
 
 
 # Policy.
@@ -408,8 +488,8 @@
 @pytest.mark.parametrize("lost", [False, True])
 def test_whatever_call_fails_while_it_is_written_a_whole_list_is_left(how, lost):
     def kept(number):
-        return stored_list.Memory(
-            "d", float(number), float(number), number, [stored_list.row(said(mark)) for mark in range(number * 20)]
+        return StoredList(
+            "d", float(number), float(number), number, [to_record(statement(mark)) for mark in range(number * 20)]
         )
 
     call, dones = 0, []
@@ -417,24 +497,24 @@
         call += 1
         disk, done = Disk((call, how)), 0
         try:
-            keeper = Keeper(disk, "d")
-            keeper.open()
+            list_file = EndpointListFile(disk, "d")
+            list_file.open()
             for number in range(1, 5):
                 try:
-                    keeper.write(kept(number))
+                    list_file.write(kept(number))
                     done = number
                 except OSError:
                     continue
-        except (Crash, Unusable):
+        except (Crash, ListDirectoryError):
             pass
         dones.append(done)
         if disk.calls < call:
             break
-        after = Keeper(disk.restarted(call, lost), "d")
+        after = EndpointListFile(disk.restarted(call, lost), "d")
         after.open()
         memory, _ = after.read()
-        assert (memory.number if memory else 0) >= done
-        assert memory is None or memory == kept(memory.number)
+        assert (memory.last_event if memory else 0) >= done
+        assert memory is None or memory == kept(memory.last_event)
     assert len(set(dones)) > 2
 
 
@@ -452,16 +532,16 @@
 def test_a_damaged_list_is_no_list_and_the_other_generation_is_taken(tmp_path, damage, told):
     from wickhinge.store.files import Files
 
-    keeper = Keeper(Files(), str(tmp_path))
-    keeper.open()
+    list_file = EndpointListFile(Files(), str(tmp_path))
+    list_file.open()
     for number in (1, 2):
-        keeper.write(stored_list.Memory("d", 1.0, 1.0, number, [stored_list.row(said(5))]))
-    path = tmp_path / stored_list.NAMES[0]
+        list_file.write(StoredList("d", 1.0, 1.0, number, [to_record(statement(5))]))
+    path = tmp_path / stored_list.FILE_NAMES[0]
     path.write_bytes(damage(path.read_bytes()))
-    memory, wrong = keeper.read()
-    assert memory.number == 1 and told in wrong[0]
-    with pytest.raises(Unusable, match="in use"):
-        Keeper(Files(), str(tmp_path)).open()
+    memory, wrong = list_file.read()
+    assert memory.last_event == 1 and told in wrong[0]
+    with pytest.raises(ListDirectoryError, match="in use"):
+        EndpointListFile(Files(), str(tmp_path)).open()
 
 
 # Siblings.
@@ -470,16 +550,16 @@
 
 
 def exchange(key=KEY, nonce=b"n" * 16, rows=2):
-    rows = [stored_list.row(said(mark)) for mark in range(rows)]
-    return list_exchange.answer(key, nonce, list_exchange.Told("d", 1.0, 2, rows))
+    rows = [to_record(statement(mark)) for mark in range(rows)]
+    return list_exchange.encode_answer(key, nonce, ReplicaAnswer("d", 1.0, 2, rows))
 
 
 def test_an_answer_is_read_at_every_split():
     data = exchange()
     for split in range(0, len(data), 7):
-        stream = list_exchange.Stream(KEY, b"n" * 16)
+        stream = list_exchange.AnswerReader(KEY, b"n" * 16)
         first = stream.feed(data[:split])
-        assert (first or stream.feed(data[split:])).number == 2
+        assert (first or stream.feed(data[split:])).last_event == 2
 
 
 @pytest.mark.parametrize(
@@ -489,25 +569,25 @@
         (exchange(nonce=b"m" * 16), "not under our key"),
         (b"\xff\xff\xff\xff", "bytes"),
         (exchange(rows=20_001), "list of 20001 machines"),
-        (list_exchange.LENGTH.pack(1) + b"\x05" + list_exchange.mac(KEY, b"n" * 16, b"\x05"), "another form"),
+        (list_exchange.seal_payload(KEY, b"n" * 16, b"\x05"), "another form"),
     ],
     ids=["key", "replayed", "length", "machines", "form"],
 )
 def test_a_wrong_answer_is_none(data, told):
-    with pytest.raises(list_exchange.Unreadable, match=told):
-        list_exchange.Stream(KEY, b"n" * 16).feed(data)
+    with pytest.raises(ListExchangeError, match=told):
+        list_exchange.AnswerReader(KEY, b"n" * 16).feed(data)
 
 
 def test_a_list_of_a_hundred_thousand_machines_is_not_even_taken_in():
-    with pytest.raises(list_exchange.Unreadable, match="bytes"):
-        list_exchange.Stream(KEY, b"n" * 16).feed(exchange(rows=100_000)[:4])
+    with pytest.raises(ListExchangeError, match="bytes"):
+        list_exchange.AnswerReader(KEY, b"n" * 16).feed(exchange(rows=100_000)[:4])
 
 
 @pytest.mark.parametrize("key, when, told", [(b"another key 1234", 100.0, "key"), (KEY, 900.0, "another time")])
 def test_a_wrong_request_is_not_answered(key, when, told):
-    assert list_exchange.read_request(KEY, list_exchange.request(KEY, b"n" * 16, 100.0), 101.0) == b"n" * 16
-    with pytest.raises(list_exchange.Unreadable, match=told):
-        list_exchange.read_request(KEY, list_exchange.request(key, b"n" * 16, when), 100.0)
+    assert list_exchange.decode_request(KEY, list_exchange.encode_request(KEY, b"n" * 16, 100.0), 101.0) == b"n" * 16
+    with pytest.raises(ListExchangeError, match=told):
+        list_exchange.decode_request(KEY, list_exchange.encode_request(key, b"n" * 16, when), 100.0)
 
 
 # The journal.
--- a/tests/options/test_options.py
+++ b/tests/options/test_options.py
@@ -145,18 +145,19 @@
 
 
 def test_a_remembered_list_is_shown_compared_and_exported(tmp_path):
-    from wickhinge.membership.endpoint_list_file import Keeper
-    from wickhinge.membership.stored_list import Memory, Row
+    from wickhinge.membership.endpoint_list_file import EndpointListFile
+    from wickhinge.membership.stored_list import EndpointRecord, StoredList
     from wickhinge.store.files import Files
 
     machines = [
-        Row(one, "127.0.0.1", 9000 + one, "ready", "here", "box", 0, 1.0, None, 5.0, "live") for one in range(4)
+        EndpointRecord(one, "127.0.0.1", 9000 + one, "ready", "here", "box", 0, 1.0, None, 5.0, "live")
+        for one in range(4)
     ]
     for name, kept in (("a", machines), ("b", machines[:1])):
-        keeper = Keeper(Files(), str(tmp_path / name))
-        keeper.open()
-        keeper.write(Memory("d", 5.0, 5.0, 3, kept, [(9, 1.0)], [(7, 0, 2.0)]))
-        keeper.close()
+        list_file = EndpointListFile(Files(), str(tmp_path / name))
+        list_file.open()
+        list_file.write(StoredList("d", 5.0, 5.0, 3, kept, [(9, 1.0)], [(7, 0, 2.0)]))
+        list_file.close()
     code, out = command("list", "show", tmp_path / "a")
     assert code == 0 and "s-00000003 127.0.0.1:9003" in out and "1 purges" in out
     assert command("list", "age", tmp_path / "a")[0] == 1
--- a/wickhinge/cli/commands.py
+++ b/wickhinge/cli/commands.py
@@ -209,41 +209,42 @@
     import os
 
     from wickhinge.membership import stored_list as form
-    from wickhinge.membership.endpoint_list_file import Keeper
+    from wickhinge.membership.endpoint_list_file import EndpointListFile
+    from wickhinge.membership.errors import CorruptListError
     from wickhinge.store.files import Files
 
     try:
         if os.path.isdir(path):
-            memory, wrong = Keeper(Files(), path).read()
+            memory, wrong = EndpointListFile(Files(), path).read()
             for why in wrong:
                 click.echo(f"wickhinge: {path}: {why}", err=True)
             if memory is None:
                 fail(f"{path}: holds no list")
             return memory
         with open(path, "rb") as file:
-            return form.unpack(file.read(form.LONGEST + form.HEAD.size + 1))[1]
-    except form.Unreadable as problem:
+            return form.decode(file.read(form.MAX_FILE_BYTES + 1))[1]
+    except CorruptListError as problem:
         fail(f"{path}: {problem}")
     except OSError as problem:
         fail(f"{path}: cannot be read: {problem.strerror}")
 
 
 def rows(memory: Any) -> list[dict[str, Any]]:
-    import msgspec
+    from wickhinge.membership.stored_list import record_fields
 
-    return [{**msgspec.structs.asdict(one), "mark": f"s-{one.mark:08x}"} for one in memory.machines]
+    return [{**record_fields(one), "mark": f"s-{one.endpoint_id:08x}"} for one in memory.endpoints]
 
 
 def whole(memory: Any) -> dict[str, Any]:
     return {
         "deployment": memory.deployment,
-        "written": memory.written,
-        "heard": memory.heard,
-        "number": memory.number,
+        "written": memory.written_at,
+        "heard": memory.last_update_at,
+        "number": memory.last_event,
         "machines": rows(memory),
         "gone": [[f"s-{mark:08x}", when] for mark, when in memory.gone],
         "purges": [[None if key is None else f"{key:016x}", group, stamp] for key, group, stamp in memory.purges],
-        "usual": memory.usual,
+        "usual": memory.usual_loads,
     }
 
 
@@ -260,7 +261,7 @@
         click.echo(orjson.dumps(whole(memory)).decode())
         return
     click.echo(
-        f"event {memory.number}, heard {memory.heard:.0f}, {len(memory.machines)} machines, "
+        f"event {memory.last_event}, heard {memory.last_update_at:.0f}, {len(memory.endpoints)} machines, "
         f"{len(memory.gone)} gone, {len(memory.purges)} purges"
     )
     for one in rows(memory):
@@ -279,8 +280,8 @@
     import time
 
     memory = remembered(file)
-    seconds = time.time() - memory.heard if 0 < memory.heard <= time.time() + 5 else None
-    tell({"age_s": None if seconds is None else round(seconds, 1), "number": memory.number}, as_json)
+    seconds = time.time() - memory.last_update_at if 0 < memory.last_update_at <= time.time() + 5 else None
+    tell({"age_s": None if seconds is None else round(seconds, 1), "number": memory.last_event}, as_json)
     sys.exit(WRONG if seconds is None or seconds > 86400 else 0)
 
 
@@ -291,12 +292,11 @@
 def diff(file: str, other: str, as_json: bool) -> None:
     """What changed from one list to another, and what looks like a mistake; 1 if anything did."""
     from wickhinge.membership.comparison import compare
-    from wickhinge.membership.stored_list import statement
+    from wickhinge.membership.stored_list import to_statement
 
-    answer = compare(*([statement(one) for one in remembered(path).machines] for path in (file, other)))
-    answer = {
-        name: [one if isinstance(one, str) else f"s-{one:08x}" for one in found] for name, found in answer.items()
-    }
+    comparison = compare(*([to_statement(one) for one in remembered(path).endpoints] for path in (file, other)))
+    answer = {name: [f"s-{one:08x}" for one in found] for name, found in comparison.changes().items()}
+    answer["doubts"] = comparison.warnings
     tell(answer, as_json)
     sys.exit(WRONG if any(answer.values()) else 0)
 
--- a/wickhinge/membership/comparison.py
+++ b/wickhinge/membership/comparison.py
@@ -1,40 +1,76 @@
-"""A live list beside what was known: what changed, and what about it looks like a mistake.
+"""Compares a new endpoint list with the known one: what changed, and what about it looks like a mistake.
 
-A suspicious list is obeyed all the same: what it lacks may have been drained, and sending there would break the rule
-on drains, while obeying costs capacity that staff can see. So it is reported, never second-guessed.
+A suspicious list is followed all the same: what it lacks may have been drained, and sending requests there would break
+the rule on drains, while following it costs capacity that staff can see. So it is reported and never overruled.
 """
 
 from __future__ import annotations
 
 from collections.abc import Iterable
-from typing import Any
-
-from wickhinge.membership.statement_table import Statement
-
-FEW = 0.5  # of what was known
-
-
-def compare(old: Iterable[Statement], new: Iterable[Statement]) -> dict[str, Any]:
-    """Ids by what happened to them; `doubts` in words."""
-    was = {one.mark: one for one in old}
-    now = {one.mark: one for one in new if one.state != "gone"}
-    both = [mark for mark in now if mark in was]
-    answer: dict[str, Any] = {
-        "new": [mark for mark in now if mark not in was],
-        "gone": [mark for mark in was if mark not in now],
-        "draining": [mark for mark in both if now[mark].state == "draining" != was[mark].state],
-        "back": [mark for mark in both if now[mark].state == "ready" != was[mark].state],
-        "moved": [mark for mark in both if now[mark].address != was[mark].address],
-        "changed": [mark for mark in both if now[mark][3:8] != was[mark][3:8]],
-    }
-    doubts = []
-    if was and not now:
-        doubts.append("it is empty")
-    elif len(now) < FEW * len(was):
-        doubts.append(f"{len(now)} machines where {len(was)} were known")
-    for name, place in (("zone", 3), ("kind", 4)):
-        lost = {one[place] for one in was.values()} - {one[place] for one in now.values()}
-        if now and lost:
-            doubts.append(f"no machine of {name} {', '.join(sorted(lost))}")
-    answer["doubts"] = doubts
-    return answer
+from dataclasses import dataclass, field
+
+from wickhinge.membership.statement_table import EndpointState, Statement
+
+_SUSPICIOUS_FRACTION = 0.5  # of the endpoints known before
+
+
+@dataclass(slots=True)
+class ListComparison:
+    """Endpoint ids by what happened to them, and warnings in words."""
+
+    new: list[int] = field(default_factory=list)
+    gone: list[int] = field(default_factory=list)
+    draining: list[int] = field(default_factory=list)  # since the known list
+    back: list[int] = field(default_factory=list)  # ready again
+    moved: list[int] = field(default_factory=list)  # to another address
+    changed: list[int] = field(default_factory=list)  # another zone, kind, cell, weight or start
+    warnings: list[str] = field(default_factory=list)
+
+    def changes(self) -> dict[str, list[int]]:
+        """The lists of ids by their names."""
+        return {
+            "new": self.new,
+            "gone": self.gone,
+            "draining": self.draining,
+            "back": self.back,
+            "moved": self.moved,
+            "changed": self.changed,
+        }
+
+
+def compare(known: Iterable[Statement], update: Iterable[Statement]) -> ListComparison:
+    """Compares the known list with one that replaces it."""
+    before = {statement.endpoint_id: statement for statement in known}
+    after = {statement.endpoint_id: statement for statement in update if statement.state != EndpointState.GONE}
+    comparison = ListComparison(
+        new=[endpoint_id for endpoint_id in after if endpoint_id not in before],
+        gone=[endpoint_id for endpoint_id in before if endpoint_id not in after],
+        warnings=_warnings(before, after),
+    )
+    for endpoint_id, new in after.items():
+        old = before.get(endpoint_id)
+        if old is None:
+            continue
+        if new.state != old.state and new.state == EndpointState.DRAINING:
+            comparison.draining.append(endpoint_id)
+        if new.state != old.state and new.state == EndpointState.READY:
+            comparison.back.append(endpoint_id)
+        if new.address != old.address:
+            comparison.moved.append(endpoint_id)
+        if not new.same_attributes(old):
+            comparison.changed.append(endpoint_id)
+    return comparison
+
+
+def _warnings(before: dict[int, Statement], after: dict[int, Statement]) -> list[str]:
+    warnings = []
+    if before and not after:
+        warnings.append("it is empty")
+    elif len(after) < _SUSPICIOUS_FRACTION * len(before):
+        warnings.append(f"{len(after)} machines where {len(before)} were known")
+    zones = {statement.zone for statement in before.values()} - {statement.zone for statement in after.values()}
+    kinds = {statement.kind for statement in before.values()} - {statement.kind for statement in after.values()}
+    for name, missing in (("zone", zones), ("kind", kinds)):
+        if after and missing:
+            warnings.append(f"no machine of {name} {', '.join(sorted(missing))}")
+    return warnings
--- a/wickhinge/membership/controller.py
+++ b/wickhinge/membership/controller.py
@@ -1,267 +1,363 @@
-"""Which list is in force, and what the fleet is told of it. Deciding: no I/O, every call carries the time."""
+"""Which endpoint list is in force, and what the routing fleet is notified of. No I/O; every call carries the time."""
 
 from __future__ import annotations
 
-from collections.abc import Callable
-from typing import Any
-
-from wickhinge.membership import comparison, list_exchange, stored_list
-from wickhinge.membership.probation import Proving, Stage
-from wickhinge.membership.purge_gap import Gap
-from wickhinge.membership.statement_table import LIVE, REMEMBERED, SIBLING, STATIC, Book, Statement
-
-NONE = "none"
-
-
-class Members:
-    """tell([(statement, state, trusted)]) lists machines for the fleet; probe(statement) asks one; log(event, ...)."""
-
-    def __init__(
-        self,
-        tell: Callable[..., None],
-        probe: Callable[[Statement], None],
-        log: Callable[..., None],
-        chance: Any,
-        deployment: str,
-        routers: int,
-        upper: tuple[str | None, ...],
-        after: float,
-        hint: float,
-        untold: float,
-        quiet: float,
-        done: float,
-    ) -> None:
-        self.tell, self.probe, self.log, self.deployment = tell, probe, log, deployment
-        self.after, self.done, self.quiet = after, done, quiet
-        self.book = Book()
-        self.proving = Proving(chance, routers, hint, upper)
-        self.gap = Gap(untold, quiet)
-        self.memory: stored_list.Memory | None = None
-        self.static: list[Statement] = []
-        self.began = 0.0
-        self.source, self.since, self.why = NONE, 0.0, "started"
-        self.heard, self.number = 0.0, 0  # of the live service, in this run
-        self.whole = False  # it has told a whole list in this run
-        self.answered: dict[int, float] = {}  # when a machine last answered this router
-        self.purges: dict[tuple[int | None, int], float] = {}
-        self.usual = (0.0, 0.0)
-        self.tried: set[int] = set()  # what the fleet was told of without the live list
-        self.told_purge: Callable[[int | None, int, float], None] = lambda *_: None
+from dataclasses import dataclass, replace
+from typing import Protocol
+
+from wickhinge.common.random_source import RandomSource
+from wickhinge.membership.comparison import compare
+from wickhinge.membership.list_exchange import ReplicaAnswer
+from wickhinge.membership.probation import Probation, TrustState
+from wickhinge.membership.purge_gap import PurgeGap
+from wickhinge.membership.recent_purges import PurgeRecord, RecentPurges
+from wickhinge.membership.statement_table import EndpointState, ListSource, Statement, StatementTable
+from wickhinge.membership.stored_list import StoredList, to_record, to_statement
+
+_MAX_CLOCK_SKEW_S = 5.0
+_MAX_GONE_STORED = 2000
+_MAX_GONE_EXCHANGED = 1000
+
+
+@dataclass(frozen=True, slots=True)
+class EndpointListing:
+    """An endpoint as the routing fleet is to list it."""
+
+    statement: Statement
+    state: EndpointState
+    is_trusted: bool  # with requests that have effects
+
+
+class MembershipPort(Protocol):
+    """What the controller needs of the router; called from within the controller's methods."""
+
+    def list_endpoints(self, listings: list[EndpointListing]) -> None:
+        """Lists endpoints for the routing fleet, beside those listed already."""
+
+    def check_health(self, statement: Statement) -> None:
+        """Starts a health check; its result goes to `MembershipController.record_health_check`."""
+
+    def recover_purge(self, purge: PurgeRecord) -> None:
+        """Carries out a purge that was stored, or that another router told."""
+
+    def log_event(self, event: str, /, **fields: object) -> None:
+        """Writes an event to the router's log."""
+
+
+@dataclass(frozen=True, slots=True, kw_only=True)
+class MembershipSettings:
+    """What the controller takes from the settings. Spans are seconds."""
+
+    deployment: str  # fingerprint of the settings' names
+    routers: int  # how many may start at the same moment
+    upper_kinds: tuple[str | None, ...]  # kinds of parents and origins
+    fallback_delay_s: float  # how long a start waits for the live list
+    hint_age_s: float  # past this age a list only says whom to check
+    max_uninformed_copy_age_s: float  # 0: no bound
+    quiet_s: float  # after so long without an update the live service counts as lost
+    purge_done_s: float  # after so long all servers have carried out a purge
+
+
+class MembershipController:
+    """Chooses among the live, exchanged, stored and static endpoint lists and puts all but the live one on probation.
+
+    All times are Unix seconds.
+    """
+
+    def __init__(self, port: MembershipPort, random_source: RandomSource, settings: MembershipSettings) -> None:
+        self._port, self._settings = port, settings
+        self.statements = StatementTable()
+        self.probation = Probation(random_source, settings.routers, settings.hint_age_s, settings.upper_kinds)
+        self._purge_gap = PurgeGap(settings.max_uninformed_copy_age_s, settings.quiet_s)
+        self._purges = RecentPurges(settings.purge_done_s)
+        self.stored: StoredList | None = None  # as read at the start, if it is of this deployment
+        self._static: list[Statement] = []
+        self._started_at = 0.0
+        self.source, self._source_since, self._source_reason = ListSource.NONE, 0.0, "started"
+        self._last_update_at, self._last_event = 0.0, 0  # of the live service, in this run
+        self._is_complete = False  # the live service has told a complete list in this run
+        self._answered_at: dict[int, float] = {}  # when an endpoint last answered this router
+        self._listed: set[int] = set()  # what the fleet was notified of without the live list
 
     # At the start.
 
-    def start(self, memory: stored_list.Memory | None, static: list[Statement], now: float) -> None:
-        """What was kept, or None; what the settings name. Nothing is used yet: the live list may come."""
-        self.began = self.since = now
-        self.memory, self.static = memory, static
-        if memory is not None and memory.deployment != self.deployment:
-            self.log("list_unusable", why="it is the list of another deployment")
-            self.memory = None
-        if self.memory is not None:
-            self.gap.remembered(self.memory.heard)
-            for mark, when in self.memory.gone:
-                if mark not in self.book.machines:
-                    self.book.gone[mark] = when
-            for key, group, stamp in self.memory.purges:
-                self.purges[key, group] = stamp
-                self.told_purge(key, group, stamp)
-
-    def age(self, now: float) -> float | None:
-        """Of the remembered list, since the live service last vouched for it; None where that can't be known."""
-        if self.memory is None or not 0.0 < self.memory.heard <= now + 5.0 or self.memory.written > now + 5.0:
+    def start(self, stored: StoredList | None, static: list[Statement], now: float) -> None:
+        """Takes the stored list and the settings' one. Neither is used yet, since the live list may come in time."""
+        self._started_at = self._source_since = now
+        self._static = static
+        if stored is None:
+            return
+        if stored.deployment != self._settings.deployment:
+            self._port.log_event("membership_list_unusable", reason="it is the list of another deployment")
+            return
+        self.stored = stored
+        self._purge_gap.open(stored.last_update_at)
+        for endpoint_id, gone_at in stored.gone:
+            self.statements.remember_gone(endpoint_id, gone_at)
+        self._purges.restore(stored.purges)
+        for purge in stored.purges:
+            self._port.recover_purge(purge)
+
+    def _stored_age_s(self, now: float) -> float | None:
+        """Seconds since the live service last vouched for the stored list; None where that can't be known."""
+        if self.stored is None or self.stored.written_at > now + _MAX_CLOCK_SKEW_S:
             return None
-        return now - self.memory.heard
+        if not 0.0 < self.stored.last_update_at <= now + _MAX_CLOCK_SKEW_S:
+            return None
+        return now - self.stored.last_update_at
 
     def tick(self, now: float) -> None:
-        """Several times a second."""
-        if self.source == NONE and now - self.began >= self.after and not self.whole:
-            self.fall_back(now)
-        for one in self.proving.due(now) if self.source != LIVE else ():
-            self.probe(one)
-
-    def fall_back(self, now: float) -> None:
-        if self.memory is not None:
-            self.adopt([stored_list.statement(row) for row in self.memory.machines], REMEMBERED, self.age(now), now)
-        elif self.static:
-            self.adopt(self.static, STATIC, None, now)
-
-    def adopt(self, statements: list[Statement], source: str, age: float | None, now: float) -> None:
-        """A list that is not the live one: into the book, then proven machine by machine."""
-        before = dict(self.book.machines)
-        for one in statements:
-            self.book.merge(one)
-        self.proving.adopt(list(self.book.machines.values()), age, now)
-        self.force(source, now, "no live list", age)
-        for mark, old in before.items():  # what left, or drains, by this source: at once
-            new = self.book.machines.get(mark)
-            if new is None or new.state != "ready" or new.address != old.address:
-                self.tell([(new or old._replace(state="gone"), new.state if new else "gone", False)])
-
-    def force(self, source: str, now: float, why: str, age: float | None = None) -> None:
-        if source == self.source and source != LIVE:
+        """To be called several times a second."""
+        waited_s = now - self._started_at
+        if self.source == ListSource.NONE and not self._is_complete and waited_s >= self._settings.fallback_delay_s:
+            self._fall_back(now)
+        if self.source != ListSource.LIVE:
+            for statement in self.probation.start_due_checks(now):
+                self._port.check_health(statement)
+
+    def _fall_back(self, now: float) -> None:
+        if self.stored is not None:
+            statements = [to_statement(record) for record in self.stored.endpoints]
+            self.adopt(statements, ListSource.REMEMBERED, self._stored_age_s(now), now)
+        elif self._static:
+            self.adopt(self._static, ListSource.STATIC, None, now)
+
+    def adopt(self, statements: list[Statement], source: ListSource, age_s: float | None, now: float) -> None:
+        """Takes a list that is not the live one; its endpoints are then proven one by one."""
+        before = dict(self.statements.endpoints)
+        for statement in statements:
+            self.statements.merge(statement)
+        self.probation.adopt(list(self.statements.endpoints.values()), age_s, now)
+        self._change_source(source, now, "no live list", age_s)
+        for endpoint_id, old in before.items():  # what is gone, draining or moved by this list: at once
+            new = self.statements.endpoints.get(endpoint_id)
+            if new is None:
+                self._list_gone(old)
+            elif new.state != EndpointState.READY or new.address != old.address:
+                self._list(new, new.state, is_trusted=False)
+
+    def _change_source(self, source: ListSource, now: float, reason: str, age_s: float | None = None) -> None:
+        if source == self.source and source != ListSource.LIVE:
             return
-        was, self.source, self.since, self.why = self.source, source, now, why
-        self.log(
-            "list_source",
-            source=source,
-            was=was,
-            why=why,
-            machines=len(self.book.machines),
-            age=None if age is None else round(age, 1),
-            heard=self.heard or None,
+        previous = self.source
+        self.source, self._source_since, self._source_reason = source, now, reason
+        self._port.log_event(
+            "membership_source_changed",
+            source=source.value,
+            previous=previous.value,
+            reason=reason,
+            endpoints=len(self.statements.endpoints),
+            age_s=None if age_s is None else round(age_s, 1),
+            last_update_at=self._last_update_at or None,
         )
 
+    def _list(self, statement: Statement, state: EndpointState, *, is_trusted: bool) -> None:
+        self._port.list_endpoints([EndpointListing(statement, state, is_trusted)])
+
+    def _list_gone(self, statement: Statement) -> None:
+        self._list(replace(statement, state=EndpointState.GONE), EndpointState.GONE, is_trusted=False)
+
     # The live service.
 
-    def live(self, whole: bool, statements: list[Statement], now: float) -> None:
-        """What it tells; the fleet has heeded it already, all of it trusted."""
-        if whole:
-            told = comparison.compare(self.book.machines.values(), statements)
-            if self.book.machines and self.source != LIVE or told["doubts"]:
-                self.log(
-                    "list_compared",
-                    doubts=told["doubts"],
-                    **{name: len(marks) for name, marks in told.items() if name != "doubts"},
-                )
-            for mark in self.book.whole(statements, now):
-                self.answered.pop(mark, None)
-            self.proving.machines.clear()
-            self.tried.clear()
-            self.whole = True
-            if self.source != LIVE:
-                self.force(LIVE, now, "told whole")
+    def apply_live(self, statements: list[Statement], now: float, *, is_complete: bool) -> None:
+        """Takes what the live service tells; the fleet has been notified already, with all of it trusted."""
+        if is_complete:
+            self._apply_complete_list(statements, now)
             return
-        for one in statements:
-            self.book.merge(one)
-            self.proving.drop(one.mark)
+        for statement in statements:
+            self.statements.merge(statement)
+            self.probation.remove(statement.endpoint_id)
+
+    def _apply_complete_list(self, statements: list[Statement], now: float) -> None:
+        comparison = compare(self.statements.endpoints.values(), statements)
+        is_takeover = self.source != ListSource.LIVE
+        if self.statements.endpoints and is_takeover or comparison.warnings:
+            counts = {name: len(endpoint_ids) for name, endpoint_ids in comparison.changes().items()}
+            self._port.log_event("membership_list_compared", warnings=comparison.warnings, **counts)
+        for endpoint_id in self.statements.replace_all(statements, now):
+            self._answered_at.pop(endpoint_id, None)
+        self.probation.clear()
+        self._listed.clear()
+        self._is_complete = True
+        if is_takeover:
+            self._change_source(ListSource.LIVE, now, "complete live list")
+
+    def live_caught_up(self, now: float, last_event: int, *, is_continuous: bool) -> None:
+        """The live service has nothing more to tell for now.
 
-    def caught_up(self, now: float, number: int, unbroken: bool) -> None:
-        """It has nothing more to tell for now. unbroken: it went on from the number that was remembered, so the
-        remembered list and its changes are the live list.
+        Args:
+            now: Unix seconds.
+            last_event: the service's event number.
+            is_continuous: it went on from the stored list's event, so that list and its changes are the live list.
         """
-        self.heard, self.number = now, number
-        if unbroken and not self.whole and self.memory is not None:
-            for row in self.memory.machines:
-                self.book.merge(stored_list.statement(row))
-            self.whole = True
-            self.proving.machines.clear()
-            self.tell([(one, one.state, True) for one in self.book.machines.values()])
-            self.force(LIVE, now, "remembered, and caught up")
-        if self.whole:
-            self.gap.closed(now)
-
-    # Siblings.
-
-    def sibling(self, told: list_exchange.Told, now: float) -> bool:
-        """A sibling's word; False where it is no use. draining and gone count at once, whatever its age."""
-        if told.deployment != self.deployment:
-            self.log("sibling_unusable", why="it is of another deployment")
+        self._last_update_at, self._last_event = now, last_event
+        if is_continuous and not self._is_complete and self.stored is not None:
+            for record in self.stored.endpoints:
+                self.statements.merge(to_statement(record))
+            self._is_complete = True
+            self.probation.clear()
+            self._port.list_endpoints(
+                [
+                    EndpointListing(statement, statement.state, is_trusted=True)
+                    for statement in self.statements.endpoints.values()
+                ]
+            )
+            self._change_source(ListSource.LIVE, now, "stored list, and caught up")
+        if self._is_complete:
+            self._purge_gap.close(now)
+
+    def is_live(self, now: float) -> bool:
+        """Whether the live list is in force and the service was heard a moment ago."""
+        return self.source == ListSource.LIVE and now - self._last_update_at <= self._settings.quiet_s
+
+    # The list exchange.
+
+    def apply_replica_answer(self, answer: ReplicaAnswer, now: float) -> bool:
+        """Takes another router's list; whether it was of use. `draining` and `gone` count whatever its age."""
+        if answer.deployment != self._settings.deployment:
+            self._port.log_event("membership_exchange_unusable", reason="it is of another deployment")
             return False
-        if self.source == LIVE and now - self.heard <= self.quiet:
+        if self.is_live(now):
             return False
-        for mark in told.gone:
-            old = self.book.machines.get(mark)
-            if old is not None and self.book.leave(mark, now):
-                self.proving.drop(mark)
-                self.tell([(old._replace(state="gone"), "gone", False)])
-        for key, group, stamp in told.purges:
-            if stamp > self.purges.get((key, group), 0.0):
-                self.purge(key, group, stamp, now)
-                self.told_purge(key, group, stamp)
-        rows = [stored_list.statement(row, SIBLING)._replace(said=now - max(row.said, 0.0)) for row in told.machines]
-        if self.source == LIVE:  # lost: only what takes machines out is heeded
-            for one in rows:
-                if one.state == "draining" and self.book.merge(one):
-                    self.tell([(one, "draining", False)])
+        self._apply_gone(answer.gone, now)
+        self._apply_purges(answer.purges, now)
+        statements = [
+            to_statement(record, ListSource.SIBLING, stated_at=now - max(record.stated_at, 0.0))
+            for record in answer.endpoints
+        ]
+        if self.source == ListSource.LIVE:  # the service is lost: only what takes endpoints out counts
+            for statement in statements:
+                if statement.state == EndpointState.DRAINING and self.statements.merge(statement):
+                    self._list(statement, EndpointState.DRAINING, is_trusted=False)
             return True
-        age = told.heard if told.heard >= 0 else None
-        ours = self.age(now) if self.source == REMEMBERED else None
-        if ours is not None and (age is None or age > ours):
-            rows = [one for one in rows if one.state != "ready"]
-            age = ours
-        self.adopt(rows, SIBLING if rows else self.source, age, now)
+        age_s = answer.last_update_age_s if answer.last_update_age_s >= 0 else None
+        stored_age_s = self._stored_age_s(now) if self.source == ListSource.REMEMBERED else None
+        if stored_age_s is not None and (age_s is None or age_s > stored_age_s):
+            statements = [statement for statement in statements if statement.state != EndpointState.READY]
+            age_s = stored_age_s
+        self.adopt(statements, ListSource.SIBLING if statements else self.source, age_s, now)
         return True
 
-    def telling(self, now: float) -> list_exchange.Told:
-        """What siblings are told, ages in place of times."""
-        heard = now - self.heard if self.heard else -1.0
-        if not self.heard and self.memory is not None and (age := self.age(now)) is not None:
-            heard = age
-        rows = [stored_list.row(one._replace(said=max(now - one.said, 0.0))) for one in self.book.machines.values()]
-        return list_exchange.Told(
-            self.deployment,
-            heard,
-            self.number,
-            rows,
-            list(self.book.gone)[-1000:],
-            [(key, group, stamp) for (key, group), stamp in self.purges.items()],
+    def _apply_gone(self, endpoint_ids: list[int], now: float) -> None:
+        for endpoint_id in endpoint_ids:
+            statement = self.statements.endpoints.get(endpoint_id)
+            if statement is not None and self.statements.remove(endpoint_id, now):
+                self.probation.remove(endpoint_id)
+                self._list_gone(statement)
+
+    def _apply_purges(self, purges: list[PurgeRecord], now: float) -> None:
+        for purge in purges:
+            if self._purges.is_news(purge):
+                self._purges.record(purge, now)
+                self._port.recover_purge(purge)
+
+    def replica_answer(self, now: float) -> ReplicaAnswer:
+        """What other routers are answered, with ages in place of times."""
+        age_s: float | None = None
+        if self._last_update_at:
+            age_s = now - self._last_update_at
+        elif self.stored is not None:
+            age_s = self._stored_age_s(now)
+        return ReplicaAnswer(
+            deployment=self._settings.deployment,
+            last_update_age_s=-1.0 if age_s is None else age_s,
+            last_event=self._last_event,
+            endpoints=[
+                to_record(replace(statement, stated_at=max(now - statement.stated_at, 0.0)))
+                for statement in self.statements.endpoints.values()
+            ],
+            gone=list(self.statements.gone)[-_MAX_GONE_EXCHANGED:],
+            purges=self._purges.all(),
         )
 
-    # What becomes of probes and visits.
+    # Results of health checks and requests.
 
-    def probed(self, mark: int, up: bool, now: float) -> None:
-        if up:
-            self.answered[mark] = now
-        if self.proving.probed(mark, up, now):
-            self.relist(mark)
+    def record_health_check(self, endpoint_id: int, now: float, *, healthy: bool) -> None:
+        """Takes the result of a health check."""
+        if healthy:
+            self._answered_at[endpoint_id] = now
+        if self.probation.record_health_check(endpoint_id, now, healthy=healthy):
+            self._relist(endpoint_id)
 
-    def ended(self, mark: int, answered: bool, now: float) -> None:
-        """A rerunnable visit there ended; one that was only withdrawn or never sent tells nothing and is not told."""
+    def record_request(self, endpoint_id: int, now: float, *, answered: bool) -> None:
+        """Takes the result of a repeatable request; one that was withdrawn or never sent tells nothing."""
         if answered:
-            self.answered[mark] = now
-        if self.source != LIVE and self.proving.ended(mark, answered, now):
-            self.relist(mark)
+            self._answered_at[endpoint_id] = now
+        is_on_probation = self.source != ListSource.LIVE
+        if is_on_probation and self.probation.record_request(endpoint_id, now, answered=answered):
+            self._relist(endpoint_id)
 
-    def relist(self, mark: int) -> None:
-        one = self.book.machines.get(mark)
-        if one is None:
+    def _relist(self, endpoint_id: int) -> None:
+        statement = self.statements.endpoints.get(endpoint_id)
+        if statement is None:
             return
-        state, trusted = self.proving.listed(mark)
-        if trusted and mark not in self.tried:
-            self.tell([(one, state, False)])  # however soon it was proven, it begins as one that may be cold
-        self.tried.add(mark)
-        self.tell([(one, state, trusted)])
-        stage = self.proving.machines[mark].stage
-        if stage in (Stage.PROVEN, Stage.DROPPED):
-            self.log("machine", cache=f"{mark:08x}", stage=stage.value, source=one.source)
-
-    def knows(self, mark: int) -> bool:
-        """Whether connections to it are still wanted, though the fleet may not know it (yet)."""
-        return mark in self.proving.machines
-
-    def purge(self, key: int | None, group: int, stamp: float, now: float) -> None:
-        self.purges[key, group] = max(stamp, self.purges.get((key, group), 0.0))
-        if len(self.purges) > stored_list.PURGES // 2:
-            self.purges = {name: when for name, when in self.purges.items() if now - when <= self.done}
-            while len(self.purges) > stored_list.PURGES:
-                del self.purges[next(iter(self.purges))]
-
-    # For the file and for whoever asks.
-
-    def remember(self, now: float) -> stored_list.Memory | None:
-        """What is worth keeping now; None while there is nothing better than what is kept already."""
-        if not self.whole:
+        state, is_trusted = self.probation.listing(endpoint_id)
+        if is_trusted and endpoint_id not in self._listed:
+            # However soon it was proven, it begins as one that may be warming up.
+            self._list(statement, state, is_trusted=False)
+        self._listed.add(endpoint_id)
+        self._list(statement, state, is_trusted=is_trusted)
+        trust = self.probation.entries[endpoint_id].state
+        if trust in (TrustState.PROVEN, TrustState.DROPPED):
+            self._port.log_event(
+                "membership_endpoint_trust",
+                endpoint=f"{endpoint_id:08x}",
+                trust=trust.value,
+                source=statement.source.value,
+            )
+
+    def wants_connection(self, endpoint_id: int) -> bool:
+        """Whether connections to an endpoint are still wanted, though the fleet may not know it yet."""
+        return endpoint_id in self.probation.entries
+
+    # Purges.
+
+    def record_purge(self, purge: PurgeRecord, now: float) -> None:
+        """Notes a purge of the live service."""
+        self._purges.record(purge, now)
+
+    def max_copy_age_s(self, now: float) -> float | None:
+        """The age past which copies must not be asked for, since a purge may be missing here; None for no bound."""
+        return self._purge_gap.max_copy_age_s(now)
+
+    # For the file and for the operators.
+
+    def snapshot(self, now: float, usual_loads: tuple[float, float]) -> StoredList | None:
+        """What to store now; None while there is nothing better than what is stored already.
+
+        usual_loads: work a second to a warm server of each tier, caches first.
+        """
+        if not self._is_complete:
             return None
-        purges = [(key, group, stamp) for (key, group), stamp in self.purges.items() if now - stamp <= self.done]
-        rows = [
-            stored_list.row(one, self.stage(one.mark), self.answered.get(one.mark, 0.0))
-            for one in self.book.machines.values()
-        ]
-        gone = list(self.book.gone.items())[-2000:]
-        return stored_list.Memory(self.deployment, now, self.heard, self.number, rows, gone, purges, self.usual)
+        return StoredList(
+            deployment=self._settings.deployment,
+            written_at=now,
+            last_update_at=self._last_update_at,
+            last_event=self._last_event,
+            endpoints=[
+                to_record(statement, self._trust_name(endpoint_id), self._answered_at.get(endpoint_id, 0.0))
+                for endpoint_id, statement in self.statements.endpoints.items()
+            ],
+            gone=list(self.statements.gone.items())[-_MAX_GONE_STORED:],
+            purges=self._purges.unfinished(now),
+            usual_loads=usual_loads,
+        )
 
-    def stage(self, mark: int) -> str:
-        one = self.proving.machines.get(mark)
-        return one.stage.value if one is not None else "vouched" if self.source == LIVE else "unknown"
+    def _trust_name(self, endpoint_id: int) -> str:
+        entry = self.probation.entries.get(endpoint_id)
+        if entry is not None:
+            return entry.state.value
+        return "vouched" if self.source == ListSource.LIVE else "unknown"
 
-    def figures(self, now: float) -> dict[str, Any]:
+    def figures(self, now: float) -> dict[str, object]:
+        """What the router's `report` event holds as `list`."""
         return {
-            "source": self.source,
-            "since": round(now - self.since, 1),
-            "why": self.why,
-            "machines": len(self.book.machines),
-            "gone": len(self.book.gone),
-            "probes": self.proving.probes,
-            "heard": round(now - self.heard, 1) if self.heard else None,
-            **self.proving.counts(),
+            "source": self.source.value,
+            "since_s": round(now - self._source_since, 1),
+            "reason": self._source_reason,
+            "endpoints": len(self.statements.endpoints),
+            "gone": len(self.statements.gone),
+            "health_checks": self.probation.health_checks,
+            "last_update_s": round(now - self._last_update_at, 1) if self._last_update_at else None,
+            **self.probation.counts(),
         }
--- a/wickhinge/membership/endpoint_list_file.py
+++ b/wickhinge/membership/endpoint_list_file.py
@@ -1,66 +1,82 @@
-"""The two files of the remembered list: written on a worker's thread, read once at the start."""
+"""The two files of the stored endpoint list: written on a worker's thread, read once at the start."""
 
 from __future__ import annotations
 
 from wickhinge.membership import stored_list
+from wickhinge.membership.errors import CorruptListError, ListDirectoryError
+from wickhinge.membership.stored_list import StoredList
 from wickhinge.store.files import Files, replace
 
+_LOCK_NAME = "lock"
 
-class Unusable(Exception):
-    """The directory can't hold a list; the text says why."""
 
+class EndpointListFile:
+    """A directory with two generations of a list, of which one is complete at every moment.
 
-class Keeper:
-    """Of two generations one is always whole: the older is replaced, by a rename. All calls may block."""
+    The older generation is replaced by a rename. All calls may block.
+    """
 
     def __init__(self, files: Files, path: str) -> None:
-        self.files, self.path, self.sequence = files, path, 0
-        self.locked: int | None = None
-
-    def at(self, name: str) -> str:
-        return f"{self.path}/{name}"
+        self._files, self._path, self._sequence = files, path, 0
+        self._lock: int | None = None
 
     def open(self) -> None:
-        """Raises Unusable."""
+        """Makes the directory where it is missing, and locks it until `close`.
+
+        Raises:
+            ListDirectoryError: it can't be used, or another process uses it.
+        """
         try:
-            self.files.make(self.path)
-            self.locked = self.files.lock(self.at("lock"))
-        except OSError as problem:
-            raise Unusable(f"{self.path} can't be used: {problem.strerror or problem}") from None
-        if self.locked is None:
-            raise Unusable(f"{self.path} is in use by another process")
+            self._files.make(self._path)
+            self._lock = self._files.lock(self._path_of(_LOCK_NAME))
+        except OSError as error:
+            raise ListDirectoryError(self._path, f"can't be used: {error.strerror or error}") from None
+        if self._lock is None:
+            raise ListDirectoryError(self._path, "is in use by another process")
 
-    def read(self) -> tuple[stored_list.Memory | None, list[str]]:
-        """The newest whole list, and what was wrong with others."""
-        best, wrong = None, []
-        for name in stored_list.NAMES:
-            try:
-                handle = self.files.open(self.at(name))
-            except FileNotFoundError:
-                continue
-            except OSError as problem:
-                wrong.append(f"{name} can't be read: {problem.strerror or problem}")
-                continue
+    def read(self) -> tuple[StoredList | None, list[str]]:
+        """The newest complete list, and what was wrong with each file that holds none."""
+        newest: tuple[int, StoredList] | None = None
+        problems = []
+        for name in stored_list.FILE_NAMES:
             try:
-                data = self.files.read(handle, stored_list.LONGEST + stored_list.HEAD.size + 1, 0)
-                sequence, memory = stored_list.unpack(data)
-            except (OSError, stored_list.Unreadable) as problem:
-                wrong.append(f"{name} {problem}")
+                data = self._read_file(name)
+                if data is None:
+                    continue
+                sequence, stored = stored_list.decode(data)
+            except (OSError, CorruptListError) as error:
+                problems.append(f"{name} {error}")
                 continue
-            finally:
-                self.files.close(handle)
-            self.sequence = max(self.sequence, sequence)
-            if best is None or sequence > best[0]:
-                best = sequence, memory
-        return best[1] if best else None, wrong
+            self._sequence = max(self._sequence, sequence)
+            if newest is None or sequence > newest[0]:
+                newest = sequence, stored
+        return newest[1] if newest else None, problems
 
-    def write(self, memory: stored_list.Memory) -> None:
-        """Whole and lasting when it returns; the other generation stays as it is."""
-        sequence = self.sequence + 1
-        replace(self.files, self.path, stored_list.NAMES[sequence % 2], stored_list.pack(memory, sequence))
-        self.sequence = sequence
+    def _read_file(self, name: str) -> bytes | None:
+        """None where there is no such file."""
+        try:
+            handle = self._files.open(self._path_of(name))
+        except FileNotFoundError:
+            return None
+        except OSError as error:
+            raise CorruptListError(f"can't be read: {error.strerror or error}") from None
+        try:
+            return self._files.read(handle, stored_list.MAX_FILE_BYTES + 1, 0)
+        finally:
+            self._files.close(handle)
+
+    def write(self, stored: StoredList) -> None:
+        """Replaces the older generation; lasting when it returns. May raise OSError."""
+        sequence = self._sequence + 1
+        name = stored_list.FILE_NAMES[sequence % len(stored_list.FILE_NAMES)]
+        replace(self._files, self._path, name, stored_list.encode(stored, sequence))
+        self._sequence = sequence
 
     def close(self) -> None:
-        if self.locked is not None:
-            self.files.close(self.locked)
-            self.locked = None
+        """Gives the directory free."""
+        if self._lock is not None:
+            self._files.close(self._lock)
+            self._lock = None
+
+    def _path_of(self, name: str) -> str:
+        return f"{self._path}/{name}"
--- a/wickhinge/membership/list_exchange_tcp.py
+++ b/wickhinge/membership/list_exchange_tcp.py
@@ -1,4 +1,4 @@
-"""Siblings over TCP: one asks, one answers, each connection short, bounded and on its own."""
+"""The list exchange over TCP: one router asks, one answers, each connection short and bounded."""
 
 from __future__ import annotations
 
@@ -6,51 +6,63 @@
 from collections.abc import Callable
 from typing import Any
 
-from twisted.internet.protocol import Factory, Protocol
+from twisted.internet.protocol import Factory, Protocol, connectionDone
 from twisted.python.failure import Failure
 
 from wickhinge.membership import list_exchange
+from wickhinge.membership.errors import ListExchangeError
+from wickhinge.membership.list_exchange import ReplicaAnswer
 from wickhinge.net.dial import Dial
 
-WITHIN = 2.0  # seconds for the whole of it
-AT_ONCE = 8  # siblings answered at a time; a fleet that restarts asks again
+_TIMEOUT_S = 2.0  # for a whole exchange
+_MAX_CONNECTIONS = 8  # answered at a time; when a whole fleet restarts, its routers ask again
 
+CallLater = Callable[[float, Callable[[], None]], object]
+ResultCallback = Callable[[ReplicaAnswer | None, str], None]  # (answer, "") or (None, reason)
 
-class Answer(Protocol):
-    def __init__(self, answering: Answering) -> None:
-        self.answering, self.data, self.done = answering, b"", False
+
+class ListServerProtocol(Protocol):
+    """One connection of a router that asks for our list."""
+
+    transport: Any
+
+    def __init__(self, server: ListServerFactory) -> None:
+        self._server, self._data, self._is_answered = server, b"", False
 
     def connectionMade(self) -> None:
-        self.answering.open.add(self)
-        if len(self.answering.open) > AT_ONCE:
+        """Takes the connection if there are not too many."""
+        self._server.connections.add(self)
+        if len(self._server.connections) > _MAX_CONNECTIONS:
             self.transport.abortConnection()
             return
-        self.answering.after(WITHIN, self.over)
+        self._server.call_later(_TIMEOUT_S, self._time_out)
 
     def dataReceived(self, data: bytes) -> None:
-        self.data += data
-        if self.done or len(self.data) < list_exchange.REQUEST_SIZE:
+        """Answers once the request is complete."""
+        self._data += data
+        if self._is_answered or len(self._data) < list_exchange.REQUEST_BYTES:
             return
-        self.done = True
+        self._is_answered = True
         try:
-            nonce = list_exchange.read_request(self.answering.key, self.data, self.answering.now())
-        except list_exchange.Unreadable as problem:
-            self.answering.log("sibling_refused", why=str(problem), address=self.transport.getPeer().host)
+            answer = self._server.answer(self._data)
+        except ListExchangeError as error:
+            self._server.log_refused(str(error), self.transport.getPeer().host)
             self.transport.abortConnection()
             return
-        self.transport.write(list_exchange.answer(self.answering.key, nonce, self.answering.telling()))
+        self.transport.write(answer)
         self.transport.loseConnection()
 
-    def over(self) -> None:
-        if self in self.answering.open:
+    def _time_out(self) -> None:
+        if self in self._server.connections:
             self.transport.abortConnection()
 
-    def connectionLost(self, reason: Failure) -> None:
-        self.answering.open.discard(self)
+    def connectionLost(self, reason: Failure = connectionDone) -> None:  # noqa: ARG002 - Twisted's signature
+        """Makes room for another connection."""
+        self._server.connections.discard(self)
 
 
-class Answering(Factory):
-    """Where siblings ask; telling() gives the list as it stands."""
+class ListServerFactory(Factory):
+    """Where other routers ask for our list; current_answer() is called for each request that is valid."""
 
     noisy = False
 
@@ -58,60 +70,82 @@
         self,
         key: bytes,
         now: Callable[[], float],
-        after: Callable[..., None],
-        telling: Callable[[], list_exchange.Told],
-        log: Callable[..., None],
+        call_later: CallLater,
+        current_answer: Callable[[], ReplicaAnswer],
+        log_event: Callable[..., None],
     ) -> None:
-        self.key, self.now, self.after, self.telling, self.log = key, now, after, telling, log
-        self.open: set[Answer] = set()
+        self._key, self._now, self._current_answer, self._log_event = key, now, current_answer, log_event
+        self.call_later = call_later
+        self.connections: set[ListServerProtocol] = set()
+
+    def buildProtocol(self, addr: object) -> ListServerProtocol:  # noqa: ARG002 - Twisted's signature
+        """Twisted calls it for each connection."""
+        return ListServerProtocol(self)
+
+    def answer(self, request: bytes) -> bytes:
+        """The answer to a complete request. Raises ListExchangeError."""
+        nonce = list_exchange.decode_request(self._key, request, self._now())
+        return list_exchange.encode_answer(self._key, nonce, self._current_answer())
+
+    def log_refused(self, reason: str, address: str) -> None:
+        """Logs a request that was not answered."""
+        self._log_event("membership_exchange_refused", reason=reason, address=address)
 
-    def buildProtocol(self, addr: Any) -> Answer:
-        return Answer(self)
 
+class ListClientProtocol(Protocol):
+    """One request for another router's list."""
 
-class Ask(Protocol):
-    def __init__(self, key: bytes, now: float, then: Callable[[list_exchange.Told | None, str], None]) -> None:
-        self.key, self.when, self.then = key, now, then
-        self.nonce = os.urandom(16)
-        self.stream = list_exchange.Stream(key, self.nonce)
+    transport: Any
+
+    def __init__(self, key: bytes, now: float, on_result: ResultCallback) -> None:
+        self._on_result: ResultCallback | None = on_result
+        nonce = os.urandom(list_exchange.NONCE_BYTES)
+        self._request = list_exchange.encode_request(key, nonce, now)
+        self._reader = list_exchange.AnswerReader(key, nonce)
 
     def connectionMade(self) -> None:
-        self.transport.write(list_exchange.request(self.key, self.nonce, self.when))
+        """Sends the request."""
+        self.transport.write(self._request)
 
     def dataReceived(self, data: bytes) -> None:
+        """Reads on until the answer is complete or known to be wrong."""
         try:
-            told = self.stream.feed(data)
-        except list_exchange.Unreadable as problem:
-            self.finish(None, str(problem))
+            answer = self._reader.feed(data)
+        except ListExchangeError as error:
+            self.finish(None, str(error))
             return
-        if told is not None:
-            self.finish(told, "")
+        if answer is not None:
+            self.finish(answer, "")
 
-    def finish(self, told: list_exchange.Told | None, why: str) -> None:
-        then, self.then = self.then, None
-        if then is not None:
-            if self.transport is not None:
-                self.transport.abortConnection()
-            then(told, why)
+    def finish(self, answer: ReplicaAnswer | None, reason: str) -> None:
+        """Ends the exchange and reports its result, the first time it is called."""
+        on_result, self._on_result = self._on_result, None
+        if on_result is None:
+            return
+        if self.transport is not None:
+            self.transport.abortConnection()
+        on_result(answer, reason)
 
-    def connectionLost(self, reason: Failure) -> None:
+    def connectionLost(self, reason: Failure = connectionDone) -> None:
+        """Reports that there is no answer, unless there was one."""
         self.finish(None, reason.getErrorMessage())
 
 
-def ask(
-    reactor: Any,
-    after: Callable[..., None],
-    address: tuple[str, int],
-    key: bytes,
-    now: float,
-    then: Callable[[list_exchange.Told | None, str], None],
-) -> None:
-    """then(list, "") or then(None, why), once, within WITHIN seconds."""
-    made = Ask(key, now, then)
-    attempt = Dial(reactor, address, made, lambda failure: made.finish(None, failure.getErrorMessage()))
+class ListClient:
+    """Asks other routers of the installation for their lists."""
+
+    def __init__(self, reactor: Any, call_later: CallLater, key: bytes) -> None:
+        self._reactor, self._call_later, self._key = reactor, call_later, key
+
+    def request(self, address: tuple[str, int], now: float, on_result: ResultCallback) -> None:
+        """Starts one exchange; on_result is called once, within two seconds."""
+        protocol = ListClientProtocol(self._key, now, on_result)
+        attempt = Dial(
+            self._reactor, address, protocol, lambda failure: protocol.finish(None, failure.getErrorMessage())
+        )
 
-    def over() -> None:
-        attempt.stop()
-        made.finish(None, "it did not finish in time")
+        def time_out() -> None:
+            attempt.stop()
+            protocol.finish(None, "it did not finish in time")
 
-    after(WITHIN, over)
+        self._call_later(_TIMEOUT_S, time_out)
--- a/wickhinge/membership/statement_table.py
+++ b/wickhinge/membership/statement_table.py
@@ -1,84 +1,138 @@
-"""What several sources say of the same machines, and which of it counts."""
+"""What several sources state about the same endpoints, and which statement is in force."""
 
 from __future__ import annotations
 
 from collections.abc import Iterable
-from typing import NamedTuple
+from dataclasses import dataclass
+from enum import StrEnum
 
-LIVE, SIBLING, REMEMBERED, STATIC = "live", "sibling", "remembered", "static"
-RANK = {LIVE: 3, SIBLING: 2, REMEMBERED: 1, STATIC: 0}
-MOST = 20_000  # machines; a longer list is no list of a deployment that this router is part of
-GONE_MOST = 20_000  # ids that are remembered as gone, so that no older statement brings them back
+MAX_ENDPOINTS = 20_000  # a longer list is no list of a deployment that this router is part of
+MAX_GONE_ENDPOINTS = 20_000  # ids that are remembered as gone, so that no older statement brings them back
 
+Address = tuple[str, int]
 
-class Statement(NamedTuple):
-    """One machine, as one source stated it at `said` (Unix seconds). The address may be another machine's by now."""
 
-    mark: int
-    address: tuple[str, int]
-    state: str  # "ready", "draining" or "gone"
+class EndpointState(StrEnum):
+    """What a source states of an endpoint."""
+
+    READY = "ready"
+    DRAINING = "draining"
+    GONE = "gone"
+
+
+class ListSource(StrEnum):
+    """Where a statement, or the endpoint list in force, comes from."""
+
+    NONE = "none"
+    STATIC = "static"
+    REMEMBERED = "remembered"
+    SIBLING = "sibling"
+    LIVE = "live"
+
+
+_RANK = {source: rank for rank, source in enumerate(ListSource)}  # the more trusted, the higher
+
+
+@dataclass(frozen=True, slots=True)
+class Statement:
+    """One endpoint as one source stated it.
+
+    `stated_at` and `started_at` are Unix seconds. The address may be another endpoint's by now.
+    """
+
+    endpoint_id: int
+    address: Address
+    state: EndpointState
     zone: str
     kind: str
     cell: int
     weight: float
-    started: float | None
-    said: float
-    source: str
+    started_at: float | None
+    stated_at: float
+    source: ListSource
+
+    def same_attributes(self, other: Statement) -> bool:
+        """Whether both state the same zone, kind, cell, weight and start."""
+        return (self.zone, self.kind, self.cell, self.weight, self.started_at) == (
+            other.zone,
+            other.kind,
+            other.cell,
+            other.weight,
+            other.started_at,
+        )
 
+    def same_facts(self, other: Statement) -> bool:
+        """Whether both say the same of the endpoint, whoever stated it and when."""
+        return (
+            self.endpoint_id == other.endpoint_id
+            and self.address == other.address
+            and self.state == other.state
+            and self.same_attributes(other)
+        )
 
-class Book:
-    """The statement in force for each machine.
 
-    gone is for good: an id never comes back. draining yields only to a later word of the live service; a source
-    that merely remembers may not know. Of two that say ready the later counts, then the more trusted source.
+class StatementTable:
+    """The statement in force for each endpoint.
+
+    `gone` is final: an id never comes back, unless the live service names it. `draining` yields only to a later
+    statement of the live service, since a source that merely remembers may not know. Of two statements that say
+    `ready` the later counts, then the one of the more trusted source.
     """
 
     def __init__(self) -> None:
-        self.machines: dict[int, Statement] = {}
-        self.gone: dict[int, float] = {}
+        self.endpoints: dict[int, Statement] = {}
+        self.gone: dict[int, float] = {}  # when each id was stated as gone
 
     def merge(self, new: Statement) -> bool:
-        """Whether it is in force now, in place of something else."""
-        if new.state == "gone":
-            return self.leave(new.mark, new.said)
-        old = self.machines.get(new.mark)
-        if new.mark in self.gone or not self.over(new, old) or (old is None and len(self.machines) >= MOST):
+        """Takes a statement in; whether it changes what is in force."""
+        if new.state == EndpointState.GONE:
+            return self.remove(new.endpoint_id, new.stated_at)
+        old = self.endpoints.get(new.endpoint_id)
+        if new.endpoint_id in self.gone or not self._supersedes(new, old):
+            return False
+        if old is None and len(self.endpoints) >= MAX_ENDPOINTS:
             return False
-        self.machines[new.mark] = new
-        return old is None or new[:8] != old[:8]
+        self.endpoints[new.endpoint_id] = new
+        return old is None or not new.same_facts(old)
 
-    def over(self, new: Statement, old: Statement | None) -> bool:
+    def _supersedes(self, new: Statement, old: Statement | None) -> bool:
         if old is None:
             return True
-        if new.source == LIVE and new.said >= old.said:
+        if new.source == ListSource.LIVE and new.stated_at >= old.stated_at:
             return True
-        if new.state == "draining":
-            return old.source != LIVE or new.said > old.said
-        if old.state == "draining":
+        if new.state == EndpointState.DRAINING:
+            return old.source != ListSource.LIVE or new.stated_at > old.stated_at
+        if old.state == EndpointState.DRAINING:
             return False
-        return (new.said, RANK[new.source]) > (old.said, RANK[old.source])
+        return (new.stated_at, _RANK[new.source]) > (old.stated_at, _RANK[old.source])
 
-    def leave(self, mark: int, when: float) -> bool:
-        self.gone[mark] = when
-        while len(self.gone) > GONE_MOST:
+    def remember_gone(self, endpoint_id: int, gone_at: float) -> None:
+        """Notes an id that a stored list names as gone, unless an endpoint of that id is in force."""
+        if endpoint_id not in self.endpoints:
+            self.gone[endpoint_id] = gone_at
+
+    def remove(self, endpoint_id: int, gone_at: float) -> bool:
+        """Marks an endpoint as gone; whether it was in force until now."""
+        self.gone[endpoint_id] = gone_at
+        while len(self.gone) > MAX_GONE_ENDPOINTS:
             del self.gone[next(iter(self.gone))]
-        return self.machines.pop(mark, None) is not None
+        return self.endpoints.pop(endpoint_id, None) is not None
 
-    def whole(self, statements: Iterable[Statement], now: float) -> list[int]:
-        """The live service's whole list: what it does not name is gone. Returns those that went."""
+    def replace_all(self, statements: Iterable[Statement], now: float) -> list[int]:
+        """Takes the live service's complete list: what it does not name is gone. Returns the ids that went."""
         statements = list(statements)
-        named = {one.mark for one in statements}
-        went = [mark for mark in self.machines if mark not in named]
-        for mark in went:
-            self.leave(mark, now)
-        for one in statements:
-            self.gone.pop(one.mark, None)  # the live word is the last word
-            self.merge(one)
-        return went
-
-    def addresses(self) -> dict[tuple[str, int], list[int]]:
-        """Two machines at one address: at most one of the statements still holds."""
-        found: dict[tuple[str, int], list[int]] = {}
-        for one in self.machines.values():
-            found.setdefault(one.address, []).append(one.mark)
-        return found
+        named = {statement.endpoint_id for statement in statements}
+        removed = [endpoint_id for endpoint_id in self.endpoints if endpoint_id not in named]
+        for endpoint_id in removed:
+            self.remove(endpoint_id, now)
+        for statement in statements:
+            self.gone.pop(statement.endpoint_id, None)  # the live service overrules all others
+            self.merge(statement)
+        return removed
+
+    def ids_by_address(self) -> dict[Address, list[int]]:
+        """Endpoint ids by address. Where two share one, at most one of their statements still holds."""
+        ids: dict[Address, list[int]] = {}
+        for statement in self.endpoints.values():
+            ids.setdefault(statement.address, []).append(statement.endpoint_id)
+        return ids
--- a/wickhinge/membership/stored_list.py
+++ b/wickhinge/membership/stored_list.py
@@ -1,113 +1,135 @@
-"""The list on disk: one of two files, each whole with version, sequence and checksum, or not believed at all."""
+"""The stored endpoint list as bytes: complete, with version, sequence and checksum, or not accepted at all.
+
+The names of the file's format stand only in the `name=` arguments here. Times are Unix seconds.
+"""
 
 from __future__ import annotations
 
 from struct import Struct
+from typing import Any
 
 import msgspec
 from xxhash import xxh3_64_intdigest
 
-from wickhinge.membership.statement_table import MOST, REMEMBERED, Statement
-
-VERSION = 1
-MAGIC = b"WHLIST\x00\x00"
-HEAD = Struct(">8sHQIQ")  # magic, version, sequence, length, checksum of all that follows and of the sequence
-NAMES = ("list-a.wh", "list-b.wh")
-LONGEST = 8 << 20
-PURGES = 20_000
+from wickhinge.membership.errors import CorruptListError
+from wickhinge.membership.recent_purges import PurgeRecord
+from wickhinge.membership.statement_table import MAX_ENDPOINTS, EndpointState, ListSource, Statement
 
+FORMAT_VERSION = 1
+FILE_NAMES = ("list-a.wh", "list-b.wh")  # by the sequence's remainder
+_MAGIC = b"WHLIST\x00\x00"
+_HEADER = Struct(">8sHQIQ")  # magic, version, sequence, length, checksum of all that follows and of the sequence
+_MAX_BODY_BYTES = 8 << 20
+MAX_FILE_BYTES = _HEADER.size + _MAX_BODY_BYTES
 
-class Unreadable(Exception):
-    """No such list; the text says why."""
 
+class EndpointRecord(msgspec.Struct, array_like=True):
+    """One endpoint as it is stored or exchanged; in an exchange `stated_at` is an age in seconds."""
 
-class Row(msgspec.Struct, array_like=True):
-    mark: int
+    endpoint_id: int = msgspec.field(name="mark")
     host: str
     port: int
-    state: str
+    state: EndpointState
     zone: str
     kind: str
     cell: int
     weight: float
-    started: float | None
-    said: float
-    source: str
-    stage: str = ""  # of trust, for whoever reads the file
-    proven: float = 0.0  # when it last answered this router
+    started_at: float | None = msgspec.field(name="started")
+    stated_at: float = msgspec.field(name="said")
+    source: ListSource
+    trust: str = msgspec.field(default="", name="stage")  # when it was written, for whoever reads the file
+    answered_at: float = msgspec.field(default=0.0, name="proven")  # when it last answered this router
 
 
-class Memory(msgspec.Struct):
-    """All that a start without discovery can know. Times are Unix seconds."""
+class StoredList(msgspec.Struct):
+    """All that a start without the discovery service can know."""
 
-    deployment: str  # of the settings' names: a list of another deployment is none
-    written: float
-    heard: float  # when the live service last had nothing more to tell; 0: never
-    number: int  # of the last event then
-    machines: list[Row]
-    gone: list[tuple[int, float]] = []
-    purges: list[tuple[int | None, int, float]] = []  # object or group, stamp: not yet done everywhere
-    usual: tuple[float, float] = (0.0, 0.0)  # work a second to a warm machine of each tier
+    deployment: str  # fingerprint of the settings' names: a list of another deployment is not used
+    written_at: float = msgspec.field(name="written")
+    last_update_at: float = msgspec.field(name="heard")  # when the live service had nothing more to tell; 0: never
+    last_event: int = msgspec.field(name="number")  # the service's event number at that time
+    endpoints: list[EndpointRecord] = msgspec.field(name="machines")
+    gone: list[tuple[int, float]] = []  # id, since when
+    purges: list[PurgeRecord] = []  # not yet carried out everywhere
+    usual_loads: tuple[float, float] = msgspec.field(default=(0.0, 0.0), name="usual")
+    """Work a second to a warm server of each tier: caches, then parents."""
 
 
-def deployment(zones: list[str], kinds: list[str], tariffs: list[str]) -> str:
+def deployment_fingerprint(zones: list[str], kinds: list[str], tariffs: list[str]) -> str:
+    """Sixteen hex digits that differ where the settings name other zones, kinds or tariffs."""
     text = "\x00".join(["zones", *zones, "kinds", *kinds, "tariffs", *tariffs])
     return f"{xxh3_64_intdigest(text.encode()):016x}"
 
 
-def pack(memory: Memory, sequence: int) -> bytes:
-    data = msgspec.msgpack.encode(memory)
-    return HEAD.pack(MAGIC, VERSION, sequence, len(data), xxh3_64_intdigest(data, sequence)) + data
-
-
-def unpack(data: bytes) -> tuple[int, Memory]:
-    """Raises Unreadable for anything but a whole list of this format."""
-    if len(data) < HEAD.size:
-        raise Unreadable("is shorter than its head")
-    magic, version, sequence, length, checksum = HEAD.unpack_from(data)
-    if magic != MAGIC:
-        raise Unreadable("is no remembered list")
-    if version != VERSION:
-        raise Unreadable(f"has format {version}; this program reads {VERSION}")
-    data = data[HEAD.size :]
-    if length > LONGEST or len(data) != length or xxh3_64_intdigest(data, sequence) != checksum:
-        raise Unreadable("is not as it was written")
+def encode(stored: StoredList, sequence: int) -> bytes:
+    """A whole file; `sequence` tells the newer of two files."""
+    body = msgspec.msgpack.encode(stored)
+    return _HEADER.pack(_MAGIC, FORMAT_VERSION, sequence, len(body), xxh3_64_intdigest(body, sequence)) + body
+
+
+def decode(data: bytes) -> tuple[int, StoredList]:
+    """The sequence and the list of a file.
+
+    Raises:
+        CorruptListError: it is anything but a complete list of this format.
+    """
+    if len(data) < _HEADER.size:
+        raise CorruptListError("is shorter than its head")
+    magic, version, sequence, length, checksum = _HEADER.unpack_from(data)
+    if magic != _MAGIC:
+        raise CorruptListError("is no remembered list")
+    if version != FORMAT_VERSION:
+        raise CorruptListError(f"has format {version}; this program reads {FORMAT_VERSION}")
+    body = data[_HEADER.size :]
+    if length > _MAX_BODY_BYTES or len(body) != length or xxh3_64_intdigest(body, sequence) != checksum:
+        raise CorruptListError("is not as it was written")
     try:
-        memory = msgspec.msgpack.decode(data, type=Memory)
-    except msgspec.MsgspecError as problem:
-        raise Unreadable(f"holds something else: {problem}") from None
-    if len(memory.machines) > MOST:
-        raise Unreadable(f"names over {MOST} machines")
-    return sequence, memory
-
-
-def row(one: Statement, stage: str = "", proven: float = 0.0) -> Row:
-    return Row(
-        one.mark,
-        *one.address,
-        one.state,
-        one.zone,
-        one.kind,
-        one.cell,
-        one.weight,
-        one.started,
-        one.said,
-        one.source,
-        stage,
-        proven,
+        stored = msgspec.msgpack.decode(body, type=StoredList)
+    except msgspec.MsgspecError as error:
+        raise CorruptListError(f"holds something else: {error}") from None
+    if len(stored.endpoints) > MAX_ENDPOINTS:
+        raise CorruptListError(f"names over {MAX_ENDPOINTS} machines")
+    return sequence, stored
+
+
+def record_fields(record: EndpointRecord) -> dict[str, Any]:
+    """A record as a map, by the names of the file's format."""
+    return {field.encode_name: getattr(record, field.name) for field in msgspec.structs.fields(record)}
+
+
+def to_record(statement: Statement, trust: str = "", answered_at: float = 0.0) -> EndpointRecord:
+    """A statement as it is stored or exchanged."""
+    host, port = statement.address
+    return EndpointRecord(
+        endpoint_id=statement.endpoint_id,
+        host=host,
+        port=port,
+        state=statement.state,
+        zone=statement.zone,
+        kind=statement.kind,
+        cell=statement.cell,
+        weight=statement.weight,
+        started_at=statement.started_at,
+        stated_at=statement.stated_at,
+        source=statement.source,
+        trust=trust,
+        answered_at=answered_at,
     )
 
 
-def statement(one: Row, source: str = REMEMBERED) -> Statement:
+def to_statement(
+    record: EndpointRecord, source: ListSource = ListSource.REMEMBERED, stated_at: float | None = None
+) -> Statement:
+    """A record as a statement of `source`, stated at `stated_at` or, where that is None, when the record says."""
     return Statement(
-        one.mark,
-        (one.host, one.port),
-        one.state,
-        one.zone,
-        one.kind,
-        one.cell,
-        one.weight,
-        one.started,
-        one.said,
-        source,
+        endpoint_id=record.endpoint_id,
+        address=(record.host, record.port),
+        state=record.state,
+        zone=record.zone,
+        kind=record.kind,
+        cell=record.cell,
+        weight=record.weight,
+        started_at=record.started_at,
+        stated_at=record.stated_at if stated_at is None else stated_at,
+        source=source,
     )
--- a/wickhinge/net/members.py
+++ b/wickhinge/net/members.py
@@ -12,11 +12,15 @@
 from wickhinge.decide import Chance
 from wickhinge.fields import Malformed, endpoint
 from wickhinge.interface import Effect, Listing, Outcome
-from wickhinge.membership import list_exchange_tcp, stored_list
-from wickhinge.membership.backoff import Backoff
-from wickhinge.membership.controller import NONE, Members
-from wickhinge.membership.endpoint_list_file import Keeper, Unusable
-from wickhinge.membership.statement_table import LIVE, STATIC, Statement
+from wickhinge.membership.backoff import AddressBackoff
+from wickhinge.membership.controller import EndpointListing, MembershipController, MembershipSettings
+from wickhinge.membership.endpoint_list_file import EndpointListFile
+from wickhinge.membership.errors import ListDirectoryError
+from wickhinge.membership.list_exchange import ReplicaAnswer
+from wickhinge.membership.list_exchange_tcp import ListClient, ListServerFactory
+from wickhinge.membership.recent_purges import PurgeRecord
+from wickhinge.membership.statement_table import EndpointState, ListSource, Statement
+from wickhinge.membership.stored_list import deployment_fingerprint
 from wickhinge.options import keys
 from wickhinge.store.files import Files
 from wickhinge.store.workers import Workers
@@ -26,173 +30,189 @@
 
 
 class Membership:
-    """The router's Members; files are written by a worker, siblings are asked in turn."""
+    """The router's MembershipController and its port; files are written by a worker, other routers asked in turn."""
 
     def __init__(
-        self, node: Any, members: Members, keeper: Keeper | None, options: Any, key: bytes, static: list[Statement]
+        self,
+        node: Any,
+        settings: MembershipSettings,
+        list_file: EndpointListFile | None,
+        options: Any,
+        key: bytes,
+        static: list[Statement],
     ) -> None:
-        self.node, self.members, self.keeper, self.key, self.static = node, members, keeper, key, static
-        self.now, self.after, self.log = node.deadlines.now, node.deadlines.after, node.log.event
-        self.every = 60.0 / options.writes_a_minute
-        self.listen = options.listen
-        self.saved, self.saving, self.closed = 0.0, False, False
-        chance = members.proving.chance
-        self.asking = (
-            Backoff([endpoint(one) for one in options.siblings], chance, 0.5, options.longest_backoff_s)
+        self.node, self.settings, self.list_file, self.static = node, settings, list_file, static
+        self.now, self.after, self.log_event = node.deadlines.now, node.deadlines.after, node.log.event
+        self.chance = Chance(node.seed ^ 0x5EED)
+        self.controller = MembershipController(self, self.chance, settings)
+        self.write_interval_s = 60.0 / options.writes_a_minute
+        self.listen, self.key = options.listen, key
+        self.client = ListClient(node.reactor, self.after, key)
+        self.written_at, self.is_writing, self.closed = 0.0, False, False
+        self.exchange_backoff = (
+            AddressBackoff([endpoint(one) for one in options.siblings], self.chance, 0.5, options.longest_backoff_s)
             if options.siblings
             else None
         )
-        self.workers = Workers(node.reactor, 1, node.fault) if keeper is not None else None
-        self.backoff: Backoff | None = None
-        members.told_purge = self.told_purge
+        self.workers = Workers(node.reactor, 1, node.fault) if list_file is not None else None
+        self.backoff: AddressBackoff | None = None
 
     def follow(self, journal: Any, options: Any) -> None:
-        """Before the start: reads what was kept, and lets the journal go on from there where it keeps its numbers."""
+        """Before the start: reads the stored list, and lets the journal go on from there where it keeps its numbers."""
         addresses = [journal.address, *(endpoint(one) for one in options.discovery.addresses)]
-        self.backoff = Backoff(
-            addresses, self.members.proving.chance, options.discovery.backoff_s, options.discovery.longest_backoff_s
+        self.backoff = AddressBackoff(
+            addresses, self.chance, options.discovery.backoff_s, options.discovery.longest_backoff_s
         )
-        journal.turn = self.backoff.failed
-        memory = None
-        if self.keeper is not None:
-            memory, wrong = self.keeper.read()
-            for why in wrong:
-                self.log("list_unusable", why=why)
-        self.members.start(memory, self.static, self.now())
+        journal.turn = self.backoff.record_failure
+        stored = None
+        if self.list_file is not None:
+            stored, problems = self.list_file.read()
+            for problem in problems:
+                self.log_event("membership_list_unusable", reason=problem)
+        self.controller.start(stored, self.static, self.now())
         fleet = self.node.router.fleet
-        if self.members.memory is not None:
-            fleet.edge.usual, fleet.upper.usual = self.members.memory.usual
+        if self.controller.stored is not None:
+            fleet.edge.usual, fleet.upper.usual = self.controller.stored.usual_loads
             if options.journal.continues:
-                journal.resume(self.members.memory.number)
+                journal.resume(self.controller.stored.last_event)
 
     def start(self) -> None:
         if self.listen:
             host, port = endpoint(self.listen)
-            factory = list_exchange_tcp.Answering(
-                self.key, self.now, self.after, lambda: self.members.telling(self.now()), self.log
+            factory = ListServerFactory(
+                self.key, self.now, self.after, lambda: self.controller.replica_answer(self.now()), self.log_event
             )
             self.node.reactor.listenTCP(port, factory, interface=host)
         self.turn()
-        if self.asking is not None:
-            self.after(self.members.after, self.ask)
+        if self.exchange_backoff is not None:
+            self.after(self.settings.fallback_delay_s, self.ask)
 
     def turn(self) -> None:
         if self.closed:
             return
         now = self.now()
-        self.members.tick(now)
-        if self.members.source not in (NONE, LIVE):
+        self.controller.tick(now)
+        if self.controller.source not in (ListSource.NONE, ListSource.LIVE):
             self.node.opening.trusted()
         self.save(now)
         self.after(TURN, self.turn)
 
-    # Out.
-
-    def tell(self, machines: list[tuple[Statement, str, bool]]) -> None:
-        listings = []
-        for one, state, trusted in machines:
-            self.node.caches.listed(one.mark, f"{one.mark:08x}", one.address)
-            listings.append(Listing(one.mark, one.zone, one.kind, one.cell, state, one.weight, one.started, trusted))
-        self.node.router.fleet.listed(listings, False, self.now())
-        for one, state, _ in machines:
-            machine = self.node.caches.machines.get(one.mark)
-            if state == "gone" and machine is not None:
+    # The controller's port.
+
+    def list_endpoints(self, listings: list[EndpointListing]) -> None:
+        rows = []
+        for listing in listings:
+            one = listing.statement
+            self.node.caches.listed(one.endpoint_id, f"{one.endpoint_id:08x}", one.address)
+            rows.append(
+                Listing(
+                    one.endpoint_id,
+                    one.zone,
+                    one.kind,
+                    one.cell,
+                    listing.state.value,
+                    one.weight,
+                    one.started_at,
+                    listing.is_trusted,
+                )
+            )
+        self.node.router.fleet.listed(rows, False, self.now())
+        for listing in listings:
+            machine = self.node.caches.machines.get(listing.statement.endpoint_id)
+            if listing.state is EndpointState.GONE and machine is not None:
                 machine.leave()
 
-    def probe(self, one: Statement) -> None:
-        self.node.caches.listed(one.mark, f"{one.mark:08x}", one.address)
-        self.node.forwards.probe(SimpleNamespace(mark=one.mark), self.probed)
+    def check_health(self, statement: Statement) -> None:
+        endpoint_id = statement.endpoint_id
+        self.node.caches.listed(endpoint_id, f"{endpoint_id:08x}", statement.address)
+        self.node.forwards.probe(SimpleNamespace(mark=endpoint_id), self.probed)
 
     def probed(self, cache: Any, up: bool) -> None:
-        self.members.probed(cache.mark, up, self.now())
+        self.controller.record_health_check(cache.mark, self.now(), healthy=up)
+
+    def recover_purge(self, purge: PurgeRecord) -> None:
+        """Carries out a purge that was stored, or that another router told."""
+        self.node.router.purges.told(purge.object_key, purge.group, purge.stamp, self.now())
+        if self.node.copies is not None:
+            self.node.copies.store.purge(purge.object_key, purge.group, purge.stamp, 0)
 
-    # In.
+    # What the router tells.
 
     def live(self, whole: bool, machines: list[tuple[Any, ...]]) -> None:
         now = self.now()
-        self.members.live(
-            whole,
-            [
-                Statement(mark, where, state, zone, kind, cell, weight, started, now, LIVE)
-                for mark, where, state, zone, kind, cell, weight, started in machines
-            ],
-            now,
-        )
-        self.saved = min(self.saved, now - self.every + 1.0)  # soon, yet not for each of a burst
+        statements = [
+            Statement(mark, where, EndpointState(state), zone, kind, cell, weight, started, now, ListSource.LIVE)
+            for mark, where, state, zone, kind, cell, weight, started in machines
+        ]
+        self.controller.apply_live(statements, now, is_complete=whole)
+        self.written_at = min(self.written_at, now - self.write_interval_s + 1.0)  # soon, yet not for each of a burst
 
     def moved(self, address: tuple[str, int]) -> None:
         """The platform's address of the service is another now; the further ones stay."""
-        self.backoff.moved(address)
+        self.backoff.replace_first_address(address)
 
     def caught_up(self, journal: Any) -> None:
-        self.members.caught_up(self.now(), journal.last, journal.unbroken and journal.resumed)
-        self.backoff.well()
+        is_continuous = journal.unbroken and journal.resumed
+        self.controller.live_caught_up(self.now(), journal.last, is_continuous=is_continuous)
+        self.backoff.record_success()
 
     def ended(self, sent: Any, outcome: Outcome) -> None:
         if sent.door.tariff.effect is Effect.RERUNNABLE and (outcome.answered or outcome in FAILED):
-            self.members.ended(sent.cache.mark, outcome.answered, self.now())
+            self.controller.record_request(sent.cache.mark, self.now(), answered=outcome.answered)
 
     def purge(self, key: int | None, group: int, stamp: float) -> None:
-        self.members.purge(key, group, stamp, self.now())
-
-    def told_purge(self, key: int | None, group: int, stamp: float) -> None:
-        """One that was remembered, or that a sibling told."""
-        self.node.router.purges.told(key, group, stamp, self.now())
-        if self.node.copies is not None:
-            self.node.copies.store.purge(key, group, stamp, 0)
+        self.controller.record_purge(PurgeRecord(key, group, stamp), self.now())
 
     def oldest(self, bound: float | None) -> float | None:
-        ours = self.members.gap.oldest(self.now())
+        ours = self.controller.max_copy_age_s(self.now())
         return bound if ours is None else ours if bound is None else min(ours, bound)
 
     def knows(self, mark: int) -> bool:
-        return self.members.knows(mark)
+        return self.controller.wants_connection(mark)
 
-    # Files and siblings.
+    # The file and the list exchange.
 
     def save(self, now: float) -> None:
-        if self.keeper is None or self.saving or 0.0 <= now - self.saved < self.every:
+        if self.list_file is None or self.is_writing or 0.0 <= now - self.written_at < self.write_interval_s:
             return
         fleet = self.node.router.fleet
-        self.members.usual = (fleet.edge.usual, fleet.upper.usual)
-        memory = self.members.remember(now)
-        if memory is None:
+        stored = self.controller.snapshot(now, (fleet.edge.usual, fleet.upper.usual))
+        if stored is None:
             return
-        self.saving, self.saved = True, now
-        self.workers.run("write", lambda: self.keeper.write(memory), self.written)
+        self.is_writing, self.written_at = True, now
+        self.workers.run("write", lambda: self.list_file.write(stored), self.written)
 
     def written(self, _: Any, problem: BaseException | None) -> None:
-        self.saving = False
+        self.is_writing = False
         if problem is not None:
-            self.log("list_unwritten", why=str(problem))
+            self.log_event("membership_list_write_failed", reason=str(problem))
 
     def ask(self) -> None:
         if self.closed:
             return
-        where = self.asking.addresses[self.asking.place]
-        if self.members.source == LIVE and self.now() - self.members.heard <= self.members.quiet:
+        if self.controller.is_live(self.now()):
             self.after(1.0, self.ask)
             return
-        list_exchange_tcp.ask(self.node.reactor, self.after, where, self.key, self.now(), self.told)
-
-    def told(self, told: Any, why: str) -> None:
-        _, wait = self.asking.failed()
-        if told is None:
-            self.log("sibling_lost", why=why)
-        elif self.members.sibling(told, self.now()):
-            self.asking.well()
-            wait = 1.0
+        self.client.request(self.exchange_backoff.address, self.now(), self.answered)
+
+    def answered(self, answer: ReplicaAnswer | None, reason: str) -> None:
+        _, delay_s = self.exchange_backoff.record_failure()
+        if answer is None:
+            self.log_event("membership_exchange_failed", reason=reason)
+        elif self.controller.apply_replica_answer(answer, self.now()):
+            self.exchange_backoff.record_success()
+            delay_s = 1.0
         if not self.closed:
-            self.after(wait, self.ask)
+            self.after(delay_s, self.ask)
 
     def figures(self) -> dict[str, Any]:
-        return self.members.figures(self.now())
+        return self.controller.figures(self.now())
 
     def close(self) -> None:
         self.closed = True
         if self.workers is not None:
             self.workers.close()
-            self.keeper.close()
+            self.list_file.close()
 
 
 def make(options: Any, conf: dict[str, Any], node: Any) -> Membership:
@@ -207,39 +227,32 @@
             Statement(
                 int(one.id[2:], 16),
                 endpoint(one.dial),
-                "ready",
+                EndpointState.READY,
                 one.zone,
                 one.kind,
                 one.cell,
                 one.weight,
                 None,
                 0.0,
-                STATIC,
+                ListSource.STATIC,
             )
         )
-    keeper = None
+    list_file = None
     if found.dir:
-        keeper = Keeper(Files(), found.dir)
+        list_file = EndpointListFile(Files(), found.dir)
         try:
-            keeper.open()
-        except Unusable as problem:
-            node.log.event("list_unusable", why=str(problem))
-            keeper = None
-    box: list[Membership] = []
-    chance = Chance(node.seed ^ 0x5EED)
-    members = Members(
-        lambda machines: box[0].tell(machines),
-        lambda one: box[0].probe(one),
-        node.log.event,
-        chance,
-        stored_list.deployment(node.zones, node.kinds, sorted(settings.tariffs(conf))),
-        found.routers or fleet.routers,
-        (fleet.parent_kind, fleet.origin_kind),
-        found.after_s,
-        found.hint_after_s,
-        found.untold_s,
-        options.journal.quiet_s,
-        node.router.purges.done,
+            list_file.open()
+        except ListDirectoryError as problem:
+            node.log.event("membership_list_unusable", reason=str(problem))
+            list_file = None
+    membership_settings = MembershipSettings(
+        deployment=deployment_fingerprint(node.zones, node.kinds, sorted(settings.tariffs(conf))),
+        routers=found.routers or fleet.routers,
+        upper_kinds=(fleet.parent_kind, fleet.origin_kind),
+        fallback_delay_s=found.after_s,
+        hint_age_s=found.hint_after_s,
+        max_uninformed_copy_age_s=found.untold_s,
+        quiet_s=options.journal.quiet_s,
+        purge_done_s=node.router.purges.done,
     )
-    box.append(Membership(node, members, keeper, found, key, static))
-    return box[0]
+    return Membership(node, membership_settings, list_file, found, key, static)
