--- /dev/null
+++ b/tests/membership/test_controller.py
@@ -0,0 +1,195 @@
+"""Which list is in force, and what the routing fleet is notified of."""
+
+import pytest
+
+from tests.support.statements import statement
+from wickhinge.decide import Chance
+from wickhinge.membership import stored_list
+from wickhinge.membership.controller import MembershipController, MembershipSettings
+from wickhinge.membership.list_exchange import ReplicaAnswer
+from wickhinge.membership.recent_purges import PurgeRecord
+from wickhinge.membership.statement_table import (
+    ListSource,
+)
+from wickhinge.membership.stored_list import StoredList, to_record
+
+DAY = 86400.0
+
+
+SETTINGS = MembershipSettings(
+    deployment="d",
+    routers=1,
+    upper_kinds=("parent", "origin"),
+    fallback_delay_s=0.5,
+    hint_age_s=DAY,
+    max_uninformed_copy_age_s=0.0,
+    quiet_s=3.0,
+    purge_done_s=6.0,
+)
+
+
+class World:
+    """A controller and its port, which writes down what it is asked for."""
+
+    def __init__(self, age=10.0, memory=True, static=()):
+        self.log, self.told, self.probes, self.purges = [], {}, [], []
+        self.members = MembershipController(self, Chance(1), SETTINGS)
+        rows = [to_record(statement(mark, when=1000.0 - (age or 0))) for mark in range(1, 6)]
+        since = 1000.0 - (age or 0)
+        purges = [PurgeRecord(5, 0, 995.0)]
+        self.memory = StoredList("d", since, since, 7, rows, [(9, 5.0)], purges) if memory else None
+        self.members.start(self.memory, list(static), 1000.0)
+
+    def list_endpoints(self, listings):
+        for one in listings:
+            self.told.setdefault(one.statement.endpoint_id, []).append((one.state, one.is_trusted))
+
+    def check_health(self, statement):
+        self.probes.append(statement)
+
+    def recover_purge(self, purge):
+        self.purges.append(purge)
+
+    def log_event(self, event, /, **fields):
+        self.log.append((event, fields))
+
+    def prove(self, now):
+        self.members.tick(now)
+        self.members.tick(now + 0.1)  # none is asked in the first moment: others may start with this one
+        for one in self.probes:
+            self.members.record_health_check(one.endpoint_id, now, healthy=True)
+        self.probes.clear()
+
+    def sources(self):
+        return [fields["source"] for event, fields in self.log if event == "membership_source_changed"]
+
+
+def live(marks, now, state="ready"):
+    return [statement(mark, state, now, ListSource.LIVE) for mark in marks]
+
+
+def test_stored_list_when_the_live_one_is_late_is_used_after_the_wait():
+    world = World()
+    world.members.tick(1000.4)
+    assert not world.probes and world.sources() == [] and world.purges == [(5, 0, 995.0)]
+    world.prove(1000.6)
+    assert world.sources() == ["remembered"] and world.told
+    for told in world.told.values():
+        assert told == [("ready", False), ("ready", True)]  # it begins as one that may be cold
+
+
+def test_stored_list_when_the_live_one_is_in_time_is_not_used():
+    world = World()
+    world.members.apply_live(live([1, 2], 1000.2), 1000.2, is_complete=True)
+    world.members.tick(1002.0)
+    assert world.sources() == ["live"] and not world.probes and not world.told
+
+
+@pytest.mark.parametrize(
+    "static, source", [((statement(1, when=0.0, source=ListSource.STATIC),), "static"), ((), None)]
+)
+def test_fallback_when_nothing_is_stored_takes_the_static_list_or_none(static, source):
+    world = World(memory=False, static=static)
+    world.prove(1001.0)
+    assert world.sources() == ([source] if source else [])
+
+
+@pytest.mark.parametrize(
+    "change, proofs",
+    [
+        ({"deployment": "other"}, None),
+        ({"last_update_at": 5000.0}, 3),
+        ({"written_at": 5000.0}, 3),
+        ({"last_update_at": 0.0}, 3),
+    ],
+)
+def test_stored_list_when_of_another_deployment_or_time_is_unused_or_a_hint(change, proofs):
+    world = World(memory=False)
+    rows = [to_record(statement(1))]
+    world.members.start(
+        StoredList(
+            **{
+                "deployment": "d",
+                "written_at": 990.0,
+                "last_update_at": 990.0,
+                "last_event": 1,
+                "endpoints": rows,
+                **change,
+            }
+        ),
+        [],
+        1000.0,
+    )
+    world.members.tick(1001.0)
+    assert world.sources() == ([] if proofs is None else ["remembered"])
+    assert proofs is None or world.members.probation.terms.proofs_needed == proofs
+
+
+@pytest.mark.parametrize("state", ["draining", "gone"])
+def test_replica_answer_when_it_says_that_an_endpoint_leaves_counts_at_once(state):
+    world = World()
+    world.prove(1000.6)
+    rows = [to_record(statement(1, "draining", when=2.0))] if state == "draining" else []
+    told = ReplicaAnswer("d", 5000.0, 3, rows, [1] if state == "gone" else [], [PurgeRecord(8, 0, 999.0)])
+    assert world.members.apply_replica_answer(told, 1001.0)
+    assert world.told[1][-1] == (state, False) and (8, 0, 999.0) in world.purges
+    world.prove(1002.0)
+    assert world.told[1][-1] == (state, False)
+
+
+def test_replica_answer_when_older_or_of_another_deployment_adds_nothing():
+    world = World(age=10.0)
+    world.prove(1000.6)
+    rows = [to_record(statement(mark, when=50.0)) for mark in (1, 77)]
+    assert world.members.apply_replica_answer(ReplicaAnswer("d", 5000.0, 3, rows), 1001.0)
+    assert 77 not in world.members.statements.endpoints and world.sources() == ["remembered"]
+    assert not world.members.apply_replica_answer(ReplicaAnswer("x", 1.0, 3, rows), 1001.0)
+    assert world.members.apply_replica_answer(ReplicaAnswer("d", 2.0, 3, rows), 1001.0)
+    assert 77 in world.members.statements.endpoints and world.sources() == ["remembered", "sibling"]
+
+
+def test_live_list_when_it_comes_during_probation_ends_it():
+    world = World()
+    world.members.tick(1000.6)
+    asked = list(world.probes)
+    world.members.apply_live(live([2, 3, 50], 1000.7), 1000.7, is_complete=True)
+    for one in asked:  # answers of probes that were out
+        world.members.record_health_check(one.endpoint_id, 1000.8, healthy=True)
+        world.members.record_request(one.endpoint_id, 1000.8, answered=False)
+    assert (
+        not world.told and set(world.members.statements.endpoints) == {2, 3, 50} and 1 in world.members.statements.gone
+    )
+    world.members.tick(1001.0)
+    assert world.sources() == ["remembered", "live"] and len(world.probes) == len(asked)
+
+
+def test_live_list_when_the_service_flaps_changes_the_source_once():
+    world = World()
+    world.prove(1000.6)
+    for turn in range(20):
+        now = 1001.0 + turn / 10
+        world.members.apply_live(live([1, 2, 3], now), now, is_complete=True)
+        world.members.live_caught_up(now, 4, is_continuous=False)
+        world.members.tick(now + 0.05)
+    assert world.sources() == ["remembered", "live"] and len(world.log) <= 2 + 5 + 1
+
+
+def test_stored_list_when_the_service_goes_on_from_it_becomes_the_live_one():
+    world = World()
+    world.members.apply_live(live([2], 1000.1, "draining"), 1000.1, is_complete=False)
+    assert world.members.max_copy_age_s(1000.1) is not None
+    world.members.live_caught_up(1000.2, 8, is_continuous=True)
+    assert world.sources() == ["live"] and world.members.max_copy_age_s(1000.2) is None
+    assert world.told[1] == [("ready", True)] and world.told[2] == [("draining", True)]
+
+
+def test_snapshot_when_it_is_decoded_again_is_the_same():
+    world = World(memory=False)
+    assert world.members.snapshot(1000.0, (0.0, 0.0)) is None
+    world.members.apply_live(live([1, 2], 1000.0), 1000.0, is_complete=True)
+    world.members.live_caught_up(1000.1, 9, is_continuous=False)
+    world.members.record_purge(PurgeRecord(7, 0, 999.0), 1000.2)
+    world.members.record_purge(PurgeRecord(8, 0, 900.0), 1000.2)
+    kept = world.members.snapshot(1001.0, (0.0, 0.0))
+    _, again = stored_list.decode(stored_list.encode(kept, 4))
+    assert again == kept and again.purges == [(7, 0, 999.0)] and (again.last_event, again.last_update_at) == (9, 1000.1)
--- a/tests/membership/test_discovery.py
+++ b/tests/membership/test_discovery.py
@@ -22,7 +22,7 @@
     )
 
 
-def test_lists_of_all_ages_serve_and_send_nothing_wrong(told):
+def test_starts_when_lists_have_any_age_serve_and_send_nothing_wrong(told):
     told = told["start"]
     assert (told["wrong_sends"], told["faults"], told["unanswered"]) == (0, 0, 0)
     assert told["takeovers"] == 4 and told["takeover_p99_ms"] < 500
@@ -30,11 +30,11 @@
 
 
 @pytest.mark.parametrize("plant", ["trust", "drains"])
-def test_a_planted_fault_is_found(told, plant):
+def test_measurement_when_a_fault_is_planted_finds_it(told, plant):
     assert told[plant]["wrong_sends"] > 0
 
 
-def test_a_hundred_routers_topple_no_machine_that_restarted_with_them(told):
+def test_a_hundred_routers_when_servers_restarted_with_them_topple_none(told):
     told = told["herd"]
     assert told["peak_over_limit"] < 1.0 < told["peak_over_limit_blind"]
     assert min(told["served_share"].values()) > 0.3
@@ -65,7 +65,7 @@
 
 
 @pytest.mark.parametrize("extra, served", [("", True), ("x", False)])
-def test_a_router_starts_from_a_siblings_list_if_they_share_a_key(tmp_path, monkeypatch, extra, served):
+def test_list_exchange_when_keys_are_shared_lets_a_router_start(tmp_path, monkeypatch, extra, served):
     port = free(1)
     (tmp_path / "key").write_text("0123456789abcdef")
     (tmp_path / "o.cue").write_text(
@@ -83,7 +83,7 @@
         deployment.close()
 
 
-def test_a_sibling_that_never_finishes_is_given_up_and_asked_again(tmp_path, monkeypatch):
+def test_list_exchange_when_an_answer_never_ends_gives_up_and_asks_again(tmp_path, monkeypatch):
     deployment = Deployment(tmp_path)
     with socket.create_server(("127.0.0.1", 0)) as silent:
         silent.settimeout(PATIENT)
@@ -100,7 +100,7 @@
             deployment.close()
 
 
-def test_a_router_starts_from_the_list_it_kept_and_says_so(tmp_path, monkeypatch):
+def test_start_when_the_service_is_away_uses_the_stored_list_and_says_so(tmp_path, monkeypatch):
     (tmp_path / "o.cue").write_text(f'discovery: {{mode: "on", dir: "{tmp_path}/list", writes_a_minute: 600}}')
     monkeypatch.setenv("WICKHINGE_OPTIONS", str(tmp_path / "o.cue"))
     deployment = Deployment(tmp_path)
@@ -120,7 +120,7 @@
         deployment.close()
 
 
-def test_a_service_that_moved_is_followed_and_its_old_place_is_not_tried_again(tmp_path, monkeypatch):
+def test_reload_when_the_service_moved_follows_it_and_leaves_the_old_address(tmp_path, monkeypatch):
     (tmp_path / "o.cue").write_text(f'discovery: {{mode: "on", dir: "{tmp_path}/list"}}')
     monkeypatch.setenv("WICKHINGE_OPTIONS", str(tmp_path / "o.cue"))
     deployment = Deployment(tmp_path)
--- /dev/null
+++ b/tests/membership/test_journal_resumed.py
@@ -0,0 +1,21 @@
+"""The journal goes on from the event that a stored list knew of."""
+
+import pytest
+
+from tests.support.connections import reading
+from wickhinge.net.journal import Unreadable
+
+
+@pytest.mark.parametrize("frames, last", [([(3, 0)], 0), ([(9, 1)], 0), ([(7, 0)], 7), ([(8, 1)], 8)])
+def test_resume_when_event_numbers_start_anew_or_have_a_gap_asks_for_all_again(frames, last):
+    made, told = reading(0)
+    up = []
+    made.caught_up = lambda: up.append(made.unbroken)
+    made.resume(7)
+    for number, kind in frames:
+        if last:
+            made.frame(number, kind, b"")
+        else:
+            with pytest.raises(Unreadable):
+                made.frame(number, kind, b"")
+    assert made.last == last and made.unbroken is bool(last) and up == ([True] if frames == [(7, 0)] else [])
--- /dev/null
+++ b/tests/membership/test_purge_gap.py
@@ -0,0 +1,24 @@
+"""How old a copy may be while purges may be missing."""
+
+import pytest
+
+from wickhinge.membership.purge_gap import PurgeGap
+
+
+@pytest.mark.parametrize(
+    "heard, untold, now, oldest",
+    [
+        (990.0, 0.0, 1000.0, 10.0),
+        (990.0, 4.0, 1000.0, 4.0),
+        (0.0, 0.0, 1000.0, 3.0),
+        (1010.0, 0.0, 1000.0, 3.0),
+        (1000.0, 0.0, 1000.0, 0.001),
+        (None, 0.0, 1000.0, None),
+        (None, 4.0, 1002.0, None),
+        (None, 4.0, 1009.0, 4.0),
+    ],
+)
+def test_max_copy_age_when_purges_may_be_missing_reaches_back_to_the_gap(heard, untold, now, oldest):
+    gap = PurgeGap(untold, 3.0)
+    gap.open(heard) if heard is not None else gap.close(1000.0)
+    assert gap.max_copy_age_s(now) == oldest
