--- a/tests/changelog/test_changelog_parts.py
+++ b/tests/changelog/test_changelog_parts.py
@@ -34,7 +34,7 @@
 from wickhinge.net.changes import Changes
 from wickhinge.options import Fault
 from wickhinge.options.load import check
-from wickhinge.peers.desk import Asking
+from wickhinge.peers.status_server import Asking
 
 HERE, THERE, ELSEWHERE = ("10.0.0.1", 1), ("10.0.0.2", 2), ("10.0.0.3", 3)
 KEY, NEXT_KEY = b"k" * 32, b"n" * 32
--- a/tests/peers/test_desk.py
+++ b/tests/peers/test_desk.py
@@ -13,7 +13,7 @@
 
 from wickhinge.cli import main
 from wickhinge.lab.many.rig import free_port, with_us
-from wickhinge.peers import desk, wire
+from wickhinge.peers import status_server, wire
 
 ROOT = Path(__file__).parents[2]
 KEY, OTHER = b"k" * 16, b"o" * 16
@@ -21,7 +21,7 @@
 
 
 def made(name="n1"):
-    one = desk.Desk(name, KEY, b"secret", 100.0)
+    one = status_server.Desk(name, KEY, b"secret", 100.0)
     one.words["say"] = lambda more: more * 3
     return one
 
@@ -42,11 +42,11 @@
 def test_an_answer_of_any_length_comes_whole_in_parts(size):
     at = made()
     at.words["long"] = lambda more: bytes(range(256)) * (size // 256) + b"x" * (size % 256)
-    assert exchange(at, desk.Asking(KEY, "n1", 7, "long")) == at.words["long"](b"")
+    assert exchange(at, status_server.Asking(KEY, "n1", 7, "long")) == at.words["long"](b"")
 
 
 def test_lost_parts_come_when_it_is_asked_again():
-    at, asking = made(), desk.Asking(KEY, "n1", 7, "say", b"ab" * 500)
+    at, asking = made(), status_server.Asking(KEY, "n1", 7, "say", b"ab" * 500)
     assert exchange(at, asking, lose=(2,)) is None
     assert exchange(at, asking) == b"ab" * 1500
 
@@ -54,37 +54,37 @@
 def test_without_its_cookie_an_ask_does_nothing_and_draws_less_than_it_is():
     at, done = made(), []
     at.words["do"] = lambda more: done.append(1) or b"done"
-    asking = desk.Asking(KEY, "n1", 7, "do")
+    asking = status_server.Asking(KEY, "n1", 7, "do")
     first = asking.datagram()
     (answer,) = at.heard(first, HERE, 100.0)
     assert not done and len(answer) <= len(first)
     assert asking.heard(answer) and not asking.heard(answer)
     again = asking.datagram()
-    for sender, now in ((THERE, 100.0), (HERE, 100.0 + 2.1 * desk.SLOT)):  # another's address, a later time
+    for sender, now in ((THERE, 100.0), (HERE, 100.0 + 2.1 * status_server.SLOT)):  # another's address, a later time
         assert len(at.heard(again, sender, now)) == 1 and not done
     assert len(made().heard(again, HERE, 100.0)) == 1  # the same secret; a new process has another
-    fresh = desk.Desk("n1", KEY, b"another", 100.0)
+    fresh = status_server.Desk("n1", KEY, b"another", 100.0)
     fresh.words["do"] = at.words["do"]
-    assert desk.read(KEY, desk.PART, fresh.heard(again, HERE, 100.0)[0]).place == 0
+    assert status_server.read(KEY, status_server.PART, fresh.heard(again, HERE, 100.0)[0]).place == 0
     done.clear()
     assert at.heard(again, HERE, 104.9) and done == [1]
 
 
 def test_what_is_not_for_it_not_known_or_too_long_is_said_or_left():
     at = made()
-    assert at.heard(desk.Asking(KEY, "n2", 7, "say").datagram(), HERE, 100.0) == []
-    assert b"nothing that this router answers" in exchange(at, desk.Asking(KEY, "n1", 7, "fly"))
-    at.words["huge"] = lambda more: b"x" * (desk.EACH * desk.PARTS + 1)
-    assert b"is longer than" in exchange(at, desk.Asking(KEY, "n1", 7, "huge"))
+    assert at.heard(status_server.Asking(KEY, "n2", 7, "say").datagram(), HERE, 100.0) == []
+    assert b"nothing that this router answers" in exchange(at, status_server.Asking(KEY, "n1", 7, "fly"))
+    at.words["huge"] = lambda more: b"x" * (status_server.EACH * status_server.PARTS + 1)
+    assert b"is longer than" in exchange(at, status_server.Asking(KEY, "n1", 7, "huge"))
     for data in (
         b"",
         b"WP?",
-        desk.Asking(OTHER, "n1", 7, "say").datagram(),
-        desk.Asking(KEY, "n1", 7, "say").datagram()[:-1],
+        status_server.Asking(OTHER, "n1", 7, "say").datagram(),
+        status_server.Asking(KEY, "n1", 7, "say").datagram()[:-1],
     ):
         with pytest.raises(wire.Unreadable):
             at.heard(data, HERE, 100.0)
-    garbled = desk.ASK + b"\x93\x01"
+    garbled = status_server.ASK + b"\x93\x01"
     with pytest.raises(wire.Unreadable):
         at.heard(garbled + wire.mac(KEY, garbled), HERE, 100.0)
 
@@ -92,22 +92,25 @@
 def test_a_flood_of_asks_is_answered_at_a_bounded_rate():
     at = made()
     told = sum(
-        len(at.heard(desk.Asking(KEY, "n1", number, "say").datagram(), HERE, 100.0 + number / 1e4))
+        len(at.heard(status_server.Asking(KEY, "n1", number, "say").datagram(), HERE, 100.0 + number / 1e4))
         for number in range(10_000)
     )
-    assert desk.RATE <= told <= 2 * desk.RATE + 1
+    assert status_server.RATE <= told <= 2 * status_server.RATE + 1
 
 
 def test_another_asks_parts_and_foul_ones_change_nothing():
-    asking = desk.Asking(KEY, "n1", 7, "say")
+    asking = status_server.Asking(KEY, "n1", 7, "say")
     for part in (
-        desk.Part(8, b"c" * 16, 1, 1, b"x"),
-        desk.Part(7, b"c", 2, 1, b"x"),
-        desk.Part(7, b"c", 1, 65, b"x"),
-        desk.Part(7, b"c", -1, 1, b"x"),
+        status_server.Part(8, b"c" * 16, 1, 1, b"x"),
+        status_server.Part(7, b"c", 2, 1, b"x"),
+        status_server.Part(7, b"c", 1, 65, b"x"),
+        status_server.Part(7, b"c", -1, 1, b"x"),
     ):
-        assert not asking.heard(desk.pack(KEY, desk.PART, part))
-    assert not asking.heard(desk.pack(OTHER, desk.PART, desk.Part(7, b"c", 1, 1, b"x"))) and asking.answer() is None
+        assert not asking.heard(status_server.pack(KEY, status_server.PART, part))
+    assert (
+        not asking.heard(status_server.pack(OTHER, status_server.PART, status_server.Part(7, b"c", 1, 1, b"x")))
+        and asking.answer() is None
+    )
 
 
 # Real routers.
--- a/tests/peers/test_peers.py
+++ b/tests/peers/test_peers.py
@@ -9,11 +9,11 @@
 from wickhinge.decide import Chance
 from wickhinge.lab.many import judges, play, schedule
 from wickhinge.lab.many.schedule import Fault, Schedule
-from wickhinge.peers import lines, wire
+from wickhinge.peers import peer_session, wire
 from wickhinge.peers.detector import FailureDetector
 from wickhinge.peers.health import CUT, DOUBT, PERIOD
-from wickhinge.peers.lines import ADOPTED, ASKING, FRESH, REPLAYED, SMALLER, STRANGE, Line
 from wickhinge.peers.messages import ALIVE, GONE, SUSPECT
+from wickhinge.peers.peer_session import ADOPTED, ASKING, FRESH, REPLAYED, SMALLER, STRANGE, Line
 from wickhinge.peers.roster import Place, Roster, Unusable
 
 KEY = b"k" * 32
@@ -38,7 +38,7 @@
     line, believed, highest = proven(counter=100), {100}, 100
     for counter in counters:
         verdict = line.judge(1, 50, counter, 0, 0, 1.0, Chance(1))
-        assert verdict == (REPLAYED if counter in believed or highest - counter > lines.WINDOW else FRESH)
+        assert verdict == (REPLAYED if counter in believed or highest - counter > peer_session.WINDOW else FRESH)
         if verdict == FRESH:
             believed.add(counter)
             highest = max(highest, counter)
@@ -54,7 +54,7 @@
         (2, 1, True, ADOPTED),
         (0, 99, True, ASKING),
         (0, 99, False, STRANGE),
-        (lines.MOST, 1, True, REPLAYED),
+        (peer_session.MOST, 1, True, REPLAYED),
         (1, 0, True, REPLAYED),
     ],
 )
--- a/wickhinge/changelog/administration.py
+++ b/wickhinge/changelog/administration.py
@@ -22,7 +22,7 @@
 from wickhinge.changelog.nodes import Counters, RelayNode, ReplicaNode
 from wickhinge.changelog.proposals import Outcome
 from wickhinge.changelog.stored import NotLeader, Overloaded
-from wickhinge.peers.desk import ASK, Desk
+from wickhinge.peers.status_server import ASK, Desk
 from wickhinge.peers.wire import Unreadable
 
 STATUS, ROWS, APPEND = "changelog-status", "changelog-rows", "changelog-append"
--- a/wickhinge/cli/asking.py
+++ b/wickhinge/cli/asking.py
@@ -6,7 +6,7 @@
 import socket
 import time
 
-from wickhinge.peers.desk import Asking
+from wickhinge.peers.status_server import Asking
 
 AGAIN = 0.3  # seconds without a word after which the same is asked again
 ATTEMPTS = 5
--- a/wickhinge/net/fellows.py
+++ b/wickhinge/net/fellows.py
@@ -18,7 +18,7 @@
 from wickhinge.decide import Chance
 from wickhinge.fields import Malformed
 from wickhinge.options import keys
-from wickhinge.peers import desk, wire
+from wickhinge.peers import status_server, wire
 from wickhinge.peers.detector import FailureDetector
 from wickhinge.peers.messages import STATES, Message
 from wickhinge.peers.roster import Roster, Unusable, places
@@ -56,7 +56,7 @@
         self.seat(roster.mine.name)
 
     def seat(self, name: str) -> None:
-        self.desks = [desk.Desk(name, key, self.secret, clock()) for key in self.keys]
+        self.desks = [status_server.Desk(name, key, self.secret, clock()) for key in self.keys]
         for one in self.desks:
             one.words["peers"] = lambda more: msgspec.json.encode(self.shown())
 
@@ -129,7 +129,7 @@
         if self.taken > BUSY or self.closed:
             self.left += 1
             return
-        if datagram[:3] == desk.ASK:
+        if datagram[:3] == status_server.ASK:
             self.asked(datagram, addr)
             return
         for key in self.keys:
--- a/wickhinge/peers/__init__.py
+++ b/wickhinge/peers/__init__.py
@@ -4,6 +4,6 @@
 datagrams to send and says what it believes by `view`. It never chooses a cache and knows nothing of requests; what
 routers share (`shared`) and who owns what (`owner`) stand on it. docs/notes/peers.md says why it is as it is.
 
-Deciding, without I/O: roster, lines (replays), identity (our own life), members (suspicions, news), prober, health,
-detector. Speaking: messages, wire.
+Deciding, without I/O: roster, peer_session (replays), identity (our own life), member_table (suspicions, news), prober,
+health, detector. Speaking: messages, wire.
 """
--- a/wickhinge/peers/detector.py
+++ b/wickhinge/peers/detector.py
@@ -18,9 +18,9 @@
 
 from wickhinge.peers.health import CUT, PERIOD, LocalHealth
 from wickhinge.peers.identity import Identity
-from wickhinge.peers.lines import ADOPTED, ASKING, FRESH, SMALLER, STRANGE, Line
-from wickhinge.peers.members import Members
+from wickhinge.peers.member_table import Members
 from wickhinge.peers.messages import ALIVE, GONE, HELLO, SUSPECT, Belief, Message, News
+from wickhinge.peers.peer_session import ADOPTED, ASKING, FRESH, SMALLER, STRANGE, Line
 from wickhinge.peers.prober import Prober
 from wickhinge.peers.roster import Roster
 
--- a/wickhinge/peers/identity.py
+++ b/wickhinge/peers/identity.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from wickhinge.peers import lines
+from wickhinge.peers import peer_session
 from wickhinge.peers.health import LocalHealth
 from wickhinge.peers.messages import ALIVE, GONE, SUSPECT, Belief
 from wickhinge.peers.roster import Roster
@@ -26,7 +26,7 @@
     def born(self, roster: Roster, now: float) -> None:
         """A new life, which asks before it claims the name."""
         self.name, self.others = roster.mine.name, len(roster.others)
-        self.life, self.epoch, self.count = lines.draw(self.chance), 0, 0
+        self.life, self.epoch, self.count = peer_session.draw(self.chance), 0, 0
         self.asked = now
         self.told: dict[str, tuple[int, int, int, float]] = {}  # who answered: what it knows of our name, and when
         self.larger: dict[str, tuple[int, int]] = {}  # who believes a larger life of our name than ours
@@ -68,7 +68,7 @@
             self.larger.pop(sender, None)
             self.accuse(sender, count, state, now)
             return False
-        if (epoch, life) < (self.epoch, self.life) or epoch >= lines.MOST:
+        if (epoch, life) < (self.epoch, self.life) or epoch >= peer_session.MOST:
             return False
         self.larger[sender] = (epoch, life)
         # One alone may lie, or be mistaken; of two in all there is no second to ask.
--- a/wickhinge/peers/members.py
+++ b/wickhinge/peers/member_table.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 from math import ceil, log2, log10
 
-from wickhinge.peers import lines
+from wickhinge.peers import peer_session
 from wickhinge.peers.health import PERIOD
 from wickhinge.peers.identity import LEAP
 from wickhinge.peers.messages import ALIVE, GONE, STATES, SUSPECT, UNKNOWN, Message, News
@@ -117,7 +117,11 @@
         """
         name, epoch, life, count, state = news
         member = self.get(name)
-        if member is None or not 0 < state <= GONE or not (0 < epoch < lines.MOST and 0 < life <= lines.MASK):
+        if (
+            member is None
+            or not 0 < state <= GONE
+            or not (0 < epoch < peer_session.MOST and 0 < life <= peer_session.MASK)
+        ):
             return False
         if (epoch, life) > (member.epoch, member.life):
             return self.heard_of_larger(member, news, witness, now)
--- a/wickhinge/peers/prober.py
+++ b/wickhinge/peers/prober.py
@@ -6,9 +6,9 @@
 from dataclasses import dataclass
 from typing import Any
 
-from wickhinge.peers.chance import shuffle
+from wickhinge.common.random_source import shuffle
 from wickhinge.peers.health import PERIOD, LocalHealth
-from wickhinge.peers.members import Members
+from wickhinge.peers.member_table import Members
 from wickhinge.peers.messages import ACK, ALIVE, INDIRECT_ACK, INDIRECT_PING, PING, Message
 
 DIRECT = 0.15  # seconds for a probe's answer before others are asked
--- a/wickhinge/peers/desk.py
+++ b/wickhinge/peers/status_server.py
@@ -19,7 +19,7 @@
 
 import msgspec
 
-from wickhinge.peers.rate import Rate
+from wickhinge.common.token_bucket import TokenBucket
 from wickhinge.peers.wire import Unreadable, decoded, sealed, unsealed
 
 ASK, PART = b"WP?", b"WP!"
@@ -66,7 +66,7 @@
     def __init__(self, name: str, key: bytes, secret: bytes, now: float) -> None:
         self.name, self.key, self.secret = name, key, secret
         self.words: dict[str, Callable[[bytes], bytes]] = {}
-        self.rate = Rate(RATE, now)
+        self.rate = TokenBucket(RATE, now)
 
     def cookie(self, sender: Any, number: int, slot: int) -> bytes:
         text = f"{sender!r} {number} {slot}".encode()
--- a/wickhinge/shared/judge.py
+++ b/wickhinge/shared/judge.py
@@ -23,10 +23,10 @@
 from dataclasses import dataclass
 from typing import Any
 
-from wickhinge.peers.chance import shuffle
+from wickhinge.common.random_source import shuffle
+from wickhinge.common.token_bucket import TokenBucket
 from wickhinge.peers.detector import FailureDetector
 from wickhinge.peers.messages import HELLO
-from wickhinge.peers.rate import Rate
 from wickhinge.shared import words
 from wickhinge.shared.words import COLD, LOST, SLOW, WELL, Word
 
@@ -77,7 +77,7 @@
         self.seen: dict[int, Seen] = {}
         self.told: dict[int, dict[str, tuple[float, Word]]] = {}  # by machine and witness: when it was seen, the word
         self.looked = -1e9
-        self.push = Rate(PUSH, 0.0)
+        self.push = TokenBucket(PUSH, 0.0)
         self.sick = False  # we ourselves, by what the others say
         self.acted = 0
         self.unreadable = 0
