--- a/bench/peers.py
+++ b/bench/peers.py
@@ -53,7 +53,7 @@
     """Only what knowing each other costs."""
     process.limiter.tick = lambda now: None
     process.spend = process.look = lambda: None
-    process.detector.rider, process.detector.ridden = lambda name: b"", lambda name, data, now: None
+    process.detector.attach_piggyback(lambda name: b"", lambda name, data, now: None)
 
 
 @main.command()
@@ -74,14 +74,14 @@
             fleet.start(place)
         fleet.wheel.run(found + seconds)
         sends, size_of = fleet.sends / count / seconds, fleet.bytes / count / seconds
-        share = sum(one.detector.view(one.clock).share for one in fleet.processes) / count
+        share = sum(one.detector.view(one.clock).alive_fraction for one in fleet.processes) / count
         fleet.begin(kill)
         known = found + seconds
         fleet.wheel.run(known + 40.0)
         gone: dict[tuple[str, str], float] = {}
         false = 0
         for when, name, _number, event, more in fleet.history:
-            if event == "peer" and more["state"] == "gone" and when > found:
+            if event == "member_state" and more["state"] == "gone" and when > found:
                 if int(more["name"][1:]) in dead and when >= known:
                     gone.setdefault((name, more["name"]), when - known)
                 else:
--- a/bench/scale/detector.py
+++ b/bench/scale/detector.py
@@ -20,8 +20,8 @@
     """A detector that knows all others."""
     all_places = places(routers)
     detector = FailureDetector(Roster(all_places, all_places[0].name), Chance(seed), 0.0, lambda message: None)
-    for name in detector.roster.others:
-        peer = Roster([detector.roster.mine, detector.roster.places[name]], name)
+    for name in detector.roster.peer_names:
+        peer = Roster([detector.roster.local, detector.roster.entries[name]], name)
         introduce(detector, FailureDetector(peer, Chance(seed), 0.0, lambda message: None))
     return detector
 
@@ -36,7 +36,7 @@
         router.run(1.0)
         router.sent = router.bytes_sent = 0
         cpu.append(meter.median(lambda router=router: router.cpu(seconds)))
-        views.append(meter.cpu(lambda router=router: router.detector.view(router.now).brief(), VIEWS) / VIEW_INTERVAL)
+        views.append(meter.cpu(lambda router=router: router.detector.view(router.now).summary(), VIEWS) / VIEW_INTERVAL)
         passed = meter.rounds * seconds
         messages.append(router.sent / passed)
         sent.append(router.bytes_sent / passed)
--- a/bench/scale/fleet_faults.py
+++ b/bench/scale/fleet_faults.py
@@ -63,7 +63,7 @@
                 introduce(one.detector, other.detector)
         for process in self.processes:  # clocks have zeros of their own
             for member in process.detector.members.values():
-                member.since = member.word = process.clock
+                member.state_since = member.last_evidence_at = process.clock
 
     def count_from_here(self) -> None:
         self.sends = self.bytes = 0
@@ -80,13 +80,13 @@
 
     def least_share(self) -> float:
         """The least that any hears of the roster."""
-        return min(one.detector.view(one.clock).share for one in self.processes)
+        return min(one.detector.view(one.clock).alive_fraction for one in self.processes)
 
 
 def without_budgets(process: play.Process) -> None:
     process.limiter.tick = lambda now: None
     process.spend = process.look = lambda: None
-    process.detector.rider, process.detector.ridden = lambda name: b"", lambda name, data, now: None
+    process.detector.attach_piggyback(lambda name: b"", lambda name, data, now: None)
 
 
 def joint_start(size: int, seed: int) -> float:
@@ -94,7 +94,7 @@
     fleet = CountedFleet(size, seed)
     fleet.start_all()
     fleet.wheel.run(JOINT_START)
-    return statistics.mean(size * one.detector.view(one.clock).share - 1 for one in fleet.processes)
+    return statistics.mean(size * one.detector.view(one.clock).alive_fraction - 1 for one in fleet.processes)
 
 
 def death(size: int, seed: int) -> Told:
@@ -109,7 +109,7 @@
     fleet.play_on(WATCHED)
     known: dict[tuple[str, str], float] = {}
     for when, name, _, event, more in fleet.history:
-        if event == "peer" and more["state"] == "gone" and when > began and int(more["name"][1:]) in dead:
+        if event == "member_state" and more["state"] == "gone" and when > began and int(more["name"][1:]) in dead:
             known.setdefault((name, more["name"]), when - began)
     missing = len(dead) * (size - len(dead)) - len(known)
     spans = sorted([*known.values(), *[WATCHED] * missing])
--- a/bench/scale/judgements.py
+++ b/bench/scale/judgements.py
@@ -9,7 +9,7 @@
 from bench.scale.records import Row, row
 from wickhinge.decide import Chance, Cold, Fleet
 from wickhinge.interface import Listing
-from wickhinge.peers.messages import ALIVE
+from wickhinge.peers.messages import MemberState
 from wickhinge.shared import counts, judge, words
 
 WITNESSES = 30  # of the zone, who tell of a machine
@@ -30,10 +30,13 @@
     """What counts and judgements ask of a detector: the roster, who is up, chance, and a way to send."""
     names = [f"mate-{number:04}" for number in range(mates)]
     places = {name: SimpleNamespace(name=name, zone=FLEET_ZONE) for name in ("mine", *names)}
-    roster = SimpleNamespace(mine=places["mine"], others=names, places=places)
-    members = {name: SimpleNamespace(state=ALIVE, epoch=1, life=number + 1) for number, name in enumerate(names)}
+    roster = SimpleNamespace(local=places["mine"], peer_names=names, entries=places)
+    members = {
+        name: SimpleNamespace(state=MemberState.ALIVE, epoch=1, incarnation=number + 1)
+        for number, name in enumerate(names)
+    }
     return SimpleNamespace(
-        roster=roster, members=members, chance=Chance(1), epoch=1, life=1, send=lambda *told, **more: None
+        roster=roster, members=members, random_source=Chance(1), epoch=1, incarnation=1, send=lambda *told, **more: None
     )
 
 
@@ -42,7 +45,7 @@
     one = judge.Judge(stub_detector(WITNESSES), fleet(caches), lambda cache: None)
     one.tick(0.0, 0.0)
     marks = [cache.mark for cache in one.fleet.mine]
-    for name in one.detector.roster.others:
+    for name in one.detector.roster.peer_names:
         for since in range(0, len(marks), words.MOST):
             told = [words.Word(mark, words.LOST, 0.0, 0.1) for mark in marks[since : since + words.MOST]]
             one.ridden(name, words.pack(told), 0.1)
@@ -59,8 +62,8 @@
         with watch:
             one.tick(now, now)
             for number in range(int(DATAGRAMS_HEARD * judge.LOOK)):
-                one.ridden(one.detector.roster.others[number], told, now)
-                one.rider(one.detector.roster.others[number])
+                one.ridden(one.detector.roster.peer_names[number], told, now)
+                one.rider(one.detector.roster.peer_names[number])
     return watch.spent / seconds
 
 
@@ -82,7 +85,7 @@
 def counts_cpu(mates: int, caches: int) -> float:
     """CPU seconds a second: beats, and the riders of DATAGRAMS_HEARD datagrams read and written."""
     one, watch, beats = counting(mates, caches), Watch(), 16
-    names = one.detector.roster.others
+    names = one.detector.roster.peer_names
     for beat in range(2, beats + 2):
         now = beat * counts.BEAT
         fresh = tallies(mates, caches, beat)
--- a/bench/scale/leases.py
+++ b/bench/scale/leases.py
@@ -6,7 +6,7 @@
 
 from bench.scale.meter import Meter, memory
 from bench.scale.records import Row, row
-from wickhinge.peers.health import PERIOD
+from wickhinge.peers.health import PROBE_PERIOD_S
 from wickhinge.shared.name_lease import DRIFT, NameLeases, term
 
 LATE = 1e6  # seconds that the voters have been there already
@@ -19,7 +19,7 @@
 
 
 def asked_in_turn(holder: NameLeases, others: dict[str, NameLeases], life: int, seed: int, until: float) -> float:
-    """One voter a PERIOD, in a shuffled order of all, again and again: when the lease is held, or `until`."""
+    """One voter a PROBE_PERIOD_S, in a shuffled order of all, again and again: when the lease is held, or `until`."""
     rand, now, order = random.Random(seed), 0.0, []
     while now < until:
         if not order:
@@ -30,19 +30,19 @@
             holder.granted(name, now, now)
         if holder.until(now) > now:
             return now
-        now += PERIOD
+        now += PROBE_PERIOD_S
     return now
 
 
 def first(routers: int, seed: int) -> float:
     """Seconds until a name that is new holds its lease among routers that run for long."""
-    return max(asked_in_turn(NameLeases(routers, 0.0), voters(routers), 1, seed, 10.0 * routers), PERIOD)
+    return max(asked_in_turn(NameLeases(routers, 0.0), voters(routers), 1, seed, 10.0 * routers), PROBE_PERIOD_S)
 
 
 def restarted(routers: int, seed: int) -> float:
     """Seconds until a restarted process holds its name's lease: earlier grants have to end first."""
     others, rand = voters(routers), random.Random(seed)
-    asked_each = (routers - 1) * PERIOD
+    asked_each = (routers - 1) * PROBE_PERIOD_S
     for voter in others.values():
         voter.grant("holder", 1, -rand.uniform(0.0, asked_each))
     return asked_in_turn(NameLeases(routers, 0.0), others, 2, seed, 10.0 * routers)
@@ -72,7 +72,7 @@
     tables = [held(size) for size in sizes]
     cpu = [LOOK * meter.cpu(lambda lease=lease: lease.until(1.0), 20) for lease in tables]
     memories = [memory(lambda size=size: held(size)) for size in sizes]
-    asked = f"one voter asked each {PERIOD} s; drift {DRIFT}"
+    asked = f"one voter asked each {PROBE_PERIOD_S} s; drift {DRIFT}"
     return [
         row("name_lease_term", "router", "time", "routers", sizes, longest, "s", "computed", "name_lease.term"),
         row("name_lease_new", "router", "time", "routers", sizes, new, "s", "virtual", f"a new name; {asked}"),
--- a/bench/scale/lending.py
+++ b/bench/scale/lending.py
@@ -25,7 +25,7 @@
 
 def attach(routers: int) -> Callable[[FailureDetector, float], list[Callable[[float], None]]]:
     def to_router(detector: FailureDetector, now: float) -> list[Callable[[float], None]]:
-        zone = detector.roster.mine.zone
+        zone = detector.roster.local.zone
         return [LendingLimiter(detector, division(routers), cold.budgets(zone), now).tick]
 
     return to_router
@@ -35,7 +35,7 @@
     """A peer that has been there for long, and votes as in the whole fleet."""
 
     def to_peer(detector: FailureDetector, now: float) -> None:
-        limiter = LendingLimiter(detector, division(routers), cold.budgets(detector.roster.mine.zone), now)
+        limiter = LendingLimiter(detector, division(routers), cold.budgets(detector.roster.local.zone), now)
         limiter.leases.routers, limiter.leases.term, limiter.leases.born = routers, term(routers), LONG_AGO
 
     return to_peer
--- a/bench/scale/one_router.py
+++ b/bench/scale/one_router.py
@@ -17,34 +17,35 @@
 from wickhinge.net.fellows import TICK, VIEW_INTERVAL
 from wickhinge.peers import wire
 from wickhinge.peers.detector import FailureDetector
-from wickhinge.peers.health import PERIOD
-from wickhinge.peers.messages import ALIVE, PING, Message
-from wickhinge.peers.roster import Place, Roster
+from wickhinge.peers.health import PROBE_PERIOD_S
+from wickhinge.peers.messages import Gossip, MemberState, Message, MessageKind
+from wickhinge.peers.roster import Roster, RosterEntry
 
 KEY = b"of this fleet and of no other"
 ZONES = 52  # of the design
 EPOCH = 1
 
 
-def places(routers: int) -> list[Place]:
+def places(routers: int) -> list[RosterEntry]:
     """A roster of so many, in as many zones as the design has, a router in each at least."""
     return [
-        Place(f"router-{number:04}", ("127.0.0.1", number + 1), f"z{number % ZONES:02}") for number in range(routers)
+        RosterEntry(f"router-{number:04}", ("127.0.0.1", number + 1), f"z{number % ZONES:02}")
+        for number in range(routers)
     ]
 
 
 def believe(detector: FailureDetector, name: str, life: int) -> None:
     """As after both have spoken to each other."""
-    detector.lines[name].epoch, detector.lines[name].life = EPOCH, life
+    detector.sessions[name].epoch, detector.sessions[name].incarnation = EPOCH, life
     member = detector.members[name]
-    detector.members.believe(member, EPOCH, life, 0, ALIVE, 0.0)
-    member.word = 0.0
-    detector.members.untold.discard(name)
+    detector.members.accept(member, Gossip(name, EPOCH, life, 0, MemberState.ALIVE), 0.0)
+    member.last_evidence_at = 0.0
+    detector.members.gossip_pending.discard(name)
 
 
 def introduce(one: FailureDetector, other: FailureDetector) -> None:
-    believe(one, other.roster.mine.name, other.life)
-    believe(other, one.roster.mine.name, one.life)
+    believe(one, other.roster.local.name, other.incarnation)
+    believe(other, one.roster.local.name, one.incarnation)
 
 
 class OneRouter:
@@ -66,11 +67,11 @@
         self.inbox: deque[bytes] = deque()
         all_places = places(routers)
         roster = Roster(all_places, all_places[0].name)
-        self.name = roster.mine.name
+        self.name = roster.local.name
         self.detector = FailureDetector(roster, Chance(seed), 0.0, self.outbox.append)
         self.peers: dict[str, FailureDetector] = {}
         for place in all_places[1:]:
-            known = Roster([roster.mine, place], place.name)
+            known = Roster([roster.local, place], place.name)
             known.version = roster.version  # it stands for a peer with the whole roster
             peer = FailureDetector(known, Chance(self.random.getrandbits(60)), 0.0, self.answer)
             peer.identity.epoch = EPOCH
@@ -87,7 +88,7 @@
         self.asked = self.view_due = 0.0
 
     def answer(self, message: Message) -> None:
-        data = wire.pack(KEY, message)
+        data = wire.encode(KEY, message)
         self.received += 1
         self.bytes_received += len(data)
         self.inbox.append(data)
@@ -97,7 +98,7 @@
         if not self.asking:
             self.asking = list(self.peers.values())
             self.random.shuffle(self.asking)
-        self.asking.pop().send(self.name, PING, 1, self.now)
+        self.asking.pop().send(self.name, MessageKind.PING, 1, self.now)
 
     def step(self) -> None:
         """One tick of the router, and all datagrams that come of it."""
@@ -108,22 +109,22 @@
                 tick(self.now)
             if self.now >= self.view_due:
                 self.view_due = self.now + VIEW_INTERVAL
-                self.detector.view(self.now).brief()
-        if self.now - self.asked >= PERIOD:
+                self.detector.view(self.now).summary()
+        if self.now - self.asked >= PROBE_PERIOD_S:
             self.asked = self.now
             self.probe_by_peer()
         while self.outbox or self.inbox:
             while self.inbox:
                 data = self.inbox.popleft()
                 with self.watch:
-                    self.detector.heard(wire.read(KEY, data), self.now)
+                    self.detector.receive(wire.decode(KEY, data), self.now)
             while self.outbox:
                 message = self.outbox.popleft()
                 with self.watch:
-                    data = wire.pack(KEY, message)
+                    data = wire.encode(KEY, message)
                 self.sent += 1
                 self.bytes_sent += len(data)
-                self.peers[message.to].heard(wire.read(KEY, data), self.now)
+                self.peers[message.to].receive(wire.decode(KEY, data), self.now)
 
     def run(self, seconds: float) -> None:
         until = self.now + seconds
@@ -137,4 +138,4 @@
         return self.watch.spent / seconds
 
     def share_heard(self) -> float:
-        return self.detector.view(self.now).share
+        return self.detector.view(self.now).alive_fraction
--- a/bench/scale/spread.py
+++ b/bench/scale/spread.py
@@ -10,7 +10,7 @@
 from bench.scale.meter import Meter
 from bench.scale.records import Row, row
 from wickhinge.interface import Listing
-from wickhinge.peers.messages import ALIVE
+from wickhinge.peers.messages import MemberState
 from wickhinge.shared import judge
 from wickhinge.shared.counts import BEAT, STALE, Counts
 
@@ -34,14 +34,15 @@
 
     def member(self, name: str, names: list[str], life: int) -> Counts:
         detector = stub_detector(len(names) - 1)
-        places, lives = detector.roster.places, {other: place + 1 for place, other in enumerate(names)}
-        detector.roster.mine = places[name]
-        detector.roster.others = [other for other in names if other != name]
+        places, lives = detector.roster.entries, {other: place + 1 for place, other in enumerate(names)}
+        detector.roster.local = places[name]
+        detector.roster.peer_names = [other for other in names if other != name]
         detector.members = {
-            other: SimpleNamespace(state=ALIVE, epoch=1, life=lives[other]) for other in detector.roster.others
+            other: SimpleNamespace(state=MemberState.ALIVE, epoch=1, incarnation=lives[other])
+            for other in detector.roster.peer_names
         }
-        detector.life = life
-        detector.chance = self
+        detector.incarnation = life
+        detector.random_source = self
         detector.send = lambda to, kind, serial, now: self.deliver(name, to)
         return Counts(detector, fleet(CACHES, len(names)), 0.0)
 
@@ -73,7 +74,7 @@
     one: Any = judge.Judge(detector, machines, lambda cache: None)
     one.tick(0.0, 0.0)
     machines.parents[0].lost = True
-    names, rand, now = detector.roster.others, random.Random(seed), 0.0
+    names, rand, now = detector.roster.peer_names, random.Random(seed), 0.0
     while now < judge.FADE:
         now += judge.LOOK
         one.tick(now, now)
--- a/tests/changelog/test_changelog_parts.py
+++ b/tests/changelog/test_changelog_parts.py
@@ -34,7 +34,7 @@
 from wickhinge.net.changes import Changes
 from wickhinge.options import Fault
 from wickhinge.options.load import check
-from wickhinge.peers.status_server import Asking
+from wickhinge.peers.status_client import StatusClient
 
 HERE, THERE, ELSEWHERE = ("10.0.0.1", 1), ("10.0.0.2", 2), ("10.0.0.3", 3)
 KEY, NEXT_KEY = b"k" * 32, b"n" * 32
@@ -395,13 +395,13 @@
 
     def ask(self, word, more=b"", address=THERE, key=KEY):
         """As a command does: the first answer is the cookie."""
-        asking = Asking(key, "a", 7, word, more)
+        asking = StatusClient(key, "a", 7, word, more)
         for _ in range(2):
             before = len(self.node.reactor.sent)
             self.node.datagramReceived(asking.datagram(), address)
             for data, to in self.node.reactor.sent[before:]:
                 assert to == address
-                asking.heard(data)
+                asking.receive(data)
         return asking.answer()
 
     def append(self, change, request_id=b"i" * 16):
@@ -457,7 +457,7 @@
     leader.lead()
     assert leader.ask(STATUS, key=NEXT_KEY) is None
     more = msgspec.msgpack.encode(AppendRequest(b"i" * 16, encode(Purge(5, 0, 0))))
-    asking = Asking(KEY, "a", 7, APPEND, more)
+    asking = StatusClient(KEY, "a", 7, APPEND, more)
     leader.node.datagramReceived(asking.datagram(), THERE)
     assert leader.proposed == []
 
@@ -474,7 +474,7 @@
 def test_a_relay_appends_nothing(sockets):
     node = relay_node(sockets)
     desk = Administration(node, [KEY], 0.5)
-    assert APPEND not in desk._desks[0].words and desk.status().source in REPLICAS
+    assert APPEND not in desk._desks[0].command_names and desk.status().source in REPLICAS
 
 
 # The router's wiring.
--- a/tests/peers/test_desk.py
+++ b/tests/peers/test_status.py
@@ -12,8 +12,13 @@
 from click.testing import CliRunner
 
 from wickhinge.cli import main
+from wickhinge.common import sealing
+from wickhinge.common.sealing import DatagramError
 from wickhinge.lab.many.rig import free_port, with_us
-from wickhinge.peers import status_server, wire
+from wickhinge.peers import status_messages
+from wickhinge.peers.status_client import StatusClient
+from wickhinge.peers.status_messages import StatusPart
+from wickhinge.peers.status_server import COOKIE_SLOT_S, MAX_PARTS_PER_S, StatusServer
 
 ROOT = Path(__file__).parents[2]
 KEY, OTHER = b"k" * 16, b"o" * 16
@@ -21,8 +26,8 @@
 
 
 def made(name="n1"):
-    one = status_server.Desk(name, KEY, b"secret", 100.0)
-    one.words["say"] = lambda more: more * 3
+    one = StatusServer(name, KEY, b"secret", 100.0)
+    one.add_command("say", lambda more: more * 3)
     return one
 
 
@@ -30,10 +35,10 @@
     """Datagrams both ways until nothing more comes; those of the answers that are named are lost."""
     sent, came = [asking.datagram()], 0
     while sent:
-        answers = at.heard(sent.pop(), sender, now)
+        answers = at.receive(sent.pop(), sender, now)
         for answer in answers:
             came += 1
-            if came not in lose and asking.heard(answer):
+            if came not in lose and asking.receive(answer):
                 sent.append(asking.datagram())
     return asking.answer()
 
@@ -41,74 +46,80 @@
 @pytest.mark.parametrize("size", [0, 1, 400, 1100, 1101, 20000])
 def test_an_answer_of_any_length_comes_whole_in_parts(size):
     at = made()
-    at.words["long"] = lambda more: bytes(range(256)) * (size // 256) + b"x" * (size % 256)
-    assert exchange(at, status_server.Asking(KEY, "n1", 7, "long")) == at.words["long"](b"")
+    answer = bytes(range(256)) * (size // 256) + b"x" * (size % 256)
+    at.add_command("long", lambda payload: answer)
+    assert exchange(at, StatusClient(KEY, "n1", 7, "long")) == answer
 
 
 def test_lost_parts_come_when_it_is_asked_again():
-    at, asking = made(), status_server.Asking(KEY, "n1", 7, "say", b"ab" * 500)
+    at, asking = made(), StatusClient(KEY, "n1", 7, "say", b"ab" * 500)
     assert exchange(at, asking, lose=(2,)) is None
     assert exchange(at, asking) == b"ab" * 1500
 
 
 def test_without_its_cookie_an_ask_does_nothing_and_draws_less_than_it_is():
     at, done = made(), []
-    at.words["do"] = lambda more: done.append(1) or b"done"
-    asking = status_server.Asking(KEY, "n1", 7, "do")
+
+    def do(payload):
+        done.append(1)
+        return b"done"
+
+    at.add_command("do", do)
+    asking = StatusClient(KEY, "n1", 7, "do")
     first = asking.datagram()
-    (answer,) = at.heard(first, HERE, 100.0)
+    (answer,) = at.receive(first, HERE, 100.0)
     assert not done and len(answer) <= len(first)
-    assert asking.heard(answer) and not asking.heard(answer)
+    assert asking.receive(answer) and not asking.receive(answer)
     again = asking.datagram()
-    for sender, now in ((THERE, 100.0), (HERE, 100.0 + 2.1 * status_server.SLOT)):  # another's address, a later time
-        assert len(at.heard(again, sender, now)) == 1 and not done
-    assert len(made().heard(again, HERE, 100.0)) == 1  # the same secret; a new process has another
-    fresh = status_server.Desk("n1", KEY, b"another", 100.0)
-    fresh.words["do"] = at.words["do"]
-    assert status_server.read(KEY, status_server.PART, fresh.heard(again, HERE, 100.0)[0]).place == 0
+    for sender, now in ((THERE, 100.0), (HERE, 100.0 + 2.1 * COOKIE_SLOT_S)):  # another's address, a later time
+        assert len(at.receive(again, sender, now)) == 1 and not done
+    assert len(made().receive(again, HERE, 100.0)) == 1  # the same secret; a new process has another
+    fresh = StatusServer("n1", KEY, b"another", 100.0)
+    fresh.add_command("do", do)
+    assert status_messages.decode_part(KEY, fresh.receive(again, HERE, 100.0)[0]).index == 0
     done.clear()
-    assert at.heard(again, HERE, 104.9) and done == [1]
+    assert at.receive(again, HERE, 104.9) and done == [1]
 
 
 def test_what_is_not_for_it_not_known_or_too_long_is_said_or_left():
     at = made()
-    assert at.heard(status_server.Asking(KEY, "n2", 7, "say").datagram(), HERE, 100.0) == []
-    assert b"nothing that this router answers" in exchange(at, status_server.Asking(KEY, "n1", 7, "fly"))
-    at.words["huge"] = lambda more: b"x" * (status_server.EACH * status_server.PARTS + 1)
-    assert b"is longer than" in exchange(at, status_server.Asking(KEY, "n1", 7, "huge"))
+    assert at.receive(StatusClient(KEY, "n2", 7, "say").datagram(), HERE, 100.0) == []
+    assert b"nothing that this router answers" in exchange(at, StatusClient(KEY, "n1", 7, "fly"))
+    at.add_command("huge", lambda more: b"x" * (status_messages.MAX_PART_BYTES * status_messages.MAX_PARTS + 1))
+    assert b"is longer than" in exchange(at, StatusClient(KEY, "n1", 7, "huge"))
     for data in (
         b"",
         b"WP?",
-        status_server.Asking(OTHER, "n1", 7, "say").datagram(),
-        status_server.Asking(KEY, "n1", 7, "say").datagram()[:-1],
+        StatusClient(OTHER, "n1", 7, "say").datagram(),
+        StatusClient(KEY, "n1", 7, "say").datagram()[:-1],
     ):
-        with pytest.raises(wire.Unreadable):
-            at.heard(data, HERE, 100.0)
-    garbled = status_server.ASK + b"\x93\x01"
-    with pytest.raises(wire.Unreadable):
-        at.heard(garbled + wire.mac(KEY, garbled), HERE, 100.0)
+        with pytest.raises(DatagramError):
+            at.receive(data, HERE, 100.0)
+    garbled = status_messages.REQUEST_MAGIC + b"\x93\x01"
+    with pytest.raises(DatagramError):
+        at.receive(garbled + sealing.mac(KEY, garbled), HERE, 100.0)
 
 
 def test_a_flood_of_asks_is_answered_at_a_bounded_rate():
     at = made()
     told = sum(
-        len(at.heard(status_server.Asking(KEY, "n1", number, "say").datagram(), HERE, 100.0 + number / 1e4))
+        len(at.receive(StatusClient(KEY, "n1", number, "say").datagram(), HERE, 100.0 + number / 1e4))
         for number in range(10_000)
     )
-    assert status_server.RATE <= told <= 2 * status_server.RATE + 1
+    assert MAX_PARTS_PER_S <= told <= 2 * MAX_PARTS_PER_S + 1
 
 
 def test_another_asks_parts_and_foul_ones_change_nothing():
-    asking = status_server.Asking(KEY, "n1", 7, "say")
+    asking = StatusClient(KEY, "n1", 7, "say")
     for part in (
-        status_server.Part(8, b"c" * 16, 1, 1, b"x"),
-        status_server.Part(7, b"c", 2, 1, b"x"),
-        status_server.Part(7, b"c", 1, 65, b"x"),
-        status_server.Part(7, b"c", -1, 1, b"x"),
+        StatusPart(8, b"c" * 16, 1, 1, b"x"),
+        StatusPart(7, b"c", 2, 1, b"x"),
+        StatusPart(7, b"c", 1, 65, b"x"),
+        StatusPart(7, b"c", -1, 1, b"x"),
     ):
-        assert not asking.heard(status_server.pack(KEY, status_server.PART, part))
+        assert not asking.receive(status_messages.encode_part(KEY, part))
     assert (
-        not asking.heard(status_server.pack(OTHER, status_server.PART, status_server.Part(7, b"c", 1, 1, b"x")))
+        not asking.receive(status_messages.encode_part(OTHER, StatusPart(7, b"c", 1, 1, b"x")))
         and asking.answer() is None
     )
 
@@ -217,15 +228,15 @@
     # Another key, a step at a time; nobody is lost meanwhile.
     for step in ({"also": "other"}, {"key": "other", "also": "key"}, {"key": "other"}):
         for place in range(3):
-            before = len(fleet.events(place, "peers_reload"))
+            before = len(fleet.events(place, "peers_roster_reloaded"))
             fleet.change(place, **step)
-            fleet.until(lambda place=place, before=before: len(fleet.events(place, "peers_reload")) > before)
-        assert fleet.events(0, "peers_reload")[-1]["keys"] == 1 + ("also" in step)
+            fleet.until(lambda place=place, before=before: len(fleet.events(place, "peers_roster_reloaded")) > before)
+        assert fleet.events(0, "peers_roster_reloaded")[-1]["keys"] == 1 + ("also" in step)
         fleet.well()
     assert not any(
         event["state"] == "gone"
         for place in range(2)
-        for event in fleet.events(place, "peers_peer")
+        for event in fleet.events(place, "peers_member_state")
         if event["name"] != "n2"
     )
     # What cannot be changes nothing, and says why.
--- a/tests/shared/test_cold_shares.py
+++ b/tests/shared/test_cold_shares.py
@@ -18,7 +18,7 @@
 from wickhinge.lab.many.schedule import Schedule
 from wickhinge.options.load import Fault, check
 from wickhinge.peers.detector import FailureDetector
-from wickhinge.peers.roster import Place, Roster
+from wickhinge.peers.roster import Roster, RosterEntry
 from wickhinge.shared import cold
 from wickhinge.shared.lending import FLOOR, SPAN, Division, LendingLimiter
 from wickhinge.shared.name_lease import DRIFT
@@ -28,7 +28,7 @@
 
 
 def roster(zones, mine="n0"):
-    return Roster([Place(f"n{place}", ("127.0.0.1", place + 1), zone) for place, zone in enumerate(zones)], mine)
+    return Roster([RosterEntry(f"n{place}", ("127.0.0.1", place + 1), zone) for place, zone in enumerate(zones)], mine)
 
 
 def colds(share=1.0, processes=4):
--- a/tests/shared/test_counts.py
+++ b/tests/shared/test_counts.py
@@ -9,8 +9,8 @@
 from tests.support import routing as helpers
 from wickhinge.decide import Chance
 from wickhinge.peers.detector import FailureDetector
-from wickhinge.peers.messages import ALIVE
-from wickhinge.peers.roster import Place, Roster
+from wickhinge.peers.messages import MemberState
+from wickhinge.peers.roster import Roster, RosterEntry
 from wickhinge.shared import counts
 from wickhinge.shared.counts import BEAT, STALE, Counts, Tally
 
@@ -18,8 +18,8 @@
 
 
 def places(count=COUNT):
-    return [Place(f"n{one}", ("127.0.0.1", one + 1), "here") for one in range(count)] + [
-        Place("far", ("127.0.0.1", 99), "there")
+    return [RosterEntry(f"n{one}", ("127.0.0.1", one + 1), "here") for one in range(count)] + [
+        RosterEntry("far", ("127.0.0.1", 99), "there")
     ]
 
 
@@ -27,11 +27,11 @@
     def __init__(self, place, count=COUNT, boxes=4):
         self.name = f"n{place}"
         self.detector = FailureDetector(Roster(places(count), self.name), Chance(place), 0.0, lambda item: None)
-        self.detector.identity.epoch, self.detector.identity.life = 1, place + 1
+        self.detector.identity.epoch, self.detector.identity.incarnation = 1, place + 1
         for other in range(count):
             if other != place:
                 entry = self.detector.members[f"n{other}"]
-                entry.epoch, entry.life, entry.state = 1, other + 1, ALIVE
+                entry.epoch, entry.incarnation, entry.state = 1, other + 1, MemberState.ALIVE
         self.sends = []
         self.detector.send = lambda name, kind, serial, now: self.sends.append(name)
         self.fleet = helpers.router(boxes=boxes, routers=count, seed=place).fleet
--- a/tests/shared/test_judge.py
+++ b/tests/shared/test_judge.py
@@ -1,7 +1,6 @@
 """What others say of machines, weighed: witnesses, own eyes first, bounds, the sick, nothing where none speak."""
 
 import random
-from types import SimpleNamespace
 
 import pytest
 from hypothesis import given, settings
@@ -11,7 +10,7 @@
 from wickhinge.decide import Chance
 from wickhinge.interface import Outcome
 from wickhinge.peers.detector import FailureDetector
-from wickhinge.peers.roster import Place, Roster
+from wickhinge.peers.roster import Roster, RosterEntry
 from wickhinge.shared import words
 from wickhinge.shared.judge import FADE, LOOK, PUSH, Judge
 from wickhinge.shared.riding import Riding
@@ -23,7 +22,7 @@
 
     def __init__(self, group, place, boxes):
         self.group, self.name = group, f"n{place}"
-        places = [Place(f"n{one}", ("127.0.0.1", one + 1), "here" if one < 9 else "far") for one in range(10)]
+        places = [RosterEntry(f"n{one}", ("127.0.0.1", one + 1), "here" if one < 9 else "far") for one in range(10)]
         self.detector = FailureDetector(Roster(places, self.name), Chance(place), 0.0, lambda item: None)
         self.sends, self.looks = [], []
         self.detector.send = lambda name, kind, serial, now: self.sends.append((now, name))
@@ -88,7 +87,7 @@
     group.turn(1.0)
     third = group.routers[2]
     assert third.judge.told
-    third.detector.reload(Roster([Place("n2", ("127.0.0.1", 1), "here")], "n2"), group.now)
+    third.detector.reload(Roster([RosterEntry("n2", ("127.0.0.1", 1), "here")], "n2"), group.now)
     third.judge.reload()
     assert not any(third.judge.told.values())
     group.deaf = {(one.name, other.name) for one in group.routers for other in group.routers}
@@ -302,7 +301,11 @@
         def ridden(self, name, data, now):
             heard.append((self.name, data))
 
-    one, other = SimpleNamespace(), SimpleNamespace()
+    class Detector:
+        def attach_piggyback(self, piggyback_for, on_piggyback):
+            self.rider, self.ridden = piggyback_for, on_piggyback
+
+    one, other = Detector(), Detector()
     Riding(one, [Part("a"), None])
     there = Riding(other, [Part("a"), Part("b")])
     other.ridden("n1", one.rider("n2"), 0.0)
--- a/tests/shared/test_shared.py
+++ b/tests/shared/test_shared.py
@@ -11,7 +11,9 @@
 from wickhinge.lab.many import judges, play, schedule, trial
 from wickhinge.lab.many.schedule import Fault, Schedule
 from wickhinge.peers.detector import FailureDetector
-from wickhinge.peers.roster import Place, Roster
+from wickhinge.peers.identity import NameAnswer
+from wickhinge.peers.messages import MemberState
+from wickhinge.peers.roster import Roster, RosterEntry
 from wickhinge.shared import riders
 from wickhinge.shared.bucket import Bucket
 from wickhinge.shared.loans import TIME, Loans
@@ -223,16 +225,16 @@
 
 def test_a_name_that_left_while_it_was_asked_about_ours_is_asked_no_more():
     detector = FailureDetector(
-        Roster([Place(f"n{one}", ("127.0.0.1", one + 1), "") for one in range(3)], "n0"),
+        Roster([RosterEntry(f"n{one}", ("127.0.0.1", one + 1), "") for one in range(3)], "n0"),
         Chance(1),
         0.0,
         lambda item: None,
     )
-    detector.identity.told["n1"] = detector.identity.told["n2"] = (1, 5, 1, 0.0)
-    detector.reload(Roster([Place(f"n{one}", ("127.0.0.1", one + 1), "") for one in (0, 2)], "n0"), 0.1)
+    detector.identity.answers["n1"] = detector.identity.answers["n2"] = NameAnswer(1, 5, MemberState.ALIVE, 0.0)
+    detector.reload(Roster([RosterEntry(f"n{one}", ("127.0.0.1", one + 1), "") for one in (0, 2)], "n0"), 0.1)
     for turn in range(60):
         detector.tick(0.2 + turn * 0.1)
-    assert set(detector.identity.told) <= {"n2"}
+    assert set(detector.identity.answers) <= {"n2"}
 
 
 def used(routers, wants, plants=()):
--- a/wickhinge/changelog/administration.py
+++ b/wickhinge/changelog/administration.py
@@ -1,7 +1,7 @@
 """What an operator asks a replica or a relay over its socket: where it stands, who follows it, a change for the log.
 
-Asks and answers are those of `peers.desk`: under the fleet's key, and counted only with a cookie, so that one sent
-under another's address or of yesterday does nothing. Words: STATUS, ROWS, APPEND.
+Asks and answers are those of `peers.status_messages`: under the fleet's key, and counted only with a cookie, so that
+one sent under another's address or of yesterday does nothing. Words: STATUS, ROWS, APPEND.
 """
 
 from __future__ import annotations
@@ -22,8 +22,9 @@
 from wickhinge.changelog.nodes import Counters, RelayNode, ReplicaNode
 from wickhinge.changelog.proposals import Outcome
 from wickhinge.changelog.stored import NotLeader, Overloaded
-from wickhinge.peers.status_server import ASK, Desk
-from wickhinge.peers.wire import Unreadable
+from wickhinge.common.sealing import DatagramError
+from wickhinge.peers.status_messages import REQUEST_MAGIC
+from wickhinge.peers.status_server import StatusServer
 
 STATUS, ROWS, APPEND = "changelog-status", "changelog-rows", "changelog-append"
 ROWS_AT_ONCE = 400
@@ -113,12 +114,12 @@
         node.other_datagram = self._other_datagram
 
     def use_keys(self, keys: Sequence[bytes]) -> None:
-        self._desks = [Desk(self._node.name, key, self._secret, self._node.clock()) for key in keys]
+        self._desks = [StatusServer(self._node.name, key, self._secret, self._node.clock()) for key in keys]
         for desk in self._desks:
-            desk.words[STATUS] = lambda more: msgspec.json.encode(self.status())
-            desk.words[ROWS] = self._rows
+            desk.add_command(STATUS, lambda more: msgspec.json.encode(self.status()))
+            desk.add_command(ROWS, self._rows)
             if isinstance(self._node, ReplicaNode):
-                desk.words[APPEND] = self._append
+                desk.add_command(APPEND, self._append)
 
     def status(self) -> Status:
         node, now = self._node, self._node.clock()
@@ -143,12 +144,12 @@
         return status
 
     def _other_datagram(self, datagram: bytes, address: Any) -> bool:
-        if datagram[: len(ASK)] != ASK:
+        if datagram[: len(REQUEST_MAGIC)] != REQUEST_MAGIC:
             return False
         for desk in self._desks:
             try:
-                answers = desk.heard(datagram, address, self._node.clock())
-            except Unreadable:
+                answers = desk.receive(datagram, address, self._node.clock())
+            except DatagramError:
                 continue
             for answer in answers:
                 self._node.write(answer, address)
--- a/wickhinge/changelog/codec.py
+++ b/wickhinge/changelog/codec.py
@@ -1,4 +1,4 @@
-"""Packets as datagrams of at most LONGEST bytes, sealed under the fleet's key as `peers.wire` seals.
+"""Packets as datagrams of at most LONGEST bytes, sealed under the fleet's key as `common.sealing` seals.
 
     datagram = "WL1" body mac:16      body: head, kind byte, fields of the message
 
@@ -18,7 +18,11 @@
 from wickhinge.changelog.entries import DIGEST_BYTES, Entry, read_change, write_change
 from wickhinge.changelog.fields import Malformed, Reader, Writer
 from wickhinge.changelog.messages import NEWEST_FORMAT, OLDEST_FORMAT, Message, Packet
-from wickhinge.peers.wire import LONGEST, MAC, Unreadable, sealed, unsealed
+from wickhinge.common.sealing import MAC_BYTES as MAC
+from wickhinge.common.sealing import MAX_DATAGRAM_BYTES as LONGEST
+from wickhinge.common.sealing import DatagramError as Unreadable
+from wickhinge.common.sealing import seal as sealed
+from wickhinge.common.sealing import unseal as unsealed
 
 MAGIC = b"WL1"
 MOST_PROCESS_NAME = 32
--- a/wickhinge/changelog/nodes.py
+++ b/wickhinge/changelog/nodes.py
@@ -39,7 +39,7 @@
 from wickhinge.changelog.replica import Replica
 from wickhinge.changelog.settings import TICK_S, FollowSettings, RelaySettings, ReplicaSettings
 from wickhinge.changelog.stored import Overloaded, Stored
-from wickhinge.peers.wire import LONGEST
+from wickhinge.common.sealing import MAX_DATAGRAM_BYTES as LONGEST
 
 FORGET_ADDRESS_S = 30.0
 MOST_A_TICK = 4096  # datagrams that are looked at between two ticks; the others are counted as left
--- a/wickhinge/cli/asking.py
+++ b/wickhinge/cli/asking.py
@@ -6,7 +6,7 @@
 import socket
 import time
 
-from wickhinge.peers.status_server import Asking
+from wickhinge.peers.status_client import StatusClient
 
 AGAIN = 0.3  # seconds without a word after which the same is asked again
 ATTEMPTS = 5
@@ -21,7 +21,7 @@
 ) -> bytes:
     """Raises Silent."""
     reason = ""
-    asking = Asking(key, name, int.from_bytes(os.urandom(7)), word, more)
+    asking = StatusClient(key, name, int.from_bytes(os.urandom(7)), word, more)
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as line:
         line.connect(address)
         for _ in range(attempts):
@@ -30,7 +30,7 @@
                 until = time.monotonic() + AGAIN
                 while (left := until - time.monotonic()) > 0:
                     line.settimeout(left)
-                    if asking.heard(line.recv(65536)):
+                    if asking.receive(line.recv(65536)):
                         line.send(asking.datagram())
                         until = time.monotonic() + AGAIN
                     if (found := asking.answer()) is not None:
--- a/wickhinge/cli/peers.py
+++ b/wickhinge/cli/peers.py
@@ -24,7 +24,7 @@
     """The key, and of each name its address."""
     from wickhinge.fields import Malformed
     from wickhinge.options import Fault, keys, load
-    from wickhinge.peers.roster import places
+    from wickhinge.peers.roster import read_entries
 
     path = path or os.environ.get("WICKHINGE_OPTIONS")
     if not path:
@@ -32,7 +32,7 @@
     try:
         found = load(path).peers
         key = keys.read("peers.key_file", found.key_file)
-        addresses = {one.name: one.address for one in places(found.roster)}
+        addresses = {one.name: one.address for one in read_entries(found.roster)}
     except (Fault, Malformed) as problem:
         fail(str(problem))
     if not addresses:
--- a/wickhinge/lab/many/judges.py
+++ b/wickhinge/lab/many/judges.py
@@ -20,11 +20,11 @@
     for when, name, process, event, told in history:
         if event != "believed":
             continue
-        datagram = (process, told["of"], told["life"], told["counter"])
+        datagram = (process, told["of"], told["incarnation"], told["counter"])
         if datagram in seen:
             faults.append(f"{when:.3f} {name}: believes a datagram of {told['of']} twice, counter {told['counter']}")
         seen.add(datagram)
-        claimed = told["epoch"], told["life"]
+        claimed = told["epoch"], told["incarnation"]
         if claimed < top[process, told["of"]]:
             faults.append(f"{when:.3f} {name}: believes {told['of']} in an earlier life, epoch {told['epoch']}")
         top[process, told["of"]] = claimed
@@ -63,7 +63,7 @@
     """
     found = []
     for when, name, _, event, told in history:
-        if event != "peer" or told["state"] != "gone":
+        if event != "member_state" or told["state"] != "gone":
             continue
         place = int(told["name"][1:])
         if not any(
--- a/wickhinge/lab/many/play.py
+++ b/wickhinge/lab/many/play.py
@@ -8,6 +8,7 @@
 from types import SimpleNamespace
 from typing import Any
 
+from wickhinge.common.sealing import DatagramError
 from wickhinge.decide import Chance, Cold
 from wickhinge.lab.many.director import Director
 from wickhinge.lab.many.schedule import Fault, Schedule
@@ -15,7 +16,7 @@
 from wickhinge.peers import wire
 from wickhinge.peers.detector import FailureDetector
 from wickhinge.peers.messages import Message
-from wickhinge.peers.roster import Place, Roster
+from wickhinge.peers.roster import Roster, RosterEntry
 from wickhinge.shared import cold
 from wickhinge.shared.lending import Dealt, Division, LendingLimiter
 
@@ -88,7 +89,7 @@
 
     def look(self) -> None:
         """Writes down what the layers above are told, where it changed."""
-        seen = self.detector.view(self.clock).brief()
+        seen = self.detector.view(self.clock).summary()
         if seen != self.seen:
             self.seen = seen
             self.log("view", **seen)
@@ -112,7 +113,7 @@
                     self.fleet.sent[machine.mark].append((self.fleet.now, self.name, work))
 
     def send(self, item: Message) -> None:
-        self.fleet.carry(self, self.fleet.places.get(item.to), wire.pack(KEY, item))
+        self.fleet.carry(self, self.fleet.places.get(item.to), wire.encode(KEY, item))
 
     def take(self, data: bytes) -> None:
         if self.dead:
@@ -121,19 +122,21 @@
             self.waiting.append(data)
             return
         try:
-            item = wire.read(KEY, data)
-        except wire.Unreadable:
+            item = wire.decode(KEY, data)
+        except DatagramError:
             self.fleet.unreadable += 1
             return
-        line = self.detector.lines.get(item.sender)
-        was = (line.epoch, line.life, line.heard) if line is not None else None
-        self.detector.heard(item, self.clock)
+        line = self.detector.sessions.get(item.sender)
+        was = (line.epoch, line.incarnation, line.heard_at) if line is not None else None
+        self.detector.receive(item, self.clock)
         if (
             line is not None
-            and (line.epoch, line.life) == (item.epoch, item.life)
-            and ((line.epoch, line.life, line.heard) != was)
+            and (line.epoch, line.incarnation) == (item.epoch, item.incarnation)
+            and ((line.epoch, line.incarnation, line.heard_at) != was)
         ):
-            self.fleet.write(self, "believed", of=item.sender, epoch=item.epoch, life=item.life, counter=item.counter)
+            self.fleet.write(
+                self, "believed", of=item.sender, epoch=item.epoch, incarnation=item.incarnation, counter=item.counter
+            )
 
     def reroster(self, missing: set[int]) -> None:
         self.detector.reload(self.fleet.roster(self.name, missing), self.clock)
@@ -172,7 +175,7 @@
     def roster(self, mine: str, missing: set[int] | frozenset[int] = frozenset()) -> Roster:
         return Roster(
             [
-                Place(name, ("127.0.0.1", place + 1), f"z{place % self.schedule.zones}")
+                RosterEntry(name, ("127.0.0.1", place + 1), f"z{place % self.schedule.zones}")
                 for place, name in enumerate(self.names)
                 if place not in missing
             ],
@@ -240,17 +243,17 @@
 
 def foul(data: bytes, names: list[str], rand: random.Random) -> bytes:
     """A process that has the key and lies: about counts, and about others' lives."""
-    item = wire.read(KEY, data)
+    item = wire.decode(KEY, data)
     news = tuple(
         (name, epoch, life, rand.choice((count, count + 1, 1 << 62)), rand.choice((1, 2, 3)))
-        for name, epoch, life, count, _ in item.news
+        for name, epoch, life, count, _ in item.gossip
     )
     name = rand.choice(names)
     news += ((name, rand.choice((1, 2, 1 << 40)), rand.getrandbits(60) | 1, 0, 1),)
-    known = item.known
+    known = item.belief
     if rand.random() < 0.1:
         known = (rand.choice((known[0] + 1, 1 << 40)), rand.getrandbits(60) | 1, 0, 1)
-    return wire.pack(KEY, replace(item, news=news, known=known))
+    return wire.encode(KEY, replace(item, gossip=news, belief=known))
 
 
 def play(schedule: Schedule, plants: tuple[Any, ...] = ()) -> Fleet:
--- a/wickhinge/lab/many/rig.py
+++ b/wickhinge/lab/many/rig.py
@@ -329,9 +329,9 @@
         top: dict[tuple[int, int, str], tuple[int, int]] = defaultdict(lambda: (0, 0))
         faults = []
         for when, place, data in self.seen:
-            item = wire.read(KEY, data)
-            told = item.known[:2]
-            if told < top[place, item.life, item.to]:
+            item = wire.decode(KEY, data)
+            told = item.belief[:2]
+            if told < top[place, item.incarnation, item.to]:
                 faults.append(f"{when:.3f} {item.sender}: believes {item.to} in an earlier life, epoch {told[0]}")
-            top[place, item.life, item.to] = told
+            top[place, item.incarnation, item.to] = told
         return faults
--- a/wickhinge/net/fellows.py
+++ b/wickhinge/net/fellows.py
@@ -15,13 +15,16 @@
 from twisted.internet.error import CannotListenError
 from twisted.internet.protocol import DatagramProtocol
 
+from wickhinge.common.sealing import MAX_DATAGRAM_BYTES, DatagramError
 from wickhinge.decide import Chance
 from wickhinge.fields import Malformed
 from wickhinge.options import keys
-from wickhinge.peers import status_server, wire
+from wickhinge.peers import wire
 from wickhinge.peers.detector import FailureDetector
-from wickhinge.peers.messages import STATES, Message
-from wickhinge.peers.roster import Roster, Unusable, places
+from wickhinge.peers.messages import Message
+from wickhinge.peers.roster import Roster, RosterError, read_entries
+from wickhinge.peers.status_messages import REQUEST_MAGIC
+from wickhinge.peers.status_server import StatusServer
 
 TICK = 0.05
 VIEW_INTERVAL = 0.5  # seconds from one look at the view to the next: a probe's period
@@ -53,12 +56,12 @@
         self.judge: Any = None  # and `shared.judgements`
         self.counts: Any = None  # and `shared.counts`
         self.secret = os.urandom(32)
-        self.seat(roster.mine.name)
+        self.seat(roster.local.name)
 
     def seat(self, name: str) -> None:
-        self.desks = [status_server.Desk(name, key, self.secret, clock()) for key in self.keys]
+        self.desks = [StatusServer(name, key, self.secret, clock()) for key in self.keys]
         for one in self.desks:
-            one.words["peers"] = lambda more: msgspec.json.encode(self.shown())
+            one.add_command("peers", lambda more: msgspec.json.encode(self.shown()))
 
     def share(self, division: Any, judgements: bool, counts: bool) -> None:
         """Cold machines' limits are asked of the fleet's budgets from now on; judgements: and machines told of;
@@ -75,7 +78,7 @@
 
         fleet = self.node.router.fleet
         self.limiter = LendingLimiter(
-            self.detector, division, cold.budgets(self.detector.roster.mine.zone), clock(), log
+            self.detector, division, cold.budgets(self.detector.roster.local.zone), clock(), log
         )
         if judgements:
             self.judge = Judge(self.detector, fleet, self.node.probe, log)
@@ -87,9 +90,9 @@
 
     def start(self) -> None:
         """Raises OSError where our address of the roster cannot be had: another process has the name here."""
-        host, port = self.detector.roster.mine.address
+        host, port = self.detector.roster.local.address
         try:
-            self.port = self.node.reactor.listenUDP(port, self, interface=host, maxPacketSize=wire.LONGEST + 1)
+            self.port = self.node.reactor.listenUDP(port, self, interface=host, maxPacketSize=MAX_DATAGRAM_BYTES + 1)
         except CannotListenError as problem:
             raise OSError(problem.socketError.errno, f"peers: {host}:{port}: {problem.socketError.strerror}") from None
         self.tick()
@@ -113,14 +116,14 @@
 
     def log_view(self, now: float) -> None:
         """Tells the log where the view has changed. It goes through the whole roster, so not at each tick."""
-        seen = self.detector.view(now).brief()
+        seen = self.detector.view(now).summary()
         if seen != self.seen:
             self.seen = seen
             self.log("peers_view", **seen)
 
     def send(self, item: Message) -> None:
         try:
-            self.transport.write(wire.pack(self.keys[0], item), self.detector.roster.places[item.to].address)
+            self.transport.write(wire.encode(self.keys[0], item), self.detector.roster.entries[item.to].address)
         except OSError:  # full, or no way there: as lost on the way, which is what all above reckons with
             self.unsent += 1
 
@@ -129,23 +132,23 @@
         if self.taken > BUSY or self.closed:
             self.left += 1
             return
-        if datagram[:3] == status_server.ASK:
+        if datagram[: len(REQUEST_MAGIC)] == REQUEST_MAGIC:
             self.asked(datagram, addr)
             return
         for key in self.keys:
             try:
-                item = wire.read(key, datagram)
-            except wire.Unreadable:
+                item = wire.decode(key, datagram)
+            except DatagramError:
                 continue
-            self.detector.heard(item, clock())
+            self.detector.receive(item, clock())
             return
         self.unreadable += 1
 
     def asked(self, datagram: bytes, addr: Any) -> None:
         for one in self.desks:
             try:
-                answers = one.heard(datagram, addr, clock())
-            except wire.Unreadable:
+                answers = one.receive(datagram, addr, clock())
+            except DatagramError:
                 continue
             for answer in answers:
                 try:
@@ -162,20 +165,20 @@
         now, detector = clock(), self.detector
         view = detector.view(now)
         return {
-            "share": round(view.share, 3),
-            "zones": {zone: round(part, 3) for zone, part in view.zones.items()},
-            "cut_s": None if view.cut_since is None else round(now - view.cut_since, 1),
-            "unheard": view.unheard,
-            "oldest_s": round(view.oldest, 1),
+            "share": round(view.alive_fraction, 3),
+            "zones": {zone: round(part, 3) for zone, part in view.alive_fraction_by_zone.items()},
+            "cut_s": None if view.isolated_since is None else round(now - view.isolated_since, 1),
+            "unheard": view.is_thought_gone,
+            "oldest_s": round(view.oldest_evidence_s, 1),
             "epoch": detector.epoch,
-            "twin": view.twin,
-            "rosters": view.rosters,
+            "twin": view.has_duplicate,
+            "rosters": view.other_rosters,
             "doubt": detector.health.doubt,
             "sent": detector.sent,
             "unreadable": self.unreadable,
             "unsent": self.unsent,
             "left": self.left,
-            "states": {name: STATES[entry.state] for name, entry in sorted(detector.members.items())[:SHOWN]},
+            "states": {name: entry.state.label for name, entry in sorted(detector.members.items())[:SHOWN]},
             **({} if self.limiter is None else {"shared": self.limiter.figures(now)}),
             **({} if self.judge is None else {"judgements": self.judge.figures(now)}),
             **({} if self.counts is None else {"counts": self.counts.figures(now)}),
@@ -188,18 +191,18 @@
         fellows = [
             {
                 "name": name,
-                "zone": detector.roster.places[name].zone,
-                "state": STATES[entry.state],
+                "zone": detector.roster.entries[name].zone,
+                "state": entry.state.label,
                 "epoch": entry.epoch,
-                "since_s": round(now - entry.since, 1) if entry.state else None,
-                "word_s": round(now - entry.word, 1) if entry.word > 0 else None,
-                "roster": detector.others_rosters.get(name, detector.roster.version) == detector.roster.version,
+                "since_s": round(now - entry.state_since, 1) if entry.state else None,
+                "word_s": round(now - entry.last_evidence_at, 1) if entry.last_evidence_at > 0 else None,
+                "roster": detector.roster_versions.get(name, detector.roster.version) == detector.roster.version,
             }
             for name, entry in sorted(detector.members.items())
         ]
         return {
-            "name": detector.roster.mine.name,
-            "zone": detector.roster.mine.zone,
+            "name": detector.roster.local.name,
+            "zone": detector.roster.local.zone,
             "roster": f"{detector.roster.version:016x}",
             "settled": detector.epoch > 0,
             **told,
@@ -210,8 +213,8 @@
         """Another roster and other keys from now on; shares move by the roster at once. Raises Malformed, and then
         nothing has changed.
         """
-        roster, keys = told_by(options, self.detector.roster.mine.name)
-        if roster.mine.address != self.detector.roster.mine.address:
+        roster, keys = told_by(options, self.detector.roster.local.name)
+        if roster.local.address != self.detector.roster.local.address:
             raise Malformed("peers.roster: our own address changes at a restart only")
         if self.limiter is not None:
             division = divided(options, roster, self.node.router.fleet.zone)
@@ -222,13 +225,13 @@
                     f"{division.processes}"
                 )
         self.keys = keys
-        self.seat(roster.mine.name)
+        self.seat(roster.local.name)
         self.detector.reload(roster, clock())
         if self.limiter is not None:
             self.limiter.reload(clock())
         if self.judge is not None:
             self.judge.reload()
-        self.log("peers_reload", names=len(roster), roster=f"{roster.version:016x}", keys=len(keys))
+        self.log("peers_roster_reloaded", names=len(roster), roster=f"{roster.version:016x}", keys=len(keys))
 
     def close(self) -> None:
         self.closed = True
@@ -239,8 +242,8 @@
     """Raises Malformed with the faulty key."""
     found = options.peers
     try:
-        roster = Roster(places(found.roster), name)
-    except Unusable as problem:
+        roster = Roster(read_entries(found.roster), name)
+    except RosterError as problem:
         raise Malformed(f"peers.roster: {problem}") from None
     also = [keys.read("peers.also_key_file", found.also_key_file)] if found.also_key_file else []
     return roster, [keys.read("peers.key_file", found.key_file), *also]
@@ -250,8 +253,8 @@
     """The Division. Raises Malformed where the roster's zones are not the platform's."""
     from wickhinge.shared.lending import Division
 
-    mine = roster.mine
-    if mine.zone != zone and any(one.zone for one in roster.places.values()):
+    mine = roster.local
+    if mine.zone != zone and any(one.zone for one in roster.entries.values()):
         raise Malformed(
             f"peers.roster: {mine.name} stands in zone {mine.zone!r}, the platform's settings say "
             f"{zone!r}: caches' limits are dealt among a zone's routers"
--- a/wickhinge/peers/detector.py
+++ b/wickhinge/peers/detector.py
@@ -1,13 +1,13 @@
-"""The failure detector: who is there, by probes, suspicion with a bound, and doubt of oneself first.
+"""The failure detector: which peers are alive, by probes, bounded suspicion, and doubt of oneself first.
 
 After SWIM (Das, Gupta and Motivala, 2002) and the local health of Lifeguard (Dadgar, Phillips and Currey, 2018), over
-a roster that is known: each period one other is probed, in a shuffled order of all; one that does not answer is probed
-through three more; one that nobody reaches is suspected, and gone when it has not refuted that in time. News ride on
-the datagrams that there are. So a router sends as much a second in a fleet of 500 as in one of 10.
+a roster that is known: each period one peer is probed, in a shuffled order of all; one that does not answer is probed
+through three others; one that nobody reaches is suspected, and gone when it has not refuted that in time. Gossip rides
+on the datagrams that there are. So a router sends as much a second in a fleet of 500 as in one of 10.
 
-A probe's answer is the only proof that two hear each other both ways; what is merely heard proves one way. A router
+Only a probe's answer proves that two peers hear each other both ways; what is merely received proves one way. A router
 whose own probes are not answered, or whose loop stood still, doubts itself before its peers: its time limits grow, and
-it calls nobody suspect until somebody has answered it again.
+it suspects nobody until somebody has answered it again.
 """
 
 from __future__ import annotations
@@ -16,64 +16,73 @@
 from dataclasses import dataclass
 from typing import Any
 
-from wickhinge.peers.health import CUT, PERIOD, LocalHealth
+from wickhinge.common.random_source import RandomSource
+from wickhinge.peers.health import ISOLATED_AFTER_PERIODS, PROBE_PERIOD_S, LocalHealth
 from wickhinge.peers.identity import Identity
-from wickhinge.peers.member_table import Members
-from wickhinge.peers.messages import ALIVE, GONE, HELLO, SUSPECT, Belief, Message, News
-from wickhinge.peers.peer_session import ADOPTED, ASKING, FRESH, SMALLER, STRANGE, Line
+from wickhinge.peers.member_table import MemberTable
+from wickhinge.peers.messages import Belief, Gossip, MemberState, Message, MessageKind
+from wickhinge.peers.peer_session import PeerSession, Verdict
 from wickhinge.peers.prober import Prober
 from wickhinge.peers.roster import Roster
 
-PAUSED = 1.0  # seconds between two ticks from which this router takes itself for paused
-REPLACED = 2.0  # seconds after which a life is gone that is silent while another asks for its name, at its address
-LEFT = 1024  # names that left whose lines are kept
-SAY_AGAIN = 0.1  # seconds at least between two answers to one whom we don't know
+_PAUSE_S = 1.0  # between two ticks, from which this router takes itself for paused
+_REPLACED_AFTER_S = 2.0  # an incarnation is gone that is silent so long while another asks for its name
+_MAX_FORMER_SESSIONS = 1024
+_MIN_HELLO_INTERVAL_S = 0.1  # between two answers to a peer that does not know us
+_ISOLATED_AFTER_S = ISOLATED_AFTER_PERIODS * PROBE_PERIOD_S
 
 
 @dataclass(frozen=True, slots=True)
-class View:
-    """What the detector tells of the fleet."""
+class FleetView:
+    """What the detector tells of the fleet. Fractions count this router too."""
 
-    share: float  # of the roster, ourselves in it, that is alive as far as we know
-    zones: dict[str, float]
-    cut_since: float | None  # since when none of our probes was answered
-    unheard: bool  # others say again and again that we are gone, though we hear them
-    oldest: float  # seconds since the oldest last word of those alive, 0 for none
-    settled: bool  # the name is ours
-    twin: bool  # another life of our name is alive
-    rosters: int  # of those alive, how many told of another roster
+    alive_fraction: float  # of the roster
+    alive_fraction_by_zone: dict[str, float]
+    isolated_since: float | None  # since when none of our probes was answered
+    is_thought_gone: bool  # peers say again and again that we are gone, though we hear them
+    oldest_evidence_s: float  # since the last evidence of the peer heard least lately of those alive, 0 for none
+    has_claimed_name: bool
+    has_duplicate: bool  # another incarnation of our name is alive
+    other_rosters: int  # how many of those alive have another roster
 
-    def brief(self) -> dict[str, Any]:
-        """What is written down where it changes; the laboratory judges by it."""
-        return {"share": round(self.share, 4), "cut": self.cut_since is not None, "settled": self.settled}
+    def summary(self) -> dict[str, Any]:
+        """What is logged where it changes; the laboratory judges by it."""
+        return {
+            "share": round(self.alive_fraction, 4),
+            "cut": self.isolated_since is not None,
+            "settled": self.has_claimed_name,
+        }
 
 
 class FailureDetector:
-    """One router among its peers. send(message) is called within tick and heard; log(event, **fields) for operators."""
+    """One router among its peers.
+
+    send(message) is called within `tick` and `receive` for each datagram, log_event(event, **fields) for each event for
+    the operators. `now` is seconds of a clock that only rises.
+    """
 
     def __init__(
         self,
         roster: Roster,
-        chance: Any,
+        random_source: RandomSource,
         now: float,
         send: Callable[[Message], None],
-        log: Callable[..., None] = lambda *a, **k: None,
+        log_event: Callable[..., None] = lambda *args, **fields: None,  # noqa: ARG005 - any event
     ) -> None:
-        self.chance, self.send_message, self.log = chance, send, log
-        self.lines: dict[str, Line] = {}
-        self.left: dict[str, Line] = {}  # of names that are not on the roster any more, the latest LEFT
-        self.others_rosters: dict[str, int] = {}  # versions, as names told
-        self.greeted: dict[str, float] = {}  # when one whom we don't know was last answered
-        self.ticked = self.began = now
-        self.sent = 0
-        self.rider: Callable[[str], bytes] = lambda name: b""
-        self.ridden: Callable[[str, bytes, float], None] = lambda name, data, now: None
+        self.random_source, self._send_message, self._log_event = random_source, send, log_event
+        self.sessions: dict[str, PeerSession] = {}
+        self._former_sessions: dict[str, PeerSession] = {}  # of names that have left the roster
+        self.roster_versions: dict[str, int] = {}  # as peers told
+        self._hello_sent_at: dict[str, float] = {}  # when a peer that does not know us was last answered
+        self._ticked_at = self._started_at = now
+        self.sent = 0  # datagrams
+        self._piggyback_for: Callable[[str], bytes] | None = None
+        self._on_piggyback: Callable[[str, bytes, float], None] | None = None
         self.roster = roster
         self.health = LocalHealth()
-        self.members = Members(log)
-        self.identity = Identity(chance, self.health, log)
-        self.identity.born(roster, now)
-        self.prober = Prober(chance, self.members, self.health, self.send, now)
+        self.members = MemberTable(log_event)
+        self.identity = Identity(roster, random_source, self.health, log_event, now)
+        self._prober = Prober(random_source, self.members, self.health, self.send, now)
         self.reload(roster, now)
 
     @property
@@ -82,170 +91,189 @@
         return self.identity.epoch
 
     @property
-    def life(self) -> int:
-        return self.identity.life
+    def incarnation(self) -> int:
+        """The number of this process, or of its latest start under the name."""
+        return self.identity.incarnation
+
+    def attach_piggyback(
+        self, piggyback_for: Callable[[str], bytes], on_piggyback: Callable[[str, bytes, float], None]
+    ) -> None:
+        """Lets another part send with the detector's datagrams, in place of the part that did before.
+
+        piggyback_for(name) is called for each datagram to a peer, on_piggyback(name, data, now) for each that came.
+        """
+        self._piggyback_for, self._on_piggyback = piggyback_for, on_piggyback
 
     def reload(self, roster: Roster, now: float) -> None:
-        """Another roster from now on; who stands in both keeps what is known of it."""
+        """Takes another roster; who stands in both keeps what is known of it."""
         self.roster = roster
-        # A name may come back, also by a roster that was put back. Without its line our counters would begin anew, of
-        # which it believes none, and a datagram of before would be believed a second time.
-        for name in sorted(set(self.lines) - set(roster.others)):
-            self.left[name] = self.lines.pop(name)
-        for name in roster.others:
-            if name in self.left:
-                self.lines[name] = self.left.pop(name)
-            self.lines.setdefault(name, Line(name))
-        while len(self.left) > LEFT:
-            del self.left[next(iter(self.left))]
-        for table in (self.others_rosters, self.greeted):
-            for name in set(table) - set(roster.others):
-                del table[name]
-        self.members.keep(roster, now)
-        self.identity.keep(roster)
-        self.prober.keep()
+        # A name may come back, also by a roster that was put back. Without its session our counters would begin anew,
+        # of which it accepts none, and an old datagram would be accepted a second time.
+        for name in sorted(set(self.sessions) - set(roster.peer_names)):
+            self._former_sessions[name] = self.sessions.pop(name)
+        for name in roster.peer_names:
+            if name in self._former_sessions:
+                self.sessions[name] = self._former_sessions.pop(name)
+            self.sessions.setdefault(name, PeerSession(name))
+        while len(self._former_sessions) > _MAX_FORMER_SESSIONS:
+            del self._former_sessions[next(iter(self._former_sessions))]
+        roster.drop_strangers(self.roster_versions)
+        roster.drop_strangers(self._hello_sent_at)
+        self.members.reload(roster, now)
+        self.identity.reload(roster)
+        self._prober.reload()
 
     # Time.
 
     def tick(self, now: float) -> None:
-        """To be called several times a period, in seconds of a clock that only rises."""
-        gap = now - self.ticked
-        self.ticked = now
-        if gap > PAUSED:  # stopped, starved, or the clock jumped: what was not heard meanwhile tells of ourselves
-            self.health.worst()
-            self.members.put_off(gap)
-            self.prober.paused(now)
-            self.log("paused", seconds=round(gap, 3))
-        self.identity.claim(now)
-        failed = self.prober.overdue(now)
+        """To be called several times a probe period."""
+        pause_s = now - self._ticked_at
+        self._ticked_at = now
+        if pause_s > _PAUSE_S:  # stopped, starved, or the clock jumped: what was missed meanwhile tells of ourselves
+            self.health.paused()
+            self.members.put_off_suspicions(pause_s)
+            self._prober.forget_probes(now)
+            self._log_event("paused", seconds=round(pause_s, 3))
+        self.identity.try_claim(now)
+        failed = self._prober.take_failed(now)
         if failed is not None:
-            self.probe_failed(failed, now)
-        if not self.health.cut_off(now):
+            self._probe_failed(failed, now)
+        if not self.health.is_isolated(now):
             self.members.end_suspicions(now)
-        self.prober.tick(now, [] if self.identity.epoch else list(self.identity.told))
+        self._prober.tick(now, [] if self.identity.epoch else list(self.identity.answers))
 
-    def probe_failed(self, name: str, now: float) -> None:
-        self.health.worse()
+    def _probe_failed(self, name: str, now: float) -> None:
+        self.health.probe_failed()
         member = self.members[name]
-        if member.state == ALIVE and not self.health.cut_off(now):
-            self.members.suspect(member, self.roster.mine.name, now)
+        if member.state == MemberState.ALIVE and not self.health.is_isolated(now):
+            self.members.suspect(member, self.roster.local.name, now)
 
     # Datagrams.
 
-    def send(self, to: str, kind: int, serial: int, now: float, about: str = "") -> None:
-        line, member, own = self.lines[to], self.members[to], self.identity
-        token = line.challenge(self.chance, now)
+    def send(self, to: str, kind: MessageKind, probe_id: int, now: float, target: str = "") -> None:
+        """Sends a datagram to a peer, with the gossip and the piggyback that are due."""
+        session, member, identity = self.sessions[to], self.members[to], self.identity
+        token = session.challenge(self.random_source, now)
         self.sent += 1
         message = Message(
             to=to,
-            sender=self.roster.mine.name,
-            epoch=own.epoch,
-            life=own.life,
-            counter=line.next(),
+            sender=self.roster.local.name,
+            epoch=identity.epoch,
+            incarnation=identity.incarnation,
+            counter=session.next_counter(),
             token=token,
-            echo=line.theirs,
-            roster=self.roster.version,
-            count=own.count,
-            known=(line.epoch, line.life, member.count, member.state),
+            echo=session.peer_token,
+            roster_version=self.roster.version,
+            refutations=identity.refutations,
+            belief=Belief(session.epoch, session.incarnation, member.refutations, member.state),
             kind=kind,
-            serial=serial,
-            about=about,
-            news=self.members.news(to) if own.epoch else (),
-            rider=self.rider(to) if own.epoch else b"",
+            probe_id=probe_id,
+            probe_target=target,
+            gossip=self.members.next_gossip(to) if identity.epoch else (),
+            piggyback=self._piggyback_for(to) if identity.epoch and self._piggyback_for is not None else b"",
         )
-        self.send_message(message)
+        self._send_message(message)
 
-    def heard(self, message: Message, now: float) -> None:
-        """A datagram under the fleet's key; all else of it is judged here."""
-        sender, line = message.sender, self.lines.get(message.sender)
-        if line is None or message.to != self.roster.mine.name:
+    def receive(self, message: Message, now: float) -> None:
+        """Takes a datagram that was sealed with the fleet's key; all else of it is judged here."""
+        session = self.sessions.get(message.sender)
+        if session is None or message.to != self.roster.local.name:
             return  # not on our roster, or not yet
-        verdict = line.judge(
-            message.epoch, message.life, message.counter, message.token, message.echo, now, self.chance
-        )
-        if verdict in (STRANGE, SMALLER, ASKING):
-            self.not_believed(message, verdict, now)
-            return
-        if verdict not in (FRESH, ADOPTED):
+        verdict = session.judge(message.stamp, now, self.random_source)
+        if verdict in (Verdict.FRESH, Verdict.ADOPTED):
+            self._receive_accepted(message, now, is_adopted=verdict is Verdict.ADOPTED)
+        elif verdict is not Verdict.REPLAYED:
+            self._answer_unaccepted(message, now, is_unclaimed=verdict is Verdict.UNCLAIMED)
+
+    def _receive_accepted(self, message: Message, now: float, *, is_adopted: bool) -> None:
+        sender = message.sender
+        self.roster_versions[sender] = message.roster_version
+        self.members.receive_message(message, now)
+        self.receive_belief(sender, message.belief, now)
+        for gossip in message.gossip:
+            self._receive_gossip(gossip, sender, now)
+        # Two processes under one name may receive the same datagrams: what is given to one incarnation is no other's.
+        is_for_us = message.belief.incarnation == self.identity.incarnation
+        if message.piggyback and is_for_us and self._on_piggyback is not None:
+            self._on_piggyback(sender, message.piggyback, now)
+        self._prober.receive(message, now)
+        if is_adopted and self._prober.repeat(sender, now):
             return
-        self.others_rosters[sender] = message.roster
-        self.members.heard_from(message, now)
-        self.believed(sender, message.known, now)
-        for news in message.news:
-            self.heard_of(news, sender, now)
-        # Two processes under one name may hear the same datagrams: what is given to one life is no other's.
-        if message.rider and message.known[1] == self.identity.life:
-            self.ridden(sender, message.rider, now)
-        self.prober.heard(message, now)
-        if verdict == ADOPTED and self.prober.again(sender, now):
+        if message.token and (is_adopted or self._may_greet(sender, now)):
+            self._greet(message, now)  # it does not know us yet
+
+    def _answer_unaccepted(self, message: Message, now: float, *, is_unclaimed: bool) -> None:
+        """Answers few: by that they learn what to echo, or that they are replaced."""
+        if is_unclaimed:
+            self.receive_belief(message.sender, message.belief, now)
+            self._receive_claimant(message.sender, now)
+        if self._may_greet(message.sender, now) and (not is_unclaimed or message.token):
+            self._greet(message, now)
+
+    def _may_greet(self, name: str, now: float) -> bool:
+        return now - self._hello_sent_at.get(name, -1e9) >= _MIN_HELLO_INTERVAL_S
+
+    def _greet(self, message: Message, now: float) -> None:
+        self._hello_sent_at[message.sender] = now
+        self.send(message.sender, MessageKind.HELLO, message.probe_id, now)
+
+    def receive_belief(self, sender: str, belief: Belief, now: float) -> None:
+        """Takes what a peer believes of our name."""
+        if self.identity.receive_belief(sender, belief, now):
+            self.identity.start_incarnation(self.roster, now)
+
+    def _receive_gossip(self, gossip: Gossip, witness: str, now: float) -> None:
+        identity = self.identity
+        if gossip.name != self.roster.local.name:
+            if self.members.receive_gossip(gossip, witness, now):
+                self._prober.probe_soon(gossip.name)
             return
-        if message.token and (verdict == ADOPTED or now - self.greeted.get(sender, -1e9) >= SAY_AGAIN):
-            self.greet(message, now)  # it does not know us yet
-
-    def not_believed(self, message: Message, verdict: str, now: float) -> None:
-        """An answer for each of theirs at most, and few: they know by it what to echo, or that they are replaced."""
-        if verdict == ASKING:
-            self.believed(message.sender, message.known, now)
-            self.asks(message.sender, now)
-        lately = now - self.greeted.get(message.sender, -1e9) < SAY_AGAIN
-        if not lately and (verdict != ASKING or message.token):
-            self.greet(message, now)
-
-    def greet(self, message: Message, now: float) -> None:
-        self.greeted[message.sender] = now
-        self.send(message.sender, HELLO, message.serial, now)
-
-    def believed(self, sender: str, known: Belief, now: float) -> None:
-        """What a peer believes of our name."""
-        if self.identity.believed(sender, known, now):
-            self.identity.born(self.roster, now)
-
-    def heard_of(self, news: News, witness: str, now: float) -> None:
-        name, epoch, life, count, state = news
-        if name != self.roster.mine.name:
-            if self.members.heard_of(news, witness, now):
-                self.prober.soon(name)
-        elif (epoch, life) == (self.identity.epoch, self.identity.life) and state in (SUSPECT, GONE):
-            self.identity.refute(count)
-
-    def asks(self, name: str, now: float) -> None:
-        """Another process speaks from its address, of now. The one believed is asked itself; if it is silent while the
-        other is heard, it is gone, and no link is to blame: also where we hear nobody else.
+        is_ours = (gossip.epoch, gossip.incarnation) == (identity.epoch, identity.incarnation)
+        if is_ours and gossip.state in (MemberState.SUSPECT, MemberState.GONE):
+            identity.refute(gossip.refutations)
+
+    def _receive_claimant(self, name: str, now: float) -> None:
+        """Another process speaks from a peer's address and asks for its name.
+
+        The known incarnation is probed; if it is silent while the other is heard, it is gone, and no link is to blame:
+        also where we hear nobody else.
         """
-        member, line = self.members[name], self.lines[name]
+        member, session = self.members[name], self.sessions[name]
         if not member.is_up():
             return
-        if line.heard >= member.asker or now - member.asker > 4 * REPLACED:
-            member.asker = now
-            self.prober.order.append(name)
-        elif now - member.asker >= REPLACED:
-            self.members.set_state(member, GONE, now)
+        if session.heard_at >= member.claimant_since or now - member.claimant_since > 4 * _REPLACED_AFTER_S:
+            member.claimant_since = now
+            self._prober.probe_next(name)
+        elif now - member.claimant_since >= _REPLACED_AFTER_S:
+            self.members.set_state(member, MemberState.GONE, now)
 
-    # What those above are told.
+    # What the parts above see.
 
-    def view(self, now: float) -> View:
+    def view(self, now: float) -> FleetView:
+        """The fleet as this router sees it. Goes through the whole roster."""
         alive = {name for name, member in self.members.items() if member.is_up()}
-        cut = None
-        if self.roster.others and self.health.cut_off(now):
-            cut = max(self.health.answered, self.began)
-            alive = {name for name in alive if now - self.lines[name].heard <= CUT * PERIOD}
-        lately = [when for when in self.identity.accused.values() if now - when <= 2 * CUT * PERIOD]
-        return View(
-            share=(len(alive) + 1) / len(self.roster),
-            zones=self.zones(alive),
-            cut_since=cut,
-            unheard=2 * len(lately) > len(alive) > 0,
-            oldest=max((now - self.members[name].word for name in alive), default=0.0),
-            settled=self.identity.epoch > 0,
-            twin=self.identity.twin,
-            rosters=sum(self.others_rosters.get(name, self.roster.version) != self.roster.version for name in alive),
+        isolated_since = None
+        if self.roster.peer_names and self.health.is_isolated(now):
+            isolated_since = max(self.health.last_answer_at, self._started_at)
+            alive = {name for name in alive if now - self.sessions[name].heard_at <= _ISOLATED_AFTER_S}
+        accusations = sum(now - accused_at <= 2 * _ISOLATED_AFTER_S for accused_at in self.identity.accusers.values())
+        version = self.roster.version
+        return FleetView(
+            alive_fraction=(len(alive) + 1) / len(self.roster),
+            alive_fraction_by_zone=self._alive_fraction_by_zone(alive),
+            isolated_since=isolated_since,
+            is_thought_gone=2 * accusations > len(alive) > 0,
+            oldest_evidence_s=max((now - self.members[name].last_evidence_at for name in alive), default=0.0),
+            has_claimed_name=self.identity.epoch > 0,
+            has_duplicate=self.identity.has_duplicate,
+            other_rosters=sum(self.roster_versions.get(name, version) != version for name in alive),
         )
 
-    def zones(self, alive: set[str]) -> dict[str, float]:
-        """By zones the share of names that are alive, ourselves among them."""
-        counts: dict[str, list[int]] = {}
-        for place in self.roster.places.values():
-            count = counts.setdefault(place.zone, [0, 0])
-            count[0] += place.name in alive or place is self.roster.mine
-            count[1] += 1
-        return {zone: here / of for zone, (here, of) in counts.items()}
+    def _alive_fraction_by_zone(self, alive: set[str]) -> dict[str, float]:
+        totals: dict[str, int] = {}
+        alive_counts: dict[str, int] = {}
+        for entry in self.roster.entries.values():
+            is_alive = entry.name in alive or entry is self.roster.local
+            totals[entry.zone] = totals.get(entry.zone, 0) + 1
+            alive_counts[entry.zone] = alive_counts.get(entry.zone, 0) + is_alive
+        return {zone: alive_counts[zone] / total for zone, total in totals.items()}
--- a/wickhinge/peers/health.py
+++ b/wickhinge/peers/health.py
@@ -2,32 +2,35 @@
 
 from __future__ import annotations
 
-PERIOD = 0.5  # seconds from one probe to the next
-DOUBT = 8  # most of it: time limits grow by 1 + doubt
-CUT = 4  # periods without an answered probe from which a router takes itself for cut off
+PROBE_PERIOD_S = 0.5  # from one probe to the next
+MAX_DOUBT = 8  # time limits grow by 1 + doubt
+ISOLATED_AFTER_PERIODS = 4  # without an answered probe
 
 
 class LocalHealth:
-    """How far this router's own silence explains what it does not hear."""
+    """How far this router's own trouble explains that it does not hear its peers. `now` is seconds of one clock."""
 
     def __init__(self) -> None:
-        self.doubt = 0
-        self.answered = -1e9  # when a probe of ours last was
+        self.doubt = 0  # the local health multiplier of Lifeguard, less 1
+        self.last_answer_at = -1e9  # when a probe of ours was last answered
 
-    def worse(self) -> None:
-        self.doubt = min(self.doubt + 1, DOUBT)
+    def probe_failed(self) -> None:
+        """A probe failed, or a peer suspects this router."""
+        self.doubt = min(self.doubt + 1, MAX_DOUBT)
 
-    def worst(self) -> None:
-        self.doubt = DOUBT
+    def paused(self) -> None:
+        """This router's loop stood still."""
+        self.doubt = MAX_DOUBT
 
     def probe_answered(self, now: float) -> None:
-        self.answered = now
+        """A probe of ours was answered."""
+        self.last_answer_at = now
         self.doubt = max(self.doubt - 1, 0)
 
     def slowdown(self) -> int:
-        """By how much time limits grow."""
+        """The factor for time limits."""
         return 1 + self.doubt
 
-    def cut_off(self, now: float) -> bool:
-        """None of our probes was answered lately: what we don't hear tells of us."""
-        return now - self.answered > CUT * PERIOD
+    def is_isolated(self, now: float) -> bool:
+        """No probe of ours was answered lately, so silence tells of this router rather than of its peers."""
+        return now - self.last_answer_at > ISOLATED_AFTER_PERIODS * PROBE_PERIOD_S
--- a/wickhinge/peers/identity.py
+++ b/wickhinge/peers/identity.py
@@ -1,92 +1,118 @@
-"""The process's own life, and the epoch by which it claims its name: asked before it is claimed, and chosen once."""
+"""This process's own incarnation, and the epoch by which it claims its name: asked for first, and chosen once."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
-from typing import Any
+from typing import NamedTuple
 
-from wickhinge.peers import peer_session
+from wickhinge.common.random_source import RandomSource
 from wickhinge.peers.health import LocalHealth
-from wickhinge.peers.messages import ALIVE, GONE, SUSPECT, Belief
+from wickhinge.peers.messages import Belief, MemberState
+from wickhinge.peers.peer_session import MAX_NUMBER, draw_number
 from wickhinge.peers.roster import Roster
 
-JOIN = 1.0  # seconds in which a new life asks who knows its name, at least
-REMEMBER = 2.5  # seconds for which an answer about our own name counts, while we ask
-LEAP = 1 << 16  # a count that rises by more in one piece of hearsay is no honest one
-SHOWN = 4  # names in a log line
+MAX_RISE = 1 << 16  # no honest epoch or count of refutations rises by more in one piece of gossip
+_MIN_ASKING_S = 1.0  # for which a new incarnation asks who knows its name
+_ANSWER_LIFETIME_S = 2.5  # for which an answer about our name counts, while we ask
+_MAX_LOGGED_NAMES = 4
+
+
+class NameAnswer(NamedTuple):
+    """What a peer knew of our name, and when it said so."""
+
+    epoch: int
+    incarnation: int
+    state: int
+    at: float
 
 
 class Identity:
-    """Our name's life, epoch and count of refutations. log(event, **fields) for operators."""
-
-    def __init__(self, chance: Any, health: LocalHealth, log: Callable[..., None]) -> None:
-        self.chance, self.health, self.log = chance, health, log
-        self.accused: dict[str, float] = {}  # who said that we are gone, and when
-
-    def born(self, roster: Roster, now: float) -> None:
-        """A new life, which asks before it claims the name."""
-        self.name, self.others = roster.mine.name, len(roster.others)
-        self.life, self.epoch, self.count = peer_session.draw(self.chance), 0, 0
-        self.asked = now
-        self.told: dict[str, tuple[int, int, int, float]] = {}  # who answered: what it knows of our name, and when
-        self.larger: dict[str, tuple[int, int]] = {}  # who believes a larger life of our name than ours
-        self.twin = False  # another life of our name is alive
-        if not roster.others:
+    """Our name's incarnation, epoch and count of refutations. `now` is seconds of one clock."""
+
+    def __init__(
+        self,
+        roster: Roster,
+        random_source: RandomSource,
+        health: LocalHealth,
+        log_event: Callable[..., None],
+        now: float,
+    ) -> None:
+        self._random_source, self._health, self._log_event = random_source, health, log_event
+        self.accusers: dict[str, float] = {}  # who said that we are gone, and when
+        self.start_incarnation(roster, now)
+
+    def start_incarnation(self, roster: Roster, now: float) -> None:
+        """Draws a new incarnation, which asks before it claims the name."""
+        self._name, self._peer_count = roster.local.name, len(roster.peer_names)
+        self.incarnation, self.epoch, self.refutations = draw_number(self._random_source), 0, 0
+        self._asking_since = now
+        self.answers: dict[str, NameAnswer] = {}
+        self._larger: dict[str, tuple[int, int]] = {}  # who believes a larger incarnation of our name than ours
+        self.has_duplicate = False  # another incarnation of our name is alive
+        if not roster.peer_names:
             self.epoch = 1
 
-    def keep(self, roster: Roster) -> None:
-        """Another roster: who left it has told nothing."""
-        self.others = len(roster.others)
-        for table in (self.accused, self.told, self.larger):
-            for name in set(table) - set(roster.others):
-                del table[name]
+    def reload(self, roster: Roster) -> None:
+        """Takes another roster: whom it does not name has told nothing."""
+        self._peer_count = len(roster.peer_names)
+        roster.drop_strangers(self.accusers)
+        roster.drop_strangers(self.answers)
+        roster.drop_strangers(self._larger)
 
-    def claim(self, now: float) -> None:
-        """Claims the name once others agree that no life of it is alive."""
+    def try_claim(self, now: float) -> None:
+        """Claims the name once peers agree that no incarnation of it is alive."""
         if self.epoch:
             return
-        self.told = {name: told for name, told in self.told.items() if now - told[3] <= REMEMBER}
-        if now - self.asked < JOIN or not self.told:
+        self.answers = {name: answer for name, answer in self.answers.items() if now - answer.at <= _ANSWER_LIFETIME_S}
+        if now - self._asking_since < _MIN_ASKING_S or not self.answers:
             return
-        # One tells a life as gone that another still hears: alive anywhere is alive.
-        top = max(told[:2] for told in self.told.values())
-        if any(told[:2] == top and told[2] in (ALIVE, SUSPECT) for told in self.told.values()):
-            if not self.twin:
-                self.twin = True
-                self.log("twin", name=self.name, told_by=sorted(self.told)[:SHOWN])
+        # One peer may call an incarnation gone that another still hears: alive anywhere is alive.
+        answers = self.answers.values()
+        newest = max((answer.epoch, answer.incarnation) for answer in answers)
+        newest_states = {answer.state for answer in answers if (answer.epoch, answer.incarnation) == newest}
+        if newest_states & {MemberState.ALIVE, MemberState.SUSPECT}:
+            if not self.has_duplicate:
+                self.has_duplicate = True
+                self._log_event("duplicate_name", name=self._name, reported_by=sorted(self.answers)[:_MAX_LOGGED_NAMES])
             return
-        self.epoch, self.twin = top[0] + 1, False
-        self.log("settled", name=self.name, epoch=self.epoch, told_by=len(self.told))
+        self.epoch, self.has_duplicate = newest[0] + 1, False
+        self._log_event("name_claimed", name=self._name, epoch=self.epoch, answers=len(self.answers))
 
-    def believed(self, sender: str, known: Belief, now: float) -> bool:
-        """What a peer believes of our name, by a datagram of now. Whether this life is replaced by a larger one."""
-        epoch, life, count, state = known
+    def receive_belief(self, sender: str, belief: Belief, now: float) -> bool:
+        """Takes what a peer believes of our name; whether a larger incarnation has replaced this one."""
+        epoch, incarnation, refutations, state = belief
         if not self.epoch:
-            self.told[sender] = (epoch, life, state, now)
+            self.answers[sender] = NameAnswer(epoch, incarnation, state, now)
             return False
-        if (epoch, life) == (self.epoch, self.life):
-            self.larger.pop(sender, None)
-            self.accuse(sender, count, state, now)
+        if (epoch, incarnation) == (self.epoch, self.incarnation):
+            self._larger.pop(sender, None)
+            self._receive_accusation(sender, refutations, state, now)
             return False
-        if (epoch, life) < (self.epoch, self.life) or epoch >= peer_session.MOST:
+        if (epoch, incarnation) < (self.epoch, self.incarnation) or epoch >= MAX_NUMBER:
             return False
-        self.larger[sender] = (epoch, life)
-        # One alone may lie, or be mistaken; of two in all there is no second to ask.
-        if len(self.larger) < min(2, self.others):
+        self._larger[sender] = (epoch, incarnation)
+        # One peer alone may lie, or be mistaken; where there is only one, there is no second to ask.
+        if len(self._larger) < min(2, self._peer_count):
             return False
-        self.log("replaced", name=self.name, epoch=self.epoch, by=epoch, told_by=sorted(self.larger)[:SHOWN])
+        self._log_event(
+            "incarnation_replaced",
+            name=self._name,
+            epoch=self.epoch,
+            new_epoch=epoch,
+            reported_by=sorted(self._larger)[:_MAX_LOGGED_NAMES],
+        )
         return True
 
-    def accuse(self, sender: str, count: int, state: int, now: float) -> None:
-        if state in (SUSPECT, GONE):
-            self.refute(count)
-            if state == GONE:
-                self.accused[sender] = now
-        else:
-            self.accused.pop(sender, None)
-
-    def refute(self, count: int) -> None:
-        """Somebody suspects this life under that count: the next count says that it is alive."""
-        if self.count <= count < self.count + LEAP:
-            self.count = count + 1
-            self.health.worse()
+    def _receive_accusation(self, sender: str, refutations: int, state: int, now: float) -> None:
+        if state not in (MemberState.SUSPECT, MemberState.GONE):
+            self.accusers.pop(sender, None)
+            return
+        self.refute(refutations)
+        if state == MemberState.GONE:
+            self.accusers[sender] = now
+
+    def refute(self, refutations: int) -> None:
+        """A peer suspects this incarnation under that count: the next count says that it is alive."""
+        if self.refutations <= refutations < self.refutations + MAX_RISE:
+            self.refutations = refutations + 1
+            self._health.probe_failed()
--- a/wickhinge/peers/member_table.py
+++ b/wickhinge/peers/member_table.py
@@ -1,4 +1,4 @@
-"""What is believed of each name on the roster: states, suspicions with a bound, and news that spread (SWIM)."""
+"""What is believed of each peer: states, suspicions with a bound, and the gossip that spreads them (SWIM)."""
 
 from __future__ import annotations
 
@@ -6,177 +6,191 @@
 from dataclasses import dataclass, field
 from math import ceil, log2, log10
 
-from wickhinge.peers import peer_session
-from wickhinge.peers.health import PERIOD
-from wickhinge.peers.identity import LEAP
-from wickhinge.peers.messages import ALIVE, GONE, STATES, SUSPECT, UNKNOWN, Message, News
+from wickhinge.peers.health import PROBE_PERIOD_S
+from wickhinge.peers.identity import MAX_RISE
+from wickhinge.peers.messages import Gossip, MemberState, Message
+from wickhinge.peers.peer_session import MAX_INCARNATION, MAX_NUMBER
 from wickhinge.peers.roster import Roster
 
-NEWS = 8  # pieces of news a datagram
-SUSPECT_PERIODS = 4  # periods at least in which a suspicion may be refuted, times log10 of the fleet where over 10
-SLOWEST = 3  # times as long where nobody else suspects it
-CONFIRMED = 3  # others whose suspicion makes it the shortest
-FORGED = 64  # counts that a datagram overtaken by others may be behind; a name refutes a few times a second at most
-UNHEARD = 4  # larger lives of a name that hearsay tells of, at most
+_MAX_GOSSIP = 8  # pieces in a datagram
+_SPREAD_FACTOR = 3  # each piece goes out so often, times log2 of the fleet
+_MIN_SUSPICION_PERIODS = 4  # in which a suspicion may be refuted, times log10 of the fleet where that is over 10
+_SLOWEST_FACTOR = 3  # times as long where nobody else suspects the peer
+_MAX_CONFIRMATIONS = 3  # others whose suspicion makes it the shortest
+_MAX_LAG = 64  # refutations that a datagram overtaken by others may be behind; a few a second are honest
+_MAX_UNCONFIRMED = 4  # larger incarnations of a name that gossip tells of
+_MIN_WITNESSES = 2
 
 
 @dataclass(slots=True)
 class Member:
-    """What is believed of one name. Of what others say the largest (epoch, life, count, state) holds."""
+    """What is believed of one peer. Of all that is said, the largest (epoch, incarnation, refutations, state) holds.
+
+    Times are seconds of one clock.
+    """
 
     name: str
     epoch: int = 0
-    life: int = 0
-    count: int = 0  # how often it refuted
-    state: int = UNKNOWN
-    since: float = -1e9  # of that state
-    word: float = -1e9  # the last evidence of it, direct or not
-    until: float = 0.0  # a suspicion's end
+    incarnation: int = 0
+    refutations: int = 0
+    state: MemberState = MemberState.UNKNOWN
+    state_since: float = -1e9
+    last_evidence_at: float = -1e9  # direct or not
+    suspicion_ends_at: float = 0.0
     witnesses: set[str] = field(default_factory=set)  # who suspects it
-    spread: int = 0  # how often this piece of news has gone out
-    asker: float = -1e9  # when another life of its name began to ask for it
-    hearsay: dict[tuple[int, int], set[str]] = field(default_factory=dict)  # lives not known here, who tells of them
+    times_gossiped: int = 0  # how often this belief has gone out
+    claimant_since: float = -1e9  # when another process under its name began to ask for it
+    unconfirmed: dict[tuple[int, int], set[str]] = field(
+        default_factory=dict
+    )  # unknown incarnations, who tells of each
 
     def is_up(self) -> bool:
-        return self.state in (ALIVE, SUSPECT)
+        """Whether it is alive or may be."""
+        return self.state in (MemberState.ALIVE, MemberState.SUSPECT)
 
 
-class Members(dict[str, Member]):
-    """All names but ours. log(event, **fields) for operators."""
+class MemberTable(dict[str, Member]):
+    """All peers of the roster by name. `now` is seconds of one clock."""
 
-    def __init__(self, log: Callable[..., None]) -> None:
+    def __init__(self, log_event: Callable[..., None]) -> None:
         super().__init__()
-        self.log = log
-        self.size = 1  # of the roster, ourselves in it
-        self.suspected: set[str] = set()
-        self.untold: set[str] = set()  # of whom there is news that has not gone out often enough
-
-    def keep(self, roster: Roster, now: float) -> None:
-        """Another roster from now on; who stands in both keeps what is known of it."""
-        self.size = len(roster)
-        for name in set(self) - set(roster.others):
-            del self[name]
-        self.suspected &= set(roster.others)
-        self.untold &= set(roster.others)
-        for name in roster.others:
-            self.setdefault(name, Member(name, since=now))
-
-    def believe(self, member: Member, epoch: int, life: int, count: int, state: int, now: float) -> None:
-        changed = state != member.state or life != member.life
-        member.epoch, member.life, member.count = epoch, life, count
-        if changed:
-            member.since = now
-            member.state = state
+        self._log_event = log_event
+        self._fleet_size = 1  # this router included
+        self._suspects: set[str] = set()
+        self.gossip_pending: set[str] = set()  # whose belief has not gone out often enough
+
+    def reload(self, roster: Roster, now: float) -> None:
+        """Takes another roster; who stands in both keeps what is known of it."""
+        self._fleet_size = len(roster)
+        roster.drop_strangers(self)
+        self._suspects &= set(roster.peer_names)
+        self.gossip_pending &= set(roster.peer_names)
+        for name in roster.peer_names:
+            self.setdefault(name, Member(name, state_since=now))
+
+    def accept(self, member: Member, gossip: Gossip, now: float) -> None:
+        """Believes this of the member from now on, and passes it on."""
+        _, epoch, incarnation, refutations, state = gossip
+        has_changed = state != member.state or incarnation != member.incarnation
+        member.epoch, member.incarnation, member.refutations = epoch, incarnation, refutations
+        if has_changed:
+            member.state_since = now
+            member.state = MemberState(state)
             member.witnesses = set()
-            self.log("peer", name=member.name, state=STATES[state], epoch=epoch)
-        (self.suspected.add if state == SUSPECT else self.suspected.discard)(member.name)
-        member.spread = 0
-        self.untold.add(member.name)
-        member.hearsay.clear()
+            self._log_event("member_state", name=member.name, state=member.state.label, epoch=epoch)
+        if state == MemberState.SUSPECT:
+            self._suspects.add(member.name)
+        else:
+            self._suspects.discard(member.name)
+        member.times_gossiped = 0
+        self.gossip_pending.add(member.name)
+        member.unconfirmed.clear()
 
-    def set_state(self, member: Member, state: int, now: float) -> None:
-        self.believe(member, member.epoch, member.life, member.count, state, now)
+    def set_state(self, member: Member, state: MemberState, now: float) -> None:
+        """Believes another state of the known incarnation."""
+        self.accept(member, Gossip(member.name, member.epoch, member.incarnation, member.refutations, state), now)
 
     def suspect(self, member: Member, witness: str, now: float) -> None:
-        """One more suspects it: the more, the sooner it is gone."""
-        if member.state == ALIVE:
-            self.set_state(member, SUSPECT, now)
+        """Notes one more witness of a suspicion: the more, the sooner the member is gone."""
+        if member.state == MemberState.ALIVE:
+            self.set_state(member, MemberState.SUSPECT, now)
             member.witnesses = set()
         member.witnesses.add(witness)
-        shortest = SUSPECT_PERIODS * PERIOD * max(1.0, log10(self.size))
-        others = min(len(member.witnesses) - 1, CONFIRMED)
-        wait = shortest * (SLOWEST - (SLOWEST - 1) * log2(others + 1) / log2(CONFIRMED + 1))
-        member.until = member.since + wait
-
-    def put_off(self, seconds: float) -> None:
-        """This router stood still for so long: nobody could refute meanwhile."""
-        for name in self.suspected:
-            self[name].until += seconds
+        shortest_s = _MIN_SUSPICION_PERIODS * PROBE_PERIOD_S * max(1.0, log10(self._fleet_size))
+        confirmations = min(len(member.witnesses) - 1, _MAX_CONFIRMATIONS)
+        confirmed_part = log2(confirmations + 1) / log2(_MAX_CONFIRMATIONS + 1)
+        member.suspicion_ends_at = member.state_since + shortest_s * (
+            _SLOWEST_FACTOR - (_SLOWEST_FACTOR - 1) * confirmed_part
+        )
+
+    def put_off_suspicions(self, seconds: float) -> None:
+        """This router stood still for so long: nobody could refute a suspicion meanwhile."""
+        for name in self._suspects:
+            self[name].suspicion_ends_at += seconds
 
     def end_suspicions(self, now: float) -> None:
-        for member in [self[name] for name in sorted(self.suspected)]:
-            if now >= member.until:
-                self.set_state(member, GONE, now)
-
-    # What comes: from a name itself, and from others.
+        """Takes as gone who has not refuted a suspicion in time."""
+        for member in [self[name] for name in sorted(self._suspects)]:
+            if now >= member.suspicion_ends_at:
+                self.set_state(member, MemberState.GONE, now)
 
-    def heard_from(self, message: Message, now: float) -> None:
-        """A name's own word, of now."""
+    def receive_message(self, message: Message, now: float) -> None:
+        """Takes what a peer says of itself in a fresh datagram."""
         member = self[message.sender]
-        member.word = now
-        told, believed = (message.epoch, message.life), (member.epoch, member.life)
-        # Only a name itself raises its count: one that is far over its own word was another's invention, which the
-        # name could not even refute.
-        newer = message.count > member.count or member.count - message.count > FORGED
-        if told > believed or told == believed and (newer or member.state == UNKNOWN):
-            self.believe(member, message.epoch, message.life, message.count, ALIVE, now)
-
-    def heard_of(self, news: News, witness: str, now: float) -> bool:
-        """News of a third. A witness alone can make nobody larger than it said itself. Whether the name should be
-        asked itself soon: its own word is better.
+        member.last_evidence_at = now
+        stated, known = (message.epoch, message.incarnation), (member.epoch, member.incarnation)
+        # Only a peer itself raises its count: a belief far over its own statement was another's invention, which the
+        # peer could not even refute.
+        is_newer = message.refutations > member.refutations or member.refutations - message.refutations > _MAX_LAG
+        if stated > known or stated == known and (is_newer or member.state == MemberState.UNKNOWN):
+            belief = Gossip(member.name, message.epoch, message.incarnation, message.refutations, MemberState.ALIVE)
+            self.accept(member, belief, now)
+
+    def receive_gossip(self, gossip: Gossip, witness: str, now: float) -> bool:
+        """Takes what one peer says of another.
+
+        One witness alone can make nobody larger than it said itself. Returns whether the member should be probed
+        soon, since its own statement is better.
         """
-        name, epoch, life, count, state = news
+        name, epoch, incarnation, refutations, state = gossip
         member = self.get(name)
-        if (
-            member is None
-            or not 0 < state <= GONE
-            or not (0 < epoch < peer_session.MOST and 0 < life <= peer_session.MASK)
-        ):
+        if member is None or not MemberState.UNKNOWN < state <= MemberState.GONE:
             return False
-        if (epoch, life) > (member.epoch, member.life):
-            return self.heard_of_larger(member, news, witness, now)
-        if (epoch, life) < (member.epoch, member.life) or count > member.count + LEAP:
+        if not (0 < epoch < MAX_NUMBER and 0 < incarnation <= MAX_INCARNATION):
             return False
-        if state == ALIVE and count > member.count:
-            member.word = now
-            self.believe(member, epoch, life, count, ALIVE, now)
-        elif state == SUSPECT and count >= member.count and member.is_up():
-            self.heard_suspected(member, count, witness, now)
-        elif state == GONE and count >= member.count and member.is_up():
-            self.heard_gone(member, count, witness, now)
+        if (epoch, incarnation) > (member.epoch, member.incarnation):
+            return self._receive_larger(member, gossip, witness, now)
+        if (epoch, incarnation) < (member.epoch, member.incarnation) or refutations > member.refutations + MAX_RISE:
+            return False
+        if state == MemberState.ALIVE and refutations > member.refutations:
+            member.last_evidence_at = now
+            self.accept(member, gossip, now)
+        elif state == MemberState.SUSPECT and refutations >= member.refutations and member.is_up():
+            self._receive_suspicion(member, refutations, witness, now)
+        elif state == MemberState.GONE and refutations >= member.refutations and member.is_up():
+            self._receive_gone(member, refutations, witness, now)
         return False
 
-    def heard_of_larger(self, member: Member, news: News, witness: str, now: float) -> bool:
-        _, epoch, life, count, state = news
-        if epoch > member.epoch + LEAP:
+    def _receive_larger(self, member: Member, gossip: Gossip, witness: str, now: float) -> bool:
+        if gossip.epoch > member.epoch + MAX_RISE:
             return False
-        witnesses = member.hearsay.setdefault((epoch, life), set())
-        if len(member.hearsay) > UNHEARD:
-            member.hearsay.clear()
+        witnesses = member.unconfirmed.setdefault((gossip.epoch, gossip.incarnation), set())
+        if len(member.unconfirmed) > _MAX_UNCONFIRMED:
+            member.unconfirmed.clear()
             return False
         witnesses.add(witness)
-        if len(witnesses) < 2:
+        if len(witnesses) < _MIN_WITNESSES:
             return True
-        self.believe(member, epoch, life, min(count, LEAP), state, now)
-        member.word = now
+        self.accept(member, gossip._replace(refutations=min(gossip.refutations, MAX_RISE)), now)
+        member.last_evidence_at = now
         return False
 
-    def heard_suspected(self, member: Member, count: int, witness: str, now: float) -> None:
-        if member.state == SUSPECT and count == member.count:
-            if witness not in member.witnesses and len(member.witnesses) <= CONFIRMED:
-                self.suspect(member, witness, now)
-        else:
-            member.count, member.state = count, ALIVE
+    def _receive_suspicion(self, member: Member, refutations: int, witness: str, now: float) -> None:
+        if member.state != MemberState.SUSPECT or refutations != member.refutations:
+            member.refutations, member.state = refutations, MemberState.ALIVE
+            self.suspect(member, witness, now)
+        elif witness not in member.witnesses and len(member.witnesses) <= _MAX_CONFIRMATIONS:
             self.suspect(member, witness, now)
 
-    def heard_gone(self, member: Member, count: int, witness: str, now: float) -> None:
-        """One word is not enough to lose a peer whom we hear: it hastens what our own look will tell."""
-        member.count = count
-        if member.state == ALIVE:
+    def _receive_gone(self, member: Member, refutations: int, witness: str, now: float) -> None:
+        """One witness is not enough to lose a peer that we hear: it shortens the suspicion."""
+        member.refutations = refutations
+        if member.state == MemberState.ALIVE:
             self.suspect(member, witness, now)
             return
         member.witnesses.add(witness)
-        if len(member.witnesses) >= 2:
-            self.set_state(member, GONE, now)
-
-    def news(self, to: str) -> tuple[News, ...]:
-        """What the next datagram to a name tells; each piece goes out about three times log2 of the fleet."""
-        most = 3 * ceil(log2(self.size + 1))
-        fresh = [self[name] for name in self.untold if name != to]
-        told = []
-        for member in sorted(fresh, key=lambda member: (member.spread, member.name))[:NEWS]:
-            member.spread += 1
-            if member.spread >= most:
-                self.untold.discard(member.name)
-            told.append((member.name, member.epoch, member.life, member.count, member.state))
-        return tuple(told)
+        if len(member.witnesses) >= _MIN_WITNESSES:
+            self.set_state(member, MemberState.GONE, now)
+
+    def next_gossip(self, to: str) -> tuple[Gossip, ...]:
+        """What the next datagram to a name passes on; the beliefs that went out least often come first."""
+        max_times = _SPREAD_FACTOR * ceil(log2(self._fleet_size + 1))
+        pending = [self[name] for name in self.gossip_pending if name != to]
+        pending.sort(key=lambda member: (member.times_gossiped, member.name))
+        gossip = []
+        for member in pending[:_MAX_GOSSIP]:
+            member.times_gossiped += 1
+            if member.times_gossiped >= max_times:
+                self.gossip_pending.discard(member.name)
+            gossip.append(Gossip(member.name, member.epoch, member.incarnation, member.refutations, member.state))
+        return tuple(gossip)
--- a/wickhinge/peers/peer_session.py
+++ b/wickhinge/peers/peer_session.py
@@ -1,97 +1,138 @@
-"""What may be believed of a datagram: that it is of now, and of the process that speaks under that name today.
-
-Every process draws a number at its start, its life. A datagram carries the life of who sent it, a counter that only
-rises, a token of the sender's, and the last token that it had from the receiver. A life that the receiver does not
-know is believed only once it has echoed a token drawn for it since: so a datagram of yesterday, or of an earlier life,
-proves nothing, without any clock. A known life's datagrams are believed once each, by counter.
-
-A name's lives are ordered by (epoch, life), and the larger is believed, at once and for good. Epoch 0 asks and claims
-nothing: a life asks first, and chooses its epoch once, above those that it was told of, if those are gone. So an old
-process that wakes up cannot outbid its successor, and one started twice beside a living one never claims the name.
+"""Whether a datagram may be accepted: that it is fresh, and of the process that has its name today.
+
+Every process draws a number at its start, its incarnation. A datagram carries the incarnation of its sender, a counter
+that only rises, a token of the sender's, and the last token that the sender had from the receiver. An incarnation that
+the receiver does not know is accepted only once it has echoed a token drawn for it since: so a recorded datagram, or
+one of an earlier incarnation, proves nothing, without any clock. A known incarnation's datagrams are accepted once
+each, by counter (a replay window as in RFC 4303).
+
+The incarnations of a name are ordered by (epoch, incarnation), and the larger is accepted, at once and for good. Epoch
+0 asks and claims nothing: a process asks first, and chooses its epoch once, above those that it was told of, if those
+are gone. So an old process that wakes up cannot outbid its successor, and one started twice beside a living one never
+claims the name.
 """
 
 from __future__ import annotations
 
-from typing import Any
+from enum import Enum
+
+from wickhinge.common.random_source import RandomSource
+from wickhinge.peers.messages import Stamp
 
-from wickhinge.decide import MASK
+REPLAY_WINDOW = 64  # counters behind the highest that are still accepted, once each: datagrams overtake each other
+MAX_INCARNATION = (1 << 64) - 1
+MAX_NUMBER = 1 << 48  # no count, epoch or counter of an honest process gets there
+_MAX_COUNTER_JUMP = 1 << 20  # further on, an incarnation would soon have no counters left
+_TOKEN_LIFETIME_S = 1.0  # for which a token drawn for an unknown incarnation stays the one to be echoed
 
-WINDOW = 64  # counters behind the highest that may still come, each once: datagrams overtake each other
-AGAIN = 1.0  # seconds in which a token drawn for a stranger stays the one to be echoed
-MOST = 1 << 48  # no count, epoch or counter of an honest process gets there
-JUMP = 1 << 20  # counters that may be missed at once; further on a life would soon have no numbers left
 
-FRESH, REPLAYED, STRANGE, SMALLER, ADOPTED, ASKING = "fresh", "replayed", "strange", "smaller", "adopted", "asking"
+class Verdict(Enum):
+    """What a PeerSession says of a datagram."""
 
+    FRESH = "fresh"  # accepted
+    ADOPTED = "adopted"  # accepted, as the first of an incarnation that is the known one from now on
+    REPLAYED = "replayed"  # seen before, or impossible
+    SUPERSEDED = "superseded"  # of an incarnation that has been replaced
+    UNCLAIMED = "unclaimed"  # fresh, of a process that does not claim the name yet
+    UNPROVEN = "unproven"  # of an unknown incarnation that has not echoed: answer it, with `PeerSession.token`
 
-def draw(chance: Any) -> int:
-    """A number of 62 bits that is not 0. Not guessed from outside: datagrams stand under the fleet's key."""
-    return int(chance.draw() * (1 << 31)) << 31 | int(chance.draw() * (1 << 31)) or 1
 
+def draw_number(random_source: RandomSource) -> int:
+    """A number of 62 bits that is not 0. Unguessable is not needed, since datagrams are sealed."""
+    return int(random_source.draw() * (1 << 31)) << 31 | int(random_source.draw() * (1 << 31)) or 1
 
-class Line:
-    """What is believed of one peer's datagrams."""
 
-    __slots__ = ("name", "epoch", "life", "highest", "seen", "token", "drawn", "theirs", "heard", "counter", "refused")
+class PeerSession:
+    """What is known of the datagrams to and from one peer. `now` is seconds of one clock."""
+
+    __slots__ = (
+        "name",
+        "epoch",
+        "incarnation",
+        "token",
+        "peer_token",
+        "heard_at",
+        "refused",
+        "_highest_counter",
+        "_seen",
+        "_token_drawn_at",
+        "_sent_counter",
+    )
 
     def __init__(self, name: str) -> None:
         self.name = name
-        self.epoch = self.life = 0  # of the process believed, 0 for none
-        self.highest, self.seen = 0, 0  # its counters: the highest, and a bit for each of the WINDOW below
-        self.token, self.drawn = 0, -1e9  # that a stranger has to echo, and when it was drawn
-        self.theirs = 0  # the last token of theirs, which we echo
-        self.heard = -1e9  # when the last datagram of the believed life came
-        self.counter = 0  # of ours to them
-        self.refused = 0  # datagrams not believed, of all kinds
-
-    def judge(self, epoch: int, life: int, counter: int, token: int, echo: int, now: float, chance: Any) -> str:
-        """One of FRESH, ADOPTED (believed from now on), REPLAYED, SMALLER (a life that has been replaced), ASKING (of
-        now, and claims nothing) or STRANGE (not believed yet: answer it, with `token`).
-        """
-        if not (0 < life <= MASK and 0 <= epoch < MOST and 0 < counter < MOST):
-            self.refused += 1
-            return REPLAYED
-        if (epoch, life) == (self.epoch, self.life):
-            if self.once(counter):
-                self.heard, self.theirs = now, token
-                return FRESH
-            self.refused += 1
-            return REPLAYED
-        self.theirs = token
-        if epoch > 0 and (epoch, life) < (self.epoch, self.life):
-            self.refused += 1
-            return SMALLER
-        if self.token and echo == self.token:
-            if epoch == 0:
-                return ASKING
-            self.epoch, self.life, self.highest, self.seen = epoch, life, counter, 0
-            self.token, self.heard = 0, now
-            return ADOPTED
-        if not self.token or now - self.drawn > AGAIN:
-            self.token, self.drawn = draw(chance), now
+        self.epoch = self.incarnation = 0  # of the process that is accepted, 0 for none
+        self.token = 0  # that an unknown incarnation has to echo; 0: none is drawn
+        self.peer_token = 0  # the last token of theirs, which we echo
+        self.heard_at = -1e9  # when the last datagram was accepted
+        self.refused = 0  # datagrams not accepted, of all kinds
+        self._highest_counter = self._seen = 0  # of theirs, and a bit for each counter of the window below
+        self._token_drawn_at = -1e9
+        self._sent_counter = 0  # of ours to them
+
+    def judge(self, stamp: Stamp, now: float, random_source: RandomSource) -> Verdict:
+        """Takes a datagram's stamp; what may be done with the datagram."""
+        identity, known = (stamp.epoch, stamp.incarnation), (self.epoch, self.incarnation)
+        if not _is_possible(stamp):
+            return self._refuse(Verdict.REPLAYED)
+        if identity == known:
+            if not self.accept_counter(stamp.counter):
+                return self._refuse(Verdict.REPLAYED)
+            self.heard_at, self.peer_token = now, stamp.token
+            return Verdict.FRESH
+        self.peer_token = stamp.token
+        if stamp.epoch > 0 and identity < known:
+            return self._refuse(Verdict.SUPERSEDED)
+        if self.token and stamp.echo == self.token:
+            if stamp.epoch == 0:
+                return Verdict.UNCLAIMED
+            self._adopt(stamp, now)
+            return Verdict.ADOPTED
+        if not self.token or now - self._token_drawn_at > _TOKEN_LIFETIME_S:
+            self.token, self._token_drawn_at = draw_number(random_source), now
+        return self._refuse(Verdict.UNPROVEN)
+
+    def _refuse(self, verdict: Verdict) -> Verdict:
         self.refused += 1
-        return STRANGE
-
-    def once(self, counter: int) -> bool:
-        if counter > self.highest:
-            if counter - self.highest > JUMP:
-                return False
-            ahead = counter - self.highest
-            self.seen = (self.seen << ahead | 1 << ahead - 1) & (1 << WINDOW) - 1 if ahead <= WINDOW else 0
-            self.highest = counter
-            return True
-        behind = self.highest - counter - 1
-        if not 0 <= behind < WINDOW or self.seen >> behind & 1:
+        return verdict
+
+    def _adopt(self, stamp: Stamp, now: float) -> None:
+        self.epoch, self.incarnation = stamp.epoch, stamp.incarnation
+        self._highest_counter, self._seen = stamp.counter, 0
+        self.token, self.heard_at = 0, now
+
+    def accept_counter(self, counter: int) -> bool:
+        """Whether a counter of the known incarnation is new; it is not from then on."""
+        if counter > self._highest_counter:
+            return self._advance(counter)
+        behind = self._highest_counter - counter - 1
+        if not 0 <= behind < REPLAY_WINDOW or self._seen >> behind & 1:
             return False
-        self.seen |= 1 << behind
+        self._seen |= 1 << behind
         return True
 
-    def challenge(self, chance: Any, now: float) -> int:
-        """The token for a datagram to it: 0 where its life is known and nobody else has asked."""
-        if not self.life and not self.token:
-            self.token, self.drawn = draw(chance), now
+    def _advance(self, counter: int) -> bool:
+        ahead = counter - self._highest_counter
+        if ahead > _MAX_COUNTER_JUMP:
+            return False
+        if ahead <= REPLAY_WINDOW:
+            self._seen = (self._seen << ahead | 1 << ahead - 1) & (1 << REPLAY_WINDOW) - 1
+        else:
+            self._seen = 0
+        self._highest_counter = counter
+        return True
+
+    def challenge(self, random_source: RandomSource, now: float) -> int:
+        """The token for a datagram to the peer: 0 where its incarnation is known and no other has asked."""
+        if not self.incarnation and not self.token:
+            self.token, self._token_drawn_at = draw_number(random_source), now
         return self.token
 
-    def next(self) -> int:
-        self.counter += 1
-        return self.counter
+    def next_counter(self) -> int:
+        """The counter of our next datagram to the peer."""
+        self._sent_counter += 1
+        return self._sent_counter
+
+
+def _is_possible(stamp: Stamp) -> bool:
+    return 0 < stamp.incarnation <= MAX_INCARNATION and 0 <= stamp.epoch < MAX_NUMBER and 0 < stamp.counter < MAX_NUMBER
--- a/wickhinge/peers/prober.py
+++ b/wickhinge/peers/prober.py
@@ -1,155 +1,191 @@
-"""Probes: direct, then through others; each period one name, in a shuffled order of all (SWIM)."""
+"""Probes: direct, then through other peers; each period one peer, in a shuffled order of all (SWIM)."""
 
 from __future__ import annotations
 
-from collections.abc import Callable
 from dataclasses import dataclass
-from typing import Any
+from typing import Protocol
 
-from wickhinge.common.random_source import shuffle
-from wickhinge.peers.health import PERIOD, LocalHealth
-from wickhinge.peers.member_table import Members
-from wickhinge.peers.messages import ACK, ALIVE, INDIRECT_ACK, INDIRECT_PING, PING, Message
+from wickhinge.common.random_source import RandomSource, shuffle
+from wickhinge.peers.health import PROBE_PERIOD_S, LocalHealth
+from wickhinge.peers.member_table import MemberTable
+from wickhinge.peers.messages import MemberState, Message, MessageKind
 
-DIRECT = 0.15  # seconds for a probe's answer before others are asked
-WITHIN = 0.9  # of a period: a probe that is not answered by then has failed
-HELPERS = 3  # others asked to reach it
-HELPED = 16  # probes under way here for others; more are not taken on
+_INDIRECT_AFTER_S = 0.15  # for a probe's answer, before other peers are asked
+_TIMEOUT_PERIODS = 0.9  # a probe that is not answered by then has failed
+_HELPERS = 3  # peers asked to reach it
+_MAX_HELPED = 16  # probes under way here for others
+_LONGEST_AGO = 1e9
+_DOWN_TURNS = 4  # each so many turns a peer that is not up is probed
+
+
+class Send(Protocol):
+    """Sends a datagram to a peer."""
+
+    def __call__(self, to: str, kind: MessageKind, probe_id: int, now: float, target: str = "") -> None:
+        """target: the name that a probe is for, where it is not the receiver."""
 
 
 @dataclass(slots=True)
 class Probe:
+    """Our probe that is under way."""
+
     name: str
-    serial: int
-    until: float  # answered by then, or it failed
-    helped: float  # when others are asked
+    probe_id: int
+    fails_at: float
+    indirect_at: float  # when other peers are asked
 
 
 @dataclass(frozen=True, slots=True)
-class Helped:
-    """A probe that is under way here for another."""
+class HelpedProbe:
+    """A probe that is under way here for another peer."""
 
     asker: str
-    serial: int  # the asker's
-    until: float
+    probe_id: int  # the asker's
+    expires_at: float
     target: str
 
 
-Send = Callable[..., None]  # (to, kind, serial, now, about="")
-
-
 class Prober:
-    """Our probes and those for others. send(to, kind, serial, now, about) is called within its methods."""
-
-    def __init__(self, chance: Any, members: Members, health: LocalHealth, send: Send, now: float) -> None:
-        self.chance, self.members, self.health, self.send = chance, members, health, send
-        self.order: list[str] = []  # names that are up and not asked yet in this round
-        self.aside: list[str] = []  # and those that are not
-        self.probe: Probe | None = None
-        self.helping: dict[int, Helped] = {}
-        self.serial = 0
-        self.next = now
-        self.turns = 0
-
-    def keep(self) -> None:
-        """Another roster: the table of members is that of it already."""
-        self.order = [name for name in self.order if name in self.members]
-        self.aside = [name for name in self.aside if name in self.members]
-        if self.probe is not None and self.probe.name not in self.members:
-            self.probe = None
-
-    def paused(self, now: float) -> None:
-        """This router stood still: what was not heard meanwhile tells of itself."""
-        self.probe = None
-        self.helping.clear()
-        self.next = now
-
-    def overdue(self, now: float) -> str | None:
-        """Asks helpers where it is time for that; the name whose probe has failed now."""
-        probe = self.probe
+    """Our probes and those for other peers. send() is called within its methods; `now` is seconds of one clock."""
+
+    def __init__(
+        self, random_source: RandomSource, members: MemberTable, health: LocalHealth, send: Send, now: float
+    ) -> None:
+        self._random_source, self._members, self._health, self._send = random_source, members, health, send
+        self._up_queue: list[str] = []  # names that are up and not probed yet in this round
+        self._down_queue: list[str] = []  # and those that are not up
+        self._probe: Probe | None = None
+        self._helped: dict[int, HelpedProbe] = {}
+        self._last_probe_id = 0
+        self._next_at = now
+        self._turns = 0
+
+    def reload(self) -> None:
+        """Forgets whom the member table, which follows the roster, does not hold any more."""
+        self._up_queue = [name for name in self._up_queue if name in self._members]
+        self._down_queue = [name for name in self._down_queue if name in self._members]
+        if self._probe is not None and self._probe.name not in self._members:
+            self._probe = None
+
+    def forget_probes(self, now: float) -> None:
+        """This router stood still: what was not answered meanwhile tells of itself."""
+        self._probe = None
+        self._helped.clear()
+        self._next_at = now
+
+    def take_failed(self, now: float) -> str | None:
+        """Asks helpers where it is time for that; the name whose probe has failed now, if any."""
+        probe = self._probe
         if probe is None:
             return None
-        if now >= probe.helped:
-            probe.helped = probe.until + 1e9
-            for name in self.helpers(probe.name):
-                self.send(name, INDIRECT_PING, probe.serial, now, probe.name)
-        if now < probe.until:
+        if now >= probe.indirect_at:
+            probe.indirect_at = probe.fails_at + _LONGEST_AGO
+            for helper in self._choose_helpers(probe.name):
+                self._send(helper, MessageKind.INDIRECT_PING, probe.probe_id, now, probe.name)
+        if now < probe.fails_at:
             return None
-        self.probe = None
+        self._probe = None
         return probe.name
 
-    def helpers(self, target: str) -> list[str]:
-        alive = [one.name for one in self.members.values() if one.state == ALIVE and one.name != target]
-        return shuffle(self.chance, alive)[:HELPERS]
-
-    def tick(self, now: float, asked: list[str]) -> None:
-        """Ends what is overdue for others and begins the next probe. asked: names that answer while we have none."""
-        for serial in [serial for serial, one in self.helping.items() if now >= one.until]:
-            del self.helping[serial]
-        if now >= self.next and self.probe is None:
-            self.next = max(self.next + PERIOD, now)  # a loop behind its time does not catch up in a burst
-            self.begin(now, asked)
-
-    def begin(self, now: float, asked: list[str]) -> None:
-        name = self.choose(asked)
+    def _choose_helpers(self, target: str) -> list[str]:
+        alive = [
+            member.name
+            for member in self._members.values()
+            if member.state == MemberState.ALIVE and member.name != target
+        ]
+        return shuffle(self._random_source, alive)[:_HELPERS]
+
+    def tick(self, now: float, answering: list[str]) -> None:
+        """Ends what is overdue for others and begins the next probe.
+
+        answering: peers that answered about our name while we have not claimed it.
+        """
+        for probe_id in [probe_id for probe_id, helped in self._helped.items() if now >= helped.expires_at]:
+            del self._helped[probe_id]
+        if now >= self._next_at and self._probe is None:
+            self._next_at = max(self._next_at + PROBE_PERIOD_S, now)  # a late loop does not catch up in a burst
+            self._begin(now, answering)
+
+    def _begin(self, now: float, answering: list[str]) -> None:
+        name = self._choose(answering)
         if name is None:
             return
-        self.serial += 1
-        slower = self.health.slowdown()
-        self.probe = Probe(name, self.serial, now + PERIOD * WITHIN * slower, now + DIRECT * slower)
-        self.send(name, PING, self.serial, now)
-
-    def choose(self, asked: list[str]) -> str | None:
-        """Each of those alive in turn; each fourth probe goes to one that is not, which may have come back."""
-        self.turns += 1
-        if asked and self.turns % 2:  # the same few again, until they agree
-            return shuffle(self.chance, asked)[0]
-        for up in (False, True) if self.turns % 4 == 0 else (True, False):
-            waiting = self.order if up else self.aside
-            for _ in range(2):
-                while waiting:
-                    name = waiting.pop()
-                    if self.members[name].is_up() == up:
-                        return name
-                waiting += shuffle(self.chance, [one.name for one in self.members.values() if one.is_up() == up])
+        self._last_probe_id += 1
+        slowdown = self._health.slowdown()
+        fails_at = now + PROBE_PERIOD_S * _TIMEOUT_PERIODS * slowdown
+        self._probe = Probe(name, self._last_probe_id, fails_at, now + _INDIRECT_AFTER_S * slowdown)
+        self._send(name, MessageKind.PING, self._last_probe_id, now)
+
+    def _choose(self, answering: list[str]) -> str | None:
+        """Each peer that is up in turn; each fourth probe goes to one that is not, which may have come back."""
+        self._turns += 1
+        if answering and self._turns % 2:  # the same few again, until they agree
+            return shuffle(self._random_source, answering)[0]
+        for is_up in (False, True) if self._turns % _DOWN_TURNS == 0 else (True, False):
+            name = self._next_of_queue(is_up=is_up)
+            if name is not None:
+                return name
+        return None
+
+    def _next_of_queue(self, *, is_up: bool) -> str | None:
+        queue = self._up_queue if is_up else self._down_queue
+        for _ in range(2):
+            while queue:
+                name = queue.pop()
+                if self._members[name].is_up() == is_up:
+                    return name
+            names = [member.name for member in self._members.values() if member.is_up() == is_up]
+            queue += shuffle(self._random_source, names)
         return None
 
-    def soon(self, name: str) -> None:
-        """To be asked before the others that are not up."""
-        if name in self.aside[-1:]:
+    def probe_next(self, name: str) -> None:
+        """Probes this peer before all others that are up."""
+        self._up_queue.append(name)
+
+    def probe_soon(self, name: str) -> None:
+        """Probes this peer before the others that are not up."""
+        if name in self._down_queue[-1:]:
+            return
+        self._down_queue.append(name)
+        if len(self._down_queue) > 2 * len(self._members):
+            self._down_queue = self._down_queue[-len(self._members) :]
+
+    def repeat(self, name: str, now: float) -> bool:
+        """Sends our probes of a peer again, which did not know us; whether there were any."""
+        probe_ids = [probe_id for probe_id, helped in self._helped.items() if helped.target == name]
+        if self._probe is not None and self._probe.name == name:
+            probe_ids.append(self._probe.probe_id)
+        for probe_id in probe_ids:
+            self._send(name, MessageKind.PING, probe_id, now)
+        return bool(probe_ids)
+
+    def receive(self, message: Message, now: float) -> None:
+        """Takes a probe, or the answer to one."""
+        if message.kind == MessageKind.PING:
+            self._send(message.sender, MessageKind.ACK, message.probe_id, now)
+        elif message.kind == MessageKind.INDIRECT_PING and message.probe_target in self._members:
+            self._help(message, now)
+        elif message.kind == MessageKind.ACK and message.probe_id in self._helped:
+            helped = self._helped.pop(message.probe_id)
+            if helped.asker in self._members:
+                self._send(helped.asker, MessageKind.INDIRECT_ACK, helped.probe_id, now, message.sender)
+        elif self._answers_ours(message):
+            self._probe = None
+            self._health.probe_answered(now)
+
+    def _help(self, message: Message, now: float) -> None:
+        if len(self._helped) >= _MAX_HELPED:
             return
-        self.aside.append(name)
-        if len(self.aside) > 2 * len(self.members):
-            self.aside = self.aside[-len(self.members) :]
-
-    def again(self, name: str, now: float) -> bool:
-        """It could not believe our probe, not knowing us; the same goes with its token. Whether there was one."""
-        serials = [serial for serial, one in self.helping.items() if one.target == name]
-        if self.probe is not None and self.probe.name == name:
-            serials.append(self.probe.serial)
-        for serial in serials:
-            self.send(name, PING, serial, now)
-        return bool(serials)
-
-    def heard(self, message: Message, now: float) -> None:
-        """A probe, or the answer to one."""
-        if message.kind == PING:
-            self.send(message.sender, ACK, message.serial, now)
-        elif message.kind == INDIRECT_PING and message.about in self.members and len(self.helping) < HELPED:
-            self.serial += 1
-            self.helping[self.serial] = Helped(message.sender, message.serial, now + PERIOD, message.about)
-            self.send(message.about, PING, self.serial, now)
-        elif message.kind == ACK and message.serial in self.helping:
-            helped = self.helping.pop(message.serial)
-            if helped.asker in self.members:
-                self.send(helped.asker, INDIRECT_ACK, helped.serial, now, message.sender)
-        elif self.answers_ours(message):
-            self.probe = None
-            self.health.probe_answered(now)
-
-    def answers_ours(self, message: Message) -> bool:
-        probe = self.probe
-        if probe is None or message.serial != probe.serial:
+        self._last_probe_id += 1
+        self._helped[self._last_probe_id] = HelpedProbe(
+            message.sender, message.probe_id, now + PROBE_PERIOD_S, message.probe_target
+        )
+        self._send(message.probe_target, MessageKind.PING, self._last_probe_id, now)
+
+    def _answers_ours(self, message: Message) -> bool:
+        probe = self._probe
+        if probe is None or message.probe_id != probe.probe_id:
             return False
-        direct = message.kind == ACK and message.sender == probe.name
-        return direct or message.kind == INDIRECT_ACK and message.about == probe.name
+        if message.kind == MessageKind.ACK:
+            return message.sender == probe.name
+        return message.kind == MessageKind.INDIRECT_ACK and message.probe_target == probe.name
--- a/wickhinge/peers/wire.py
+++ b/wickhinge/peers/wire.py
@@ -1,25 +1,22 @@
-"""A fellow's datagram as bytes.
+"""A datagram between peers as bytes.
 
-    datagram = "WP1" body mac:16      body: MessagePack, one array; mac: BLAKE2b (RFC 7693) keyed, of all before it
+    datagram = "WP1" body mac:16      body: MessagePack, one array; sealed as in common/sealing.py
 
-The array holds Message's fields from `sender` on, in their order, and first the receiver's name: one that was sent to
-another, and comes here by a relay or a mistake in the roster, is no word to us. Nothing in it is a time: clocks differ.
+The array holds Message's fields in their order. The receiver's name comes first: a datagram that was sent to another
+router, and comes here by a relay or a mistake in the roster, is not for us. Nothing in it is a time, since clocks
+differ.
 """
 
 from __future__ import annotations
 
-import hmac
-from hashlib import blake2b
-from typing import Any
-
 import msgspec
 
-from wickhinge.peers.messages import Message
+from wickhinge.common.sealing import MAX_DATAGRAM_BYTES, decode_body, seal, unseal
+from wickhinge.peers.messages import Belief, Gossip, Message
 
 MAGIC = b"WP1"
-MAC = 16
-LONGEST = 1400  # bytes; one that would be longer goes without its rider, then with less news
-BODY = tuple[
+
+_Body = tuple[
     str,
     str,
     int,
@@ -29,78 +26,70 @@
     int,
     int,
     int,
-    tuple[int, int, int, int],
+    Belief,
     int,
     int,
     str,
-    list[tuple[str, int, int, int, int]],
+    list[Gossip],
     bytes,
 ]
-decoder = msgspec.msgpack.Decoder(BODY)
-encoder = msgspec.msgpack.Encoder()
-
-
-class Unreadable(Exception):
-    """Not such a datagram, or not under the key; the text names the fault."""
-
-
-def decoded(decoder: Any, data: bytes) -> Any:
-    """Raises Unreadable."""
-    try:
-        return decoder.decode(data)
-    except msgspec.MsgspecError as problem:
-        raise Unreadable(str(problem)) from None
-
+_decoder = msgspec.msgpack.Decoder(_Body)
+_encoder = msgspec.msgpack.Encoder()
 
-def mac(key: bytes, data: bytes) -> bytes:
-    return blake2b(data, digest_size=MAC, key=key[:64]).digest()
 
-
-def sealed(key: bytes, magic: bytes, body: bytes) -> bytes:
-    """A datagram of any kind."""
-    return magic + body + mac(key, magic + body)
-
-
-def unsealed(key: bytes, magic: bytes, data: bytes) -> bytes:
-    """Its body. Raises Unreadable where it is not of that kind, or not under the key."""
-    if len(data) > LONGEST or data[:3] != magic or not hmac.compare_digest(data[-MAC:], mac(key, data[:-MAC])):
-        raise Unreadable("not under our key")
-    return data[3:-MAC]
-
-
-def pack(key: bytes, item: Message) -> bytes:
-    """At most LONGEST bytes."""
-    news, rider = item.news, item.rider
+def encode(key: bytes, message: Message) -> bytes:
+    """A sealed datagram of at most MAX_DATAGRAM_BYTES: one that would be longer goes without piggyback, then gossip."""
+    gossip, piggyback = message.gossip, message.piggyback
     while True:
-        data = sealed(
-            key,
-            MAGIC,
-            encoder.encode(
-                (
-                    item.to,
-                    item.sender,
-                    item.epoch,
-                    item.life,
-                    item.counter,
-                    item.token,
-                    item.echo,
-                    item.roster,
-                    item.count,
-                    item.known,
-                    item.kind,
-                    item.serial,
-                    item.about,
-                    news,
-                    rider,
-                )
-            ),
+        datagram = seal(key, MAGIC, _encode_body(message, gossip, piggyback))
+        if len(datagram) <= MAX_DATAGRAM_BYTES or not (gossip or piggyback):
+            return datagram
+        gossip, piggyback = (gossip, b"") if piggyback else (gossip[:-1], b"")
+
+
+def _encode_body(message: Message, gossip: tuple[Gossip, ...], piggyback: bytes) -> bytes:
+    return _encoder.encode(
+        (
+            message.to,
+            message.sender,
+            message.epoch,
+            message.incarnation,
+            message.counter,
+            message.token,
+            message.echo,
+            message.roster_version,
+            message.refutations,
+            message.belief,
+            message.kind,
+            message.probe_id,
+            message.probe_target,
+            gossip,
+            piggyback,
         )
-        if len(data) <= LONGEST or not (news or rider):
-            return data
-        news, rider = (news, b"") if rider else (news[:-1], b"")
-
-
-def read(key: bytes, data: bytes) -> Message:
-    """Raises Unreadable."""
-    body = decoded(decoder, unsealed(key, MAGIC, data))
-    return Message(*body[:13], tuple(body[13]), body[14])
+    )
+
+
+def decode(key: bytes, datagram: bytes) -> Message:
+    """The message of a datagram.
+
+    Raises:
+        DatagramError: it is of another kind or form, or not sealed with `key`.
+    """
+    body = decode_body(_decoder, unseal(key, MAGIC, datagram))
+    return Message(
+        to=body[0],
+        sender=body[1],
+        epoch=body[2],
+        incarnation=body[3],
+        counter=body[4],
+        token=body[5],
+        echo=body[6],
+        roster_version=body[7],
+        refutations=body[8],
+        belief=body[9],
+        kind=body[10],
+        probe_id=body[11],
+        probe_target=body[12],
+        gossip=tuple(body[13]),
+        piggyback=body[14],
+    )
--- a/wickhinge/shared/counts.py
+++ b/wickhinge/shared/counts.py
@@ -21,9 +21,10 @@
 import msgspec
 from xxhash import xxh32_intdigest
 
+from wickhinge.common.sealing import DatagramError as Unreadable
+from wickhinge.common.sealing import decode_body as decoded
 from wickhinge.peers.detector import FailureDetector
-from wickhinge.peers.messages import ALIVE, HELLO, SUSPECT
-from wickhinge.peers.wire import Unreadable, decoded
+from wickhinge.peers.messages import MemberState, MessageKind
 
 BEAT = 0.25  # seconds from one tally of our own to the next, each told to one of the zone
 STALE = 3.0  # seconds after which a tally counts no more
@@ -86,8 +87,8 @@
         self.unreadable = self.refused = 0
 
     def mates(self) -> list[str]:
-        zone = self.detector.roster.mine.zone
-        return [name for name in self.detector.roster.others if self.detector.roster.places[name].zone == zone]
+        zone = self.detector.roster.local.zone
+        return [name for name in self.detector.roster.peer_names if self.detector.roster.entries[name].zone == zone]
 
     def tick(self, now: float) -> None:
         if 0.0 <= now - self.beat < BEAT:
@@ -109,14 +110,16 @@
         for place, cache in enumerate(caches):
             total = sum(out[place] for out in fresh)
             cache.told += SMOOTH * (total - cache.told) if fresh else -cache.told
-        there = [name for name in mates if self.detector.members[name].state in (ALIVE, SUSPECT)]
+        there = [
+            name for name in mates if self.detector.members[name].state in (MemberState.ALIVE, MemberState.SUSPECT)
+        ]
         if there and self.detector.epoch:
-            self.detector.send(there[int(self.detector.chance.draw() * len(there))], HELLO, 0, now)
+            self.detector.send(there[int(self.detector.random_source.draw() * len(there))], MessageKind.HELLO, 0, now)
 
     def merge(self, tally: Tally, when: float, itself: bool) -> bool:
         """Whether it is the latest of its name. itself: said by the name of its own count."""
         entry = self.detector.members.get(tally.name)
-        if entry is None or (tally.epoch, tally.life) != (entry.epoch, entry.life):
+        if entry is None or (tally.epoch, tally.life) != (entry.epoch, entry.incarnation):
             return False
         known = self.known.get(tally.name)
         if known is not None and (known.tally.epoch, known.tally.life) == (tally.epoch, tally.life):
@@ -131,12 +134,12 @@
         return True
 
     def rider(self, to: str) -> bytes:
-        place = self.detector.roster.places.get(to)
-        mine = self.detector.roster.mine
+        place = self.detector.roster.entries.get(to)
+        mine = self.detector.roster.local
         if place is None or place.zone != mine.zone or not self.number:
             return b""
         now = self.beat
-        told = [Tally(mine.name, self.detector.epoch, self.detector.life, self.number, 0.0, self.view, self.own)]
+        told = [Tally(mine.name, self.detector.epoch, self.detector.incarnation, self.number, 0.0, self.view, self.own)]
         size = len(encoder.encode(told))
         passed = sorted(self.known.values(), key=lambda known: (known.passed, known.tally.name))
         for known in passed[:PASSED]:
--- a/wickhinge/shared/judge.py
+++ b/wickhinge/shared/judge.py
@@ -26,7 +26,7 @@
 from wickhinge.common.random_source import shuffle
 from wickhinge.common.token_bucket import TokenBucket
 from wickhinge.peers.detector import FailureDetector
-from wickhinge.peers.messages import HELLO
+from wickhinge.peers.messages import MessageKind
 from wickhinge.shared import words
 from wickhinge.shared.words import COLD, LOST, SLOW, WELL, Word
 
@@ -115,14 +115,14 @@
     def tell(self, seen: Seen, now: float) -> None:
         """At once, to those whom it concerns, in an order of chance, as far as PUSH allows."""
         concerned = [name for name in self.detector.members if self.concerns(name, seen.cache)]
-        for name in shuffle(self.detector.chance, concerned):
+        for name in shuffle(self.detector.random_source, concerned):
             if not self.push.take(1, now):
                 return
-            self.detector.send(name, HELLO, 0, now)
+            self.detector.send(name, MessageKind.HELLO, 0, now)
 
     def concerns(self, name: str, cache: Any) -> bool:
-        place = self.detector.roster.places.get(name)
-        return place is not None and (not self.edge(cache) or place.zone == self.detector.roster.mine.zone)
+        place = self.detector.roster.entries.get(name)
+        return place is not None and (not self.edge(cache) or place.zone == self.detector.roster.local.zone)
 
     def edge(self, cache: Any) -> bool:
         """Whether it is a cache of our location, and no parent."""
@@ -225,7 +225,7 @@
                 return False
             cache.strikes = max(cache.strikes, 1.0)
             cache.shunned = max(cache.shunned, policy_now + REST)
-            if self.detector.chance.draw() * self.fleet.routers < LOOKERS:
+            if self.detector.random_source.draw() * self.fleet.routers < LOOKERS:
                 self.look(cache)
             return True
         if verdict == COLD:
@@ -266,7 +266,7 @@
                     )
                 )
         if len(said) > words.MOST:  # in turn, by chance: a storm is told over some datagrams
-            said = [said[int(self.detector.chance.draw() * len(said))] for _ in range(words.MOST)]
+            said = [said[int(self.detector.random_source.draw() * len(said))] for _ in range(words.MOST)]
         return words.pack(said)
 
     def ridden(self, name: str, data: bytes, now: float) -> None:
@@ -287,7 +287,7 @@
     def reload(self) -> None:
         """The detector's roster is another: who left is no witness."""
         for found in self.told.values():
-            for name in set(found) - set(self.detector.roster.places):
+            for name in set(found) - set(self.detector.roster.entries):
                 del found[name]
 
     def figures(self, now: float) -> dict[str, Any]:
--- a/wickhinge/shared/lending.py
+++ b/wickhinge/shared/lending.py
@@ -23,7 +23,7 @@
 from typing import Any
 
 from wickhinge.peers.detector import FailureDetector
-from wickhinge.peers.messages import HELLO
+from wickhinge.peers.messages import MessageKind
 from wickhinge.peers.roster import Roster
 from wickhinge.shared import riders
 from wickhinge.shared.bucket import Bucket
@@ -52,7 +52,7 @@
         """Of one zone's routers: names that the roster does not hold yet may all come to be there."""
         if not zone:
             return self
-        names = sum(one.zone == zone for one in roster.places.values()) + self.names - len(roster)
+        names = sum(one.zone == zone for one in roster.entries.values()) + self.names - len(roster)
         return Division(names, names + self.processes - self.names)
 
 
@@ -103,14 +103,14 @@
         self.late, self.ticked = 0.0, now
         self.budgets = [Budget(one, division.within(detector.roster, one.zone), self.late) for one in budgets]
         self.leases = NameLeases(len(detector.roster), self.late)
-        self.life = detector.life
+        self.life = detector.incarnation
         self.stamps: dict[str, tuple[float, bool]] = {}  # what to answer: their stamp, whether we vouch
         self.told: dict[str, tuple[float, list[tuple[float, float]]]] = {}  # when, what it lacks and can spare
         self.words: dict[str, tuple[list[Any], list[Any], list[Any]]] = {}  # that go with the next datagram
         self.looked = now
         self.vouched = 0.0
         self.differ: set[str] = set()  # who divides by other numbers
-        detector.rider, detector.ridden = self.rider, self.ridden
+        detector.attach_piggyback(self.rider, self.ridden)
 
     # What spends asks.
 
@@ -143,8 +143,8 @@
             self.lost()
             self.log("clock_back", seconds=round(-gap, 3))
         self.late += min(max(gap, 0.0), STEP)
-        if self.detector.life != self.life:
-            self.life = self.detector.life
+        if self.detector.incarnation != self.life:
+            self.life = self.detector.incarnation
             self.lost()
         self.vouched = self.leases.until(now) - STEP if self.detector.epoch else 0.0
         for budget in self.budgets:
@@ -189,7 +189,7 @@
 
     def among(self, name: str, budget: Budget) -> bool:
         """Whether that router spends it too."""
-        place = self.detector.roster.places.get(name)
+        place = self.detector.roster.entries.get(name)
         return place is not None and budget.zone in ("", place.zone)
 
     def ask(self, number: int, budget: Budget, now: float) -> None:
@@ -210,7 +210,7 @@
         missing -= sum(one.amount for serial, one in loans.asked.items() if serial not in loans.had)
         spares = sorted(
             (
-                (levels[number][1] * (0.5 + self.detector.chance.draw()), name)
+                (levels[number][1] * (0.5 + self.detector.random_source.draw()), name)
                 for name, (when, levels) in self.told.items()
                 if 0.0 <= now - when <= WORD
                 and len(levels) > number
@@ -242,13 +242,13 @@
             )
             if lacks > LEAST and name in self.detector.members:
                 self.told[name][1][number] = 0.0, self.told[name][1][number][1]  # until it says so again
-                self.detector.send(name, HELLO, 0, now)
+                self.detector.send(name, MessageKind.HELLO, 0, now)
 
     def tell(self, name: str, kind: int, words: tuple[Any, ...], now: float) -> None:
         """kind: 0 asked, 1 granted, 2 given back. At once, since loans are short."""
         if name in self.detector.members:
             self.words.setdefault(name, ([], [], []))[kind].append(words)
-            self.detector.send(name, HELLO, 0, now)
+            self.detector.send(name, MessageKind.HELLO, 0, now)
 
     # Datagrams.
 
@@ -278,19 +278,19 @@
         self.differ.discard(name)
         self.refresh(now)
         self.told[name] = now, levels
-        line = self.detector.lines[name]
-        if stamp and self.detector.others_rosters.get(name) == self.detector.roster.version:
-            self.stamps[name] = stamp, self.leases.grant(name, line.life, self.late)
+        line = self.detector.sessions[name]
+        if stamp and self.detector.roster_versions.get(name) == self.detector.roster.version:
+            self.stamps[name] = stamp, self.leases.grant(name, line.incarnation, self.late)
         if answers and granted and answers <= now:
             self.leases.granted(name, answers, now)
         for number, serial, amount in asked:
             if number < len(self.budgets):
-                self.lend(name, line.life, number, serial, amount, now)
+                self.lend(name, line.incarnation, number, serial, amount, now)
         for number, serial, amount in lent:
             if number < len(self.budgets) and self.budgets[number].loans.granted(name, serial, amount, now):
                 self.settle(self.budgets[number], now)
         for number, serial in back:
-            if number < len(self.budgets) and self.budgets[number].loans.returned(name, line.life, serial):
+            if number < len(self.budgets) and self.budgets[number].loans.returned(name, line.incarnation, serial):
                 self.settle(self.budgets[number], now)
 
     def lend(self, name: str, life: int, number: int, serial: int, amount: float, now: float) -> None:
@@ -308,7 +308,7 @@
 
     def reload(self, now: float) -> None:
         """The detector's roster is another."""
-        names = set(self.detector.roster.places)
+        names = set(self.detector.roster.entries)
         self.leases.resize(len(names), names, self.late)
         for table in (self.stamps, self.told, self.words):
             for name in set(table) - names:
--- a/wickhinge/shared/name_lease.py
+++ b/wickhinge/shared/name_lease.py
@@ -12,7 +12,7 @@
 
 from __future__ import annotations
 
-from wickhinge.peers.health import PERIOD
+from wickhinge.peers.health import PROBE_PERIOD_S
 
 DRIFT = 0.06  # clocks of two machines run by less apart in their rate, either way
 LEAST = 4.0  # seconds of a term, besides
@@ -23,7 +23,7 @@
     """Seconds of a vouched term. Work a second is the same at any size, so a larger fleet takes longer to hear a
     majority: half as many periods as there are routers. Twice that, and time for a loan.
     """
-    return LEAST + 2 * EACH * routers * PERIOD
+    return LEAST + 2 * EACH * routers * PROBE_PERIOD_S
 
 
 class NameLeases:
--- a/wickhinge/shared/riders.py
+++ b/wickhinge/shared/riders.py
@@ -13,7 +13,8 @@
 
 import msgspec
 
-from wickhinge.peers.wire import Unreadable, decoded
+from wickhinge.common.sealing import DatagramError as Unreadable
+from wickhinge.common.sealing import decode_body as decoded
 
 LONGEST = 400
 MOST = 8  # of each kind in a datagram
--- a/wickhinge/shared/riding.py
+++ b/wickhinge/shared/riding.py
@@ -27,7 +27,7 @@
         """parts: each a Part, or None where it is off here."""
         self.parts = parts
         self.unreadable = 0
-        detector.rider, detector.ridden = self.rider, self.ridden
+        detector.attach_piggyback(self.rider, self.ridden)
 
     def rider(self, to: str) -> bytes:
         return encoder.encode([b"" if part is None else part.rider(to) for part in self.parts])
--- a/wickhinge/shared/words.py
+++ b/wickhinge/shared/words.py
@@ -10,7 +10,8 @@
 
 import msgspec
 
-from wickhinge.peers.wire import Unreadable, decoded
+from wickhinge.common.sealing import DatagramError as Unreadable
+from wickhinge.common.sealing import decode_body as decoded
 
 WELL, SLOW, LOST, COLD = range(4)
 VERDICTS = ("well", "slow", "lost", "cold")
