--- a/tests/peers/test_status.py
+++ b/tests/peers/test_running_routers.py
@@ -1,4 +1,4 @@
-"""What an operator asks a running router: the exchange by itself, and real routers that change while they run."""
+"""Real routers that are asked for their status, and take another roster and key while they run."""
 
 import json
 import os
@@ -12,119 +12,11 @@
 from click.testing import CliRunner
 
 from wickhinge.cli import main
-from wickhinge.common import sealing
-from wickhinge.common.sealing import DatagramError
 from wickhinge.lab.many.rig import free_port, with_us
-from wickhinge.peers import status_messages
-from wickhinge.peers.status_client import StatusClient
-from wickhinge.peers.status_messages import StatusPart
-from wickhinge.peers.status_server import COOKIE_SLOT_S, MAX_PARTS_PER_S, StatusServer
 
 ROOT = Path(__file__).parents[2]
-KEY, OTHER = b"k" * 16, b"o" * 16
-HERE, THERE = ("127.0.0.1", 5), ("127.0.0.1", 6)
-
-
-def made(name="n1"):
-    one = StatusServer(name, KEY, b"secret", 100.0)
-    one.add_command("say", lambda more: more * 3)
-    return one
-
-
-def exchange(at, asking, sender=HERE, now=100.0, lose=()):
-    """Datagrams both ways until nothing more comes; those of the answers that are named are lost."""
-    sent, came = [asking.datagram()], 0
-    while sent:
-        answers = at.receive(sent.pop(), sender, now)
-        for answer in answers:
-            came += 1
-            if came not in lose and asking.receive(answer):
-                sent.append(asking.datagram())
-    return asking.answer()
-
-
-@pytest.mark.parametrize("size", [0, 1, 400, 1100, 1101, 20000])
-def test_an_answer_of_any_length_comes_whole_in_parts(size):
-    at = made()
-    answer = bytes(range(256)) * (size // 256) + b"x" * (size % 256)
-    at.add_command("long", lambda payload: answer)
-    assert exchange(at, StatusClient(KEY, "n1", 7, "long")) == answer
-
-
-def test_lost_parts_come_when_it_is_asked_again():
-    at, asking = made(), StatusClient(KEY, "n1", 7, "say", b"ab" * 500)
-    assert exchange(at, asking, lose=(2,)) is None
-    assert exchange(at, asking) == b"ab" * 1500
-
-
-def test_without_its_cookie_an_ask_does_nothing_and_draws_less_than_it_is():
-    at, done = made(), []
-
-    def do(payload):
-        done.append(1)
-        return b"done"
-
-    at.add_command("do", do)
-    asking = StatusClient(KEY, "n1", 7, "do")
-    first = asking.datagram()
-    (answer,) = at.receive(first, HERE, 100.0)
-    assert not done and len(answer) <= len(first)
-    assert asking.receive(answer) and not asking.receive(answer)
-    again = asking.datagram()
-    for sender, now in ((THERE, 100.0), (HERE, 100.0 + 2.1 * COOKIE_SLOT_S)):  # another's address, a later time
-        assert len(at.receive(again, sender, now)) == 1 and not done
-    assert len(made().receive(again, HERE, 100.0)) == 1  # the same secret; a new process has another
-    fresh = StatusServer("n1", KEY, b"another", 100.0)
-    fresh.add_command("do", do)
-    assert status_messages.decode_part(KEY, fresh.receive(again, HERE, 100.0)[0]).index == 0
-    done.clear()
-    assert at.receive(again, HERE, 104.9) and done == [1]
 
-
-def test_what_is_not_for_it_not_known_or_too_long_is_said_or_left():
-    at = made()
-    assert at.receive(StatusClient(KEY, "n2", 7, "say").datagram(), HERE, 100.0) == []
-    assert b"nothing that this router answers" in exchange(at, StatusClient(KEY, "n1", 7, "fly"))
-    at.add_command("huge", lambda more: b"x" * (status_messages.MAX_PART_BYTES * status_messages.MAX_PARTS + 1))
-    assert b"is longer than" in exchange(at, StatusClient(KEY, "n1", 7, "huge"))
-    for data in (
-        b"",
-        b"WP?",
-        StatusClient(OTHER, "n1", 7, "say").datagram(),
-        StatusClient(KEY, "n1", 7, "say").datagram()[:-1],
-    ):
-        with pytest.raises(DatagramError):
-            at.receive(data, HERE, 100.0)
-    garbled = status_messages.REQUEST_MAGIC + b"\x93\x01"
-    with pytest.raises(DatagramError):
-        at.receive(garbled + sealing.mac(KEY, garbled), HERE, 100.0)
-
-
-def test_a_flood_of_asks_is_answered_at_a_bounded_rate():
-    at = made()
-    told = sum(
-        len(at.receive(StatusClient(KEY, "n1", number, "say").datagram(), HERE, 100.0 + number / 1e4))
-        for number in range(10_000)
-    )
-    assert MAX_PARTS_PER_S <= told <= 2 * MAX_PARTS_PER_S + 1
-
-
-def test_another_asks_parts_and_foul_ones_change_nothing():
-    asking = StatusClient(KEY, "n1", 7, "say")
-    for part in (
-        StatusPart(8, b"c" * 16, 1, 1, b"x"),
-        StatusPart(7, b"c", 2, 1, b"x"),
-        StatusPart(7, b"c", 1, 65, b"x"),
-        StatusPart(7, b"c", -1, 1, b"x"),
-    ):
-        assert not asking.receive(status_messages.encode_part(KEY, part))
-    assert (
-        not asking.receive(status_messages.encode_part(OTHER, StatusPart(7, b"c", 1, 1, b"x")))
-        and asking.answer() is None
-    )
-
-
-# Real routers.
+KEY, OTHER = b"k" * 16, b"o" * 16
 
 
 class Fleet:
@@ -211,7 +103,7 @@
         child.wait(10)
 
 
-def test_routers_are_shown_and_take_another_roster_and_key_while_they_run(fleet):
+def test_running_routers_when_roster_and_key_change_go_on_and_are_shown(fleet):
     fleet.well()
     code, told = fleet.show("--router", "n1")
     assert code == 0 and told["name"] == "n1" and {one["name"] for one in told["fellows"]} == {"n0", "n2"}
@@ -267,7 +159,7 @@
         ('peers: {key_file: "KEY", roster: [{name: "n1", address: "127.0.0.1:1"}]}', ("--router", "n9"), "n9"),
     ],
 )
-def test_settings_by_which_nobody_can_be_asked_name_the_fault(tmp_path, text, words, told):
+def test_peers_show_when_settings_are_wrong_names_the_fault(tmp_path, text, words, told):
     (tmp_path / "key").write_bytes(KEY)
     (tmp_path / "o.cue").write_text(text.replace("KEY", str(tmp_path / "key")))
     ran = CliRunner().invoke(main, ["peers", "show", "--options", str(tmp_path / "o.cue"), *words])
--- /dev/null
+++ b/tests/peers/test_view_interval.py
@@ -0,0 +1,31 @@
+"""How often the router's socket side looks at the whole roster."""
+
+from tests.support.peers import roster_entries
+from wickhinge.peers.roster import Roster
+
+KEY = b"k" * 32
+
+
+def test_the_view_when_the_loop_ticks_is_made_once_a_period():
+    from types import SimpleNamespace
+
+    from wickhinge.net import fellows
+
+    now, calls = [100.0], []
+    node = SimpleNamespace(
+        deadlines=SimpleNamespace(after=lambda delay, call: calls.append(call)),
+        log=SimpleNamespace(event=lambda event, **told: None),
+    )
+    fellows_clock, fellows.clock = fellows.clock, lambda: now[0]
+    try:
+        made = fellows.Fellows(node, Roster(roster_entries(3), "n0"), [KEY], 1)
+        looks, view = [], made.detector.view
+        made.detector.view = lambda when: looks.append(when) or view(when)
+        made.transport = SimpleNamespace(write=lambda data, address: None)
+        made.tick()
+        for _ in range(40):
+            now[0] += fellows.TICK
+            calls.pop()()
+    finally:
+        fellows.clock = fellows_clock
+    assert 4 <= len(looks) <= 5
--- /dev/null
+++ b/tests/peers/test_wire.py
@@ -0,0 +1,68 @@
+"""Datagrams between peers as bytes."""
+
+from dataclasses import replace
+
+import pytest
+
+from tests.support.peers import roster_entries
+from wickhinge.common.sealing import MAX_DATAGRAM_BYTES, DatagramError
+from wickhinge.decide import Chance
+from wickhinge.peers import wire
+from wickhinge.peers.detector import FailureDetector
+from wickhinge.peers.messages import Belief, Gossip, MemberState, Message, MessageKind
+from wickhinge.peers.roster import Roster
+
+KEY = b"k" * 32
+# Written by version 0.2.0 before its names were changed.
+STORED = bytes.fromhex(
+    "5750319fa26e31a26e3003cf2000000000000000110509cf80000000000000070294012c0002020ca26e329295a26e320105"
+    "000395a26e3302060101c4036162636651844d693414b99ab8946300b4924b"
+)
+
+
+def some_item():
+    made = []
+    detector = FailureDetector(Roster(roster_entries(3), "n0"), Chance(4), 0.0, made.append)
+    detector.tick(1.0)
+    return made[0]
+
+
+def test_decode_when_any_byte_is_changed_or_missing_refuses():
+    item = replace(some_item(), gossip=(Gossip("n2", 1, 5, 0, 1),), piggyback=b"abc")
+    data = wire.encode(KEY, item)
+    assert wire.decode(KEY, data) == item
+    for place in range(len(data)):
+        with pytest.raises(DatagramError):
+            wire.decode(KEY, data[:place] + bytes([data[place] ^ 1]) + data[place + 1 :])
+        with pytest.raises(DatagramError):
+            wire.decode(KEY, data[:place])
+    with pytest.raises(DatagramError):
+        wire.decode(b"x" * 32, data)
+
+
+def test_encode_when_there_is_too_much_gossip_keeps_to_the_bound():
+    news = tuple(("n" * 60 + str(place), 1 << 40, 1 << 62, 1 << 40, 3) for place in range(10, 18))
+    data = wire.encode(KEY, replace(some_item(), gossip=news * 3, piggyback=b"x" * 900))
+    assert len(data) <= MAX_DATAGRAM_BYTES and len(wire.decode(KEY, data).gossip) >= 8
+
+
+def test_a_datagram_when_of_the_version_before_is_read_and_written_alike():
+    message = Message(
+        to="n1",
+        sender="n0",
+        epoch=3,
+        incarnation=1 << 61,
+        counter=17,
+        token=5,
+        echo=9,
+        roster_version=(1 << 63) + 7,
+        refutations=2,
+        belief=Belief(1, 44, 0, MemberState.SUSPECT),
+        kind=MessageKind.INDIRECT_PING,
+        probe_id=12,
+        probe_target="n2",
+        gossip=(Gossip("n2", 1, 5, 0, MemberState.GONE), Gossip("n3", 2, 6, 1, MemberState.ALIVE)),
+        piggyback=b"abc",
+    )
+    assert wire.decode(KEY, STORED) == message
+    assert wire.encode(KEY, message) == STORED
