--- a/bench/cold_sum.py
+++ b/bench/cold_sum.py
@@ -28,8 +28,17 @@
 import numpy as np
 
 from bench import told
-from wickhinge.decide import Cache, Chance, Cold, Fleet, Forward, Purges, Router, Shelf
-from wickhinge.interface import Effect, Listing, Outcome, Permitted, Refusal, Request, Tariff
+from wickhinge.decide import Attempt, Endpoints, ObjectCounts, Purges, RandomSource, Router, Server, SlowStart
+from wickhinge.interface import (
+    AttemptParameters,
+    Capabilities,
+    Endpoint,
+    Idempotency,
+    Outcome,
+    RejectionReason,
+    Request,
+    RequestClass,
+)
 from wickhinge.lab.many import stands
 from wickhinge.lab.many.rig import Rig
 from wickhinge.lab.many.schedule import Fault, Schedule
@@ -185,15 +194,23 @@
 # The play.
 
 FELLOW, COLD, PARENT_MARK, ORIGIN = 1, 2, 100, 200
-ALLOWED = Permitted(
-    joins=False, direct=False, second_copies=False, cancel=True, probes=False, loads=False, follows=False
+ALLOWED = Capabilities(
+    collapse_fills=False,
+    direct_to_source=False,
+    hedging=False,
+    cancellation=True,
+    health_checks=False,
+    load_reports=False,
+    polls_endpoints=False,
 )
 KEYS = 2000
 
 
-def offers(work: float) -> Tariff:
+def offers(work: float) -> RequestClass:
     """A class of visits with `work` seconds of sending each, as a router believes before it has learned."""
-    return Tariff("video", 2 * work, 1.6, 6.0, 2.0, 0.2, Effect.RERUNNABLE, "all", 5.0, 0.0, 0.0, 0.7, True, False)
+    return RequestClass(
+        "video", 2 * work, 1.6, 6.0, 2.0, 0.2, Idempotency.IDEMPOTENT, "all", 5.0, 0.0, 0.0, 0.7, True, False
+    )
 
 
 class Wheel:
@@ -219,24 +236,24 @@
     def __init__(self, play: Play, place: int) -> None:
         self.play, self.place = play, place
 
-    def forward(self, forward: Forward, cache: Cache, patience: float, source: Cache, *_: Any) -> None:
-        play = self.play
+    def forward(self, parameters: AttemptParameters) -> None:
+        play, forward, cache = self.play, parameters.attempt, parameters.server
         if cache.mark == COLD:
             play.sent.append((play.wheel.now, self.place))
         play.wheel.wake(play.work, lambda now: self.answered(forward, now))
 
-    def answered(self, forward: Forward, now: float) -> None:
+    def answered(self, forward: Attempt, now: float) -> None:
         if forward.pending:
             self.play.served += 1
-            forward.visit.ended(forward, Outcome.HONOURED, self.play.work, True, None, now)
+            forward.visit.ended(forward, Outcome.SUCCEEDED, self.play.work, True, None, now)
 
-    def withdraw(self, forward: Forward) -> None:
-        forward.visit.ended(forward, Outcome.WITHDRAWN, 0.0, True, None, self.play.wheel.now)
+    def cancel(self, forward: Attempt) -> None:
+        forward.visit.ended(forward, Outcome.CANCELLED, 0.0, True, None, self.play.wheel.now)
 
-    def deny(self, wait: float, why: Refusal) -> None:
+    def reject(self, wait: float, why: RejectionReason) -> None:
         self.play.denied += 1
 
-    def abandon(self, why: Refusal) -> None:
+    def fail(self, why: RejectionReason) -> None:
         self.play.denied += 1
 
 
@@ -246,13 +263,13 @@
     def __init__(self, wheel: Wheel) -> None:
         self.wheel, self.up = wheel, True
 
-    def wake(self, delay: float, call: Callable[[float], None]) -> None:
+    def call_later(self, delay: float, call: Callable[[float], None]) -> None:
         self.wheel.wake(delay, lambda now: call(now) if self.up else None)
 
-    def probe(self, cache: Cache) -> None:
+    def check_health(self, server: Server) -> None:
         pass
 
-    def follow(self) -> None:
+    def watch(self) -> None:
         pass
 
 
@@ -262,7 +279,7 @@
     def __init__(self, play: Play) -> None:
         self.play = play
 
-    def room(self, cache: Cache, visit: Any, now: float) -> bool:
+    def room(self, cache: Server, visit: Any, now: float) -> bool:
         if cache.mark != COLD:
             return True
         play = self.play
@@ -310,13 +327,13 @@
 
     def router(self, place: int) -> Router:
         tier = (self.limits.multiple, self.limits.span, self.limits.floor, self.limits.warm)
-        chance = Chance(self.random.getrandbits(60))
-        fleet = Fleet(chance, "here", self.processes, "parent", "origin", True, Cold(*tier), Cold(*tier))
+        chance = RandomSource(self.random.getrandbits(60))
+        fleet = Endpoints(chance, "here", self.processes, "parent", "origin", True, SlowStart(*tier), SlowStart(*tier))
         made = Router(
             self.worlds[place],
             chance,
             fleet,
-            Shelf(self.processes),
+            ObjectCounts(self.processes),
             Purges(6.0),
             ALLOWED,
             flow=1000.0,
@@ -332,13 +349,13 @@
         made.start(now)
         return made
 
-    def listings(self, started: float | None) -> list[Listing]:
+    def listings(self, started: float | None) -> list[Endpoint]:
         fellow = "ready" if self.wheel.now < self.scene.step else "gone"
         return [
-            Listing(FELLOW, "here", "box", 0, fellow, self.weight, None),
-            Listing(COLD, "here", "box", 0, "ready", self.weight, started),
-            Listing(PARENT_MARK, "hub", "parent", 0, "ready", 1000.0, None),
-            Listing(ORIGIN, "hub", "origin", 0, "ready", 1000.0, None),
+            Endpoint(FELLOW, "here", "box", 0, fellow, self.weight, None),
+            Endpoint(COLD, "here", "box", 0, "ready", self.weight, started),
+            Endpoint(PARENT_MARK, "hub", "parent", 0, "ready", 1000.0, None),
+            Endpoint(ORIGIN, "hub", "origin", 0, "ready", 1000.0, None),
         ]
 
     def restart(self, place: int) -> None:
@@ -355,7 +372,7 @@
         if now > self.limits.warm:
             return
         self.asked += 1
-        request = Request(self.random.randrange(KEYS), 0, 0, 1000.0 * self.work, self.offers.patience)
+        request = Request(self.random.randrange(KEYS), 0, 0, 1000.0 * self.work, self.offers.timeout)
         self.routers[place].take(Client(self, place), self.offers, request, now)
         self.wheel.wake(self.random.expovariate(rate), lambda then: self.ask(place, rate, then))
 
--- a/bench/discovery.py
+++ b/bench/discovery.py
@@ -21,8 +21,16 @@
 import numpy as np
 
 from bench import told
-from wickhinge.decide import Chance, Router
-from wickhinge.interface import Effect, Listing, Outcome, Refusal, Request, Tariff
+from wickhinge.decide import RandomSource, Router
+from wickhinge.interface import (
+    AttemptParameters,
+    Endpoint,
+    Idempotency,
+    Outcome,
+    RejectionReason,
+    Request,
+    RequestClass,
+)
 from wickhinge.lab.play import emulated
 from wickhinge.lab.wheel import Wheel
 from wickhinge.membership.keeper import Keeper
@@ -316,8 +324,8 @@
         self.wheel, self.random = Wheel(1000.0), random.Random(seed)
         self.began, self.routers, self.blind = self.now, [], blind
         self.cells = {mark: Cell(4.0) for mark in range(1, 9)} | {100: Cell(40.0), 101: Cell(40.0), 200: Cell(1e6)}
-        self.tariff = Tariff(
-            "clips", 1.0, 2.0, 3.0, 1.0, 0.2, Effect.RERUNNABLE, "all", 0.0, 0.0, 0.0, 0.7, True, False
+        self.request_class = RequestClass(
+            "clips", 1.0, 2.0, 3.0, 1.0, 0.2, Idempotency.IDEMPOTENT, "all", 0.0, 0.0, 0.0, 0.7, True, False
         )
         statements = [
             Statement(
@@ -350,11 +358,11 @@
         self.wheel.at(when, call)
 
     def add(self, number: int, routers: int) -> None:
-        chance = Chance(number + 1)
+        chance = RandomSource(number + 1)
         outside = SimpleNamespace(
-            wake=lambda delay, call: self.at(self.now + delay, lambda: call(self.now)),
-            probe=lambda cache: None,
-            follow=lambda: None,
+            call_later=lambda delay, call: self.at(self.now + delay, lambda: call(self.now)),
+            check_health=lambda cache: None,
+            watch=lambda: None,
         )
         made = emulated(outside, chance, "here", routers, (self.MULTIPLE, self.SPAN, self.FLOOR, self.WARM))
         made.means["clips"] = 0.1
@@ -362,7 +370,7 @@
         def tell(machines: list[Any]) -> None:
             made.fleet.listed(
                 [
-                    Listing(one.mark, one.zone, one.kind, one.cell, state, one.weight, one.started, trusted)
+                    Endpoint(one.mark, one.zone, one.kind, one.cell, state, one.weight, one.started, trusted)
                     for one, state, trusted in machines
                 ],
                 False,
@@ -377,7 +385,7 @@
             tell,
             probe,
             lambda *a, **k: None,
-            Chance(number + 1000),
+            RandomSource(number + 1000),
             "d",
             routers,
             ("parent", "origin"),
@@ -412,7 +420,7 @@
         self.arrivals(rate)
         made, members = self.random.choice(self.routers)
         request = Request(int(self.random.paretovariate(0.9)) % 5000, 0, 0, 100.0, 3.0)
-        made.take(HerdCaller(self, made, members), self.tariff, request, self.now)
+        made.take(HerdCaller(self, made, members), self.request_class, request, self.now)
 
     def run(self, seconds: float) -> dict[str, Any]:
         self.wheel.run(self.began + seconds)
@@ -461,18 +469,9 @@
     def __init__(self, herd: Herd, router: Router, members: Members) -> None:
         self.herd, self.router, self.members, self.gone = herd, router, members, set()
 
-    def forward(
-        self,
-        forward: Any,
-        cache: Any,
-        patience: float,
-        source: Any,
-        rank: int,
-        oldest: Any,
-        join: bool,
-        held_only: bool,
-        renew: bool,
-    ) -> None:
+    def forward(self, parameters: AttemptParameters) -> None:
+        forward, cache = parameters.attempt, parameters.server
+        source = parameters.source
         herd = self.herd
         herd.cells[cache.mark].work.append((herd.now, 0.1))
         if source is not None and source is not cache:
@@ -483,27 +482,27 @@
         def done() -> None:
             if forward in self.gone:
                 return
-            outcome = Outcome.HONOURED if filled else Outcome.MISS
+            outcome = Outcome.SUCCEEDED if filled else Outcome.MISS
             self.members.ended(cache.mark, True, herd.now)
-            if outcome is Outcome.HONOURED and not forward.visit.done:
+            if outcome is Outcome.SUCCEEDED and not forward.visit.done:
                 herd.served += 1
-            forward.visit.ended(forward, outcome, took, outcome is Outcome.HONOURED, None, herd.now)
+            forward.visit.ended(forward, outcome, took, outcome is Outcome.SUCCEEDED, None, herd.now)
 
         herd.at(herd.now + took, done)
 
-    def withdraw(self, forward: Any) -> None:
+    def cancel(self, forward: Any) -> None:
         self.gone.add(forward)
         self.herd.at(
-            self.herd.now, lambda: forward.visit.ended(forward, Outcome.WITHDRAWN, 0.0, False, None, self.herd.now)
+            self.herd.now, lambda: forward.visit.ended(forward, Outcome.CANCELLED, 0.0, False, None, self.herd.now)
         )
 
-    def deny(self, wait: float, why: Refusal) -> None:
+    def reject(self, wait: float, why: RejectionReason) -> None:
         self.herd.denied += 1
 
-    def abandon(self, why: Refusal) -> None:
+    def fail(self, why: RejectionReason) -> None:
         self.herd.denied += 1
 
-    def read(self, copy: Any) -> None:
+    def serve_copy(self, copy: Any) -> None:
         raise AssertionError("no copies here")
 
 
--- a/bench/planted.py
+++ b/bench/planted.py
@@ -27,10 +27,10 @@
 
         Members.adopt = all_of_it
     elif fault == "drains":
-        from wickhinge.decide import Fleet
+        from wickhinge.decide import Endpoints
 
-        listed = Fleet.listed
-        Fleet.listed = lambda self, listings, whole, now: listed(
+        listed = Endpoints.listed
+        Endpoints.listed = lambda self, listings, whole, now: listed(
             self, [one for one in listings if one.state != "draining"], whole, now
         )
     else:
--- a/bench/scale/deciding.py
+++ b/bench/scale/deciding.py
@@ -7,17 +7,17 @@
 from bench.scale.judgements import fleet
 from bench.scale.meter import Meter, Watch, memory
 from bench.scale.records import Row, row
-from wickhinge.decide import ROUND, Chance, Purges, Router, Shelf
-from wickhinge.interface import Permitted
+from wickhinge.decide import ROUND, ObjectCounts, Purges, RandomSource, Router
+from wickhinge.interface import Capabilities
 
 VISITS = 2000  # requests of a measure
 ROUNDS = 40  # of probes
 KEYS = 1 << 40  # of objects, drawn from
 
 
-def filled(size: int) -> Shelf:
+def filled(size: int) -> ObjectCounts:
     """A table of k that is full."""
-    shelf = Shelf(1, size)
+    shelf = ObjectCounts(1, size)
     for number in range(size):
         shelf.visit(number * 7919 % KEYS, 0, 0.0)
     return shelf
@@ -49,17 +49,19 @@
     def __init__(self) -> None:
         self.probes = 0
 
-    def wake(self, delay: float, call: Any) -> None: ...
+    def call_later(self, delay: float, call: Any) -> None: ...
 
-    def probe(self, cache: Any) -> None:
+    def check_health(self, server: Any) -> None:
         self.probes += 1
 
 
 def rounds_of_probes(caches: int, routers: int) -> tuple[float, float]:
     """Probes a second of one router, CPU seconds a second of its rounds."""
     outside, watch = Outside(), Watch()
-    allowed = Permitted(True, True, True, True, True, True, False)
-    router = Router(outside, Chance(3), fleet(caches, routers), Shelf(), Purges(3.0), allowed, 1e5, 3, 1.0, 3.0)
+    allowed = Capabilities(True, True, True, True, True, True, False)
+    router = Router(
+        outside, RandomSource(3), fleet(caches, routers), ObjectCounts(), Purges(3.0), allowed, 1e5, 3, 1.0, 3.0
+    )
     rounds = ROUNDS * max(routers // 4, 1)  # each probes the less, the more routers there are
     with watch:
         for number in range(rounds):
--- a/bench/scale/detector.py
+++ b/bench/scale/detector.py
@@ -5,7 +5,7 @@
 from bench.scale.meter import Meter, memory
 from bench.scale.one_router import OneRouter, introduce, places
 from bench.scale.records import Row, row
-from wickhinge.decide import Chance
+from wickhinge.decide import RandomSource
 from wickhinge.net.fellows import VIEW_INTERVAL
 from wickhinge.peers.detector import FailureDetector
 from wickhinge.peers.roster import Roster
@@ -19,10 +19,10 @@
 def standing(routers: int, seed: int) -> FailureDetector:
     """A detector that knows all others."""
     all_places = places(routers)
-    detector = FailureDetector(Roster(all_places, all_places[0].name), Chance(seed), 0.0, lambda message: None)
+    detector = FailureDetector(Roster(all_places, all_places[0].name), RandomSource(seed), 0.0, lambda message: None)
     for name in detector.roster.others:
         peer = Roster([detector.roster.mine, detector.roster.places[name]], name)
-        introduce(detector, FailureDetector(peer, Chance(seed), 0.0, lambda message: None))
+        introduce(detector, FailureDetector(peer, RandomSource(seed), 0.0, lambda message: None))
     return detector
 
 
--- a/bench/scale/judgements.py
+++ b/bench/scale/judgements.py
@@ -7,8 +7,8 @@
 
 from bench.scale.meter import Meter, Watch, memory
 from bench.scale.records import Row, row
-from wickhinge.decide import Chance, Cold, Fleet
-from wickhinge.interface import Listing
+from wickhinge.decide import Endpoints, RandomSource, SlowStart
+from wickhinge.interface import Endpoint
 from wickhinge.peers.messages import ALIVE
 from wickhinge.shared import counts, judge, words
 
@@ -18,11 +18,11 @@
 FLEET_ZONE = "z00"
 
 
-def fleet(caches: int, routers: int = 15, zone: str = FLEET_ZONE) -> Fleet:
+def fleet(caches: int, routers: int = 15, zone: str = FLEET_ZONE) -> Endpoints:
     """A location with so many caches, all ready and weighed."""
-    warm = Cold(4.0, 3.0, 0.2, 120.0)
-    made = Fleet(Chance(1), zone, routers, "parent", "origin", True, warm, warm)
-    made.listed([Listing(mark + 1, zone, "edge", 0, "ready", 1.0, None) for mark in range(caches)], True, 0.0)
+    warm = SlowStart(4.0, 3.0, 0.2, 120.0)
+    made = Endpoints(RandomSource(1), zone, routers, "parent", "origin", True, warm, warm)
+    made.listed([Endpoint(mark + 1, zone, "edge", 0, "ready", 1.0, None) for mark in range(caches)], True, 0.0)
     return made
 
 
@@ -33,7 +33,7 @@
     roster = SimpleNamespace(mine=places["mine"], others=names, places=places)
     members = {name: SimpleNamespace(state=ALIVE, epoch=1, life=number + 1) for number, name in enumerate(names)}
     return SimpleNamespace(
-        roster=roster, members=members, chance=Chance(1), epoch=1, life=1, send=lambda *told, **more: None
+        roster=roster, members=members, chance=RandomSource(1), epoch=1, life=1, send=lambda *told, **more: None
     )
 
 
--- a/bench/scale/one_router.py
+++ b/bench/scale/one_router.py
@@ -13,7 +13,7 @@
 from typing import Any
 
 from bench.scale.meter import Watch
-from wickhinge.decide import Chance
+from wickhinge.decide import RandomSource
 from wickhinge.net.fellows import TICK, VIEW_INTERVAL
 from wickhinge.peers import wire
 from wickhinge.peers.detector import FailureDetector
@@ -67,12 +67,12 @@
         all_places = places(routers)
         roster = Roster(all_places, all_places[0].name)
         self.name = roster.mine.name
-        self.detector = FailureDetector(roster, Chance(seed), 0.0, self.outbox.append)
+        self.detector = FailureDetector(roster, RandomSource(seed), 0.0, self.outbox.append)
         self.peers: dict[str, FailureDetector] = {}
         for place in all_places[1:]:
             known = Roster([roster.mine, place], place.name)
             known.version = roster.version  # it stands for a peer with the whole roster
-            peer = FailureDetector(known, Chance(self.random.getrandbits(60)), 0.0, self.answer)
+            peer = FailureDetector(known, RandomSource(self.random.getrandbits(60)), 0.0, self.answer)
             peer.identity.epoch = EPOCH
             self.peers[place.name] = peer
         if joined:
--- a/bench/scale/spread.py
+++ b/bench/scale/spread.py
@@ -9,7 +9,7 @@
 from bench.scale.judgements import FLEET_ZONE, fleet, stub_detector
 from bench.scale.meter import Meter
 from bench.scale.records import Row, row
-from wickhinge.interface import Listing
+from wickhinge.interface import Endpoint
 from wickhinge.peers.messages import ALIVE
 from wickhinge.shared import judge
 from wickhinge.shared.counts import BEAT, STALE, Counts
@@ -69,7 +69,7 @@
     detector = stub_detector(routers - 1)
     detector.send = lambda to, kind, serial, now: told.add(to)
     machines = fleet(CACHES, routers)
-    machines.listed([Listing(PARENT, FLEET_ZONE, "parent", 0, "ready", 1.0, None)], False, 0.0)
+    machines.listed([Endpoint(PARENT, FLEET_ZONE, "parent", 0, "ready", 1.0, None)], False, 0.0)
     one: Any = judge.Judge(detector, machines, lambda cache: None)
     one.tick(0.0, 0.0)
     machines.parents[0].lost = True
--- a/bench/store.py
+++ b/bench/store.py
@@ -803,7 +803,7 @@
         trace = sessions(chance, 9_000, 3_000, 0.8, 600, parts=8)
         for place, (key, part) in enumerate(trace):
             clock[0] += 0.01
-            made.visit(key, part)
+            made.record_request(key, part)
             if made.find(key, part, clock[0]) is None and made.wants(key, part, 0, b"tag", clock[0], 20_000, clock[0]):
                 made.take(key, part, 0, b"tag", clock[0], noise[place % 9_973 :][:20_000])
                 offered += 20_000
@@ -878,7 +878,7 @@
             late["stalled" if files.stalled else "well"].record_value(max(int((now - state["due"] - 0.002) * 1e6), 1))
             state["key"] += 1
             key, wall = state["key"] % 400, time.time()
-            made.visit(key, 0)
+            made.record_request(key, 0)
             copy = made.find(key, 0, wall)
             if copy is not None:
                 state["answers"] += 1
--- a/tests/changelog/test_changelog_parts.py
+++ b/tests/changelog/test_changelog_parts.py
@@ -542,7 +542,7 @@
     holds, event = changes.told
     assert event == "changelog_uninformed"
     assert not holds(
-        SimpleNamespace(forward=SimpleNamespace(visit=SimpleNamespace(tariff=SimpleNamespace(passes_on=0))))
+        SimpleNamespace(forward=SimpleNamespace(visit=SimpleNamespace(request_class=SimpleNamespace(pass_through=0))))
     )
 
 
--- a/tests/membership/test_membership.py
+++ b/tests/membership/test_membership.py
@@ -7,9 +7,9 @@
 
 from tests.support.connections import reading
 from tests.support.faulty_disk import Crash, Disk
-from tests.support.routing import end, listing, router, take, tariff
-from wickhinge.decide import Chance
-from wickhinge.interface import Effect, Outcome
+from tests.support.routing import end, listing, request_class, router, take
+from wickhinge.decide import RandomSource
+from wickhinge.interface import Idempotency, Outcome
 from wickhinge.membership import remembered, siblings
 from wickhinge.membership.backoff import Backoff
 from wickhinge.membership.compare import compare
@@ -92,7 +92,7 @@
 
 
 def proving(age=1.0, count=6, routers=1):
-    made = Proving(Chance(3), routers, DAY, ("parent", "origin"))
+    made = Proving(RandomSource(3), routers, DAY, ("parent", "origin"))
     made.adopt(
         [said(mark) for mark in range(1, count + 1)] + [said(100, kind="parent"), said(200, kind="origin")], age, 100.0
     )
@@ -150,7 +150,7 @@
 def test_a_hundred_routers_do_not_ask_one_machine_at_once():
     times = []
     for number in range(100):
-        made = Proving(Chance(number), 100, DAY, ())
+        made = Proving(RandomSource(number), 100, DAY, ())
         made.adopt([said(1)], 1.0, 100.0)
         times.append(made.machines[1].due - 100.0)
     assert max(times) > 1.5 and max(sum(t <= u < t + 0.1 for u in times) for t in times) < 20
@@ -215,7 +215,7 @@
             self.tell,
             self.probes.append,
             lambda event, **f: self.log.append((event, f)),
-            Chance(1),
+            RandomSource(1),
             "d",
             1,
             ("parent", "origin"),
@@ -370,17 +370,19 @@
 @pytest.mark.parametrize(
     "kind, sent",
     [
-        (tariff(), 1),
-        (tariff(Effect.EXCLUSIVE), 0),
-        (tariff(Effect.TICKETED), 0),
-        (tariff(Effect.EXCLUSIVE, passes_on=True), 0),
+        (request_class(), 1),
+        (request_class(Idempotency.NOT_IDEMPOTENT), 0),
+        (request_class(Idempotency.IDEMPOTENCY_KEY), 0),
+        (request_class(Idempotency.NOT_IDEMPOTENT, pass_through=True), 0),
     ],
 )
 def test_what_has_effects_goes_to_no_machine_that_only_an_old_list_names(kind, sent):
     made = router(boxes=0, parents=0)
     rows = [listing(1), listing(100, "parent", "hub"), listing(200, "origin", "hub")]
     made.fleet.listed(
-        [row.__class__(**{**{n: getattr(row, n) for n in row.__slots__}, "trusted": False}) for row in rows], True, 99.0
+        [row.__class__(**{**{n: getattr(row, n) for n in row.__slots__}, "is_verified": False}) for row in rows],
+        True,
+        99.0,
     )
     _, caller = take(made, kind)
     assert len(caller.forwards) == sent and len(caller.answers) == 1 - sent
--- a/tests/net/test_client_gone.py
+++ b/tests/net/test_client_gone.py
@@ -38,9 +38,9 @@
         client.socket.close()
 
 
-def request(call, tariff="pages", body=b"", **fields):
+def request(call, request_class="pages", body=b"", **fields):
     told = {"rid": os.urandom(8).hex(), "budget": "3000", "obj": "00000000000000aa", **fields}
-    return msgpack.pack([0, call, tariff, [told, body]])
+    return msgpack.pack([0, call, request_class, [told, body]])
 
 
 def hold(client):
@@ -157,8 +157,8 @@
 
 def two_lines(made, client, waits):
     """Both connections to a machine that three requests at once need."""
-    place, tariff = (1, "results") if waits == "retry" else (0, "pages")
-    calls = [client.ask(tariff, block=str(block)) for block in range(1, 4)]
+    place, request_class = (1, "results") if waits == "retry" else (0, "pages")
+    calls = [client.ask(request_class, block=str(block)) for block in range(1, 4)]
     lines = [made.line(place), made.line(place)]
     for _ in calls:
         next_of(lines).answer("OK", SERVED, b"x")
--- a/tests/net/test_crossings.py
+++ b/tests/net/test_crossings.py
@@ -14,11 +14,11 @@
 from tests.support.connections import line
 from tests.support.processes import ROOT, Client
 from tests.support.router_process import SERVED, host
-from tests.support.routing import end, router, take, tariff
+from tests.support.routing import end, request_class, router, take
 from wickhinge.clocks import steady
-from wickhinge.decide import Forward
+from wickhinge.decide import Attempt
 from wickhinge.fields import Malformed
-from wickhinge.interface import Outcome
+from wickhinge.interface import AttemptParameters, Outcome
 from wickhinge.net import config, journal, msgpack, resp
 from wickhinge.net.accept import HOLD, LATER_ALL, OPEN, READ, Clients
 from wickhinge.net.accept import Client as Taken
@@ -449,7 +449,7 @@
     made, *_ = line()
     forwards = Forwards(made.caches, made.caches.deadlines, 0.25, [].append)
     forwards.ended = lambda *_: None
-    door = Door(SimpleNamespace(taken=1), None, 1, "a", tariff(), 0.0)
+    door = Door(SimpleNamespace(taken=1), None, 1, "a", request_class(), 0.0)
     number = forwards.slots.put(Sent(door, None, None, 0.0, 1.0))
     forwards.slots.get(number).line, forwards.slots.get(number).tag = made, b"a"
     assert forwards.answered(number, word, b"-", None)
@@ -462,14 +462,15 @@
     made, *_ = line()
     forwards = Forwards(made.caches, made.caches.deadlines, 0.25, [].append)
     forwards.ended = lambda *_: None
-    door, cache = Door(SimpleNamespace(taken=1), None, 1, "a", tariff(), 0.0), SimpleNamespace(mark=1)
+    door, cache = Door(SimpleNamespace(taken=1), None, 1, "a", request_class(), 0.0), SimpleNamespace(mark=1)
     door.until = 200.0
     number = forwards.slots.put(Sent(door, None, cache, 0.0, 1.0))
     forwards.slots.get(number).line, forwards.slots.get(number).tag = made, b"a"
     assert forwards.answered(number, b"MISS", b"-", None)
     made.caches.most = 0  # no other connection may be made, so none takes it
-    forward = Forward(SimpleNamespace(copy=None), cache, SimpleNamespace(mark=2), held, 0.0)
-    forwards.send(door, forward, cache, 200.0, SimpleNamespace(mark=2), 1, None, False, held, False)
+    forward = Attempt(SimpleNamespace(copy=None), cache, SimpleNamespace(mark=2), held, 0.0)
+    parameters = AttemptParameters(forward, cache, 200.0, SimpleNamespace(mark=2), 1, None, False, held, False)
+    forwards.send(door, parameters)
     assert (b"a" in made.open) is again
 
 
@@ -480,7 +481,7 @@
     made = router(probes=False)
     visit, caller = take(made)
     end(caller, Outcome.MISS, 100.1)
-    end(caller, Outcome.FULL, 100.2)
+    end(caller, Outcome.OVERLOADED, 100.2)
     assert made.outside.probes == []
 
 
--- a/tests/net/test_net.py
+++ b/tests/net/test_net.py
@@ -14,7 +14,7 @@
 from twisted.python.failure import Failure
 
 from tests.support.connections import Wire, line, pool, reading
-from tests.support.routing import router, tariff
+from tests.support.routing import request_class, router
 from wickhinge.fields import Malformed
 from wickhinge.interface import Outcome
 from wickhinge.net import config, journal, msgpack, resp
@@ -211,7 +211,7 @@
     never = {
         end
         for end, outcome in OUTCOMES.items()
-        if outcome in (Outcome.UNREACHED, Outcome.UNSENT, Outcome.FULL, Outcome.MISS, Outcome.MOOT)
+        if outcome in (Outcome.CONNECT_FAILED, Outcome.NOT_SENT, Outcome.OVERLOADED, Outcome.MISS, Outcome.SUPERSEDED)
     }
     assert never == {
         End.REFUSED,
@@ -383,7 +383,7 @@
     made, ended = line()[0].caches, []
     forwards = Forwards(made, made.deadlines, 0.25, [].append)
     forwards.ended = lambda number, end, told, body: ended.append(end)
-    door = None if probe else Door(SimpleNamespace(taken=1), None, 1, "a", tariff(), 0.0)
+    door = None if probe else Door(SimpleNamespace(taken=1), None, 1, "a", request_class(), 0.0)
     number = forwards.slots.put(Sent(door, None, None, 0.0, 1.0))
     assert forwards.answered(number, word, told, Body(made.pool, b"x")) is good
     assert (ended == [End.UNREADABLE]) is not good
@@ -480,7 +480,7 @@
     """The collector is off in service: a circle would stay until the memory limit."""
     clock = SimpleNamespace(now=lambda: 100.0, at=lambda *_: None)
     client = SimpleNamespace(error=lambda call, word, fields: None)
-    visits = Visits(None, clock, pool()[0], {"t": tariff()}, lambda *_, **more: None, [].append)
+    visits = Visits(None, clock, pool()[0], {"t": request_class()}, lambda *_, **more: None, [].append)
     visits.router = router(boxes=0, parents=0, direct=False)
     seen, take = [], visits.router.take
     visits.router.take = lambda *told: seen.append(weakref.ref(visit := take(*told))) or visit
--- a/tests/net/test_request_log.py
+++ b/tests/net/test_request_log.py
@@ -95,12 +95,12 @@
     assert made.line(0).next() is not None
     assert client.answer(call)[2][0] == "Overloaded"
     line = made.router.wait(rid)
-    assert json.loads(line)["reason"] == "its time was up"
+    assert json.loads(line)["reason"] == "deadline exceeded"
     log = tmp_path / "router.log"
     log.write_text("cut off in the mid\n" + line)
     told = CliRunner().invoke(main, ["trace", rid, str(log)])
     assert told.exit_code == 0
-    assert "denied its time was up" in told.output and "sent" in told.output and "000000a1" in told.output
+    assert "denied deadline exceeded" in told.output and "sent" in told.output and "000000a1" in told.output
     assert json.loads(CliRunner().invoke(main, ["trace", rid, str(log), "--json"]).output)[0]["rid"] == rid
     assert CliRunner().invoke(main, ["trace", "0" * 16, str(log)]).exit_code == 1
 
--- a/tests/net/test_sockets.py
+++ b/tests/net/test_sockets.py
@@ -32,13 +32,13 @@
     assert error is None and result[0] == b"\x00mark\xff"
 
 
-@pytest.mark.parametrize("tariff, word", [("pages", "Overloaded"), ("results", "Abandoned")])
-def test_what_no_machine_answers_is_given_up_in_time(deployment, tariff, word):
+@pytest.mark.parametrize("request_class, word", [("pages", "Overloaded"), ("results", "Abandoned")])
+def test_what_no_machine_answers_is_given_up_in_time(deployment, request_class, word):
     for place in "1234":
         deployment.toy.say(f"silent {place}")
     client = deployment.client()
     start = time.monotonic()
-    _, _, error, _ = client.answer(client.ask(tariff, budget="1200"))
+    _, _, error, _ = client.answer(client.ask(request_class, budget="1200"))
     assert time.monotonic() - start < 3.0
     assert error[0] == word and (word == "Abandoned" or error[1]["backoff"] == "500")
 
@@ -114,7 +114,7 @@
 
 
 @pytest.mark.parametrize(
-    "tariff, change, told",
+    "request_class, change, told",
     [
         ("nothing", {}, "method"),
         ("pages", {"drop": ("budget",)}, "budget"),
@@ -127,9 +127,9 @@
         ("results", {"token": "a,keep=3"}, "token"),
     ],
 )
-def test_a_bad_request_gets_an_error_that_names_the_field(deployment, tariff, change, told):
+def test_a_bad_request_gets_an_error_that_names_the_field(deployment, request_class, change, told):
     client = deployment.client()
-    _, _, error, _ = client.answer(client.ask(tariff, **change))
+    _, _, error, _ = client.answer(client.ask(request_class, **change))
     assert error[0] == "BadRequest" and told in error[1]["why"]
     assert client.answer(client.ask())[2] is None
 
--- a/tests/peers/test_peers.py
+++ b/tests/peers/test_peers.py
@@ -6,7 +6,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from wickhinge.decide import Chance
+from wickhinge.decide import RandomSource
 from wickhinge.lab.many import judges, play, schedule
 from wickhinge.lab.many.schedule import Fault, Schedule
 from wickhinge.peers import lines, wire
@@ -28,8 +28,8 @@
 
 def proven(epoch=1, life=50, counter=10):
     line = Line("n1")
-    token = line.challenge(Chance(1), 0.0)
-    assert line.judge(epoch, life, counter, 7, token, 0.0, Chance(1)) == ADOPTED
+    token = line.challenge(RandomSource(1), 0.0)
+    assert line.judge(epoch, life, counter, 7, token, 0.0, RandomSource(1)) == ADOPTED
     return line
 
 
@@ -37,7 +37,7 @@
 def test_each_counter_is_believed_once_and_only_those_far_behind_are_lost(counters):
     line, believed, highest = proven(counter=100), {100}, 100
     for counter in counters:
-        verdict = line.judge(1, 50, counter, 0, 0, 1.0, Chance(1))
+        verdict = line.judge(1, 50, counter, 0, 0, 1.0, RandomSource(1))
         assert verdict == (REPLAYED if counter in believed or highest - counter > lines.WINDOW else FRESH)
         if verdict == FRESH:
             believed.add(counter)
@@ -59,14 +59,14 @@
     ],
 )
 def test_a_life_is_believed_by_its_echo_and_never_a_smaller_one(epoch, life, echoes, verdict):
-    line, chance = proven(), Chance(3)
+    line, chance = proven(), RandomSource(3)
     line.judge(3, 3, 1, 7, 0, 1.0, chance)  # a stranger, so that there is a token to echo
     assert line.judge(epoch, life, 11, 7, line.token if echoes else 12345, 1.1, chance) == verdict
     assert (line.epoch, line.life) == ((epoch, life) if verdict == ADOPTED else (1, 50))
 
 
 def test_a_token_is_good_once_and_a_counter_from_the_far_future_costs_nothing():
-    line, chance = proven(), Chance(3)
+    line, chance = proven(), RandomSource(3)
     line.judge(3, 3, 1, 7, 0, 1.0, chance)
     token = line.token
     assert line.judge(3, 3, 2, 7, token, 1.0, chance) == ADOPTED
@@ -80,7 +80,7 @@
 
 def some_item():
     made = []
-    detector = FailureDetector(Roster(places(3), "n0"), Chance(4), 0.0, made.append)
+    detector = FailureDetector(Roster(places(3), "n0"), RandomSource(4), 0.0, made.append)
     detector.tick(1.0)
     return made[0]
 
@@ -122,7 +122,7 @@
         for name in [f"n{place}" for place in range(count)]:
             self.detectors[name] = FailureDetector(
                 Roster(places(count), name),
-                Chance(int(name[1:]) + 9),
+                RandomSource(int(name[1:]) + 9),
                 0.0,
                 self.out.append,
                 lambda event, who=name, **told: self.events.append((who, event, told)),
@@ -214,7 +214,7 @@
     fleet = Fellows(4)
     fleet.run(6.0)
     old = fleet.detectors["n2"]
-    fleet.detectors["n2"] = FailureDetector(Roster(places(4), "n2"), Chance(77), fleet.now, fleet.out.append)
+    fleet.detectors["n2"] = FailureDetector(Roster(places(4), "n2"), RandomSource(77), fleet.now, fleet.out.append)
     fleet.run(8.0)
     new = fleet.detectors["n2"]
     assert new.epoch == 2 and set(fleet.states("n2").values()) == {ALIVE}
--- a/tests/routing/test_cold_sum.py
+++ b/tests/routing/test_cold_sum.py
@@ -6,8 +6,8 @@
 import pytest
 
 from bench.cold_sum import EDGE, PARENT, PRESENT, SCENES, Play, Rule, Scene, chernoff, distribution
-from tests.support.routing import listing, router, tariff
-from wickhinge.decide import FIRST_DEBT, Cold
+from tests.support.routing import listing, request_class, router
+from wickhinge.decide import FIRST_DEBT, SlowStart
 
 HERD, THIN = SCENES[0], SCENES[1]
 SEEDS = range(1, 13)
@@ -15,7 +15,7 @@
 
 def visit(made, promised):
     """Of a class not measured yet: its visits are believed to take half of what is promised."""
-    return SimpleNamespace(router=made, tariff=replace(tariff(), promised=promised))
+    return SimpleNamespace(router=made, request_class=replace(request_class(), latency_objective=promised))
 
 
 @pytest.mark.parametrize("limits, processes, budget", [(PARENT, 20, 4), (PARENT, 30, 9), (EDGE, 30, 4), (EDGE, 20, 9)])
@@ -29,7 +29,7 @@
     ideal = Play(EDGE, 9, 30, HERD, 0.57, 1, ideal=True).run()
     ours = Play(EDGE, 9, 30, HERD, 0.57, 1).run()
     assert 0.4 * ideal.served < ours.served < ideal.served and ideal.worst <= 1.0
-    monkeypatch.setattr(Cold, "room", lambda self, cache, mine, share, work, now: True)
+    monkeypatch.setattr(SlowStart, "room", lambda self, cache, mine, share, work, now: True)
     assert Play(EDGE, 9, 30, HERD, 0.57, 1).run().worst > 1.5
 
 
@@ -72,7 +72,7 @@
 
 def test_where_no_load_topples_a_machine_all_may_go():
     made = router(boxes=2, routers=30)
-    made.fleet.edge = Cold(0.0, 1.0, 0.2, 10.0)
+    made.fleet.edge = SlowStart(0.0, 1.0, 0.2, 10.0)
     made.fleet.listed([listing(9, started=100.0)], False, 100.0)
     assert all(made.fleet.room(made.fleet.known[9], visit(made, 2.0), 100.0) for _ in range(1000))
 
@@ -92,7 +92,7 @@
 def test_what_all_have_saved_up_is_the_rules_root_while_the_machine_bears_less_than_a_warm_one_can_do():
     """At a tenth of its capacity a parent of 400 visits a span; each router's share is 1/20 of it."""
     made = router(boxes=2, routers=20)
-    tier = made.fleet.edge = Cold(2.0, 1.0, 0.1, 1e15)
+    tier = made.fleet.edge = SlowStart(2.0, 1.0, 0.1, 1e15)
     made.fleet.listed([listing(9, started=100.0, weight=2000.0)], False, 100.0)
     cold, asks = made.fleet.known[9], visit(made, 2.0)
     for at in range(1, 1000):  # saves up, and sends nothing
--- a/tests/routing/test_decide.py
+++ b/tests/routing/test_decide.py
@@ -3,11 +3,11 @@
 
 import pytest
 
-from tests.support.routing import Recorder, end, listing, router, take, tariff
-from wickhinge.decide import NEVER_RAN, Chance, Cold, Item, Purges, Shelf
-from wickhinge.interface import Effect, Outcome, Request
+from tests.support.routing import Recorder, end, listing, request_class, router, take
+from wickhinge.decide import NEVER_RAN, ObjectCount, ObjectCounts, Purges, RandomSource, SlowStart
+from wickhinge.interface import Idempotency, Outcome, Request
 
-MISS, OK, FULL, TIMED = Outcome.MISS, Outcome.HONOURED, Outcome.FULL, Outcome.TIMED_OUT
+MISS, OK, FULL, TIMED = Outcome.MISS, Outcome.SUCCEEDED, Outcome.OVERLOADED, Outcome.TIMED_OUT
 
 
 # The ordinary path.
@@ -15,7 +15,7 @@
 
 @pytest.mark.parametrize("times, routers, k", [(1, 1, 1), (2, 1, 3), (3, 1, 6), (1, 12, 12)])
 def test_requests_of_part_0_raise_k(times, routers, k):
-    shelf = Shelf(routers)
+    shelf = ObjectCounts(routers)
     for _ in range(times):
         item = shelf.visit(5, 0, 1.0)
     assert item.k == k
@@ -25,13 +25,13 @@
 
 @pytest.mark.parametrize("idle, k", [(9.0, 8), (10.0, 4), (25.0, 2), (1000.0, 0.0)])
 def test_idle_object_has_k_halved(idle, k):
-    shelf = Shelf()
+    shelf = ObjectCounts()
     shelf.visit(5, 1, 0.0).k = 8
     assert shelf.visit(5, 1, idle).k == pytest.approx(k, abs=1e-9)
 
 
 def test_table_of_k_is_bounded_and_drops_the_least_lately_asked():
-    shelf = Shelf(size=2)
+    shelf = ObjectCounts(size=2)
     for key in (1, 2, 1, 3):
         shelf.visit(key, 0, 0.0)
     assert list(shelf.items) == [1, 3]
@@ -39,14 +39,14 @@
 
 @pytest.mark.parametrize("part, heat, rank", [(0, 1.0, 1), (2, 1.0, 1), (3, 50.0, 0), (0, 50.0, 2)])
 def test_parts_below_k_are_kept_and_those_asked_often_higher(part, heat, rank):
-    shelf, item = Shelf(), Item(5, 0.0)
+    shelf, item = ObjectCounts(), ObjectCount(5, 0.0)
     item.k, item.heat = 3, heat
     shelf.kept = 1000.0
     assert shelf.rank(item, part, 1.0) == rank
 
 
 def test_middle_rank_holds_a_small_share():
-    shelf, item = Shelf(), Item(5, 0.0)
+    shelf, item = ObjectCounts(), ObjectCount(5, 0.0)
     item.k, item.heat = 3, 50.0
     ranks = [shelf.rank(item, 0, 1.0) for _ in range(1000)]
     assert 0 < ranks[-500:].count(2) <= 0.2 * 500
@@ -101,11 +101,11 @@
 
 
 @pytest.mark.parametrize("outcome", list(Outcome))
-@pytest.mark.parametrize("effect", list(Effect))
+@pytest.mark.parametrize("effect", list(Idempotency))
 def test_one_final_answer_at_the_end_of_patience_and_nothing_after(effect, outcome):
-    visit, caller = take(router(), tariff(effect))
+    visit, caller = take(router(), request_class(effect))
     visit.give_up(104.98)
-    harmless = effect is not Effect.EXCLUSIVE
+    harmless = effect is not Idempotency.NOT_IDEMPOTENT
     assert [kind for kind, _ in caller.answers] == ["denied" if harmless else "abandoned"]
     sent = len(caller.forwards)
     end(caller, outcome, 105.0, closed=True)
@@ -119,7 +119,7 @@
 @pytest.mark.parametrize("outcome", [o for o in Outcome if o is not OK])
 def test_exclusive_goes_on_only_after_what_never_ran(outcome):
     made = router()
-    _, caller = take(made, tariff(Effect.EXCLUSIVE, passes_on=True))
+    _, caller = take(made, request_class(Idempotency.NOT_IDEMPOTENT, pass_through=True))
     end(caller, outcome, 100.1)
     made.serve(100.4)  # where the origin refuses or is gone it waits a little first
     if outcome in NEVER_RAN:
@@ -140,7 +140,7 @@
 )
 def test_ticketed_repeats_only_in_its_group_and_window(group, cell, later, allowed):
     made = router(extra=[listing(9, cell=cell)])
-    visit, caller = take(made, tariff(Effect.TICKETED, group))
+    visit, caller = take(made, request_class(Idempotency.IDEMPOTENCY_KEY, group))
     first = caller.forwards[0].it
     first.pending, first.outcome = False, TIMED
     other = next(c for c in made.fleet.mine if c.mark == 9)
@@ -176,14 +176,14 @@
     made.fleet.listed([listing(9, started=99.0)], False, 100.0)
     cold = next(c for c in made.fleet.mine if c.mark == 9)
     made.fleet.edge.usual = 5.0
-    visit = SimpleNamespace(router=made, tariff=tariff())
+    visit = SimpleNamespace(router=made, request_class=request_class())
     sent = sum(made.fleet.room(cold, visit, at / 100.0) and not cold.charge(0.3) for at in range(10000, 10100))
     assert 0 < sent * 0.3 <= 4.0 * 0.28 * (20.0 if weighed else 5.0)
 
 
 def test_a_share_under_one_visit_is_spent_on_credit_and_not_by_all_routers_at_once():
     routers, sent = [router(seed=seed, routers=100) for seed in range(100)], 0.0
-    visits = [(made.fleet, SimpleNamespace(router=made, tariff=tariff())) for made in routers]
+    visits = [(made.fleet, SimpleNamespace(router=made, request_class=request_class())) for made in routers]
     for fleet, _ in visits:
         fleet.listed([listing(9, started=100.0)], False, 100.0)
     for at in range(10000, 10100):
@@ -194,7 +194,9 @@
     assert 0.2 * 20.0 < sent < 4.0 * 0.2 * 20.0
 
 
-@pytest.mark.parametrize("strikes, outcome", [(1, Outcome.UNREACHED), (2, Outcome.TIMED_OUT), (8, Outcome.BROKEN)])
+@pytest.mark.parametrize(
+    "strikes, outcome", [(1, Outcome.CONNECT_FAILED), (2, Outcome.TIMED_OUT), (8, Outcome.CONNECTION_LOST)]
+)
 def test_what_was_gone_and_answers_again_is_cold_before_the_list_says_so(strikes, outcome):
     made = router()
     cache = made.fleet.mine[0]
@@ -228,7 +230,7 @@
         _, caller = take(made, key=key, now=100.0)
         end(caller, MISS, 100.0)
         fills += sum(f.source.mark == 100 for f in caller.forwards)
-    assert 0 < fills * made.mean(tariff()) <= 2.0 * 0.19 * 2.0
+    assert 0 < fills * made.mean(request_class()) <= 2.0 * 0.19 * 2.0
 
 
 @pytest.mark.parametrize(
@@ -265,7 +267,7 @@
 def test_every_forward_of_a_purged_object_carries_the_limit():
     made = router()
     made.purges.told(5, 3, 99.0, 100.0)
-    _, caller = take(made, tariff(fresh=0.5), now=100.2)
+    _, caller = take(made, request_class(freshness_lifetime=0.5), now=100.2)
     end(caller, MISS, 100.3)
     assert [forward.oldest for forward in caller.forwards] == [0.5, 0.5]
     _, caller = take(made, now=100.2)
@@ -293,7 +295,7 @@
 def test_the_largest_are_not_denied_where_nothing_is_crowded(boxes, size, denied):
     """Stretched by a margin for crowds also alone, what takes its promised time over (2 - stretch) was always late."""
     made = router(boxes=boxes)
-    _, caller = take(made, replace(tariff(), stretch=0.9), size=size)
+    _, caller = take(made, replace(request_class(), objective_stretch=0.9), size=size)
     if not denied and boxes:
         end(caller, MISS, 100.01)
     assert bool(caller.answers) is denied and (len(caller.forwards) == 1 + boxes) is not denied
@@ -303,7 +305,7 @@
 def test_a_tariff_whose_promise_does_not_stretch_is_served_before_its_mean_is_learned(waited):
     """Guessed at half of the promised time and stretched by two, each was late, and none ever taught the mean."""
     caller = Recorder()
-    short = replace(tariff(), promised=0.3, stretch=0.0)
+    short = replace(request_class(), latency_objective=0.3, objective_stretch=0.0)
     router().take(caller, short, Request(5, 0, 3, 0.0, 2.0), 100.0, waited)
     assert len(caller.forwards) == 1 and not caller.answers
 
@@ -346,11 +348,11 @@
         fill = caller.forwards[1]
         fill.source.heard = 99.0
         fill.it.visit.overdue(fill.it, 100.5)
-        assert bool(caller.withdrawn) is (part > 0)  # alone it may only be slow
+        assert bool(caller.cancelled) is (part > 0)  # alone it may only be slow
         fill.source.filling.add("another")
         fill.it.visit.overdue(fill.it, 100.5)
-        assert caller.withdrawn[0] is fill.it
-        end(caller, Outcome.WITHDRAWN, 100.5, 1)
+        assert caller.cancelled[0] is fill.it
+        end(caller, Outcome.CANCELLED, 100.5, 1)
         assert caller.forwards[2].source is not fill.source
     assert fill.source.lost and fill.source.credit <= 0.0
     fill.source.credited = 100.7
@@ -358,7 +360,7 @@
 
 
 @pytest.mark.parametrize(
-    "outcome, rests", [(Outcome.BROKEN, False), (Outcome.UNSENT, False), (Outcome.UNREACHED, True)]
+    "outcome, rests", [(Outcome.CONNECTION_LOST, False), (Outcome.NOT_SENT, False), (Outcome.CONNECT_FAILED, True)]
 )
 def test_a_connection_that_broke_is_no_machine_that_went(outcome, rests):
     """Taken for gone, every cache whose connections are reset was cold, and all went to the origin."""
@@ -375,7 +377,7 @@
 def test_the_parent_is_not_blamed_for_the_connection_to_the_cache():
     visit, caller = take(router())
     end(caller, Outcome.MISS, 100.1)
-    end(caller, Outcome.BROKEN, 100.2)
+    end(caller, Outcome.CONNECTION_LOST, 100.2)
     assert caller.forwards[2].source is caller.forwards[1].source is not caller.forwards[1].cache
 
 
@@ -558,15 +560,15 @@
 
 
 def test_chance_depends_on_the_seed_alone():
-    one, two = Chance(1), Chance(1)
+    one, two = RandomSource(1), RandomSource(1)
     draws = [one.draw() for _ in range(100)]
     assert draws == [two.draw() for _ in range(100)] and len(set(draws)) > 90
-    assert all(0 <= draw < 1 for draw in draws) and draws[0] != Chance(2).draw()
+    assert all(0 <= draw < 1 for draw in draws) and draws[0] != RandomSource(2).draw()
 
 
 @pytest.mark.parametrize("age, part", [(0.0, 0.2), (5.0, 0.6), (10.0, 1.0)])
 def test_a_cold_machine_warms_in_a_line(age, part):
-    cold = Cold(4.0, 1.0, 0.2, 10.0)
+    cold = SlowStart(4.0, 1.0, 0.2, 10.0)
     cache = router(extra=[listing(9, started=100.0)]).fleet.known[9]
     assert cold.part(cache, 100.0 + age) == pytest.approx(part)
 
@@ -574,5 +576,5 @@
 @pytest.mark.parametrize("waited, sent", [(0.0, 1), (0.5, 1), (0.7, 0)])
 def test_a_visit_that_waited_too_long_to_be_read_is_denied_at_once(waited, sent):
     made, caller = router(), Recorder()
-    made.take(caller, tariff(), Request(5, 0, 3, 100.0, 5.0 - waited), 100.0, waited)
+    made.take(caller, request_class(), Request(5, 0, 3, 100.0, 5.0 - waited), 100.0, waited)
     assert len(caller.forwards) == sent and bool(caller.answers) is not bool(sent)
--- a/tests/shared/test_cold_shares.py
+++ b/tests/shared/test_cold_shares.py
@@ -12,7 +12,7 @@
 from hypothesis import strategies as st
 
 from tests.support import routing as helpers
-from wickhinge.decide import Chance, Cold
+from wickhinge.decide import RandomSource, SlowStart
 from wickhinge.interface import Outcome
 from wickhinge.lab.many import judges, play
 from wickhinge.lab.many.schedule import Schedule
@@ -24,7 +24,7 @@
 from wickhinge.shared.name_lease import DRIFT
 
 ROOT = Path(__file__).parents[2]
-LIMITS = Cold(4.0, 3.0, 0.2, 100.0)
+LIMITS = SlowStart(4.0, 3.0, 0.2, 100.0)
 
 
 def roster(zones, mine="n0"):
@@ -33,7 +33,7 @@
 
 def colds(share=1.0, processes=4):
     """Of a router alone under its name, whose share is what the test says."""
-    detector = FailureDetector(roster(["here"]), Chance(1), 0.0, lambda item: None)
+    detector = FailureDetector(roster(["here"]), RandomSource(1), 0.0, lambda item: None)
     limiter = LendingLimiter(detector, Division(1, processes), cold.budgets("here"), 0.0)
     made = cold.Colds(limiter)
     limiter.settle = lambda budget, now: budget.shared(share, limiter.late)
@@ -150,7 +150,7 @@
 
 
 def test_a_division_smaller_than_the_roster_is_refused():
-    detector = FailureDetector(roster(["a", "a"]), Chance(1), 0.0, lambda item: None)
+    detector = FailureDetector(roster(["a", "a"]), RandomSource(1), 0.0, lambda item: None)
     for division in (Division(1, 4), Division(3, 2)):
         with pytest.raises(ValueError, match="2 names"):
             LendingLimiter(detector, division, [], 0.0)
@@ -215,8 +215,8 @@
     assert caller.forwards[0].cache is cache
     told, upper, limits, part, work = asked[0]
     assert (told, upper, limits) == (cache, False, made.fleet.edge) and 0.2 < part < 0.3
-    assert work == pytest.approx(made.mean(helpers.tariff())) and cache.credit == pytest.approx(5.0 - work)
-    helpers.end(caller, Outcome.HONOURED, 100.1, closed=True)
+    assert work == pytest.approx(made.mean(helpers.request_class())) and cache.credit == pytest.approx(5.0 - work)
+    helpers.end(caller, Outcome.SUCCEEDED, 100.1, closed=True)
 
 
 def test_policy_does_not_ask_for_warm_machines_nor_where_no_weights_are_told():
--- a/tests/shared/test_counts.py
+++ b/tests/shared/test_counts.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 
 from tests.support import routing as helpers
-from wickhinge.decide import Chance
+from wickhinge.decide import RandomSource
 from wickhinge.peers.detector import FailureDetector
 from wickhinge.peers.messages import ALIVE
 from wickhinge.peers.roster import Place, Roster
@@ -26,7 +26,7 @@
 class One:
     def __init__(self, place, count=COUNT, boxes=4):
         self.name = f"n{place}"
-        self.detector = FailureDetector(Roster(places(count), self.name), Chance(place), 0.0, lambda item: None)
+        self.detector = FailureDetector(Roster(places(count), self.name), RandomSource(place), 0.0, lambda item: None)
         self.detector.identity.epoch, self.detector.identity.life = 1, place + 1
         for other in range(count):
             if other != place:
--- a/tests/shared/test_judge.py
+++ b/tests/shared/test_judge.py
@@ -8,7 +8,7 @@
 from hypothesis import strategies as st
 
 from tests.support import routing as helpers
-from wickhinge.decide import Chance
+from wickhinge.decide import RandomSource
 from wickhinge.interface import Outcome
 from wickhinge.peers.detector import FailureDetector
 from wickhinge.peers.roster import Place, Roster
@@ -24,7 +24,7 @@
     def __init__(self, group, place, boxes):
         self.group, self.name = group, f"n{place}"
         places = [Place(f"n{one}", ("127.0.0.1", one + 1), "here" if one < 9 else "far") for one in range(10)]
-        self.detector = FailureDetector(Roster(places, self.name), Chance(place), 0.0, lambda item: None)
+        self.detector = FailureDetector(Roster(places, self.name), RandomSource(place), 0.0, lambda item: None)
         self.sends, self.looks = [], []
         self.detector.send = lambda name, kind, serial, now: self.sends.append((now, name))
         self.policy = helpers.router(boxes=boxes, routers=3, seed=place)
@@ -64,11 +64,11 @@
 
 def test_one_witness_changes_nothing_and_two_make_one_failure_of_our_own_enough():
     group = Group()
-    group.routers[0].box().failed(group.now, Outcome.UNREACHED)
+    group.routers[0].box().failed(group.now, Outcome.CONNECT_FAILED)
     group.turn(1.0)
     third = group.routers[2]
     assert third.box().strikes == 0 and not third.looks
-    group.routers[1].box().failed(group.now, Outcome.UNREACHED)
+    group.routers[1].box().failed(group.now, Outcome.CONNECT_FAILED)
     group.turn(2.0)
     assert third.box().strikes == 1.0 and not third.box().lost and not third.box().usable(group.now)
     assert all(third.box(number).usable(group.now) for number in range(1, 6))
@@ -84,7 +84,7 @@
 def test_words_fade_and_those_of_who_left_the_roster_go():
     group = Group()
     for one in group.routers[:2]:
-        one.box().failed(group.now, Outcome.UNREACHED)
+        one.box().failed(group.now, Outcome.CONNECT_FAILED)
     group.turn(1.0)
     third = group.routers[2]
     assert third.judge.told
@@ -130,7 +130,7 @@
 def test_a_start_that_the_list_has_not_told_is_shared_once_two_saw_it():
     group = Group()
     for one in group.routers[:2]:
-        one.box().failed(group.now, Outcome.UNREACHED)
+        one.box().failed(group.now, Outcome.CONNECT_FAILED)
         one.box().shunned = 0.0
     group.turn()
     for one in group.routers[:2]:
@@ -194,7 +194,7 @@
         for group in (with_judge, alone):
             cache = group.routers[0].box(box)
             if what < 0.2:
-                cache.failed(group.now, Outcome.UNREACHED)
+                cache.failed(group.now, Outcome.CONNECT_FAILED)
             elif what < 0.5:
                 cache.failed(group.now)
             else:
@@ -258,10 +258,10 @@
 def test_what_concerns_a_zone_is_told_to_it_alone_and_what_concerns_parents_to_all():
     group = Group(count=2)
     router = group.routers[0]
-    router.box().failed(group.now, Outcome.UNREACHED)
+    router.box().failed(group.now, Outcome.CONNECT_FAILED)
     group.turn()
     assert words.read(router.judge.rider("n1")) and router.judge.rider("n9") == b""
-    router.policy.fleet.parents[0].failed(group.now, Outcome.UNREACHED)
+    router.policy.fleet.parents[0].failed(group.now, Outcome.CONNECT_FAILED)
     group.turn()
     assert [word.verdict for word in words.read(router.judge.rider("n9"))] == [LOST]
 
--- a/tests/shared/test_shared.py
+++ b/tests/shared/test_shared.py
@@ -7,7 +7,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from wickhinge.decide import Chance
+from wickhinge.decide import RandomSource
 from wickhinge.lab.many import judges, play, schedule, trial
 from wickhinge.lab.many.schedule import Fault, Schedule
 from wickhinge.peers.detector import FailureDetector
@@ -224,7 +224,7 @@
 def test_a_name_that_left_while_it_was_asked_about_ours_is_asked_no_more():
     detector = FailureDetector(
         Roster([Place(f"n{one}", ("127.0.0.1", one + 1), "") for one in range(3)], "n0"),
-        Chance(1),
+        RandomSource(1),
         0.0,
         lambda item: None,
     )
--- a/tests/store/test_store.py
+++ b/tests/store/test_store.py
@@ -9,10 +9,10 @@
 
 from tests.support.connections import pool, reading
 from tests.support.faulty_disk import Disk
-from tests.support.routing import end, router, take, tariff
+from tests.support.routing import end, request_class, router, take
 from tests.support.store_world import World
 from wickhinge.clocks import OthersTime
-from wickhinge.interface import Effect, Outcome
+from wickhinge.interface import Idempotency, Outcome
 from wickhinge.net import resp
 from wickhinge.net.buffers import Body
 from wickhinge.net.copies import Copies
@@ -60,7 +60,7 @@
     world = begun()
     made = world.clock
     world.purge(1)
-    world.store.visit(1, 0), world.store.visit(1, 0)
+    world.store.record_request(1, 0), world.store.record_request(1, 0)
     assert not world.store.wants(1, 0, 0, b"t", made, 500, world.clock)
     assert world.store.wants(1, 0, 0, b"t", world.clock + 0.01, 500, world.clock)
 
@@ -71,7 +71,7 @@
     got = reads(world, copy)
     world.purge(1)
     world.lanes.go()
-    assert got != [None] and not world.store.held(copy, world.clock)
+    assert got != [None] and not world.store.is_valid(copy, world.clock)
 
 
 def test_a_copy_is_being_renewed():
@@ -80,7 +80,7 @@
     before = copy.made
     world.purge(1)
     world.store.renewed(copy, before)  # SAME, but of a copy from before the purge
-    assert not world.store.proven(copy, world.clock) and copy.made == before
+    assert not world.store.is_current(copy, world.clock) and copy.made == before
 
 
 def test_a_snapshot_is_being_made():
@@ -244,20 +244,20 @@
 def test_copies_of_an_earlier_start_are_unproven_until_they_are_the_same_or_all_is_caught_up():
     for continues, whole, proven in ((False, True, False), (True, False, False), (True, True, True)):
         world = begun(continues=continues)
-        assert world.store.proven(held(world), world.clock)
+        assert world.store.is_current(held(world), world.clock)
         world.restart(1, lost=False)
         copy = world.store.find(1, 0, world.clock)
-        assert copy is not None and not world.store.proven(copy, world.clock)
+        assert copy is not None and not world.store.is_current(copy, world.clock)
         world.store.caught_up(world.clock, whole)
-        assert world.store.proven(copy, world.clock) is proven
+        assert world.store.is_current(copy, world.clock) is proven
         world.store.renewed(copy, world.clock)
-        assert world.store.proven(copy, world.clock)
+        assert world.store.is_current(copy, world.clock)
 
 
 @pytest.mark.parametrize("later, answers", [(0.0, True), (2.9, True), (3.1, False), (-2.0, False)])
 def test_nothing_is_proven_while_purges_may_be_untold_or_the_clock_went_back(later, answers):
     world = begun()
-    assert world.store.proven(held(world), world.clock + later) is answers
+    assert world.store.is_current(held(world), world.clock + later) is answers
 
 
 # The journal: taken up again at a number of an earlier start.
@@ -291,34 +291,34 @@
 # What decide says may answer.
 
 
-class Shelf:
+class PreparedCopies:
     """Copies by hand."""
 
     def __init__(self, copy, proven=True, held=True, ends=0.0):
         self.copy, self.is_proven, self.is_held, self.late = copy, proven, held, ends
 
-    def visit(self, key, part):
+    def record_request(self, key, part):
         self.visited = key, part
 
     def find(self, key, part, now):
         return self.copy
 
-    def proven(self, copy, now):
+    def is_current(self, copy, now):
         return self.is_proven
 
     def age(self, copy, now):
         return now - copy.made
 
-    def held(self, copy, now):
+    def is_valid(self, copy, now):
         return self.is_held
 
-    def ends(self, copy, now):
+    def transfer_end(self, copy, now):
         return now + self.late
 
 
 def asked(kind, age, now=100.0, **more):
     made = router()
-    made.copies = Shelf(Copy(5, 0, 3, b"t", now - age, 100, 1), **more)
+    made.copies = PreparedCopies(Copy(5, 0, 3, b"t", now - age, 100, 1), **more)
     visit, caller = take(made, kind, now=now)
     return made, visit, caller
 
@@ -335,22 +335,29 @@
     ],
 )
 def test_a_fresh_and_proven_copy_answers_if_its_bytes_pass_in_time(fresh, age, more, answers):
-    made, visit, caller = asked(tariff(fresh=fresh), age, **more)
+    made, visit, caller = asked(request_class(freshness_lifetime=fresh), age, **more)
     assert bool(caller.reads) is answers and bool(caller.forwards) is not answers
     assert made.shelf.items[5].k == 1  # a visit raises k, however it is answered
     if answers:
-        assert visit.read(caller.reads[0], True, 100.01) and visit.done and caller.answers == []
+        assert visit.copy_read(caller.reads[0], True, 100.01) and visit.done and caller.answers == []
 
 
 @pytest.mark.parametrize("whole, gone", [(False, False), (True, True)])
 def test_a_copy_that_cannot_be_read_or_was_purged_meanwhile_goes_the_ordinary_path_once(whole, gone):
-    made, visit, caller = asked(tariff(), 1.0)
+    made, visit, caller = asked(request_class(), 1.0)
     made.copies.is_held = not gone
-    assert not visit.read(caller.reads[0], whole, 100.05)
+    assert not visit.copy_read(caller.reads[0], whole, 100.05)
     assert len(caller.forwards) == 1 and visit.copy is None and len(caller.reads) == 1
 
 
-@pytest.mark.parametrize("kind", [tariff(Effect.EXCLUSIVE), tariff(Effect.TICKETED), tariff(passes_on=True)])
+@pytest.mark.parametrize(
+    "kind",
+    [
+        request_class(Idempotency.NOT_IDEMPOTENT),
+        request_class(Idempotency.IDEMPOTENCY_KEY),
+        request_class(pass_through=True),
+    ],
+)
 def test_what_runs_somewhere_is_never_answered_by_a_copy(kind):
     _, visit, caller = asked(kind, 1.0)
     assert not caller.reads and visit.copy is None
@@ -358,32 +365,32 @@
 
 @pytest.mark.parametrize("age, reads", [(7.0, True), (11.0, False)])
 def test_a_copy_in_its_grace_answers_only_in_place_of_a_denial(age, reads):
-    _, visit, caller = asked(replace(tariff(fresh=5.0), grace=5.0), age)
+    _, visit, caller = asked(replace(request_class(freshness_lifetime=5.0), stale_grace=5.0), age)
     assert len(caller.forwards) == 1 and not caller.reads
     visit.give_up(100.1)
     assert bool(caller.reads) is reads and bool(caller.answers) is not reads
     if reads:
-        assert not visit.read(caller.reads[0], False, 104.99)
+        assert not visit.copy_read(caller.reads[0], False, 104.99)
         assert caller.answers == [("denied", 0.5)]
 
 
 def test_an_unproven_copy_is_offered_and_answers_once_it_is_the_same():
-    made, visit, caller = asked(tariff(), 1.0, proven=False)
+    made, visit, caller = asked(request_class(), 1.0, proven=False)
     assert visit.copy is made.copies.copy and caller.forwards
     before = dict(made.means), visit.item.work
     made.copies.is_proven = True
-    end(caller, Outcome.CURRENT, 100.02)
+    end(caller, Outcome.NOT_MODIFIED, 100.02)
     assert caller.reads and not visit.done and (dict(made.means), visit.item.work) == before
-    assert visit.read(caller.reads[0], True, 100.03) and visit.done
+    assert visit.copy_read(caller.reads[0], True, 100.03) and visit.done
 
 
 def test_the_same_that_cannot_be_read_is_asked_for_whole_at_the_same_cache():
-    made, visit, caller = asked(tariff(), 1.0, proven=False)
+    made, visit, caller = asked(request_class(), 1.0, proven=False)
     made.copies.is_proven = True
-    end(caller, Outcome.CURRENT, 100.02)
-    assert not visit.read(caller.reads[0], False, 100.03)
+    end(caller, Outcome.NOT_MODIFIED, 100.02)
+    assert not visit.copy_read(caller.reads[0], False, 100.03)
     assert len(caller.forwards) == 2 and caller.forwards[1].cache is caller.forwards[0].cache
-    end(caller, Outcome.HONOURED, 100.04, closed=True)
+    end(caller, Outcome.SUCCEEDED, 100.04, closed=True)
     assert visit.done
 
 
@@ -440,7 +447,7 @@
     caches = SimpleNamespace(machines={mark: machine for mark in [1, 2, 3, 4, 100, 101, 200]})
     forwards = Forwards(caches, heap, 0.25, faults.append)
     made = router()
-    visits = Visits(forwards, heap, buffers, {"t": tariff()}, lambda *a, **k: None, faults.append)
+    visits = Visits(forwards, heap, buffers, {"t": request_class()}, lambda *a, **k: None, faults.append)
     forwards.router = visits.router = made
     world.clock = heap.clock
     if with_store:
--- a/tests/support/processes.py
+++ b/tests/support/processes.py
@@ -102,7 +102,7 @@
         self.socket = socket.create_connection(address, PATIENT)
         self.stream, self.had, self.calls = msgpack.Stream(300_000), [], 0
 
-    def ask(self, tariff="pages", body=b"", drop=(), **fields):
+    def ask(self, request_class="pages", body=b"", drop=(), **fields):
         self.calls += 1
         told = {
             "rid": os.urandom(8).hex(),
@@ -113,7 +113,7 @@
             **fields,
         }
         told = {name: value for name, value in told.items() if name not in drop}
-        self.socket.sendall(msgpack.pack([0, self.calls, tariff, [told, body]]))
+        self.socket.sendall(msgpack.pack([0, self.calls, request_class, [told, body]]))
         return self.calls
 
     def ping(self):
--- a/tests/support/routing.py
+++ b/tests/support/routing.py
@@ -2,52 +2,61 @@
 
 from types import SimpleNamespace
 
-from wickhinge.decide import Chance, Cold, Fleet, Purges, Router, Shelf
-from wickhinge.interface import Effect, Listing, Permitted, Request, Tariff
+from wickhinge.decide import Endpoints, ObjectCounts, Purges, RandomSource, Router, SlowStart
+from wickhinge.interface import Capabilities, Endpoint, Idempotency, Request, RequestClass
 
 
 class Recorder:
     """A Caller and an Outside that write down what they are told."""
 
     def __init__(self):
-        self.forwards, self.withdrawn, self.answers, self.alarms, self.probes = [], [], [], [], []
+        self.forwards, self.cancelled, self.answers, self.alarms, self.probes = [], [], [], [], []
         self.reads = []
 
-    def forward(self, forward, cache, patience, source, rank, oldest, join, held_only, renew):
-        sent = SimpleNamespace(it=forward, cache=cache, source=source, rank=rank, oldest=oldest, held=held_only)
+    def forward(self, parameters):
+        sent = SimpleNamespace(
+            it=parameters.attempt,
+            cache=parameters.server,
+            source=parameters.source,
+            rank=parameters.retention_rank,
+            oldest=parameters.max_age,
+            held=parameters.only_if_cached,
+        )
         self.forwards.append(sent)
 
-    def read(self, copy):
+    def serve_copy(self, copy):
         self.reads.append(copy)
 
-    def withdraw(self, forward):
-        self.withdrawn.append(forward)
+    def cancel(self, attempt):
+        self.cancelled.append(attempt)
 
-    def deny(self, wait, why):
+    def reject(self, wait, why):
         self.answers.append(("denied", wait))
 
-    def abandon(self, why):
+    def fail(self, why):
         self.answers.append(("abandoned", None))
 
-    def wake(self, delay, call):
+    def call_later(self, delay, call):
         self.alarms.append((delay, call))
 
-    def probe(self, cache):
+    def check_health(self, cache):
         self.probes.append(cache)
 
-    def follow(self):
+    def watch(self):
         self.answers.append(("follow", None))
 
-    def note(self, text):
+    def log_line(self, text):
         pass
 
 
-def tariff(effect=Effect.RERUNNABLE, group="all", window=5.0, fresh=0.0, passes_on=False):
-    return Tariff("t", 0.6, 1.6, 5.0, 2.0, 0.15, effect, group, window, fresh, 0.0, 0.7, True, passes_on)
+def request_class(effect=Idempotency.IDEMPOTENT, group="all", window=5.0, freshness_lifetime=0.0, pass_through=False):
+    return RequestClass(
+        "t", 0.6, 1.6, 5.0, 2.0, 0.15, effect, group, window, freshness_lifetime, 0.0, 0.7, True, pass_through
+    )
 
 
 def listing(cache, kind="box", zone="here", cell=0, state="ready", weight=20.0, started=None):
-    return Listing(cache, zone, kind, cell, state, weight, started)
+    return Endpoint(cache, zone, kind, cell, state, weight, started)
 
 
 def router(
@@ -65,15 +74,15 @@
     probes=True,
 ):
     outside = Recorder()
-    edge, upper = Cold(4.0, 1.0, 0.2, 10.0), Cold(2.0, 1.0, 0.1, 10.0)
-    chance = Chance(seed)
-    fleet = Fleet(chance, "here", routers, "parent", "origin", weighed, edge, upper)
-    permitted = Permitted(joins, direct, second_copies, cancel, probes, loads=True, follows=False)
+    edge, upper = SlowStart(4.0, 1.0, 0.2, 10.0), SlowStart(2.0, 1.0, 0.1, 10.0)
+    chance = RandomSource(seed)
+    fleet = Endpoints(chance, "here", routers, "parent", "origin", weighed, edge, upper)
+    permitted = Capabilities(joins, direct, second_copies, cancel, probes, load_reports=True, polls_endpoints=False)
     made = Router(
         outside,
         chance,
         fleet,
-        Shelf(),
+        ObjectCounts(),
         Purges(6.0),
         permitted,
         flow=1000.0,
@@ -93,7 +102,7 @@
 
 def take(made, kind=None, key=5, part=0, size=100.0, now=100.0, group=3, patience=5.0, repeat=False):
     caller = Recorder()
-    return made.take(caller, kind or tariff(), Request(key, part, group, size, patience, repeat), now), caller
+    return made.take(caller, kind or request_class(), Request(key, part, group, size, patience, repeat), now), caller
 
 
 def end(caller, outcome, now, number=-1, closed=False, took=0.01):
--- a/tests/support/store_world.py
+++ b/tests/support/store_world.py
@@ -54,7 +54,7 @@
         self.clock = round(self.clock + 0.01, 3)
         store = self.store
         for _ in range(3):
-            store.visit(key, 0)
+            store.record_request(key, 0)
         body = random.Random(key * 1000 + part + self.clock).randbytes(size)
         tag = f"{key}-{part}-{self.clock:.3f}".encode()
         if store.wants(key, part, group, tag, self.clock, size, self.clock):
--- a/tests/wirehost/test_wirehost.py
+++ b/tests/wirehost/test_wirehost.py
@@ -153,8 +153,8 @@
 def test_calls_the_module_does_not_make_yet_have_their_actions():
     replies = []
     instance = Instance(3, replies)
-    instance.read_list()
-    instance.say(-1, b"hi 7")
+    instance.fetch_endpoints()
+    instance.gossip(-1, b"hi 7")
     assert [json.loads(line) for line in replies] == [
         {"ReadList": {"router": 3}},
         {"Say": {"to": -1, "content": "aGkgNw==", "router": 3}},
--- a/wickhinge/decide.py
+++ b/wickhinge/decide.py
@@ -16,26 +16,33 @@
 from math import log, sqrt
 
 from wickhinge.interface import (
-    Caller,
-    Copy,
-    Effect,
-    Listing,
-    Note,
+    AttemptParameters,
+    CacheStatus,
+    Capabilities,
+    Endpoint,
+    Environment,
+    Idempotency,
+    LocalCopy,
     Outcome,
-    Outside,
-    Permitted,
-    Refusal,
+    RejectionReason,
     Request,
-    Tariff,
+    RequestClass,
+    RequestTransport,
 )
 
 MASK = 2**64 - 1
-NEVER_RAN = (Outcome.FULL, Outcome.UNREACHED, Outcome.UNSENT, Outcome.MOOT, Outcome.MISS)  # others may have
-PASSING = (Outcome.ERROR, Outcome.BROKEN, Outcome.UNSENT)  # the same cache may well answer the next time
-FINE = (Outcome.MISS, Outcome.CURRENT, *PASSING)
-REFUSED = (Outcome.FULL, Outcome.ERROR)
+NEVER_RAN = (
+    Outcome.OVERLOADED,
+    Outcome.CONNECT_FAILED,
+    Outcome.NOT_SENT,
+    Outcome.SUPERSEDED,
+    Outcome.MISS,
+)  # others may have
+PASSING = (Outcome.ERROR, Outcome.CONNECTION_LOST, Outcome.NOT_SENT)  # the same cache may well answer the next time
+FINE = (Outcome.MISS, Outcome.NOT_MODIFIED, *PASSING)
+REFUSED = (Outcome.OVERLOADED, Outcome.ERROR)
 # The same source may fill the next time.
-NOT_THE_SOURCE = (Outcome.MISS, Outcome.FULL, Outcome.BROKEN, Outcome.UNSENT)
+NOT_THE_SOURCE = (Outcome.MISS, Outcome.OVERLOADED, Outcome.CONNECTION_LOST, Outcome.NOT_SENT)
 SHELF_SIZE = 20000  # objects whose k is known
 IDLE = 10.0  # seconds in which k halves, at a location's only router
 OFTEN = 6.0  # requests lately, from which an object is asked for often
@@ -57,7 +64,7 @@
     return h ^ h >> 31
 
 
-class Chance:
+class RandomSource:
     """A linear congruential generator; its low bits repeat soon, so only high ones are used."""
 
     def __init__(self, seed: int) -> None:
@@ -68,22 +75,22 @@
         return (self.state >> 33) / (1 << 31)
 
 
-class Item:
+class ObjectCount:
     __slots__ = ("key", "k", "heat", "last", "work")
 
     def __init__(self, key: int, now: float) -> None:
         self.key, self.k, self.heat, self.last, self.work = key, 0, 0.0, now, 0.0  # work: 0 before the first
 
 
-class Shelf:  # the count k of leading parts to keep, for each object
+class ObjectCounts:  # the count k of leading parts to keep, for each object
     def __init__(self, routers: int = 1, size: int = SHELF_SIZE) -> None:
         self.routers, self.size, self.idle = routers, size, IDLE * routers
-        self.items: OrderedDict[int, Item] = OrderedDict()  # the least lately asked first, found at once
+        self.items: OrderedDict[int, ObjectCount] = OrderedDict()  # the least lately asked first, found at once
         self.kept = self.kept_middle = 0.0
 
-    def visit(self, key: int, part: int, now: float) -> Item:
+    def visit(self, key: int, part: int, now: float) -> ObjectCount:
         """K rises by p at the p-th request, gLRU(1), times the routers for which a visit seen here stands."""
-        item = self.items[key] = self.items.pop(key, None) or Item(key, now)
+        item = self.items[key] = self.items.pop(key, None) or ObjectCount(key, now)
         first = next(iter(self.items.values()))
         if len(self.items) > self.size or now - first.last > 4 * self.idle:  # k is a sixteenth by then
             del self.items[first.key]
@@ -97,7 +104,7 @@
             item.k += LATER * (self.routers - 1)
         return item
 
-    def rank(self, item: Item, part: int, work: float) -> int:
+    def rank(self, item: ObjectCount, part: int, work: float) -> int:
         """0 to pass unkept, 1 for parts below k, 2 for those asked often while the middle share lasts."""
         if part >= item.k:
             return 0
@@ -136,7 +143,7 @@
         return min(known, limit) if known and limit else known or limit
 
 
-class Cold:
+class SlowStart:
     """A router's share of what machines that started lately can do, against toppling them: routers spend
     unknown to each other, so each its share alone, and two thirds of the rule's, as sizes vary.
     """
@@ -147,11 +154,11 @@
         self.usual = 0.0  # work a second that this router sends to a warm machine of the tier
         self.mean = 0.0  # work of a visit that may go to a cold one; 0 before the first
 
-    def part(self, cache: Cache, now: float) -> float:
+    def part(self, cache: Server, now: float) -> float:
         age = 0.0 if cache.lost else now - cache.started
         return 1.0 if age >= self.warm else self.floor + (1 - self.floor) * max(age, 0.0) / self.warm
 
-    def weigh(self, caches: list[Cache], now: float) -> None:
+    def weigh(self, caches: list[Server], now: float) -> None:
         """Remembered, since after a release no warm fellow may be left to compare with."""
         warm = [cache.sent / ROUND for cache in caches if self.part(cache, now) >= 1.0]
         self.usual += 0.1 * (sum(warm) / len(warm) - self.usual) if warm else 0.0
@@ -159,7 +166,7 @@
             cache.sent = 0.0
             cache.forget()
 
-    def room(self, cache: Cache, mine: float, share: float, work: float, now: float) -> bool:
+    def room(self, cache: Server, mine: float, share: float, work: float, now: float) -> bool:
         """One visit may be more than a share: it is sent on credit, and the debt sat out. Saved up is half a
         span's worth, and no more than the share of the rule's 2 root of N while a warm machine can do more
         than this one bears: one router that has not been told then adds much to what all others saved.
@@ -179,11 +186,11 @@
         return cache.credit > 0.0
 
 
-class Cache:
-    def __init__(self, listing: Listing, chance: Chance, now: float) -> None:
+class Server:
+    def __init__(self, listing: Endpoint, chance: RandomSource, now: float) -> None:
         self.chance, self.others, self.told = chance, 0.0, 0.0  # others: their transfers, guessed or told
-        self.mark, self.zone, self.kind, self.cell = listing.cache, listing.zone, listing.kind, listing.cell
-        self.salt, self.weight, self.state, self.started = mix(mix(listing.cache)), 1.0, "ready", -1e9
+        self.mark, self.zone, self.kind, self.cell = listing.server, listing.zone, listing.kind, listing.cell
+        self.salt, self.weight, self.state, self.started = mix(mix(listing.server)), 1.0, "ready", -1e9
         self.born: float | None = None  # its start as a list names it; None where it has started anew since
         self.begin(now)
 
@@ -220,9 +227,9 @@
             self.fit += 0.2 * (out - self.fit)
             self.best = max(self.best, self.fit)
 
-    def lag(self, visit: Visit, held: bool = False) -> float:
+    def lag(self, visit: RoutedRequest, held: bool = False) -> float:
         """By tariffs: a full link stretches large fills more than small ones, a slow origin the small."""
-        return (self.holds if held else self.lags).get(visit.tariff.name, 0.0) * (visit.work + 0.1)
+        return (self.holds if held else self.lags).get(visit.request_class.name, 0.0) * (visit.work + 0.1)
 
     def forget(self) -> None:
         """One that gets nothing shows nothing, so what is believed of it drifts back."""
@@ -237,8 +244,8 @@
 
     def failed(self, now: float, outcome: Outcome = Outcome.TIMED_OUT) -> None:
         """Two failures in a row are no chance: it rests, then is as new. A broken connection tells little."""
-        self.strikes += 0.25 if outcome is Outcome.BROKEN else 1.0
-        if outcome is Outcome.UNREACHED or self.strikes >= 2:
+        self.strikes += 0.25 if outcome is Outcome.CONNECTION_LOST else 1.0
+        if outcome is Outcome.CONNECT_FAILED or self.strikes >= 2:
             self.lost, self.shunned = True, now + min(0.5 * self.strikes, 3.0)
             self.owe(now)
 
@@ -250,17 +257,17 @@
         self.heard, self.strikes = now, 0
 
 
-class Fleet:
+class Endpoints:
     def __init__(
         self,
-        chance: Chance,
+        chance: RandomSource,
         zone: str,
         routers: int,
         parent_kind: str | None,
         origin_kind: str | None,
         weighed: bool,
-        edge: Cold,
-        upper: Cold,
+        edge: SlowStart,
+        upper: SlowStart,
     ) -> None:
         self.chance, self.zone, self.routers, self.weighed = chance, zone, max(routers, 1), weighed
         self.parent_kind, self.origin_kind, self.edge, self.upper = parent_kind, origin_kind, edge, upper
@@ -268,16 +275,16 @@
         self.weight, self.share, self.pending = 0.0, 1.0, 0.0  # of caches here; of all traffic; out at once
         self.instant: Callable[[float, float], float] = as_told  # a time that others named, by our clock
 
-    def listed(self, listings: list[Listing], whole: bool, now: float) -> None:
+    def listed(self, listings: list[Endpoint], whole: bool, now: float) -> None:
         """Heeded at once, as sources too: what drains or is gone leaves the lists that sends choose from."""
-        named = {listing.cache for listing in listings}
+        named = {listing.server for listing in listings}
         for mark in set(self.known) - named if whole else ():
             self.known[mark].state = "gone"
         for listing in listings:
-            cache = self.known.get(listing.cache) or Cache(listing, self.chance, now)
+            cache = self.known.get(listing.server) or Server(listing, self.chance, now)
             self.known[cache.mark] = cache
-            cache.state, cache.weight, cache.trusted = listing.state, listing.weight or 1.0, listing.trusted
-            cache.lost |= not listing.trusted and cache.heard == now  # one visit at a time, until it answers
+            cache.state, cache.weight, cache.is_verified = listing.state, listing.weight or 1.0, listing.is_verified
+            cache.lost |= not listing.is_verified and cache.heard == now  # one visit at a time, until it answers
             cache.best = max(cache.weight, 0.5) if self.weighed else cache.best
             started = -1e9 if listing.started is None else self.instant(listing.started, now)
             if started > cache.started:
@@ -299,10 +306,10 @@
             if cache.born is not None:
                 cache.started = min(cache.started, self.instant(cache.born, now))
 
-    def order(self, caches: list[Cache], salt: int, now: float) -> list[Cache]:
+    def order(self, caches: list[Server], salt: int, now: float) -> list[Server]:
         """Weighted rendezvous: losing a machine moves only its own keys. A cold cache weighs less."""
 
-        def score(cache: Cache) -> tuple[float, int]:
+        def score(cache: Server) -> tuple[float, int]:
             weight = cache.weight * (self.edge.part(cache, now) if cache.zone == self.zone else 1.0)
             return weight / log(((mix(salt, cache.salt) >> 11) + 0.5) / (1 << 53)), cache.mark
 
@@ -314,11 +321,11 @@
             cache.others = (self.routers - 1 - self.told) * self.pending * cache.weight / self.weight
             cache.others += cache.told
 
-    def room(self, cache: Cache, visit: Visit, now: float) -> bool:
+    def room(self, cache: Server, visit: RoutedRequest, now: float) -> bool:
         cold = self.upper if (upper := cache.kind == self.parent_kind) else self.edge
         if cache is self.origin or not cold.rule or (part := cold.part(cache, now)) >= 1.0:
             return True
-        work = visit.router.mean(visit.tariff)
+        work = visit.router.mean(visit.request_class)
         if self.weighed and self.dealt:  # the routers' true shares in place of a guess, where they talk
             return self.dealt(cache, upper, cold, part, work)
         share = (self.share if upper else 1.0) / self.routers
@@ -327,83 +334,86 @@
         return cold.room(cache, mine, share, work, now)
 
 
-class Forward:
-    def __init__(self, visit: Visit, cache: Cache, source: Cache, held: bool, now: float) -> None:
+class Attempt:
+    def __init__(self, visit: RoutedRequest, cache: Server, source: Server, held: bool, now: float) -> None:
         self.visit, self.cache, self.source, self.sent = visit, cache, source, now
         self.pending, self.outcome, self.held = True, None, held  # held: the source gives only what it holds
         self.far = source is not cache or cache not in visit.router.fleet.mine  # through the location's link
 
 
-class Visit:
+class RoutedRequest:
     def __init__(
         self,
         router: Router,
-        caller: Caller,
-        tariff: Tariff,
-        item: Item,
+        caller: RequestTransport,
+        request_class: RequestClass,
+        item: ObjectCount,
         request: Request,
         work: float,
         now: float,
     ) -> None:
-        self.router, self.caller, self.tariff, self.item = router, caller, tariff, item
-        self.part, self.group, self.repeat = request.part, request.group, request.repeat
+        self.router, self.caller, self.request_class, self.item = router, caller, request_class, item
+        self.part, self.group, self.repeat = request.part, request.group, request.is_retry
         self.salt = mix(request.part, mix(item.key))
-        self.work, self.known = work, request.size or item.work  # its sending time; else the tariff's mean
-        self.expires = now + request.patience
-        self.due = min(now + tariff.promised + tariff.stretch * work, self.expires)
+        self.work, self.known = work, request.size_kb or item.work  # its sending time; else the tariff's mean
+        self.expires = now + request.timeout
+        self.due = min(now + request_class.latency_objective + request_class.objective_stretch * work, self.expires)
         self.forwards, self.done, self.held, self.rest = [], False, False, 0.0  # held: waits here, till rest
         self.at = self.copy = None  # whose miss is to be filled; of our own, its tag offered by forwards
         self.lacking, self.refusing = [], []  # sources that hold no copy; that refused, or whose origin did
 
-    def pending(self) -> list[Forward]:
+    def pending(self) -> list[Attempt]:
         return [f for f in self.forwards if f.pending]
 
-    def risky(self) -> list[Forward]:
+    def risky(self) -> list[Attempt]:
         return [f for f in self.forwards if f.pending or f.outcome not in NEVER_RAN]
 
-    def allowed(self, cache: Cache, now: float) -> bool:
+    def allowed(self, cache: Server, now: float) -> bool:
         """Against a second effect: what may have run is repeated only where a repeat is dropped."""
         risky = self.risky()
         if len(self.forwards) >= self.router.most_forwards or not self.trusts(cache):
             return False
         if self.pending() and not self.router.second_copies:
             return False
-        if not risky or self.tariff.effect is Effect.RERUNNABLE:
+        if not risky or self.request_class.idempotency is Idempotency.IDEMPOTENT:
             return True
-        if self.tariff.effect is Effect.EXCLUSIVE or now - risky[0].sent >= self.tariff.window - 0.05:
+        if (
+            self.request_class.idempotency is Idempotency.NOT_IDEMPOTENT
+            or now - risky[0].sent >= self.request_class.deduplication_window - 0.05
+        ):
             return False
-        group = self.tariff.group
+        group = self.request_class.deduplication_group
         return group == "all" or all(
             f.cache.zone == cache.zone and (group == "zone" or f.cache.cell == cache.cell) for f in risky
         )
 
-    def trusts(self, cache: Cache) -> bool:  # what has effects goes to no machine that only an old list names
-        return cache.trusted or self.tariff.effect is Effect.RERUNNABLE
+    def trusts(self, cache: Server) -> bool:  # what has effects goes to no machine that only an old list names
+        return cache.is_verified or self.request_class.idempotency is Idempotency.IDEMPOTENT
 
     def late(self, crowd: float, now: float) -> bool:
         # A repeat's promise mostly ran out with its first try: in a crowd it takes pace from first tries.
-        return not self.tariff.passes_on and (
+        return not self.request_class.pass_through and (
             now + self.work * (max(crowd, 1.0) + COMING * crowd) > self.due or self.repeat and crowd > 1.0
         )
 
-    def fits(self, cache: Cache, now: float) -> bool:
+    def fits(self, cache: Server, now: float) -> bool:
         return cache.usable(now) and self.allowed(cache, now) and self.router.fleet.room(cache, self, now)
 
     def own(self, now: float, last: bool = False) -> bool:
         """Whether a copy of ours answers: a fresh one, or in place of a denial one in its grace."""
-        copy, tariff, copies = self.copy, self.tariff, self.router.copies
-        answers = copy is not None and copies.proven(copy, now)
-        if answers and tariff.fresh:
-            answers = copies.age(copy, now) <= tariff.fresh + last * tariff.grace
-        answers = answers and copies.ends(copy, now) <= (self.expires if last else self.due)
+        copy, request_class, copies = self.copy, self.request_class, self.router.copies
+        answers = copy is not None and copies.is_current(copy, now)
+        if answers and request_class.freshness_lifetime:
+            answers = copies.age(copy, now) <= request_class.freshness_lifetime + last * request_class.stale_grace
+        answers = answers and copies.transfer_end(copy, now) <= (self.expires if last else self.due)
         self.copy = None if answers or last else copy
         if answers:
-            self.caller.read(copy)
+            self.caller.serve_copy(copy)
         return answers
 
-    def read(self, copy: Copy, whole: bool, now: float) -> bool:
+    def copy_read(self, copy: LocalCopy, whole: bool, now: float) -> bool:
         """What came of Caller.read. True: it is the answer; else purged meanwhile, damaged or slow."""
-        answers = whole and not self.done and self.router.copies.held(copy, now)
+        answers = whole and not self.done and self.router.copies.is_valid(copy, now)
         if answers:
             self.finish(now)
         elif not self.done:
@@ -414,7 +424,7 @@
         """Ask the cache on the part's hash, and the next where that one fails or would be late."""
         router, fleet = self.router, self.router.fleet
         if self.late(0.0, now) and not self.pending():  # late anywhere: a flood is denied without a choice
-            return self.give_up(now, Refusal.LATE)
+            return self.give_up(now, RejectionReason.TOO_LATE)
         # An error may pass, and elsewhere the part must be filled anew: the same cache is asked twice more.
         failed = [f.cache for f in self.forwards if f.outcome not in FINE]
         failed += [f.cache for f in self.forwards if f.outcome in PASSING][2:]
@@ -423,7 +433,7 @@
             if cache not in failed and self.fits(cache, now) and not self.late(cache.crowd(), now):
                 wanted = cache
                 break
-        if self.tariff.passes_on:  # runs at the origin: straight there, or through a cache that names it
+        if self.request_class.pass_through:  # runs at the origin: straight there, or through a cache that names it
             wanted = source if router.direct else wanted
             hopeful = source and self.trusts(source) and now + self.work < self.expires
         elif wanted:
@@ -437,7 +447,7 @@
         if wanted and hopeful and self.allowed(wanted, now):
             self.send(wanted, source or wanted, now)
         elif not self.pending():
-            self.give_up(now, Refusal.NO_SERVER)
+            self.give_up(now, RejectionReason.NO_SERVER)
 
     def fill(self, now: float) -> None:
         """Fill the miss at self.at from the object's parent; wait for a place while there is hope."""
@@ -449,15 +459,15 @@
         if not cache.usable(now):
             self.look(now)
         elif self.late(crowd := max(cache.crowd(), router.link_crowd()), now):
-            self.give_up(now, Refusal.LATE)
+            self.give_up(now, RejectionReason.TOO_LATE)
         elif not self.fits(cache, now):
-            self.give_up(now, Refusal.NO_SERVER)
+            self.give_up(now, RejectionReason.NO_SERVER)
         elif not (source := router.source(self, now)):
             self.wait(now)
         else:
             self.draw(cache, source, crowd, rank, now)
 
-    def draw(self, cache: Cache, source: Cache, crowd: float, rank: int, now: float) -> None:
+    def draw(self, cache: Server, source: Server, crowd: float, rank: int, now: float) -> None:
         """While the origin refuses, a parent gives what it holds, and what it lacks is fetched in turn."""
         router, origin = self.router, self.router.fleet.origin
         fetched = source is origin or source in self.lacking
@@ -465,7 +475,7 @@
         behind = (origin or source if fetched else source).lag(self, held)
         if self.late(crowd, now + max(behind, source.lag(self, True))) or fetched and now < router.turn:
             # Its link is full, or what is behind it slow or refusing.
-            return self.give_up(now, Refusal.SOURCE_LATE)
+            return self.give_up(now, RejectionReason.SOURCE_TOO_SLOW)
         if fetched and router.gap:
             router.turn = now + router.gap * (0.5 + router.chance.draw())
         self.send(cache, source, now, rank, held)
@@ -475,53 +485,57 @@
         self.rest = now + 0.3 * self.router.chance.draw()
         if not self.held:
             self.held = True
-            self.router.outside.wake(
+            self.router.outside.call_later(
                 max(self.due - 0.9 * self.work - now, 0.001),
-                lambda then: self.give_up(then, Refusal.NO_ROOM) if self.held else None,
+                lambda then: self.give_up(then, RejectionReason.NO_CAPACITY) if self.held else None,
             )
 
-    def send(self, cache: Cache, source: Cache, now: float, rank: int = -1, held: bool = False) -> None:
-        router, tariff, self.held = self.router, self.tariff, False
-        oldest = None if tariff.passes_on else router.purges.oldest(self.item.key, self.group, now)
-        oldest = min(oldest, tariff.fresh) if oldest and tariff.fresh else oldest
+    def send(self, cache: Server, source: Server, now: float, rank: int = -1, held: bool = False) -> None:
+        router, request_class, self.held = self.router, self.request_class, False
+        oldest = None if request_class.pass_through else router.purges.oldest(self.item.key, self.group, now)
+        oldest = (
+            min(oldest, request_class.freshness_lifetime) if oldest and request_class.freshness_lifetime else oldest
+        )
         if rank < 0:
             rank = router.shelf.rank(self.item, self.part, self.work) if cache in router.fleet.mine else 0
-        forward = Forward(self, cache, source, held, now)
+        forward = Attempt(self, cache, source, held, now)
         self.forwards.append(forward)
         router.fills += forward.far
         cache.pending.add(forward)
-        cache.charge(router.mean(tariff))
+        cache.charge(router.mean(request_class))
         if source is not cache:
             source.filling.add(forward)
-            source.charge(router.mean(tariff))
-        join, renew = router.joins and source is not cache, bool(rank and tariff.fresh)
-        self.caller.forward(forward, cache, self.expires - now, source, rank, oldest, join, held, renew)
+            source.charge(router.mean(request_class))
+        join, renew = router.joins and source is not cache, bool(rank and request_class.freshness_lifetime)
+        self.caller.forward(
+            AttemptParameters(forward, cache, self.expires - now, source, rank, oldest, join, held, renew)
+        )
         latest = 0.3 + 2 * (self.work + source.lag(self))
-        router.outside.wake(latest, lambda then: self.overdue(forward, then))
+        router.outside.call_later(latest, lambda then: self.overdue(forward, then))
 
-    def overdue(self, forward: Forward, now: float) -> None:
+    def overdue(self, forward: Attempt, now: float) -> None:
         """Against what takes work and answers nothing, cache or source: one silent to all since then."""
         silent = forward.cache if forward.cache.heard < forward.sent else forward.source
         if not forward.pending or self.done or silent.heard >= forward.sent:
             return
         if len(silent.pending) + len(silent.filling) < 2:  # alone out there it may only be slow
-            self.router.outside.wake(0.3, lambda then: self.overdue(forward, then))
+            self.router.outside.call_later(0.3, lambda then: self.overdue(forward, then))
             return
         if silent is forward.cache or forward.held or not self.router.gap:
             silent.failed(now)  # else it may only wait for an origin that refuses or stands still
-        if self.tariff.effect is Effect.RERUNNABLE and now + self.work < self.due:
+        if self.request_class.idempotency is Idempotency.IDEMPOTENT and now + self.work < self.due:
             if self.router.cancel:
-                self.caller.withdraw(forward)
+                self.caller.cancel(forward)
             else:
                 self.look(now)
 
     def ended(
         self,
-        forward: Forward,
+        forward: Attempt,
         outcome: Outcome,
         took: float,
         closed: bool,
-        note: Note | None,
+        note: CacheStatus | None,
         now: float,
         load: dict[str, float] | None = None,
     ) -> None:
@@ -531,24 +545,24 @@
         cache.pending.discard(forward)
         source.filling.discard(forward)
         router.fills -= forward.far
-        filled, ours = source is not cache, cache in router.fleet.mine and not self.tariff.passes_on
+        filled, ours = source is not cache, cache in router.fleet.mine and not self.request_class.pass_through
         if load and cache in router.fleet.mine:
             router.loaded(load)
         if outcome.answered:
             cache.answered(now)
-        elif outcome not in (Outcome.MOOT, Outcome.WITHDRAWN, Outcome.UNSENT) and cache.heard < forward.sent:
+        elif outcome not in (Outcome.SUPERSEDED, Outcome.CANCELLED, Outcome.NOT_SENT) and cache.heard < forward.sent:
             cache.failed(now, outcome)
-        if outcome is Outcome.HONOURED and ours and not filled:
+        if outcome is Outcome.SUCCEEDED and ours and not filled:
             router.learn(self, took)
             if self.known:  # a guessed time tells the size of the object, not of the crowd
                 cache.bore(took / max(self.work, 0.005))
             # After a restart k is zero though the cache holds the object; the paper keeps what is held.
             self.item.k = max(self.item.k, self.part + 1)
-        if outcome is Outcome.HONOURED or closed:
+        if outcome is Outcome.SUCCEEDED or closed:
             self.finish(now)  # first: what follows sends for those who wait, and it may be one of them
         if filled:
             router.filled(forward, outcome, took, note, now)
-        if self.done or outcome is Outcome.CURRENT and self.own(now, True):
+        if self.done or outcome is Outcome.NOT_MODIFIED and self.own(now, True):
             return
         if outcome is Outcome.MISS and ours and not filled:
             # Pushed out, so its tail will be too; not so at an empty cache or after a purge.
@@ -559,13 +573,13 @@
         elif self.pending():
             return
         elif now + self.work > self.due:
-            self.give_up(now, Refusal.LATE)
-        elif outcome is Outcome.WITHDRAWN and self.tariff.effect is not Effect.RERUNNABLE:
-            self.give_up(now, Refusal.MAY_HAVE_RUN)
+            self.give_up(now, RejectionReason.TOO_LATE)
+        elif outcome is Outcome.CANCELLED and self.request_class.idempotency is not Idempotency.IDEMPOTENT:
+            self.give_up(now, RejectionReason.MAY_HAVE_RUN)
         elif filled and ours and not forward.held and source in self.refusing and cache.usable(now):
             self.at = cache
             self.fill(now)  # asked for what it holds: who refused shows, and it may be the answer
-        elif outcome in (Outcome.FULL, Outcome.UNREACHED) and (filled or self.tariff.passes_on):
+        elif outcome in (Outcome.OVERLOADED, Outcome.CONNECT_FAILED) and (filled or self.request_class.pass_through):
             self.wait(now)  # asked again at once, the same origin would refuse again
         elif filled and ours and cache.usable(now):
             self.at = cache
@@ -573,7 +587,7 @@
         else:
             self.look(now)
 
-    def began(self, forward: Forward, now: float) -> None:
+    def began(self, forward: Attempt, now: float) -> None:
         forward.cache.answered(now)
         self.done = True  # streamed: it is the client's from now on
 
@@ -583,40 +597,52 @@
             return
         self.done = True
         for forward in self.pending() if self.router.cancel else ():
-            self.caller.withdraw(forward)
+            self.caller.cancel(forward)
 
-    def give_up(self, now: float, why: Refusal = Refusal.TIME_UP) -> None:
+    def give_up(self, now: float, why: RejectionReason = RejectionReason.DEADLINE_EXCEEDED) -> None:
         """Given up on: answered at once, with a time to come back where a new try is harmless."""
         if self.done or self.own(now, True):
             return
-        harmless = self.tariff.effect is Effect.RERUNNABLE or not self.risky()
-        harmless |= self.tariff.effect is Effect.TICKETED and self.tariff.group == "all"
+        harmless = self.request_class.idempotency is Idempotency.IDEMPOTENT or not self.risky()
+        harmless |= (
+            self.request_class.idempotency is Idempotency.IDEMPOTENCY_KEY
+            and self.request_class.deduplication_group == "all"
+        )
         self.finish(now)
         if harmless:
-            return self.caller.deny(self.router.longest_wait, why)
-        self.caller.abandon(why)
+            return self.caller.reject(self.router.longest_wait, why)
+        self.caller.fail(why)
 
 
 class Router:
     def __init__(
         self,
-        outside: Outside,
-        chance: Chance,
-        fleet: Fleet,
-        shelf: Shelf,
+        outside: Environment,
+        chance: RandomSource,
+        fleet: Endpoints,
+        shelf: ObjectCounts,
         purges: Purges,
-        permitted: Permitted,
+        permitted: Capabilities,
         flow: float,
         most_forwards: int,
         ask_within: float,
         longest_wait: float,
     ) -> None:
         self.outside, self.chance, self.fleet, self.shelf = outside, chance, fleet, shelf
-        self.purges, self.joins, self.direct, self.flow = purges, permitted.joins, permitted.direct, flow
-        self.most_forwards, self.second_copies = most_forwards, permitted.second_copies
-        self.cancel, self.probes, self.follows = permitted.cancel, permitted.probes, permitted.follows
+        self.purges, self.joins, self.direct, self.flow = (
+            purges,
+            permitted.collapse_fills,
+            permitted.direct_to_source,
+            flow,
+        )
+        self.most_forwards, self.second_copies = most_forwards, permitted.hedging
+        self.cancel, self.probes, self.follows = (
+            permitted.cancellation,
+            permitted.health_checks,
+            permitted.polls_endpoints,
+        )
         self.longest_wait = longest_wait
-        self.loads = permitted.probes and permitted.loads  # probes alone bring the machines' load
+        self.loads = permitted.health_checks and permitted.load_reports  # probes alone bring the machines' load
         self.ask_again = ask_within / 8 or 1.0  # a failed call is made up for before the list counts as old
         self.means, self.queue, self.copies = {}, [], None  # by tariffs; visits that wait; of our own, if any
         self.gap = self.turn = 0.0  # between two fetches from an origin that refuses; the next one's time
@@ -625,38 +651,40 @@
 
     def start(self, now: float) -> None:
         if self.follows:
-            self.outside.follow()
-        self.outside.wake(0.1 + 0.4 * self.chance.draw(), self.round)
+            self.outside.watch()
+        self.outside.call_later(0.1 + 0.4 * self.chance.draw(), self.round)
 
     def list_lost(self, now: float) -> None:
-        self.outside.wake(self.ask_again * (0.5 + self.chance.draw()), lambda then: self.outside.follow())
+        self.outside.call_later(self.ask_again * (0.5 + self.chance.draw()), lambda then: self.outside.watch())
 
-    def take(self, caller: Caller, tariff: Tariff, request: Request, now: float, waited: float = 0.0) -> Visit:
+    def take(
+        self, caller: RequestTransport, request_class: RequestClass, request: Request, now: float, waited: float = 0.0
+    ) -> RoutedRequest:
         item = self.shelf.visit(request.key, request.part, now)
-        work = request.size / self.flow if request.size else item.work or self.mean(tariff)
+        work = request.size_kb / self.flow if request.size_kb else item.work or self.mean(request_class)
         self.fleet.count()
-        visit = Visit(self, caller, tariff, item, request, work, now)
+        visit = RoutedRequest(self, caller, request_class, item, request, work, now)
         visit.due -= waited  # behind with its work, a router takes less instead of answering all too late
-        if self.copies and tariff.effect is Effect.RERUNNABLE and not tariff.passes_on:
-            self.copies.visit(request.key, request.part)
+        if self.copies and request_class.idempotency is Idempotency.IDEMPOTENT and not request_class.pass_through:
+            self.copies.record_request(request.key, request.part)
             visit.copy = self.copies.find(request.key, request.part, now)
         if not visit.own(now):
             visit.look(now)
         if not visit.done:
-            self.outside.wake(max(request.patience - GIVE_UP, 0.0), visit.give_up)
+            self.outside.call_later(max(request.timeout - GIVE_UP, 0.0), visit.give_up)
         return visit
 
-    def mean(self, tariff: Tariff) -> float:
+    def mean(self, request_class: RequestClass) -> float:
         """Mean sending time of a tariff, learned; pessimistic until then, for the cold budgets' sake."""
-        return self.means.get(tariff.name, 0.5 * tariff.promised)
+        return self.means.get(request_class.name, 0.5 * request_class.latency_objective)
 
-    def learn(self, visit: Visit, took: float) -> None:
-        self.means[visit.tariff.name] = self.mean(visit.tariff) * 0.98 + took * 0.02
+    def learn(self, visit: RoutedRequest, took: float) -> None:
+        self.means[visit.request_class.name] = self.mean(visit.request_class) * 0.98 + took * 0.02
         # All parts are about as large, and crowding only adds: the shortest time seen is nearest to the work.
         work = min(visit.item.work or took, took)
         visit.item.work = work + (took - work) * 0.05
 
-    def source(self, visit: Visit, now: float) -> Cache | None:
+    def source(self, visit: RoutedRequest, now: float) -> Server | None:
         """The parent on the object's hash, the next where one fails or is too cold, then the origin."""
         failed = [f.source for f in visit.forwards if not f.pending and f.outcome not in NOT_THE_SOURCE]
         for source in [*self.fleet.order(self.fleet.parents, visit.item.key, now), self.fleet.origin]:
@@ -664,35 +692,35 @@
                 return source
         return None
 
-    def filled(self, forward: Forward, outcome: Outcome, took: float, note: Note | None, now: float) -> None:
+    def filled(self, forward: Attempt, outcome: Outcome, took: float, note: CacheStatus | None, now: float) -> None:
         """A fill is over: judge the source by what it added, and try again for those who wait."""
         source, visit = forward.source, forward.visit
         crowd = max(forward.cache.crowd(), self.link_crowd(), 1.0)
         lag = (took - visit.work * crowd) / (visit.work + 0.1)
         if refused := outcome in REFUSED:
             lag = 5.0  # from all routers the same refused fills would come again at once
-        origin, name, missed = self.fleet.origin, visit.tariff.name, outcome is Outcome.MISS
-        if missed or note is Note.ORIGIN_FAILED:
+        origin, name, missed = self.fleet.origin, visit.request_class.name, outcome is Outcome.MISS
+        if missed or note is CacheStatus.ORIGIN_FAILED:
             visit.lacking.append(source)
         fetched = not forward.held and (source is origin or source in visit.lacking)
         ours = forward.cache in self.fleet.mine  # a parent asked itself may have refused itself
         if ours and fetched and refused or missed and source in visit.refusing:  # so it was not the source
             self.pace(False)
-        elif ours and fetched and outcome is Outcome.HONOURED:
+        elif ours and fetched and outcome is Outcome.SUCCEEDED:
             self.pace(True)
         elif ours and refused and not forward.held and note is None:
             visit.refusing.append(source)
-        if refused or visit.known and outcome in (Outcome.HONOURED, Outcome.WITHDRAWN):
+        if refused or visit.known and outcome in (Outcome.SUCCEEDED, Outcome.CANCELLED):
             lags = source.holds if forward.held else (origin or source if fetched else source).lags
             usual = lags.get(name, 0.0)
             lags[name] = usual + self.gain * (max(min(lag, 5.0), 0.0) - usual)
-        if missed or outcome is Outcome.HONOURED:
+        if missed or outcome is Outcome.SUCCEEDED:
             source.answered(now)
-        elif note is Note.SOURCE_LOST:
-            source.failed(now, Outcome.UNREACHED)
+        elif note is CacheStatus.SOURCE_UNREACHABLE:
+            source.failed(now, Outcome.CONNECT_FAILED)
         elif note is None and outcome in REFUSED and self.probes and now - source.asked > 1.0:
             source.asked = now  # refused or dead? Nothing tells, so it is asked itself
-            self.outside.probe(source)
+            self.outside.check_health(source)
         self.serve(now)
 
     def pace(self, fine: bool) -> None:
@@ -705,7 +733,7 @@
     def serve(self, now: float) -> None:
         held = [visit for visit in self.queue if visit.held and not visit.done]
         waiting, self.queue = [v for v in held if v.rest <= now], [v for v in held if v.rest > now]
-        for visit in sorted(waiting, key=lambda v: (v.work + 0.05) / v.tariff.revenue):
+        for visit in sorted(waiting, key=lambda v: (v.work + 0.05) / v.request_class.priority_weight):
             (visit.fill if visit.at else visit.look)(now)
 
     def link_crowd(self) -> float:
@@ -715,17 +743,17 @@
         for cache in self.fleet.mine if self.loads else ():
             # Three a cache by all routers of the location, by chance: more cost more than they tell.
             if self.chance.draw() * self.fleet.routers < 3:
-                self.outside.probe(cache)
-        self.outside.wake(ROUND, self.round)
+                self.outside.check_health(cache)
+        self.outside.call_later(ROUND, self.round)
         self.fleet.edge.weigh(self.fleet.mine, now)
         self.fleet.upper.weigh(self.fleet.parents, now)
         if self.fleet.origin:
             self.fleet.origin.forget()
         self.serve(now)
 
-    def probed(self, cache: Cache, outcome: Outcome, load: dict[str, float], now: float) -> None:
+    def health_checked(self, cache: Server, outcome: Outcome, load: dict[str, float], now: float) -> None:
         """One that answers is not therefore well: a hung one may answer probes and nothing else."""
-        if outcome is not Outcome.HONOURED:
+        if outcome is not Outcome.SUCCEEDED:
             cache.failed(now, outcome)
         elif cache.lost:
             cache.answered(now)
--- a/wickhinge/interface.py
+++ b/wickhinge/interface.py
@@ -1,7 +1,7 @@
-"""What the decision module calls out on, and the plain types both sides share.
+"""What the routing decisions call out on, and the plain types that both sides share.
 
-A front (the bench's adapter today, a network front later) implements Caller and Outside, builds the parts of
-wickhinge.decide and calls them. Times are seconds with fractions. Nothing here decides anything.
+A front (the simulator adapter or the network router) implements RequestTransport and Environment, builds a router by
+`wickhinge.settings.build` and calls it. Times are seconds with fractions. Nothing here decides anything.
 """
 
 from __future__ import annotations
@@ -12,111 +12,111 @@
 from typing import Any, Protocol
 
 
-class Effect(Enum):
-    """What a second run of a visit would do."""
+class Idempotency(Enum):
+    """What a second execution of a request would do."""
 
-    RERUNNABLE = "rerunnable"
-    TICKETED = "ticketed"
-    EXCLUSIVE = "exclusive"
+    IDEMPOTENT = "idempotent"
+    IDEMPOTENCY_KEY = "idempotency key"  # servers that share the key drop a repeat
+    NOT_IDEMPOTENT = "not idempotent"
 
 
 class Outcome(Enum):
-    """How a forward, or a probe, ended."""
+    """How an attempt, or a health check, ended."""
 
-    HONOURED = "honoured"
-    CURRENT = "current"  # honoured without bytes: the copy that was offered is the one
+    SUCCEEDED = "succeeded"
+    NOT_MODIFIED = "not modified"  # succeeded without a body: the copy that was offered is current
     ERROR = "error"
-    FULL = "full"
+    OVERLOADED = "overloaded"
     TIMED_OUT = "timed out"
-    UNREACHED = "unreached"
-    UNSENT = "unsent"  # it never ran, and that tells nothing of the machine
-    BROKEN = "broken"
-    WITHDRAWN = "withdrawn"
-    MOOT = "moot"
+    CONNECT_FAILED = "connect failed"
+    NOT_SENT = "not sent"  # it never ran, which says nothing about the server
+    CONNECTION_LOST = "connection lost"
+    CANCELLED = "cancelled"
+    SUPERSEDED = "superseded"
     MISS = "miss"
 
     @property
     def answered(self) -> bool:
-        """Whether the machine spoke."""
+        """Whether the server sent an answer."""
         return self in ANSWERED
 
 
-ANSWERED = (Outcome.HONOURED, Outcome.CURRENT, Outcome.MISS, Outcome.FULL, Outcome.ERROR)
+ANSWERED = (Outcome.SUCCEEDED, Outcome.NOT_MODIFIED, Outcome.MISS, Outcome.OVERLOADED, Outcome.ERROR)
 
 
-class Note(Enum):
-    """What an answer tells of the copy or of the fill, where the deployment tells it."""
+class CacheStatus(Enum):
+    """What an answer says about the copy or the fill, where the deployment says it; the numbers are the wire's."""
 
     HIT = 1
-    FILLED = 2
+    FILLED_BY_PARENT = 2
     FILLED_BY_ORIGIN = 3
-    JOINED = 4
-    PAST_FRESH = 5
-    SOURCE_REFUSED = 6
-    SOURCE_LOST = 7
-    SOURCE_LACKS = 8
-    NO_PLACE = 9
+    COLLAPSED = 4  # the fill joined one that was in progress
+    STALE = 5
+    SOURCE_REJECTED = 6
+    SOURCE_UNREACHABLE = 7
+    SOURCE_MISS = 8
+    NO_CAPACITY = 9
     ORIGIN_FAILED = 10
 
 
-class Refusal(Enum):
-    """Why a request was given up on before any server answered it; for logs and counts, nobody decides by it."""
+class RejectionReason(Enum):
+    """Why a request ended before any server answered it; for logs and counters, no decision depends on it."""
 
-    TIME_UP = "its time was up"
-    LATE = "an answer would have been late"
-    NO_SERVER = "no server could be asked"
-    SOURCE_LATE = "what a miss is filled from would have been late or refuses"
-    NO_ROOM = "no room at a server that started lately"
-    MAY_HAVE_RUN = "it may have run and must not be repeated"
-    CLIENT_FAULT = "its connection could not be read on"
-    ENDING = "the router ended"
+    DEADLINE_EXCEEDED = "deadline exceeded"
+    TOO_LATE = "an answer would be too late"
+    NO_SERVER = "no server available"
+    SOURCE_TOO_SLOW = "the source of the fill is too slow or rejects"
+    NO_CAPACITY = "no capacity at a server in slow start"
+    MAY_HAVE_RUN = "it may have run and is not idempotent"
+    CLIENT_ERROR = "the client's connection could not be read"
+    SHUTTING_DOWN = "the router is shutting down"
 
 
 @dataclass(frozen=True, slots=True)
-class Tariff:
-    """One class of visits, as the settings state it."""
+class RequestClass:
+    """One class of requests, as the settings state it; times in seconds."""
 
     name: str
-    promised: float  # answered within this, plus stretch times its own sending time, it earns all its revenue
-    stretch: float
-    patience: float
-    revenue: float
-    late_share: float  # of the revenue, for an answer after the promised time
-    effect: Effect
-    group: str  # ticketed: the caches that drop a repeat: "all", "zone" or "cell"
-    window: float  # ticketed: how long they remember
-    fresh: float  # how long a copy is fresh; 0: until it is purged
-    grace: float  # how long past that it may still be served
-    stale_share: float  # of the revenue, for an answer past its fresh time
-    parts: bool  # objects come in parts, asked for in turn
-    passes_on: bool  # never kept: runs at the origin
+    latency_objective: float  # answered within this plus objective_stretch times its transfer time, it has full value
+    objective_stretch: float
+    timeout: float
+    priority_weight: float
+    late_value: float  # share of the weight for an answer after the objective
+    idempotency: Idempotency
+    deduplication_group: str  # with an idempotency key: the caches that drop a repeat: "all", "zone" or "cell"
+    deduplication_window: float  # with an idempotency key: how long they remember it
+    freshness_lifetime: float  # 0: a copy is fresh until it is purged
+    stale_grace: float  # how long after its lifetime a copy may still be served
+    stale_value: float  # share of the weight for a stale answer
+    multipart: bool  # objects come in parts, requested in turn
+    pass_through: bool  # never cached: runs at the origin
 
 
 @dataclass(frozen=True, slots=True)
-class Listing:
-    """One machine as a list names it."""
+class Endpoint:
+    """One server as an endpoint list names it."""
 
-    cache: int
+    server: int  # its id
     zone: str
     kind: str
     cell: int
     state: str  # "ready", "draining" or "gone"
     weight: float
-    started: float | None  # by the clock of whoever keeps the list
-    trusted: bool = True  # False: nobody vouches for it now, and it has yet to prove itself
+    started: float | None  # seconds, by the clock of whoever keeps the list
+    is_verified: bool = True  # False: nobody vouches for it now, and it has yet to pass a health check
 
 
 @dataclass(frozen=True, slots=True)
-class Permitted:
+class Capabilities:
     """What the settings let a router do."""
 
-    joins: bool  # a fill may join one that is under way
-    direct: bool  # a visit may go straight to a parent or the origin
-    second_copies: bool  # a second forward of a visit may go out while one is
-    cancel: bool  # a forward may be withdrawn
-    probes: bool
-    loads: bool  # probes bring the machines' load
-    follows: bool  # the list of machines is asked for, not pushed
+    collapse_fills: bool  # a fill may join one that is in progress
+    direct_to_source: bool  # a request may go straight to a parent or the origin
+    hedging: bool  # a second attempt may go out while one is pending
+    cancellation: bool  # a pending attempt may be cancelled
+    health_checks: bool
+    load_reports: bool  # health checks bring the servers' load
+    polls_endpoints: bool  # the endpoint list is polled, not pushed
 
 
 @dataclass(slots=True)
@@ -126,91 +126,95 @@
     key: int  # of the object
     part: int  # of it, from 0
     group: int  # of objects, purged together
-    size: float  # in KB; 0 where it is not told
-    patience: float  # seconds until the client gives up
-    repeat: bool = False  # marked by the client as one
+    size_kb: float  # 0 where it is not known
+    timeout: float  # seconds until the client gives up
+    is_retry: bool = False  # marked by the client as one
 
 
-class Caller(Protocol):
-    """Whoever sent the visit; one for each visit. deny and abandon are final answers."""
+@dataclass(frozen=True, slots=True)
+class AttemptParameters:
+    """One attempt to be sent, and what the server is asked to do with it."""
+
+    attempt: Any  # of wickhinge.routing; handed back when the attempt ends
+    server: Any
+    timeout: float  # seconds left to the client
+    source: Any  # fills a miss; the server itself: nobody does
+    retention_rank: int  # 0: the copy is not kept
+    max_age: float | None  # seconds; the oldest copy that may answer
+    collapse: bool  # the fill may join one in progress
+    only_if_cached: bool  # the source answers only out of its cache
+    revalidate: bool  # the cache may renew a stale copy
+
+
+class RequestTransport(Protocol):
+    """What a front does for one request. `reject` and `fail` are final answers."""
 
-    def forward(
-        self,
-        forward: Any,
-        cache: Any,
-        patience: float,
-        source: Any,
-        rank: int,
-        oldest: float | None,
-        join: bool,
-        held_only: bool,
-        renew: bool,
-    ) -> None:
-        """Send the visit to a cache; source fills a miss (the cache itself: nobody, None: a plain look)."""
+    def forward(self, parameters: AttemptParameters) -> None:
+        """Send the request to a server."""
 
-    def withdraw(self, forward: Any) -> None:
-        """Stop waiting for a forward."""
+    def cancel(self, attempt: Any) -> None:
+        """Stop waiting for an attempt."""
 
-    def read(self, copy: Copy) -> None:
-        """Answer with a copy of our own; what came of it is a call of Visit.read."""
+    def serve_copy(self, copy: LocalCopy) -> None:
+        """Answer with a local copy; the result is a call of RoutedRequest.copy_read."""
 
-    def deny(self, wait: float, why: Refusal) -> None:
-        """Final: trying again is harmless, and best not before wait."""
+    def reject(self, retry_after: float, reason: RejectionReason) -> None:
+        """Answer that a retry is harmless, best after so many seconds."""
 
-    def abandon(self, why: Refusal) -> None:
-        """Final: promises nothing."""
+    def fail(self, reason: RejectionReason) -> None:
+        """Answer without any promise: the request may have run."""
 
 
-class Copy(Protocol):
-    """One part that this router holds itself: when the origin gave it out (seconds), its bytes and tag."""
+class LocalCopy(Protocol):
+    """One part that this router holds itself: when the origin sent it (seconds), its length in bytes and its tag."""
 
-    made: float
+    created: float
     size: int
-    tag: bytes
+    etag: bytes
 
 
-class Copies(Protocol):
-    """Copies of our own, one table for each router, where it has any."""
+class LocalCopies(Protocol):
+    """The router's own copies, one table a router, where it has any."""
 
-    def visit(self, key: int, part: int) -> None:
-        """A visit that could be answered by a copy: what is kept goes by these."""
+    def record_request(self, key: int, part: int) -> None:
+        """Count a request that a copy could answer: admission goes by these counts."""
 
-    def find(self, key: int, part: int, now: float) -> Copy | None:
-        """The copy there is, or None."""
+    def find(self, key: int, part: int, now: float) -> LocalCopy | None:
+        """Return the copy, or None where there is none."""
 
-    def proven(self, copy: Copy, now: float) -> bool:
-        """Whether its age is known, and no purge of it told or, maybe, untold."""
+    def is_current(self, copy: LocalCopy, now: float) -> bool:
+        """Return whether its age is known and no purge of it has come or may have been missed."""
 
-    def age(self, copy: Copy, now: float) -> float:
-        """Seconds since the origin gave it out, at the most."""
+    def age(self, copy: LocalCopy, now: float) -> float:
+        """Return the seconds since the origin sent it, at the most."""
 
-    def held(self, copy: Copy, now: float) -> bool:
-        """Whether it is still there and not purged meanwhile."""
+    def is_valid(self, copy: LocalCopy, now: float) -> bool:
+        """Return whether it is still there and has not been purged meanwhile."""
 
-    def ends(self, copy: Copy, now: float) -> float:
-        """When its last byte would have passed this router's own link."""
+    def transfer_end(self, copy: LocalCopy, now: float) -> float:
+        """Return when its last byte would have passed this router's own link."""
 
 
-class Outside(Protocol):
-    """The rest of the world, one for each router."""
+class Environment(Protocol):
+    """What a front does for the whole router."""
 
-    def wake(self, delay: float, call: Callable[[float], None]) -> None:
-        """Call back with the time then. Cannot be taken back."""
+    def call_later(self, delay: float, call: Callable[[float], None]) -> None:
+        """Call back after so many seconds with the time then; cannot be cancelled."""
 
-    def probe(self, cache: Any) -> None:
-        """Ask a machine for its load; the answer is a call of Router.probed."""
+    def check_health(self, server: Any) -> None:
+        """Ask a server for its load; the answer is a call of Router.health_checked."""
 
-    def follow(self) -> None:
-        """Subscribe to changes of the list."""
+    def watch(self) -> None:
+        """Subscribe to changes of the endpoint list."""
 
-    def read_list(self) -> None:
-        """Ask for the whole list once."""
+    def fetch_endpoints(self) -> None:
+        """Ask for the whole endpoint list once."""
 
-    def hang_up(self, cache: Any) -> None:
-        """Close idle connections to a machine."""
+    def close_idle(self, server: Any) -> None:
+        """Close idle connections to a server."""
 
-    def say(self, to: int, content: bytes) -> None:
-        """Tell another router, or all (-1), where that is allowed."""
+    def gossip(self, recipient: int, content: bytes) -> None:
+        """Send to another router, or to all (-1), where that is allowed."""
 
-    def note(self, text: str) -> None:
-        """A line for the operators' log."""
+    def log_line(self, text: str) -> None:
+        """Write a line to the operators' log."""
--- a/wickhinge/lab/machines.py
+++ b/wickhinge/lab/machines.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from wickhinge.interface import Note, Outcome
+from wickhinge.interface import CacheStatus, Outcome
 from wickhinge.lab.stations import Shared
 from wickhinge.lab.wheel import Wheel
 
@@ -132,7 +132,7 @@
         self.recent.clear()
         self.work = 0.0
         for then in lost:
-            then(Outcome.BROKEN, None, None)
+            then(Outcome.CONNECTION_LOST, None, None)
         if again is not None:
             self.wheel.after(again, self.back)
 
@@ -172,7 +172,7 @@
         """
         state: dict[str, Any] = {"off": False}
 
-        def back(outcome: Outcome, made: float | None = None, note: Note | None = None) -> None:
+        def back(outcome: Outcome, made: float | None = None, note: CacheStatus | None = None) -> None:
             if not state["off"]:
                 self.wheel.after(self.hop, lambda: state["off"] or then(outcome, made, note))
 
@@ -181,7 +181,7 @@
             if state["off"]:
                 return
             if not machine.up:
-                self.wheel.after(REFUSED, back, Outcome.UNREACHED)
+                self.wheel.after(REFUSED, back, Outcome.CONNECT_FAILED)
                 return
             number = state["number"] = machine.begin(self.part_s, back)
             state["machine"] = machine
@@ -189,12 +189,12 @@
                 return
             if runs is not None:
                 runs()
-                machine.shared.ask(self.part_s, machine.ended, number, Outcome.HONOURED, self.wheel.now, None)
+                machine.shared.ask(self.part_s, machine.ended, number, Outcome.SUCCEEDED, self.wheel.now, None)
                 return
             made = machine.held.find(name) if machine.kind != "origin" else self.wheel.now
             if made is not None and (oldest is None or self.wheel.now - made <= oldest):
                 machine.hits += 1
-                machine.shared.ask(self.part_s, machine.ended, number, Outcome.HONOURED, made, Note.HIT)
+                machine.shared.ask(self.part_s, machine.ended, number, Outcome.SUCCEEDED, made, CacheStatus.HIT)
             elif source is None or source == mark:
                 self.wheel.after(0.0005, machine.ended, number, Outcome.MISS, None, None)
             else:
@@ -220,40 +220,42 @@
     ) -> None:
         above = self.machines[source]
         if not above.up:
-            self.wheel.after(REFUSED, machine.ended, number, Outcome.ERROR, None, Note.SOURCE_LOST)
+            self.wheel.after(REFUSED, machine.ended, number, Outcome.ERROR, None, CacheStatus.SOURCE_UNREACHABLE)
             return
 
-        def came(outcome: Outcome, made: float | None, _: Note | None) -> None:
-            if outcome is not Outcome.HONOURED:
+        def came(outcome: Outcome, made: float | None, _: CacheStatus | None) -> None:
+            if outcome is not Outcome.SUCCEEDED:
                 lacks = outcome is Outcome.MISS
                 machine.ended(
                     number,
                     Outcome.MISS if lacks else Outcome.ERROR,
                     None,
-                    Note.SOURCE_LACKS if lacks else Note.SOURCE_LOST,
+                    CacheStatus.SOURCE_MISS if lacks else CacheStatus.SOURCE_UNREACHABLE,
                 )
                 return
             if rank and machine.up:
                 machine.held.put(name, made, rank)
-            machine.shared.ask(self.part_s, machine.ended, number, Outcome.HONOURED, made, Note.FILLED)
+            machine.shared.ask(
+                self.part_s, machine.ended, number, Outcome.SUCCEEDED, made, CacheStatus.FILLED_BY_PARENT
+            )
 
         asked = above.begin(self.part_s, came)
         if above.hung:
             return
         made = above.held.find(name) if above.kind != "origin" else None
         if above.kind == "origin":
-            above.shared.ask(self.part_s, above.ended, asked, Outcome.HONOURED, self.wheel.now, None)
+            above.shared.ask(self.part_s, above.ended, asked, Outcome.SUCCEEDED, self.wheel.now, None)
         elif made is not None and (oldest is None or self.wheel.now - made <= oldest):
             above.hits += 1
-            above.shared.ask(self.part_s, above.ended, asked, Outcome.HONOURED, made, Note.HIT)
+            above.shared.ask(self.part_s, above.ended, asked, Outcome.SUCCEEDED, made, CacheStatus.HIT)
         elif held:
             self.wheel.after(0.0005, above.ended, asked, Outcome.MISS, None, None)
         else:
 
-            def given(outcome: Outcome, fresh: float | None, _: Note | None) -> None:
-                if outcome is Outcome.HONOURED and above.up:
+            def given(outcome: Outcome, fresh: float | None, _: CacheStatus | None) -> None:
+                if outcome is Outcome.SUCCEEDED and above.up:
                     above.held.put(name, fresh, 1)
                 above.ended(asked, outcome, fresh, None)
 
             number_up = self.origin.begin(self.part_s, given)
-            self.origin.shared.ask(self.part_s, self.origin.ended, number_up, Outcome.HONOURED, self.wheel.now, None)
+            self.origin.shared.ask(self.part_s, self.origin.ended, number_up, Outcome.SUCCEEDED, self.wheel.now, None)
--- a/wickhinge/lab/many/play.py
+++ b/wickhinge/lab/many/play.py
@@ -8,7 +8,7 @@
 from types import SimpleNamespace
 from typing import Any
 
-from wickhinge.decide import Chance, Cold
+from wickhinge.decide import RandomSource, SlowStart
 from wickhinge.lab.many.director import Director
 from wickhinge.lab.many.schedule import Fault, Schedule
 from wickhinge.lab.wheel import Wheel
@@ -24,7 +24,7 @@
 HOP = 0.001
 LOOK = 3  # ticks between two looks at what the layers above are told
 BUDGETS = [(120.0, 3.0, 1.0), (30.0, 1.0, 0.2)]  # most, window, unit
-COLD = Cold(4.0, 3.0, 0.2, 120.0)  # machines that warm up all the time
+COLD = SlowStart(4.0, 3.0, 0.2, 120.0)  # machines that warm up all the time
 WEIGHT = 50.0
 BUFFER = 128  # datagrams that wait for a process that stands still
 
@@ -42,7 +42,7 @@
         self.seen: dict[str, Any] | None = None  # of the last view that was written down
         self.waiting: deque[bytes] = deque(maxlen=BUFFER)
         self.detector = FailureDetector(
-            fleet.roster(self.name), Chance(fleet.random.getrandbits(62)), self.clock, self.send, self.log
+            fleet.roster(self.name), RandomSource(fleet.random.getrandbits(62)), self.clock, self.send, self.log
         )
         self.limiter = LendingLimiter(
             self.detector,
--- a/wickhinge/lab/many/stands.py
+++ b/wickhinge/lab/many/stands.py
@@ -15,7 +15,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from wickhinge.decide import Cold
+from wickhinge.decide import SlowStart
 from wickhinge.net import msgpack, resp
 from wickhinge.net.buffers import Body, Pool
 
@@ -24,7 +24,7 @@
 WEIGHT = 10.0  # of a cold cache; a parent's is twice that, since parents topple at half of it
 WARM = 600.0
 AGE = 60.0  # of the cold machines when the rig's time begins: looked at, not filled
-LIMITS = Cold(4.0, 3.0, 0.2, WARM)
+LIMITS = SlowStart(4.0, 3.0, 0.2, WARM)
 PATIENCE = 3.0
 SLACK = 0.25  # past its patience, on a machine that plays the whole fleet
 KEYS = 40
--- a/wickhinge/lab/play.py
+++ b/wickhinge/lab/play.py
@@ -9,8 +9,17 @@
 
 import numpy as np
 
-from wickhinge.decide import Chance, Cold, Fleet, Purges, Router, Shelf, Visit
-from wickhinge.interface import Effect, Listing, Outcome, Permitted, Refusal, Request, Tariff
+from wickhinge.decide import Endpoints, ObjectCounts, Purges, RandomSource, RoutedRequest, Router, SlowStart
+from wickhinge.interface import (
+    AttemptParameters,
+    Capabilities,
+    Endpoint,
+    Idempotency,
+    Outcome,
+    RejectionReason,
+    Request,
+    RequestClass,
+)
 from wickhinge.lab.judge import Judge
 from wickhinge.lab.machines import Fabric, Machine
 from wickhinge.lab.scenario import Failure, Scenario
@@ -19,19 +28,27 @@
 PARENTS, ORIGIN = 100_000, 200_000
 
 
-def emulated(outside: Any, chance: Chance, zone: str, routers: int, cold: tuple[float, float, float, float]) -> Router:
+def emulated(
+    outside: Any, chance: RandomSource, zone: str, routers: int, cold: tuple[float, float, float, float]
+) -> Router:
     """The module as a front builds it, with what the laboratory does not vary. routers: of its location; cold: what
     topples a machine times its capacity, over which seconds, its pace at first, seconds until it is warm.
     """
-    fleet = Fleet(chance, zone, routers, "parent", "origin", True, Cold(*cold), Cold(*cold))
-    permitted = Permitted(
-        joins=False, direct=True, second_copies=True, cancel=True, probes=True, loads=False, follows=False
+    fleet = Endpoints(chance, zone, routers, "parent", "origin", True, SlowStart(*cold), SlowStart(*cold))
+    permitted = Capabilities(
+        collapse_fills=False,
+        direct_to_source=True,
+        hedging=True,
+        cancellation=True,
+        health_checks=True,
+        load_reports=False,
+        polls_endpoints=False,
     )
     return Router(
         outside,
         chance,
         fleet,
-        Shelf(fleet.routers),
+        ObjectCounts(fleet.routers),
         Purges(6.0),
         permitted,
         flow=1000.0,
@@ -76,18 +93,9 @@
     def __init__(self, play: Play, asked: Asked) -> None:
         self.play, self.asked, self.out = play, asked, {}
 
-    def forward(
-        self,
-        forward: Any,
-        cache: Any,
-        patience: float,
-        source: Any,
-        rank: int,
-        oldest: float | None,
-        join: bool,
-        held_only: bool,
-        renew: bool,
-    ) -> None:
+    def forward(self, parameters: AttemptParameters) -> None:
+        forward, cache, patience = parameters.attempt, parameters.server, parameters.timeout
+        source = parameters.source
         play, asked = self.play, self.asked
         asked.forwards += 1
         came_from = source.mark if source is not None and source is not cache else None
@@ -98,7 +106,7 @@
             if self.out.pop(forward, None) is None:
                 return
             now = play.wheel.now
-            ours = outcome is Outcome.HONOURED and not asked.answers and not forward.visit.done
+            ours = outcome is Outcome.SUCCEEDED and not asked.answers and not forward.visit.done
             if ours:
                 asked.hit = note is not None and note.name == "HIT"
                 if not asked.exclusive:
@@ -108,7 +116,14 @@
 
         runs = (lambda: play.judge.runs(asked, play.wheel.now)) if asked.exclusive else None
         self.out[forward] = play.fabric.ask(
-            cache.mark, (asked.key, asked.part), came_from, max(rank, 0), oldest, runs, then, held_only
+            cache.mark,
+            (asked.key, asked.part),
+            came_from,
+            max(parameters.retention_rank, 0),
+            parameters.max_age,
+            runs,
+            then,
+            parameters.only_if_cached,
         )
         play.wheel.after(patience, self.silent, forward, began)
 
@@ -125,26 +140,26 @@
                 self.play.wheel.now,
             )
 
-    def withdraw(self, forward: Any) -> None:
+    def cancel(self, forward: Any) -> None:
         give_up = self.out.pop(forward, None)
         if give_up is not None:
             give_up()
             self.play.wheel.after(
                 0.0,
                 lambda: forward.visit.ended(
-                    forward, Outcome.WITHDRAWN, 0.0, self.asked.answers > 0, None, self.play.wheel.now
+                    forward, Outcome.CANCELLED, 0.0, self.asked.answers > 0, None, self.play.wheel.now
                 ),
             )
 
-    def read(self, copy: Any) -> None:
+    def serve_copy(self, copy: Any) -> None:
         raise AssertionError("no copies of their own here")
 
-    def deny(self, wait: float, why: Refusal) -> None:
+    def reject(self, wait: float, why: RejectionReason) -> None:
         self.play.judge.denied(self.asked, self.play.wheel.now)
         self.play.answer(self.asked, "denied")
         self.play.came_back(self.asked, wait)
 
-    def abandon(self, why: Refusal) -> None:
+    def fail(self, why: RejectionReason) -> None:
         self.play.answer(self.asked, "abandoned")
 
 
@@ -170,14 +185,14 @@
             self.machines[PARENTS + place] = machine(PARENTS + place, "parent", s.parent_weight, s.parent_keep)
         self.machines[ORIGIN] = machine(ORIGIN, "origin", s.origin_weight, 1)
         self.fabric = Fabric(self.wheel, self.machines, self.machines[ORIGIN], s.hop_s, s.part_s)
-        self.clips = Tariff(
+        self.clips = RequestClass(
             "clips",
             s.promised_s,
             2.0,
             s.patience_s,
             1.0,
             0.2,
-            Effect.RERUNNABLE,
+            Idempotency.IDEMPOTENT,
             "all",
             0.0,
             s.fresh_s,
@@ -186,14 +201,14 @@
             True,
             False,
         )
-        self.results = Tariff(
+        self.results = RequestClass(
             "results",
             s.promised_s,
             2.0,
             s.patience_s,
             3.0,
             0.2,
-            Effect.EXCLUSIVE,
+            Idempotency.NOT_IDEMPOTENT,
             "all",
             0.0,
             0.0,
@@ -208,11 +223,11 @@
         self.arrive()
 
     def router(self, number: int) -> Router:
-        s, chance = self.scenario, Chance(self.scenario.seed * 1000 + number)
+        s, chance = self.scenario, RandomSource(self.scenario.seed * 1000 + number)
         outside = SimpleNamespace(
-            wake=lambda delay, call: self.wheel.after(delay, lambda: call(self.wheel.now)),
-            probe=lambda cache: self.wheel.after(2 * s.hop_s, self.probed, number, cache),
-            follow=lambda: None,
+            call_later=lambda delay, call: self.wheel.after(delay, lambda: call(self.wheel.now)),
+            check_health=lambda cache: self.wheel.after(2 * s.hop_s, self.probed, number, cache),
+            watch=lambda: None,
         )
         made = emulated(
             outside,
@@ -229,8 +244,8 @@
     def probed(self, number: int, cache: Any) -> None:
         machine = self.machines[cache.mark]
         well = machine.up and not machine.hung
-        outcome = Outcome.HONOURED if well else Outcome.UNREACHED if not machine.up else Outcome.TIMED_OUT
-        self.routers[number].probed(cache, outcome, {}, self.wheel.now)
+        outcome = Outcome.SUCCEEDED if well else Outcome.CONNECT_FAILED if not machine.up else Outcome.TIMED_OUT
+        self.routers[number].health_checked(cache, outcome, {}, self.wheel.now)
 
     def baseline(self, made: Router) -> None:
         """Named plain policies, and planted faults, in place of parts of the module."""
@@ -253,10 +268,10 @@
                 [one for one in listings if one.state != "draining"], whole, now
             )
 
-    def listing(self, mark: int) -> Listing:
+    def listing(self, mark: int) -> Endpoint:
         machine = self.machines[mark]
         zone = f"z{(mark - 1) % self.scenario.zones}" if machine.kind == "box" else "hub"
-        return Listing(
+        return Endpoint(
             mark, zone, machine.kind, 0, machine.state, machine.weight, machine.started if machine.started > 0 else None
         )
 
@@ -284,10 +299,10 @@
         self.count += 1
         number = self.random.randrange(s.routers)
         asked = Asked(self.count, now, s.patience_s, key, part, exclusive, again, number)
-        tariff = self.results if exclusive else self.clips
+        request_class = self.results if exclusive else self.clips
         client = Client(self, asked)
-        visit: Visit = self.routers[number].take(
-            client, tariff, Request(key, part, 0, 0.0, s.patience_s, again > 0), now
+        visit: RoutedRequest = self.routers[number].take(
+            client, request_class, Request(key, part, 0, 0.0, s.patience_s, again > 0), now
         )
         if s.plant == "repeats" and exclusive and not visit.done:
             self.wheel.after(0.2, self.planted_repeat, client, visit)
@@ -295,9 +310,10 @@
             self.wheel.after(0.3, self.answer, asked, "honoured")
         self.wheel.after(s.patience_s + 0.2, self.judge.unanswered, asked, now + s.patience_s + 0.2)
 
-    def planted_repeat(self, client: Client, visit: Visit) -> None:
+    def planted_repeat(self, client: Client, visit: RoutedRequest) -> None:
         if visit.forwards:
-            client.forward(visit.forwards[0], visit.forwards[0].cache, 1.0, None, 0, None, False, False, False)
+            first = visit.forwards[0]
+            client.forward(AttemptParameters(first, first.cache, 1.0, None, 0, None, False, False, False))
 
     def answer(self, asked: Asked, word: str) -> None:
         now = self.wheel.now
@@ -390,10 +406,10 @@
         for number in range(len(self.routers)):
             self.wheel.after(delay, self.told, number, [self.listing(mark) for mark in marks])
 
-    def told(self, number: int, listings: list[Listing]) -> None:
+    def told(self, number: int, listings: list[Endpoint]) -> None:
         for one in listings:
             if one.state != "ready":
-                self.judge.drained[number, one.cache] = self.wheel.now
+                self.judge.drained[number, one.server] = self.wheel.now
         self.routers[number].fleet.listed(listings, False, self.wheel.now)
 
     # Results.
--- a/wickhinge/net/changes.py
+++ b/wickhinge/net/changes.py
@@ -132,7 +132,7 @@
             return
         self._limited = limited
         if limited:
-            self._node.forwards.overtaken(lambda sent: sent.forward.visit.tariff.passes_on)
+            self._node.forwards.overtaken(lambda sent: sent.forward.visit.request_class.pass_through)
         figures = self.figures()
         state = "changelog_uninformed" if limited else "changelog_informed"
         self._log(state, epoch=figures["epoch"], number=figures["number"], age_s=figures["age_s"])
--- a/wickhinge/net/copies.py
+++ b/wickhinge/net/copies.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from wickhinge.clocks import OthersTime
-from wickhinge.interface import Effect
+from wickhinge.interface import Idempotency
 from wickhinge.net.buffers import Body, Pool
 from wickhinge.net.deadlines import Deadlines
 from wickhinge.net.slots import Slots
@@ -32,14 +32,15 @@
     ) -> None:
         self.store, self.deadlines, self.pool, self.link, self.within = store, deadlines, pool, link, within
         self.fault, self.others = fault, others
-        self.visit, self.find, self.proven, self.held = store.visit, store.find, store.proven, store.held
+        self.record_request, self.find = store.record_request, store.find
+        self.is_current, self.is_valid = store.is_current, store.is_valid
         self.slots = Slots()
         self.served = {"memory": 0, "disk": 0, "told": 0, "late": 0}
 
     def age(self, copy: Any, now: float) -> float:
         return now - self.others.earliest(copy.made, now)
 
-    def ends(self, copy: Any, now: float) -> float:
+    def transfer_end(self, copy: Any, now: float) -> float:
         return self.link.ends(copy.size, now)
 
     # Answers out of copies.
@@ -65,7 +66,7 @@
         self.served["late"] += how == "late"
         now = self.deadlines.now()
         try:
-            if door.visit.read(copy, data is not None, now):
+            if door.visit.copy_read(copy, data is not None, now):
                 self.served[how] += 1
                 self.link.send(int(copy.size * TOLD) if data is True else copy.size, now)
                 door.serve(None if data is True else Body(self.pool, data), data is True)
@@ -77,9 +78,14 @@
 
     def passed(self, visit: Any, told: dict[str, str], body: Any) -> None:
         """A cache's answer is about to go to its client; kept if the tier wants it."""
-        tariff = visit.tariff
+        request_class = visit.request_class
         made = told.get("made", "")
-        if tariff.passes_on or tariff.effect is not Effect.RERUNNABLE or not made.isdigit() or len(made) > 16:
+        if (
+            request_class.pass_through
+            or request_class.idempotency is not Idempotency.IDEMPOTENT
+            or not made.isdigit()
+            or len(made) > 16
+        ):
             return
         tag = told.get("etag", "").encode()
         key, part, now = visit.item.key, visit.part, self.deadlines.now()
--- a/wickhinge/net/ends.py
+++ b/wickhinge/net/ends.py
@@ -39,27 +39,27 @@
 
 
 OUTCOMES: dict[End, Outcome | None] = {
-    End.SERVED: Outcome.HONOURED,
-    End.SAME: Outcome.CURRENT,
+    End.SERVED: Outcome.SUCCEEDED,
+    End.SAME: Outcome.NOT_MODIFIED,
     End.MISS: Outcome.MISS,
-    End.BUSY: Outcome.FULL,
+    End.BUSY: Outcome.OVERLOADED,
     End.ERR: Outcome.ERROR,
-    End.VOID: Outcome.MOOT,
-    End.UP: Outcome.HONOURED,
+    End.VOID: Outcome.SUPERSEDED,
+    End.UP: Outcome.SUCCEEDED,
     End.DOWN: Outcome.ERROR,
-    End.REFUSED: Outcome.UNREACHED,
-    End.NO_CONNECT: Outcome.UNREACHED,
-    End.RESET_NEW: Outcome.UNSENT,
-    End.NO_DESCRIPTOR: Outcome.UNSENT,  # our own want, not the machine's
-    End.NOT_BEGUN: Outcome.UNSENT,  # the same
-    End.NO_ROUTE: Outcome.UNSENT,  # told of by this machine's network; where it lasts, NO_CONNECT
-    End.LOST_UNWRITTEN: Outcome.UNSENT,
-    End.LOST_WRITTEN: Outcome.BROKEN,
-    End.UNREADABLE: Outcome.BROKEN,
+    End.REFUSED: Outcome.CONNECT_FAILED,
+    End.NO_CONNECT: Outcome.CONNECT_FAILED,
+    End.RESET_NEW: Outcome.NOT_SENT,
+    End.NO_DESCRIPTOR: Outcome.NOT_SENT,  # our own want, not the machine's
+    End.NOT_BEGUN: Outcome.NOT_SENT,  # the same
+    End.NO_ROUTE: Outcome.NOT_SENT,  # told of by this machine's network; where it lasts, NO_CONNECT
+    End.LOST_UNWRITTEN: Outcome.NOT_SENT,
+    End.LOST_WRITTEN: Outcome.CONNECTION_LOST,
+    End.UNREADABLE: Outcome.CONNECTION_LOST,
     End.SILENT: Outcome.TIMED_OUT,
-    End.STOPPED: Outcome.WITHDRAWN,
-    End.RECALLED: Outcome.UNSENT,
-    End.CUT: Outcome.BROKEN,
+    End.STOPPED: Outcome.CANCELLED,
+    End.RECALLED: Outcome.NOT_SENT,
+    End.CUT: Outcome.CONNECTION_LOST,
     End.CLOSED_IDLE: None,  # nothing was open: no failure of the cache at all
     End.CLOSED_BY_US: None,
 }
--- a/wickhinge/net/fellows.py
+++ b/wickhinge/net/fellows.py
@@ -15,7 +15,7 @@
 from twisted.internet.error import CannotListenError
 from twisted.internet.protocol import DatagramProtocol
 
-from wickhinge.decide import Chance
+from wickhinge.decide import RandomSource
 from wickhinge.fields import Malformed
 from wickhinge.options import keys
 from wickhinge.peers import desk, wire
@@ -45,7 +45,7 @@
         self.after, self.log = node.deadlines.after, node.log.event
         self.unreadable = self.unsent = self.left = self.taken = 0
         self.detector = FailureDetector(
-            roster, Chance(seed), clock(), self.send, lambda event, **told: self.log(f"peers_{event}", **told)
+            roster, RandomSource(seed), clock(), self.send, lambda event, **told: self.log(f"peers_{event}", **told)
         )
         self.seen: Any = None  # of the last view that the log was told
         self.view_due = 0.0
--- a/wickhinge/net/forwards.py
+++ b/wickhinge/net/forwards.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from wickhinge.clocks import OthersTime
-from wickhinge.interface import Note, Outcome
+from wickhinge.interface import AttemptParameters, CacheStatus, Outcome
 from wickhinge.net import resp
 from wickhinge.net.caches import Caches
 from wickhinge.net.deadlines import Deadlines
@@ -17,7 +17,7 @@
 PROBED = (End.UP, End.DOWN)
 PROMPT = 0.005  # seconds from a look at client, time and list to the write: past it they are looked at again
 LATER = 0.005  # seconds from the decision to the write, from which the log tells of it
-NOTES = {b"hfojsrblnx"[place : place + 1]: note for place, note in enumerate(Note)}
+NOTES = {b"hfojsrblnx"[place : place + 1]: note for place, note in enumerate(CacheStatus)}
 
 
 class Sent:
@@ -47,37 +47,30 @@
         self.informed: Callable[[float], bool] = lambda now: True  # whether all that was told until lately is known
         caches.answered, caches.ended, caches.begin = self.answered, self.ended, self.begin
 
-    def send(
-        self,
-        door: Any,
-        forward: Any,
-        cache: Any,
-        patience: float,
-        source: Any,
-        rank: int,
-        oldest: float | None,
-        join: bool,
-        held_only: bool,
-        renew: bool,
-    ) -> int:
-        fields = ""
+    def send(self, door: Any, parameters: AttemptParameters) -> int:
+        forward, cache, source = parameters.attempt, parameters.server, parameters.source
+        oldest, fields = parameters.max_age, ""
         if source is not None and source is not cache:
             fields += f",src=s-{source.mark:08x}"
-        if rank:
-            fields += f",keep={rank}"
-        if self.members is not None and not door.tariff.passes_on:
+        if parameters.retention_rank:
+            fields += f",keep={parameters.retention_rank}"
+        if self.members is not None and not door.request_class.pass_through:
             oldest = self.members.oldest(oldest)
         if oldest is not None:
             # 0 would lift the limit, and rounding up would widen it.
             fields += f",maxage={max(int(oldest * 1000), 1)}"
-        if join or held_only or renew:
-            words = (("coalesce", join), ("shallow", held_only), ("freshen", renew))
+        if parameters.collapse or parameters.only_if_cached or parameters.revalidate:
+            words = (
+                ("coalesce", parameters.collapse),
+                ("shallow", parameters.only_if_cached),
+                ("freshen", parameters.revalidate),
+            )
             fields += ",flags=" + "+".join(word for word, on in words if on)
-        if held_only and door.missed is not None:
+        if parameters.only_if_cached and door.missed is not None:
             door.missed.leave(door.rid)  # this may end as a miss, and the look's, come twice, would be taken for it
         now = self.deadlines.now()
-        sent = Sent(door, forward, cache, now, now + patience)
-        sent.fills = source is not None and source is not cache and not held_only
+        sent = Sent(door, forward, cache, now, now + parameters.timeout)
+        sent.fills = source is not None and source is not cache and not parameters.only_if_cached
         if door.cached:
             sent.offered = door.cached
             fields += f",have={door.cached}"
@@ -85,7 +78,7 @@
             sent.offered = forward.visit.copy
             fields += f",have={sent.offered.tag.decode()}"
         sent.fields = fields
-        return self.put(sent, door.rid, patience)
+        return self.put(sent, door.rid, parameters.timeout)
 
     def probe(self, cache: Any, then: Any = None) -> None:
         """then: who hears of it in the module's place."""
@@ -117,7 +110,7 @@
         self.halt(number)
         self.ended(number, End.SILENT)
 
-    def withdraw(self, number: int) -> None:
+    def cancel(self, number: int) -> None:
         """Stopped now; the module hears of it on the next turn, since this is called from within it."""
         self.halt(number)
         self.deadlines.soon(self.ended, number, End.STOPPED)
@@ -229,14 +222,14 @@
                 body.release()
             load = resp.loads(resp.fields(told).get("use", ""))
             if sent.forward is not None:
-                sent.forward(sent.cache, outcome is Outcome.HONOURED)
+                sent.forward(sent.cache, outcome is Outcome.SUCCEEDED)
                 return
-            self.router.probed(sent.cache, outcome, load, now)
+            self.router.health_checked(sent.cache, outcome, load, now)
             return
         if self.members is not None:
             self.members.ended(sent, outcome)
         door.trace.add(now, Step.ENDED, sent.cache.mark, (end, told))
-        if outcome is Outcome.HONOURED:
+        if outcome is Outcome.SUCCEEDED:
             if self.copies is not None and not door.final:
                 self.copies.passed(sent.forward.visit, resp.fields(told), body)
             door.serve(body, False)
--- a/wickhinge/net/members.py
+++ b/wickhinge/net/members.py
@@ -9,9 +9,9 @@
 from typing import Any
 
 from wickhinge import settings
-from wickhinge.decide import Chance
+from wickhinge.decide import RandomSource
 from wickhinge.fields import Malformed, endpoint
-from wickhinge.interface import Effect, Listing, Outcome
+from wickhinge.interface import Endpoint, Idempotency, Outcome
 from wickhinge.membership import remembered, talk
 from wickhinge.membership.backoff import Backoff
 from wickhinge.membership.keeper import Keeper, Unusable
@@ -22,7 +22,7 @@
 from wickhinge.store.workers import Workers
 
 TURN = 0.1
-FAILED = (Outcome.UNREACHED, Outcome.TIMED_OUT)
+FAILED = (Outcome.CONNECT_FAILED, Outcome.TIMED_OUT)
 
 
 class Membership:
@@ -90,7 +90,7 @@
         listings = []
         for one, state, trusted in machines:
             self.node.caches.listed(one.mark, f"{one.mark:08x}", one.address)
-            listings.append(Listing(one.mark, one.zone, one.kind, one.cell, state, one.weight, one.started, trusted))
+            listings.append(Endpoint(one.mark, one.zone, one.kind, one.cell, state, one.weight, one.started, trusted))
         self.node.router.fleet.listed(listings, False, self.now())
         for one, state, _ in machines:
             machine = self.node.caches.machines.get(one.mark)
@@ -127,7 +127,7 @@
         self.backoff.well()
 
     def ended(self, sent: Any, outcome: Outcome) -> None:
-        if sent.door.tariff.effect is Effect.RERUNNABLE and (outcome.answered or outcome in FAILED):
+        if sent.door.request_class.idempotency is Idempotency.IDEMPOTENT and (outcome.answered or outcome in FAILED):
             self.members.ended(sent.cache.mark, outcome.answered, self.now())
 
     def purge(self, key: int | None, group: int, stamp: float) -> None:
@@ -224,13 +224,13 @@
             node.log.event("list_unusable", why=str(problem))
             keeper = None
     box: list[Membership] = []
-    chance = Chance(node.seed ^ 0x5EED)
+    chance = RandomSource(node.seed ^ 0x5EED)
     members = Members(
         lambda machines: box[0].tell(machines),
         lambda one: box[0].probe(one),
         node.log.event,
         chance,
-        remembered.deployment(node.zones, node.kinds, sorted(settings.tariffs(conf))),
+        remembered.deployment(node.zones, node.kinds, sorted(settings.request_classes(conf))),
         found.routers or fleet.routers,
         (fleet.parent_kind, fleet.origin_kind),
         found.after_s,
--- a/wickhinge/net/router.py
+++ b/wickhinge/net/router.py
@@ -12,7 +12,7 @@
 from wickhinge import settings
 from wickhinge.clocks import WallClockWatch, monotonic, wall
 from wickhinge.fields import Malformed
-from wickhinge.interface import Listing
+from wickhinge.interface import Endpoint
 from wickhinge.net import config
 from wickhinge.net.accept import Clients
 from wickhinge.net.buffers import SIZE, Pool
@@ -73,15 +73,15 @@
         self.zones = settings.names(conf_settings, "zones")
         self.kinds = settings.names(conf_settings, "shapes")
         self.seed = config.seed(conf)
-        self.router, tariffs = settings.build(conf_settings, self.seed, self)
+        self.router, request_classes = settings.build(conf_settings, self.seed, self)
         self.caches.stops = self.router.cancel
         self.others = self.forwards.others
         self.others.improved = lambda: self.router.fleet.relate(self.deadlines.now())
         self.forwards.informed = self.informed
         reactor.behind = lambda: self.journal.look()
         self.router.fleet.instant = self.router.purges.instant = self.others.instant
-        self.last = min(max(tariff.patience for tariff in tariffs.values()), LONGEST) + LAST
-        self.visits = Visits(self.forwards, self.deadlines, self.pool, tariffs, self.log.event, self.fault)
+        self.last = min(max(request_class.timeout for request_class in request_classes.values()), LONGEST) + LAST
+        self.visits = Visits(self.forwards, self.deadlines, self.pool, request_classes, self.log.event, self.fault)
         self.forwards.router = self.visits.router = self.router
         self.clients = Clients(self.visits, self.deadlines, descriptors.clients, self.log.event)
         self.copies: Any = None
@@ -155,28 +155,28 @@
         self.look_at_clock()
         self.log.event("start", listen=":".join(map(str, self.listen)), pool=self.pool.limit)
 
-    # The module's Outside.
+    # Environment.
 
-    def wake(self, delay: float, call: Callable[[float], None]) -> None:
+    def call_later(self, delay: float, call: Callable[[float], None]) -> None:
         self.deadlines.after(delay, lambda: call(self.deadlines.now()))
 
-    def probe(self, cache: Any) -> None:
-        self.forwards.probe(cache)
+    def check_health(self, server: Any) -> None:
+        self.forwards.probe(server)
 
-    def follow(self) -> None:
+    def watch(self) -> None:
         """The journal follows the list by itself."""
 
-    def read_list(self) -> None:
+    def fetch_endpoints(self) -> None:
         """The journal brings it whole after a gap."""
 
-    def hang_up(self, cache: Any) -> None:
-        if cache.mark in self.caches.machines:
-            self.caches.machines[cache.mark].hang_up()
+    def close_idle(self, server: Any) -> None:
+        if server.mark in self.caches.machines:
+            self.caches.machines[server.mark].hang_up()
 
-    def say(self, to: int, content: bytes) -> None:
+    def gossip(self, recipient: int, content: bytes) -> None:
         """Routers share nothing."""
 
-    def note(self, text: str) -> None:
+    def log_line(self, text: str) -> None:
         self.log.event("note", text=text)
 
     # What the journal tells.
@@ -210,7 +210,7 @@
                 self.others.vouched(started, now)
         for mark, address, state, zone, kind, cell, weight, started in machines:
             self.caches.listed(mark, f"{mark:08x}", address)
-            listings.append(Listing(mark, zone, kind, cell, state, weight, started))
+            listings.append(Endpoint(mark, zone, kind, cell, state, weight, started))
         self.router.fleet.listed(listings, whole, now)
         if self.members is not None:
             self.members.live(whole, machines)
--- a/wickhinge/net/visits.py
+++ b/wickhinge/net/visits.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from wickhinge.interface import Effect, Refusal, Request
+from wickhinge.interface import AttemptParameters, Idempotency, RejectionReason, Request
 from wickhinge.net.buffers import Body, Pool
 from wickhinge.net.deadlines import Deadlines
 from wickhinge.net.forwards import Forwards
@@ -35,7 +35,7 @@
         "rid",
         "passed",
         "body",
-        "tariff",
+        "request_class",
         "since",
         "final",
         "answer",
@@ -50,9 +50,9 @@
     )
 
     def __init__(
-        self, visits: Visits, client: Any, call: int, rid: str, tariff: Any, since: float, unread: float = 0.0
+        self, visits: Visits, client: Any, call: int, rid: str, request_class: Any, since: float, unread: float = 0.0
     ) -> None:
-        self.visits, self.client, self.call, self.tariff, self.since = visits, client, call, tariff, since
+        self.visits, self.client, self.call, self.request_class, self.since = visits, client, call, request_class, since
         self.rid = rid.encode()
         self.passed = ""  # what goes on unchanged
         self.cached = ""  # the tag of the client's own copy
@@ -63,37 +63,26 @@
         self.trace = RequestTrace(since, unread)
         self.reason = ""  # why it ended unserved
 
-    # The module's Caller.
+    # RequestTransport.
 
-    def forward(
-        self,
-        forward: Any,
-        cache: Any,
-        patience: float,
-        source: Any,
-        rank: int,
-        oldest: float | None,
-        join: bool,
-        held_only: bool,
-        renew: bool,
-    ) -> None:
-        self.visit = forward.visit
-        self.visits.forwards.send(self, forward, cache, patience, source, rank, oldest, join, held_only, renew)
+    def forward(self, parameters: AttemptParameters) -> None:
+        self.visit = parameters.attempt.visit
+        self.visits.forwards.send(self, parameters)
 
-    def withdraw(self, forward: Any) -> None:
-        number = self.out.get(forward)
+    def cancel(self, attempt: Any) -> None:
+        number = self.out.get(attempt)
         if number is not None:
-            self.visits.forwards.withdraw(number)
+            self.visits.forwards.cancel(number)
 
-    def read(self, copy: Any) -> None:
+    def serve_copy(self, copy: Any) -> None:
         self.visits.copies.read(self, copy)
 
-    def deny(self, wait: float, why: Refusal) -> None:
-        fields = {"backoff": str(int(wait * 1000))} if wait > 0 else {}
-        self.end("denied", why.value, lambda client: client.error(self.call, "Overloaded", fields))
+    def reject(self, retry_after: float, reason: RejectionReason) -> None:
+        fields = {"backoff": str(int(retry_after * 1000))} if retry_after > 0 else {}
+        self.end("denied", reason.value, lambda client: client.error(self.call, "Overloaded", fields))
 
-    def abandon(self, why: Refusal) -> None:
-        self.end("abandoned", why.value, lambda client: client.error(self.call, "Abandoned", {}))
+    def fail(self, reason: RejectionReason) -> None:
+        self.end("abandoned", reason.value, lambda client: client.error(self.call, "Abandoned", {}))
 
     # What happens to it.
 
@@ -112,7 +101,7 @@
         if self.visit is not None:
             self.visit.done = True
         for number in list(self.out.values()):
-            self.visits.forwards.withdraw(number)
+            self.visits.forwards.cancel(number)
 
     def end(self, answer: str, reason: str, tell: Callable[[Any], None]) -> None:
         if self.final:
@@ -138,7 +127,7 @@
 
     def fits(self, told: bytes, body: Any) -> bool:
         """Whether this can be the answer: a copy carries its tag and its age."""
-        return body is not None and (self.tariff.passes_on or b"etag=" in told and b"made=" in told)
+        return body is not None and (self.request_class.pass_through or b"etag=" in told and b"made=" in told)
 
     def forgotten(self, forward: Any) -> None:
         self.out.pop(forward, None)
@@ -156,11 +145,11 @@
         forwards: Forwards,
         deadlines: Deadlines,
         pool: Pool,
-        tariffs: dict[str, Any],
+        request_classes: dict[str, Any],
         log: Callable[..., None],
         fault: Callable[[str], None],
     ) -> None:
-        self.forwards, self.deadlines, self.pool, self.tariffs = forwards, deadlines, pool, tariffs
+        self.forwards, self.deadlines, self.pool, self.request_classes = forwards, deadlines, pool, request_classes
         self.log, self.fault = log, fault
         self.requests = RequestLog(log)
         self.slots = Slots()
@@ -174,22 +163,22 @@
     def take(self, client: Any, call: int, method: str, fields: dict[str, str], body: bytes, arrival: float) -> Door:
         """arrival: when its last byte came, at the earliest; its time counts from then."""
         now = self.deadlines.now()
-        tariff = self.tariffs.get(method)
-        if tariff is None:
+        request_class = self.request_classes.get(method)
+        if request_class is None:
             raise Bad("method names no tariff")
         rid = digits(fields, "rid")
         waited = max(now - arrival, 0.0)
-        patience = whole(fields, "budget", LEAST, int(MOST * tariff.patience)) / 1000.0 - waited
+        patience = whole(fields, "budget", LEAST, int(MOST * request_class.timeout)) / 1000.0 - waited
         part = whole(fields, "block", 0, 1 << 31, 0)
         group = whole(fields, "family", 0, GROUPS, 0)
-        key = 0 if tariff.passes_on and "obj" not in fields else int(digits(fields, "obj"), 16)
+        key = 0 if request_class.pass_through and "obj" not in fields else int(digits(fields, "obj"), 16)
         if len(body) > BODY:
             raise Bad(f"the body holds over {BODY} bytes")
         if not MARK(fields.get("token", "-")):
             raise Bad("field token is no mark of up to 64 letters and digits")
         if rid in self.rids or rid in self.before:
             raise Bad("field rid was used before")
-        door = Door(self, client, call, rid, tariff, now, waited)
+        door = Door(self, client, call, rid, request_class, now, waited)
         door.body = Body(self.pool, body) if body else None
         door.passed = f"queue={method}"
         if "token" in fields:
@@ -199,7 +188,7 @@
             door.passed += f",path={fields['obj']}"
         if "block" in fields:
             door.passed += f",blk={fields['block']}"
-        if not tariff.passes_on and HEX(fields.get("cached", "")):
+        if not request_class.pass_through and HEX(fields.get("cached", "")):
             door.cached = fields["cached"]
         self.rids.add(rid)
         if len(self.rids) >= RIDS:
@@ -209,7 +198,7 @@
         door.until = now + patience - SLACK
         try:
             request = Request(key, part, group, 0.0, patience, "again" in fields)
-            visit = self.router.take(door, tariff, request, now, waited)
+            visit = self.router.take(door, request_class, request, now, waited)
             if not door.final:  # over already, it would only close the circle that ended() opens
                 door.visit = visit
         except Exception:
@@ -242,13 +231,13 @@
     def refuse(self, door: Door) -> None:
         """Its connection ends by the client's fault: answered while that is still there."""
         if not door.final and door.visit is not None:
-            door.visit.give_up(self.deadlines.now(), Refusal.CLIENT_FAULT)
+            door.visit.give_up(self.deadlines.now(), RejectionReason.CLIENT_ERROR)
 
     def give_up(self) -> None:
         """The router ends: what is still open is answered while somebody can hear it."""
         for door in self.slots:
             if not door.final and door.visit is not None:
-                door.visit.give_up(self.deadlines.now(), Refusal.ENDING)
+                door.visit.give_up(self.deadlines.now(), RejectionReason.SHUTTING_DOWN)
 
     def open(self) -> int:
         return sum(not door.final for door in self.slots)
@@ -266,12 +255,12 @@
             door.answer,
             door.reason,
             door.trace,
-            tariff=door.tariff.name,
+            request_class=door.request_class.name,
             patience=round((door.until - door.since) * 1000),
             repeat=visit.repeat if visit else None,
             part=visit.part if visit else None,
             work=round(visit.work * 1000) if visit else None,
-            exclusive=door.tariff.effect is Effect.EXCLUSIVE,
+            exclusive=door.request_class.idempotency is Idempotency.NOT_IDEMPOTENT,
         )
 
 
--- a/wickhinge/settings.py
+++ b/wickhinge/settings.py
@@ -4,7 +4,7 @@
 
 from typing import Any
 
-from wickhinge.decide import Chance, Cold, Fleet, Purges, Router, Shelf
+from wickhinge.decide import Endpoints, ObjectCounts, Purges, RandomSource, Router, SlowStart
 from wickhinge.fields import (
     Malformed,
     flag,
@@ -17,9 +17,13 @@
     text,
     word,
 )
-from wickhinge.interface import Effect, Outside, Permitted, Tariff
+from wickhinge.interface import Capabilities, Environment, Idempotency, RequestClass
 
-EFFECTS = {"pure": Effect.RERUNNABLE, "token": Effect.TICKETED, "side_effect": Effect.EXCLUSIVE}
+EFFECTS = {
+    "pure": Idempotency.IDEMPOTENT,
+    "token": Idempotency.IDEMPOTENCY_KEY,
+    "side_effect": Idempotency.NOT_IDEMPOTENT,
+}
 
 
 def spread(family: dict[str, Any], field: str, count: int) -> list[Any]:
@@ -36,7 +40,7 @@
     return values
 
 
-def tariffs(conf: dict[str, Any]) -> dict[str, Tariff]:
+def request_classes(conf: dict[str, Any]) -> dict[str, RequestClass]:
     family, classes = record("conf", conf, "familyInfo"), records("conf", conf, "classes")
     count = len(classes)
     fresh, grace = spread(family, "maxAgeMs", count), spread(family, "staleForMs", count)
@@ -47,26 +51,28 @@
         where = "conf.classes"
         name = text(where, entry, "name")
         effect = EFFECTS[word(where, entry, "effect", EFFECTS)]
-        result[name] = Tariff(
+        result[name] = RequestClass(
             name=name,
-            promised=seconds(where, entry, "onTimeMs"),
-            stretch=number(where, entry, "aimStretch", 0.0),
-            patience=seconds(where, entry, "hardLimitMs"),
-            revenue=number(where, entry, "importance"),
-            late_share=number(where, entry, "lateValue", 0.0),
-            effect=effect,
-            group=word(where, entry, "group", ("all", "zone", "cell")) if effect is Effect.TICKETED else "all",
-            window=seconds(where, entry, "windowMs") if effect is Effect.TICKETED else 0.0,
-            fresh=fresh[place] / 1000.0,
-            grace=grace[place] / 1000.0,
-            stale_share=stale[place],
-            parts=bool(parts[place]),
-            passes_on=bool(passes[place]),
+            latency_objective=seconds(where, entry, "onTimeMs"),
+            objective_stretch=number(where, entry, "aimStretch", 0.0),
+            timeout=seconds(where, entry, "hardLimitMs"),
+            priority_weight=number(where, entry, "importance"),
+            late_value=number(where, entry, "lateValue", 0.0),
+            idempotency=effect,
+            deduplication_group=word(where, entry, "group", ("all", "zone", "cell"))
+            if effect is Idempotency.IDEMPOTENCY_KEY
+            else "all",
+            deduplication_window=seconds(where, entry, "windowMs") if effect is Idempotency.IDEMPOTENCY_KEY else 0.0,
+            freshness_lifetime=fresh[place] / 1000.0,
+            stale_grace=grace[place] / 1000.0,
+            stale_value=stale[place],
+            multipart=bool(parts[place]),
+            pass_through=bool(passes[place]),
         )
     return result
 
 
-def build(conf: dict[str, Any], seed: int, outside: Outside) -> tuple[Router, dict[str, Tariff]]:
+def build(conf: dict[str, Any], seed: int, outside: Environment) -> tuple[Router, dict[str, RequestClass]]:
     family, rules = record("conf", conf, "familyInfo"), record("conf", conf, "rules")
     limits, stats = record("conf", conf, "limits"), record("conf", conf, "stats")
     shapes, zones = listing("conf", conf, "shapes"), listing("conf", conf, "zones")
@@ -81,20 +87,20 @@
     zone, routers = text("conf", conf, "locality"), spread(family, "zoneBalancers", len(zones))
     if zone not in zones:
         raise Malformed("conf: field locality names no zone")
-    edge = Cold(
+    edge = SlowStart(
         number("conf.rules", rules, "fallMultiple"),
         seconds("conf.rules", rules, "fallMs"),
         number("conf.rules", rules, "coldFrom"),
         seconds("conf.rules", rules, "coldMs"),
     )
-    upper = Cold(
+    upper = SlowStart(
         number(info, family, "upperFallMultiple"),
         seconds("conf.rules", rules, "fallMs"),
         number(info, family, "parentFloor"),
         seconds(info, family, "parentWarmsInMs"),
     )
-    chance = Chance(seed)
-    fleet = Fleet(
+    chance = RandomSource(seed)
+    fleet = Endpoints(
         chance,
         zone,
         integer("conf.familyInfo.zoneBalancers", dict(zip(zones, routers, strict=True)), zone),
@@ -105,20 +111,20 @@
         upper,
     )
     wait = seconds("conf.limits", limits, "maxRetryAfterMs") if flag("conf.limits", limits, "retryAfter") else 0.0
-    permitted = Permitted(
-        joins=flag(info, family, "joins"),
-        direct=flag(info, family, "passThroughOk"),
-        second_copies=flag("conf.limits", limits, "mayDuplicate"),
-        cancel=flag("conf.limits", limits, "cancel"),
-        probes=flag("conf.limits", limits, "probes"),
-        loads=text("conf.stats", stats, "how") == "on_probe",
-        follows=text("conf", conf, "discovery") == "ask",
+    permitted = Capabilities(
+        collapse_fills=flag(info, family, "joins"),
+        direct_to_source=flag(info, family, "passThroughOk"),
+        hedging=flag("conf.limits", limits, "mayDuplicate"),
+        cancellation=flag("conf.limits", limits, "cancel"),
+        health_checks=flag("conf.limits", limits, "probes"),
+        load_reports=text("conf.stats", stats, "how") == "on_probe",
+        polls_endpoints=text("conf", conf, "discovery") == "ask",
     )
     router = Router(
         outside,
         chance,
         fleet,
-        Shelf(fleet.routers),
+        ObjectCounts(fleet.routers),
         Purges(seconds(info, family, "goneEverywhereMs")),
         permitted,
         flow=number(info, family, "oneFlowKbPerS"),
@@ -126,4 +132,4 @@
         ask_within=seconds("conf.rules", rules, "mustAskInMs", 0.0),
         longest_wait=wait,
     )
-    return router, tariffs(conf)
+    return router, request_classes(conf)
--- a/wickhinge/store/store.py
+++ b/wickhinge/store/store.py
@@ -144,7 +144,7 @@
 
     # What the visits ask.
 
-    def visit(self, key: int, part: int) -> None:
+    def record_request(self, key: int, part: int) -> None:
         self.keep.visit(key, part)
 
     def find(self, key: int, part: int, now: float) -> Copy | None:
@@ -159,11 +159,11 @@
         self.memory.touch(key)
         return copy
 
-    def proven(self, copy: Copy, now: float) -> bool:
+    def is_current(self, copy: Copy, now: float) -> bool:
         """Whether its age is known: of this run, or caught up with. Nothing is while purges may be untold."""
-        return (copy.proven or self.trusted) and -1.0 <= now - self.heard <= self.quiet and self.held(copy, now)
+        return (copy.proven or self.trusted) and -1.0 <= now - self.heard <= self.quiet and self.is_valid(copy, now)
 
-    def held(self, copy: Copy, now: float) -> bool:
+    def is_valid(self, copy: Copy, now: float) -> bool:
         """Whether it is not older than a purge that was told meanwhile."""
         return self.on and not self.purged.covers(copy.key, copy.group, copy.made)
 
--- a/wickhinge/wirehost/host.py
+++ b/wickhinge/wirehost/host.py
@@ -8,24 +8,24 @@
 
 from wickhinge import fields as checks
 from wickhinge.fields import Malformed
-from wickhinge.interface import Listing, Note, Outcome, Refusal, Request
+from wickhinge.interface import AttemptParameters, CacheStatus, Endpoint, Outcome, RejectionReason, Request
 from wickhinge.settings import build
 from wickhinge.wirehost import codec
 
 OUTCOMES = {
-    10: Outcome.HONOURED,
+    10: Outcome.SUCCEEDED,
     20: Outcome.ERROR,
-    30: Outcome.FULL,
+    30: Outcome.OVERLOADED,
     40: Outcome.TIMED_OUT,
-    50: Outcome.UNREACHED,
-    60: Outcome.BROKEN,
-    70: Outcome.WITHDRAWN,
-    80: Outcome.MOOT,
+    50: Outcome.CONNECT_FAILED,
+    60: Outcome.CONNECTION_LOST,
+    70: Outcome.CANCELLED,
+    80: Outcome.SUPERSEDED,
     90: Outcome.MISS,
 }
 STATES = {"U": "ready", "L": "draining", "D": "gone"}
 LISTS = {"incr": False, "total": True, "warm_copy": True}
-NOTES = {note.value: note for note in Note}
+NOTES = {note.value: note for note in CacheStatus}
 
 
 class Door:
@@ -38,36 +38,26 @@
         self.forwards: list[Any] = []
         self.visit: Any = None
 
-    def forward(
-        self,
-        forward: Any,
-        cache: Any,
-        patience: float,
-        source: Any,
-        rank: int,
-        oldest: float | None,
-        join: bool,
-        held_only: bool,
-        renew: bool,
-    ) -> None:
-        self.forwards.append(forward)
-        fields = {"ref": self.ref, "cache": cache.mark, "tryForMs": patience * 1000.0}
-        if source is None:
+    def forward(self, parameters: AttemptParameters) -> None:
+        self.forwards.append(parameters.attempt)
+        fields = {"ref": self.ref, "cache": parameters.server.mark, "tryForMs": parameters.timeout * 1000.0}
+        if parameters.source is None:
             self.host.act("Try", fields)
             return
-        fields |= {"source": source.mark, "admit": rank, "opts": join | held_only << 1 | renew << 3}
-        if oldest is not None:
-            fields["howOldMs"] = oldest * 1000.0
+        options = parameters.collapse | parameters.only_if_cached << 1 | parameters.revalidate << 3
+        fields |= {"source": parameters.source.mark, "admit": parameters.retention_rank, "opts": options}
+        if parameters.max_age is not None:
+            fields["howOldMs"] = parameters.max_age * 1000.0
         self.host.act("PullVia", fields)
 
-    def withdraw(self, forward: Any) -> None:
-        self.host.act("Abandon", {"ref": self.ref, "sendNo": self.forwards.index(forward)})
+    def cancel(self, attempt: Any) -> None:
+        self.host.act("Abandon", {"ref": self.ref, "sendNo": self.forwards.index(attempt)})
 
-    def deny(self, wait: float, why: Refusal) -> None:
-        self.host.act("Refuse", {"ref": self.ref, "waitMs": wait * 1000.0})
+    def reject(self, retry_after: float, reason: RejectionReason) -> None:
+        self.host.act("Refuse", {"ref": self.ref, "waitMs": retry_after * 1000.0})
         self.close()
 
-    def abandon(self, why: Refusal) -> None:
+    def fail(self, reason: RejectionReason) -> None:
         self.host.act("DropRequest", {"ref": self.ref})
         self.close()
 
@@ -86,42 +76,42 @@
         self.alarms: dict[int, Callable[[float], None]] = {}
         self.alarm = 0
         self.router: Any = None
-        self.tariffs: dict[str, Any] = {}
+        self.request_classes: dict[str, Any] = {}
 
     def act(self, name: str, fields: dict[str, Any]) -> None:
         fields["router"] = self.number
         self.replies.append(codec.line(name, fields))
 
-    # Outside, for the module.
+    # Environment.
 
-    def wake(self, delay: float, call: Callable[[float], None]) -> None:
+    def call_later(self, delay: float, call: Callable[[float], None]) -> None:
         self.alarm += 1
         self.alarms[self.alarm] = call
         self.act("WakeMe", {"delayMs": max(delay, 0.0) * 1000.0, "handle": self.alarm})
 
-    def probe(self, cache: Any) -> None:
-        self.act("Poll", {"cache": cache.mark})
+    def check_health(self, server: Any) -> None:
+        self.act("Poll", {"cache": server.mark})
 
-    def follow(self) -> None:
+    def watch(self) -> None:
         self.act("Follow", {"want": True})
 
-    def read_list(self) -> None:
+    def fetch_endpoints(self) -> None:
         self.act("ReadList", {})
 
-    def hang_up(self, cache: Any) -> None:
-        self.act("HangUp", {"cache": cache.mark})
+    def close_idle(self, server: Any) -> None:
+        self.act("HangUp", {"cache": server.mark})
 
-    def say(self, to: int, content: bytes) -> None:
-        self.act("Say", {"to": to, "content": b64encode(content).decode()})
+    def gossip(self, recipient: int, content: bytes) -> None:
+        self.act("Say", {"to": recipient, "content": b64encode(content).decode()})
 
-    def note(self, text: str) -> None:
+    def log_line(self, text: str) -> None:
         self.act("NoteDown", {"line": text})
 
     # Events.
 
     def power_on(self, name: str, fields: dict[str, Any], now: float) -> None:
         seed, conf = checks.integer(name, fields, "initSeed"), checks.record(name, fields, "conf")
-        self.router, self.tariffs = build(conf, seed, self)
+        self.router, self.request_classes = build(conf, seed, self)
         self.router.start(now)
 
     def announce(self, name: str, fields: dict[str, Any], now: float) -> None:
@@ -132,7 +122,7 @@
         listings = []
         for entry in checks.records(name, fields, "hosts"):
             listings.append(
-                Listing(
+                Endpoint(
                     checks.integer(name, entry, "cache"),
                     checks.text(name, entry, "campus"),
                     checks.text(name, entry, "familyType"),
@@ -145,8 +135,8 @@
         self.router.fleet.listed(listings, LISTS[kind], now)
 
     def inbound(self, name: str, fields: dict[str, Any], now: float) -> None:
-        tariff = self.tariffs.get(checks.text(name, fields, "kind"))
-        if tariff is None:
+        request_class = self.request_classes.get(checks.text(name, fields, "kind"))
+        if request_class is None:
             raise Malformed(f"{name}: field kind names no class of the settings", self.number)
         door = self.doors[checks.text(name, fields, "ref")] = Door(self, fields["ref"])
         content = fields.get("contentId")
@@ -158,7 +148,7 @@
             checks.seconds(name, fields, "expiresInMs"),
             checks.flag(name, fields, "repeat", False),
         )
-        door.visit = self.router.take(door, tariff, request, now)
+        door.visit = self.router.take(door, request_class, request, now)
 
     def resolved(self, name: str, fields: dict[str, Any], now: float) -> None:
         forward, outcome = self.sent(name, fields), self.outcome(name, fields)
@@ -199,7 +189,7 @@
         outcome = self.outcome(name, fields)
         load = {} if fields.get("report") is None else checks.record(name, fields, "report")
         if cache is not None:
-            self.router.probed(cache, outcome, load, now)
+            self.router.health_checked(cache, outcome, load, now)
 
     def expired_now(self, name: str, fields: dict[str, Any], now: float) -> None:
         key = None if fields.get("contentId") is None else checks.hexadecimal(name, fields, "contentId")
