--- a/bench/fleet.py
+++ b/bench/fleet.py
@@ -22,9 +22,10 @@
 from twisted.internet import protocol, reactor, task
 from xxhash import xxh3_64_digest, xxh3_64_intdigest
 
-from wickhinge.net import msgpack, resp
-from wickhinge.net.buffers import Body, Pool
-from wickhinge.net.journal import GROUP, HEAD, OBJECT, RECORD
+from wickhinge.net.control.endpoint_watch import GROUP, HEAD, OBJECT, RECORD
+from wickhinge.net.downstream import msgpack
+from wickhinge.net.runtime.buffers import Body, Pool
+from wickhinge.net.upstream import resp
 
 ROOT = Path(__file__).parent.parent
 HOST = "127.0.0.1"
--- a/bench/planted.py
+++ b/bench/planted.py
@@ -4,7 +4,7 @@
 
 import sys
 
-from wickhinge.net.start import main
+from wickhinge.net.control.start import main
 from wickhinge.store import format
 from wickhinge.store.volume import Volume
 
--- a/bench/scale/connections.py
+++ b/bench/scale/connections.py
@@ -8,10 +8,10 @@
 
 from bench.scale.meter import Meter, memory
 from bench.scale.records import Row, row
-from wickhinge.net import descriptors
-from wickhinge.net.buffers import Pool
-from wickhinge.net.caches import LINES, Line
-from wickhinge.net.log import KEPT, Log
+from wickhinge.net.downstream import descriptors
+from wickhinge.net.runtime.buffers import Pool
+from wickhinge.net.runtime.log import KEPT, Log
+from wickhinge.net.upstream.connection_pools import LINES, Line
 
 POOL = 1 << 20  # bytes, of a router's pool of buffers
 LINE_OF_LOG = {"machine": "s-00c41f7a", "verdict": "lost", "witnesses": 3}
--- a/bench/scale/detector.py
+++ b/bench/scale/detector.py
@@ -6,7 +6,7 @@
 from bench.scale.one_router import OneRouter, introduce, places
 from bench.scale.records import Row, row
 from wickhinge.decide import Chance
-from wickhinge.net.fellows import VIEW_INTERVAL
+from wickhinge.net.control.peer_transport import VIEW_INTERVAL
 from wickhinge.peers.detector import FailureDetector
 from wickhinge.peers.roster import Roster
 
--- a/bench/scale/fleet_flat.py
+++ b/bench/scale/fleet_flat.py
@@ -1,6 +1,6 @@
 """The present design: hollow routers that each watch one service by TCP.
 
-    python -m bench.scale.fleet_flat PLAN PLACE    hollow routers, on the router's own `net.journal`
+    python -m bench.scale.fleet_flat PLAN PLACE    hollow routers, on the router's own `net.control.endpoint_watch`
 
 A region's cut is played at the routers: its connections stand still, and no new one comes up, until the reunion. A
 setting is a list change of one machine. Headers: 20 bytes of IP, 32 of TCP with time stamps, each segment either way as
@@ -20,8 +20,8 @@
 from bench.scale.fleet_network import Network, is_cut
 from bench.scale.fleet_recorder import Recorder
 from bench.scale.fleet_records import SAMPLE_S, Plan, Router, read, write
-from wickhinge.net.deadlines import Deadlines
-from wickhinge.net.journal import Journal, Reading
+from wickhinge.net.control.endpoint_watch import Journal, Reading
+from wickhinge.net.runtime.deadlines import Deadlines
 
 CONNECT_WITHIN_S = 0.4
 IP_AND_TCP = 52  # bytes of a segment's headers
--- a/bench/scale/fleet_service.py
+++ b/bench/scale/fleet_service.py
@@ -17,7 +17,7 @@
 from bench.scale.fleet_caches import machine_records
 from bench.scale.fleet_network import Network
 from bench.scale.fleet_records import Change, Plan, read, write
-from wickhinge.net.journal import CHANGES, HEAD, NOTHING, NUMBER, OBJECT, PURGED_OBJECT, RECORD, WHOLE
+from wickhinge.net.control.endpoint_watch import CHANGES, HEAD, NOTHING, NUMBER, OBJECT, PURGED_OBJECT, RECORD, WHOLE
 
 BEAT_S = 1.0
 TURN_S = 0.005
--- a/bench/scale/one_router.py
+++ b/bench/scale/one_router.py
@@ -2,7 +2,7 @@
 
 The peers run the same deciding code and codecs, but a roster of two each, so that one router's cost can be taken at any
 size of the fleet. They send it as many probes as a whole fleet would. CPU time is that of the one router alone: its
-ticks, its view of the fleet as net/fellows asks for it, packing, reading and judging datagrams.
+ticks, its view of the fleet as net/control/peer_transport asks for it, packing, reading and judging datagrams.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 from bench.scale.meter import Watch
 from wickhinge.decide import Chance
-from wickhinge.net.fellows import TICK, VIEW_INTERVAL
+from wickhinge.net.control.peer_transport import TICK, VIEW_INTERVAL
 from wickhinge.peers import wire
 from wickhinge.peers.detector import FailureDetector
 from wickhinge.peers.health import PERIOD
--- a/bench/scale/watching.py
+++ b/bench/scale/watching.py
@@ -9,7 +9,7 @@
 from bench.scale.meter import Meter, Watch, memory
 from bench.scale.records import Row, row
 from wickhinge.decide import Purges
-from wickhinge.net import journal
+from wickhinge.net.control import endpoint_watch
 from wickhinge.store.purged import Purge, Purged
 
 PURGES_A_SECOND = 27
@@ -20,14 +20,14 @@
 
 def frame(number: int) -> bytes:
     """A purge of one object, as the service writes it."""
-    payload = journal.OBJECT.pack(number * 7919, 1_700_000_000_000 + number)
-    return journal.HEAD.pack(9 + len(payload), number, journal.PURGED_OBJECT) + payload
+    payload = endpoint_watch.OBJECT.pack(number * 7919, 1_700_000_000_000 + number)
+    return endpoint_watch.HEAD.pack(9 + len(payload), number, endpoint_watch.PURGED_OBJECT) + payload
 
 
-def watching() -> tuple[journal.Journal, Any]:
+def watching() -> tuple[endpoint_watch.Journal, Any]:
     """A router's watch without a socket, and the connection that hands it bytes."""
     purges, clock = Purges(DONE_WITHIN), SimpleNamespace(now=lambda: 0.0, after=lambda *told: None)
-    one = journal.Journal(
+    one = endpoint_watch.Journal(
         None,
         clock,
         (HOST, 1),
@@ -37,7 +37,7 @@
         lambda key, group, stamp: purges.told(key, group, stamp / 1000, stamp / 1000),
         lambda event, **told: None,
     )
-    reading = journal.Reading(one, 0)
+    reading = endpoint_watch.Reading(one, 0)
     one.reading = reading
     return one, reading
 
--- a/example/ask.py
+++ b/example/ask.py
@@ -6,7 +6,7 @@
 import socket
 import sys
 
-from wickhinge.net import msgpack
+from wickhinge.net.downstream import msgpack
 
 
 def main() -> None:
--- a/setup.py
+++ b/setup.py
@@ -6,10 +6,21 @@
 from setuptools import Extension, setup
 
 COLD = {
-    f"wickhinge/net/{name}.py"
-    for name in ("__init__", "changes", "copies", "deferred_imports", "fellows", "members", "start")
+    "wickhinge/net/control/changelog_client.py",
+    "wickhinge/net/control/membership.py",
+    "wickhinge/net/control/peer_transport.py",
+    "wickhinge/net/control/start.py",
+    "wickhinge/net/runtime/deferred_imports.py",
+    "wickhinge/net/upstream/local_copies.py",
 }
-HOT = ["wickhinge/decide.py", *sorted(set(glob("wickhinge/net/*.py")) - COLD)]
+PACKAGES = ("wickhinge/common", "wickhinge/net")
+COMPILED = {
+    path
+    for package in PACKAGES
+    for path in glob(f"{package}/**/*.py", recursive=True)
+    if not path.endswith("/__init__.py")
+}
+HOT = ["wickhinge/decide.py", *sorted(COMPILED - COLD)]
 
 setup(
     ext_modules=cythonize(
--- a/tests/changelog/test_changelog_parts.py
+++ b/tests/changelog/test_changelog_parts.py
@@ -31,7 +31,7 @@
 from wickhinge.changelog.stored import NotLeader
 from wickhinge.decide import Purges
 from wickhinge.fields import Malformed
-from wickhinge.net.changes import Changes
+from wickhinge.net.control.changelog_client import Changes
 from wickhinge.options import Fault
 from wickhinge.options.load import check
 from wickhinge.peers.desk import Asking
--- a/tests/membership/test_membership.py
+++ b/tests/membership/test_membership.py
@@ -18,7 +18,7 @@
 from wickhinge.membership.members import Members
 from wickhinge.membership.statements import GONE_MOST, LIVE, REMEMBERED, SIBLING, STATIC, Book, Statement
 from wickhinge.membership.trust import LONGEST, Proving, Stage, Terms
-from wickhinge.net.journal import Unreadable
+from wickhinge.net.control.endpoint_watch import Unreadable
 
 DAY = 86400.0
 
--- a/tests/net/test_arrivals.py
+++ b/tests/net/test_arrivals.py
@@ -4,7 +4,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from wickhinge.net.arrivals import LONGEST_WAIT, OVERDUE, SOON, Arrivals
+from wickhinge.net.runtime.arrivals import LONGEST_WAIT, OVERDUE, SOON, Arrivals
 
 MOST = 8
 TURNS = st.lists(
--- a/tests/net/test_client_gone.py
+++ b/tests/net/test_client_gone.py
@@ -14,7 +14,7 @@
 from tests.support.clients import patient, warmed
 from tests.support.processes import PATIENT
 from tests.support.router_process import SERVED
-from wickhinge.net import msgpack
+from wickhinge.net.downstream import msgpack
 
 LATE = 0.15  # seconds; past the 0.1 in which an attempt may still begin
 AT_ONCE = 0.03  # seconds; a fill that has room goes in the turn of its miss
--- a/tests/net/test_crossings.py
+++ b/tests/net/test_crossings.py
@@ -19,14 +19,16 @@
 from wickhinge.decide import Forward
 from wickhinge.fields import Malformed
 from wickhinge.interface import Outcome
-from wickhinge.net import config, journal, msgpack, resp
-from wickhinge.net.accept import HOLD, LATER_ALL, OPEN, READ, Clients
-from wickhinge.net.accept import Client as Taken
-from wickhinge.net.arrivals import Arrivals
-from wickhinge.net.ends import End
-from wickhinge.net.forwards import Forwards, Sent
-from wickhinge.net.request_log import RequestLog, RequestTrace
-from wickhinge.net.visits import Door
+from wickhinge.net.control import config, endpoint_watch
+from wickhinge.net.downstream import msgpack
+from wickhinge.net.downstream.client_connections import HOLD, LATER_ALL, OPEN, READ, Clients
+from wickhinge.net.downstream.client_connections import Client as Taken
+from wickhinge.net.downstream.request_log import RequestLog, RequestTrace
+from wickhinge.net.downstream.request_table import Door
+from wickhinge.net.runtime.arrivals import Arrivals
+from wickhinge.net.upstream import resp
+from wickhinge.net.upstream.attempt_results import End
+from wickhinge.net.upstream.attempts import Forwards, Sent
 
 OBJECT = 0xAA
 
@@ -60,7 +62,7 @@
     late, client = made.shut(0), made.client()
     call = client.ask(budget="6000")
     assert client.ping()
-    made.tell(3, journal.OBJECT.pack(OBJECT, int(time.time() * 1000) - 1))
+    made.tell(3, endpoint_watch.OBJECT.pack(OBJECT, int(time.time() * 1000) - 1))
     made.router.wait('"event":"purge"')
     asked = late().next()
     assert int(asked.fields["maxage"]) < 2000  # without a purge it is not named: the fresh time of the tariff
@@ -153,9 +155,9 @@
     """A node that has been told to leave, its machines and its clients real sockets."""
 
     def __init__(self, monkeypatch):
-        from wickhinge.net.deadlines import Deadlines
-        from wickhinge.net.loop import Reactor
-        from wickhinge.net.router import Node
+        from wickhinge.net.control.router_process import Node
+        from wickhinge.net.runtime.deadlines import Deadlines
+        from wickhinge.net.runtime.loop import Reactor
 
         self.ahead, self.stopped = 0.0, []
         monkeypatch.setattr(Deadlines, "now", staticmethod(self.clock))
@@ -292,7 +294,7 @@
         raise BlockingIOError
 
     def take(self, client, call, method, fields, body, arrival):
-        from wickhinge.net.visits import Bad
+        from wickhinge.net.downstream.request_table import Bad
 
         if method == "bad":
             raise Bad("bad")
--- a/tests/net/test_descriptors.py
+++ b/tests/net/test_descriptors.py
@@ -22,12 +22,9 @@
 from tests.support.connections import Wire, pool
 from tests.support.processes import PATIENT
 from tests.support.router_process import SERVED, Stand
-from wickhinge.net import msgpack, resp
-from wickhinge.net.accept import Clients
-from wickhinge.net.arrivals import Arrivals
-from wickhinge.net.caches import Caches
-from wickhinge.net.deadlines import Deadlines
-from wickhinge.net.descriptors import (
+from wickhinge.net.downstream import msgpack
+from wickhinge.net.downstream.client_connections import Clients
+from wickhinge.net.downstream.descriptors import (
     ACCEPTED_AT_ONCE,
     BACK_OFF,
     CLOSING,
@@ -37,8 +34,12 @@
     Admission,
     bounds,
 )
-from wickhinge.net.listener import Listener
-from wickhinge.net.loop import Reactor
+from wickhinge.net.downstream.listener import Listener
+from wickhinge.net.runtime.arrivals import Arrivals
+from wickhinge.net.runtime.deadlines import Deadlines
+from wickhinge.net.runtime.loop import Reactor
+from wickhinge.net.upstream import resp
+from wickhinge.net.upstream.connection_pools import Caches
 
 LIMITS = [256, 512, 640, 672]  # as the bench's days name them
 SMALL = 64  # the least that a configuration may name
--- a/tests/net/test_net.py
+++ b/tests/net/test_net.py
@@ -17,17 +17,19 @@
 from tests.support.routing import router, tariff
 from wickhinge.fields import Malformed
 from wickhinge.interface import Outcome
-from wickhinge.net import config, journal, msgpack, resp
-from wickhinge.net.accept import Clients
-from wickhinge.net.arrivals import Arrivals
-from wickhinge.net.buffers import SIZE, Body
-from wickhinge.net.caches import Caches, Line
-from wickhinge.net.deadlines import Deadlines
-from wickhinge.net.ends import OUTCOMES, WORDS, End, unconnected
-from wickhinge.net.forwards import NOTES, Forwards, Sent
-from wickhinge.net.loop import Reactor
-from wickhinge.net.slots import Slots
-from wickhinge.net.visits import Door, Visits
+from wickhinge.net.control import config, endpoint_watch
+from wickhinge.net.downstream import msgpack
+from wickhinge.net.downstream.client_connections import Clients
+from wickhinge.net.downstream.request_table import Door, Visits
+from wickhinge.net.runtime.arrivals import Arrivals
+from wickhinge.net.runtime.buffers import SIZE, Body
+from wickhinge.net.runtime.deadlines import Deadlines
+from wickhinge.net.runtime.loop import Reactor
+from wickhinge.net.runtime.slots import Slots
+from wickhinge.net.upstream import resp
+from wickhinge.net.upstream.attempt_results import OUTCOMES, WORDS, End, unconnected
+from wickhinge.net.upstream.attempts import NOTES, Forwards, Sent
+from wickhinge.net.upstream.connection_pools import Caches, Line
 
 
 def plain(items):
@@ -146,24 +148,24 @@
 
 
 def frame(number, kind, payload=b""):
-    return journal.HEAD.pack(9 + len(payload), number, kind) + payload
+    return endpoint_watch.HEAD.pack(9 + len(payload), number, kind) + payload
 
 
-RECORD = journal.RECORD.pack(0xC41F7A, 0x7F000009, 10080, 1, 2, 0, 3, 4500, 1764576000123)
+RECORD = endpoint_watch.RECORD.pack(0xC41F7A, 0x7F000009, 10080, 1, 2, 0, 3, 4500, 1764576000123)
 
 
 def test_journal_frames_at_every_split():
     data = (
         frame(41, 1, RECORD)
         + frame(41, 0)
-        + frame(42, 3, journal.OBJECT.pack(9, 8))
-        + frame(43, 4, journal.GROUP.pack(17, 6))
+        + frame(42, 3, endpoint_watch.OBJECT.pack(9, 8))
+        + frame(43, 4, endpoint_watch.GROUP.pack(17, 6))
     )
     for split in range(len(data) + 1):
         made, told = reading()
         made.read(made.reading, data[:split])
         made.read(made.reading, data[split:])
-        assert told == [(True, journal.records(RECORD)), (9, 0, 8), (None, 17, 6)] and made.last == 43
+        assert told == [(True, endpoint_watch.records(RECORD)), (9, 0, 8), (None, 17, 6)] and made.last == 43
 
 
 @pytest.mark.parametrize(
@@ -178,7 +180,7 @@
 def test_an_event_written_twice_is_heard_once_and_costs_nothing():
     made, told = reading()
     for number in (40, 41, 41, 42, 41):
-        made.read(made.reading, frame(number, 4, journal.GROUP.pack(number, 6)))
+        made.read(made.reading, frame(number, 4, endpoint_watch.GROUP.pack(number, 6)))
     assert told == [(None, 41, 6), (None, 42, 6)] and made.last == 42
 
 
@@ -188,7 +190,7 @@
     old = made.reading
     made.move(("127.0.0.1", 9))
     made.lost(old, "closed")
-    made.read(old, frame(41, 4, journal.GROUP.pack(41, 6)))
+    made.read(old, frame(41, 4, endpoint_watch.GROUP.pack(41, 6)))
     made.move(("127.0.0.1", 9))
     assert told == ["dropped", 9] and made.last == 40
 
--- a/tests/net/test_request_log.py
+++ b/tests/net/test_request_log.py
@@ -10,9 +10,9 @@
 
 from wickhinge.cli import main
 from wickhinge.clocks import WallClockWatch
-from wickhinge.net.ends import End
-from wickhinge.net.request_log import LINES_AT_ONCE, SAMPLED, STEPS, RequestLog, RequestTrace, Step
-from wickhinge.net.standstill import Standstills
+from wickhinge.net.downstream.request_log import LINES_AT_ONCE, SAMPLED, STEPS, RequestLog, RequestTrace, Step
+from wickhinge.net.runtime.event_loop_stalls import Standstills
+from wickhinge.net.upstream.attempt_results import End
 
 RID = b"9b1f03aa5c7e2d41"
 
--- a/tests/net/test_sockets.py
+++ b/tests/net/test_sockets.py
@@ -10,7 +10,7 @@
 import pytest
 
 from tests.support.processes import PATIENT, ROOT, Client, Deployment, Process, free
-from wickhinge.net import msgpack
+from wickhinge.net.downstream import msgpack
 
 
 @pytest.fixture
--- a/tests/net/test_stalls.py
+++ b/tests/net/test_stalls.py
@@ -16,7 +16,7 @@
 from tests.support.clients import patient, warmed
 from tests.support.processes import PATIENT
 from tests.support.router_process import SERVED, Line
-from wickhinge.net import msgpack
+from wickhinge.net.downstream import msgpack
 
 SLACK = 0.15  # seconds that the deadline passed on may be more than what is left
 BUDGET = 2.0  # seconds; with 0.6 less there is time enough for an answer, so that the request is sent
--- a/tests/net/test_start.py
+++ b/tests/net/test_start.py
@@ -18,11 +18,34 @@
     "wickhinge.net",
     "wickhinge.settings",
     *(
-        f"wickhinge.net.{name}"
-        for name in (
-            "accept arrivals buffers caches config deadlines deferred_imports descriptors dial ends forwards journal "
-            "listener log loop msgpack opening patience request_log resp router slots standstill start transport visits"
-        ).split()
+        f"wickhinge.{package}{name}"
+        for package, names in {
+            "common": ("", ".connector", ".failed_calls"),
+            "net.control": ("", ".config", ".endpoint_watch", ".readiness", ".router_process", ".start"),
+            "net.downstream": (
+                "",
+                ".client_connections",
+                ".descriptors",
+                ".listener",
+                ".msgpack",
+                ".request_log",
+                ".request_table",
+            ),
+            "net.runtime": (
+                "",
+                ".arrivals",
+                ".buffers",
+                ".deadlines",
+                ".deferred_imports",
+                ".event_loop_stalls",
+                ".log",
+                ".loop",
+                ".slots",
+                ".transport",
+            ),
+            "net.upstream": ("", ".attempt_results", ".attempts", ".connection_pools", ".resp"),
+        }.items()
+        for name in names
     ),
 }
 PACKAGES = {
@@ -58,7 +81,7 @@
 
 
 def run(text):
-    text = f"from wickhinge.net import deferred_imports\ndeferred_imports.install()\n{text}"
+    text = f"from wickhinge.net.runtime import deferred_imports\ndeferred_imports.install()\n{text}"
     done = subprocess.run([sys.executable, "-c", text], cwd=ROOT, capture_output=True, text=True)
     assert done.returncode == 0, done.stderr
     return done.stdout
--- a/tests/options/test_options.py
+++ b/tests/options/test_options.py
@@ -19,7 +19,7 @@
     loaded = modules_of_a_start()
     ours = [f"wickhinge.{name}" for name in ("peers", "shared", "store", "membership", "options", "lab", "changelog")]
     off = ("msgspec", "lark", "twisted.internet.endpoints", *ours)
-    assert "wickhinge.net.router" in loaded
+    assert "wickhinge.net.control.router_process" in loaded
     assert [name for name in loaded if name.startswith(off)] == []
 
 
--- a/tests/peers/test_peers.py
+++ b/tests/peers/test_peers.py
@@ -301,23 +301,23 @@
 def test_the_view_goes_through_the_roster_once_a_period_not_at_each_tick():
     from types import SimpleNamespace
 
-    from wickhinge.net import fellows
+    from wickhinge.net.control import peer_transport
 
     now, calls = [100.0], []
     node = SimpleNamespace(
         deadlines=SimpleNamespace(after=lambda delay, call: calls.append(call)),
         log=SimpleNamespace(event=lambda event, **told: None),
     )
-    fellows_clock, fellows.clock = fellows.clock, lambda: now[0]
+    fellows_clock, peer_transport.clock = peer_transport.clock, lambda: now[0]
     try:
-        made = fellows.Fellows(node, Roster(places(3), "n0"), [KEY], 1)
+        made = peer_transport.Fellows(node, Roster(places(3), "n0"), [KEY], 1)
         looks, view = [], made.detector.view
         made.detector.view = lambda when: looks.append(when) or view(when)
         made.transport = SimpleNamespace(write=lambda data, address: None)
         made.tick()
         for _ in range(40):
-            now[0] += fellows.TICK
+            now[0] += peer_transport.TICK
             calls.pop()()
     finally:
-        fellows.clock = fellows_clock
+        peer_transport.clock = fellows_clock
     assert 4 <= len(looks) <= 5
--- a/tests/store/test_store.py
+++ b/tests/store/test_store.py
@@ -13,11 +13,11 @@
 from tests.support.store_world import World
 from wickhinge.clocks import OthersTime
 from wickhinge.interface import Effect, Outcome
-from wickhinge.net import resp
-from wickhinge.net.buffers import Body
-from wickhinge.net.copies import Copies
-from wickhinge.net.forwards import Forwards
-from wickhinge.net.visits import Visits
+from wickhinge.net.downstream.request_table import Visits
+from wickhinge.net.runtime.buffers import Body
+from wickhinge.net.upstream import resp
+from wickhinge.net.upstream.attempts import Forwards
+from wickhinge.net.upstream.local_copies import Copies
 from wickhinge.store.keep import Copy
 from wickhinge.store.link import Link
 
--- a/tests/support/connections.py
+++ b/tests/support/connections.py
@@ -2,10 +2,10 @@
 
 from types import SimpleNamespace
 
-from wickhinge.net import journal
-from wickhinge.net.arrivals import Arrivals
-from wickhinge.net.buffers import Pool
-from wickhinge.net.caches import Caches, Line
+from wickhinge.net.control import endpoint_watch
+from wickhinge.net.runtime.arrivals import Arrivals
+from wickhinge.net.runtime.buffers import Pool
+from wickhinge.net.upstream.connection_pools import Caches, Line
 
 
 def pool(limit=8):
@@ -57,7 +57,7 @@
 def reading(last=40):
     told = []
     clock = SimpleNamespace(after=lambda *_: None, now=lambda: 1.0)
-    made = journal.Journal(
+    made = endpoint_watch.Journal(
         None,
         clock,
         ("127.0.0.1", 1),
@@ -68,6 +68,6 @@
         lambda *a, **k: None,
     )
     made.reading = SimpleNamespace(
-        stream=journal.Stream(), transport=SimpleNamespace(abortConnection=lambda: told.append("dropped"))
+        stream=endpoint_watch.Stream(), transport=SimpleNamespace(abortConnection=lambda: told.append("dropped"))
     )
     return made, told
--- a/tests/support/processes.py
+++ b/tests/support/processes.py
@@ -11,7 +11,7 @@
 from contextlib import ExitStack
 from pathlib import Path
 
-from wickhinge.net import msgpack
+from wickhinge.net.downstream import msgpack
 
 ROOT = Path(__file__).parents[2]
 
--- a/tests/support/router_process.py
+++ b/tests/support/router_process.py
@@ -7,8 +7,9 @@
 from contextlib import ExitStack, contextmanager
 
 from tests.support.processes import PATIENT, ROOT, Client, Process, free
-from wickhinge.net import journal, resp
-from wickhinge.net.buffers import Pool
+from wickhinge.net.control import endpoint_watch
+from wickhinge.net.runtime.buffers import Pool
+from wickhinge.net.upstream import resp
 
 KINDS = {"box": 0, "parent": 1, "origin": 2}
 SERVED = "etag=00000000000000aa,made=1764576000123"
@@ -191,7 +192,7 @@
         """What is told; the router may not have heard of it yet."""
         self.tell(
             2,
-            journal.RECORD.pack(
+            endpoint_watch.RECORD.pack(
                 0xA1 + place,
                 0x7F000001,
                 self.places[place].getsockname()[1],
--- a/wickhinge/__main__.py
+++ b/wickhinge/__main__.py
@@ -11,7 +11,7 @@
         from wickhinge.cli import main as command
 
         command(prog_name="wickhinge")
-    from wickhinge.net.start import main as start
+    from wickhinge.net.control.start import main as start
 
     return start()
 
--- a/wickhinge/changelog/daemon.py
+++ b/wickhinge/changelog/daemon.py
@@ -14,7 +14,7 @@
 from wickhinge.changelog.nodes import RelayNode, ReplicaNode, Storage, StorageFailed
 from wickhinge.changelog.settings import RelaySettings, ReplicaSettings
 from wickhinge.fields import Malformed
-from wickhinge.net.log import Log
+from wickhinge.net.runtime.log import Log
 from wickhinge.options import changelog as options_of
 from wickhinge.options.records import Changelog
 
--- a/wickhinge/cli/commands.py
+++ b/wickhinge/cli/commands.py
@@ -46,7 +46,7 @@
 )
 def run(options: str | None) -> None:
     """Start one router, told what it is by RELAY_CONFIG."""
-    from wickhinge.net.start import main as start
+    from wickhinge.net.control.start import main as start
 
     sys.exit(start(options))
 
@@ -61,7 +61,7 @@
 
     from wickhinge import settings
     from wickhinge.fields import Malformed
-    from wickhinge.net import config as platform
+    from wickhinge.net.control import config as platform
     from wickhinge.options import Fault, load
 
     if not options and not config:
--- /dev/null
+++ b/wickhinge/common/__init__.py
@@ -0,0 +1,1 @@
+"""What the router on sockets and the optional subsystems share."""
--- a/wickhinge/lab/many/launch.py
+++ b/wickhinge/lab/many/launch.py
@@ -25,10 +25,10 @@
 
 
 def main() -> int:
-    from wickhinge.net import fellows
-    from wickhinge.net.start import main as start
+    from wickhinge.net.control import peer_transport
+    from wickhinge.net.control.start import main as start
 
-    fellows.clock = wrong(fellows.clock, json.loads(sys.argv[1]))
+    peer_transport.clock = wrong(peer_transport.clock, json.loads(sys.argv[1]))
     return start()
 
 
--- a/wickhinge/lab/many/stands.py
+++ b/wickhinge/lab/many/stands.py
@@ -16,8 +16,9 @@
 from typing import Any
 
 from wickhinge.decide import Cold
-from wickhinge.net import msgpack, resp
-from wickhinge.net.buffers import Body, Pool
+from wickhinge.net.downstream import msgpack
+from wickhinge.net.runtime.buffers import Body, Pool
+from wickhinge.net.upstream import resp
 
 HOST = "127.0.0.1"
 WORK = 0.1  # seconds of sending for each visit
--- a/wickhinge/membership/talk.py
+++ b/wickhinge/membership/talk.py
@@ -9,8 +9,8 @@
 from twisted.internet.protocol import Factory, Protocol
 from twisted.python.failure import Failure
 
+from wickhinge.common.connector import Dial
 from wickhinge.membership import siblings
-from wickhinge.net.dial import Dial
 
 WITHIN = 2.0  # seconds for the whole of it
 AT_ONCE = 8  # siblings answered at a time; a fleet that restarts asks again
--- /dev/null
+++ b/wickhinge/net/control/__init__.py
@@ -0,0 +1,1 @@
+"""The router process: configuration, endpoint list, start, and the optional subsystems."""
--- a/wickhinge/net/journal.py
+++ b/wickhinge/net/control/endpoint_watch.py
@@ -9,9 +9,9 @@
 from twisted.internet.protocol import Protocol
 from twisted.python.failure import Failure
 
-from wickhinge.net.deadlines import Deadlines
-from wickhinge.net.dial import Dial
-from wickhinge.net.patience import receive
+from wickhinge.common.connector import Dial
+from wickhinge.common.failed_calls import receive
+from wickhinge.net.runtime.deadlines import Deadlines
 
 HEAD = Struct(">IQB")
 RECORD = Struct(">IIHBBBHIQ")
--- a/wickhinge/net/opening.py
+++ b/wickhinge/net/control/readiness.py
@@ -13,8 +13,8 @@
 from select import POLLIN, poll
 from typing import Any
 
-from wickhinge.net.journal import QUIET
-from wickhinge.net.listener import Listener
+from wickhinge.net.control.endpoint_watch import QUIET
+from wickhinge.net.downstream.listener import Listener
 
 BACKLOG = 1024
 # The service writes a frame each second. One that told nothing for so long is away, and by the rest of the router's
--- a/wickhinge/net/router.py
+++ b/wickhinge/net/control/router_process.py
@@ -11,20 +11,20 @@
 
 from wickhinge import settings
 from wickhinge.clocks import WallClockWatch, monotonic, wall
+from wickhinge.common.failed_calls import failed_calls
 from wickhinge.fields import Malformed
 from wickhinge.interface import Listing
-from wickhinge.net import config
-from wickhinge.net.accept import Clients
-from wickhinge.net.buffers import SIZE, Pool
-from wickhinge.net.caches import Caches
-from wickhinge.net.deadlines import Deadlines
-from wickhinge.net.descriptors import bounds
-from wickhinge.net.forwards import Forwards
-from wickhinge.net.journal import Journal
-from wickhinge.net.log import Log
-from wickhinge.net.opening import Opening
-from wickhinge.net.patience import failed_calls
-from wickhinge.net.visits import Visits
+from wickhinge.net.control import config
+from wickhinge.net.control.endpoint_watch import Journal
+from wickhinge.net.control.readiness import Opening
+from wickhinge.net.downstream.client_connections import Clients
+from wickhinge.net.downstream.descriptors import bounds
+from wickhinge.net.downstream.request_table import Visits
+from wickhinge.net.runtime.buffers import SIZE, Pool
+from wickhinge.net.runtime.deadlines import Deadlines
+from wickhinge.net.runtime.log import Log
+from wickhinge.net.upstream.attempts import Forwards
+from wickhinge.net.upstream.connection_pools import Caches
 
 STATES = ("ready", "draining", "gone")
 PROBE_WITHIN = 0.25  # where the settings name no time limit of probes
@@ -86,28 +86,28 @@
         self.clients = Clients(self.visits, self.deadlines, descriptors.clients, self.log.event)
         self.copies: Any = None
         if options is not None and options.store.mode == "on":
-            from wickhinge.net import copies  # what is off costs nothing
+            from wickhinge.net.upstream import local_copies  # what is off costs nothing
 
-            self.copies = copies.make(
+            self.copies = local_copies.make(
                 options, reactor, self.deadlines, self.pool, config.link(conf), self.log.event, self.fault, self.others
             )
         self.router.copies = self.visits.copies = self.forwards.copies = self.copies
         self.members: Any = None
         if options is not None and options.discovery.mode == "on":
-            from wickhinge.net import members
+            from wickhinge.net.control import membership
 
-            self.members = members.make(options, conf_settings, self)
+            self.members = membership.make(options, conf_settings, self)
         self.forwards.members = self.members
         self.fellows: Any = None
         if options is not None and options.peers.mode == "on":
-            from wickhinge.net import fellows
+            from wickhinge.net.control import peer_transport
 
-            self.fellows = fellows.make(options, config.name(conf), self)
+            self.fellows = peer_transport.make(options, config.name(conf), self)
         self.changes: Any = None
         if options is not None and options.changelog.mode == "on":
-            from wickhinge.net import changes
+            from wickhinge.net.control import changelog_client
 
-            self.changes = changes.make(options.changelog, config.name(conf), self)
+            self.changes = changelog_client.make(options.changelog, config.name(conf), self)
         last, events = config.known(conf)
         self.journal = Journal(
             reactor,
--- a/wickhinge/net/start.py
+++ b/wickhinge/net/control/start.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 from wickhinge.fields import Malformed
-from wickhinge.net import deferred_imports
+from wickhinge.net.runtime import deferred_imports
 
 UNUSABLE = 2  # exit code: settings, options or the address cannot be used
 
@@ -25,12 +25,12 @@
     deferred_imports.install()
     from twisted.internet.main import installReactor
 
-    from wickhinge.net.loop import Reactor
+    from wickhinge.net.runtime.loop import Reactor
 
     reactor = Reactor()
     installReactor(reactor)
-    from wickhinge.net import config
-    from wickhinge.net.router import Node
+    from wickhinge.net.control import config
+    from wickhinge.net.control.router_process import Node
 
     path = path or os.environ.get("WICKHINGE_OPTIONS")
     try:
--- /dev/null
+++ b/wickhinge/net/downstream/__init__.py
@@ -0,0 +1,1 @@
+"""Clients: their connections, the requests on them, and the answers."""
--- a/wickhinge/net/accept.py
+++ b/wickhinge/net/downstream/client_connections.py
@@ -10,12 +10,12 @@
 from twisted.internet.protocol import Factory, Protocol
 from twisted.python.failure import Failure
 
-from wickhinge.net import msgpack
-from wickhinge.net.buffers import Body
-from wickhinge.net.deadlines import Deadlines
-from wickhinge.net.descriptors import Admission
-from wickhinge.net.patience import receive, waiting
-from wickhinge.net.visits import Bad, Visits
+from wickhinge.common.failed_calls import receive, waiting
+from wickhinge.net.downstream import msgpack
+from wickhinge.net.downstream.descriptors import Admission
+from wickhinge.net.downstream.request_table import Bad, Visits
+from wickhinge.net.runtime.buffers import Body
+from wickhinge.net.runtime.deadlines import Deadlines
 
 OPEN = 32  # requests open on a connection, as clients are told
 STUCK = 5.0  # seconds without a byte taken by a client that has answers to read
--- a/wickhinge/net/listener.py
+++ b/wickhinge/net/downstream/listener.py
@@ -18,9 +18,9 @@
 from twisted.internet.tcp import Port
 from twisted.python.failure import Failure
 
-from wickhinge.net.accept import Clients
-from wickhinge.net.patience import NO_DESCRIPTOR, failed_calls
-from wickhinge.net.transport import Incoming
+from wickhinge.common.failed_calls import NO_DESCRIPTOR, failed_calls
+from wickhinge.net.downstream.client_connections import Clients
+from wickhinge.net.runtime.transport import Incoming
 
 FAILURES = 4  # in a row, after which the loop goes on first
 AGAIN = 0.01  # seconds until the next try, where the system had no memory or no descriptor
--- a/wickhinge/net/request_log.py
+++ b/wickhinge/net/downstream/request_log.py
@@ -10,7 +10,7 @@
 from enum import Enum
 from typing import Any
 
-from wickhinge.net import resp
+from wickhinge.net.upstream import resp
 
 SAMPLED = 32  # one served request of so many leaves its steps in the log
 LINES_A_SECOND = 20.0  # of requests that were not served
--- a/wickhinge/net/visits.py
+++ b/wickhinge/net/downstream/request_table.py
@@ -7,11 +7,11 @@
 from typing import Any
 
 from wickhinge.interface import Effect, Refusal, Request
-from wickhinge.net.buffers import Body, Pool
-from wickhinge.net.deadlines import Deadlines
-from wickhinge.net.forwards import Forwards
-from wickhinge.net.request_log import SERVED, RequestLog, RequestTrace, Step
-from wickhinge.net.slots import Slots
+from wickhinge.net.downstream.request_log import SERVED, RequestLog, RequestTrace, Step
+from wickhinge.net.runtime.buffers import Body, Pool
+from wickhinge.net.runtime.deadlines import Deadlines
+from wickhinge.net.runtime.slots import Slots
+from wickhinge.net.upstream.attempts import Forwards
 
 HEX = re.compile(r"[0-9a-f]{16}\Z").match
 MARK = re.compile(r"[0-9A-Za-z_-]{1,64}\Z").match  # nothing that parts fields on the way to a cache
--- a/wickhinge/net/deadlines.py
+++ b/wickhinge/net/runtime/deadlines.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 from wickhinge.clocks import steady
-from wickhinge.net.arrivals import STOOD_STILL
+from wickhinge.net.runtime.arrivals import STOOD_STILL
 
 TICK = 0.002  # seconds; the kernel's timer counts in milliseconds
 
--- a/wickhinge/net/loop.py
+++ b/wickhinge/net/runtime/loop.py
@@ -11,10 +11,10 @@
 from twisted.internet.epollreactor import EPollReactor
 
 from wickhinge.clocks import monotonic, steady
-from wickhinge.net.arrivals import LONGEST_WAIT, SOON, Arrivals
-from wickhinge.net.patience import failed_calls
-from wickhinge.net.standstill import Standstills
-from wickhinge.net.transport import Connector
+from wickhinge.common.failed_calls import failed_calls
+from wickhinge.net.runtime.arrivals import LONGEST_WAIT, SOON, Arrivals
+from wickhinge.net.runtime.event_loop_stalls import Standstills
+from wickhinge.net.runtime.transport import Connector
 
 AT_ONCE = 8  # descriptors served before the deadlines have their turn again; the kernel goes on in order
 BEHIND = 0.1  # seconds for which sockets may not have been looked at, before what orders the rest is read first
--- a/wickhinge/net/transport.py
+++ b/wickhinge/net/runtime/transport.py
@@ -9,7 +9,7 @@
 from twisted.internet.error import ConnectionDone
 from twisted.python.failure import Failure
 
-from wickhinge.net.patience import failed_calls, patiently, receive
+from wickhinge.common.failed_calls import failed_calls, patiently, receive
 
 
 class Enduring:
--- a/wickhinge/net/ends.py
+++ b/wickhinge/net/upstream/attempt_results.py
@@ -8,8 +8,8 @@
 from twisted.internet import error
 from twisted.python.failure import Failure
 
+from wickhinge.common.failed_calls import OURS
 from wickhinge.interface import Outcome
-from wickhinge.net.patience import OURS
 
 
 class End(Enum):
--- a/wickhinge/net/forwards.py
+++ b/wickhinge/net/upstream/attempts.py
@@ -7,12 +7,12 @@
 
 from wickhinge.clocks import OthersTime
 from wickhinge.interface import Note, Outcome
-from wickhinge.net import resp
-from wickhinge.net.caches import Caches
-from wickhinge.net.deadlines import Deadlines
-from wickhinge.net.ends import OUTCOMES, WORDS, End
-from wickhinge.net.request_log import Step
-from wickhinge.net.slots import Slots
+from wickhinge.net.downstream.request_log import Step
+from wickhinge.net.runtime.deadlines import Deadlines
+from wickhinge.net.runtime.slots import Slots
+from wickhinge.net.upstream import resp
+from wickhinge.net.upstream.attempt_results import OUTCOMES, WORDS, End
+from wickhinge.net.upstream.connection_pools import Caches
 
 PROBED = (End.UP, End.DOWN)
 PROMPT = 0.005  # seconds from a look at client, time and list to the write: past it they are looked at again
--- a/wickhinge/net/caches.py
+++ b/wickhinge/net/upstream/connection_pools.py
@@ -10,13 +10,13 @@
 from twisted.internet.protocol import Protocol
 from twisted.python.failure import Failure
 
-from wickhinge.net import resp
-from wickhinge.net.buffers import Body, Pool
-from wickhinge.net.deadlines import Deadlines
-from wickhinge.net.descriptors import CLOSING
-from wickhinge.net.dial import Dial
-from wickhinge.net.ends import End, unconnected
-from wickhinge.net.patience import patiently, waiting
+from wickhinge.common.connector import Dial
+from wickhinge.common.failed_calls import patiently, waiting
+from wickhinge.net.downstream.descriptors import CLOSING
+from wickhinge.net.runtime.buffers import Body, Pool
+from wickhinge.net.runtime.deadlines import Deadlines
+from wickhinge.net.upstream import resp
+from wickhinge.net.upstream.attempt_results import End, unconnected
 
 LINES = 4  # connections to one machine
 SHARED = 2  # requests on each before another is opened: one spoilt answer takes all with it
--- a/wickhinge/net/copies.py
+++ b/wickhinge/net/upstream/local_copies.py
@@ -7,9 +7,9 @@
 
 from wickhinge.clocks import OthersTime
 from wickhinge.interface import Effect
-from wickhinge.net.buffers import Body, Pool
-from wickhinge.net.deadlines import Deadlines
-from wickhinge.net.slots import Slots
+from wickhinge.net.runtime.buffers import Body, Pool
+from wickhinge.net.runtime.deadlines import Deadlines
+from wickhinge.net.runtime.slots import Slots
 from wickhinge.store.link import Link
 from wickhinge.store.store import Store
 from wickhinge.store.store import make as make_store
--- a/wickhinge/net/resp.py
+++ b/wickhinge/net/upstream/resp.py
@@ -4,7 +4,7 @@
 
 import re
 
-from wickhinge.net.buffers import Body, Pool
+from wickhinge.net.runtime.buffers import Body, Pool
 
 LINE = 32  # of a length line
 SHORT = 4096  # of an item that is no body
