--- a/bench/fleet.py
+++ b/bench/fleet.py
@@ -22,7 +22,7 @@
 from twisted.internet import protocol, reactor, task
 from xxhash import xxh3_64_digest, xxh3_64_intdigest
 
-from wickhinge.net.control.endpoint_watch import GROUP, HEAD, OBJECT, RECORD
+from wickhinge.net.control.endpoint_watch import ENDPOINT_RECORD, FRAME_HEADER, GROUP_PURGE, OBJECT_PURGE
 from wickhinge.net.downstream import msgpack
 from wickhinge.net.runtime.buffers import Body, Pool
 from wickhinge.net.upstream import resp
@@ -83,13 +83,13 @@
         now = time.time()
         self.purges.append((key, group, now, {one: self.version(one) for one in changed}))
         stamp = int(now * 1000)
-        self.tell(3, OBJECT.pack(key, stamp)) if key is not None else self.tell(4, GROUP.pack(group, stamp))
+        self.tell(3, OBJECT_PURGE.pack(key, stamp)) if key is not None else self.tell(4, GROUP_PURGE.pack(group, stamp))
 
     # The journal service.
 
     def tell(self, kind: int, payload: bytes) -> None:
         number = len(self.frames) + 1
-        self.frames.append(HEAD.pack(9 + len(payload), number, kind) + payload)
+        self.frames.append(FRAME_HEADER.pack(9 + len(payload), number, kind) + payload)
         for reader in self.readers:
             reader.transport.write(self.frames[-1])
 
@@ -149,7 +149,7 @@
 
     def record(self, place: int) -> bytes:
         kind = self.kinds[place - 1]
-        return RECORD.pack(
+        return ENDPOINT_RECORD.pack(
             self.marks[place - 1],
             int.from_bytes(socket.inet_aton(HOST)),
             self.base + place,
@@ -210,7 +210,7 @@
             self.beat.start(1.0)
 
     def nothing(self) -> None:
-        self.transport.write(HEAD.pack(9, len(self.world.frames), 0))
+        self.transport.write(FRAME_HEADER.pack(9, len(self.world.frames), 0))
 
     def connectionLost(self, reason: Any = None) -> None:
         self.world.readers.discard(self)
--- a/bench/scale/fleet_flat.py
+++ b/bench/scale/fleet_flat.py
@@ -20,7 +20,7 @@
 from bench.scale.fleet_network import Network, is_cut
 from bench.scale.fleet_recorder import Recorder
 from bench.scale.fleet_records import SAMPLE_S, Plan, Router, read, write
-from wickhinge.net.control.endpoint_watch import Journal, Reading
+from wickhinge.net.control.endpoint_watch import EndpointRecord, EndpointWatch, WatchConnection, WatchSettings
 from wickhinge.net.runtime.deadlines import Deadlines
 
 CONNECT_WITHIN_S = 0.4
@@ -41,8 +41,8 @@
         self.bytes = received + IP_AND_TCP * (segments_out + segments_in)
 
 
-class CutJournal(Journal):
-    """A journal whose connection stands still, and does not come up again, while `cut()`."""
+class CutWatch(EndpointWatch):
+    """A watch whose connection stands still, and does not come up again, while `cut()`."""
 
     def __init__(self, *arguments: Any, group: FlatGroup, router: Router) -> None:
         super().__init__(*arguments)
@@ -56,45 +56,65 @@
             return False
         return is_cut(schedule.cuts, SERVICE_REGION, self._router.region, time.monotonic())
 
-    def start(self, after: int | None = None) -> None:
+    def start(self, after_round: int | None = None) -> None:
         if not self.cut():
-            super().start(after)
+            super().start(after_round)
             return
-        if after in (None, self.round):
-            self.round += 1
-            self.deadlines.after(CONNECT_WITHIN_S, self.again, "no answer", self.round)
+        if after_round in (None, self.connect_round):
+            self.connect_round += 1
+            self.deadlines.after(CONNECT_WITHIN_S, self.retry, "no answer", self.connect_round)
 
-    def connected(self, reading: Reading, told: int) -> None:
-        super().connected(reading, told)
+    def connected(self, connection: WatchConnection) -> None:
+        super().connected(connection)
         self.connections += 1
 
-    def drop(self, reading: Reading, why: str) -> None:
-        self._count_ended(reading)
-        super().drop(reading, why)
+    def drop(self, connection: WatchConnection, reason: str) -> None:
+        self._count_ended(connection)
+        super().drop(connection, reason)
 
-    def read(self, reading: Reading, data: bytes) -> None:
+    def read(self, connection: WatchConnection, data: bytes) -> None:
         if self.cut():
-            reading.transport.pauseProducing()
+            connection.transport.pauseProducing()
             return
-        super().read(reading, data)
+        super().read(connection, data)
 
-    def frame(self, number: int, kind: int, payload: bytes) -> None:
+    def take_frame(self, number: int, kind: int, payload: bytes) -> None:
         self.frames += 1
-        super().frame(number, kind, payload)
+        super().take_frame(number, kind, payload)
 
     def bytes_so_far(self) -> int:
-        return self._former_bytes + (0 if self.reading is None else self._bytes_of(self.reading))
+        return self._former_bytes + (0 if self.connection is None else self._bytes_of(self.connection))
 
-    def _count_ended(self, reading: Reading) -> None:
-        self._former_bytes += self._bytes_of(reading)
+    def _count_ended(self, connection: WatchConnection) -> None:
+        self._former_bytes += self._bytes_of(connection)
 
-    def _bytes_of(self, reading: Reading) -> int:
+    def _bytes_of(self, connection: WatchConnection) -> int:
         try:
-            return TcpTotals(reading.transport.getHandle()).bytes
+            return TcpTotals(connection.transport.getHandle()).bytes
         except OSError:
             return 0
 
 
+class RecordingListener:
+    """Records when a router heard of each event."""
+
+    def __init__(self, recorder: Recorder, place: int) -> None:
+        self._recorder, self._place = recorder, place
+        self.watch: CutWatch | None = None  # known once it is made
+
+    def endpoints_changed(self, records: list[EndpointRecord], *, complete: bool) -> None:
+        self._applied(-records[0].mark)
+
+    def purged(self, key: int | None, group: int, stamp_ms: int) -> None:
+        self._applied(key)
+
+    def caught_up(self) -> None:
+        pass
+
+    def _applied(self, identity: int | None) -> None:
+        self._recorder.applied(self._place, self.watch.last_number + 1, identity, time.monotonic())
+
+
 class FlatGroup:
     """The routers of one process, sampled every SAMPLE_S until the schedule's end."""
 
@@ -105,34 +125,22 @@
         self._recorder = Recorder(plan.groups[place])
         self._began = [False] * len(plan.groups[place])
         deadlines = Deadlines(reactor, lambda text: print(text, file=sys.stderr))
-        self._journals = [self._journal(number, one, deadlines) for number, one in enumerate(plan.groups[place])]
+        self._watches = [self._watch(number, one, deadlines) for number, one in enumerate(plan.groups[place])]
         self._ready = False
 
-    def _journal(self, place: int, router: Router, deadlines: Deadlines) -> CutJournal:
-        def told_list(whole: bool, machines: list[tuple[int, ...]]) -> None:
-            self._recorder.applied(place, journal.last + 1, -machines[0][0], time.monotonic())
-
-        def told_purge(key: int | None, group: int, stamp_ms: int) -> None:
-            self._recorder.applied(place, journal.last + 1, key, time.monotonic())
-
-        journal = CutJournal(
-            self._reactor,
-            deadlines,
-            (self._plan.service_host, self._plan.service_port),
-            0,
-            CONNECT_WITHIN_S,
-            told_list,
-            told_purge,
-            lambda event, **fields: None,
-            group=self,
-            router=router,
+    def _watch(self, place: int, router: Router, deadlines: Deadlines) -> CutWatch:
+        settings = WatchSettings((self._plan.service_host, self._plan.service_port), 0, CONNECT_WITHIN_S)
+        recording = RecordingListener(self._recorder, place)
+        watch = CutWatch(
+            self._reactor, deadlines, settings, recording, lambda event, **fields: None, group=self, router=router
         )
-        return journal
+        recording.watch = watch
+        return watch
 
     def start(self) -> None:
         self.network.watch_for_schedule(self._reactor)
-        for journal in self._journals:
-            journal.start()
+        for watch in self._watches:
+            watch.start()
         self._sample()
 
     def _sample(self) -> None:
@@ -142,12 +150,12 @@
             self._reactor.stop()
             return
         self._reactor.callLater(SAMPLE_S, self._sample)
-        if not self._ready and all(journal.reading is not None for journal in self._journals):
+        if not self._ready and all(watch.connection is not None for watch in self._watches):
             self._ready = True
             print(READY, flush=True)
         if schedule is not None:
-            messages = [journal.frames + journal.connections for journal in self._journals]
-            sizes = [journal.bytes_so_far() for journal in self._journals]
+            messages = [watch.frames + watch.connections for watch in self._watches]
+            sizes = [watch.bytes_so_far() for watch in self._watches]
             # The present design sets no limit where it has heard nothing for long: any copy passes.
             self._recorder.sample(now, [None] * len(sizes), messages, sizes)
 
--- a/bench/scale/fleet_service.py
+++ b/bench/scale/fleet_service.py
@@ -17,7 +17,14 @@
 from bench.scale.fleet_caches import machine_records
 from bench.scale.fleet_network import Network
 from bench.scale.fleet_records import Change, Plan, read, write
-from wickhinge.net.control.endpoint_watch import CHANGES, HEAD, NOTHING, NUMBER, OBJECT, PURGED_OBJECT, RECORD, WHOLE
+from wickhinge.net.control.endpoint_watch import (
+    ENDPOINT_RECORD,
+    EVENT_NUMBER,
+    FRAME_HEADER,
+    MIN_FRAME_BYTES,
+    OBJECT_PURGE,
+    FrameKind,
+)
 
 BEAT_S = 1.0
 TURN_S = 0.005
@@ -27,7 +34,7 @@
 
 
 def frame(number: int, kind: int, payload: bytes = b"") -> bytes:
-    return HEAD.pack(HEAD.size - 4 + len(payload), number, kind) + payload
+    return FRAME_HEADER.pack(MIN_FRAME_BYTES + len(payload), number, kind) + payload
 
 
 class Watcher(Protocol):
@@ -40,10 +47,10 @@
         self.transport.setTcpNoDelay(True)
 
     def dataReceived(self, data: bytes) -> None:
-        if len(self._asked) < NUMBER.size:
+        if len(self._asked) < EVENT_NUMBER.size:
             self._asked += data
-            if len(self._asked) >= NUMBER.size:
-                self._service.watch(self, NUMBER.unpack(self._asked[: NUMBER.size])[0])
+            if len(self._asked) >= EVENT_NUMBER.size:
+                self._service.watch(self, EVENT_NUMBER.unpack(self._asked[: EVENT_NUMBER.size])[0])
 
     def connectionLost(self, reason: Any) -> None:
         self._service.watchers.discard(self)
@@ -55,7 +62,7 @@
     def __init__(self, plan: Plan, reactor: Any) -> None:
         self._plan, self._reactor, self._network = plan, reactor, Network(plan)
         self.watchers: set[Watcher] = set()
-        self._frames = [frame(1, WHOLE, machine_records(plan.caches_port))]
+        self._frames = [frame(1, FrameKind.ALL_ENDPOINTS, machine_records(plan.caches_port))]
         self._truth: list[Change] = []
         self._purges = self._settings = 0
 
@@ -73,12 +80,12 @@
 
     def watch(self, watcher: Watcher, number: int) -> None:
         missed = self._frames[number:]
-        watcher.transport.write(b"".join(missed) + frame(len(self._frames), NOTHING))
+        watcher.transport.write(b"".join(missed) + frame(len(self._frames), FrameKind.NO_MORE_EVENTS))
         self.watchers.add(watcher)
 
     def _beat(self) -> None:
         self._reactor.callLater(BEAT_S, self._beat)
-        self._tell(frame(len(self._frames), NOTHING))
+        self._tell(frame(len(self._frames), FrameKind.NO_MORE_EVENTS))
 
     def _tell(self, data: bytes) -> None:
         for watcher in self.watchers:
@@ -98,11 +105,13 @@
         if self._purges < elapsed * self._plan.rate_flat:
             self._purges += 1
             due = schedule.start + self._purges / self._plan.rate_flat
-            payload = OBJECT.pack(self._purges, int(time.time() * 1000))
-            self._make(PURGED_OBJECT, payload, self._purges, min(due, now))
+            payload = OBJECT_PURGE.pack(self._purges, int(time.time() * 1000))
+            self._make(FrameKind.OBJECT_PURGED, payload, self._purges, min(due, now))
         if self._settings < elapsed * self._plan.settings_rate:
             self._settings += 1
-            self._make(CHANGES, RECORD.pack(self._settings, *NO_ADDRESS), -self._settings, now)
+            self._make(
+                FrameKind.CHANGED_ENDPOINTS, ENDPOINT_RECORD.pack(self._settings, *NO_ADDRESS), -self._settings, now
+            )
 
     def _make(self, kind: int, payload: bytes, identity: int, asked: float) -> None:
         """`asked`: when it was due, so that a service that can't keep up shows it."""
--- a/bench/scale/watching.py
+++ b/bench/scale/watching.py
@@ -20,26 +20,23 @@
 
 def frame(number: int) -> bytes:
     """A purge of one object, as the service writes it."""
-    payload = endpoint_watch.OBJECT.pack(number * 7919, 1_700_000_000_000 + number)
-    return endpoint_watch.HEAD.pack(9 + len(payload), number, endpoint_watch.PURGED_OBJECT) + payload
+    payload = endpoint_watch.OBJECT_PURGE.pack(number * 7919, 1_700_000_000_000 + number)
+    return endpoint_watch.FRAME_HEADER.pack(9 + len(payload), number, endpoint_watch.FrameKind.OBJECT_PURGED) + payload
 
 
-def watching() -> tuple[endpoint_watch.Journal, Any]:
+def watching() -> tuple[endpoint_watch.EndpointWatch, Any]:
     """A router's watch without a socket, and the connection that hands it bytes."""
     purges, clock = Purges(DONE_WITHIN), SimpleNamespace(now=lambda: 0.0, after=lambda *told: None)
-    one = endpoint_watch.Journal(
-        None,
-        clock,
-        (HOST, 1),
-        0,
-        1.0,
-        lambda whole, records: None,
-        lambda key, group, stamp: purges.told(key, group, stamp / 1000, stamp / 1000),
-        lambda event, **told: None,
+    listener = SimpleNamespace(
+        endpoints_changed=lambda records, *, complete: None,
+        purged=lambda key, group, stamp: purges.told(key, group, stamp / 1000, stamp / 1000),
+        caught_up=lambda: None,
     )
-    reading = endpoint_watch.Reading(one, 0)
-    one.reading = reading
-    return one, reading
+    settings = endpoint_watch.WatchSettings((HOST, 1), 0, 1.0)
+    watch = endpoint_watch.EndpointWatch(None, clock, settings, listener, lambda event, **fields: None)
+    connection = endpoint_watch.WatchConnection(watch, 0)
+    watch.connection = connection
+    return watch, connection
 
 
 def cpu_of_a_second(purges: int) -> float:
--- a/tests/membership/test_membership.py
+++ b/tests/membership/test_membership.py
@@ -18,7 +18,7 @@
 from wickhinge.membership.members import Members
 from wickhinge.membership.statements import GONE_MOST, LIVE, REMEMBERED, SIBLING, STATIC, Book, Statement
 from wickhinge.membership.trust import LONGEST, Proving, Stage, Terms
-from wickhinge.net.control.endpoint_watch import Unreadable
+from wickhinge.net.control.endpoint_watch import MalformedFrameError
 
 DAY = 86400.0
 
@@ -517,12 +517,12 @@
 def test_numbers_that_start_anew_or_with_a_gap_are_all_asked_for_again(frames, last):
     made, told = reading(0)
     up = []
-    made.caught_up = lambda: up.append(made.unbroken)
-    made.resume(7)
+    made.listener.caught_up = lambda: up.append(made.is_unbroken)
+    made.resume_list(7)
     for number, kind in frames:
         if last:
-            made.frame(number, kind, b"")
+            made.take_frame(number, kind, b"")
         else:
-            with pytest.raises(Unreadable):
-                made.frame(number, kind, b"")
-    assert made.last == last and made.unbroken is bool(last) and up == ([True] if frames == [(7, 0)] else [])
+            with pytest.raises(MalformedFrameError):
+                made.take_frame(number, kind, b"")
+    assert made.last_number == last and made.is_unbroken is bool(last) and up == ([True] if frames == [(7, 0)] else [])
--- a/tests/net/test_clock_wrong_at_start.py
+++ b/tests/net/test_clock_wrong_at_start.py
@@ -23,7 +23,7 @@
 def purge(made, key=KEY):
     """Tells of a purge, by default of the object that clients ask for; its time of day by the right clock."""
     stamp = unix_ms()
-    made.tell(endpoint_watch.PURGED_OBJECT, endpoint_watch.OBJECT.pack(key, stamp))
+    made.tell(endpoint_watch.FrameKind.OBJECT_PURGED, endpoint_watch.OBJECT_PURGE.pack(key, stamp))
     made.router.wait('"event":"purge"')
     return stamp
 
@@ -77,7 +77,7 @@
 def records(places, started):
     """All machines as the discovery service names them; the first was started then."""
     return b"".join(
-        endpoint_watch.RECORD.pack(
+        endpoint_watch.ENDPOINT_RECORD.pack(
             0xA1 + place,
             0x7F000001,
             made.getsockname()[1],
@@ -100,7 +100,7 @@
     service has to: an answer's time may be spoilt.
     """
     made, _ = faulty(before=lambda shim: shim.step_wall_clock(off))
-    made.tell(endpoint_watch.WHOLE, records(made.places, unix_ms() - int(age * 1000)))
+    made.tell(endpoint_watch.FrameKind.ALL_ENDPOINTS, records(made.places, unix_ms() - int(age * 1000)))
     made.router.wait('"event":"list"')
     client = made.client()
     client.ask("pages", block="7")
--- a/tests/net/test_crossings.py
+++ b/tests/net/test_crossings.py
@@ -62,7 +62,7 @@
     late, client = made.shut(0), made.client()
     call = client.ask(budget="6000")
     assert client.ping()
-    made.tell(3, endpoint_watch.OBJECT.pack(OBJECT, int(time.time() * 1000) - 1))
+    made.tell(3, endpoint_watch.OBJECT_PURGE.pack(OBJECT, int(time.time() * 1000) - 1))
     made.router.wait('"event":"purge"')
     asked = late().next()
     assert int(asked.fields["maxage"]) < 2000  # without a purge it is not named: the fresh time of the tariff
@@ -190,7 +190,7 @@
 
     def close(self):
         gc.enable()
-        self.node.journal.close()
+        self.node.endpoint_watch.close()
         self.node.opening.close()
         self.box.close()
 
--- a/tests/net/test_net.py
+++ b/tests/net/test_net.py
@@ -148,24 +148,27 @@
 
 
 def frame(number, kind, payload=b""):
-    return endpoint_watch.HEAD.pack(9 + len(payload), number, kind) + payload
+    return endpoint_watch.FRAME_HEADER.pack(9 + len(payload), number, kind) + payload
 
 
-RECORD = endpoint_watch.RECORD.pack(0xC41F7A, 0x7F000009, 10080, 1, 2, 0, 3, 4500, 1764576000123)
+RECORD = endpoint_watch.ENDPOINT_RECORD.pack(0xC41F7A, 0x7F000009, 10080, 1, 2, 0, 3, 4500, 1764576000123)
 
 
 def test_journal_frames_at_every_split():
     data = (
         frame(41, 1, RECORD)
         + frame(41, 0)
-        + frame(42, 3, endpoint_watch.OBJECT.pack(9, 8))
-        + frame(43, 4, endpoint_watch.GROUP.pack(17, 6))
+        + frame(42, 3, endpoint_watch.OBJECT_PURGE.pack(9, 8))
+        + frame(43, 4, endpoint_watch.GROUP_PURGE.pack(17, 6))
     )
     for split in range(len(data) + 1):
         made, told = reading()
-        made.read(made.reading, data[:split])
-        made.read(made.reading, data[split:])
-        assert told == [(True, endpoint_watch.records(RECORD)), (9, 0, 8), (None, 17, 6)] and made.last == 43
+        made.read(made.connection, data[:split])
+        made.read(made.connection, data[split:])
+        assert (
+            told == [(True, endpoint_watch.endpoint_records(RECORD)), (9, 0, 8), (None, 17, 6)]
+            and made.last_number == 43
+        )
 
 
 @pytest.mark.parametrize(
@@ -173,26 +176,26 @@
 )
 def test_journal_never_guesses_over_a_gap_or_a_bad_frame(data):
     made, told = reading()
-    made.read(made.reading, data)
-    assert told == ["dropped"] and made.last == 40 and made.reading is None
+    made.read(made.connection, data)
+    assert told == ["dropped"] and made.last_number == 40 and made.connection is None
 
 
 def test_an_event_written_twice_is_heard_once_and_costs_nothing():
     made, told = reading()
     for number in (40, 41, 41, 42, 41):
-        made.read(made.reading, frame(number, 4, endpoint_watch.GROUP.pack(number, 6)))
-    assert told == [(None, 41, 6), (None, 42, 6)] and made.last == 42
+        made.read(made.connection, frame(number, 4, endpoint_watch.GROUP_PURGE.pack(number, 6)))
+    assert told == [(None, 41, 6), (None, 42, 6)] and made.last_number == 42
 
 
 def test_a_journal_that_moved_is_asked_there_at_once_and_its_old_place_is_not_heard():
     made, told = reading()
     made.reactor = SimpleNamespace(connectTCP=lambda host, port, *_, **__: told.append(port))
-    old = made.reading
+    old = made.connection
     made.move(("127.0.0.1", 9))
     made.lost(old, "closed")
-    made.read(old, frame(41, 4, endpoint_watch.GROUP.pack(41, 6)))
+    made.read(old, frame(41, 4, endpoint_watch.GROUP_PURGE.pack(41, 6)))
     made.move(("127.0.0.1", 9))
-    assert told == ["dropped", 9] and made.last == 40
+    assert told == ["dropped", 9] and made.last_number == 40
 
 
 @pytest.mark.parametrize("limits", [{"memory_mb": 32, "sockets": 256}, {"memory_mb": 192, "sockets": 1024}])
--- a/tests/store/test_store.py
+++ b/tests/store/test_store.py
@@ -265,12 +265,12 @@
 
 def test_purges_are_told_again_and_lists_are_not():
     made, told = reading(5)
-    made.remembered(2)
+    made.resume_purges(2)
     up = []
-    made.caught_up = lambda: up.append(made.unbroken)
+    made.listener.caught_up = lambda: up.append(made.is_unbroken)
     for number in (3, 4, 5, 6):
-        made.frame(number, 1, b"") if number in (3, 6) else made.frame(number, 4, b"\x00\x07" + bytes(8))
-    made.frame(6, 0, b"")
+        made.take_frame(number, 1, b"") if number in (3, 6) else made.take_frame(number, 4, b"\x00\x07" + bytes(8))
+    made.take_frame(6, 0, b"")
     assert told == [(None, 7, 0), (None, 7, 0), (True, [])] and up == [True]
 
 
@@ -278,14 +278,14 @@
 def test_a_count_that_was_begun_anew_or_has_a_gap_proves_nothing(remembered, first):
     made, _ = reading(5)
     up = []
-    made.caught_up = lambda: up.append(made.unbroken)
-    made.remembered(remembered)
+    made.listener.caught_up = lambda: up.append(made.is_unbroken)
+    made.resume_purges(remembered)
     if first:
         with pytest.raises(Exception, match="after"):
-            made.frame(first, 4, b"\x00\x07" + bytes(8))
-    made.frame(5, 0, b"")
-    made.frame(3, 0, b"")  # a service that lost its count: nothing is caught up with
-    assert up == [False] and made.last == 5
+            made.take_frame(first, 4, b"\x00\x07" + bytes(8))
+    made.take_frame(5, 0, b"")
+    made.take_frame(3, 0, b"")  # a service that lost its count: nothing is caught up with
+    assert up == [False] and made.last_number == 5
 
 
 # What decide says may answer.
--- a/tests/support/connections.py
+++ b/tests/support/connections.py
@@ -57,17 +57,15 @@
 def reading(last=40):
     told = []
     clock = SimpleNamespace(after=lambda *_: None, now=lambda: 1.0)
-    made = endpoint_watch.Journal(
-        None,
-        clock,
-        ("127.0.0.1", 1),
-        last,
-        0.4,
-        lambda *a: told.append(a),
-        lambda *a: told.append(a),
-        lambda *a, **k: None,
+    listener = SimpleNamespace(
+        endpoints_changed=lambda records, *, complete: told.append((complete, records)),
+        purged=lambda *purge: told.append(purge),
+        caught_up=lambda: None,
     )
-    made.reading = SimpleNamespace(
-        stream=endpoint_watch.Stream(), transport=SimpleNamespace(abortConnection=lambda: told.append("dropped"))
+    made = endpoint_watch.EndpointWatch(
+        None, clock, endpoint_watch.WatchSettings(("127.0.0.1", 1), last, 0.4), listener, lambda *a, **k: None
+    )
+    made.connection = SimpleNamespace(
+        decoder=endpoint_watch.FrameDecoder(), transport=SimpleNamespace(abortConnection=lambda: told.append("dropped"))
     )
     return made, told
--- a/tests/support/router_process.py
+++ b/tests/support/router_process.py
@@ -192,7 +192,7 @@
         """What is told; the router may not have heard of it yet."""
         self.tell(
             2,
-            endpoint_watch.RECORD.pack(
+            endpoint_watch.ENDPOINT_RECORD.pack(
                 0xA1 + place,
                 0x7F000001,
                 self.places[place].getsockname()[1],
--- a/wickhinge/net/control/endpoint_watch.py
+++ b/wickhinge/net/control/endpoint_watch.py
@@ -1,10 +1,17 @@
-"""The journal service: numbered events as binary frames, taken up again at the last number had."""
+"""Watches the discovery service: numbered events as binary frames, resumed at the last number had.
+
+The service writes a frame at least once a second. A connection that is silent for longer, or that carries a gap or a
+malformed frame, is dropped, and the events after the last number are requested again on the next one.
+"""
 
 from __future__ import annotations
 
+import typing
 from collections.abc import Callable
+from dataclasses import dataclass
+from enum import IntEnum
 from struct import Struct
-from typing import Any
+from typing import Any, NamedTuple
 
 from twisted.internet.protocol import Protocol
 from twisted.python.failure import Failure
@@ -13,256 +20,353 @@
 from wickhinge.common.failed_calls import receive
 from wickhinge.net.runtime.deadlines import Deadlines
 
-HEAD = Struct(">IQB")
-RECORD = Struct(">IIHBBBHIQ")
-OBJECT = Struct(">QQ")
-GROUP = Struct(">HQ")
-NUMBER = Struct(">Q")
-LONGEST = 9 + RECORD.size * 8192
-NOTHING, WHOLE, CHANGES, PURGED_OBJECT, PURGED_GROUP = range(5)
-QUIET = 1.6  # seconds without a frame, one of which comes each second: the connection is dead
-AGAIN = 0.15  # seconds before the next try
-READ = 65536  # bytes of one read
-READS = 32  # in one look
-SETTLED = 0.01  # seconds at least after what came last, before the service is asked whether that was all
+FRAME_HEADER = Struct(">IQB")  # length of what follows the length, event number, kind
+ENDPOINT_RECORD = Struct(">IIHBBBHIQ")  # as EndpointRecord
+OBJECT_PURGE = Struct(">QQ")  # object key, Unix milliseconds
+GROUP_PURGE = Struct(">HQ")  # group, Unix milliseconds
+EVENT_NUMBER = Struct(">Q")
+LENGTH_BYTES = 4
+MIN_FRAME_BYTES = FRAME_HEADER.size - LENGTH_BYTES
+MAX_FRAME_BYTES = MIN_FRAME_BYTES + ENDPOINT_RECORD.size * 8192
+SILENCE_LIMIT_S = 1.6  # without a frame, one of which comes each second: the connection is dead
+SILENCE_TOLERANCE_S = 0.001  # by which a deadline may be early
+RETRY_INTERVAL_S = 0.15  # where no list of addresses says when to try next
+READ_BYTES = 65536
+MAX_READS = 32  # of READ_BYTES each, in one call of `read_pending`
+MIN_SETTLE_S = 0.01  # after the latest event, before the service is asked whether that was all
+
+Address = tuple[str, int]
+
+
+class FrameKind(IntEnum):
+    """What a frame of the service tells."""
+
+    NO_MORE_EVENTS = 0
+    ALL_ENDPOINTS = 1
+    CHANGED_ENDPOINTS = 2
+    OBJECT_PURGED = 3
+    GROUP_PURGED = 4
+
+
+class MalformedFrameError(Exception):
+    """No frame that may follow; the message names the fault."""
+
+
+class Frame(NamedTuple):
+    """One event; `kind` is as it was received and may be none of FrameKind."""
+
+    number: int
+    kind: int
+    payload: bytes
+
+
+class EndpointRecord(NamedTuple):
+    """One endpoint of a list; `state`, `zone` and `kind` are places in the settings' lists of names."""
+
+    mark: int
+    address: int
+    port: int
+    state: int
+    zone: int
+    kind: int
+    cell: int
+    weight_thousandths: int
+    started_ms: int
+
+
+class WatchListener(typing.Protocol):
+    """Hears each event once, in order of the numbers."""
+
+    def endpoints_changed(self, records: list[EndpointRecord], *, complete: bool) -> None:
+        """Called with all endpoints there are where complete is true, else with those that changed."""
+
+    def purged(self, key: int | None, group: int, stamp_ms: int) -> None:
+        """Called for a purge of one object; of the whole group where key is None."""
+
+    def caught_up(self) -> None:
+        """Called when the service has no event that was not told."""
+
+
+class ServiceAddresses(typing.Protocol):
+    """The addresses of a service, in turn."""
 
+    def failed(self) -> tuple[Address, float]:
+        """Called when an attempt failed; returns the next address and the seconds until it is tried."""
 
-class Unreadable(Exception):
-    """No such frame; the text names the fault."""
 
+@dataclass(frozen=True, slots=True)
+class WatchSettings:
+    """Where an EndpointWatch connects, and after which event it begins."""
 
-class Stream:
-    """Frames out of bytes at any split: (number, kind, payload)."""
+    address: Address
+    last_number: int
+    connect_timeout_s: float
+    addresses: ServiceAddresses | None = None  # None: `address` alone, every RETRY_INTERVAL_S
+
+
+class FrameDecoder:
+    """Frames out of bytes at any split."""
 
     def __init__(self) -> None:
-        self.rest = b""
-
-    def feed(self, data: bytes) -> list[tuple[int, int, bytes]]:
-        data, place, frames = self.rest + data, 0, []
-        while len(data) - place >= 4:
-            length = int.from_bytes(data[place : place + 4])
-            if not 9 <= length <= LONGEST:
-                raise Unreadable(f"a frame of length {length}")
-            if len(data) - place < 4 + length:
+        self._rest = b""
+
+    def feed(self, data: bytes) -> list[Frame]:
+        """The frames that are complete now. Raises MalformedFrameError."""
+        data, place, frames = self._rest + data, 0, []
+        while len(data) - place >= LENGTH_BYTES:
+            length = int.from_bytes(data[place : place + LENGTH_BYTES])
+            if not MIN_FRAME_BYTES <= length <= MAX_FRAME_BYTES:
+                raise MalformedFrameError(f"a frame of length {length}")
+            end = place + LENGTH_BYTES + length
+            if len(data) < end:
                 break
-            _, number, kind = HEAD.unpack_from(data, place)
-            frames.append((number, kind, data[place + HEAD.size : place + 4 + length]))
-            place += 4 + length
-        self.rest = data[place:]
+            _, number, kind = FRAME_HEADER.unpack_from(data, place)
+            frames.append(Frame(number, kind, data[place + FRAME_HEADER.size : end]))
+            place = end
+        self._rest = data[place:]
         return frames
 
 
-def records(payload: bytes) -> list[tuple[int, ...]]:
-    """id, address, port, state, zone, kind, cell, weight in thousandths, started in ms: one each machine."""
-    if len(payload) % RECORD.size:
-        raise Unreadable(f"a list of {len(payload)} bytes")
-    return list(RECORD.iter_unpack(payload))
+def endpoint_records(payload: bytes) -> list[EndpointRecord]:
+    """The endpoints of a list. Raises MalformedFrameError."""
+    if len(payload) % ENDPOINT_RECORD.size:
+        raise MalformedFrameError(f"a list of {len(payload)} bytes")
+    return [EndpointRecord._make(fields) for fields in ENDPOINT_RECORD.iter_unpack(payload)]
 
 
-def fixed(form: Struct, payload: bytes) -> tuple[int, ...]:
+def unpack_purge(form: Struct, payload: bytes) -> tuple[int, ...]:
+    """The fields of a purge. Raises MalformedFrameError."""
     if len(payload) != form.size:
-        raise Unreadable(f"a purge of {len(payload)} bytes")
+        raise MalformedFrameError(f"a purge of {len(payload)} bytes")
     return form.unpack(payload)
 
 
-class Reading(Protocol):
-    def __init__(self, journal: Journal, told: int) -> None:
-        self.journal, self.stream, self.told = journal, Stream(), told
+class WatchConnection(Protocol):
+    """One connection to the service, for the round of attempts that began it."""
+
+    def __init__(self, watch: EndpointWatch, connect_round: int) -> None:
+        self.watch, self.decoder, self.connect_round = watch, FrameDecoder(), connect_round
 
     def connectionMade(self) -> None:
+        """Called by Twisted once the connection is up: says after which number events are wanted."""
         self.transport.setTcpNoDelay(True)
-        self.transport.write(NUMBER.pack(self.journal.last))
-        self.journal.connected(self, self.told)
+        self.transport.write(EVENT_NUMBER.pack(self.watch.last_number))
+        self.watch.connected(self)
 
     def dataReceived(self, data: bytes) -> None:
-        self.journal.read(self, data)
+        """Called by Twisted with what was read."""
+        self.watch.read(self, data)
 
     def connectionLost(self, reason: Failure) -> None:
-        self.journal.lost(self, reason.getErrorMessage())
+        """Called by Twisted when the connection is over."""
+        self.watch.lost(self, reason.getErrorMessage())
 
 
-class Journal:
-    """told_list(whole, records) and told_purge(key, group, milliseconds) hear each event once, in order."""
+class EndpointWatch:
+    """Keeps one connection to the service and tells the listener of its events."""
 
     def __init__(
         self,
         reactor: Any,
         deadlines: Deadlines,
-        address: tuple[str, int],
-        last: int,
-        connect_within: float,
-        told_list: Callable[..., None],
-        told_purge: Callable[..., None],
+        settings: WatchSettings,
+        listener: WatchListener,
         log: Callable[..., None],
-        caught_up: Callable[[], None] = lambda: None,
     ) -> None:
-        self.deadlines, self.last = deadlines, last
-        self.listed = last  # lists up to here are known: where purges are told again, those are not
-        self.unbroken = False  # all since a number of an earlier start has been told, in one count
-        self.resumed = False  # the list, too, is of an earlier start
-        self.caught_up = caught_up
-        self.turn: Callable[[], tuple[tuple[str, int], float]] | None = None  # where and when to try next
-        self.connect_within = connect_within
-        self.told_list, self.told_purge, self.log = told_list, told_purge, log
-        self.reactor, self.address = reactor, address
-        self.reading: Reading | None = None
-        self.round = 0  # of tries to connect: one that belongs to an earlier round is over
-        self.heard = 0.0
-        self.looked = 0.0  # when all that the service had sent was last read
-        self.closed = False
-        self.proven = -1  # the number at which the service last said that there is nothing more
-        self.pressing = False  # somebody waits for the proof that nothing more is to be told
-        self.asked, self.trip = 0.0, 0.0  # when a connection was begun; what the last one took to come up
-
-    def move(self, address: tuple[str, int]) -> None:
-        """The service is elsewhere now, and the old place tells nothing more: on from the last number had."""
-        if address == self.address or self.closed:
+        self.reactor, self.deadlines, self.log, self.listener = reactor, deadlines, log, listener
+        self.address, self._addresses = settings.address, settings.addresses
+        self._connect_timeout_s = settings.connect_timeout_s
+        self.last_number = settings.last_number
+        self._last_list_number = settings.last_number  # where purges are told again, lists up to here are not
+        self.is_unbroken = False  # all events since a number of an earlier start were told, in one numbering
+        self.is_list_resumed = False  # the list, too, is of an earlier start
+        self.connection: WatchConnection | None = None
+        self.connect_round = 0  # an attempt of an earlier round is over
+        self.last_read_pending_at = 0.0  # when all that the service had sent was last read
+        self._last_heard_at = 0.0
+        self._is_closed = False
+        self._confirmed_number = -1  # at which the service last said that there is nothing more
+        self._wants_confirmation = False  # the start waits to hear that there is nothing more
+        self._connecting_since, self._round_trip_s = 0.0, 0.0
+
+    def move(self, address: Address) -> None:
+        """Leaves the connection and goes on at another address, from the last number had."""
+        if address == self.address or self._is_closed:
             return
         self.address = address
-        reading, self.reading = self.reading, None
-        if reading is not None:
-            reading.transport.abortConnection()
+        connection, self.connection = self.connection, None
+        if connection is not None:
+            connection.transport.abortConnection()
+        self.start()
+
+    def resume_purges(self, number: int) -> None:
+        """Has purges after this number told again; before `start`, and only where the service keeps its numbers."""
+        if 0 < number <= self.last_number:
+            self.last_number, self.is_unbroken = number, True
+
+    def resume_list(self, number: int) -> None:
+        """Goes on after the number of a remembered list; before `start`, and only where no other list is known."""
+        if number > 0 and self.last_number == 0:
+            self.last_number = self._last_list_number = number
+            self.is_list_resumed = self.is_unbroken = True
+
+    def start_confirmed(self) -> None:
+        """Starts, and asks the service soon after its first events whether those were all."""
+        self._wants_confirmation = True
         self.start()
 
-    def remembered(self, number: int) -> None:
-        """Before the start: purges after this number are told again. From a service that keeps its numbers."""
-        if 0 < number <= self.last:
-            self.last, self.unbroken = number, True
-
-    def resume(self, number: int) -> None:
-        """Before the start, where no list is known but a remembered one, of this number: on from there."""
-        if number > 0 and self.last == 0:
-            self.last = self.listed = number
-            self.resumed = self.unbroken = True
-
-    def anew(self, why: str) -> None:
-        """What was remembered is of another count, or too old: everything is told from the first event on."""
-        self.last = self.listed = 0
-        self.resumed = self.unbroken = False
-        raise Unreadable(why)
-
-    def start(self, after: int | None = None) -> None:
-        if self.closed or after not in (None, self.round):
+    def start(self, after_round: int | None = None) -> None:
+        """Begins to connect, unless another round began after the given one."""
+        if self._is_closed or after_round not in (None, self.connect_round):
             return
-        self.round += 1
-        told, self.asked = self.round, self.deadlines.now()
+        self.connect_round += 1
+        connect_round, self._connecting_since = self.connect_round, self.deadlines.now()
         attempt = Dial(
-            self.reactor, self.address, Reading(self, told), lambda failure: self.again(failure.getErrorMessage(), told)
+            self.reactor,
+            self.address,
+            WatchConnection(self, connect_round),
+            lambda failure: self.retry(failure.getErrorMessage(), connect_round),
         )
-        self.deadlines.after(self.connect_within, attempt.stop)  # which does nothing to one that is up
+        self.deadlines.after(self._connect_timeout_s, attempt.stop)  # which does nothing to one that is up
 
-    def connected(self, reading: Reading, told: int) -> None:
-        if told != self.round or self.closed:  # moved meanwhile
-            reading.transport.abortConnection()
+    def connected(self, connection: WatchConnection) -> None:
+        """Called by a connection that is up."""
+        if connection.connect_round != self.connect_round or self._is_closed:  # moved meanwhile
+            connection.transport.abortConnection()
             return
-        self.reading, self.heard = reading, self.deadlines.now()
-        self.trip = self.heard - self.asked
-        self.log("journal_up", last=self.last)
-        self.deadlines.after(QUIET, self.check, reading)
-
-    def again(self, why: str, told: int) -> None:
-        if told == self.round and not self.closed:
-            self.log("journal_lost", why=why, last=self.last)
-            delay = AGAIN
-            if self.turn is not None:
-                self.address, delay = self.turn()
-            self.deadlines.after(delay, self.start, told)
-
-    def check(self, reading: Reading) -> None:
-        if self.reading is not reading:
+        self.connection, self._last_heard_at = connection, self.deadlines.now()
+        self._round_trip_s = self._last_heard_at - self._connecting_since
+        self.log("journal_up", last=self.last_number)
+        self.deadlines.after(SILENCE_LIMIT_S, self._check_silence, connection)
+
+    def retry(self, reason: str, connect_round: int) -> None:
+        """Tries again after a pause, unless another round began meanwhile."""
+        if connect_round != self.connect_round or self._is_closed:
             return
-        quiet = self.deadlines.now() - self.heard
-        if quiet >= QUIET - 0.001:
-            self.drop(reading, "nothing heard")
-        else:
-            self.deadlines.after(QUIET - quiet, self.check, reading)
-
-    def drop(self, reading: Reading, why: str) -> None:
-        self.reading = None
-        reading.transport.abortConnection()
-        self.again(why, self.round)
-
-    def lost(self, reading: Reading, why: str) -> None:
-        if self.reading is reading:
-            self.reading = None
-            self.again(why, self.round)
-
-    def look(self) -> None:
-        """Read what lies in its socket now, before the loop comes to it: the process stood still."""
-        self.looked = self.deadlines.now()
-        reading = self.reading
-        if reading is None:
+        self.log("journal_lost", why=reason, last=self.last_number)
+        delay_s = RETRY_INTERVAL_S
+        if self._addresses is not None:
+            self.address, delay_s = self._addresses.failed()
+        self.deadlines.after(delay_s, self.start, connect_round)
+
+    def drop(self, connection: WatchConnection, reason: str) -> None:
+        """Gives up a connection and tries again."""
+        self.connection = None
+        connection.transport.abortConnection()
+        self.retry(reason, self.connect_round)
+
+    def lost(self, connection: WatchConnection, reason: str) -> None:
+        """Called by a connection that is over."""
+        if self.connection is connection:
+            self.connection = None
+            self.retry(reason, self.connect_round)
+
+    def read_pending(self) -> None:
+        """Reads what lies in the socket now, before the loop comes to it: after the process stood still."""
+        self.last_read_pending_at = self.deadlines.now()
+        connection = self.connection
+        if connection is None:
             return
-        for _ in range(READS):
+        for _ in range(MAX_READS):
             try:
-                data = receive(reading.transport.getHandle(), READ)
+                data = receive(connection.transport.getHandle(), READ_BYTES)
             except OSError:
                 return  # the transport will tell
             if not data:
                 return
-            self.read(reading, data)
-            if self.reading is not reading:
+            self.read(connection, data)
+            if self.connection is not connection:
                 return
 
-    def read(self, reading: Reading, data: bytes) -> None:
-        if self.reading is not reading:
-            return  # a place that the service has left
-        self.heard = self.deadlines.now()
-        kind = NOTHING
+    def read(self, connection: WatchConnection, data: bytes) -> None:
+        """Takes what a connection has read; that of one that was left is ignored."""
+        if self.connection is not connection:
+            return
+        self._last_heard_at = self.deadlines.now()
+        kind: int = FrameKind.NO_MORE_EVENTS
         try:
-            for number, kind, payload in reading.stream.feed(data):
-                self.frame(number, kind, payload)
-        except Unreadable as problem:
-            self.drop(reading, str(problem))
+            for frame in connection.decoder.feed(data):
+                kind = frame.kind
+                self.take_frame(*frame)
+        except MalformedFrameError as problem:
+            self.drop(connection, str(problem))
             return
-        if self.pressing and kind != NOTHING:
-            self.pressing = False
-            self.deadlines.after(max(2 * self.trip, SETTLED), self.prove, reading)
+        if self._wants_confirmation and kind != FrameKind.NO_MORE_EVENTS:
+            self._wants_confirmation = False
+            self.deadlines.after(max(2 * self._round_trip_s, MIN_SETTLE_S), self._confirm, connection)
 
-    def prove(self, reading: Reading) -> None:
-        """Events came, all that there were, most likely; the frame that says so may take a second. Who connects with
-        the last number is told at once that it has all. One connection more a start, and no guess.
-        """
-        if self.reading is reading and self.proven != self.last and not self.closed:
-            self.reading = None
-            reading.transport.loseConnection()
-            self.start()
+    def take_frame(self, number: int, kind: int, payload: bytes) -> None:
+        """Tells the listener of one event; an event had already is ignored, since the service may write one twice.
 
-    def frame(self, number: int, kind: int, payload: bytes) -> None:
-        """No gap or bad frame is guessed over: the connection goes, and the rest is asked for again. An event
-        had already is no gap; the service may write one twice.
+        Raises MalformedFrameError for a gap or a malformed frame; no event is guessed.
         """
-        if kind == NOTHING and number <= self.last:
-            # Below what we have, it is another count than the one that was remembered.
-            self.unbroken = self.unbroken and number == self.last
-            if number == self.last:
-                self.pressing, self.proven = False, number
-                self.caught_up()
-            elif self.resumed:
-                self.anew(f"event {number} is the last, and {self.last} was remembered")
-        if kind == NOTHING or number <= self.last:
+        if kind == FrameKind.NO_MORE_EVENTS:
+            self._no_more_events(number)
+            return
+        if number <= self.last_number:
             return
-        if number != self.last + 1:
-            if self.resumed:
-                self.anew(f"event {number} after {self.last}, which was remembered")
-            if self.last < self.listed:  # it does not keep events for so long
-                self.last, self.unbroken = self.listed, False
-            raise Unreadable(f"event {number} after {self.last}")
-        if kind in (WHOLE, CHANGES) and number <= self.listed:
-            records(payload)
-        elif kind in (WHOLE, CHANGES):
-            self.told_list(kind == WHOLE, records(payload))
-        elif kind == PURGED_OBJECT:
-            key, stamp = fixed(OBJECT, payload)
-            self.told_purge(key, 0, stamp)
-        elif kind == PURGED_GROUP:
-            group, stamp = fixed(GROUP, payload)
-            self.told_purge(None, group, stamp)
+        if number != self.last_number + 1:
+            self._gap(number)
+        if kind in (FrameKind.ALL_ENDPOINTS, FrameKind.CHANGED_ENDPOINTS):
+            records = endpoint_records(payload)
+            if number > self._last_list_number:
+                self.listener.endpoints_changed(records, complete=kind == FrameKind.ALL_ENDPOINTS)
+        elif kind == FrameKind.OBJECT_PURGED:
+            key, stamp_ms = unpack_purge(OBJECT_PURGE, payload)
+            self.listener.purged(key, 0, stamp_ms)
+        elif kind == FrameKind.GROUP_PURGED:
+            group, stamp_ms = unpack_purge(GROUP_PURGE, payload)
+            self.listener.purged(None, group, stamp_ms)
         else:
-            raise Unreadable(f"a frame of kind {kind}")
-        self.last = number
+            raise MalformedFrameError(f"a frame of kind {kind}")
+        self.last_number = number
 
     def close(self) -> None:
-        self.closed = True
-        if self.reading is not None:
-            self.reading.transport.loseConnection()
+        """Ends the watch for good."""
+        self._is_closed = True
+        if self.connection is not None:
+            self.connection.transport.loseConnection()
+
+    def _no_more_events(self, number: int) -> None:
+        """A number other than the last had is no proof: the service has more to tell, or counts anew."""
+        if number > self.last_number:
+            return
+        self.is_unbroken = self.is_unbroken and number == self.last_number
+        if number == self.last_number:
+            self._wants_confirmation, self._confirmed_number = False, number
+            self.listener.caught_up()
+        elif self.is_list_resumed:
+            self._start_over(f"event {number} is the last, and {self.last_number} was remembered")
+
+    def _gap(self, number: int) -> None:
+        """Raises MalformedFrameError; the next connection asks for what is missing."""
+        if self.is_list_resumed:
+            self._start_over(f"event {number} after {self.last_number}, which was remembered")
+        if self.last_number < self._last_list_number:  # the service does not keep events for so long
+            self.last_number, self.is_unbroken = self._last_list_number, False
+        raise MalformedFrameError(f"event {number} after {self.last_number}")
+
+    def _start_over(self, reason: str) -> None:
+        """What was remembered is of another numbering, or too old: all events are asked for from the first on."""
+        self.last_number = self._last_list_number = 0
+        self.is_list_resumed = self.is_unbroken = False
+        raise MalformedFrameError(reason)
+
+    def _check_silence(self, connection: WatchConnection) -> None:
+        if self.connection is not connection:
+            return
+        silence_s = self.deadlines.now() - self._last_heard_at
+        if silence_s >= SILENCE_LIMIT_S - SILENCE_TOLERANCE_S:
+            self.drop(connection, "nothing heard")
+        else:
+            self.deadlines.after(SILENCE_LIMIT_S - silence_s, self._check_silence, connection)
+
+    def _confirm(self, connection: WatchConnection) -> None:
+        """Connects anew, since the frame that says that there is nothing more may take a second to come.
+
+        Who connects with the last number is told so at once: one connection more a start, and no guess.
+        """
+        if self.connection is connection and self._confirmed_number != self.last_number and not self._is_closed:
+            self.connection = None
+            connection.transport.loseConnection()
+            self.start()
--- a/wickhinge/net/control/membership.py
+++ b/wickhinge/net/control/membership.py
@@ -17,6 +17,7 @@
 from wickhinge.membership.keeper import Keeper, Unusable
 from wickhinge.membership.members import NONE, Members
 from wickhinge.membership.statements import LIVE, STATIC, Statement
+from wickhinge.net.control.endpoint_watch import EndpointWatch
 from wickhinge.options import keys
 from wickhinge.store.files import Files
 from wickhinge.store.workers import Workers
@@ -46,13 +47,16 @@
         self.backoff: Backoff | None = None
         members.told_purge = self.told_purge
 
-    def follow(self, journal: Any, options: Any) -> None:
-        """Before the start: reads what was kept, and lets the journal go on from there where it keeps its numbers."""
-        addresses = [journal.address, *(endpoint(one) for one in options.discovery.addresses)]
-        self.backoff = Backoff(
-            addresses, self.members.proving.chance, options.discovery.backoff_s, options.discovery.longest_backoff_s
-        )
-        journal.turn = self.backoff.failed
+    def service_addresses(self, address: tuple[str, int], options: Any) -> Backoff:
+        """The discovery service's addresses: the configuration's, and those of the `discovery` options."""
+        addresses = [address, *(endpoint(further) for further in options.addresses)]
+        self.backoff = Backoff(addresses, self.members.proving.chance, options.backoff_s, options.longest_backoff_s)
+        return self.backoff
+
+    def restore(self, watch: EndpointWatch, options: Any) -> None:
+        """Before the start: reads what was kept, and lets the watch go on from there where the service keeps its
+        numbers.
+        """
         memory = None
         if self.keeper is not None:
             memory, wrong = self.keeper.read()
@@ -63,7 +67,7 @@
         if self.members.memory is not None:
             fleet.edge.usual, fleet.upper.usual = self.members.memory.usual
             if options.journal.continues:
-                journal.resume(self.members.memory.number)
+                watch.resume_list(self.members.memory.number)
 
     def start(self) -> None:
         if self.listen:
@@ -122,8 +126,8 @@
         """The platform's address of the service is another now; the further ones stay."""
         self.backoff.moved(address)
 
-    def caught_up(self, journal: Any) -> None:
-        self.members.caught_up(self.now(), journal.last, journal.unbroken and journal.resumed)
+    def caught_up(self, watch: EndpointWatch) -> None:
+        self.members.caught_up(self.now(), watch.last_number, watch.is_unbroken and watch.is_list_resumed)
         self.backoff.well()
 
     def ended(self, sent: Any, outcome: Outcome) -> None:
--- a/wickhinge/net/control/readiness.py
+++ b/wickhinge/net/control/readiness.py
@@ -13,13 +13,13 @@
 from select import POLLIN, poll
 from typing import Any
 
-from wickhinge.net.control.endpoint_watch import QUIET
+from wickhinge.net.control.endpoint_watch import SILENCE_LIMIT_S
 from wickhinge.net.downstream.listener import Listener
 
 BACKLOG = 1024
 # The service writes a frame each second. One that told nothing for so long is away, and by the rest of the router's
 # rules a connection to it is dead; the router goes on with the list that it was started with.
-WITHIN = QUIET
+WITHIN = SILENCE_LIMIT_S
 
 
 class Opening:
--- a/wickhinge/net/control/router_process.py
+++ b/wickhinge/net/control/router_process.py
@@ -15,7 +15,7 @@
 from wickhinge.fields import Malformed
 from wickhinge.interface import Listing
 from wickhinge.net.control import config
-from wickhinge.net.control.endpoint_watch import Journal
+from wickhinge.net.control.endpoint_watch import EndpointRecord, EndpointWatch, WatchSettings
 from wickhinge.net.control.readiness import Opening
 from wickhinge.net.downstream.client_connections import Clients
 from wickhinge.net.downstream.descriptors import bounds
@@ -78,7 +78,7 @@
         self.others = self.forwards.others
         self.others.improved = lambda: self.router.fleet.relate(self.deadlines.now())
         self.forwards.informed = self.informed
-        reactor.behind = lambda: self.journal.look()
+        reactor.behind = lambda: self.endpoint_watch.read_pending()
         self.router.fleet.instant = self.router.purges.instant = self.others.instant
         self.last = min(max(tariff.patience for tariff in tariffs.values()), LONGEST) + LAST
         self.visits = Visits(self.forwards, self.deadlines, self.pool, tariffs, self.log.event, self.fault)
@@ -109,27 +109,25 @@
 
             self.changes = changelog_client.make(options.changelog, config.name(conf), self)
         last, events = config.known(conf)
-        self.journal = Journal(
+        service = config.journal(conf)
+        addresses = None if self.members is None else self.members.service_addresses(service, options.discovery)
+        self.endpoint_watch = EndpointWatch(
             reactor,
             self.deadlines,
-            config.journal(conf),
-            last,
-            connect_within,
-            self.told_records,
-            self.told_purge,
+            WatchSettings(service, last, connect_within, addresses),
+            self,
             self.log.event,
-            self.caught_up,
         )
         if self.members is not None:
-            self.members.follow(self.journal, options)
+            self.members.restore(self.endpoint_watch, options)
         self.purges_resumed = False  # all since the number of the store's purge log is told
         if self.copies is not None and options.journal.continues:
             number = self.copies.store.purged.number
-            self.journal.remembered(number)
-            self.purges_resumed = 0 < self.journal.last <= number
+            self.endpoint_watch.resume_purges(number)
+            self.purges_resumed = 0 < self.endpoint_watch.last_number <= number
         self.listen = config.listen(conf)
         for kind, *told in events:
-            (self.told_list if kind == "list" else self.told_purge)(*told)
+            (self.told_list if kind == "list" else self.purged)(*told)
 
     def start(self) -> None:
         """Raises OSError where the address to listen on cannot be had."""
@@ -138,8 +136,7 @@
         self.router.start(self.deadlines.now())
         self.reactor.addSystemEventTrigger("before", "shutdown", self.log.flush)
         self.reactor.callWhenRunning(self.opening.start)
-        self.journal.pressing = True
-        self.journal.start()
+        self.endpoint_watch.start_confirmed()
         if self.members is not None:
             self.members.start()
         if self.fellows is not None:
@@ -179,9 +176,10 @@
     def note(self, text: str) -> None:
         self.log.event("note", text=text)
 
-    # What the journal tells.
+    # The WatchListener of its EndpointWatch.
 
-    def told_records(self, whole: bool, records: list[tuple[int, ...]]) -> None:
+    def endpoints_changed(self, records: list[EndpointRecord], *, complete: bool) -> None:
+        """Called by the endpoint watch."""
         machines = []
         for mark, address, port, state, zone, kind, cell, weight, started in records:
             if state >= len(STATES) or zone >= len(self.zones) or kind >= len(self.kinds):
@@ -200,7 +198,7 @@
                     started / 1000.0 or None,
                 )
             )
-        self.told_list(whole, machines)
+        self.told_list(complete, machines)
 
     def told_list(self, whole: bool, machines: list[tuple[Any, ...]]) -> None:
         listings = []
@@ -220,9 +218,9 @@
         self.forwards.overtaken(lambda sent: sent.cache.state == "ready" == sent.forward.source.state)
         self.log.event("list", whole=whole, machines=[[f"{m[0]:08x}", m[2], m[3], m[4], m[7]] for m in machines])
 
-    def told_purge(self, key: int | None, group: int, stamp: float) -> None:
-        # Of those known at the start the numbers are not told.
-        self.purge(key, group, stamp, self.journal.last + 1 if self.started else 0)
+    def purged(self, key: int | None, group: int, stamp_ms: float) -> None:
+        """Called by the endpoint watch, and for the purges that the configuration knows: those have no numbers."""
+        self.purge(key, group, stamp_ms, self.endpoint_watch.last_number + 1 if self.started else 0)
 
     def purge(self, key: int | None, group: int, stamp: float, number: int) -> None:
         """`stamp` in Unix milliseconds; `number`: the journal's, 0 where it has none."""
@@ -243,17 +241,18 @@
             self.members.purge(key, group, stamp / 1000.0)
 
     def caught_up(self) -> None:
+        """Called by the endpoint watch."""
         self.opening.caught_up()
         if self.copies is not None:
-            self.copies.store.caught_up(self.deadlines.now(), self.journal.unbroken and self.purges_resumed)
+            self.copies.store.caught_up(self.deadlines.now(), self.endpoint_watch.is_unbroken and self.purges_resumed)
         if self.members is not None:
-            self.members.caught_up(self.journal)
+            self.members.caught_up(self.endpoint_watch)
 
     def informed(self, now: float) -> bool:
         """Whether what the journal service told until lately is known here; else it is read on the next turn."""
-        if now - max(self.reactor.arrivals.settled, self.journal.looked) <= UNINFORMED:
+        if now - max(self.reactor.arrivals.settled, self.endpoint_watch.last_read_pending_at) <= UNINFORMED:
             return True
-        self.deadlines.soon(self.journal.look)
+        self.deadlines.soon(self.endpoint_watch.read_pending)
         return False
 
     # The program.
@@ -340,7 +339,7 @@
     def move_journal(self, address: tuple[str, int]) -> None:
         if self.members is not None:
             self.members.moved(address)
-        self.journal.move(address)
+        self.endpoint_watch.move(address)
 
     def leave(self) -> None:
         """On SIGTERM: ping says no, whoever still comes is served, then the program ends by itself."""
@@ -363,7 +362,7 @@
             self.deadlines.after(0.01, self.settle, last)
             return
         self.log.event("stop", open=self.visits.open(), taken=self.visits.taken)
-        self.journal.close()
+        self.endpoint_watch.close()
         if self.members is not None:
             self.members.close()
         if self.fellows is not None:
