--- a/bench/fleet.py
+++ b/bench/fleet.py
@@ -24,7 +24,7 @@
 
 from wickhinge.net.control.endpoint_watch import ENDPOINT_RECORD, FRAME_HEADER, GROUP_PURGE, OBJECT_PURGE
 from wickhinge.net.downstream import msgpack
-from wickhinge.net.runtime.buffers import Body, Pool
+from wickhinge.net.runtime.buffers import Body, BufferPool
 from wickhinge.net.upstream import resp
 
 ROOT = Path(__file__).parent.parent
@@ -224,7 +224,7 @@
     def __init__(self, world: World, place: int, kind: str) -> None:
         self.world, self.kind, self.place = world, kind, place
         self.kept = world.kept.setdefault(f"{place}", set())
-        self.stream = resp.Stream(Pool(1 << 20, lambda: None, lambda: None))
+        self.stream = resp.ReplyDecoder(BufferPool(1 << 20, lambda: None, lambda: None))
 
     def dataReceived(self, data: bytes) -> None:
         for items in self.stream.feed(data):
@@ -371,7 +371,7 @@
 
     def __init__(self, up: Callable[[Asker], None], lost: Callable[[Asker], None]) -> None:
         self.up, self.lost = up, lost
-        self.stream, self.calls, self.open = msgpack.Stream(300_000), 0, {}
+        self.stream, self.calls, self.open = msgpack.MessageDecoder(300_000), 0, {}
 
     def connectionMade(self) -> None:
         self.transport.setTcpNoDelay(True)
--- a/bench/scale/connections.py
+++ b/bench/scale/connections.py
@@ -9,9 +9,9 @@
 from bench.scale.meter import Meter, memory
 from bench.scale.records import Row, row
 from wickhinge.net.downstream import descriptors
-from wickhinge.net.runtime.buffers import Pool
+from wickhinge.net.runtime.buffers import BufferPool
 from wickhinge.net.runtime.log import KEPT, Log
-from wickhinge.net.upstream.connection_pools import LINES, Line
+from wickhinge.net.upstream.connection_pools import LINES, UpstreamConnection
 
 POOL = 1 << 20  # bytes, of a router's pool of buffers
 LINE_OF_LOG = {"machine": "s-00c41f7a", "verdict": "lost", "witnesses": 3}
@@ -19,9 +19,11 @@
 
 def lines(caches: int) -> list[Any]:
     """As many connections as a router may hold to so many caches, without their sockets."""
-    owner = SimpleNamespace(pool=Pool(POOL, lambda: None, lambda: None), deadlines=SimpleNamespace(now=lambda: 0.0))
+    owner = SimpleNamespace(
+        pool=BufferPool(POOL, lambda: None, lambda: None), deadlines=SimpleNamespace(now=lambda: 0.0)
+    )
     machine = SimpleNamespace(caches=owner)
-    return [Line(machine) for _ in range(LINES * caches)]
+    return [UpstreamConnection(machine) for _ in range(LINES * caches)]
 
 
 def descriptors_needed(caches: int) -> float:
--- a/example/ask.py
+++ b/example/ask.py
@@ -15,7 +15,7 @@
     fields = {"rid": os.urandom(8).hex(), "budget": "3000", "obj": key, "block": part, "family": "1"}
     with socket.create_connection((host, int(port)), timeout=5) as line:
         line.sendall(msgpack.pack([0, 1, tariff, [fields, b""]]))
-        stream, answers = msgpack.Stream(300_000), []
+        stream, answers = msgpack.MessageDecoder(300_000), []
         while not answers:
             data = line.recv(65536)
             if not data:
--- a/tests/changelog/test_changelog_parts.py
+++ b/tests/changelog/test_changelog_parts.py
@@ -31,7 +31,7 @@
 from wickhinge.changelog.stored import NotLeader
 from wickhinge.decide import Purges
 from wickhinge.fields import Malformed
-from wickhinge.net.control.changelog_client import Changes
+from wickhinge.net.control.changelog_client import ChangelogClient
 from wickhinge.options import Fault
 from wickhinge.options.load import check
 from wickhinge.peers.desk import Asking
@@ -496,7 +496,7 @@
         purge=lambda *given: told.append(given),
         take_purge=lambda *given: told.append(given),
     )
-    made = Changes(options, "n1", node)
+    made = ChangelogClient(options, "n1", node)
     made.node, made.told, made.options = node, told, options
     return made
 
--- a/tests/net/test_crossings.py
+++ b/tests/net/test_crossings.py
@@ -21,14 +21,13 @@
 from wickhinge.interface import Outcome
 from wickhinge.net.control import config, endpoint_watch
 from wickhinge.net.downstream import msgpack
-from wickhinge.net.downstream.client_connections import HOLD, LATER_ALL, OPEN, READ, Clients
-from wickhinge.net.downstream.client_connections import Client as Taken
+from wickhinge.net.downstream.client_connections import HOLD, LATER_ALL, OPEN, READ, ClientConnection, ClientConnections
 from wickhinge.net.downstream.request_log import RequestLog, RequestTrace
-from wickhinge.net.downstream.request_table import Door
+from wickhinge.net.downstream.request_table import DownstreamRequest
 from wickhinge.net.runtime.arrivals import Arrivals
 from wickhinge.net.upstream import resp
-from wickhinge.net.upstream.attempt_results import End
-from wickhinge.net.upstream.attempts import Forwards, Sent
+from wickhinge.net.upstream.attempt_results import AttemptResult
+from wickhinge.net.upstream.attempts import Attempts, SentAttempt
 
 OBJECT = 0xAA
 
@@ -155,7 +154,7 @@
     """A node that has been told to leave, its machines and its clients real sockets."""
 
     def __init__(self, monkeypatch):
-        from wickhinge.net.control.router_process import Node
+        from wickhinge.net.control.router_process import RouterProcess
         from wickhinge.net.runtime.deadlines import Deadlines
         from wickhinge.net.runtime.loop import Reactor
 
@@ -175,7 +174,7 @@
         conf["settings"]["limits"]["connectTimeoutMs"] = 9000  # the clock is turned by seconds
         self.reactor = Reactor()
         self.reactor.now = self.clock
-        self.node = Node(conf, self.reactor, os.open(os.devnull, os.O_WRONLY))
+        self.node = RouterProcess(conf, self.reactor, os.open(os.devnull, os.O_WRONLY))
         monkeypatch.setattr(self.reactor, "stop", lambda: self.stopped.append(True))
         self.node.start()
         self.node.opening.begin("test")
@@ -218,7 +217,7 @@
     ended.turn()
     machine = ended.box.accept()[0]
     machine.settimeout(5.0)
-    rid = resp.Stream(ended.node.pool).feed(machine.recv(65536))[0][1]
+    rid = resp.ReplyDecoder(ended.node.pool).feed(machine.recv(65536))[0][1]
     machine.sendall(resp.pack(rid, b"OK", b"-", b"mark"))
     ended.turn()
     assert client.answer(call)[2] is None
@@ -270,8 +269,8 @@
         visits = SimpleNamespace(
             take=self.take, refuse=lambda door: None, gone=lambda door, why: self.gone.append(door), requests=requests
         )
-        self.clients = Clients(visits, clock, 9, lambda *_, **more: None)
-        self.made = Taken(self.clients)
+        self.clients = ClientConnections(visits, clock, 9, lambda *_, **more: None)
+        self.made = ClientConnection(self.clients)
         self.made.transport = self.made.socket = SimpleNamespace(
             pauseProducing=lambda: self.calls.append("pause"),
             resumeProducing=lambda: self.calls.append("resume"),
@@ -294,10 +293,10 @@
         raise BlockingIOError
 
     def take(self, client, call, method, fields, body, arrival):
-        from wickhinge.net.downstream.request_table import Bad
+        from wickhinge.net.downstream.request_table import InvalidRequestError
 
         if method == "bad":
-            raise Bad("bad")
+            raise InvalidRequestError("bad")
         self.taken.append((call, round(self.now - arrival, 3)))
         return call
 
@@ -395,10 +394,10 @@
 @pytest.mark.parametrize("room", [0, 4])
 def test_what_is_not_wholly_written_when_its_visit_is_over_never_becomes_a_request(room):
     made, ends, soon, _ = line(room)
-    forwards = Forwards(made.caches, made.caches.deadlines, 0.25, [].append)
+    forwards = Attempts(made.caches, made.caches.deadlines, 0.25, [].append)
     made.caches.ended = ends.__setitem__
     door = SimpleNamespace(trace=RequestTrace(0.0, 0.0))
-    number = forwards.slots.put(Sent(door, None, SimpleNamespace(mark=1), 0.0, 1.0))
+    number = forwards.slots.put(SentAttempt(door, None, SimpleNamespace(mark=1), 0.0, 1.0))
     sent = forwards.slots.get(number)
     sent.line, sent.tag = made, b"a"
     made.send(b"a", number, resp.pack(b"REQ", b"a", b"-", b""))
@@ -408,7 +407,7 @@
     made.socket.room = 1 << 20
     made.resumeProducing()
     made.resumeProducing()
-    assert len(made.socket.data) == room and (End.RECALLED in [told[-1] for _, told in soon])
+    assert len(made.socket.data) == room and (AttemptResult.RECALLED in [told[-1] for _, told in soon])
 
 
 def test_an_answer_under_an_id_that_still_waits_here_is_none():
@@ -435,7 +434,7 @@
             assert not made.doubted and ends == {}  # slow, but somebody waits for it
         if made.down:
             break
-    assert ends == {2: End.UNREADABLE} and 9 <= turn <= 10 and made.caches.pool.out == 0
+    assert ends == {2: AttemptResult.UNREADABLE} and 9 <= turn <= 10 and made.caches.pool.out == 0
 
 
 def test_an_id_is_not_used_again_where_a_late_answer_came_for_it():
@@ -449,10 +448,10 @@
 @pytest.mark.parametrize("word, again", [(b"MISS", True), (b"BUSY", False), (b"ERR", False), (b"VOID", False)])
 def test_after_what_answer_a_visit_may_come_again_on_the_same_connection(word, again):
     made, *_ = line()
-    forwards = Forwards(made.caches, made.caches.deadlines, 0.25, [].append)
+    forwards = Attempts(made.caches, made.caches.deadlines, 0.25, [].append)
     forwards.ended = lambda *_: None
-    door = Door(SimpleNamespace(taken=1), None, 1, "a", tariff(), 0.0)
-    number = forwards.slots.put(Sent(door, None, None, 0.0, 1.0))
+    door = DownstreamRequest(SimpleNamespace(taken=1), None, 1, "a", tariff(), 0.0)
+    number = forwards.slots.put(SentAttempt(door, None, None, 0.0, 1.0))
     forwards.slots.get(number).line, forwards.slots.get(number).tag = made, b"a"
     assert forwards.answered(number, word, b"-", None)
     assert (b"a" not in made.left) is again
@@ -462,11 +461,11 @@
 def test_what_a_source_holds_is_not_asked_for_where_the_look_missed(held, again):
     """A fill cannot end as a miss, an ask for what is held can: the look's miss, come twice, would be taken for it."""
     made, *_ = line()
-    forwards = Forwards(made.caches, made.caches.deadlines, 0.25, [].append)
+    forwards = Attempts(made.caches, made.caches.deadlines, 0.25, [].append)
     forwards.ended = lambda *_: None
-    door, cache = Door(SimpleNamespace(taken=1), None, 1, "a", tariff(), 0.0), SimpleNamespace(mark=1)
+    door, cache = DownstreamRequest(SimpleNamespace(taken=1), None, 1, "a", tariff(), 0.0), SimpleNamespace(mark=1)
     door.until = 200.0
-    number = forwards.slots.put(Sent(door, None, cache, 0.0, 1.0))
+    number = forwards.slots.put(SentAttempt(door, None, cache, 0.0, 1.0))
     forwards.slots.get(number).line, forwards.slots.get(number).tag = made, b"a"
     assert forwards.answered(number, b"MISS", b"-", None)
     made.caches.most = 0  # no other connection may be made, so none takes it
--- a/tests/net/test_descriptors.py
+++ b/tests/net/test_descriptors.py
@@ -23,7 +23,7 @@
 from tests.support.processes import PATIENT
 from tests.support.router_process import SERVED, Stand
 from wickhinge.net.downstream import msgpack
-from wickhinge.net.downstream.client_connections import Clients
+from wickhinge.net.downstream.client_connections import ClientConnections
 from wickhinge.net.downstream.descriptors import (
     ACCEPTED_AT_ONCE,
     BACK_OFF,
@@ -39,7 +39,7 @@
 from wickhinge.net.runtime.deadlines import Deadlines
 from wickhinge.net.runtime.loop import Reactor
 from wickhinge.net.upstream import resp
-from wickhinge.net.upstream.connection_pools import Caches
+from wickhinge.net.upstream.connection_pools import ConnectionPools
 
 LIMITS = [256, 512, 640, 672]  # as the bench's days name them
 SMALL = 64  # the least that a configuration may name
@@ -283,7 +283,7 @@
 def test_a_client_that_has_not_taken_its_answer_is_not_idle():
     """Hung up on, it would hold its descriptor for as long as it reads nothing."""
     clock = SimpleNamespace(now=lambda: 100.0, arrivals=Arrivals(0.0))
-    clients = Clients(None, clock, 9, lambda *_, **more: None)
+    clients = ClientConnections(None, clock, 9, lambda *_, **more: None)
 
     class Named(SimpleNamespace):
         __hash__ = object.__hash__
@@ -315,7 +315,7 @@
         soon=lambda call, *told: soon.append(call),
         arrivals=Arrivals(0.0),
     )
-    clients = Clients(None, clock, 1, lambda *_, **more: None)
+    clients = ClientConnections(None, clock, 1, lambda *_, **more: None)
     place = socket.create_server(("127.0.0.1", 0))
     address = place.getsockname()
     place.setblocking(False)
@@ -444,7 +444,7 @@
 
 def caches_with(most, machines):
     clock = SimpleNamespace(now=lambda: clock.time, after=lambda *_: None, soon=lambda *_: None, time=100.0)
-    made = Caches(Connecting(), clock, pool()[0], 0.4, 15.0, 100, most, lambda *_, **more: None, [].append)
+    made = ConnectionPools(Connecting(), clock, pool()[0], 0.4, 15.0, 100, most, lambda *_, **more: None, [].append)
     for mark in range(machines):
         made.listed(mark, str(mark), ("127.0.0.1", 1))
     return made, clock
@@ -489,7 +489,7 @@
     with ExitStack() as stack:
         places = [stack.enter_context(socket.create_server(("127.0.0.1", 0))) for _ in range(4)]
         deadlines = Deadlines(reactor, [].append)
-        caches = Caches(reactor, deadlines, pool()[0], 5.0, 15.0, 100, 3, lambda *_, **more: None, [].append)
+        caches = ConnectionPools(reactor, deadlines, pool()[0], 5.0, 15.0, 100, 3, lambda *_, **more: None, [].append)
         for mark, place in enumerate(places):
             caches.listed(mark, str(mark), place.getsockname())
 
--- a/tests/net/test_net.py
+++ b/tests/net/test_net.py
@@ -19,17 +19,17 @@
 from wickhinge.interface import Outcome
 from wickhinge.net.control import config, endpoint_watch
 from wickhinge.net.downstream import msgpack
-from wickhinge.net.downstream.client_connections import Clients
-from wickhinge.net.downstream.request_table import Door, Visits
+from wickhinge.net.downstream.client_connections import ClientConnections
+from wickhinge.net.downstream.request_table import DownstreamRequest, RequestTable
 from wickhinge.net.runtime.arrivals import Arrivals
 from wickhinge.net.runtime.buffers import SIZE, Body
 from wickhinge.net.runtime.deadlines import Deadlines
 from wickhinge.net.runtime.loop import Reactor
 from wickhinge.net.runtime.slots import Slots
 from wickhinge.net.upstream import resp
-from wickhinge.net.upstream.attempt_results import OUTCOMES, WORDS, End, unconnected
-from wickhinge.net.upstream.attempts import NOTES, Forwards, Sent
-from wickhinge.net.upstream.connection_pools import Caches, Line
+from wickhinge.net.upstream.attempt_results import OUTCOMES_BY_RESULT, RESULTS_BY_STATUS, AttemptResult, unconnected
+from wickhinge.net.upstream.attempts import NOTES, Attempts, SentAttempt
+from wickhinge.net.upstream.connection_pools import ConnectionPools, UpstreamConnection
 
 
 def plain(items):
@@ -61,7 +61,7 @@
 def test_msgpack_reads_what_it_writes_at_every_split(value):
     data = msgpack.pack(value) + msgpack.pack([2, "abort", [7]])
     for split in range(len(data) + 1):
-        stream = msgpack.Stream()
+        stream = msgpack.MessageDecoder()
         assert stream.feed(data[:split]) + stream.feed(data[split:]) == [value, [2, "abort", [7]]]
 
 
@@ -79,8 +79,8 @@
     ids=range(7),
 )
 def test_msgpack_names_what_it_cannot_read(data, told):
-    with pytest.raises(msgpack.Unreadable, match=told):
-        msgpack.Stream().feed(data)
+    with pytest.raises(msgpack.MalformedMessageError, match=told):
+        msgpack.MessageDecoder().feed(data)
 
 
 ANSWERS = [[b"9b1f03aa5c7e2d41", b"OK", b"etag=a,made=5", b"x\r\n" * 9], [b"p1", b"UP", b"-", b""], [b"a"]]
@@ -89,14 +89,14 @@
 def test_resp_reads_what_it_writes_at_every_split():
     data = b"".join(resp.pack(*items) for items in ANSWERS)
     for split in range(len(data) + 1):
-        stream = resp.Stream(pool()[0])
+        stream = resp.ReplyDecoder(pool()[0])
         assert [plain(items) for items in stream.feed(data[:split]) + stream.feed(data[split:])] == ANSWERS
 
 
 def test_resp_body_over_several_buffers_goes_back_to_the_pool():
     made, told = pool(limit=3)
     body = bytes(range(256)) * (SIZE // 256 * 7 // 2)
-    (items,) = resp.Stream(made).feed(resp.pack(b"a", b"OK", b"-", body))
+    (items,) = resp.ReplyDecoder(made).feed(resp.pack(b"a", b"OK", b"-", body))
     assert plain(items)[3] == body and made.out == 4 and told == ["stop"]
     items[3].spend(SIZE + 5)
     assert b"".join(items[3].views()) == body[SIZE + 5 :] and made.out == 3
@@ -116,8 +116,8 @@
     ],
 )
 def test_resp_names_what_it_cannot_read(data, told):
-    with pytest.raises(resp.Unreadable, match=told):
-        resp.Stream(pool()[0]).feed(data)
+    with pytest.raises(resp.MalformedReplyError, match=told):
+        resp.ReplyDecoder(pool()[0]).feed(data)
 
 
 def test_body_of_a_visit_is_given_whole_again_for_each_forward():
@@ -128,7 +128,7 @@
 
 def test_half_read_answer_of_a_lost_connection_gives_its_buffers_back():
     made, _ = pool()
-    stream = resp.Stream(made)
+    stream = resp.ReplyDecoder(made)
     stream.feed(resp.pack(b"a", b"OK", b"-", b"x" * 100)[:-40])
     stream.close()
     assert made.out == 0
@@ -212,24 +212,24 @@
 
 
 def test_every_end_has_its_outcome_and_what_never_ran_is_known_as_such():
-    assert set(OUTCOMES) == set(End) and set(WORDS.values()) <= set(End)
+    assert set(OUTCOMES_BY_RESULT) == set(AttemptResult) and set(RESULTS_BY_STATUS.values()) <= set(AttemptResult)
     never = {
         end
-        for end, outcome in OUTCOMES.items()
+        for end, outcome in OUTCOMES_BY_RESULT.items()
         if outcome in (Outcome.UNREACHED, Outcome.UNSENT, Outcome.FULL, Outcome.MISS, Outcome.MOOT)
     }
     assert never == {
-        End.REFUSED,
-        End.NO_CONNECT,
-        End.RESET_NEW,
-        End.NO_DESCRIPTOR,
-        End.NOT_BEGUN,
-        End.NO_ROUTE,
-        End.LOST_UNWRITTEN,
-        End.RECALLED,
-        End.BUSY,
-        End.MISS,
-        End.VOID,
+        AttemptResult.REFUSED,
+        AttemptResult.NO_CONNECT,
+        AttemptResult.RESET_NEW,
+        AttemptResult.NO_DESCRIPTOR,
+        AttemptResult.NOT_BEGUN,
+        AttemptResult.NO_ROUTE,
+        AttemptResult.LOST_UNWRITTEN,
+        AttemptResult.RECALLED,
+        AttemptResult.BUSY,
+        AttemptResult.MISS,
+        AttemptResult.VOID,
     }
     assert b"".join(NOTES) == b"hfojsrblnx"
 
@@ -237,12 +237,12 @@
 @pytest.mark.parametrize(
     "reason, end",
     [
-        (error.ConnectionRefusedError(), End.REFUSED),
-        (error.TimeoutError(), End.NO_CONNECT),
-        (error.ConnectingCancelledError(None), End.NO_CONNECT),
-        (error.ConnectBindError(), End.NO_DESCRIPTOR),
-        (error.NoRouteError(), End.NO_CONNECT),
-        (error.ConnectError(osError=104), End.RESET_NEW),
+        (error.ConnectionRefusedError(), AttemptResult.REFUSED),
+        (error.TimeoutError(), AttemptResult.NO_CONNECT),
+        (error.ConnectingCancelledError(None), AttemptResult.NO_CONNECT),
+        (error.ConnectBindError(), AttemptResult.NO_DESCRIPTOR),
+        (error.NoRouteError(), AttemptResult.NO_CONNECT),
+        (error.ConnectError(osError=104), AttemptResult.RESET_NEW),
     ],
 )
 def test_why_no_connection_came_up(reason, end):
@@ -291,7 +291,7 @@
         assert made.socket.data == written
         call, told = soon.pop()
         call(*told)
-        assert ends == {2: End.LOST_UNWRITTEN} and "abortConnection" in made.socket.calls
+        assert ends == {2: AttemptResult.LOST_UNWRITTEN} and "abortConnection" in made.socket.calls
     else:
         assert made.socket.data == resp.pack(b"REQ") and not made.unwritten
 
@@ -310,7 +310,7 @@
 def test_who_has_its_answer_goes_before_who_may_not_have_been_read_yet(silent, idle, goes):
     """Evicted first, new clients of a router in a pause lost their only request."""
     clock = SimpleNamespace(now=lambda: 100.0, arrivals=Arrivals(0.0))
-    clients, ended = Clients(None, clock, 2, lambda *_, **more: None), []
+    clients, ended = ClientConnections(None, clock, 2, lambda *_, **more: None), []
 
     class Named:
         """A client that tells when it is hung up on."""
@@ -335,7 +335,7 @@
 def test_a_machine_silent_on_one_connection_is_not_asked_on_its_others(heard, doubted):
     """Each would have to be found silent by itself, by visits that run out of time."""
     made, _, _, now = line()
-    other = Line(made.machine)
+    other = UpstreamConnection(made.machine)
     made.machine.lines.append(other)
     other.up, other.transport, other.socket = True, Wire(), Wire()
     other.send(b"b", 2, b"x")
@@ -359,7 +359,7 @@
     assert ends == {}
     del made.socket.recv
     call(*told)
-    assert ends == {1: End.UNREADABLE, 2: End.UNREADABLE} and made.caches.pool.out == 0
+    assert ends == {1: AttemptResult.UNREADABLE, 2: AttemptResult.UNREADABLE} and made.caches.pool.out == 0
 
 
 def test_a_machine_gone_is_forgotten_when_nothing_is_out_there():
@@ -386,12 +386,12 @@
 )
 def test_a_word_that_does_not_fit_what_was_asked_is_unreadable(word, told, probe, good):
     made, ended = line()[0].caches, []
-    forwards = Forwards(made, made.deadlines, 0.25, [].append)
+    forwards = Attempts(made, made.deadlines, 0.25, [].append)
     forwards.ended = lambda number, end, told, body: ended.append(end)
-    door = None if probe else Door(SimpleNamespace(taken=1), None, 1, "a", tariff(), 0.0)
-    number = forwards.slots.put(Sent(door, None, None, 0.0, 1.0))
+    door = None if probe else DownstreamRequest(SimpleNamespace(taken=1), None, 1, "a", tariff(), 0.0)
+    number = forwards.slots.put(SentAttempt(door, None, None, 0.0, 1.0))
     assert forwards.answered(number, word, told, Body(made.pool, b"x")) is good
-    assert (ended == [End.UNREADABLE]) is not good
+    assert (ended == [AttemptResult.UNREADABLE]) is not good
 
 
 @pytest.mark.parametrize(
@@ -449,14 +449,14 @@
             other.setblocking(False)
             other.connect_ex(address)
         deadlines = Deadlines(reactor, ended.append)
-        caches = Caches(
+        caches = ConnectionPools(
             reactor, deadlines, pool()[0], 5.0, 15.0, 100, 50, lambda *_, **told: ended.append(told), ended.append
         )
         caches.listed(1, "1", address)
         gc.collect()
         gc.disable()
         try:
-            made = Line(caches.machines[1])
+            made = UpstreamConnection(caches.machines[1])
             made.machine.lines.append(made)
             made.connect(address)
             seen = weakref.ref(made)
@@ -485,7 +485,7 @@
     """The collector is off in service: a circle would stay until the memory limit."""
     clock = SimpleNamespace(now=lambda: 100.0, at=lambda *_: None)
     client = SimpleNamespace(error=lambda call, word, fields: None)
-    visits = Visits(None, clock, pool()[0], {"t": tariff()}, lambda *_, **more: None, [].append)
+    visits = RequestTable(None, clock, pool()[0], {"t": tariff()}, lambda *_, **more: None, [].append)
     visits.router = router(boxes=0, parents=0, direct=False)
     seen, take = [], visits.router.take
     visits.router.take = lambda *told: seen.append(weakref.ref(visit := take(*told))) or visit
--- a/tests/net/test_request_log.py
+++ b/tests/net/test_request_log.py
@@ -11,8 +11,8 @@
 from wickhinge.cli import main
 from wickhinge.clocks import WallClockWatch
 from wickhinge.net.downstream.request_log import LINES_AT_ONCE, SAMPLED, STEPS, RequestLog, RequestTrace, Step
-from wickhinge.net.runtime.event_loop_stalls import Standstills
-from wickhinge.net.upstream.attempt_results import End
+from wickhinge.net.runtime.event_loop_stalls import EventLoopStalls
+from wickhinge.net.upstream.attempt_results import AttemptResult
 
 RID = b"9b1f03aa5c7e2d41"
 
@@ -49,7 +49,7 @@
     lines = Lines()
     trace = RequestTrace(10.0, 0.05)
     trace.add(10.001, Step.SENT, 0xA1, (2949, 0xB2))
-    trace.add(10.3, Step.ENDED, 0xA1, (End.ERR, b"detail=s,ttfb=12"))
+    trace.add(10.3, Step.ENDED, 0xA1, (AttemptResult.ERR, b"detail=s,ttfb=12"))
     trace.add(10.4, Step.CLIENT_LEFT, 0, "aborted")
     ended(RequestLog(lines), now=10.5, trace=trace)
     assert lines[0]["unread_ms"] == 50.0 and lines[0]["ms"] == 500.0
@@ -77,7 +77,7 @@
 
 def test_standstills_are_found_in_waits_and_in_turns_and_counted_anew_after_a_report():
     lines = Lines()
-    meter = Standstills()
+    meter = EventLoopStalls()
     meter.log = lines
     meter.waited(0.0, 0.25, 0.25)  # in time
     meter.waited(0.26, 0.25, 1.01)  # half a second past its time
--- a/tests/peers/test_peers.py
+++ b/tests/peers/test_peers.py
@@ -310,7 +310,7 @@
     )
     fellows_clock, peer_transport.clock = peer_transport.clock, lambda: now[0]
     try:
-        made = peer_transport.Fellows(node, Roster(places(3), "n0"), [KEY], 1)
+        made = peer_transport.PeerTransport(node, Roster(places(3), "n0"), [KEY], 1)
         looks, view = [], made.detector.view
         made.detector.view = lambda when: looks.append(when) or view(when)
         made.transport = SimpleNamespace(write=lambda data, address: None)
--- a/tests/store/test_store.py
+++ b/tests/store/test_store.py
@@ -13,11 +13,11 @@
 from tests.support.store_world import World
 from wickhinge.clocks import OthersTime
 from wickhinge.interface import Effect, Outcome
-from wickhinge.net.downstream.request_table import Visits
+from wickhinge.net.downstream.request_table import RequestTable
 from wickhinge.net.runtime.buffers import Body
 from wickhinge.net.upstream import resp
-from wickhinge.net.upstream.attempts import Forwards
-from wickhinge.net.upstream.local_copies import Copies
+from wickhinge.net.upstream.attempts import Attempts
+from wickhinge.net.upstream.local_copies import LocalCopies
 from wickhinge.store.keep import Copy
 from wickhinge.store.link import Link
 
@@ -438,14 +438,14 @@
         send=lambda tag, number, payload: sent.append((tag, number, forwards.begin(number))) or line
     )
     caches = SimpleNamespace(machines={mark: machine for mark in [1, 2, 3, 4, 100, 101, 200]})
-    forwards = Forwards(caches, heap, 0.25, faults.append)
+    forwards = Attempts(caches, heap, 0.25, faults.append)
     made = router()
-    visits = Visits(forwards, heap, buffers, {"t": tariff()}, lambda *a, **k: None, faults.append)
+    visits = RequestTable(forwards, heap, buffers, {"t": tariff()}, lambda *a, **k: None, faults.append)
     forwards.router = visits.router = made
     world.clock = heap.clock
     if with_store:
         world.store.now = lambda: heap.clock
-        copies = Copies(world.store, heap, buffers, Link(1e6, 1e6), 0.1, faults.append, OthersTime())
+        copies = LocalCopies(world.store, heap, buffers, Link(1e6, 1e6), 0.1, faults.append, OthersTime())
         made.copies = visits.copies = forwards.copies = copies
         world.store.caught_up(heap.clock, False)
     return SimpleNamespace(
@@ -471,7 +471,7 @@
 
 def told(net):
     """The fields of what was sent last."""
-    (items,) = resp.Stream(pool()[0]).feed(net.sent[-1][2])
+    (items,) = resp.ReplyDecoder(pool()[0]).feed(net.sent[-1][2])
     return resp.fields(items[2])
 
 
@@ -543,7 +543,7 @@
     visited(net), visited(net)
     net.world.restart(1, lost=False)
     net.world.store.now = lambda: net.heap.clock
-    copies = Copies(net.world.store, net.heap, net.pool, Link(1e6, 1e6), 0.1, net.faults.append, OthersTime())
+    copies = LocalCopies(net.world.store, net.heap, net.pool, Link(1e6, 1e6), 0.1, net.faults.append, OthersTime())
     net.router.copies = net.visits.copies = net.forwards.copies = copies
     net.world.store.caught_up(net.heap.clock, False)
     ask(net)
--- a/tests/support/connections.py
+++ b/tests/support/connections.py
@@ -4,13 +4,13 @@
 
 from wickhinge.net.control import endpoint_watch
 from wickhinge.net.runtime.arrivals import Arrivals
-from wickhinge.net.runtime.buffers import Pool
-from wickhinge.net.upstream.connection_pools import Caches, Line
+from wickhinge.net.runtime.buffers import BufferPool
+from wickhinge.net.upstream.connection_pools import ConnectionPools, UpstreamConnection
 
 
 def pool(limit=8):
     told = []
-    made = Pool(limit, lambda: told.append("stop"), lambda: told.append("go"))
+    made = BufferPool(limit, lambda: told.append("stop"), lambda: told.append("go"))
     return made, told
 
 
@@ -43,11 +43,11 @@
         soon=lambda call, *told: soon.append((call, told)),
         arrivals=Arrivals(0.0),
     )
-    caches = Caches(None, clock, pool()[0], 0.4, 15.0, 100, 50, lambda *_, **more: None, [].append)
+    caches = ConnectionPools(None, clock, pool()[0], 0.4, 15.0, 100, 50, lambda *_, **more: None, [].append)
     caches.ended = ends.__setitem__
     caches.answered = lambda number, *_: ends.setdefault(number, "answered") == "answered"
     caches.listed(1, "1", ("127.0.0.1", 1))
-    made = Line(caches.machines[1])
+    made = UpstreamConnection(caches.machines[1])
     made.machine.lines.append(made)
     made.transport = made.socket = Wire(room)
     made.up = True
--- a/tests/support/processes.py
+++ b/tests/support/processes.py
@@ -100,7 +100,7 @@
 class Client:
     def __init__(self, address):
         self.socket = socket.create_connection(address, PATIENT)
-        self.stream, self.had, self.calls = msgpack.Stream(300_000), [], 0
+        self.stream, self.had, self.calls = msgpack.MessageDecoder(300_000), [], 0
 
     def ask(self, tariff="pages", body=b"", drop=(), **fields):
         self.calls += 1
--- a/tests/support/router_process.py
+++ b/tests/support/router_process.py
@@ -8,7 +8,7 @@
 
 from tests.support.processes import PATIENT, ROOT, Client, Process, free
 from wickhinge.net.control import endpoint_watch
-from wickhinge.net.runtime.buffers import Pool
+from wickhinge.net.runtime.buffers import BufferPool
 from wickhinge.net.upstream import resp
 
 KINDS = {"box": 0, "parent": 1, "origin": 2}
@@ -47,7 +47,7 @@
 
     def __init__(self, made, place=0):
         self.place = place
-        self.socket, self.stream, self.had = made, resp.Stream(Pool(99, lambda: None, lambda: None)), []
+        self.socket, self.stream, self.had = made, resp.ReplyDecoder(BufferPool(99, lambda: None, lambda: None)), []
         made.settimeout(PATIENT)
 
     def next(self, within=PATIENT):
--- a/wickhinge/common/connector.py
+++ b/wickhinge/common/connector.py
@@ -18,7 +18,7 @@
     pass
 
 
-class Dial(ClientFactory):
+class ConnectAttempt(ClientFactory):
     """The protocol's connectionMade tells that it is up; failed(reason) that it never will be, once."""
 
     noisy = False
--- a/wickhinge/lab/many/stands.py
+++ b/wickhinge/lab/many/stands.py
@@ -17,7 +17,7 @@
 
 from wickhinge.decide import Cold
 from wickhinge.net.downstream import msgpack
-from wickhinge.net.runtime.buffers import Body, Pool
+from wickhinge.net.runtime.buffers import Body, BufferPool
 from wickhinge.net.upstream import resp
 
 HOST = "127.0.0.1"
@@ -100,10 +100,10 @@
             made, _ = self.listener.accept()
         except OSError:
             return
-        stream = resp.Stream(Pool(1 << 20, lambda: None, lambda: None))
+        stream = resp.ReplyDecoder(BufferPool(1 << 20, lambda: None, lambda: None))
         Link(self.stands, made, lambda link, data: self.asked(link, stream, data))
 
-    def asked(self, link: Link, stream: resp.Stream, data: bytes) -> None:
+    def asked(self, link: Link, stream: resp.ReplyDecoder, data: bytes) -> None:
         for items in stream.feed(data):
             told = [b"".join(item.views()) if isinstance(item, Body) else item for item in items]
             if told[0] == b"REQ":
@@ -136,7 +136,7 @@
         made = socket.socket()
         made.setblocking(False)
         made.connect_ex(self.address)
-        stream = msgpack.Stream(300_000)
+        stream = msgpack.MessageDecoder(300_000)
         self.link = Link(self.stands, made, lambda link, data: self.answered(stream, data), self.lost)
         self.plan()
 
@@ -167,7 +167,7 @@
             link.send(msgpack.pack([0, self.calls, "pages", [fields, b""]]))
         self.plan()
 
-    def answered(self, stream: msgpack.Stream, data: bytes) -> None:
+    def answered(self, stream: msgpack.MessageDecoder, data: bytes) -> None:
         for _, call, error, _result in stream.feed(data):
             since = self.open.pop(call, None)
             now = self.stands.rig.now
--- a/wickhinge/membership/talk.py
+++ b/wickhinge/membership/talk.py
@@ -9,7 +9,7 @@
 from twisted.internet.protocol import Factory, Protocol
 from twisted.python.failure import Failure
 
-from wickhinge.common.connector import Dial
+from wickhinge.common.connector import ConnectAttempt
 from wickhinge.membership import siblings
 
 WITHIN = 2.0  # seconds for the whole of it
@@ -108,7 +108,7 @@
 ) -> None:
     """then(list, "") or then(None, why), once, within WITHIN seconds."""
     made = Ask(key, now, then)
-    attempt = Dial(reactor, address, made, lambda failure: made.finish(None, failure.getErrorMessage()))
+    attempt = ConnectAttempt(reactor, address, made, lambda failure: made.finish(None, failure.getErrorMessage()))
 
     def over() -> None:
         attempt.stop()
--- a/wickhinge/net/control/changelog_client.py
+++ b/wickhinge/net/control/changelog_client.py
@@ -21,7 +21,7 @@
 ANY_ADDRESS = ("0.0.0.0", 0)
 
 
-class Changes:
+class ChangelogClient:
     """`options`: the settings of the change log. Raises Malformed with the faulty key."""
 
     def __init__(self, options: Changelog, name: str, node: Any) -> None:
@@ -138,6 +138,6 @@
         self._log(state, epoch=figures["epoch"], number=figures["number"], age_s=figures["age_s"])
 
 
-def make(options: Changelog, name: str, node: Any) -> Changes:
+def make(options: Changelog, name: str, node: Any) -> ChangelogClient:
     """Raises Malformed with the faulty key."""
-    return Changes(options, name, node)
+    return ChangelogClient(options, name, node)
--- a/wickhinge/net/control/endpoint_watch.py
+++ b/wickhinge/net/control/endpoint_watch.py
@@ -16,7 +16,7 @@
 from twisted.internet.protocol import Protocol
 from twisted.python.failure import Failure
 
-from wickhinge.common.connector import Dial
+from wickhinge.common.connector import ConnectAttempt
 from wickhinge.common.failed_calls import receive
 from wickhinge.net.runtime.deadlines import Deadlines
 
@@ -221,7 +221,7 @@
             return
         self.connect_round += 1
         connect_round, self._connecting_since = self.connect_round, self.deadlines.now()
-        attempt = Dial(
+        attempt = ConnectAttempt(
             self.reactor,
             self.address,
             WatchConnection(self, connect_round),
--- a/wickhinge/net/control/membership.py
+++ b/wickhinge/net/control/membership.py
@@ -26,7 +26,7 @@
 FAILED = (Outcome.UNREACHED, Outcome.TIMED_OUT)
 
 
-class Membership:
+class MembershipClient:
     """The router's Members; files are written by a worker, siblings are asked in turn."""
 
     def __init__(
@@ -197,7 +197,7 @@
             self.keeper.close()
 
 
-def make(options: Any, conf: dict[str, Any], node: Any) -> Membership:
+def make(options: Any, conf: dict[str, Any], node: Any) -> MembershipClient:
     """Raises Malformed where the key can't be read."""
     found, fleet = options.discovery, node.router.fleet
     key = keys.read("discovery.key_file", found.key_file) if found.key_file else b""
@@ -227,7 +227,7 @@
         except Unusable as problem:
             node.log.event("list_unusable", why=str(problem))
             keeper = None
-    box: list[Membership] = []
+    box: list[MembershipClient] = []
     chance = Chance(node.seed ^ 0x5EED)
     members = Members(
         lambda machines: box[0].tell(machines),
@@ -243,5 +243,5 @@
         options.journal.quiet_s,
         node.router.purges.done,
     )
-    box.append(Membership(node, members, keeper, found, key, static))
+    box.append(MembershipClient(node, members, keeper, found, key, static))
     return box[0]
--- a/wickhinge/net/control/peer_transport.py
+++ b/wickhinge/net/control/peer_transport.py
@@ -34,7 +34,7 @@
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
-class Fellows(DatagramProtocol):
+class PeerTransport(DatagramProtocol):
     """The router's FailureDetector on its socket."""
 
     noisy = False
@@ -260,10 +260,10 @@
     return Division(names, options.shared.processes or names + SPARE)
 
 
-def make(options: Any, name: str, node: Any) -> Fellows:
+def make(options: Any, name: str, node: Any) -> PeerTransport:
     """Raises Malformed with the faulty key."""
     roster, found = told_by(options, name)
-    made = Fellows(node, roster, found, node.seed ^ 0xFE110)
+    made = PeerTransport(node, roster, found, node.seed ^ 0xFE110)
     if options.shared.mode == "on":
         made.share(
             divided(options, roster, node.router.fleet.zone),
--- a/wickhinge/net/control/readiness.py
+++ b/wickhinge/net/control/readiness.py
@@ -22,7 +22,7 @@
 WITHIN = SILENCE_LIMIT_S
 
 
-class Opening:
+class Readiness:
     """Owns the listening address. Of `caught_up`, `trusted` and the time limit the first opens, `leave` ends it."""
 
     def __init__(
--- a/wickhinge/net/control/router_process.py
+++ b/wickhinge/net/control/router_process.py
@@ -16,15 +16,15 @@
 from wickhinge.interface import Listing
 from wickhinge.net.control import config
 from wickhinge.net.control.endpoint_watch import EndpointRecord, EndpointWatch, WatchSettings
-from wickhinge.net.control.readiness import Opening
-from wickhinge.net.downstream.client_connections import Clients
+from wickhinge.net.control.readiness import Readiness
+from wickhinge.net.downstream.client_connections import ClientConnections
 from wickhinge.net.downstream.descriptors import bounds
-from wickhinge.net.downstream.request_table import Visits
-from wickhinge.net.runtime.buffers import SIZE, Pool
+from wickhinge.net.downstream.request_table import RequestTable
+from wickhinge.net.runtime.buffers import SIZE, BufferPool
 from wickhinge.net.runtime.deadlines import Deadlines
 from wickhinge.net.runtime.log import Log
-from wickhinge.net.upstream.attempts import Forwards
-from wickhinge.net.upstream.connection_pools import Caches
+from wickhinge.net.upstream.attempts import Attempts
+from wickhinge.net.upstream.connection_pools import ConnectionPools
 
 STATES = ("ready", "draining", "gone")
 PROBE_WITHIN = 0.25  # where the settings name no time limit of probes
@@ -43,7 +43,7 @@
 CIRCLES = 25_000
 
 
-class Node:
+class RouterProcess:
     def __init__(self, conf: dict[str, Any], reactor: Any, descriptor: int = 1, options: Any = None) -> None:
         self.reactor = reactor
         self.log = Log(descriptor, config.name(conf), Deadlines.now)
@@ -56,8 +56,8 @@
         descriptors = bounds(sockets)
         self.collect_over = memory * 700  # in KB: 0.7 of the limit
         connect_within, idle, streams = config.times(conf)
-        self.pool = Pool(max((memory - BASE) * 500_000 // SIZE, 128), self.pause, self.resume)
-        self.caches = Caches(
+        self.pool = BufferPool(max((memory - BASE) * 500_000 // SIZE, 128), self.pause, self.resume)
+        self.caches = ConnectionPools(
             reactor,
             self.deadlines,
             self.pool,
@@ -68,7 +68,7 @@
             self.log.event,
             self.fault,
         )
-        self.forwards = Forwards(self.caches, self.deadlines, PROBE_WITHIN, self.fault)
+        self.forwards = Attempts(self.caches, self.deadlines, PROBE_WITHIN, self.fault)
         conf_settings = config.settings(conf)
         self.zones = settings.names(conf_settings, "zones")
         self.kinds = settings.names(conf_settings, "shapes")
@@ -81,9 +81,9 @@
         reactor.behind = lambda: self.endpoint_watch.read_pending()
         self.router.fleet.instant = self.router.purges.instant = self.others.instant
         self.last = min(max(tariff.patience for tariff in tariffs.values()), LONGEST) + LAST
-        self.visits = Visits(self.forwards, self.deadlines, self.pool, tariffs, self.log.event, self.fault)
+        self.visits = RequestTable(self.forwards, self.deadlines, self.pool, tariffs, self.log.event, self.fault)
         self.forwards.router = self.visits.router = self.router
-        self.clients = Clients(self.visits, self.deadlines, descriptors.clients, self.log.event)
+        self.clients = ClientConnections(self.visits, self.deadlines, descriptors.clients, self.log.event)
         self.copies: Any = None
         if options is not None and options.store.mode == "on":
             from wickhinge.net.upstream import local_copies  # what is off costs nothing
@@ -131,7 +131,7 @@
 
     def start(self) -> None:
         """Raises OSError where the address to listen on cannot be had."""
-        self.opening = Opening(self.reactor, self.listen, self.clients, self.deadlines, self.log.event, self.taken)
+        self.opening = Readiness(self.reactor, self.listen, self.clients, self.deadlines, self.log.event, self.taken)
         self.started = True
         self.router.start(self.deadlines.now())
         self.reactor.addSystemEventTrigger("before", "shutdown", self.log.flush)
--- a/wickhinge/net/control/start.py
+++ b/wickhinge/net/control/start.py
@@ -30,11 +30,11 @@
     reactor = Reactor()
     installReactor(reactor)
     from wickhinge.net.control import config
-    from wickhinge.net.control.router_process import Node
+    from wickhinge.net.control.router_process import RouterProcess
 
     path = path or os.environ.get("WICKHINGE_OPTIONS")
     try:
-        node = Node(config.read(os.environ), reactor, options=read_options(path) if path else None)
+        node = RouterProcess(config.read(os.environ), reactor, options=read_options(path) if path else None)
         if path:
             node.reread = lambda: read_options(path)
         node.start()
--- a/wickhinge/net/downstream/client_connections.py
+++ b/wickhinge/net/downstream/client_connections.py
@@ -13,7 +13,7 @@
 from wickhinge.common.failed_calls import receive, waiting
 from wickhinge.net.downstream import msgpack
 from wickhinge.net.downstream.descriptors import Admission
-from wickhinge.net.downstream.request_table import Bad, Visits
+from wickhinge.net.downstream.request_table import InvalidRequestError, RequestTable
 from wickhinge.net.runtime.buffers import Body
 from wickhinge.net.runtime.deadlines import Deadlines
 
@@ -33,7 +33,7 @@
 READS = 32  # reads of a socket in one look: as much as a client's open requests may take
 
 
-class Waiting:
+class QueuedRequest:
     """A request that was read and has not begun yet."""
 
     __slots__ = ("method", "params", "since", "size")
@@ -42,13 +42,13 @@
         self.method, self.params, self.since, self.size = method, params, since, size
 
 
-class Client(Protocol):
-    def __init__(self, clients: Clients) -> None:
+class ClientConnection(Protocol):
+    def __init__(self, clients: ClientConnections) -> None:
         self.clients = clients
-        self.stream = msgpack.Stream()
+        self.stream = msgpack.MessageDecoder()
         self.open: dict[int, Any] = {}
         self.out: deque[bytes | Body] = deque()
-        self.later: dict[int, Waiting] = {}  # requests read and not begun, by their ids, in order
+        self.later: dict[int, QueuedRequest] = {}  # requests read and not begun, by their ids, in order
         self.kept = 0  # bytes of those read in a hold
         self.pings: list[int] = []  # to be answered when what came before them has begun
         self.full = self.held = self.ended = False
@@ -96,7 +96,7 @@
             for message in messages:
                 self.message(message)
             self.clients.read(self, bool(messages))
-        except msgpack.Unreadable as problem:
+        except msgpack.MalformedMessageError as problem:
             self.fail(str(problem))
 
     def look(self) -> None:
@@ -140,7 +140,7 @@
             message[0] for message in messages if type(message) is list and len(message) > 2 and message[2] != "ping"
         ]
         if len(self.open) + len(self.later) + asked.count(0) - asked.count(2) > OPEN:
-            raise msgpack.Unreadable(f"more than {OPEN} requests open")
+            raise msgpack.MalformedMessageError(f"more than {OPEN} requests open")
 
     def message(self, message: Any) -> None:
         if self.ended:
@@ -148,7 +148,7 @@
         kind = message[0] if type(message) is list and 3 <= len(message) <= 4 else None
         params = message[-1] if kind is not None else None
         if type(kind) is not int or type(params) is not list or not params:
-            raise msgpack.Unreadable("a message that is no request and no abort")
+            raise msgpack.MalformedMessageError("a message that is no request and no abort")
         call, first = message[1], params[0]
         if kind == 0 and len(message) == 4 and type(call) is int and type(first) is dict:
             if message[2] == "ping":
@@ -160,7 +160,7 @@
                 or type(message[2]) is not str
                 or len(self.open) + len(self.later) >= OPEN
             ):
-                raise msgpack.Unreadable("a request with an id in use, one too many, or with no method")
+                raise msgpack.MalformedMessageError("a request with an id in use, one too many, or with no method")
             self.queue(call, message[2], params)
         elif kind == 2 and call == "abort" and type(first) is int:
             door = self.open.pop(first, None)
@@ -170,7 +170,7 @@
                 self.unqueue(first)
                 self.clients.visits.requests.count("aborted before it began")
         else:
-            raise msgpack.Unreadable("a message that is no request and no abort")
+            raise msgpack.MalformedMessageError("a message that is no request and no abort")
 
     def queue(self, call: int, method: str, params: list[Any]) -> None:
         """To begin when all that came with it has been heeded, or after the hold. In a hold it is kept in memory
@@ -183,11 +183,11 @@
                 self.error(call, "Overloaded", {})
                 self.clients.visits.requests.count("refused in a hold")
                 return
-        self.later[call] = Waiting(method, params, self.arrival, size)
+        self.later[call] = QueuedRequest(method, params, self.arrival, size)
         self.kept += size
         self.clients.kept += size
 
-    def unqueue(self, call: int) -> Waiting:
+    def unqueue(self, call: int) -> QueuedRequest:
         request = self.later.pop(call)
         self.kept -= request.size
         self.clients.kept -= request.size
@@ -210,13 +210,13 @@
         try:
             body = params[1] if len(params) > 1 else b""
             if len(params) > 2 or type(body) is not bytes:
-                raise Bad("the body is not bytes")
+                raise InvalidRequestError("the body is not bytes")
             for name in fields:
                 if type(name) is not str or type(fields[name]) is not str:
-                    raise Bad(f"field {name!s:.40} is not a string")
+                    raise InvalidRequestError(f"field {name!s:.40} is not a string")
             self.open[call] = None
             door = self.clients.visits.take(self, call, method, fields, body, arrival)
-        except Bad as problem:
+        except InvalidRequestError as problem:
             self.open.pop(call, None)
             self.clients.bad(str(problem))
             self.clients.visits.requests.count("unusable")
@@ -396,29 +396,29 @@
         self.out.clear()
 
 
-class Clients(Factory):
+class ClientConnections(Factory):
     """All connections of clients. Three tables in order of time say which must go: those that have asked
     nothing, those with half a request, and those with nothing open.
     """
 
     noisy = False
 
-    def __init__(self, visits: Visits, deadlines: Deadlines, most: int, log: Callable[..., None]) -> None:
+    def __init__(self, visits: RequestTable, deadlines: Deadlines, most: int, log: Callable[..., None]) -> None:
         self.visits, self.deadlines, self.log = visits, deadlines, log
         self.arrivals = deadlines.arrivals
         self.admission = Admission(most)
         self.listener: Any = None
         self.room_wanted = False  # the listener is to look again on the next turn
-        self.all: set[Client] = set()
-        self.silent: dict[Client, float] = {}
-        self.half: dict[Client, float] = {}
-        self.idle: dict[Client, float] = {}
+        self.all: set[ClientConnection] = set()
+        self.silent: dict[ClientConnection, float] = {}
+        self.half: dict[ClientConnection, float] = {}
+        self.idle: dict[ClientConnection, float] = {}
         self.leaving = self.paused = False
         self.kept = 0  # bytes of requests that clients keep here in holds
         self.faults: dict[str, int] = {}
         self.closed: dict[str, int] = {}  # connections that the router has ended, by why
 
-    def came(self, client: Client) -> None:
+    def came(self, client: ClientConnection) -> None:
         self.all.add(client)
         self.silent[client] = self.deadlines.now()
 
@@ -450,7 +450,7 @@
         self.room_wanted = False
         self.listener.resume()
 
-    def read(self, client: Client, whole: bool) -> None:
+    def read(self, client: ClientConnection, whole: bool) -> None:
         """Something has come from it, and at least one whole message where so said."""
         if client.ended:
             return
@@ -462,7 +462,7 @@
             self.half.setdefault(client, self.deadlines.now())
         self.settle(client)
 
-    def settle(self, client: Client) -> None:
+    def settle(self, client: ClientConnection) -> None:
         busy = client.open or client.later or client.out or client.full
         if busy or client.ended or client in self.silent:
             self.idle.pop(client, None)
@@ -481,7 +481,7 @@
         self.look_again()
         self.deadlines.after(SWEEP, self.sweep)
 
-    def turn_away(self, client: Client, for_room: bool = False) -> bool:
+    def turn_away(self, client: ClientConnection, for_room: bool = False) -> bool:
         """Hang up on it, unless it has asked meanwhile: its socket is read to the end first. Whether it went."""
         table = next((table for table in (self.silent, self.half, self.idle) if client in table), None)
         client.read_all(client.came_since())
@@ -499,7 +499,7 @@
             self.bad(why)
         return True
 
-    def forget(self, client: Client) -> None:
+    def forget(self, client: ClientConnection) -> None:
         self.all.discard(client)
         for table in (self.silent, self.half, self.idle):
             table.pop(client, None)
@@ -513,8 +513,8 @@
                 why = "others"
         self.faults[why] = self.faults.get(why, 0) + 1
 
-    def buildProtocol(self, addr: Any) -> Client:
-        return Client(self)
+    def buildProtocol(self, addr: Any) -> ClientConnection:
+        return ClientConnection(self)
 
     def pause(self) -> None:
         self.paused = True
--- a/wickhinge/net/downstream/listener.py
+++ b/wickhinge/net/downstream/listener.py
@@ -19,7 +19,7 @@
 from twisted.python.failure import Failure
 
 from wickhinge.common.failed_calls import NO_DESCRIPTOR, failed_calls
-from wickhinge.net.downstream.client_connections import Clients
+from wickhinge.net.downstream.client_connections import ClientConnections
 from wickhinge.net.runtime.transport import Incoming
 
 FAILURES = 4  # in a row, after which the loop goes on first
@@ -45,7 +45,7 @@
 
     transport = Accepted
 
-    def __init__(self, reactor: Any, listening: socket, clients: Clients) -> None:
+    def __init__(self, reactor: Any, listening: socket, clients: ClientConnections) -> None:
         """Takes a socket that listens already, and owns it from now on."""
         super().__init__(None, clients, reactor=reactor)
         self.clients, self.admission = clients, clients.admission
--- a/wickhinge/net/downstream/msgpack.py
+++ b/wickhinge/net/downstream/msgpack.py
@@ -37,7 +37,7 @@
 PLAIN = {0xC0: None, 0xC2: False, 0xC3: True}
 
 
-class Unreadable(Exception):
+class MalformedMessageError(Exception):
     """Not MessagePack, or over a bound; the text names the fault."""
 
 
@@ -54,7 +54,7 @@
     def take(self, size: int) -> int:
         start = self.place
         if size > self.limit:
-            raise Unreadable(f"a value of {size} bytes")
+            raise MalformedMessageError(f"a value of {size} bytes")
         if start + size > self.end:
             raise Short
         self.place = start + size
@@ -74,7 +74,7 @@
         if code < 0x80:
             return code
         if depth > DEPTH:
-            raise Unreadable("nested too deep")
+            raise MalformedMessageError("nested too deep")
         if code < 0x90:
             return self.pairs(code & 15, depth)
         if code < 0xA0:
@@ -86,7 +86,7 @@
         if code in FORMS:
             return self.unpack(FORMS[code])
         if code not in HEADS:
-            raise Unreadable(f"a value of unknown kind {code:#x}")
+            raise MalformedMessageError(f"a value of unknown kind {code:#x}")
         kind, form = HEADS[code]
         size = self.unpack(form)
         if kind == "bin":
@@ -95,7 +95,7 @@
         if kind == "str":
             return self.text(size)
         if size > ITEMS:
-            raise Unreadable(f"{kind} of {size} items")
+            raise MalformedMessageError(f"{kind} of {size} items")
         return self.pairs(size, depth) if kind == "map" else [self.value(depth + 1) for _ in range(size)]
 
     def text(self, size: int) -> str:
@@ -103,7 +103,7 @@
         try:
             return self.data[start : self.place].decode()
         except UnicodeDecodeError:
-            raise Unreadable("a string is not UTF-8") from None
+            raise MalformedMessageError("a string is not UTF-8") from None
 
     def pairs(self, size: int, depth: int) -> dict[Any, Any]:
         """Nearly all are short strings, so these are read here and not by a call each."""
@@ -116,20 +116,20 @@
                 try:
                     value = data[start + 1 : self.place].decode()
                 except UnicodeDecodeError:
-                    raise Unreadable("a string is not UTF-8") from None
+                    raise MalformedMessageError("a string is not UTF-8") from None
             else:
                 value = self.value(depth + 1)
             if turn & 1:
                 try:
                     result[key] = value
                 except TypeError:
-                    raise Unreadable("a map's key is no plain value") from None
+                    raise MalformedMessageError("a map's key is no plain value") from None
             else:
                 key = value
         return result
 
 
-class Stream:
+class MessageDecoder:
     def __init__(self, limit: int = LIMIT) -> None:
         self.rest, self.limit = b"", limit
 
@@ -144,7 +144,7 @@
                 whole = reader.place
         except Short:
             if len(data) - whole > self.limit:
-                raise Unreadable(f"a message of over {self.limit} bytes") from None
+                raise MalformedMessageError(f"a message of over {self.limit} bytes") from None
         self.rest = data[whole:]
         return messages
 
--- a/wickhinge/net/downstream/request_log.py
+++ b/wickhinge/net/downstream/request_log.py
@@ -72,7 +72,7 @@
     return round(seconds * 1000, 1)
 
 
-class Bound:
+class RateLimit:
     """So many lines a second, so many at once."""
 
     def __init__(self, rate: float, most: float) -> None:
@@ -92,7 +92,7 @@
 
     def __init__(self, log: Callable[..., None]) -> None:
         self.log = log
-        self.bound = Bound(LINES_A_SECOND, LINES_AT_ONCE)
+        self.bound = RateLimit(LINES_A_SECOND, LINES_AT_ONCE)
         self.reasons: dict[str, int] = {}  # since the start, of requests that were not served
         self.served = self.unlogged = 0
 
--- a/wickhinge/net/downstream/request_table.py
+++ b/wickhinge/net/downstream/request_table.py
@@ -8,10 +8,10 @@
 
 from wickhinge.interface import Effect, Refusal, Request
 from wickhinge.net.downstream.request_log import SERVED, RequestLog, RequestTrace, Step
-from wickhinge.net.runtime.buffers import Body, Pool
+from wickhinge.net.runtime.buffers import Body, BufferPool
 from wickhinge.net.runtime.deadlines import Deadlines
 from wickhinge.net.runtime.slots import Slots
-from wickhinge.net.upstream.attempts import Forwards
+from wickhinge.net.upstream.attempts import Attempts
 
 HEX = re.compile(r"[0-9a-f]{16}\Z").match
 MARK = re.compile(r"[0-9A-Za-z_-]{1,64}\Z").match  # nothing that parts fields on the way to a cache
@@ -23,11 +23,11 @@
 LATEST = 0.01  # past a visit's patience: by then the module has answered, or it never will
 
 
-class Bad(Exception):
+class InvalidRequestError(Exception):
     """A request that can be read but not used: the text names the field."""
 
 
-class Door:
+class DownstreamRequest:
     __slots__ = (
         "visits",
         "client",
@@ -50,7 +50,7 @@
     )
 
     def __init__(
-        self, visits: Visits, client: Any, call: int, rid: str, tariff: Any, since: float, unread: float = 0.0
+        self, visits: RequestTable, client: Any, call: int, rid: str, tariff: Any, since: float, unread: float = 0.0
     ) -> None:
         self.visits, self.client, self.call, self.tariff, self.since = visits, client, call, tariff, since
         self.rid = rid.encode()
@@ -150,12 +150,12 @@
             self.visits.ended(self)
 
 
-class Visits:
+class RequestTable:
     def __init__(
         self,
-        forwards: Forwards,
+        forwards: Attempts,
         deadlines: Deadlines,
-        pool: Pool,
+        pool: BufferPool,
         tariffs: dict[str, Any],
         log: Callable[..., None],
         fault: Callable[[str], None],
@@ -171,12 +171,14 @@
         self.taken = 0
         self.answers: dict[str, int] = {}
 
-    def take(self, client: Any, call: int, method: str, fields: dict[str, str], body: bytes, arrival: float) -> Door:
+    def take(
+        self, client: Any, call: int, method: str, fields: dict[str, str], body: bytes, arrival: float
+    ) -> DownstreamRequest:
         """arrival: when its last byte came, at the earliest; its time counts from then."""
         now = self.deadlines.now()
         tariff = self.tariffs.get(method)
         if tariff is None:
-            raise Bad("method names no tariff")
+            raise InvalidRequestError("method names no tariff")
         rid = digits(fields, "rid")
         waited = max(now - arrival, 0.0)
         patience = whole(fields, "budget", LEAST, int(MOST * tariff.patience)) / 1000.0 - waited
@@ -184,12 +186,12 @@
         group = whole(fields, "family", 0, GROUPS, 0)
         key = 0 if tariff.passes_on and "obj" not in fields else int(digits(fields, "obj"), 16)
         if len(body) > BODY:
-            raise Bad(f"the body holds over {BODY} bytes")
+            raise InvalidRequestError(f"the body holds over {BODY} bytes")
         if not MARK(fields.get("token", "-")):
-            raise Bad("field token is no mark of up to 64 letters and digits")
+            raise InvalidRequestError("field token is no mark of up to 64 letters and digits")
         if rid in self.rids or rid in self.before:
-            raise Bad("field rid was used before")
-        door = Door(self, client, call, rid, tariff, now, waited)
+            raise InvalidRequestError("field rid was used before")
+        door = DownstreamRequest(self, client, call, rid, tariff, now, waited)
         door.body = Body(self.pool, body) if body else None
         door.passed = f"queue={method}"
         if "token" in fields:
@@ -227,7 +229,7 @@
             self.log("overdue", rid=door.rid.decode(), steps=door.trace.lines())
             door.broken()
 
-    def gone(self, door: Door, why: str) -> None:
+    def gone(self, door: DownstreamRequest, why: str) -> None:
         """The client has left, or given the request up: nothing is owed."""
         door.client = None
         if door.final:
@@ -239,7 +241,7 @@
         door.recall()
         door.settle()
 
-    def refuse(self, door: Door) -> None:
+    def refuse(self, door: DownstreamRequest) -> None:
         """Its connection ends by the client's fault: answered while that is still there."""
         if not door.final and door.visit is not None:
             door.visit.give_up(self.deadlines.now(), Refusal.CLIENT_FAULT)
@@ -253,7 +255,7 @@
     def open(self) -> int:
         return sum(not door.final for door in self.slots)
 
-    def ended(self, door: Door) -> None:
+    def ended(self, door: DownstreamRequest) -> None:
         if door.body is not None:
             door.body.release()
         visit, door.visit = door.visit, None
@@ -278,9 +280,9 @@
 def digits(fields: dict[str, str], field: str) -> str:
     value = fields.get(field)
     if value is None:
-        raise Bad(f"field {field} is missing")
+        raise InvalidRequestError(f"field {field} is missing")
     if not HEX(value):
-        raise Bad(f"field {field} is not 16 hex digits")
+        raise InvalidRequestError(f"field {field} is not 16 hex digits")
     return value
 
 
@@ -289,7 +291,7 @@
     if value is None and default is not None:
         return default
     if value is None:
-        raise Bad(f"field {field} is missing")
+        raise InvalidRequestError(f"field {field} is missing")
     if not value.isascii() or not value.isdigit() or len(value) > 12 or not least <= int(value) <= most:
-        raise Bad(f"field {field} is not a whole number from {least} to {most}")
+        raise InvalidRequestError(f"field {field} is not a whole number from {least} to {most}")
     return int(value)
--- a/wickhinge/net/runtime/buffers.py
+++ b/wickhinge/net/runtime/buffers.py
@@ -7,7 +7,7 @@
 SIZE = 32768  # most bodies are 5 to 40 KB, and a buffer half used counts whole
 
 
-class Pool:
+class BufferPool:
     """Over its limit it still gives, so that what is half read can end, but tells its readers to stop."""
 
     def __init__(self, limit: int, stop: Callable[[], None], go: Callable[[], None]) -> None:
@@ -38,7 +38,7 @@
 
     __slots__ = ("pool", "buffers", "length", "start")
 
-    def __init__(self, pool: Pool, data: bytes = b"") -> None:
+    def __init__(self, pool: BufferPool, data: bytes = b"") -> None:
         self.pool, self.length, self.start = pool, 0, 0
         self.buffers: list[bytearray] = []
         if data:
--- a/wickhinge/net/runtime/event_loop_stalls.py
+++ b/wickhinge/net/runtime/event_loop_stalls.py
@@ -12,7 +12,7 @@
 LOGGED = 0.25  # and from which it leaves a line; one that long comes a few times a second at most
 
 
-class Standstills:
+class EventLoopStalls:
     """Told of each wait of the loop; all times are seconds of the monotonic clock."""
 
     def __init__(self) -> None:
--- a/wickhinge/net/runtime/loop.py
+++ b/wickhinge/net/runtime/loop.py
@@ -13,7 +13,7 @@
 from wickhinge.clocks import monotonic, steady
 from wickhinge.common.failed_calls import failed_calls
 from wickhinge.net.runtime.arrivals import LONGEST_WAIT, SOON, Arrivals
-from wickhinge.net.runtime.event_loop_stalls import Standstills
+from wickhinge.net.runtime.event_loop_stalls import EventLoopStalls
 from wickhinge.net.runtime.transport import Connector
 
 AT_ONCE = 8  # descriptors served before the deadlines have their turn again; the kernel goes on in order
@@ -32,7 +32,7 @@
         self.now: Callable[[], float] = steady
         super().__init__()
         self.arrivals = Arrivals(steady())
-        self.standstills = Standstills()
+        self.standstills = EventLoopStalls()
         self.behind: Callable[[], None] = lambda: None  # called before anything else is, after a standstill
 
     def connectTCP(
--- a/wickhinge/net/upstream/attempt_results.py
+++ b/wickhinge/net/upstream/attempt_results.py
@@ -12,7 +12,7 @@
 from wickhinge.interface import Outcome
 
 
-class End(Enum):
+class AttemptResult(Enum):
     SERVED = "served"
     SAME = "same"
     MISS = "miss"
@@ -38,57 +38,57 @@
     CLOSED_BY_US = "closed by us"
 
 
-OUTCOMES: dict[End, Outcome | None] = {
-    End.SERVED: Outcome.HONOURED,
-    End.SAME: Outcome.CURRENT,
-    End.MISS: Outcome.MISS,
-    End.BUSY: Outcome.FULL,
-    End.ERR: Outcome.ERROR,
-    End.VOID: Outcome.MOOT,
-    End.UP: Outcome.HONOURED,
-    End.DOWN: Outcome.ERROR,
-    End.REFUSED: Outcome.UNREACHED,
-    End.NO_CONNECT: Outcome.UNREACHED,
-    End.RESET_NEW: Outcome.UNSENT,
-    End.NO_DESCRIPTOR: Outcome.UNSENT,  # our own want, not the machine's
-    End.NOT_BEGUN: Outcome.UNSENT,  # the same
-    End.NO_ROUTE: Outcome.UNSENT,  # told of by this machine's network; where it lasts, NO_CONNECT
-    End.LOST_UNWRITTEN: Outcome.UNSENT,
-    End.LOST_WRITTEN: Outcome.BROKEN,
-    End.UNREADABLE: Outcome.BROKEN,
-    End.SILENT: Outcome.TIMED_OUT,
-    End.STOPPED: Outcome.WITHDRAWN,
-    End.RECALLED: Outcome.UNSENT,
-    End.CUT: Outcome.BROKEN,
-    End.CLOSED_IDLE: None,  # nothing was open: no failure of the cache at all
-    End.CLOSED_BY_US: None,
+OUTCOMES_BY_RESULT: dict[AttemptResult, Outcome | None] = {
+    AttemptResult.SERVED: Outcome.HONOURED,
+    AttemptResult.SAME: Outcome.CURRENT,
+    AttemptResult.MISS: Outcome.MISS,
+    AttemptResult.BUSY: Outcome.FULL,
+    AttemptResult.ERR: Outcome.ERROR,
+    AttemptResult.VOID: Outcome.MOOT,
+    AttemptResult.UP: Outcome.HONOURED,
+    AttemptResult.DOWN: Outcome.ERROR,
+    AttemptResult.REFUSED: Outcome.UNREACHED,
+    AttemptResult.NO_CONNECT: Outcome.UNREACHED,
+    AttemptResult.RESET_NEW: Outcome.UNSENT,
+    AttemptResult.NO_DESCRIPTOR: Outcome.UNSENT,  # our own want, not the machine's
+    AttemptResult.NOT_BEGUN: Outcome.UNSENT,  # the same
+    AttemptResult.NO_ROUTE: Outcome.UNSENT,  # told of by this machine's network; where it lasts, NO_CONNECT
+    AttemptResult.LOST_UNWRITTEN: Outcome.UNSENT,
+    AttemptResult.LOST_WRITTEN: Outcome.BROKEN,
+    AttemptResult.UNREADABLE: Outcome.BROKEN,
+    AttemptResult.SILENT: Outcome.TIMED_OUT,
+    AttemptResult.STOPPED: Outcome.WITHDRAWN,
+    AttemptResult.RECALLED: Outcome.UNSENT,
+    AttemptResult.CUT: Outcome.BROKEN,
+    AttemptResult.CLOSED_IDLE: None,  # nothing was open: no failure of the cache at all
+    AttemptResult.CLOSED_BY_US: None,
 }
 
-WORDS = {
-    b"OK": End.SERVED,
-    b"SAME": End.SAME,
-    b"MISS": End.MISS,
-    b"BUSY": End.BUSY,
-    b"ERR": End.ERR,
-    b"VOID": End.VOID,
-    b"UP": End.UP,
-    b"DOWN": End.DOWN,
+RESULTS_BY_STATUS = {
+    b"OK": AttemptResult.SERVED,
+    b"SAME": AttemptResult.SAME,
+    b"MISS": AttemptResult.MISS,
+    b"BUSY": AttemptResult.BUSY,
+    b"ERR": AttemptResult.ERR,
+    b"VOID": AttemptResult.VOID,
+    b"UP": AttemptResult.UP,
+    b"DOWN": AttemptResult.DOWN,
 }
 
 
-NO_WAY = frozenset({EHOSTUNREACH, ETIMEDOUT})
+NO_ROUTE_ERRNOS = frozenset({EHOSTUNREACH, ETIMEDOUT})
 
 
-def unconnected(reason: Failure) -> End:
+def unconnected(reason: Failure) -> AttemptResult:
     if reason.check(error.ConnectionRefusedError):
-        return End.REFUSED
+        return AttemptResult.REFUSED
     if reason.check(error.ConnectBindError, error.ConnectingCancelledError) is error.ConnectBindError:
-        return End.NO_DESCRIPTOR
+        return AttemptResult.NO_DESCRIPTOR
     number = getattr(reason.value, "osError", None)
     if number == ECONNRESET or reason.check(error.ConnectionLost):
-        return End.RESET_NEW
+        return AttemptResult.RESET_NEW
     if number in OURS:
-        return End.NOT_BEGUN
-    if number in NO_WAY:
-        return End.NO_ROUTE
-    return End.NO_CONNECT
+        return AttemptResult.NOT_BEGUN
+    if number in NO_ROUTE_ERRNOS:
+        return AttemptResult.NO_ROUTE
+    return AttemptResult.NO_CONNECT
--- a/wickhinge/net/upstream/attempts.py
+++ b/wickhinge/net/upstream/attempts.py
@@ -11,16 +11,16 @@
 from wickhinge.net.runtime.deadlines import Deadlines
 from wickhinge.net.runtime.slots import Slots
 from wickhinge.net.upstream import resp
-from wickhinge.net.upstream.attempt_results import OUTCOMES, WORDS, End
-from wickhinge.net.upstream.connection_pools import Caches
+from wickhinge.net.upstream.attempt_results import OUTCOMES_BY_RESULT, RESULTS_BY_STATUS, AttemptResult
+from wickhinge.net.upstream.connection_pools import ConnectionPools
 
-PROBED = (End.UP, End.DOWN)
+PROBED = (AttemptResult.UP, AttemptResult.DOWN)
 PROMPT = 0.005  # seconds from a look at client, time and list to the write: past it they are looked at again
 LATER = 0.005  # seconds from the decision to the write, from which the log tells of it
 NOTES = {b"hfojsrblnx"[place : place + 1]: note for place, note in enumerate(Note)}
 
 
-class Sent:
+class SentAttempt:
     """One forward on its way; for a probe there is no door and no forward, only the cache."""
 
     __slots__ = ("door", "forward", "cache", "line", "tag", "since", "until", "fields", "offered", "fills")
@@ -35,8 +35,10 @@
         self.fills = False  # a miss is filled there: it cannot end as one
 
 
-class Forwards:
-    def __init__(self, caches: Caches, deadlines: Deadlines, probe_within: float, fault: Callable[[str], None]) -> None:
+class Attempts:
+    def __init__(
+        self, caches: ConnectionPools, deadlines: Deadlines, probe_within: float, fault: Callable[[str], None]
+    ) -> None:
         self.caches, self.deadlines, self.probe_within = caches, deadlines, probe_within
         self.fault = fault
         self.slots = Slots()
@@ -76,7 +78,7 @@
         if held_only and door.missed is not None:
             door.missed.leave(door.rid)  # this may end as a miss, and the look's, come twice, would be taken for it
         now = self.deadlines.now()
-        sent = Sent(door, forward, cache, now, now + patience)
+        sent = SentAttempt(door, forward, cache, now, now + patience)
         sent.fills = source is not None and source is not cache and not held_only
         if door.cached:
             sent.offered = door.cached
@@ -90,9 +92,9 @@
     def probe(self, cache: Any, then: Any = None) -> None:
         """then: who hears of it in the module's place."""
         now = self.deadlines.now()
-        self.put(Sent(None, then, cache, now, now + self.probe_within), b"", self.probe_within)
+        self.put(SentAttempt(None, then, cache, now, now + self.probe_within), b"", self.probe_within)
 
-    def put(self, sent: Sent, tag: bytes, patience: float) -> int:
+    def put(self, sent: SentAttempt, tag: bytes, patience: float) -> int:
         number = self.slots.put(sent)
         sent.tag = tag or b"p%d" % number
         if sent.door is not None:
@@ -100,14 +102,14 @@
             source = sent.forward.source.mark if sent.forward.source is not sent.cache else 0
             sent.door.trace.add(sent.since, Step.SENT, sent.cache.mark, (round(patience * 1000), source))
             if sent.door.left():
-                self.deadlines.soon(self.ended, number, End.RECALLED)
+                self.deadlines.soon(self.ended, number, AttemptResult.RECALLED)
                 return number
         machine = self.caches.machines.get(sent.cache.mark)  # none: gone meanwhile, and freed
         if machine is not None:
             probe = resp.pack(b"STAT", sent.tag) if sent.door is None else None
             sent.line = machine.send(sent.tag, number, probe)
         if sent.line is None:
-            self.deadlines.soon(self.ended, number, End.NO_DESCRIPTOR)
+            self.deadlines.soon(self.ended, number, AttemptResult.NO_DESCRIPTOR)
         elif sent.door is None or sent.since + patience < sent.door.until:
             self.deadlines.at(sent.since + patience, self.expire, number)
         # Else it runs out with its visit, which ends what is out: one deadline less for nearly every forward.
@@ -115,12 +117,12 @@
 
     def expire(self, number: int) -> None:
         self.halt(number)
-        self.ended(number, End.SILENT)
+        self.ended(number, AttemptResult.SILENT)
 
     def withdraw(self, number: int) -> None:
         """Stopped now; the module hears of it on the next turn, since this is called from within it."""
         self.halt(number)
-        self.deadlines.soon(self.ended, number, End.STOPPED)
+        self.deadlines.soon(self.ended, number, AttemptResult.STOPPED)
 
     def recall(self, number: int, whole: bool = False) -> None:
         """Not sent after all where it still waits for its connection. whole: also where it has begun to go; the
@@ -131,9 +133,9 @@
             return
         if whole or sent.line.waits(sent.tag):
             sent.line.stop(sent.tag, sent.since)
-            self.deadlines.soon(self.ended, number, End.RECALLED)
+            self.deadlines.soon(self.ended, number, AttemptResult.RECALLED)
 
-    def overtaken(self, holds: Callable[[Sent], bool]) -> None:
+    def overtaken(self, holds: Callable[[SentAttempt], bool]) -> None:
         """Something was told that forms a bar to what was decided before it. A send counts from its first byte, and
         a connection may come up, or take more, long after the bar's grace.
         """
@@ -155,7 +157,7 @@
         while True:
             now = self.deadlines.now()
             if sent.door.left():
-                self.deadlines.soon(self.ended, number, End.RECALLED)  # where nothing may be withdrawn
+                self.deadlines.soon(self.ended, number, AttemptResult.RECALLED)  # where nothing may be withdrawn
                 return None
             if now >= sent.until:
                 self.take_back(number, "its time was over before it was written")
@@ -170,7 +172,7 @@
             sent.door.trace.add(now, Step.WRITTEN_LATER, sent.cache.mark)
         return data
 
-    def request(self, sent: Sent, now: float) -> bytes:
+    def request(self, sent: SentAttempt, now: float) -> bytes:
         door = sent.door
         budget = max(int((sent.until - now) * 1000), 1)
         body = b"".join(door.body.views()) if door.body is not None else b""
@@ -182,7 +184,7 @@
         sent.door.trace.add(self.deadlines.now(), Step.TAKEN_BACK, sent.cache.mark, why)
         if sent.line is not None:
             sent.line.stop(sent.tag, sent.since)
-        self.deadlines.soon(self.ended, number, End.RECALLED)
+        self.deadlines.soon(self.ended, number, AttemptResult.RECALLED)
 
     def halt(self, number: int) -> None:
         sent = self.slots.get(number)
@@ -193,36 +195,36 @@
         """False for a word that does not fit what was asked: nothing on that connection can be trusted. None for one
         that is not the answer: the look's miss once more, as its fill goes under the same id.
         """
-        end, sent = WORDS.get(word, End.UNREADABLE), self.slots.get(number)
-        if end is End.MISS and sent is not None and sent.fills:
+        end, sent = RESULTS_BY_STATUS.get(word, AttemptResult.UNREADABLE), self.slots.get(number)
+        if end is AttemptResult.MISS and sent is not None and sent.fills:
             if body is not None:
                 body.release()
             return None
         if sent is not None and (
             (end in PROBED) != (sent.door is None)
-            or end is End.SAME
+            or end is AttemptResult.SAME
             and (sent.offered is None or b"made=" not in told)
-            or end is End.SERVED
+            or end is AttemptResult.SERVED
             and sent.door is not None
             and not sent.door.fits(told, body)
         ):
-            end = End.UNREADABLE
-        if end is End.MISS and sent is not None and sent.door is not None:
+            end = AttemptResult.UNREADABLE
+        if end is AttemptResult.MISS and sent is not None and sent.door is not None:
             sent.door.missed = sent.line
-        if sent is not None and sent.line is not None and end not in (End.MISS, End.SERVED):
+        if sent is not None and sent.line is not None and end not in (AttemptResult.MISS, AttemptResult.SERVED):
             # The visit may come again to this machine. A second answer, some milliseconds late, would then end that
             # forward while it runs; refused twice and run once, an exclusive visit would be sent a second time.
             sent.line.leave(sent.tag)
-        self.ended(number, end, b"-" if end is End.UNREADABLE else told, body)
-        return end is not End.UNREADABLE
+        self.ended(number, end, b"-" if end is AttemptResult.UNREADABLE else told, body)
+        return end is not AttemptResult.UNREADABLE
 
-    def ended(self, number: int, end: End, told: bytes = b"-", body: Any = None) -> None:
+    def ended(self, number: int, end: AttemptResult, told: bytes = b"-", body: Any = None) -> None:
         sent = self.slots.drop(number)
         if sent is None:
             if body is not None:
                 body.release()
             return
-        now, outcome = self.deadlines.now(), OUTCOMES[end]
+        now, outcome = self.deadlines.now(), OUTCOMES_BY_RESULT[end]
         door, took = sent.door, now - sent.since
         if door is None:
             if body is not None:
@@ -242,9 +244,9 @@
             door.serve(body, False)
         elif body is not None:
             body.release()
-        if end in (End.SERVED, End.SAME) and (made := resp.made(told)) is not None:
+        if end in (AttemptResult.SERVED, AttemptResult.SAME) and (made := resp.made(told)) is not None:
             self.others.seen(made / 1000.0, now)
-        if end is End.SAME:
+        if end is AttemptResult.SAME:
             if type(sent.offered) is str:
                 door.serve(None, True)
             else:
--- a/wickhinge/net/upstream/connection_pools.py
+++ b/wickhinge/net/upstream/connection_pools.py
@@ -10,13 +10,13 @@
 from twisted.internet.protocol import Protocol
 from twisted.python.failure import Failure
 
-from wickhinge.common.connector import Dial
+from wickhinge.common.connector import ConnectAttempt
 from wickhinge.common.failed_calls import patiently, waiting
 from wickhinge.net.downstream.descriptors import CLOSING
-from wickhinge.net.runtime.buffers import Body, Pool
+from wickhinge.net.runtime.buffers import Body, BufferPool
 from wickhinge.net.runtime.deadlines import Deadlines
 from wickhinge.net.upstream import resp
-from wickhinge.net.upstream.attempt_results import End, unconnected
+from wickhinge.net.upstream.attempt_results import AttemptResult, unconnected
 
 LINES = 4  # connections to one machine
 SHARED = 2  # requests on each before another is opened: one spoilt answer takes all with it
@@ -28,7 +28,7 @@
 LEFT = 256  # ids given up or answered on a connection that are remembered
 
 
-class Queued:
+class QueuedWrite:
     """What is to be written, whole or the rest of it."""
 
     __slots__ = ("tag", "data")
@@ -38,15 +38,15 @@
         self.tag, self.data = tag, data
 
 
-class Line(Protocol):
+class UpstreamConnection(Protocol):
     """One connection. Requests wait in its own queue, so that it is known which was wholly written."""
 
-    def __init__(self, machine: Machine) -> None:
+    def __init__(self, machine: ConnectionPool) -> None:
         self.machine, self.caches = machine, machine.caches
-        self.stream = resp.Stream(machine.caches.pool)
+        self.stream = resp.ReplyDecoder(machine.caches.pool)
         self.open: dict[bytes, int] = {}  # what is out here, by its id on the wire
         self.unwritten: set[bytes] = set()
-        self.queue: deque[Queued] = deque()
+        self.queue: deque[QueuedWrite] = deque()
         self.left: dict[bytes, None] = {}  # over here: a late or a second answer may still come under such an id
         self.up = self.down = self.writing = self.doubted = self.closing = False
         self.watched = False
@@ -58,7 +58,7 @@
 
     def connect(self, address: tuple[str, int]) -> None:
         self.caches.held += 1
-        self.attempt = Dial(self.caches.reactor, address, self, self.unconnected)
+        self.attempt = ConnectAttempt(self.caches.reactor, address, self, self.unconnected)
         self.caches.deadlines.after(self.caches.connect_within, self.overdue)
 
     def connectionMade(self) -> None:
@@ -76,9 +76,9 @@
         self.caches.held -= 1
         self.attempt = None
         end = unconnected(failure)
-        if end is End.NO_ROUTE:
+        if end is AttemptResult.NO_ROUTE:
             self.machine.no_route += 1
-            end = End.NO_CONNECT if self.machine.no_route >= NO_ROUTE_LASTS else end
+            end = AttemptResult.NO_CONNECT if self.machine.no_route >= NO_ROUTE_LASTS else end
         self.over(end, failure.getErrorMessage())
 
     def overdue(self) -> None:
@@ -94,7 +94,7 @@
     def put(self, tag: bytes, payload: bytes | None) -> None:
         if tag:
             self.unwritten.add(tag)
-        self.queue.append(Queued(tag, payload))
+        self.queue.append(QueuedWrite(tag, payload))
         if self.up and not self.writing:
             self.drain()
 
@@ -149,7 +149,7 @@
         if tag in self.unwritten:
             if self.begun and self.queue[0].tag == tag:  # the rest may not follow, and nothing else can
                 self.cut = self.doubted = True
-                self.caches.deadlines.soon(self.over, End.CUT, "a request given up half written")
+                self.caches.deadlines.soon(self.over, AttemptResult.CUT, "a request given up half written")
             else:
                 self.queue = deque(item for item in self.queue if item.tag != tag)
             self.unwritten.discard(tag)
@@ -173,8 +173,8 @@
         self.heard = self.caches.deadlines.now()
         try:
             arrays = self.stream.feed(data)
-        except resp.Unreadable as problem:
-            self.over(End.UNREADABLE, str(problem))
+        except resp.MalformedReplyError as problem:
+            self.over(AttemptResult.UNREADABLE, str(problem))
             return
         for items in arrays:
             body = items[3] if len(items) > 3 else None
@@ -192,7 +192,7 @@
             if fits is None:
                 self.open[items[0]] = number
             elif not fits:
-                self.over(End.UNREADABLE, f"an answer {word!r:.20} with {told!r:.60}")
+                self.over(AttemptResult.UNREADABLE, f"an answer {word!r:.20} with {told!r:.60}")
         if self.stream.busy() and not self.watched:
             self.watched = True
             self.caches.deadlines.after(STALL, self.watch)
@@ -213,20 +213,20 @@
             self.unwanted = (tag, now)
             self.doubted = True
         elif now - self.unwanted[1] >= ENDLESS and not self.caches.paused:
-            self.over(End.UNREADABLE, "an answer that does not end")
+            self.over(AttemptResult.UNREADABLE, "an answer that does not end")
             return
         # Where this router is behind or has stopped reading, the rest lies unread: that is looked at.
         if now - self.heard < STALL or self.caches.paused or waiting(self.socket):
             self.watched = True
             self.caches.deadlines.after(0.5 * STALL, self.watch)
         else:
-            self.over(End.UNREADABLE, "an answer that stopped short")
+            self.over(AttemptResult.UNREADABLE, "an answer that stopped short")
 
     def check(self) -> bool:
         """One that its peer has closed or reset already, unread by us so far, would lose what is written."""
         if waiting(self.socket) is not False:
             return True
-        self.over(End.CLOSED_IDLE, "found closed")
+        self.over(AttemptResult.CLOSED_IDLE, "found closed")
         return False
 
     def settle(self) -> None:
@@ -255,31 +255,31 @@
 
     def connectionLost(self, reason: Failure) -> None:
         self.caches.held -= 1
-        self.over(End.LOST_WRITTEN, reason.getErrorMessage())
+        self.over(AttemptResult.LOST_WRITTEN, reason.getErrorMessage())
 
-    def over(self, end: End, why: str) -> None:
+    def over(self, end: AttemptResult, why: str) -> None:
         """The connection has ended, or is no use any more, and with it all that was open on it."""
         if self.down:
             return
         self.down, lost, self.open = True, self.open, {}
         self.machine.dropped(self)
         self.stream.close()
-        if self.up and end is not End.LOST_WRITTEN:
+        if self.up and end is not AttemptResult.LOST_WRITTEN:
             self.transport.abortConnection()
-        if end is End.LOST_WRITTEN and not lost:
-            end = End.CLOSED_BY_US if self.closing else End.CLOSED_IDLE
-        if end is not End.CLOSED_BY_US:
+        if end is AttemptResult.LOST_WRITTEN and not lost:
+            end = AttemptResult.CLOSED_BY_US if self.closing else AttemptResult.CLOSED_IDLE
+        if end is not AttemptResult.CLOSED_BY_US:
             self.caches.log("line_end", cache=self.machine.name, end=end.value, open=len(lost), why=why)
         for tag, number in lost.items():
             unwritten = self.up and tag in self.unwritten
-            self.caches.ended(number, End.LOST_UNWRITTEN if unwritten else end)
+            self.caches.ended(number, AttemptResult.LOST_UNWRITTEN if unwritten else end)
 
 
-class Machine:
-    def __init__(self, caches: Caches, mark: int, name: str, address: tuple[str, int]) -> None:
+class ConnectionPool:
+    def __init__(self, caches: ConnectionPools, mark: int, name: str, address: tuple[str, int]) -> None:
         self.mark = mark
         self.caches, self.name, self.address, self.gone = caches, name, address, False
-        self.lines: list[Line] = []
+        self.lines: list[UpstreamConnection] = []
         self.no_route = 0  # connections in a row to which the network gave no way
 
     def moved(self, address: tuple[str, int]) -> None:
@@ -287,7 +287,7 @@
             self.address = address
             self.doubt(inf)
 
-    def send(self, tag: bytes, number: int, payload: bytes | None) -> Line | None:
+    def send(self, tag: bytes, number: int, payload: bytes | None) -> UpstreamConnection | None:
         caches = self.caches
         lines = [
             line
@@ -300,7 +300,7 @@
             line = min(lines, key=lambda line: (len(line.open), not line.up), default=None)
         if line is None or (len(line.open) >= SHARED and len(self.lines) < LINES):
             if caches.may_connect(line is None):
-                line = Line(self)
+                line = UpstreamConnection(self)
                 self.lines.append(line)
                 line.connect(self.address)
         if line is not None:
@@ -321,7 +321,7 @@
             line.doubted = line.doubted or line.heard < since
             line.settle()
 
-    def dropped(self, line: Line) -> None:
+    def dropped(self, line: UpstreamConnection) -> None:
         if line in self.lines:
             self.lines.remove(line)
         self.caches.forget(self)
@@ -332,14 +332,14 @@
                 line.close()
 
 
-class Caches:
+class ConnectionPools:
     """All machines by id. What comes back from them goes to answered, ended and log."""
 
     def __init__(
         self,
         reactor: Any,
         deadlines: Deadlines,
-        pool: Pool,
+        pool: BufferPool,
         connect_within: float,
         idle: float,
         streams: int,
@@ -351,7 +351,7 @@
         self.connect_within, self.idle, self.streams, self.most = connect_within, EARLY * idle, streams, most
         self.log, self.fault = log, fault
         self.stops = True  # whether a request may be given up by word; else its budget tells
-        self.machines: dict[int, Machine] = {}
+        self.machines: dict[int, ConnectionPool] = {}
         self.held = 0  # descriptors of connections, also of those that come up or are being closed
         self.paused = False
         self.answered: Callable[..., bool | None] = lambda *_: True
@@ -362,11 +362,11 @@
     def listed(self, mark: int, name: str, address: tuple[str, int]) -> None:
         machine = self.machines.get(mark)
         if machine is None:
-            self.machines[mark] = Machine(self, mark, name, address)
+            self.machines[mark] = ConnectionPool(self, mark, name, address)
         else:
             machine.moved(address)
 
-    def forget(self, machine: Machine) -> None:
+    def forget(self, machine: ConnectionPool) -> None:
         if machine.gone and not machine.lines and self.machines.get(machine.mark) is machine:
             del self.machines[machine.mark]
 
--- a/wickhinge/net/upstream/local_copies.py
+++ b/wickhinge/net/upstream/local_copies.py
@@ -7,7 +7,7 @@
 
 from wickhinge.clocks import OthersTime
 from wickhinge.interface import Effect
-from wickhinge.net.runtime.buffers import Body, Pool
+from wickhinge.net.runtime.buffers import Body, BufferPool
 from wickhinge.net.runtime.deadlines import Deadlines
 from wickhinge.net.runtime.slots import Slots
 from wickhinge.store.link import Link
@@ -17,14 +17,14 @@
 TOLD = 0.05  # of a copy's bytes: what telling a client that its own is the one costs
 
 
-class Copies:
+class LocalCopies:
     """The module's Copies; reads under way are in numbered slots, each with a deadline."""
 
     def __init__(
         self,
         store: Store,
         deadlines: Deadlines,
-        pool: Pool,
+        pool: BufferPool,
         link: Link,
         within: float,
         fault: Callable[[str], None],
@@ -100,13 +100,13 @@
     options: Any,
     reactor: Any,
     deadlines: Deadlines,
-    pool: Pool,
+    pool: BufferPool,
     link: tuple[float, float],
     log: Callable[..., None],
     fault: Callable[[str], None],
     others: OthersTime,
-) -> Copies | None:
+) -> LocalCopies | None:
     store = make_store(options.store, options.journal, reactor, deadlines.now, deadlines.after, log, fault)
     if store is None:
         return None
-    return Copies(store, deadlines, pool, Link(*link), options.store.read_within_s, fault, others)
+    return LocalCopies(store, deadlines, pool, Link(*link), options.store.read_within_s, fault, others)
--- a/wickhinge/net/upstream/resp.py
+++ b/wickhinge/net/upstream/resp.py
@@ -4,7 +4,7 @@
 
 import re
 
-from wickhinge.net.runtime.buffers import Body, Pool
+from wickhinge.net.runtime.buffers import Body, BufferPool
 
 LINE = 32  # of a length line
 SHORT = 4096  # of an item that is no body
@@ -21,12 +21,12 @@
 )
 
 
-class Unreadable(Exception):
+class MalformedReplyError(Exception):
     """Not such an array, or over a bound; the text names the fault."""
 
 
-class Stream:
-    def __init__(self, pool: Pool) -> None:
+class ReplyDecoder:
+    def __init__(self, pool: BufferPool) -> None:
         self.pool = pool
         self.rest = b""  # of a line or a short item, until it is whole
         self.items: list[bytes | Body] = []
@@ -55,7 +55,7 @@
                 end = data.find(b"\r\n", place, place + LINE)
                 if end < 0:
                     if len(data) - place >= LINE:
-                        raise Unreadable("a length line that does not end")
+                        raise MalformedReplyError("a length line that does not end")
                     break
                 self.line(data[place:end])
                 place = end + 2
@@ -81,23 +81,23 @@
         digits = line[1:]
         wanted = b"$" if self.left else b"*"
         if line[:1] != wanted or not digits.isdigit():
-            raise Unreadable(f"a line {line[:LINE]!r} where one with {wanted.decode()} should be")
+            raise MalformedReplyError(f"a line {line[:LINE]!r} where one with {wanted.decode()} should be")
         count = int(digits)
         if not self.left:
             if not 1 <= count <= ITEMS:
-                raise Unreadable(f"an array of {count} items")
+                raise MalformedReplyError(f"an array of {count} items")
             self.left = count
             return
         body = len(self.items) == BODY
         if count > (WHOLE if body else SHORT):
-            raise Unreadable(f"an item of {count} bytes")
+            raise MalformedReplyError(f"an item of {count} bytes")
         self.size = count
         self.body = Body(self.pool) if body else None
 
     def item(self, item: bytes | Body, data: bytes, end: int) -> int:
         self.items.append(item)
         if data[end : end + 2] != b"\r\n":
-            raise Unreadable("an item that is longer than its length")
+            raise MalformedReplyError("an item that is longer than its length")
         self.left -= 1
         self.size = -1
         return end + 2
