--- a/tests/store/test_store.py
+++ b/tests/store/test_store.py
@@ -13,11 +13,11 @@
 from tests.support.store_world import World
 from wickhinge.clocks import OthersTime
 from wickhinge.interface import Idempotency, Outcome
-from wickhinge.net import resp
-from wickhinge.net.buffers import Body
-from wickhinge.net.copies import Copies
-from wickhinge.net.forwards import Forwards
-from wickhinge.net.visits import Visits
+from wickhinge.net.downstream.request_table import RequestTable
+from wickhinge.net.runtime.buffers import Body
+from wickhinge.net.upstream import resp
+from wickhinge.net.upstream.attempts import Attempts
+from wickhinge.net.upstream.local_copies import LocalCopies
 from wickhinge.store.keep import Copy
 from wickhinge.store.link import Link
 
@@ -265,12 +265,12 @@
 
 def test_purges_are_told_again_and_lists_are_not():
     made, told = reading(5)
-    made.remembered(2)
+    made.resume_purges(2)
     up = []
-    made.caught_up = lambda: up.append(made.unbroken)
+    made.listener.caught_up = lambda: up.append(made.is_unbroken)
     for number in (3, 4, 5, 6):
-        made.frame(number, 1, b"") if number in (3, 6) else made.frame(number, 4, b"\x00\x07" + bytes(8))
-    made.frame(6, 0, b"")
+        made.take_frame(number, 1, b"") if number in (3, 6) else made.take_frame(number, 4, b"\x00\x07" + bytes(8))
+    made.take_frame(6, 0, b"")
     assert told == [(None, 7, 0), (None, 7, 0), (True, [])] and up == [True]
 
 
@@ -278,14 +278,14 @@
 def test_a_count_that_was_begun_anew_or_has_a_gap_proves_nothing(remembered, first):
     made, _ = reading(5)
     up = []
-    made.caught_up = lambda: up.append(made.unbroken)
-    made.remembered(remembered)
+    made.listener.caught_up = lambda: up.append(made.is_unbroken)
+    made.resume_purges(remembered)
     if first:
         with pytest.raises(Exception, match="after"):
-            made.frame(first, 4, b"\x00\x07" + bytes(8))
-    made.frame(5, 0, b"")
-    made.frame(3, 0, b"")  # a service that lost its count: nothing is caught up with
-    assert up == [False] and made.last == 5
+            made.take_frame(first, 4, b"\x00\x07" + bytes(8))
+    made.take_frame(5, 0, b"")
+    made.take_frame(3, 0, b"")  # a service that lost its count: nothing is caught up with
+    assert up == [False] and made.last_number == 5
 
 
 # What decide says may answer.
@@ -445,14 +445,14 @@
         send=lambda tag, number, payload: sent.append((tag, number, forwards.begin(number))) or line
     )
     caches = SimpleNamespace(machines={mark: machine for mark in [1, 2, 3, 4, 100, 101, 200]})
-    forwards = Forwards(caches, heap, 0.25, faults.append)
+    forwards = Attempts(caches, heap, 0.25, faults.append)
     made = router()
-    visits = Visits(forwards, heap, buffers, {"t": request_class()}, lambda *a, **k: None, faults.append)
+    visits = RequestTable(forwards, heap, buffers, {"t": request_class()}, lambda *a, **k: None, faults.append)
     forwards.router = visits.router = made
     world.clock = heap.clock
     if with_store:
         world.store.now = lambda: heap.clock
-        copies = Copies(world.store, heap, buffers, Link(1e6, 1e6), 0.1, faults.append, OthersTime())
+        copies = LocalCopies(world.store, heap, buffers, Link(1e6, 1e6), 0.1, faults.append, OthersTime())
         made.copies = visits.copies = forwards.copies = copies
         world.store.caught_up(heap.clock, False)
     return SimpleNamespace(
@@ -478,7 +478,7 @@
 
 def told(net):
     """The fields of what was sent last."""
-    (items,) = resp.Stream(pool()[0]).feed(net.sent[-1][2])
+    (items,) = resp.ReplyDecoder(pool()[0]).feed(net.sent[-1][2])
     return resp.fields(items[2])
 
 
@@ -550,7 +550,7 @@
     visited(net), visited(net)
     net.world.restart(1, lost=False)
     net.world.store.now = lambda: net.heap.clock
-    copies = Copies(net.world.store, net.heap, net.pool, Link(1e6, 1e6), 0.1, net.faults.append, OthersTime())
+    copies = LocalCopies(net.world.store, net.heap, net.pool, Link(1e6, 1e6), 0.1, net.faults.append, OthersTime())
     net.router.copies = net.visits.copies = net.forwards.copies = copies
     net.world.store.caught_up(net.heap.clock, False)
     ask(net)
--- a/tests/support/processes.py
+++ b/tests/support/processes.py
@@ -11,7 +11,7 @@
 from contextlib import ExitStack
 from pathlib import Path
 
-from wickhinge.net import msgpack
+from wickhinge.net.downstream import msgpack
 
 ROOT = Path(__file__).parents[2]
 
@@ -100,7 +100,7 @@
 class Client:
     def __init__(self, address):
         self.socket = socket.create_connection(address, PATIENT)
-        self.stream, self.had, self.calls = msgpack.Stream(300_000), [], 0
+        self.stream, self.had, self.calls = msgpack.MessageDecoder(300_000), [], 0
 
     def ask(self, request_class="pages", body=b"", drop=(), **fields):
         self.calls += 1
--- /dev/null
+++ b/wickhinge/net/upstream/attempt_results.py
@@ -0,0 +1,94 @@
+"""Every way in which a forward, a probe or a connection can end, and the one map to the module's outcomes."""
+
+from __future__ import annotations
+
+from enum import Enum
+from errno import ECONNRESET, EHOSTUNREACH, ETIMEDOUT
+
+from twisted.internet import error
+from twisted.python.failure import Failure
+
+from wickhinge.common.failed_calls import OURS
+from wickhinge.interface import Outcome
+
+
+class AttemptResult(Enum):
+    SERVED = "served"
+    SAME = "same"
+    MISS = "miss"
+    BUSY = "busy"
+    ERR = "err"
+    VOID = "void"
+    UP = "up"
+    DOWN = "down"
+    REFUSED = "refused"
+    NO_CONNECT = "no connection in time"
+    RESET_NEW = "reset before it was up"
+    NO_DESCRIPTOR = "no descriptor for a connection"
+    NOT_BEGUN = "this machine could not begin a connection"
+    NO_ROUTE = "no way to the server"
+    LOST_UNWRITTEN = "lost before it was wholly written"
+    LOST_WRITTEN = "lost after it was written"
+    UNREADABLE = "an answer that could not be read"
+    SILENT = "no answer in time"
+    STOPPED = "stopped by us"
+    RECALLED = "taken back before any of it was written"
+    CUT = "cut by us within a request that was given up"
+    CLOSED_IDLE = "closed while idle"
+    CLOSED_BY_US = "closed by us"
+
+
+OUTCOMES_BY_RESULT: dict[AttemptResult, Outcome | None] = {
+    AttemptResult.SERVED: Outcome.SUCCEEDED,
+    AttemptResult.SAME: Outcome.NOT_MODIFIED,
+    AttemptResult.MISS: Outcome.MISS,
+    AttemptResult.BUSY: Outcome.OVERLOADED,
+    AttemptResult.ERR: Outcome.ERROR,
+    AttemptResult.VOID: Outcome.SUPERSEDED,
+    AttemptResult.UP: Outcome.SUCCEEDED,
+    AttemptResult.DOWN: Outcome.ERROR,
+    AttemptResult.REFUSED: Outcome.CONNECT_FAILED,
+    AttemptResult.NO_CONNECT: Outcome.CONNECT_FAILED,
+    AttemptResult.RESET_NEW: Outcome.NOT_SENT,
+    AttemptResult.NO_DESCRIPTOR: Outcome.NOT_SENT,  # our own want, not the machine's
+    AttemptResult.NOT_BEGUN: Outcome.NOT_SENT,  # the same
+    AttemptResult.NO_ROUTE: Outcome.NOT_SENT,  # told of by this machine's network; where it lasts, NO_CONNECT
+    AttemptResult.LOST_UNWRITTEN: Outcome.NOT_SENT,
+    AttemptResult.LOST_WRITTEN: Outcome.CONNECTION_LOST,
+    AttemptResult.UNREADABLE: Outcome.CONNECTION_LOST,
+    AttemptResult.SILENT: Outcome.TIMED_OUT,
+    AttemptResult.STOPPED: Outcome.CANCELLED,
+    AttemptResult.RECALLED: Outcome.NOT_SENT,
+    AttemptResult.CUT: Outcome.CONNECTION_LOST,
+    AttemptResult.CLOSED_IDLE: None,  # nothing was open: no failure of the cache at all
+    AttemptResult.CLOSED_BY_US: None,
+}
+
+RESULTS_BY_STATUS = {
+    b"OK": AttemptResult.SERVED,
+    b"SAME": AttemptResult.SAME,
+    b"MISS": AttemptResult.MISS,
+    b"BUSY": AttemptResult.BUSY,
+    b"ERR": AttemptResult.ERR,
+    b"VOID": AttemptResult.VOID,
+    b"UP": AttemptResult.UP,
+    b"DOWN": AttemptResult.DOWN,
+}
+
+
+NO_ROUTE_ERRNOS = frozenset({EHOSTUNREACH, ETIMEDOUT})
+
+
+def unconnected(reason: Failure) -> AttemptResult:
+    if reason.check(error.ConnectionRefusedError):
+        return AttemptResult.REFUSED
+    if reason.check(error.ConnectBindError, error.ConnectingCancelledError) is error.ConnectBindError:
+        return AttemptResult.NO_DESCRIPTOR
+    number = getattr(reason.value, "osError", None)
+    if number == ECONNRESET or reason.check(error.ConnectionLost):
+        return AttemptResult.RESET_NEW
+    if number in OURS:
+        return AttemptResult.NOT_BEGUN
+    if number in NO_ROUTE_ERRNOS:
+        return AttemptResult.NO_ROUTE
+    return AttemptResult.NO_CONNECT
