--- a/wickhinge/net/control/endpoint_watch.py
+++ b/wickhinge/net/control/endpoint_watch.py
@@ -90,7 +90,7 @@
 class ServiceAddresses(typing.Protocol):
     """The addresses of a service, in turn."""
 
-    def failed(self) -> tuple[Address, float]:
+    def record_failure(self) -> tuple[Address, float]:
         """Called when an attempt failed; returns the next address and the seconds until it is tried."""
 
 
@@ -246,7 +246,7 @@
         self.log("journal_lost", why=reason, last=self.last_number)
         delay_s = RETRY_INTERVAL_S
         if self._addresses is not None:
-            self.address, delay_s = self._addresses.failed()
+            self.address, delay_s = self._addresses.record_failure()
         self.deadlines.after(delay_s, self.start, connect_round)
 
     def drop(self, connection: WatchConnection, reason: str) -> None:
