--- a/bench/cold_sum.py
+++ b/bench/cold_sum.py
@@ -28,7 +28,6 @@
 import numpy as np
 
 from bench import told
-from wickhinge.decide import Attempt, Endpoints, ObjectCounts, Purges, RandomSource, Router, Server, SlowStart
 from wickhinge.interface import (
     AttemptParameters,
     Capabilities,
@@ -44,6 +43,14 @@
 from wickhinge.lab.many.schedule import Fault, Schedule
 from wickhinge.lab.many.stands import AGE, LIMITS, WARM
 from wickhinge.lab.many.stands import Scene as StandScene
+from wickhinge.routing.attempt import Attempt
+from wickhinge.routing.endpoints import Endpoints
+from wickhinge.routing.object_counts import ObjectCounts
+from wickhinge.routing.purges import Purges
+from wickhinge.routing.random_source import RandomSource
+from wickhinge.routing.router import Router
+from wickhinge.routing.server import Server
+from wickhinge.routing.slow_start import SlowStart
 
 BUDGETS = (4, 6, 9, 16, 25, 36, 64, 100, 200, 400)  # N at the start
 PROCESSES = (20, 30)
--- a/bench/discovery.py
+++ b/bench/discovery.py
@@ -21,7 +21,6 @@
 import numpy as np
 
 from bench import told
-from wickhinge.decide import RandomSource, Router
 from wickhinge.interface import (
     AttemptParameters,
     Endpoint,
@@ -37,6 +36,8 @@
 from wickhinge.membership.endpoint_list_file import EndpointListFile
 from wickhinge.membership.statement_table import EndpointState, ListSource, Statement
 from wickhinge.membership.stored_list import StoredList, deployment_fingerprint, to_record
+from wickhinge.routing.random_source import RandomSource
+from wickhinge.routing.router import Router
 from wickhinge.store.files import Files
 
 AGES = {"1s": 1.0, "1min": 60.0, "1h": 3600.0, "3d": 259_200.0}
--- a/bench/planted.py
+++ b/bench/planted.py
@@ -29,7 +29,7 @@
 
         MembershipController.adopt = all_of_it
     elif fault == "drains":
-        from wickhinge.decide import Endpoints
+        from wickhinge.routing.endpoints import Endpoints
 
         listed = Endpoints.listed
         Endpoints.listed = lambda self, listings, whole, now: listed(
--- a/bench/scale/deciding.py
+++ b/bench/scale/deciding.py
@@ -7,8 +7,12 @@
 from bench.scale.judgements import fleet
 from bench.scale.meter import Meter, Watch, memory
 from bench.scale.records import Row, row
-from wickhinge.decide import ROUND, ObjectCounts, Purges, RandomSource, Router
 from wickhinge.interface import Capabilities
+from wickhinge.routing.object_counts import ObjectCounts
+from wickhinge.routing.purges import Purges
+from wickhinge.routing.random_source import RandomSource
+from wickhinge.routing.router import Router
+from wickhinge.routing.slow_start import ROUND
 
 VISITS = 2000  # requests of a measure
 ROUNDS = 40  # of probes
--- a/bench/scale/detector.py
+++ b/bench/scale/detector.py
@@ -5,10 +5,10 @@
 from bench.scale.meter import Meter, memory
 from bench.scale.one_router import OneRouter, introduce, places
 from bench.scale.records import Row, row
-from wickhinge.decide import RandomSource
 from wickhinge.net.control.peer_transport import VIEW_INTERVAL
 from wickhinge.peers.detector import FailureDetector
 from wickhinge.peers.roster import Roster
+from wickhinge.routing.random_source import RandomSource
 
 VIEWS = 50  # of a measure
 LEAST_HEARD = 0.9  # of the others, at which a join counts as done
--- a/bench/scale/judgements.py
+++ b/bench/scale/judgements.py
@@ -7,9 +7,11 @@
 
 from bench.scale.meter import Meter, Watch, memory
 from bench.scale.records import Row, row
-from wickhinge.decide import Endpoints, RandomSource, SlowStart
 from wickhinge.interface import Endpoint
 from wickhinge.peers.messages import MemberState
+from wickhinge.routing.endpoints import Endpoints
+from wickhinge.routing.random_source import RandomSource
+from wickhinge.routing.slow_start import SlowStart
 from wickhinge.shared import counts, judge, words
 
 WITNESSES = 30  # of the zone, who tell of a machine
--- a/bench/scale/one_router.py
+++ b/bench/scale/one_router.py
@@ -13,13 +13,13 @@
 from typing import Any
 
 from bench.scale.meter import Watch
-from wickhinge.decide import RandomSource
 from wickhinge.net.control.peer_transport import TICK, VIEW_INTERVAL
 from wickhinge.peers import wire
 from wickhinge.peers.detector import FailureDetector
 from wickhinge.peers.health import PROBE_PERIOD_S
 from wickhinge.peers.messages import Gossip, MemberState, Message, MessageKind
 from wickhinge.peers.roster import Roster, RosterEntry
+from wickhinge.routing.random_source import RandomSource
 
 KEY = b"of this fleet and of no other"
 ZONES = 52  # of the design
--- a/bench/scale/watching.py
+++ b/bench/scale/watching.py
@@ -8,8 +8,8 @@
 
 from bench.scale.meter import Meter, Watch, memory
 from bench.scale.records import Row, row
-from wickhinge.decide import Purges
 from wickhinge.net.control import endpoint_watch
+from wickhinge.routing.purges import Purges
 from wickhinge.store.purged import Purge, Purged
 
 PURGES_A_SECOND = 27
--- a/setup.py
+++ b/setup.py
@@ -13,14 +13,14 @@
     "wickhinge/net/runtime/deferred_imports.py",
     "wickhinge/net/upstream/local_copies.py",
 }
-PACKAGES = ("wickhinge/common", "wickhinge/net")
+PACKAGES = ("wickhinge/common", "wickhinge/net", "wickhinge/routing")
 COMPILED = {
     path
     for package in PACKAGES
     for path in glob(f"{package}/**/*.py", recursive=True)
     if not path.endswith("/__init__.py")
 }
-HOT = ["wickhinge/decide.py", *sorted(COMPILED - COLD)]
+HOT = sorted(COMPILED - COLD)
 
 setup(
     ext_modules=cythonize(
--- a/tests/changelog/test_changelog_parts.py
+++ b/tests/changelog/test_changelog_parts.py
@@ -29,12 +29,12 @@
 from wickhinge.changelog.settings_table import SettingsTable, State, check_value
 from wickhinge.changelog.storage import MemoryStorage
 from wickhinge.changelog.stored import NotLeader
-from wickhinge.decide import Purges
 from wickhinge.fields import Malformed
 from wickhinge.net.control.changelog_client import ChangelogClient
 from wickhinge.options import Fault
 from wickhinge.options.load import check
 from wickhinge.peers.status_client import StatusClient
+from wickhinge.routing.purges import Purges
 
 HERE, THERE, ELSEWHERE = ("10.0.0.1", 1), ("10.0.0.2", 2), ("10.0.0.3", 3)
 KEY, NEXT_KEY = b"k" * 32, b"n" * 32
--- a/tests/membership/test_controller.py
+++ b/tests/membership/test_controller.py
@@ -3,7 +3,6 @@
 import pytest
 
 from tests.support.statements import statement
-from wickhinge.decide import RandomSource
 from wickhinge.membership import stored_list
 from wickhinge.membership.controller import MembershipController, MembershipSettings
 from wickhinge.membership.list_exchange import ReplicaAnswer
@@ -12,6 +11,7 @@
     ListSource,
 )
 from wickhinge.membership.stored_list import StoredList, to_record
+from wickhinge.routing.random_source import RandomSource
 
 DAY = 86400.0
 
--- a/tests/membership/test_probation.py
+++ b/tests/membership/test_probation.py
@@ -3,8 +3,8 @@
 import pytest
 
 from tests.support.statements import statement
-from wickhinge.decide import RandomSource
 from wickhinge.membership.probation import MAX_REST_S, Probation, ProbationTerms, TrustState
+from wickhinge.routing.random_source import RandomSource
 
 DAY = 86400.0
 
--- a/tests/net/test_crossings.py
+++ b/tests/net/test_crossings.py
@@ -16,7 +16,6 @@
 from tests.support.router_process import SERVED, host
 from tests.support.routing import end, request_class, router, take
 from wickhinge.clocks import steady
-from wickhinge.decide import Attempt
 from wickhinge.fields import Malformed
 from wickhinge.interface import AttemptParameters, Outcome
 from wickhinge.net.control import config, endpoint_watch
@@ -28,6 +27,7 @@
 from wickhinge.net.upstream import resp
 from wickhinge.net.upstream.attempt_results import AttemptResult
 from wickhinge.net.upstream.attempts import Attempts, SentAttempt
+from wickhinge.routing.attempt import Attempt
 
 OBJECT = 0xAA
 
--- a/tests/net/test_start.py
+++ b/tests/net/test_start.py
@@ -12,7 +12,6 @@
 OURS = {
     "wickhinge",
     "wickhinge.clocks",
-    "wickhinge.decide",
     "wickhinge.fields",
     "wickhinge.interface",
     "wickhinge.net",
@@ -43,6 +42,19 @@
                 ".slots",
                 ".transport",
             ),
+            "routing": (
+                "",
+                ".attempt",
+                ".endpoints",
+                ".hashing",
+                ".object_counts",
+                ".purges",
+                ".random_source",
+                ".routed_request",
+                ".router",
+                ".server",
+                ".slow_start",
+            ),
             "net.upstream": ("", ".attempt_results", ".attempts", ".connection_pools", ".resp"),
         }.items()
         for name in names
--- a/tests/peers/test_peers.py
+++ b/tests/peers/test_peers.py
@@ -7,7 +7,6 @@
 from hypothesis import strategies as st
 
 from wickhinge.common.sealing import MAX_DATAGRAM_BYTES, DatagramError
-from wickhinge.decide import RandomSource
 from wickhinge.lab.many import judges, play, schedule
 from wickhinge.lab.many.schedule import Fault, Schedule
 from wickhinge.peers import wire
@@ -16,6 +15,7 @@
 from wickhinge.peers.messages import Belief, Gossip, MemberState, Stamp
 from wickhinge.peers.peer_session import MAX_NUMBER, REPLAY_WINDOW, PeerSession, Verdict
 from wickhinge.peers.roster import Roster, RosterEntry, RosterError
+from wickhinge.routing.random_source import RandomSource
 
 KEY = b"k" * 32
 
--- a/tests/routing/test_cold_sum.py
+++ b/tests/routing/test_cold_sum.py
@@ -7,7 +7,7 @@
 
 from bench.cold_sum import EDGE, PARENT, PRESENT, SCENES, Play, Rule, Scene, chernoff, distribution
 from tests.support.routing import listing, request_class, router
-from wickhinge.decide import FIRST_DEBT, SlowStart
+from wickhinge.routing.slow_start import FIRST_DEBT, SlowStart
 
 HERD, THIN = SCENES[0], SCENES[1]
 SEEDS = range(1, 13)
--- a/tests/routing/test_decide.py
+++ b/tests/routing/test_decide.py
@@ -4,8 +4,12 @@
 import pytest
 
 from tests.support.routing import Recorder, end, listing, request_class, router, take
-from wickhinge.decide import NEVER_RAN, ObjectCount, ObjectCounts, Purges, RandomSource, SlowStart
 from wickhinge.interface import Idempotency, Outcome, Request
+from wickhinge.routing.attempt import NEVER_RAN
+from wickhinge.routing.object_counts import ObjectCount, ObjectCounts
+from wickhinge.routing.purges import Purges
+from wickhinge.routing.random_source import RandomSource
+from wickhinge.routing.slow_start import SlowStart
 
 MISS, OK, FULL, TIMED = Outcome.MISS, Outcome.SUCCEEDED, Outcome.OVERLOADED, Outcome.TIMED_OUT
 
--- a/tests/shared/test_cold_shares.py
+++ b/tests/shared/test_cold_shares.py
@@ -12,13 +12,14 @@
 from hypothesis import strategies as st
 
 from tests.support import routing as helpers
-from wickhinge.decide import RandomSource, SlowStart
 from wickhinge.interface import Outcome
 from wickhinge.lab.many import judges, play
 from wickhinge.lab.many.schedule import Schedule
 from wickhinge.options.load import Fault, check
 from wickhinge.peers.detector import FailureDetector
 from wickhinge.peers.roster import Roster, RosterEntry
+from wickhinge.routing.random_source import RandomSource
+from wickhinge.routing.slow_start import SlowStart
 from wickhinge.shared import cold
 from wickhinge.shared.lending import FLOOR, SPAN, Division, LendingLimiter
 from wickhinge.shared.name_lease import DRIFT
--- a/tests/shared/test_judge.py
+++ b/tests/shared/test_judge.py
@@ -7,10 +7,10 @@
 from hypothesis import strategies as st
 
 from tests.support import routing as helpers
-from wickhinge.decide import RandomSource
 from wickhinge.interface import Outcome
 from wickhinge.peers.detector import FailureDetector
 from wickhinge.peers.roster import Roster, RosterEntry
+from wickhinge.routing.random_source import RandomSource
 from wickhinge.shared import words
 from wickhinge.shared.judge import FADE, LOOK, PUSH, Judge
 from wickhinge.shared.riding import Riding
--- a/tests/shared/test_shared.py
+++ b/tests/shared/test_shared.py
@@ -7,13 +7,13 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from wickhinge.decide import RandomSource
 from wickhinge.lab.many import judges, play, schedule, trial
 from wickhinge.lab.many.schedule import Fault, Schedule
 from wickhinge.peers.detector import FailureDetector
 from wickhinge.peers.identity import NameAnswer
 from wickhinge.peers.messages import MemberState
 from wickhinge.peers.roster import Roster, RosterEntry
+from wickhinge.routing.random_source import RandomSource
 from wickhinge.shared import riders
 from wickhinge.shared.bucket import Bucket
 from wickhinge.shared.loans import TIME, Loans
--- a/tests/support/routing.py
+++ b/tests/support/routing.py
@@ -2,8 +2,13 @@
 
 from types import SimpleNamespace
 
-from wickhinge.decide import Endpoints, ObjectCounts, Purges, RandomSource, Router, SlowStart
 from wickhinge.interface import Capabilities, Endpoint, Idempotency, Request, RequestClass
+from wickhinge.routing.endpoints import Endpoints
+from wickhinge.routing.object_counts import ObjectCounts
+from wickhinge.routing.purges import Purges
+from wickhinge.routing.random_source import RandomSource
+from wickhinge.routing.router import Router
+from wickhinge.routing.slow_start import SlowStart
 
 
 class Recorder:
--- a/wickhinge/lab/many/play.py
+++ b/wickhinge/lab/many/play.py
@@ -9,7 +9,6 @@
 from typing import Any
 
 from wickhinge.common.sealing import DatagramError
-from wickhinge.decide import RandomSource, SlowStart
 from wickhinge.lab.many.director import Director
 from wickhinge.lab.many.schedule import Fault, Schedule
 from wickhinge.lab.wheel import Wheel
@@ -17,6 +16,8 @@
 from wickhinge.peers.detector import FailureDetector
 from wickhinge.peers.messages import Message
 from wickhinge.peers.roster import Roster, RosterEntry
+from wickhinge.routing.random_source import RandomSource
+from wickhinge.routing.slow_start import SlowStart
 from wickhinge.shared import cold
 from wickhinge.shared.lending import Dealt, Division, LendingLimiter
 
--- a/wickhinge/lab/many/stands.py
+++ b/wickhinge/lab/many/stands.py
@@ -15,10 +15,10 @@
 from dataclasses import dataclass
 from typing import Any
 
-from wickhinge.decide import SlowStart
 from wickhinge.net.downstream import msgpack
 from wickhinge.net.runtime.buffers import Body, BufferPool
 from wickhinge.net.upstream import resp
+from wickhinge.routing.slow_start import SlowStart
 
 HOST = "127.0.0.1"
 WORK = 0.1  # seconds of sending for each visit
--- a/wickhinge/lab/play.py
+++ b/wickhinge/lab/play.py
@@ -9,7 +9,6 @@
 
 import numpy as np
 
-from wickhinge.decide import Endpoints, ObjectCounts, Purges, RandomSource, RoutedRequest, Router, SlowStart
 from wickhinge.interface import (
     AttemptParameters,
     Capabilities,
@@ -24,6 +23,13 @@
 from wickhinge.lab.machines import Fabric, Machine
 from wickhinge.lab.scenario import Failure, Scenario
 from wickhinge.lab.wheel import Wheel
+from wickhinge.routing.endpoints import Endpoints
+from wickhinge.routing.object_counts import ObjectCounts
+from wickhinge.routing.purges import Purges
+from wickhinge.routing.random_source import RandomSource
+from wickhinge.routing.routed_request import RoutedRequest
+from wickhinge.routing.router import Router
+from wickhinge.routing.slow_start import SlowStart
 
 PARENTS, ORIGIN = 100_000, 200_000
 
--- a/wickhinge/net/__init__.py
+++ b/wickhinge/net/__init__.py
@@ -1,1 +1,1 @@
-"""The front on sockets: it carries and times; every choice is made in wickhinge.decide."""
+"""The front on sockets: it carries and times; every decision is made in wickhinge.routing."""
--- a/wickhinge/net/control/membership.py
+++ b/wickhinge/net/control/membership.py
@@ -9,7 +9,6 @@
 from typing import Any
 
 from wickhinge import settings
-from wickhinge.decide import RandomSource
 from wickhinge.fields import Malformed, endpoint
 from wickhinge.interface import Endpoint, Idempotency, Outcome
 from wickhinge.membership.backoff import AddressBackoff
@@ -23,6 +22,7 @@
 from wickhinge.membership.stored_list import deployment_fingerprint
 from wickhinge.net.control.endpoint_watch import EndpointWatch
 from wickhinge.options import keys
+from wickhinge.routing.random_source import RandomSource
 from wickhinge.store.files import Files
 from wickhinge.store.workers import Workers
 
--- a/wickhinge/net/control/peer_transport.py
+++ b/wickhinge/net/control/peer_transport.py
@@ -16,7 +16,6 @@
 from twisted.internet.protocol import DatagramProtocol
 
 from wickhinge.common.sealing import MAX_DATAGRAM_BYTES, DatagramError
-from wickhinge.decide import RandomSource
 from wickhinge.fields import Malformed
 from wickhinge.options import keys
 from wickhinge.peers import wire
@@ -25,6 +24,7 @@
 from wickhinge.peers.roster import Roster, RosterError, read_entries
 from wickhinge.peers.status_messages import REQUEST_MAGIC
 from wickhinge.peers.status_server import StatusServer
+from wickhinge.routing.random_source import RandomSource
 
 TICK = 0.05
 VIEW_INTERVAL = 0.5  # seconds from one look at the view to the next: a probe's period
--- a/wickhinge/settings.py
+++ b/wickhinge/settings.py
@@ -4,7 +4,6 @@
 
 from typing import Any
 
-from wickhinge.decide import Endpoints, ObjectCounts, Purges, RandomSource, Router, SlowStart
 from wickhinge.fields import (
     Malformed,
     flag,
@@ -18,6 +17,12 @@
     word,
 )
 from wickhinge.interface import Capabilities, Environment, Idempotency, RequestClass
+from wickhinge.routing.endpoints import Endpoints
+from wickhinge.routing.object_counts import ObjectCounts
+from wickhinge.routing.purges import Purges
+from wickhinge.routing.random_source import RandomSource
+from wickhinge.routing.router import Router
+from wickhinge.routing.slow_start import SlowStart
 
 EFFECTS = {
     "pure": Idempotency.IDEMPOTENT,
