--- a/bench/discovery.py
+++ b/bench/discovery.py
@@ -21,14 +21,23 @@
 import numpy as np
 
 from bench import told
-from wickhinge.decide import Chance, Router
-from wickhinge.interface import Effect, Listing, Outcome, Refusal, Request, Tariff
+from wickhinge.interface import (
+    AttemptParameters,
+    Endpoint,
+    Idempotency,
+    Outcome,
+    RejectionReason,
+    Request,
+    RequestClass,
+)
 from wickhinge.lab.play import emulated
 from wickhinge.lab.wheel import Wheel
 from wickhinge.membership.controller import EndpointListing, MembershipController, MembershipSettings
 from wickhinge.membership.endpoint_list_file import EndpointListFile
 from wickhinge.membership.statement_table import EndpointState, ListSource, Statement
 from wickhinge.membership.stored_list import StoredList, deployment_fingerprint, to_record
+from wickhinge.routing.random_source import RandomSource
+from wickhinge.routing.router import Router
 from wickhinge.store.files import Files
 
 AGES = {"1s": 1.0, "1min": 60.0, "1h": 3600.0, "3d": 259_200.0}
@@ -315,8 +324,8 @@
         self.wheel, self.random = Wheel(1000.0), random.Random(seed)
         self.began, self.routers, self.blind = self.now, [], blind
         self.cells = {mark: Cell(4.0) for mark in range(1, 9)} | {100: Cell(40.0), 101: Cell(40.0), 200: Cell(1e6)}
-        self.tariff = Tariff(
-            "clips", 1.0, 2.0, 3.0, 1.0, 0.2, Effect.RERUNNABLE, "all", 0.0, 0.0, 0.0, 0.7, True, False
+        self.request_class = RequestClass(
+            "clips", 1.0, 2.0, 3.0, 1.0, 0.2, Idempotency.IDEMPOTENT, "all", 0.0, 0.0, 0.0, 0.7, True, False
         )
         statements = [
             Statement(
@@ -349,11 +358,11 @@
         self.wheel.at(when, call)
 
     def add(self, number: int, routers: int) -> None:
-        chance = Chance(number + 1)
+        chance = RandomSource(number + 1)
         outside = SimpleNamespace(
-            wake=lambda delay, call: self.at(self.now + delay, lambda: call(self.now)),
-            probe=lambda cache: None,
-            follow=lambda: None,
+            call_later=lambda delay, call: self.at(self.now + delay, lambda: call(self.now)),
+            check_health=lambda cache: None,
+            watch=lambda: None,
         )
         made = emulated(outside, chance, "here", routers, (self.MULTIPLE, self.SPAN, self.FLOOR, self.WARM))
         made.means["clips"] = 0.1
@@ -369,7 +378,7 @@
             quiet_s=3.0,
             purge_done_s=6.0,
         )
-        members = port.members = MembershipController(port, Chance(number + 1000), settings)
+        members = port.members = MembershipController(port, RandomSource(number + 1000), settings)
         members.start(self.stored, [], self.now)
         if self.blind:
             adopt = members.adopt
@@ -397,7 +406,7 @@
         self.arrivals(rate)
         made, members = self.random.choice(self.routers)
         request = Request(int(self.random.paretovariate(0.9)) % 5000, 0, 0, 100.0, 3.0)
-        made.take(HerdCaller(self, made, members), self.tariff, request, self.now)
+        made.take(HerdCaller(self, made, members), self.request_class, request, self.now)
 
     def run(self, seconds: float) -> dict[str, Any]:
         self.wheel.run(self.began + seconds)
@@ -452,7 +461,7 @@
         for one in listings:
             told = one.statement
             rows.append(
-                Listing(
+                Endpoint(
                     told.endpoint_id,
                     told.zone,
                     told.kind,
@@ -483,18 +492,8 @@
     def __init__(self, herd: Herd, router: Router, members: MembershipController) -> None:
         self.herd, self.router, self.members, self.gone = herd, router, members, set()
 
-    def forward(
-        self,
-        forward: Any,
-        cache: Any,
-        patience: float,
-        source: Any,
-        rank: int,
-        oldest: Any,
-        join: bool,
-        held_only: bool,
-        renew: bool,
-    ) -> None:
+    def forward(self, parameters: AttemptParameters) -> None:
+        forward, cache, source = parameters.attempt, parameters.server, parameters.source
         herd = self.herd
         herd.cells[cache.mark].work.append((herd.now, 0.1))
         if source is not None and source is not cache:
@@ -505,27 +504,27 @@
         def done() -> None:
             if forward in self.gone:
                 return
-            outcome = Outcome.HONOURED if filled else Outcome.MISS
+            outcome = Outcome.SUCCEEDED if filled else Outcome.MISS
             self.members.record_request(cache.mark, herd.now, answered=True)
-            if outcome is Outcome.HONOURED and not forward.visit.done:
+            if outcome is Outcome.SUCCEEDED and not forward.visit.done:
                 herd.served += 1
-            forward.visit.ended(forward, outcome, took, outcome is Outcome.HONOURED, None, herd.now)
+            forward.visit.ended(forward, outcome, took, outcome is Outcome.SUCCEEDED, None, herd.now)
 
         herd.at(herd.now + took, done)
 
-    def withdraw(self, forward: Any) -> None:
+    def cancel(self, forward: Any) -> None:
         self.gone.add(forward)
         self.herd.at(
-            self.herd.now, lambda: forward.visit.ended(forward, Outcome.WITHDRAWN, 0.0, False, None, self.herd.now)
+            self.herd.now, lambda: forward.visit.ended(forward, Outcome.CANCELLED, 0.0, False, None, self.herd.now)
         )
 
-    def deny(self, wait: float, why: Refusal) -> None:
+    def reject(self, wait: float, why: RejectionReason) -> None:
         self.herd.denied += 1
 
-    def abandon(self, why: Refusal) -> None:
+    def fail(self, why: RejectionReason) -> None:
         self.herd.denied += 1
 
-    def read(self, copy: Any) -> None:
+    def serve_copy(self, copy: Any) -> None:
         raise AssertionError("no copies here")
 
 
--- a/bench/scale/detector.py
+++ b/bench/scale/detector.py
@@ -5,10 +5,10 @@
 from bench.scale.meter import Meter, memory
 from bench.scale.one_router import OneRouter, introduce, places
 from bench.scale.records import Row, row
-from wickhinge.decide import Chance
-from wickhinge.net.fellows import VIEW_INTERVAL
+from wickhinge.net.control.peer_transport import VIEW_INTERVAL
 from wickhinge.peers.detector import FailureDetector
 from wickhinge.peers.roster import Roster
+from wickhinge.routing.random_source import RandomSource
 
 VIEWS = 50  # of a measure
 LEAST_HEARD = 0.9  # of the others, at which a join counts as done
@@ -19,10 +19,10 @@
 def standing(routers: int, seed: int) -> FailureDetector:
     """A detector that knows all others."""
     all_places = places(routers)
-    detector = FailureDetector(Roster(all_places, all_places[0].name), Chance(seed), 0.0, lambda message: None)
+    detector = FailureDetector(Roster(all_places, all_places[0].name), RandomSource(seed), 0.0, lambda message: None)
     for name in detector.roster.peer_names:
         peer = Roster([detector.roster.local, detector.roster.entries[name]], name)
-        introduce(detector, FailureDetector(peer, Chance(seed), 0.0, lambda message: None))
+        introduce(detector, FailureDetector(peer, RandomSource(seed), 0.0, lambda message: None))
     return detector
 
 
--- a/bench/scale/judgements.py
+++ b/bench/scale/judgements.py
@@ -7,9 +7,11 @@
 
 from bench.scale.meter import Meter, Watch, memory
 from bench.scale.records import Row, row
-from wickhinge.decide import Chance, Cold, Fleet
-from wickhinge.interface import Listing
+from wickhinge.interface import Endpoint
 from wickhinge.peers.messages import MemberState
+from wickhinge.routing.endpoints import Endpoints
+from wickhinge.routing.random_source import RandomSource
+from wickhinge.routing.slow_start import SlowStart
 from wickhinge.shared import counts, judge, words
 
 WITNESSES = 30  # of the zone, who tell of a machine
@@ -18,11 +20,11 @@
 FLEET_ZONE = "z00"
 
 
-def fleet(caches: int, routers: int = 15, zone: str = FLEET_ZONE) -> Fleet:
+def fleet(caches: int, routers: int = 15, zone: str = FLEET_ZONE) -> Endpoints:
     """A location with so many caches, all ready and weighed."""
-    warm = Cold(4.0, 3.0, 0.2, 120.0)
-    made = Fleet(Chance(1), zone, routers, "parent", "origin", True, warm, warm)
-    made.listed([Listing(mark + 1, zone, "edge", 0, "ready", 1.0, None) for mark in range(caches)], True, 0.0)
+    warm = SlowStart(4.0, 3.0, 0.2, 120.0)
+    made = Endpoints(RandomSource(1), zone, routers, "parent", "origin", True, warm, warm)
+    made.listed([Endpoint(mark + 1, zone, "edge", 0, "ready", 1.0, None) for mark in range(caches)], True, 0.0)
     return made
 
 
@@ -36,7 +38,12 @@
         for number, name in enumerate(names)
     }
     return SimpleNamespace(
-        roster=roster, members=members, random_source=Chance(1), epoch=1, incarnation=1, send=lambda *told, **more: None
+        roster=roster,
+        members=members,
+        random_source=RandomSource(1),
+        epoch=1,
+        incarnation=1,
+        send=lambda *told, **more: None,
     )
 
 
--- a/bench/scale/one_router.py
+++ b/bench/scale/one_router.py
@@ -13,13 +13,13 @@
 from typing import Any
 
 from bench.scale.meter import Watch
-from wickhinge.decide import Chance
-from wickhinge.net.fellows import TICK, VIEW_INTERVAL
+from wickhinge.net.control.peer_transport import TICK, VIEW_INTERVAL
 from wickhinge.peers import wire
 from wickhinge.peers.detector import FailureDetector
 from wickhinge.peers.health import PROBE_PERIOD_S
 from wickhinge.peers.messages import Gossip, MemberState, Message, MessageKind
 from wickhinge.peers.roster import Roster, RosterEntry
+from wickhinge.routing.random_source import RandomSource
 
 KEY = b"of this fleet and of no other"
 ZONES = 52  # of the design
@@ -68,12 +68,12 @@
         all_places = places(routers)
         roster = Roster(all_places, all_places[0].name)
         self.name = roster.local.name
-        self.detector = FailureDetector(roster, Chance(seed), 0.0, self.outbox.append)
+        self.detector = FailureDetector(roster, RandomSource(seed), 0.0, self.outbox.append)
         self.peers: dict[str, FailureDetector] = {}
         for place in all_places[1:]:
             known = Roster([roster.local, place], place.name)
             known.version = roster.version  # it stands for a peer with the whole roster
-            peer = FailureDetector(known, Chance(self.random.getrandbits(60)), 0.0, self.answer)
+            peer = FailureDetector(known, RandomSource(self.random.getrandbits(60)), 0.0, self.answer)
             peer.identity.epoch = EPOCH
             self.peers[place.name] = peer
         if joined:
--- a/tests/changelog/test_changelog_parts.py
+++ b/tests/changelog/test_changelog_parts.py
@@ -29,12 +29,12 @@
 from wickhinge.changelog.settings_table import SettingsTable, State, check_value
 from wickhinge.changelog.storage import MemoryStorage
 from wickhinge.changelog.stored import NotLeader
-from wickhinge.decide import Purges
 from wickhinge.fields import Malformed
-from wickhinge.net.changes import Changes
+from wickhinge.net.control.changelog_client import ChangelogClient
 from wickhinge.options import Fault
 from wickhinge.options.load import check
 from wickhinge.peers.status_client import StatusClient
+from wickhinge.routing.purges import Purges
 
 HERE, THERE, ELSEWHERE = ("10.0.0.1", 1), ("10.0.0.2", 2), ("10.0.0.3", 3)
 KEY, NEXT_KEY = b"k" * 32, b"n" * 32
@@ -496,7 +496,7 @@
         purge=lambda *given: told.append(given),
         take_purge=lambda *given: told.append(given),
     )
-    made = Changes(options, "n1", node)
+    made = ChangelogClient(options, "n1", node)
     made.node, made.told, made.options = node, told, options
     return made
 
@@ -542,7 +542,7 @@
     holds, event = changes.told
     assert event == "changelog_uninformed"
     assert not holds(
-        SimpleNamespace(forward=SimpleNamespace(visit=SimpleNamespace(tariff=SimpleNamespace(passes_on=0))))
+        SimpleNamespace(forward=SimpleNamespace(visit=SimpleNamespace(request_class=SimpleNamespace(pass_through=0))))
     )
 
 
--- a/tests/membership/test_controller.py
+++ b/tests/membership/test_controller.py
@@ -3,7 +3,6 @@
 import pytest
 
 from tests.support.statements import statement
-from wickhinge.decide import Chance
 from wickhinge.membership import stored_list
 from wickhinge.membership.controller import MembershipController, MembershipSettings
 from wickhinge.membership.list_exchange import ReplicaAnswer
@@ -12,6 +11,7 @@
     ListSource,
 )
 from wickhinge.membership.stored_list import StoredList, to_record
+from wickhinge.routing.random_source import RandomSource
 
 DAY = 86400.0
 
@@ -33,7 +33,7 @@
 
     def __init__(self, age=10.0, memory=True, static=()):
         self.log, self.told, self.probes, self.purges = [], {}, [], []
-        self.members = MembershipController(self, Chance(1), SETTINGS)
+        self.members = MembershipController(self, RandomSource(1), SETTINGS)
         rows = [to_record(statement(mark, when=1000.0 - (age or 0))) for mark in range(1, 6)]
         since = 1000.0 - (age or 0)
         purges = [PurgeRecord(5, 0, 995.0)]
--- a/tests/membership/test_probation.py
+++ b/tests/membership/test_probation.py
@@ -3,8 +3,8 @@
 import pytest
 
 from tests.support.statements import statement
-from wickhinge.decide import Chance
 from wickhinge.membership.probation import MAX_REST_S, Probation, ProbationTerms, TrustState
+from wickhinge.routing.random_source import RandomSource
 
 DAY = 86400.0
 
@@ -26,7 +26,7 @@
 
 
 def proving(age=1.0, count=6, routers=1):
-    made = Probation(Chance(3), routers, DAY, ("parent", "origin"))
+    made = Probation(RandomSource(3), routers, DAY, ("parent", "origin"))
     made.adopt(
         [statement(mark) for mark in range(1, count + 1)]
         + [statement(100, kind="parent"), statement(200, kind="origin")],
@@ -97,7 +97,7 @@
 def test_first_checks_when_a_hundred_routers_start_at_once_are_spread():
     times = []
     for number in range(100):
-        made = Probation(Chance(number), 100, DAY, ())
+        made = Probation(RandomSource(number), 100, DAY, ())
         made.adopt([statement(1)], 1.0, 100.0)
         times.append(made.entries[1].due_at - 100.0)
     assert max(times) > 1.5 and max(sum(t <= u < t + 0.1 for u in times) for t in times) < 20
--- a/tests/membership/test_untrusted_endpoints.py
+++ b/tests/membership/test_untrusted_endpoints.py
@@ -2,24 +2,26 @@
 
 import pytest
 
-from tests.support.routing import end, listing, router, take, tariff
-from wickhinge.interface import Effect, Outcome
+from tests.support.routing import end, listing, request_class, router, take
+from wickhinge.interface import Idempotency, Outcome
 
 
 @pytest.mark.parametrize(
     "kind, sent",
     [
-        (tariff(), 1),
-        (tariff(Effect.EXCLUSIVE), 0),
-        (tariff(Effect.TICKETED), 0),
-        (tariff(Effect.EXCLUSIVE, passes_on=True), 0),
+        (request_class(), 1),
+        (request_class(Idempotency.NOT_IDEMPOTENT), 0),
+        (request_class(Idempotency.IDEMPOTENCY_KEY), 0),
+        (request_class(Idempotency.NOT_IDEMPOTENT, pass_through=True), 0),
     ],
 )
 def test_a_request_with_effects_when_only_an_old_list_names_a_server_is_not_sent_there(kind, sent):
     made = router(boxes=0, parents=0)
     rows = [listing(1), listing(100, "parent", "hub"), listing(200, "origin", "hub")]
     made.fleet.listed(
-        [row.__class__(**{**{n: getattr(row, n) for n in row.__slots__}, "trusted": False}) for row in rows], True, 99.0
+        [row.__class__(**{**{n: getattr(row, n) for n in row.__slots__}, "is_verified": False}) for row in rows],
+        True,
+        99.0,
     )
     _, caller = take(made, kind)
     assert len(caller.forwards) == sent and len(caller.answers) == 1 - sent
--- a/tests/peers/test_detector.py
+++ b/tests/peers/test_detector.py
@@ -3,11 +3,11 @@
 import pytest
 
 from tests.support.peers import roster_entries
-from wickhinge.decide import Chance
 from wickhinge.peers.detector import FailureDetector
 from wickhinge.peers.health import ISOLATED_AFTER_PERIODS, MAX_DOUBT, PROBE_PERIOD_S
 from wickhinge.peers.messages import Belief, MemberState
 from wickhinge.peers.roster import Roster
+from wickhinge.routing.random_source import RandomSource
 
 
 class PeerFleet:
@@ -19,7 +19,7 @@
         for name in [f"n{place}" for place in range(count)]:
             self.detectors[name] = FailureDetector(
                 Roster(roster_entries(count), name),
-                Chance(int(name[1:]) + 9),
+                RandomSource(int(name[1:]) + 9),
                 0.0,
                 self.out.append,
                 lambda event, who=name, **told: self.events.append((who, event, told)),
@@ -119,7 +119,9 @@
     fleet = PeerFleet(4)
     fleet.run(6.0)
     old = fleet.detectors["n2"]
-    fleet.detectors["n2"] = FailureDetector(Roster(roster_entries(4), "n2"), Chance(77), fleet.now, fleet.out.append)
+    fleet.detectors["n2"] = FailureDetector(
+        Roster(roster_entries(4), "n2"), RandomSource(77), fleet.now, fleet.out.append
+    )
     fleet.run(8.0)
     new = fleet.detectors["n2"]
     assert new.epoch == 2 and set(fleet.states("n2").values()) == {MemberState.ALIVE}
--- a/tests/peers/test_peer_session.py
+++ b/tests/peers/test_peer_session.py
@@ -4,9 +4,9 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from wickhinge.decide import Chance
 from wickhinge.peers.messages import Stamp
 from wickhinge.peers.peer_session import MAX_NUMBER, REPLAY_WINDOW, PeerSession, Verdict
+from wickhinge.routing.random_source import RandomSource
 
 
 def judge(session, epoch, incarnation, counter, token, echo, now, random_source):
@@ -15,8 +15,8 @@
 
 def proven(epoch=1, incarnation=50, counter=10):
     session = PeerSession("n1")
-    token = session.challenge(Chance(1), 0.0)
-    assert judge(session, epoch, incarnation, counter, 7, token, 0.0, Chance(1)) is Verdict.ADOPTED
+    token = session.challenge(RandomSource(1), 0.0)
+    assert judge(session, epoch, incarnation, counter, 7, token, 0.0, RandomSource(1)) is Verdict.ADOPTED
     return session
 
 
@@ -24,7 +24,7 @@
 def test_judge_when_counters_come_in_any_order_accepts_each_once(counters):
     session, believed, highest = proven(counter=100), {100}, 100
     for counter in counters:
-        verdict = judge(session, 1, 50, counter, 0, 0, 1.0, Chance(1))
+        verdict = judge(session, 1, 50, counter, 0, 0, 1.0, RandomSource(1))
         assert verdict == (
             Verdict.REPLAYED if counter in believed or highest - counter > REPLAY_WINDOW else Verdict.FRESH
         )
@@ -50,14 +50,14 @@
 def test_judge_when_an_incarnation_is_new_accepts_it_by_its_echo_unless_it_is_smaller(
     epoch, incarnation, echoes, verdict
 ):
-    session, chance = proven(), Chance(3)
+    session, chance = proven(), RandomSource(3)
     judge(session, 3, 3, 1, 7, 0, 1.0, chance)  # a stranger, so that there is a token to echo
     assert judge(session, epoch, incarnation, 11, 7, session.token if echoes else 12345, 1.1, chance) == verdict
     assert (session.epoch, session.incarnation) == ((epoch, incarnation) if verdict == Verdict.ADOPTED else (1, 50))
 
 
 def test_judge_when_a_token_is_used_again_or_a_counter_jumps_refuses():
-    session, chance = proven(), Chance(3)
+    session, chance = proven(), RandomSource(3)
     judge(session, 3, 3, 1, 7, 0, 1.0, chance)
     token = session.token
     assert judge(session, 3, 3, 2, 7, token, 1.0, chance) == Verdict.ADOPTED
--- a/tests/peers/test_wire.py
+++ b/tests/peers/test_wire.py
@@ -6,11 +6,11 @@
 
 from tests.support.peers import roster_entries
 from wickhinge.common.sealing import MAX_DATAGRAM_BYTES, DatagramError
-from wickhinge.decide import Chance
 from wickhinge.peers import wire
 from wickhinge.peers.detector import FailureDetector
 from wickhinge.peers.messages import Belief, Gossip, MemberState, Message, MessageKind
 from wickhinge.peers.roster import Roster
+from wickhinge.routing.random_source import RandomSource
 
 KEY = b"k" * 32
 # Written by version 0.2.0 before its names were changed.
@@ -22,7 +22,7 @@
 
 def some_item():
     made = []
-    detector = FailureDetector(Roster(roster_entries(3), "n0"), Chance(4), 0.0, made.append)
+    detector = FailureDetector(Roster(roster_entries(3), "n0"), RandomSource(4), 0.0, made.append)
     detector.tick(1.0)
     return made[0]
 
--- a/tests/shared/test_shared.py
+++ b/tests/shared/test_shared.py
@@ -7,13 +7,13 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from wickhinge.decide import Chance
 from wickhinge.lab.many import judges, play, schedule, trial
 from wickhinge.lab.many.schedule import Fault, Schedule
 from wickhinge.peers.detector import FailureDetector
 from wickhinge.peers.identity import NameAnswer
 from wickhinge.peers.messages import MemberState
 from wickhinge.peers.roster import Roster, RosterEntry
+from wickhinge.routing.random_source import RandomSource
 from wickhinge.shared import riders
 from wickhinge.shared.bucket import Bucket
 from wickhinge.shared.loans import TIME, Loans
@@ -226,7 +226,7 @@
 def test_a_name_that_left_while_it_was_asked_about_ours_is_asked_no_more():
     detector = FailureDetector(
         Roster([RosterEntry(f"n{one}", ("127.0.0.1", one + 1), "") for one in range(3)], "n0"),
-        Chance(1),
+        RandomSource(1),
         0.0,
         lambda item: None,
     )
--- a/tests/support/processes.py
+++ b/tests/support/processes.py
@@ -11,7 +11,7 @@
 from contextlib import ExitStack
 from pathlib import Path
 
-from wickhinge.net import msgpack
+from wickhinge.net.downstream import msgpack
 
 ROOT = Path(__file__).parents[2]
 
@@ -100,9 +100,9 @@
 class Client:
     def __init__(self, address):
         self.socket = socket.create_connection(address, PATIENT)
-        self.stream, self.had, self.calls = msgpack.Stream(300_000), [], 0
+        self.stream, self.had, self.calls = msgpack.MessageDecoder(300_000), [], 0
 
-    def ask(self, tariff="pages", body=b"", drop=(), **fields):
+    def ask(self, request_class="pages", body=b"", drop=(), **fields):
         self.calls += 1
         told = {
             "rid": os.urandom(8).hex(),
@@ -113,7 +113,7 @@
             **fields,
         }
         told = {name: value for name, value in told.items() if name not in drop}
-        self.socket.sendall(msgpack.pack([0, self.calls, tariff, [told, body]]))
+        self.socket.sendall(msgpack.pack([0, self.calls, request_class, [told, body]]))
         return self.calls
 
     def ping(self):
--- a/wickhinge/lab/many/stands.py
+++ b/wickhinge/lab/many/stands.py
@@ -15,16 +15,17 @@
 from dataclasses import dataclass
 from typing import Any
 
-from wickhinge.decide import Cold
-from wickhinge.net import msgpack, resp
-from wickhinge.net.buffers import Body, Pool
+from wickhinge.net.downstream import msgpack
+from wickhinge.net.runtime.buffers import Body, BufferPool
+from wickhinge.net.upstream import resp
+from wickhinge.routing.slow_start import SlowStart
 
 HOST = "127.0.0.1"
 WORK = 0.1  # seconds of sending for each visit
 WEIGHT = 10.0  # of a cold cache; a parent's is twice that, since parents topple at half of it
 WARM = 600.0
 AGE = 60.0  # of the cold machines when the rig's time begins: looked at, not filled
-LIMITS = Cold(4.0, 3.0, 0.2, WARM)
+LIMITS = SlowStart(4.0, 3.0, 0.2, WARM)
 PATIENCE = 3.0
 SLACK = 0.25  # past its patience, on a machine that plays the whole fleet
 KEYS = 40
@@ -99,10 +100,10 @@
             made, _ = self.listener.accept()
         except OSError:
             return
-        stream = resp.Stream(Pool(1 << 20, lambda: None, lambda: None))
+        stream = resp.ReplyDecoder(BufferPool(1 << 20, lambda: None, lambda: None))
         Link(self.stands, made, lambda link, data: self.asked(link, stream, data))
 
-    def asked(self, link: Link, stream: resp.Stream, data: bytes) -> None:
+    def asked(self, link: Link, stream: resp.ReplyDecoder, data: bytes) -> None:
         for items in stream.feed(data):
             told = [b"".join(item.views()) if isinstance(item, Body) else item for item in items]
             if told[0] == b"REQ":
@@ -135,7 +136,7 @@
         made = socket.socket()
         made.setblocking(False)
         made.connect_ex(self.address)
-        stream = msgpack.Stream(300_000)
+        stream = msgpack.MessageDecoder(300_000)
         self.link = Link(self.stands, made, lambda link, data: self.answered(stream, data), self.lost)
         self.plan()
 
@@ -166,7 +167,7 @@
             link.send(msgpack.pack([0, self.calls, "pages", [fields, b""]]))
         self.plan()
 
-    def answered(self, stream: msgpack.Stream, data: bytes) -> None:
+    def answered(self, stream: msgpack.MessageDecoder, data: bytes) -> None:
         for _, call, error, _result in stream.feed(data):
             since = self.open.pop(call, None)
             now = self.stands.rig.now
--- a/wickhinge/membership/list_exchange_tcp.py
+++ b/wickhinge/membership/list_exchange_tcp.py
@@ -9,10 +9,10 @@
 from twisted.internet.protocol import Factory, Protocol, connectionDone
 from twisted.python.failure import Failure
 
+from wickhinge.common.connector import ConnectAttempt
 from wickhinge.membership import list_exchange
 from wickhinge.membership.errors import ListExchangeError
 from wickhinge.membership.list_exchange import ReplicaAnswer
-from wickhinge.net.dial import Dial
 
 _TIMEOUT_S = 2.0  # for a whole exchange
 _MAX_CONNECTIONS = 8  # answered at a time; when a whole fleet restarts, its routers ask again
@@ -140,7 +140,7 @@
     def request(self, address: tuple[str, int], now: float, on_result: ResultCallback) -> None:
         """Starts one exchange; on_result is called once, within two seconds."""
         protocol = ListClientProtocol(self._key, now, on_result)
-        attempt = Dial(
+        attempt = ConnectAttempt(
             self._reactor, address, protocol, lambda failure: protocol.finish(None, failure.getErrorMessage())
         )
 
--- a/wickhinge/net/members.py
+++ b/wickhinge/net/control/membership.py
@@ -9,9 +9,8 @@
 from typing import Any
 
 from wickhinge import settings
-from wickhinge.decide import Chance
 from wickhinge.fields import Malformed, endpoint
-from wickhinge.interface import Effect, Listing, Outcome
+from wickhinge.interface import Endpoint, Idempotency, Outcome
 from wickhinge.membership.backoff import AddressBackoff
 from wickhinge.membership.controller import EndpointListing, MembershipController, MembershipSettings
 from wickhinge.membership.endpoint_list_file import EndpointListFile
@@ -21,15 +20,17 @@
 from wickhinge.membership.recent_purges import PurgeRecord
 from wickhinge.membership.statement_table import EndpointState, ListSource, Statement
 from wickhinge.membership.stored_list import deployment_fingerprint
+from wickhinge.net.control.endpoint_watch import EndpointWatch
 from wickhinge.options import keys
+from wickhinge.routing.random_source import RandomSource
 from wickhinge.store.files import Files
 from wickhinge.store.workers import Workers
 
 TURN = 0.1
-FAILED = (Outcome.UNREACHED, Outcome.TIMED_OUT)
+FAILED = (Outcome.CONNECT_FAILED, Outcome.TIMED_OUT)
 
 
-class Membership:
+class MembershipClient:
     """The router's MembershipController and its port; files are written by a worker, other routers asked in turn."""
 
     def __init__(
@@ -43,7 +44,7 @@
     ) -> None:
         self.node, self.settings, self.list_file, self.static = node, settings, list_file, static
         self.now, self.after, self.log_event = node.deadlines.now, node.deadlines.after, node.log.event
-        self.chance = Chance(node.seed ^ 0x5EED)
+        self.chance = RandomSource(node.seed ^ 0x5EED)
         self.controller = MembershipController(self, self.chance, settings)
         self.write_interval_s = 60.0 / options.writes_a_minute
         self.listen, self.key = options.listen, key
@@ -57,13 +58,14 @@
         self.workers = Workers(node.reactor, 1, node.fault) if list_file is not None else None
         self.backoff: AddressBackoff | None = None
 
-    def follow(self, journal: Any, options: Any) -> None:
-        """Before the start: reads the stored list, and lets the journal go on from there where it keeps its numbers."""
-        addresses = [journal.address, *(endpoint(one) for one in options.discovery.addresses)]
-        self.backoff = AddressBackoff(
-            addresses, self.chance, options.discovery.backoff_s, options.discovery.longest_backoff_s
-        )
-        journal.turn = self.backoff.record_failure
+    def service_addresses(self, address: tuple[str, int], options: Any) -> AddressBackoff:
+        """The discovery service's addresses: the configuration's, and those of the `discovery` options."""
+        addresses = [address, *(endpoint(further) for further in options.addresses)]
+        self.backoff = AddressBackoff(addresses, self.chance, options.backoff_s, options.longest_backoff_s)
+        return self.backoff
+
+    def restore(self, watch: EndpointWatch, options: Any) -> None:
+        """Before the start: reads the stored list, and lets the watch go on from there where it keeps its numbers."""
         stored = None
         if self.list_file is not None:
             stored, problems = self.list_file.read()
@@ -74,7 +76,7 @@
         if self.controller.stored is not None:
             fleet.edge.usual, fleet.upper.usual = self.controller.stored.usual_loads
             if options.journal.continues:
-                journal.resume(self.controller.stored.last_event)
+                watch.resume_list(self.controller.stored.last_event)
 
     def start(self) -> None:
         if self.listen:
@@ -105,7 +107,7 @@
             one = listing.statement
             self.node.caches.listed(one.endpoint_id, f"{one.endpoint_id:08x}", one.address)
             rows.append(
-                Listing(
+                Endpoint(
                     one.endpoint_id,
                     one.zone,
                     one.kind,
@@ -151,13 +153,13 @@
         """The platform's address of the service is another now; the further ones stay."""
         self.backoff.replace_first_address(address)
 
-    def caught_up(self, journal: Any) -> None:
-        is_continuous = journal.unbroken and journal.resumed
-        self.controller.live_caught_up(self.now(), journal.last, is_continuous=is_continuous)
+    def caught_up(self, watch: EndpointWatch) -> None:
+        is_continuous = watch.is_unbroken and watch.is_list_resumed
+        self.controller.live_caught_up(self.now(), watch.last_number, is_continuous=is_continuous)
         self.backoff.record_success()
 
     def ended(self, sent: Any, outcome: Outcome) -> None:
-        if sent.door.tariff.effect is Effect.RERUNNABLE and (outcome.answered or outcome in FAILED):
+        if sent.door.request_class.idempotency is Idempotency.IDEMPOTENT and (outcome.answered or outcome in FAILED):
             self.controller.record_request(sent.cache.mark, self.now(), answered=outcome.answered)
 
     def purge(self, key: int | None, group: int, stamp: float) -> None:
@@ -215,7 +217,7 @@
             self.list_file.close()
 
 
-def make(options: Any, conf: dict[str, Any], node: Any) -> Membership:
+def make(options: Any, conf: dict[str, Any], node: Any) -> MembershipClient:
     """Raises Malformed where the key can't be read."""
     found, fleet = options.discovery, node.router.fleet
     key = keys.read("discovery.key_file", found.key_file) if found.key_file else b""
@@ -246,7 +248,7 @@
             node.log.event("membership_list_unusable", reason=str(problem))
             list_file = None
     membership_settings = MembershipSettings(
-        deployment=deployment_fingerprint(node.zones, node.kinds, sorted(settings.tariffs(conf))),
+        deployment=deployment_fingerprint(node.zones, node.kinds, sorted(settings.request_classes(conf))),
         routers=found.routers or fleet.routers,
         upper_kinds=(fleet.parent_kind, fleet.origin_kind),
         fallback_delay_s=found.after_s,
@@ -255,4 +257,4 @@
         quiet_s=options.journal.quiet_s,
         purge_done_s=node.router.purges.done,
     )
-    return Membership(node, membership_settings, list_file, found, key, static)
+    return MembershipClient(node, membership_settings, list_file, found, key, static)
--- a/wickhinge/net/fellows.py
+++ b/wickhinge/net/control/peer_transport.py
@@ -16,7 +16,6 @@
 from twisted.internet.protocol import DatagramProtocol
 
 from wickhinge.common.sealing import MAX_DATAGRAM_BYTES, DatagramError
-from wickhinge.decide import Chance
 from wickhinge.fields import Malformed
 from wickhinge.options import keys
 from wickhinge.peers import wire
@@ -25,6 +24,7 @@
 from wickhinge.peers.roster import Roster, RosterError, read_entries
 from wickhinge.peers.status_messages import REQUEST_MAGIC
 from wickhinge.peers.status_server import StatusServer
+from wickhinge.routing.random_source import RandomSource
 
 TICK = 0.05
 VIEW_INTERVAL = 0.5  # seconds from one look at the view to the next: a probe's period
@@ -37,7 +37,7 @@
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
-class Fellows(DatagramProtocol):
+class PeerTransport(DatagramProtocol):
     """The router's FailureDetector on its socket."""
 
     noisy = False
@@ -48,7 +48,7 @@
         self.after, self.log = node.deadlines.after, node.log.event
         self.unreadable = self.unsent = self.left = self.taken = 0
         self.detector = FailureDetector(
-            roster, Chance(seed), clock(), self.send, lambda event, **told: self.log(f"peers_{event}", **told)
+            roster, RandomSource(seed), clock(), self.send, lambda event, **told: self.log(f"peers_{event}", **told)
         )
         self.seen: Any = None  # of the last view that the log was told
         self.view_due = 0.0
@@ -81,7 +81,7 @@
             self.detector, division, cold.budgets(self.detector.roster.local.zone), clock(), log
         )
         if judgements:
-            self.judge = Judge(self.detector, fleet, self.node.probe, log)
+            self.judge = Judge(self.detector, fleet, self.node.check_health, log)
         if counts:
             self.counts = Counts(self.detector, fleet, clock())
         Riding(self.detector, [self.limiter, self.judge, self.counts])
@@ -263,10 +263,10 @@
     return Division(names, options.shared.processes or names + SPARE)
 
 
-def make(options: Any, name: str, node: Any) -> Fellows:
+def make(options: Any, name: str, node: Any) -> PeerTransport:
     """Raises Malformed with the faulty key."""
     roster, found = told_by(options, name)
-    made = Fellows(node, roster, found, node.seed ^ 0xFE110)
+    made = PeerTransport(node, roster, found, node.seed ^ 0xFE110)
     if options.shared.mode == "on":
         made.share(
             divided(options, roster, node.router.fleet.zone),
--- a/wickhinge/net/copies.py
+++ b/wickhinge/net/upstream/local_copies.py
@@ -6,10 +6,10 @@
 from typing import Any
 
 from wickhinge.clocks import OthersTime
-from wickhinge.interface import Effect
-from wickhinge.net.buffers import Body, Pool
-from wickhinge.net.deadlines import Deadlines
-from wickhinge.net.slots import Slots
+from wickhinge.interface import Idempotency
+from wickhinge.net.runtime.buffers import Body, BufferPool
+from wickhinge.net.runtime.deadlines import Deadlines
+from wickhinge.net.runtime.slots import Slots
 from wickhinge.store.link import Link
 from wickhinge.store.store import Store
 from wickhinge.store.store import make as make_store
@@ -17,14 +17,14 @@
 TOLD = 0.05  # of a copy's bytes: what telling a client that its own is the one costs
 
 
-class Copies:
+class LocalCopies:
     """The module's Copies; reads under way are in numbered slots, each with a deadline."""
 
     def __init__(
         self,
         store: Store,
         deadlines: Deadlines,
-        pool: Pool,
+        pool: BufferPool,
         link: Link,
         within: float,
         fault: Callable[[str], None],
@@ -32,14 +32,15 @@
     ) -> None:
         self.store, self.deadlines, self.pool, self.link, self.within = store, deadlines, pool, link, within
         self.fault, self.others = fault, others
-        self.visit, self.find, self.proven, self.held = store.visit, store.find, store.proven, store.held
+        self.record_request, self.find = store.record_request, store.find
+        self.is_current, self.is_valid = store.is_current, store.is_valid
         self.slots = Slots()
         self.served = {"memory": 0, "disk": 0, "told": 0, "late": 0}
 
     def age(self, copy: Any, now: float) -> float:
         return now - self.others.earliest(copy.made, now)
 
-    def ends(self, copy: Any, now: float) -> float:
+    def transfer_end(self, copy: Any, now: float) -> float:
         return self.link.ends(copy.size, now)
 
     # Answers out of copies.
@@ -65,7 +66,7 @@
         self.served["late"] += how == "late"
         now = self.deadlines.now()
         try:
-            if door.visit.read(copy, data is not None, now):
+            if door.visit.copy_read(copy, data is not None, now):
                 self.served[how] += 1
                 self.link.send(int(copy.size * TOLD) if data is True else copy.size, now)
                 door.serve(None if data is True else Body(self.pool, data), data is True)
@@ -77,9 +78,14 @@
 
     def passed(self, visit: Any, told: dict[str, str], body: Any) -> None:
         """A cache's answer is about to go to its client; kept if the tier wants it."""
-        tariff = visit.tariff
+        request_class = visit.request_class
         made = told.get("made", "")
-        if tariff.passes_on or tariff.effect is not Effect.RERUNNABLE or not made.isdigit() or len(made) > 16:
+        if (
+            request_class.pass_through
+            or request_class.idempotency is not Idempotency.IDEMPOTENT
+            or not made.isdigit()
+            or len(made) > 16
+        ):
             return
         tag = told.get("etag", "").encode()
         key, part, now = visit.item.key, visit.part, self.deadlines.now()
@@ -100,13 +106,13 @@
     options: Any,
     reactor: Any,
     deadlines: Deadlines,
-    pool: Pool,
+    pool: BufferPool,
     link: tuple[float, float],
     log: Callable[..., None],
     fault: Callable[[str], None],
     others: OthersTime,
-) -> Copies | None:
+) -> LocalCopies | None:
     store = make_store(options.store, options.journal, reactor, deadlines.now, deadlines.after, log, fault)
     if store is None:
         return None
-    return Copies(store, deadlines, pool, Link(*link), options.store.read_within_s, fault, others)
+    return LocalCopies(store, deadlines, pool, Link(*link), options.store.read_within_s, fault, others)
