--- a/wickhinge/membership/list_exchange_tcp.py
+++ b/wickhinge/membership/list_exchange_tcp.py
@@ -10,6 +10,7 @@
 from twisted.python.failure import Failure
 
 from wickhinge.common.connector import ConnectAttempt
+from wickhinge.common.log_event import LogEvent
 from wickhinge.membership import list_exchange
 from wickhinge.membership.errors import ListExchangeError
 from wickhinge.membership.list_exchange import ReplicaAnswer
@@ -72,7 +73,7 @@
         now: Callable[[], float],
         call_later: CallLater,
         current_answer: Callable[[], ReplicaAnswer],
-        log_event: Callable[..., None],
+        log_event: LogEvent,
     ) -> None:
         self._key, self._now, self._current_answer, self._log_event = key, now, current_answer, log_event
         self.call_later = call_later
--- a/wickhinge/membership/stored_list.py
+++ b/wickhinge/membership/stored_list.py
@@ -6,7 +6,6 @@
 from __future__ import annotations
 
 from struct import Struct
-from typing import Any
 
 import msgspec
 from xxhash import xxh3_64_intdigest
@@ -92,7 +91,7 @@
     return sequence, stored
 
 
-def record_fields(record: EndpointRecord) -> dict[str, Any]:
+def record_fields(record: EndpointRecord) -> dict[str, object]:
     """A record as a map, by the names of the file's format."""
     return {field.encode_name: getattr(record, field.name) for field in msgspec.structs.fields(record)}
 
--- a/wickhinge/peers/detector.py
+++ b/wickhinge/peers/detector.py
@@ -14,8 +14,8 @@
 
 from collections.abc import Callable
 from dataclasses import dataclass
-from typing import Any
 
+from wickhinge.common.log_event import LogEvent, ignore_event
 from wickhinge.common.random_source import RandomSource
 from wickhinge.peers.health import ISOLATED_AFTER_PERIODS, PROBE_PERIOD_S, LocalHealth
 from wickhinge.peers.identity import Identity
@@ -45,7 +45,7 @@
     has_duplicate: bool  # another incarnation of our name is alive
     other_rosters: int  # how many of those alive have another roster
 
-    def summary(self) -> dict[str, Any]:
+    def summary(self) -> dict[str, object]:
         """What is logged where it changes; the laboratory judges by it."""
         return {
             "share": round(self.alive_fraction, 4),
@@ -67,7 +67,7 @@
         random_source: RandomSource,
         now: float,
         send: Callable[[Message], None],
-        log_event: Callable[..., None] = lambda *args, **fields: None,  # noqa: ARG005 - any event
+        log_event: LogEvent = ignore_event,
     ) -> None:
         self.random_source, self._send_message, self._log_event = random_source, send, log_event
         self.sessions: dict[str, PeerSession] = {}
--- a/wickhinge/peers/identity.py
+++ b/wickhinge/peers/identity.py
@@ -2,9 +2,9 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable
 from typing import NamedTuple
 
+from wickhinge.common.log_event import LogEvent
 from wickhinge.common.random_source import RandomSource
 from wickhinge.peers.health import LocalHealth
 from wickhinge.peers.messages import Belief, MemberState
@@ -34,7 +34,7 @@
         roster: Roster,
         random_source: RandomSource,
         health: LocalHealth,
-        log_event: Callable[..., None],
+        log_event: LogEvent,
         now: float,
     ) -> None:
         self._random_source, self._health, self._log_event = random_source, health, log_event
--- a/wickhinge/peers/member_table.py
+++ b/wickhinge/peers/member_table.py
@@ -2,10 +2,10 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable
 from dataclasses import dataclass, field
 from math import ceil, log2, log10
 
+from wickhinge.common.log_event import LogEvent
 from wickhinge.peers.health import PROBE_PERIOD_S
 from wickhinge.peers.identity import MAX_RISE
 from wickhinge.peers.messages import Gossip, MemberState, Message
@@ -52,7 +52,7 @@
 class MemberTable(dict[str, Member]):
     """All peers of the roster by name. `now` is seconds of one clock."""
 
-    def __init__(self, log_event: Callable[..., None]) -> None:
+    def __init__(self, log_event: LogEvent) -> None:
         super().__init__()
         self._log_event = log_event
         self._fleet_size = 1  # this router included
