--- a/tests/membership/test_endpoint_list_file.py
+++ b/tests/membership/test_endpoint_list_file.py
@@ -12,42 +12,42 @@
 from wickhinge.membership.stored_list import StoredList, to_record
 
 
-@pytest.mark.parametrize("how", ["crash", "tear", errno.ENOSPC, errno.EIO])
+@pytest.mark.parametrize("failure", ["crash", "tear", errno.ENOSPC, errno.EIO])
 @pytest.mark.parametrize("lost", [False, True])
-def test_write_when_any_call_fails_leaves_a_complete_list(how, lost):
-    def kept(number):
+def test_write_when_any_call_fails_leaves_a_complete_list(failure, lost):
+    def stored_list_of(number):
         return StoredList(
             "d", float(number), float(number), number, [to_record(statement(mark)) for mark in range(number * 20)]
         )
 
-    call, dones = 0, []
+    call, written_counts = 0, []
     while True:
         call += 1
-        disk, done = Disk((call, how)), 0
+        disk, last_written = Disk((call, failure)), 0
         try:
             list_file = EndpointListFile(disk, "d")
             list_file.open()
             for number in range(1, 5):
                 try:
-                    list_file.write(kept(number))
-                    done = number
+                    list_file.write(stored_list_of(number))
+                    last_written = number
                 except OSError:
                     continue
         except (Crash, ListDirectoryError):
             pass
-        dones.append(done)
+        written_counts.append(last_written)
         if disk.calls < call:
             break
         after = EndpointListFile(disk.restarted(call, lost), "d")
         after.open()
         memory, _ = after.read()
-        assert (memory.last_event if memory else 0) >= done
-        assert memory is None or memory == kept(memory.last_event)
-    assert len(set(dones)) > 2
+        assert (memory.last_event if memory else 0) >= last_written
+        assert memory is None or memory == stored_list_of(memory.last_event)
+    assert len(set(written_counts)) > 2
 
 
 @pytest.mark.parametrize(
-    "damage, told",
+    "damage, problem",
     [
         (lambda data: data[:-1], "not as it was written"),
         (lambda data: data[:10], "shorter"),
@@ -57,7 +57,7 @@
         (lambda data: data[:80] + bytes([data[80] ^ 1]) + data[81:], "not as it was written"),
     ],
 )
-def test_read_when_a_generation_is_damaged_takes_the_other(tmp_path, damage, told):
+def test_read_when_a_generation_is_damaged_takes_the_other(tmp_path, damage, problem):
     from wickhinge.store.files import Files
 
     list_file = EndpointListFile(Files(), str(tmp_path))
@@ -67,6 +67,6 @@
     path = tmp_path / stored_list.FILE_NAMES[0]
     path.write_bytes(damage(path.read_bytes()))
     memory, wrong = list_file.read()
-    assert memory.last_event == 1 and told in wrong[0]
+    assert memory.last_event == 1 and problem in wrong[0]
     with pytest.raises(ListDirectoryError, match="in use"):
         EndpointListFile(Files(), str(tmp_path)).open()
--- a/tests/membership/test_list_exchange.py
+++ b/tests/membership/test_list_exchange.py
@@ -25,13 +25,13 @@
 )
 
 
-def exchange(key=KEY, nonce=b"n" * 16, rows=2):
+def sealed_answer(key=KEY, nonce=b"n" * 16, rows=2):
     rows = [to_record(statement(mark)) for mark in range(rows)]
     return list_exchange.encode_answer(key, nonce, ReplicaAnswer("d", 1.0, 2, rows))
 
 
 def test_an_answer_when_split_anywhere_is_read():
-    data = exchange()
+    data = sealed_answer()
     for split in range(0, len(data), 7):
         stream = list_exchange.AnswerReader(KEY, b"n" * 16)
         first = stream.feed(data[:split])
@@ -39,30 +39,30 @@
 
 
 @pytest.mark.parametrize(
-    "data, told",
+    "data, reason",
     [
-        (exchange(key=b"another key 1234"), "not under our key"),
-        (exchange(nonce=b"m" * 16), "not under our key"),
+        (sealed_answer(key=b"another key 1234"), "not under our key"),
+        (sealed_answer(nonce=b"m" * 16), "not under our key"),
         (b"\xff\xff\xff\xff", "bytes"),
-        (exchange(rows=20_001), "list of 20001 machines"),
+        (sealed_answer(rows=20_001), "list of 20001 machines"),
         (list_exchange.seal_payload(KEY, b"n" * 16, b"\x05"), "another form"),
     ],
     ids=["key", "replayed", "length", "machines", "form"],
 )
-def test_an_answer_when_wrong_is_refused_with_the_reason(data, told):
-    with pytest.raises(ListExchangeError, match=told):
+def test_an_answer_when_wrong_is_refused_with_the_reason(data, reason):
+    with pytest.raises(ListExchangeError, match=reason):
         list_exchange.AnswerReader(KEY, b"n" * 16).feed(data)
 
 
 def test_an_answer_when_overlong_is_refused_by_its_length_alone():
     with pytest.raises(ListExchangeError, match="bytes"):
-        list_exchange.AnswerReader(KEY, b"n" * 16).feed(exchange(rows=100_000)[:4])
+        list_exchange.AnswerReader(KEY, b"n" * 16).feed(sealed_answer(rows=100_000)[:4])
 
 
-@pytest.mark.parametrize("key, when, told", [(b"another key 1234", 100.0, "key"), (KEY, 900.0, "another time")])
-def test_a_request_when_of_another_key_or_time_is_refused(key, when, told):
+@pytest.mark.parametrize("key, when, reason", [(b"another key 1234", 100.0, "key"), (KEY, 900.0, "another time")])
+def test_a_request_when_of_another_key_or_time_is_refused(key, when, reason):
     assert list_exchange.decode_request(KEY, list_exchange.encode_request(KEY, b"n" * 16, 100.0), 101.0) == b"n" * 16
-    with pytest.raises(ListExchangeError, match=told):
+    with pytest.raises(ListExchangeError, match=reason):
         list_exchange.decode_request(KEY, list_exchange.encode_request(key, b"n" * 16, when), 100.0)
 
 
--- a/tests/membership/test_purge_gap.py
+++ b/tests/membership/test_purge_gap.py
@@ -6,7 +6,7 @@
 
 
 @pytest.mark.parametrize(
-    "heard, untold, now, oldest",
+    "last_update_at, max_uninformed_age_s, now, max_age_s",
     [
         (990.0, 0.0, 1000.0, 10.0),
         (990.0, 4.0, 1000.0, 4.0),
@@ -18,7 +18,9 @@
         (None, 4.0, 1009.0, 4.0),
     ],
 )
-def test_max_copy_age_when_purges_may_be_missing_reaches_back_to_the_gap(heard, untold, now, oldest):
-    gap = PurgeGap(untold, 3.0)
-    gap.open(heard) if heard is not None else gap.close(1000.0)
-    assert gap.max_copy_age_s(now) == oldest
+def test_max_copy_age_when_purges_may_be_missing_reaches_back_to_the_gap(
+    last_update_at, max_uninformed_age_s, now, max_age_s
+):
+    gap = PurgeGap(max_uninformed_age_s, 3.0)
+    gap.open(last_update_at) if last_update_at is not None else gap.close(1000.0)
+    assert gap.max_copy_age_s(now) == max_age_s
--- a/tests/peers/test_detector.py
+++ b/tests/peers/test_detector.py
@@ -22,7 +22,7 @@
                 RandomSource(int(name[1:]) + 9),
                 0.0,
                 self.out.append,
-                lambda event, who=name, **told: self.events.append((who, event, told)),
+                lambda event, who=name, **fields: self.events.append((who, event, fields)),
             )
 
     def run(self, seconds, still=()):
@@ -33,11 +33,15 @@
                 if name not in still:
                     detector.tick(self.now)
             for _ in range(6):
-                now, self.out[:] = list(self.out), []
-                for item in now:
+                arrived, self.out[:] = list(self.out), []
+                for message in arrived:
                     for name, detector in self.detectors.items():  # n2' is another process under the name n2
-                        if name.rstrip("'") == item.to and name not in still and self.way(item.sender, item.to):
-                            detector.receive(item, self.now)
+                        if (
+                            name.rstrip("'") == message.to
+                            and name not in still
+                            and self.way(message.sender, message.to)
+                        ):
+                            detector.receive(message, self.now)
 
     def states(self, of):
         return {name: detector.members[of].state for name, detector in self.detectors.items() if name != of}
@@ -69,7 +73,9 @@
     assert set(fleet.states("n3").values()) == {MemberState.ALIVE}
     identity = fleet.detectors["n3"].identity
     assert identity.refutations > 0 and identity.epoch == 1  # it refuted; it is the same life
-    assert ("n3", "member_state", "gone") not in [(who, event, told.get("state")) for who, event, told in fleet.events]
+    assert ("n3", "member_state", "gone") not in [
+        (who, event, fields.get("state")) for who, event, fields in fleet.events
+    ]
 
 
 def test_a_router_when_it_hears_nobody_is_isolated_and_calls_nobody_gone():
--- a/tests/peers/test_status_exchange.py
+++ b/tests/peers/test_status_exchange.py
@@ -21,68 +21,68 @@
 HERE, THERE = ("127.0.0.1", 5), ("127.0.0.1", 6)
 
 
-def made(name="n1"):
+def server_of(name="n1"):
     one = StatusServer(name, KEY, b"secret", 100.0)
     one.add_command("say", lambda more: more * 3)
     return one
 
 
-def exchange(at, asking, sender=HERE, now=100.0, lose=()):
+def exchange(server, client, sender=HERE, now=100.0, lose=()):
     """Datagrams both ways until nothing more comes; those of the answers that are named are lost."""
-    sent, came = [asking.datagram()], 0
-    while sent:
-        answers = at.receive(sent.pop(), sender, now)
+    to_send, received = [client.datagram()], 0
+    while to_send:
+        answers = server.receive(to_send.pop(), sender, now)
         for answer in answers:
-            came += 1
-            if came not in lose and asking.receive(answer):
-                sent.append(asking.datagram())
-    return asking.answer()
+            received += 1
+            if received not in lose and client.receive(answer):
+                to_send.append(client.datagram())
+    return client.answer()
 
 
 @pytest.mark.parametrize("size", [0, 1, 400, 1100, 1101, 20000])
 def test_an_answer_when_of_any_length_comes_complete(size):
-    at = made()
+    server = server_of()
     answer = bytes(range(256)) * (size // 256) + b"x" * (size % 256)
-    at.add_command("long", lambda payload: answer)
-    assert exchange(at, StatusClient(KEY, "n1", 7, "long")) == answer
+    server.add_command("long", lambda payload: answer)
+    assert exchange(server, StatusClient(KEY, "n1", 7, "long")) == answer
 
 
 def test_an_answer_when_parts_are_lost_comes_by_asking_again():
-    at, asking = made(), StatusClient(KEY, "n1", 7, "say", b"ab" * 500)
-    assert exchange(at, asking, lose=(2,)) is None
-    assert exchange(at, asking) == b"ab" * 1500
+    server, client = server_of(), StatusClient(KEY, "n1", 7, "say", b"ab" * 500)
+    assert exchange(server, client, lose=(2,)) is None
+    assert exchange(server, client) == b"ab" * 1500
 
 
 def test_a_request_when_without_its_cookie_does_nothing_and_draws_less_than_it_is():
-    at, done = made(), []
+    server, done = server_of(), []
 
     def do(payload):
         done.append(1)
         return b"done"
 
-    at.add_command("do", do)
-    asking = StatusClient(KEY, "n1", 7, "do")
-    first = asking.datagram()
-    (answer,) = at.receive(first, HERE, 100.0)
+    server.add_command("do", do)
+    client = StatusClient(KEY, "n1", 7, "do")
+    first = client.datagram()
+    (answer,) = server.receive(first, HERE, 100.0)
     assert not done and len(answer) <= len(first)
-    assert asking.receive(answer) and not asking.receive(answer)
-    again = asking.datagram()
+    assert client.receive(answer) and not client.receive(answer)
+    again = client.datagram()
     for sender, now in ((THERE, 100.0), (HERE, 100.0 + 2.1 * COOKIE_SLOT_S)):  # another's address, a later time
-        assert len(at.receive(again, sender, now)) == 1 and not done
-    assert len(made().receive(again, HERE, 100.0)) == 1  # the same secret; a new process has another
-    fresh = StatusServer("n1", KEY, b"another", 100.0)
-    fresh.add_command("do", do)
-    assert status_messages.decode_part(KEY, fresh.receive(again, HERE, 100.0)[0]).index == 0
+        assert len(server.receive(again, sender, now)) == 1 and not done
+    assert len(server_of().receive(again, HERE, 100.0)) == 1  # the same secret; a new process has another
+    restarted = StatusServer("n1", KEY, b"another", 100.0)
+    restarted.add_command("do", do)
+    assert status_messages.decode_part(KEY, restarted.receive(again, HERE, 100.0)[0]).index == 0
     done.clear()
-    assert at.receive(again, HERE, 104.9) and done == [1]
+    assert server.receive(again, HERE, 104.9) and done == [1]
 
 
 def test_a_request_when_not_for_it_unknown_or_too_long_is_refused():
-    at = made()
-    assert at.receive(StatusClient(KEY, "n2", 7, "say").datagram(), HERE, 100.0) == []
-    assert b"nothing that this router answers" in exchange(at, StatusClient(KEY, "n1", 7, "fly"))
-    at.add_command("huge", lambda more: b"x" * (status_messages.MAX_PART_BYTES * status_messages.MAX_PARTS + 1))
-    assert b"is longer than" in exchange(at, StatusClient(KEY, "n1", 7, "huge"))
+    server = server_of()
+    assert server.receive(StatusClient(KEY, "n2", 7, "say").datagram(), HERE, 100.0) == []
+    assert b"nothing that this router answers" in exchange(server, StatusClient(KEY, "n1", 7, "fly"))
+    server.add_command("huge", lambda more: b"x" * (status_messages.MAX_PART_BYTES * status_messages.MAX_PARTS + 1))
+    assert b"is longer than" in exchange(server, StatusClient(KEY, "n1", 7, "huge"))
     for data in (
         b"",
         b"WP?",
@@ -90,33 +90,33 @@
         StatusClient(KEY, "n1", 7, "say").datagram()[:-1],
     ):
         with pytest.raises(DatagramError):
-            at.receive(data, HERE, 100.0)
+            server.receive(data, HERE, 100.0)
     garbled = status_messages.REQUEST_MAGIC + b"\x93\x01"
     with pytest.raises(DatagramError):
-        at.receive(garbled + sealing.mac(KEY, garbled), HERE, 100.0)
+        server.receive(garbled + sealing.mac(KEY, garbled), HERE, 100.0)
 
 
 def test_a_flood_when_it_comes_is_answered_at_a_bounded_rate():
-    at = made()
-    told = sum(
-        len(at.receive(StatusClient(KEY, "n1", number, "say").datagram(), HERE, 100.0 + number / 1e4))
+    server = server_of()
+    parts_sent = sum(
+        len(server.receive(StatusClient(KEY, "n1", number, "say").datagram(), HERE, 100.0 + number / 1e4))
         for number in range(10_000)
     )
-    assert MAX_PARTS_PER_S <= told <= 2 * MAX_PARTS_PER_S + 1
+    assert MAX_PARTS_PER_S <= parts_sent <= 2 * MAX_PARTS_PER_S + 1
 
 
 def test_a_part_when_of_another_request_or_malformed_changes_nothing():
-    asking = StatusClient(KEY, "n1", 7, "say")
+    client = StatusClient(KEY, "n1", 7, "say")
     for part in (
         StatusPart(8, b"c" * 16, 1, 1, b"x"),
         StatusPart(7, b"c", 2, 1, b"x"),
         StatusPart(7, b"c", 1, 65, b"x"),
         StatusPart(7, b"c", -1, 1, b"x"),
     ):
-        assert not asking.receive(status_messages.encode_part(KEY, part))
+        assert not client.receive(status_messages.encode_part(KEY, part))
     assert (
-        not asking.receive(status_messages.encode_part(OTHER, StatusPart(7, b"c", 1, 1, b"x")))
-        and asking.answer() is None
+        not client.receive(status_messages.encode_part(OTHER, StatusPart(7, b"c", 1, 1, b"x")))
+        and client.answer() is None
     )
 
 
--- a/tests/peers/test_view_interval.py
+++ b/tests/peers/test_view_interval.py
@@ -14,18 +14,18 @@
     now, calls = [100.0], []
     node = SimpleNamespace(
         deadlines=SimpleNamespace(after=lambda delay, call: calls.append(call)),
-        log=SimpleNamespace(event=lambda event, **told: None),
+        log=SimpleNamespace(event=lambda event, **fields: None),
     )
     real_clock, peer_transport.clock = peer_transport.clock, lambda: now[0]
     try:
-        made = peer_transport.PeerTransport(node, Roster(roster_entries(3), "n0"), [KEY], 1)
-        looks, view = [], made.detector.view
-        made.detector.view = lambda when: looks.append(when) or view(when)
-        made.transport = SimpleNamespace(write=lambda data, address: None)
-        made.tick()
+        transport = peer_transport.PeerTransport(node, Roster(roster_entries(3), "n0"), [KEY], 1)
+        views, view = [], transport.detector.view
+        transport.detector.view = lambda when: views.append(when) or view(when)
+        transport.transport = SimpleNamespace(write=lambda data, address: None)
+        transport.tick()
         for _ in range(40):
             now[0] += peer_transport.TICK
             calls.pop()()
     finally:
         peer_transport.clock = real_clock
-    assert 4 <= len(looks) <= 5
+    assert 4 <= len(views) <= 5
--- a/tests/peers/test_wire.py
+++ b/tests/peers/test_wire.py
@@ -20,29 +20,29 @@
 )
 
 
-def some_item():
-    made = []
-    detector = FailureDetector(Roster(roster_entries(3), "n0"), RandomSource(4), 0.0, made.append)
+def sent_message():
+    sent = []
+    detector = FailureDetector(Roster(roster_entries(3), "n0"), RandomSource(4), 0.0, sent.append)
     detector.tick(1.0)
-    return made[0]
+    return sent[0]
 
 
 def test_decode_when_any_byte_is_changed_or_missing_refuses():
-    item = replace(some_item(), gossip=(Gossip("n2", 1, 5, 0, 1),), piggyback=b"abc")
-    data = wire.encode(KEY, item)
-    assert wire.decode(KEY, data) == item
-    for place in range(len(data)):
+    message = replace(sent_message(), gossip=(Gossip("n2", 1, 5, 0, 1),), piggyback=b"abc")
+    data = wire.encode(KEY, message)
+    assert wire.decode(KEY, data) == message
+    for index in range(len(data)):
         with pytest.raises(DatagramError):
-            wire.decode(KEY, data[:place] + bytes([data[place] ^ 1]) + data[place + 1 :])
+            wire.decode(KEY, data[:index] + bytes([data[index] ^ 1]) + data[index + 1 :])
         with pytest.raises(DatagramError):
-            wire.decode(KEY, data[:place])
+            wire.decode(KEY, data[:index])
     with pytest.raises(DatagramError):
         wire.decode(b"x" * 32, data)
 
 
 def test_encode_when_there_is_too_much_gossip_keeps_to_the_bound():
-    news = tuple(("n" * 60 + str(place), 1 << 40, 1 << 62, 1 << 40, 3) for place in range(10, 18))
-    data = wire.encode(KEY, replace(some_item(), gossip=news * 3, piggyback=b"x" * 900))
+    news = tuple(("n" * 60 + str(index), 1 << 40, 1 << 62, 1 << 40, 3) for index in range(10, 18))
+    data = wire.encode(KEY, replace(sent_message(), gossip=news * 3, piggyback=b"x" * 900))
     assert len(data) <= MAX_DATAGRAM_BYTES and len(wire.decode(KEY, data).gossip) >= 8
 
 
