--- a/tests/changelog/test_changelog_parts.py
+++ b/tests/changelog/test_changelog_parts.py
@@ -492,9 +492,10 @@
         router=SimpleNamespace(purges=Purges(6.0)),
         copies=SimpleNamespace(proven=lambda copy, now: copy.made > 0, age=lambda copy, now: now - copy.made),
         forwards=SimpleNamespace(overtaken=lambda holds: told.append(holds)),
-        move_journal=lambda address: told.append(address),
-        purge=lambda *given: told.append(given),
-        take_purge=lambda *given: told.append(given),
+        move_endpoint_watch=lambda address: told.append(address),
+        updates=SimpleNamespace(
+            purge=lambda *given: told.append(given), record_purge=lambda *given: told.append(given)
+        ),
     )
     made = ChangelogClient(options, "n1", node)
     made.node, made.told, made.options = node, told, options
--- a/tests/net/test_crossings.py
+++ b/tests/net/test_crossings.py
@@ -177,7 +177,7 @@
         self.node = RouterProcess(conf, self.reactor, os.open(os.devnull, os.O_WRONLY))
         monkeypatch.setattr(self.reactor, "stop", lambda: self.stopped.append(True))
         self.node.start()
-        self.node.opening.begin("test")
+        self.node.readiness.open("test")
 
     def clock(self):
         return steady() + self.ahead
@@ -190,7 +190,7 @@
     def close(self):
         gc.enable()
         self.node.endpoint_watch.close()
-        self.node.opening.close()
+        self.node.readiness.close()
         self.box.close()
 
 
@@ -206,7 +206,7 @@
     """With little CPU the end comes due before what lies in a socket, or a connection in the listener, is looked at."""
     client = Client(ended.address) if connected else None
     ended.turn()
-    ended.node.leave()
+    ended.node.drain()
     ended.ahead = 1.0
     client = client or Client(ended.address)
     call = client.ask("results", b"mark")
@@ -230,8 +230,8 @@
     client = Client(ended.address)
     calls = [client.ask("results", b"mark"), client.ask("pages")]
     ended.turn()
-    ended.node.leave()
-    ended.ahead = ended.node.last + 0.01
+    ended.node.drain()
+    ended.ahead = ended.node.shutdown.give_up_after_s + 0.01
     ended.turn(10)
     assert [client.answer(call)[2][0] for call in calls] == ["Abandoned", "Overloaded"]
     assert ended.stopped
@@ -498,4 +498,4 @@
 @pytest.mark.parametrize("field", ["connectTimeoutMs", "connIdleMs", "maxStreams"])
 def test_times_and_streams_of_0_are_faults_that_name_their_key(field):
     with pytest.raises(Malformed, match=field):
-        config.times({"settings": {"limits": {field: 0}}})
+        config.connection_limits({"settings": {"limits": {field: 0}}})
--- a/tests/net/test_net.py
+++ b/tests/net/test_net.py
@@ -200,7 +200,7 @@
 
 @pytest.mark.parametrize("limits", [{"memory_mb": 32, "sockets": 256}, {"memory_mb": 192, "sockets": 1024}])
 def test_limits_of_every_day_are_taken(limits):
-    assert config.limits({"limits": limits}) == tuple(limits.values())
+    assert config.process_limits({"limits": limits}) == tuple(limits.values())
 
 
 def test_a_stale_number_finds_nothing():
@@ -411,7 +411,7 @@
     (tmp_path / "c").write_text(json.dumps({**conf, **change}))
     with pytest.raises(Malformed, match=told):
         made = config.read({"RELAY_CONFIG": str(tmp_path / "c"), "RELAY_NAME": "n3"})
-        for read in (config.listen, config.seed, config.limits, config.known):
+        for read in (config.listen_address, config.seed, config.process_limits, config.known_events):
             read(made)
 
 
--- a/tests/net/test_request_log.py
+++ b/tests/net/test_request_log.py
@@ -78,7 +78,7 @@
 def test_standstills_are_found_in_waits_and_in_turns_and_counted_anew_after_a_report():
     lines = Lines()
     meter = EventLoopStalls()
-    meter.log = lines
+    meter.log_to(lines)
     meter.waited(0.0, 0.25, 0.25)  # in time
     meter.waited(0.26, 0.25, 1.01)  # half a second past its time
     meter.waited(1.31, None, 9.0)  # a turn of 0.3 s; a wait without end is never late
--- a/tests/net/test_start.py
+++ b/tests/net/test_start.py
@@ -21,7 +21,17 @@
         f"wickhinge.{package}{name}"
         for package, names in {
             "common": ("", ".connector", ".failed_calls"),
-            "net.control": ("", ".config", ".endpoint_watch", ".readiness", ".router_process", ".start"),
+            "net.control": (
+                "",
+                ".config",
+                ".endpoint_updates",
+                ".endpoint_watch",
+                ".graceful_shutdown",
+                ".process_report",
+                ".readiness",
+                ".router_process",
+                ".start",
+            ),
             "net.downstream": (
                 "",
                 ".client_connections",
--- a/wickhinge/cli/commands.py
+++ b/wickhinge/cli/commands.py
@@ -73,11 +73,14 @@
         if config:
             conf = platform.read({"RELAY_CONFIG": config})
             router, tariffs = settings.build(platform.settings(conf), platform.seed(conf), None)
-            platform.limits(conf), platform.times(conf), platform.known(conf), platform.link(conf)
+            platform.process_limits(conf)
+            platform.connection_limits(conf)
+            platform.known_events(conf)
+            platform.link_limits(conf)
             answer["config"] = {
                 "name": platform.name(conf),
-                "listen": ":".join(map(str, platform.listen(conf))),
-                "journal": ":".join(map(str, platform.journal(conf))),
+                "listen": ":".join(map(str, platform.listen_address(conf))),
+                "journal": ":".join(map(str, platform.discovery_address(conf))),
                 "location": router.fleet.zone,
                 "tariffs": list(tariffs),
             }
--- a/wickhinge/net/control/changelog_client.py
+++ b/wickhinge/net/control/changelog_client.py
@@ -29,7 +29,7 @@
             raise Malformed(f"config: field name is over {options_of.MOST_NAME} bytes, too long for the change log")
         self._options, self._node, self._log = options, node, node.log.event
         self.settings = SettingsTable(self._log)
-        self.settings.subscribe(JOURNAL, self._node.move_journal)
+        self.settings.subscribe(JOURNAL, self._node.move_endpoint_watch)
         self.follower = FollowerNode(
             name,
             endpoint(options.bind) or ANY_ADDRESS,
@@ -90,7 +90,7 @@
     def _apply(self, entry: Entry) -> None:
         change = entry.change
         if isinstance(change, Purge):
-            self._node.purge(change.key, change.group, change.stamp_ms, 0)
+            self._node.updates.purge(change.key, change.group, change.stamp_ms, 0)
         elif isinstance(change, Setting):
             self.settings.put(change)
         elif not understood(change):
@@ -99,7 +99,7 @@
     def _reset(self, snapshot: Snapshot) -> None:
         """Purges of a snapshot are taken together: a start may bring thousands of them."""
         for purge in snapshot.purges:
-            self._node.take_purge(purge.key, purge.group, purge.stamp_ms, 0)
+            self._node.updates.record_purge(purge.key, purge.group, purge.stamp_ms, 0)
         keys = {purge.key for purge in snapshot.purges if purge.key is not None}
         groups = {purge.group for purge in snapshot.purges if purge.key is None}
         self._node.forwards.overtaken(
--- /dev/null
+++ b/wickhinge/net/control/endpoint_updates.py
@@ -0,0 +1,148 @@
+"""Applies endpoint lists and purges, whoever tells of them, to the decisions, the connections and the local copies."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from dataclasses import dataclass
+from typing import Any
+
+from wickhinge.clocks import OthersTime
+from wickhinge.interface import Listing
+from wickhinge.net.control.config import ENDPOINT_STATES, Endpoint, KnownEndpoints, KnownEvents
+from wickhinge.net.control.endpoint_watch import EndpointRecord
+from wickhinge.net.runtime.deadlines import Deadlines
+from wickhinge.net.upstream.attempts import Attempts, SentAttempt
+from wickhinge.net.upstream.connection_pools import ConnectionPools
+
+NO_NUMBER = 0  # of a purge that the discovery service did not number
+
+
+@dataclass(frozen=True, slots=True)
+class SettingsNames:
+    """The names in the settings to which an EndpointRecord refers by place."""
+
+    zones: list[str]
+    kinds: list[str]
+
+
+class EndpointUpdates:
+    """Where lists and purges go. `membership` and `local_copies` are None where they are off."""
+
+    def __init__(
+        self,
+        decisions: Any,
+        attempts: Attempts,
+        names: SettingsNames,
+        log: Callable[..., None],
+        *,
+        membership: Any = None,
+        local_copies: Any = None,
+    ) -> None:
+        self._decisions, self._attempts, self._names, self._log = decisions, attempts, names, log
+        self._pools: ConnectionPools = attempts.caches
+        self._deadlines: Deadlines = attempts.deadlines
+        self._others_time: OthersTime = attempts.others
+        self._membership, self._local_copies = membership, local_copies
+
+    def apply_known(self, known: KnownEvents) -> None:
+        """Applies what the configuration holds; its purges have no numbers."""
+        for event in known.events:
+            if isinstance(event, KnownEndpoints):
+                self.apply_endpoints(event.endpoints, complete=event.complete)
+            else:
+                self.purge(event.key, event.group, event.stamp_ms)
+
+    def apply_records(self, records: list[EndpointRecord], *, complete: bool) -> None:
+        """Applies a list as the discovery service writes it; records of unknown names are logged and left out."""
+        endpoints = []
+        for record in records:
+            endpoint = self._endpoint(record)
+            if endpoint is None:
+                self._log(
+                    "bad_record",
+                    cache=f"{record.mark:08x}",
+                    state=record.state,
+                    zone=record.zone,
+                    kind=record.kind,
+                )
+            else:
+                endpoints.append(endpoint)
+        self.apply_endpoints(endpoints, complete=complete)
+
+    def apply_endpoints(self, endpoints: list[Endpoint], *, complete: bool) -> None:
+        """Puts a list in force; complete: what it does not name is gone."""
+        now = self._deadlines.now()
+        for endpoint in endpoints:
+            if endpoint.started_at is not None:
+                self._others_time.vouched(endpoint.started_at, now)
+        listings = []
+        for endpoint in endpoints:
+            self._pools.listed(endpoint.mark, f"{endpoint.mark:08x}", endpoint.address)
+            listings.append(
+                Listing(
+                    endpoint.mark,
+                    endpoint.zone,
+                    endpoint.kind,
+                    endpoint.cell,
+                    endpoint.state,
+                    endpoint.weight,
+                    endpoint.started_at,
+                )
+            )
+        self._decisions.fleet.listed(listings, complete, now)
+        if self._membership is not None:
+            self._membership.live(complete, endpoints)
+        self._close_unlisted()
+        self._attempts.overtaken(_may_still_be_sent)
+        self._log(
+            "list",
+            whole=complete,
+            machines=[
+                [f"{endpoint.mark:08x}", endpoint.state, endpoint.zone, endpoint.kind, endpoint.started_at]
+                for endpoint in endpoints
+            ],
+        )
+
+    def purge(self, key: int | None, group: int, stamp_ms: float, number: int = NO_NUMBER) -> None:
+        """Puts a purge in force, of a whole group where key is None, also for what waits to be written."""
+        self.record_purge(key, group, stamp_ms, number)
+        self._attempts.overtaken(
+            lambda sent: sent.forward.visit.group != group if key is None else sent.forward.visit.item.key != key
+        )
+        self._log("purge", key=None if key is None else f"{key:016x}", group=group, stamp=stamp_ms)
+
+    def record_purge(self, key: int | None, group: int, stamp_ms: float, number: int = NO_NUMBER) -> None:
+        """Puts a purge in force for what is sent from now on; what waits to be written is the caller's to recall."""
+        now, stamp_s = self._deadlines.now(), stamp_ms / 1000.0
+        self._others_time.vouched(stamp_s, now)
+        self._decisions.purges.told(key, group, stamp_s, now)
+        if self._local_copies is not None:
+            self._local_copies.store.purge(key, group, stamp_s, number)
+        if self._membership is not None:
+            self._membership.purge(key, group, stamp_s)
+
+    def _endpoint(self, record: EndpointRecord) -> Endpoint | None:
+        zones, kinds = self._names.zones, self._names.kinds
+        if record.state >= len(ENDPOINT_STATES) or record.zone >= len(zones) or record.kind >= len(kinds):
+            return None
+        host = ".".join(str(octet) for octet in record.address.to_bytes(4))
+        return Endpoint(
+            record.mark,
+            (host, record.port),
+            ENDPOINT_STATES[record.state],
+            zones[record.zone],
+            kinds[record.kind],
+            record.cell,
+            record.weight_thousandths / 1000.0,
+            record.started_ms / 1000.0 or None,
+        )
+
+    def _close_unlisted(self) -> None:
+        for mark, pool in list(self._pools.machines.items()):
+            is_member = self._membership is not None and self._membership.knows(mark)
+            if mark not in self._decisions.fleet.known and not is_member:
+                pool.leave()
+
+
+def _may_still_be_sent(sent: SentAttempt) -> bool:
+    return sent.cache.state == "ready" == sent.forward.source.state
--- a/wickhinge/net/control/membership.py
+++ b/wickhinge/net/control/membership.py
@@ -17,6 +17,7 @@
 from wickhinge.membership.keeper import Keeper, Unusable
 from wickhinge.membership.members import NONE, Members
 from wickhinge.membership.statements import LIVE, STATIC, Statement
+from wickhinge.net.control.config import Endpoint
 from wickhinge.net.control.endpoint_watch import EndpointWatch
 from wickhinge.options import keys
 from wickhinge.store.files import Files
@@ -84,7 +85,7 @@
         now = self.now()
         self.members.tick(now)
         if self.members.source not in (NONE, LIVE):
-            self.node.opening.trusted()
+            self.node.readiness.trusted()
         self.save(now)
         self.after(TURN, self.turn)
 
@@ -110,13 +111,13 @@
 
     # In.
 
-    def live(self, whole: bool, machines: list[tuple[Any, ...]]) -> None:
+    def live(self, complete: bool, endpoints: list[Endpoint]) -> None:
         now = self.now()
         self.members.live(
-            whole,
+            complete,
             [
                 Statement(mark, where, state, zone, kind, cell, weight, started, now, LIVE)
-                for mark, where, state, zone, kind, cell, weight, started in machines
+                for mark, where, state, zone, kind, cell, weight, started in endpoints
             ],
             now,
         )
@@ -203,7 +204,7 @@
     key = keys.read("discovery.key_file", found.key_file) if found.key_file else b""
     static = []
     for place, one in enumerate(found.static):
-        if one.zone not in node.zones or one.kind not in node.kinds:
+        if one.zone not in node.names.zones or one.kind not in node.names.kinds:
             raise Malformed(f"discovery.static[{place}]: zone or kind is none of the settings'")
         static.append(
             Statement(
@@ -234,7 +235,7 @@
         lambda one: box[0].probe(one),
         node.log.event,
         chance,
-        remembered.deployment(node.zones, node.kinds, sorted(settings.tariffs(conf))),
+        remembered.deployment(node.names.zones, node.names.kinds, sorted(settings.tariffs(conf))),
         found.routers or fleet.routers,
         (fleet.parent_kind, fleet.origin_kind),
         found.after_s,
--- /dev/null
+++ b/wickhinge/net/control/process_report.py
@@ -0,0 +1,101 @@
+"""The `report` line, every five seconds, and the rare run of the garbage collector."""
+
+from __future__ import annotations
+
+import gc
+import resource
+import typing
+from collections.abc import Callable, Mapping
+from typing import Any
+
+from wickhinge.common.failed_calls import failed_calls
+from wickhinge.net.downstream.client_connections import ClientConnections
+from wickhinge.net.runtime.deadlines import Deadlines
+
+REPORT_INTERVAL_S = 5.0
+COLLECT_OVER_SHARE = 0.7  # of the memory limit
+PEAK_STEP_KB = 5000  # by which the peak has to rise before the next collection
+# More than at the last collection, 5 MB of them: by the peak alone a second one came only past a limit of 32 MB.
+MAX_NEW_OBJECTS = 25_000
+
+
+class Reporting(typing.Protocol):
+    """An optional subsystem with figures of its own in the report."""
+
+    def figures(self) -> dict[str, Any]:
+        """Its entry in the report."""
+
+
+class ProcessReport:
+    """Writes the report and keeps the process within its memory."""
+
+    def __init__(
+        self,
+        clients: ClientConnections,
+        decisions: Any,
+        log: Callable[..., None],
+        memory_mb: int,
+        optional: Mapping[str, Reporting],
+    ) -> None:
+        """Parameters as named; optional: the subsystems that are on, by their names in the report."""
+        self._clients, self._decisions, self._log, self._optional = clients, decisions, log, optional
+        self._requests = clients.visits
+        self._attempts = self._requests.forwards
+        self._pools = self._attempts.caches
+        self._deadlines: Deadlines = clients.deadlines
+        self._collect_over_kb = int(memory_mb * 1000 * COLLECT_OVER_SHARE)
+
+    def start(self) -> None:
+        """Writes the first report after an interval, and all that follow."""
+        self._deadlines.after(REPORT_INTERVAL_S, self._report)
+
+    def _report(self) -> None:
+        usage = resource.getrusage(resource.RUSAGE_SELF)
+        self._collect(usage.ru_maxrss)
+        self._log(
+            "report",
+            user=round(usage.ru_utime, 3),
+            system=round(usage.ru_stime, 3),
+            peak_kb=usage.ru_maxrss,
+            late_ms=round(self._deadlines.take_max_lateness() * 1000, 1),
+            deadlines=len(self._deadlines.heap),
+            failed_calls=failed_calls.counts,
+            stood_still=self._deadlines.reactor.stalls.report(),
+            **self._client_figures(),
+            **self._server_figures(),
+            **{name: subsystem.figures() for name, subsystem in self._optional.items()},
+        )
+        self._deadlines.after(REPORT_INTERVAL_S, self._report)
+
+    def _client_figures(self) -> dict[str, Any]:
+        requests, clients = self._requests, self._clients
+        return {
+            "taken": requests.taken,
+            "open": requests.open(),
+            "clients": len(clients.all),
+            "client_descriptors": clients.admission.held,
+            "answers": requests.answers,
+            "unserved": requests.requests.reasons,
+            "unlogged": requests.requests.unlogged,
+            "closed": clients.closed,
+            "faults": clients.take_faults(),
+        }
+
+    def _server_figures(self) -> dict[str, Any]:
+        pools = self._pools
+        return {
+            "lines": sum(len(pool.lines) for pool in pools.machines.values()),
+            "line_descriptors": pools.held,
+            "buffers": pools.pool.peak,
+            "late_answers": pools.lates,
+            "known": len(self._decisions.fleet.known),
+            "machines": len(pools.machines),
+            "objects": len(self._decisions.shelf.items),
+        }
+
+    def _collect(self, peak_kb: int) -> None:
+        """A collection takes 70 ms: rare, and better than being killed for memory."""
+        if peak_kb > self._collect_over_kb or gc.get_count()[0] > MAX_NEW_OBJECTS:
+            objects = gc.collect()
+            self._collect_over_kb = peak_kb + PEAK_STEP_KB
+            self._log("collected", objects=objects)
--- a/wickhinge/net/control/start.py
+++ b/wickhinge/net/control/start.py
@@ -34,10 +34,13 @@
 
     path = path or os.environ.get("WICKHINGE_OPTIONS")
     try:
-        node = RouterProcess(config.read(os.environ), reactor, options=read_options(path) if path else None)
-        if path:
-            node.reread = lambda: read_options(path)
-        node.start()
+        router = RouterProcess(
+            config.read(os.environ),
+            reactor,
+            options=read_options(path) if path else None,
+            read_options=lambda: read_options(path) if path else None,
+        )
+        router.start()
     except Malformed as problem:
         sys.stderr.write(f"{problem}\n")
         return UNUSABLE
@@ -45,10 +48,10 @@
         return address_unusable(problem)
     # The handler runs between two turns of the reactor, never inside a call.
     for number in (signal.SIGTERM, signal.SIGINT):
-        signal.signal(number, lambda *_: reactor.callFromThread(node.leave))
-    signal.signal(signal.SIGHUP, lambda *_: reactor.callFromThread(node.reload))
+        signal.signal(number, lambda *_: reactor.callFromThread(router.drain))
+    signal.signal(signal.SIGHUP, lambda *_: reactor.callFromThread(router.reload))
     reactor.run(installSignalHandlers=False)
-    return 0 if node.unusable is None else address_unusable(node.unusable)
+    return 0 if router.unusable is None else address_unusable(router.unusable)
 
 
 def read_options(path: str) -> Any:
--- a/wickhinge/net/downstream/client_connections.py
+++ b/wickhinge/net/downstream/client_connections.py
@@ -516,6 +516,15 @@
     def buildProtocol(self, addr: Any) -> ClientConnection:
         return ClientConnection(self)
 
+    def drain(self) -> None:
+        """The router leaves: `ping` says so from now on."""
+        self.leaving = True
+
+    def take_faults(self) -> dict[str, int]:
+        """How often clients made which fault since the last call."""
+        faults, self.faults = self.faults, {}
+        return faults
+
     def pause(self) -> None:
         self.paused = True
         self.throttle()
--- a/wickhinge/net/runtime/deadlines.py
+++ b/wickhinge/net/runtime/deadlines.py
@@ -23,6 +23,11 @@
         self.late = 0.0  # the most that a deadline was late
         self.arrivals = reactor.arrivals
 
+    def take_max_lateness(self) -> float:
+        """The most seconds that a deadline was late since the last call."""
+        late, self.late = self.late, 0.0
+        return late
+
     @staticmethod
     def now() -> float:
         return steady()
--- a/wickhinge/net/runtime/event_loop_stalls.py
+++ b/wickhinge/net/runtime/event_loop_stalls.py
@@ -18,9 +18,13 @@
     def __init__(self) -> None:
         self.longest = self.total = 0.0  # since the last report
         self.count = 0
-        self.log: Callable[..., None] = lambda *_, **more: None
+        self._log: Callable[..., None] | None = None  # until there is one, stalls are only counted
         self._returned: float | None = None  # from the last wait
 
+    def log_to(self, log: Callable[..., None]) -> None:
+        """Long stalls leave a line there from now on."""
+        self._log = log
+
     def waited(self, entered: float, timeout: float | None, returned: float) -> None:
         """A wait for events of up to `timeout` seconds (None: without end) began and ended."""
         if self._returned is not None:
@@ -35,8 +39,8 @@
         self.count += 1
         self.total += seconds
         self.longest = max(self.longest, seconds)
-        if seconds >= LOGGED:
-            self.log("stood_still", where=where, ms=round(seconds * 1000))
+        if seconds >= LOGGED and self._log is not None:
+            self._log("stood_still", where=where, ms=round(seconds * 1000))
 
     def report(self) -> dict[str, float]:
         """What there was since the last report; counted anew from here."""
--- a/wickhinge/net/runtime/loop.py
+++ b/wickhinge/net/runtime/loop.py
@@ -32,8 +32,12 @@
         self.now: Callable[[], float] = steady
         super().__init__()
         self.arrivals = Arrivals(steady())
-        self.standstills = EventLoopStalls()
-        self.behind: Callable[[], None] = lambda: None  # called before anything else is, after a standstill
+        self.stalls = EventLoopStalls()
+        self._read_first: Callable[[], None] = lambda: None
+
+    def read_first_after_stall(self, read: Callable[[], None]) -> None:
+        """After the process stood still, `read` is called before anything else is read or written."""
+        self._read_first = read
 
     def connectTCP(
         self, host: str, port: int, factory: Any, timeout: float | None = 30, bindAddress: Any = None
@@ -45,7 +49,7 @@
     def doPoll(self, timeout: float | None) -> None:
         events = self.poll(LONGEST_WAIT if timeout is None else min(timeout, LONGEST_WAIT))
         if self.arrivals.returned - self.arrivals.arrived > BEHIND:
-            self.behind()
+            self._read_first()
         named = [(self._selectables.get(descriptor), descriptor, event) for descriptor, event in events]
         for selectable, descriptor, event in named:
             # One that was closed by an event before it may have left its number to another.
@@ -69,14 +73,14 @@
             returned = self.now()
             if events or limit <= 0.0:
                 arrivals.polled(entered, returned, len(events), AT_ONCE)
-                self.standstills.waited(entered, 0.0, returned)
+                self.stalls.waited(entered, 0.0, returned)
                 return events
             if returned - entered <= SOON:
                 break  # else something may have come since it was asked
         events = self.ask(limit)
         returned = self.now()
         arrivals.waited(entered, limit, returned, len(events), AT_ONCE, asked)
-        self.standstills.waited(entered, limit, returned)
+        self.stalls.waited(entered, limit, returned)
         return events
 
     def ask(self, limit: float) -> list[tuple[int, int]]:
--- a/wickhinge/net/upstream/connection_pools.py
+++ b/wickhinge/net/upstream/connection_pools.py
@@ -387,6 +387,11 @@
             min(resting, key=lambda line: line.used).close()
         return bool(resting)
 
+    def close(self) -> None:
+        """Closes all idle connections."""
+        for machine in list(self.machines.values()):
+            machine.hang_up()
+
     def pause(self) -> None:
         self.each("pauseProducing", True)
 
