--- a/bench/scale/fleet_flat.py
+++ b/bench/scale/fleet_flat.py
@@ -22,6 +22,7 @@
 from bench.scale.fleet_records import SAMPLE_S, Plan, Router, read, write
 from wickhinge.net.control.endpoint_watch import EndpointRecord, EndpointWatch, WatchConnection, WatchSettings
 from wickhinge.net.runtime.deadlines import Deadlines
+from wickhinge.net.runtime.loop import install
 
 CONNECT_WITHIN_S = 0.4
 IP_AND_TCP = 52  # bytes of a segment's headers
@@ -161,8 +162,7 @@
 
 
 def main() -> None:
-    from twisted.internet import reactor
-
+    reactor = install()
     group = FlatGroup(read(Path(sys.argv[1]), Plan), int(sys.argv[2]), reactor)
     reactor.callWhenRunning(group.start)
     reactor.run()
--- a/setup.py
+++ b/setup.py
@@ -7,8 +7,13 @@
 
 COLD = {
     "wickhinge/net/control/changelog_client.py",
+    "wickhinge/net/control/config.py",
+    "wickhinge/net/control/endpoint_updates.py",
+    "wickhinge/net/control/graceful_shutdown.py",
     "wickhinge/net/control/membership.py",
     "wickhinge/net/control/peer_transport.py",
+    "wickhinge/net/control/process_report.py",
+    "wickhinge/net/control/readiness.py",
     "wickhinge/net/control/start.py",
     "wickhinge/net/runtime/deferred_imports.py",
     "wickhinge/net/upstream/local_copies.py",
--- /dev/null
+++ b/tests/bench/test_flat_routers.py
@@ -0,0 +1,65 @@
+"""The hollow routers of the flat design, on the router's own endpoint watch and event loop."""
+
+import subprocess
+import sys
+from pathlib import Path
+
+import pytest
+
+from bench.scale.fleet_hollow import READY
+from bench.scale.fleet_layout import groups
+from bench.scale.fleet_records import Plan, write
+
+ROOT = Path(__file__).parents[2]
+MAX_WAIT_S = 60.0  # only a failing test waits so long
+
+
+@pytest.fixture
+def start():
+    """Starts a program of bench.scale; each is killed at the end."""
+    processes = []
+
+    def start_program(name, *arguments):
+        process = subprocess.Popen(
+            [sys.executable, "-m", f"bench.scale.{name}", *arguments],
+            cwd=ROOT,
+            stdout=subprocess.PIPE,
+            stderr=subprocess.PIPE,
+            text=True,
+        )
+        processes.append(process)
+        return process
+
+    yield start_program
+    for process in processes:
+        process.kill()
+        process.communicate(timeout=MAX_WAIT_S)
+
+
+def plan_at(folder, service_port):
+    return Plan(
+        folder=str(folder),
+        block=0,
+        grace_s=1.0,
+        delay_s=0.0,
+        jitter_s=0.0,
+        replicas=[],
+        relays=[],
+        groups=groups(3),
+        plant="",
+        service_host="127.0.0.1",
+        service_port=service_port,
+        caches_port=9,
+        rate_flat=1.0,
+        settings_rate=1.0,
+    )
+
+
+def test_hollow_router_when_started_connects_to_the_service(start, tmp_path):
+    write(tmp_path / "service.json", plan_at(tmp_path, 0))
+    service = start("fleet_service", str(tmp_path / "service.json"))
+    port = int(service.stdout.readline())
+    write(tmp_path / "routers.json", plan_at(tmp_path, port))
+    routers = start("fleet_flat", str(tmp_path / "routers.json"), "0")
+    line = routers.stdout.readline()
+    assert line.strip() == READY, routers.stderr.read()
--- a/wickhinge/net/control/start.py
+++ b/wickhinge/net/control/start.py
@@ -23,12 +23,9 @@
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     gc.disable()  # what is imported stays; the router decides later when the collector runs
     deferred_imports.install()
-    from twisted.internet.main import installReactor
+    from wickhinge.net.runtime.loop import install
 
-    from wickhinge.net.runtime.loop import Reactor
-
-    reactor = Reactor()
-    installReactor(reactor)
+    reactor = install()
     from wickhinge.net.control import config
     from wickhinge.net.control.router_process import RouterProcess
 
--- a/wickhinge/net/runtime/loop.py
+++ b/wickhinge/net/runtime/loop.py
@@ -9,6 +9,7 @@
 from typing import Any
 
 from twisted.internet.epollreactor import EPollReactor
+from twisted.internet.main import installReactor
 
 from wickhinge.clocks import monotonic, steady
 from wickhinge.common.failed_calls import failed_calls
@@ -130,3 +131,10 @@
             for add in calls:
                 if selectable.fileno() != -1:
                     self.register(add, selectable)
+
+
+def install() -> Reactor:
+    """Makes a Reactor the one that `twisted.internet.reactor` names; to be called before that is imported."""
+    reactor = Reactor()
+    installReactor(reactor)
+    return reactor
