--- a/tests/changelog/test_changelog_parts.py
+++ b/tests/changelog/test_changelog_parts.py
@@ -32,6 +32,7 @@
 from wickhinge.decide import Purges
 from wickhinge.fields import Malformed
 from wickhinge.net.control.changelog_client import ChangelogClient
+from wickhinge.net.upstream.local_copies import LocalCopies
 from wickhinge.options import Fault
 from wickhinge.options.load import check
 from wickhinge.peers.desk import Asking
@@ -485,12 +486,13 @@
     (tmp_path / "key").write_bytes(KEY)
     options = check(ON.replace("/k", str(tmp_path / "key")) + "}", "x").changelog
     told = []
+    store = SimpleNamespace(record_request=None, find=None, is_valid=None, is_current=lambda copy, now: copy.made > 0)
     node = SimpleNamespace(
         reactor=sockets,
         deadlines=SimpleNamespace(after=sockets.callLater),
         log=SimpleNamespace(event=lambda event, **fields: told.append(event)),
         router=SimpleNamespace(purges=Purges(6.0)),
-        copies=SimpleNamespace(proven=lambda copy, now: copy.made > 0, age=lambda copy, now: now - copy.made),
+        copies=LocalCopies(store, None, None, None, 0.1, None, SimpleNamespace(earliest=lambda made, now: made)),
         forwards=SimpleNamespace(overtaken=lambda holds: told.append(holds)),
         move_endpoint_watch=lambda address: told.append(address),
         updates=SimpleNamespace(
@@ -504,10 +506,10 @@
 
 def test_own_copies_are_vouched_for_within_the_limit_alone(changes):
     young, old, unproven = (SimpleNamespace(made=made) for made in (999.0, 990.0, 0.0))
-    proven = changes.node.copies.proven
-    assert [proven(copy, 1000.0) for copy in (young, old, unproven)] == [True, False, False]
+    is_current = changes.node.copies.is_current
+    assert [is_current(copy, 1000.0) for copy in (young, old, unproven)] == [True, False, False]
     changes.follower.oldest = lambda grace: None
-    assert [proven(copy, 1000.0) for copy in (young, old, unproven)] == [True, True, False]
+    assert [is_current(copy, 1000.0) for copy in (young, old, unproven)] == [True, True, False]
 
 
 def test_the_limit_is_a_duration_whatever_the_time_of_day_is(changes):
@@ -543,7 +545,7 @@
     holds, event = changes.told
     assert event == "changelog_uninformed"
     assert not holds(
-        SimpleNamespace(forward=SimpleNamespace(visit=SimpleNamespace(tariff=SimpleNamespace(passes_on=0))))
+        SimpleNamespace(forward=SimpleNamespace(visit=SimpleNamespace(request_class=SimpleNamespace(pass_through=0))))
     )
 
 
--- a/wickhinge/net/control/changelog_client.py
+++ b/wickhinge/net/control/changelog_client.py
@@ -47,8 +47,7 @@
         self._source = ""
         node.router.purges.limit = self.limit
         if node.copies is not None:
-            self._store_proves = node.copies.proven
-            node.copies.proven = self._proven
+            node.copies.limit_age(self.limit)
 
     def start(self) -> None:
         """Raises OSError where `bind` cannot be had."""
@@ -114,11 +113,6 @@
         )
         self.settings.replace(snapshot.settings)
 
-    def _proven(self, copy: Any, now: float) -> bool:
-        """The store's own word, and that the copy is no older than what the router's knowledge allows."""
-        limit = self.limit(now)
-        return self._store_proves(copy, now) and (limit is None or self._node.copies.age(copy, now) <= limit)
-
     def _note_state(self) -> None:
         """Logs what changed since the last tick. What was decided without a limit, and is not written yet, is decided
         anew once there is one: it may be written much later.
@@ -132,7 +126,7 @@
             return
         self._limited = limited
         if limited:
-            self._node.forwards.overtaken(lambda sent: sent.forward.visit.tariff.passes_on)
+            self._node.forwards.overtaken(lambda sent: sent.forward.visit.request_class.pass_through)
         figures = self.figures()
         state = "changelog_uninformed" if limited else "changelog_informed"
         self._log(state, epoch=figures["epoch"], number=figures["number"], age_s=figures["age_s"])
--- a/wickhinge/net/control/config.py
+++ b/wickhinge/net/control/config.py
@@ -45,7 +45,7 @@
     total_bytes_per_s: float
 
 
-class Endpoint(NamedTuple):
+class ListedEndpoint(NamedTuple):
     """One server of an endpoint list; `started_at` is in Unix seconds, None where it is not known."""
 
     mark: int
@@ -62,7 +62,7 @@
     """An endpoint list known at the start: of all endpoints where complete, else of those that changed."""
 
     complete: bool
-    endpoints: list[Endpoint]
+    endpoints: list[ListedEndpoint]
 
 
 class KnownPurge(NamedTuple):
@@ -190,9 +190,9 @@
     return KnownPurge(key, group, checks.number(where, purge, "stamp"))
 
 
-def _endpoint(entry: dict[str, Any]) -> Endpoint:
+def _endpoint(entry: dict[str, Any]) -> ListedEndpoint:
     where = f"{KNOWN_ENTRIES}.hosts.hosts"
-    return Endpoint(
+    return ListedEndpoint(
         checks.hexadecimal(where, entry, "host", "s-"),
         _address(where, entry, "dial"),
         checks.word(where, entry, "health", ENDPOINT_STATES),
--- a/wickhinge/net/control/endpoint_updates.py
+++ b/wickhinge/net/control/endpoint_updates.py
@@ -7,8 +7,8 @@
 from typing import Any
 
 from wickhinge.clocks import OthersTime
-from wickhinge.interface import Listing
-from wickhinge.net.control.config import ENDPOINT_STATES, Endpoint, KnownEndpoints, KnownEvents
+from wickhinge.interface import Endpoint
+from wickhinge.net.control.config import ENDPOINT_STATES, KnownEndpoints, KnownEvents, ListedEndpoint
 from wickhinge.net.control.endpoint_watch import EndpointRecord
 from wickhinge.net.runtime.deadlines import Deadlines
 from wickhinge.net.upstream.attempts import Attempts, SentAttempt
@@ -69,7 +69,7 @@
                 endpoints.append(endpoint)
         self.apply_endpoints(endpoints, complete=complete)
 
-    def apply_endpoints(self, endpoints: list[Endpoint], *, complete: bool) -> None:
+    def apply_endpoints(self, endpoints: list[ListedEndpoint], *, complete: bool) -> None:
         """Puts a list in force; complete: what it does not name is gone."""
         now = self._deadlines.now()
         for endpoint in endpoints:
@@ -79,7 +79,7 @@
         for endpoint in endpoints:
             self._pools.listed(endpoint.mark, f"{endpoint.mark:08x}", endpoint.address)
             listings.append(
-                Listing(
+                Endpoint(
                     endpoint.mark,
                     endpoint.zone,
                     endpoint.kind,
@@ -121,12 +121,12 @@
         if self._membership is not None:
             self._membership.purge(key, group, stamp_s)
 
-    def _endpoint(self, record: EndpointRecord) -> Endpoint | None:
+    def _endpoint(self, record: EndpointRecord) -> ListedEndpoint | None:
         zones, kinds = self._names.zones, self._names.kinds
         if record.state >= len(ENDPOINT_STATES) or record.zone >= len(zones) or record.kind >= len(kinds):
             return None
         host = ".".join(str(octet) for octet in record.address.to_bytes(4))
-        return Endpoint(
+        return ListedEndpoint(
             record.mark,
             (host, record.port),
             ENDPOINT_STATES[record.state],
--- a/wickhinge/net/control/router_process.py
+++ b/wickhinge/net/control/router_process.py
@@ -37,7 +37,7 @@
 
 
 class RouterProcess:
-    """One router on sockets: the Outside of its decisions, the listener of its endpoint watch.
+    """One router on sockets: the Environment of its decisions, the listener of its endpoint watch.
 
     Raises Malformed in the constructor with the faulty key of the configuration or of the options.
     """
@@ -141,31 +141,31 @@
             self.members.moved(address)
         self.endpoint_watch.move(address)
 
-    # The Outside of its decisions.
+    # The Environment of its decisions.
 
-    def wake(self, delay: float, call: Callable[[float], None]) -> None:
+    def call_later(self, delay: float, call: Callable[[float], None]) -> None:
         """Calls back with the time then."""
         self.deadlines.after(delay, lambda: call(self.deadlines.now()))
 
-    def probe(self, cache: Any) -> None:
+    def check_health(self, server: Any) -> None:
         """Begins a health check."""
-        self.forwards.probe(cache)
+        self.forwards.probe(server)
 
-    def follow(self) -> None:
+    def watch(self) -> None:
         """Does nothing: the endpoint watch follows the list by itself."""
 
-    def read_list(self) -> None:
+    def fetch_endpoints(self) -> None:
         """Does nothing: the endpoint watch brings the complete list after a gap."""
 
-    def hang_up(self, cache: Any) -> None:
+    def close_idle(self, server: Any) -> None:
         """Closes the idle connections to a server."""
-        if cache.mark in self.caches.machines:
-            self.caches.machines[cache.mark].hang_up()
+        if server.mark in self.caches.machines:
+            self.caches.machines[server.mark].hang_up()
 
-    def say(self, to: int, content: bytes) -> None:
+    def gossip(self, recipient: int, content: bytes) -> None:
         """Does nothing: the decisions of routers on sockets share nothing this way."""
 
-    def note(self, text: str) -> None:
+    def log_line(self, text: str) -> None:
         """Logs a line of the decisions."""
         self.log.event("note", text=text)
 
@@ -224,7 +224,7 @@
         )
         self.seed = config.seed(configuration)
         self.router, self._request_classes = settings.build(decision_settings, self.seed, self)
-        self._longest_timeout_s = max(tariff.patience for tariff in self._request_classes.values())
+        self._longest_timeout_s = max(request_class.timeout for request_class in self._request_classes.values())
 
     def _build_data_path(self, configuration: dict[str, Any]) -> None:
         limits = config.process_limits(configuration)
--- a/wickhinge/net/upstream/attempt_results.py
+++ b/wickhinge/net/upstream/attempt_results.py
@@ -39,27 +39,27 @@
 
 
 OUTCOMES_BY_RESULT: dict[AttemptResult, Outcome | None] = {
-    AttemptResult.SERVED: Outcome.HONOURED,
-    AttemptResult.SAME: Outcome.CURRENT,
+    AttemptResult.SERVED: Outcome.SUCCEEDED,
+    AttemptResult.SAME: Outcome.NOT_MODIFIED,
     AttemptResult.MISS: Outcome.MISS,
-    AttemptResult.BUSY: Outcome.FULL,
+    AttemptResult.BUSY: Outcome.OVERLOADED,
     AttemptResult.ERR: Outcome.ERROR,
-    AttemptResult.VOID: Outcome.MOOT,
-    AttemptResult.UP: Outcome.HONOURED,
+    AttemptResult.VOID: Outcome.SUPERSEDED,
+    AttemptResult.UP: Outcome.SUCCEEDED,
     AttemptResult.DOWN: Outcome.ERROR,
-    AttemptResult.REFUSED: Outcome.UNREACHED,
-    AttemptResult.NO_CONNECT: Outcome.UNREACHED,
-    AttemptResult.RESET_NEW: Outcome.UNSENT,
-    AttemptResult.NO_DESCRIPTOR: Outcome.UNSENT,  # our own want, not the machine's
-    AttemptResult.NOT_BEGUN: Outcome.UNSENT,  # the same
-    AttemptResult.NO_ROUTE: Outcome.UNSENT,  # told of by this machine's network; where it lasts, NO_CONNECT
-    AttemptResult.LOST_UNWRITTEN: Outcome.UNSENT,
-    AttemptResult.LOST_WRITTEN: Outcome.BROKEN,
-    AttemptResult.UNREADABLE: Outcome.BROKEN,
+    AttemptResult.REFUSED: Outcome.CONNECT_FAILED,
+    AttemptResult.NO_CONNECT: Outcome.CONNECT_FAILED,
+    AttemptResult.RESET_NEW: Outcome.NOT_SENT,
+    AttemptResult.NO_DESCRIPTOR: Outcome.NOT_SENT,  # our own want, not the machine's
+    AttemptResult.NOT_BEGUN: Outcome.NOT_SENT,  # the same
+    AttemptResult.NO_ROUTE: Outcome.NOT_SENT,  # told of by this machine's network; where it lasts, NO_CONNECT
+    AttemptResult.LOST_UNWRITTEN: Outcome.NOT_SENT,
+    AttemptResult.LOST_WRITTEN: Outcome.CONNECTION_LOST,
+    AttemptResult.UNREADABLE: Outcome.CONNECTION_LOST,
     AttemptResult.SILENT: Outcome.TIMED_OUT,
-    AttemptResult.STOPPED: Outcome.WITHDRAWN,
-    AttemptResult.RECALLED: Outcome.UNSENT,
-    AttemptResult.CUT: Outcome.BROKEN,
+    AttemptResult.STOPPED: Outcome.CANCELLED,
+    AttemptResult.RECALLED: Outcome.NOT_SENT,
+    AttemptResult.CUT: Outcome.CONNECTION_LOST,
     AttemptResult.CLOSED_IDLE: None,  # nothing was open: no failure of the cache at all
     AttemptResult.CLOSED_BY_US: None,
 }
