--- a/tests/changelog/test_changelog_parts.py
+++ b/tests/changelog/test_changelog_parts.py
@@ -31,6 +31,7 @@
 from wickhinge.changelog.stored import NotLeader
 from wickhinge.fields import Malformed
 from wickhinge.net.control.changelog_client import ChangelogClient
+from wickhinge.net.upstream.local_copies import LocalCopies
 from wickhinge.options import Fault
 from wickhinge.options.load import check
 from wickhinge.peers.status_client import StatusClient
@@ -485,16 +486,18 @@
     (tmp_path / "key").write_bytes(KEY)
     options = check(ON.replace("/k", str(tmp_path / "key")) + "}", "x").changelog
     told = []
+    store = SimpleNamespace(record_request=None, find=None, is_valid=None, is_current=lambda copy, now: copy.made > 0)
     node = SimpleNamespace(
         reactor=sockets,
         deadlines=SimpleNamespace(after=sockets.callLater),
         log=SimpleNamespace(event=lambda event, **fields: told.append(event)),
         router=SimpleNamespace(purges=Purges(6.0)),
-        copies=SimpleNamespace(proven=lambda copy, now: copy.made > 0, age=lambda copy, now: now - copy.made),
+        copies=LocalCopies(store, None, None, None, 0.1, None, SimpleNamespace(earliest=lambda made, now: made)),
         forwards=SimpleNamespace(overtaken=lambda holds: told.append(holds)),
-        move_journal=lambda address: told.append(address),
-        purge=lambda *given: told.append(given),
-        take_purge=lambda *given: told.append(given),
+        move_endpoint_watch=lambda address: told.append(address),
+        updates=SimpleNamespace(
+            purge=lambda *given: told.append(given), record_purge=lambda *given: told.append(given)
+        ),
     )
     made = ChangelogClient(options, "n1", node)
     made.node, made.told, made.options = node, told, options
@@ -503,10 +506,10 @@
 
 def test_own_copies_are_vouched_for_within_the_limit_alone(changes):
     young, old, unproven = (SimpleNamespace(made=made) for made in (999.0, 990.0, 0.0))
-    proven = changes.node.copies.proven
-    assert [proven(copy, 1000.0) for copy in (young, old, unproven)] == [True, False, False]
+    is_current = changes.node.copies.is_current
+    assert [is_current(copy, 1000.0) for copy in (young, old, unproven)] == [True, False, False]
     changes.follower.oldest = lambda grace: None
-    assert [proven(copy, 1000.0) for copy in (young, old, unproven)] == [True, True, False]
+    assert [is_current(copy, 1000.0) for copy in (young, old, unproven)] == [True, True, False]
 
 
 def test_the_limit_is_a_duration_whatever_the_time_of_day_is(changes):
--- a/wickhinge/net/control/membership.py
+++ b/wickhinge/net/control/membership.py
@@ -20,6 +20,7 @@
 from wickhinge.membership.recent_purges import PurgeRecord
 from wickhinge.membership.statement_table import EndpointState, ListSource, Statement
 from wickhinge.membership.stored_list import deployment_fingerprint
+from wickhinge.net.control.config import ListedEndpoint
 from wickhinge.net.control.endpoint_watch import EndpointWatch
 from wickhinge.options import keys
 from wickhinge.routing.random_source import RandomSource
@@ -95,7 +96,7 @@
         now = self.now()
         self.controller.tick(now)
         if self.controller.source not in (ListSource.NONE, ListSource.LIVE):
-            self.node.opening.trusted()
+            self.node.readiness.trusted()
         self.save(now)
         self.after(TURN, self.turn)
 
@@ -140,13 +141,13 @@
 
     # What the router tells.
 
-    def live(self, whole: bool, machines: list[tuple[Any, ...]]) -> None:
+    def live(self, complete: bool, endpoints: list[ListedEndpoint]) -> None:
         now = self.now()
         statements = [
             Statement(mark, where, EndpointState(state), zone, kind, cell, weight, started, now, ListSource.LIVE)
-            for mark, where, state, zone, kind, cell, weight, started in machines
+            for mark, where, state, zone, kind, cell, weight, started in endpoints
         ]
-        self.controller.apply_live(statements, now, is_complete=whole)
+        self.controller.apply_live(statements, now, is_complete=complete)
         self.written_at = min(self.written_at, now - self.write_interval_s + 1.0)  # soon, yet not for each of a burst
 
     def moved(self, address: tuple[str, int]) -> None:
@@ -223,7 +224,7 @@
     key = keys.read("discovery.key_file", found.key_file) if found.key_file else b""
     static = []
     for place, one in enumerate(found.static):
-        if one.zone not in node.zones or one.kind not in node.kinds:
+        if one.zone not in node.names.zones or one.kind not in node.names.kinds:
             raise Malformed(f"discovery.static[{place}]: zone or kind is none of the settings'")
         static.append(
             Statement(
@@ -248,7 +249,7 @@
             node.log.event("membership_list_unusable", reason=str(problem))
             list_file = None
     membership_settings = MembershipSettings(
-        deployment=deployment_fingerprint(node.zones, node.kinds, sorted(settings.request_classes(conf))),
+        deployment=deployment_fingerprint(node.names.zones, node.names.kinds, sorted(settings.request_classes(conf))),
         routers=found.routers or fleet.routers,
         upper_kinds=(fleet.parent_kind, fleet.origin_kind),
         fallback_delay_s=found.after_s,
