--- /dev/null
+++ b/tests/store/test_stored_formats.py
@@ -0,0 +1,128 @@
+"""Data files of format 1, written by the release that introduced it, are read and written byte for byte.
+
+`tests/data/store/format-1` holds two segments, a snapshot of the index that knows all of the first and the beginning
+of the second, and both files of the purge log: the object 3 and the group 10 were purged, then the object 1, of which
+part 0 came back.
+"""
+
+import shutil
+from pathlib import Path
+
+import pytest
+
+from tests.support.faulty_disk import Lanes
+from wickhinge.store import format, tools
+from wickhinge.store.files import Files
+from wickhinge.store.store import Store
+from wickhinge.store.volume import HALVES, Volume
+
+DATA = Path(__file__).parent.parent / "data" / "store" / "format-1"
+NOW = 1_700_000_100.0
+LAST_KEY = (1 << 64) - 1
+COPIES = {  # (key, part): (group, etag, created, body size)
+    (1, 0): (7, b"tag-1-0", 1_700_000_003.0, 1234),
+    (2, 0): (8, b"tag-2-0", 1_700_000_000.75, 40000),
+    (4, 0): (9, b"tag-4-0", 1_700_000_001.25, 500),
+    (6, 0): (11, b"tag-6-0", 1_700_000_002.0, 800),
+    (LAST_KEY, 0): (12, f"tag-{LAST_KEY}-0".encode(), 1_700_000_002.25, 64),
+}
+PURGED = [(1, 1), (3, 0), (5, 0)]
+
+
+def body_of(key, part, size):
+    return bytes((key * 31 + part * 7 + index) % 251 for index in range(size))
+
+
+@pytest.fixture
+def directory(tmp_path):
+    shutil.copytree(DATA, tmp_path / "store")
+    return str(tmp_path / "store")
+
+
+def recovered_store(directory):
+    lanes = Lanes()
+    volume = Volume(Files(), directory, 16384, True)
+    store = Store(
+        volume,
+        lanes,
+        lambda: NOW,
+        lambda *_: None,
+        lambda *_, **__: None,
+        8 * 65536,
+        16384,
+        0,
+        1024,
+        1 << 20,
+        1e9,
+        0.1,
+        16,
+        1e9,
+        3.0,
+        True,
+    )
+    store.start()
+    lanes.go()
+    return store, lanes
+
+
+def test_recovery_when_written_by_format_1_finds_the_copies_that_no_purge_covers(directory):
+    store, lanes = recovered_store(directory)
+    for (key, part), (group, tag, made, size) in COPIES.items():
+        copy = store.find(key, part, NOW)
+        assert (copy.group, copy.tag, copy.made, copy.size) == (group, tag, made, size)
+        read = []
+        store.read(copy, lambda data, _from_memory, read=read: read.append(data))
+        lanes.go()
+        assert read == [body_of(key, part, size)]
+    for key, part in PURGED:
+        assert store.find(key, part, NOW) is None
+    assert store.keep.count == len(COPIES)
+    assert store.purged.number == 13 and store.counted["recovered"] >= len(COPIES)
+    store.close()
+
+
+def test_tools_when_written_by_format_1_count_copies_purges_and_no_damage(directory):
+    volume = tools.opened(directory)
+    assert {name: (c.group, c.tag, c.made, c.size) for name, c in tools.live(volume).items()} == COPIES
+    assert len(volume.purged) == 4 and volume.purged.number == 13 and not volume.distrusted
+    stat = tools.stat(volume)
+    assert (stat["format"], stat["segments"], stat["copies"], stat["purges"]) == (1, 2, len(COPIES), 4)
+    assert (stat["journal_number"], stat["snapshots"], stat["believed"]) == (13, 1, True)
+    verified = tools.verify(volume)
+    assert verified == {"copies": len(COPIES), "bytes": 42598, "damaged": 0, "damage": []}
+    volume.close()
+
+
+def test_records_when_written_again_are_the_same_bytes(directory):
+    volume = tools.opened(directory)
+    count = 0
+    for number in volume.sizes:
+        segment = (DATA / f"segment-{number:010d}.wh").read_bytes()
+        seed = format.seed(volume.mark, number)
+        for head, offset in volume.heads(number, 0, True):
+            body = segment[offset + head.length : offset + head.length + head.size]
+            assert body == body_of(head.key, head.part, head.size)
+            record = format.record(head.key, head.part, head.group, head.tag, head.made, head.serial, body, seed)
+            assert record == segment[offset : offset + head.whole]
+            count += 1
+    assert count == 9 and format.identity(volume.mark) == (DATA / "store.wh").read_bytes()
+    volume.close()
+
+
+def test_purge_log_when_written_again_is_the_same_bytes():
+    for name in HALVES:
+        data = (DATA / name).read_bytes()
+        lines = format.lines(data)
+        assert [kind for _, kind, _ in lines] == [0, 1, 1, 1]
+        assert b"".join(format.line(*line) for line in lines) == data
+
+
+def test_snapshot_when_written_again_is_the_same_bytes(directory):
+    (name,) = (path.name for path in DATA.glob("index-*.wh"))
+    volume = tools.opened(directory)
+    blocks = volume.proven(name)
+    assert blocks[0]["marks"] == [[1, 45312], [2, 704]] and blocks[0]["serial"] == 5
+    assert [len(rows) for _, _, rows in blocks[1]] == [1, 1, 1, 2]
+    written = format.snapshot_head(volume.mark) + b"".join(map(format.block, [*blocks, "end"]))
+    assert written == (DATA / name).read_bytes()
+    volume.close()
