--- a/bench/planted.py
+++ b/bench/planted.py
@@ -5,13 +5,13 @@
 import sys
 
 from wickhinge.net.start import main
-from wickhinge.store import format
+from wickhinge.store import file_format
 from wickhinge.store.volume import Volume
 
 
 def plant(fault: str) -> None:
     if fault == "checksums":
-        format.intact = lambda head, body, seed: len(body) == head.size
+        file_format.intact = lambda head, body, seed: len(body) == head.size
     elif fault == "purges":  # only their numbers are put down, as if all were well
         put_down = Volume.purge
         Volume.purge = lambda self, purges: put_down(self, [purge._replace(key=0, group=0) for purge in purges])
--- a/bench/scale/findings.py
+++ b/bench/scale/findings.py
@@ -7,7 +7,7 @@
 from bench.scale.roles import ROUTER_CONTROL
 from bench.scale.tables import EXTRAPOLATED, ROUTERS, amount, at_design, number
 from wickhinge.decide import SHELF_SIZE
-from wickhinge.store.purged import MOST
+from wickhinge.store.purges import MOST
 
 
 def cannot(known: Known) -> str:
--- a/bench/scale/lending.py
+++ b/bench/scale/lending.py
@@ -10,10 +10,10 @@
 from bench.scale.records import Row, row
 from wickhinge.lab.many.play import BUDGETS
 from wickhinge.peers.detector import FailureDetector
-from wickhinge.shared import cold
-from wickhinge.shared.bucket import Bucket
-from wickhinge.shared.lending import SPAN, Division, LendingLimiter
+from wickhinge.shared import slow_start_quota
 from wickhinge.shared.name_lease import term
+from wickhinge.shared.quota_lending import SPAN, Division, LendingLimiter
+from wickhinge.shared.shared_bucket import Bucket
 
 SPARE = 2  # processes more than names
 LONG_AGO = -1e6
@@ -26,7 +26,7 @@
 def attach(routers: int) -> Callable[[FailureDetector, float], list[Callable[[float], None]]]:
     def to_router(detector: FailureDetector, now: float) -> list[Callable[[float], None]]:
         zone = detector.roster.mine.zone
-        return [LendingLimiter(detector, division(routers), cold.budgets(zone), now).tick]
+        return [LendingLimiter(detector, division(routers), slow_start_quota.budgets(zone), now).tick]
 
     return to_router
 
@@ -35,7 +35,7 @@
     """A peer that has been there for long, and votes as in the whole fleet."""
 
     def to_peer(detector: FailureDetector, now: float) -> None:
-        limiter = LendingLimiter(detector, division(routers), cold.budgets(detector.roster.mine.zone), now)
+        limiter = LendingLimiter(detector, division(routers), slow_start_quota.budgets(detector.roster.mine.zone), now)
         limiter.leases.routers, limiter.leases.term, limiter.leases.born = routers, term(routers), LONG_AGO
 
     return to_peer
--- a/bench/scale/spread.py
+++ b/bench/scale/spread.py
@@ -11,8 +11,8 @@
 from bench.scale.records import Row, row
 from wickhinge.interface import Listing
 from wickhinge.peers.messages import ALIVE
-from wickhinge.shared import judge
-from wickhinge.shared.counts import BEAT, STALE, Counts
+from wickhinge.shared import outlier_detection
+from wickhinge.shared.request_tallies import BEAT, STALE, Counts
 
 CACHES = 14  # of a zone
 PLAYED = 12.0  # seconds, of which those after STALE count
@@ -70,14 +70,14 @@
     detector.send = lambda to, kind, serial, now: told.add(to)
     machines = fleet(CACHES, routers)
     machines.listed([Listing(PARENT, FLEET_ZONE, "parent", 0, "ready", 1.0, None)], False, 0.0)
-    one: Any = judge.Judge(detector, machines, lambda cache: None)
+    one: Any = outlier_detection.Judge(detector, machines, lambda cache: None)
     one.tick(0.0, 0.0)
     machines.parents[0].lost = True
     names, rand, now = detector.roster.others, random.Random(seed), 0.0
-    while now < judge.FADE:
-        now += judge.LOOK
+    while now < outlier_detection.FADE:
+        now += outlier_detection.LOOK
         one.tick(now, now)
-        for _ in range(int(DETECTOR_DATAGRAMS * judge.LOOK)):
+        for _ in range(int(DETECTOR_DATAGRAMS * outlier_detection.LOOK)):
             told.add(rand.choice(names))
     return len(told) / len(names)
 
@@ -108,6 +108,6 @@
             heard,
             "share",
             "virtual",
-            f"of the others, that hear one witness of a lost parent within {judge.FADE:g} s",
+            f"of the others, that hear one witness of a lost parent within {outlier_detection.FADE:g} s",
         ),
     ]
--- a/bench/scale/watching.py
+++ b/bench/scale/watching.py
@@ -10,7 +10,7 @@
 from bench.scale.records import Row, row
 from wickhinge.decide import Purges
 from wickhinge.net import journal
-from wickhinge.store.purged import Purge, Purged
+from wickhinge.store.purges import Purge, Purged
 
 PURGES_A_SECOND = 27
 DONE_WITHIN = 3.1  # seconds, of the design
--- a/bench/store.py
+++ b/bench/store.py
@@ -28,9 +28,9 @@
 from hdrh.histogram import HdrHistogram
 
 from bench import told
-from wickhinge.store.counts import Counts
+from wickhinge.store.admission import Copy, Keep, Tails
 from wickhinge.store.files import Files
-from wickhinge.store.keep import Copy, Keep, Tails
+from wickhinge.store.frequency import Counts
 from wickhinge.store.store import Store
 from wickhinge.store.volume import Volume
 
--- a/tests/options/test_options.py
+++ b/tests/options/test_options.py
@@ -9,8 +9,8 @@
 from wickhinge.cli import main
 from wickhinge.options import Fault, load
 from wickhinge.options.load import check
-from wickhinge.store.keep import Copy
-from wickhinge.store.tools import opened
+from wickhinge.store.admission import Copy
+from wickhinge.store.maintenance import opened
 
 ROOT = Path(__file__).parents[2]
 
--- a/tests/shared/test_cold_shares.py
+++ b/tests/shared/test_cold_shares.py
@@ -19,9 +19,9 @@
 from wickhinge.options.load import Fault, check
 from wickhinge.peers.detector import FailureDetector
 from wickhinge.peers.roster import Place, Roster
-from wickhinge.shared import cold
-from wickhinge.shared.lending import FLOOR, SPAN, Division, LendingLimiter
+from wickhinge.shared import slow_start_quota
 from wickhinge.shared.name_lease import DRIFT
+from wickhinge.shared.quota_lending import FLOOR, SPAN, Division, LendingLimiter
 
 ROOT = Path(__file__).parents[2]
 LIMITS = Cold(4.0, 3.0, 0.2, 100.0)
@@ -34,8 +34,8 @@
 def colds(share=1.0, processes=4):
     """Of a router alone under its name, whose share is what the test says."""
     detector = FailureDetector(roster(["here"]), Chance(1), 0.0, lambda item: None)
-    limiter = LendingLimiter(detector, Division(1, processes), cold.budgets("here"), 0.0)
-    made = cold.Colds(limiter)
+    limiter = LendingLimiter(detector, Division(1, processes), slow_start_quota.budgets("here"), 0.0)
+    made = slow_start_quota.Colds(limiter)
     limiter.settle = lambda budget, now: budget.shared(share, limiter.late)
     return made
 
@@ -61,9 +61,9 @@
     made, cache = colds(), machine()
     most = LIMITS.multiple * 0.2 * cache.weight * LIMITS.span
     sent = spend(made, cache, work, 30.0)
-    unit = cold.PIECES * most / 4
+    unit = slow_start_quota.PIECES * most / 4
     assert judges.peak(sent, most + max(work - unit, 0.0), LIMITS.span) <= 1.0
-    wanted = (1 - cold.PIECES) * most / (LIMITS.span + SPAN) / (1 + DRIFT) * 29.0
+    wanted = (1 - slow_start_quota.PIECES) * most / (LIMITS.span + SPAN) / (1 + DRIFT) * 29.0
     assert sum(one[2] for one in sent) >= 0.95 * wanted - work
 
 
@@ -94,7 +94,7 @@
         while routers[place].room(caches[place], False, LIMITS, 0.2, work, now):
             caches[place].credit -= work
             sent.append((now, "", work))
-    over = count * max(work - cold.PIECES * most / count, 0.0)
+    over = count * max(work - slow_start_quota.PIECES * most / count, 0.0)
     assert not sent or judges.peak(sent, most + over, LIMITS.span) <= 1.0
 
 
@@ -108,15 +108,15 @@
     for turn in range(400, 1200):
         made.limiter.tick(turn / 100)
         made.room(other, False, LIMITS, 0.2, 0.1, turn / 100)
-    assert set(made.limiter.budgets[cold.EDGE].buckets) == {8}
+    assert set(made.limiter.budgets[slow_start_quota.EDGE].buckets) == {8}
 
 
 def test_no_more_machines_have_buckets_than_the_bound(monkeypatch):
-    monkeypatch.setattr(cold, "MOST", 3)
+    monkeypatch.setattr(slow_start_quota, "MOST", 3)
     made = colds()
     for mark in range(5):
         made.room(machine(mark), False, LIMITS, 0.2, 0.1, 0.1)
-    assert len(made.limiter.budgets[cold.EDGE].buckets) == 3
+    assert len(made.limiter.budgets[slow_start_quota.EDGE].buckets) == 3
 
 
 def test_a_machine_that_warms_up_gets_more():
--- a/tests/shared/test_counts.py
+++ b/tests/shared/test_counts.py
@@ -11,8 +11,8 @@
 from wickhinge.peers.detector import FailureDetector
 from wickhinge.peers.messages import ALIVE
 from wickhinge.peers.roster import Place, Roster
-from wickhinge.shared import counts
-from wickhinge.shared.counts import BEAT, STALE, Counts, Tally
+from wickhinge.shared import request_tallies
+from wickhinge.shared.request_tallies import BEAT, STALE, Counts, Tally
 
 COUNT = 5
 
@@ -114,7 +114,7 @@
         one.counts.merge(Tally(f"n{number}", 1, number + 1, 1, 0.0, one.counts.view, [0, 0, 0, 2]), 101.0, True)
     for turn in range(40):
         one.counts.known = {
-            name: counts.Known(known.tally, 101.0 + turn * BEAT) for name, known in one.counts.known.items()
+            name: request_tallies.Known(known.tally, 101.0 + turn * BEAT) for name, known in one.counts.known.items()
         }
         one.counts.tick(101.0 + (turn + 1) * BEAT)
     one.fleet.count()
@@ -159,11 +159,14 @@
     for other in group[1:]:
         one.counts.ridden(other.name, other.counts.rider("n0"), 101.0)
     assert one.counts.rider("far") == b"" and len(one.counts.known) == 59
-    assert len(one.counts.rider("n1")) <= counts.LONGEST and len(counts.read(one.counts.rider("n1"))) >= 2
+    assert (
+        len(one.counts.rider("n1")) <= request_tallies.LONGEST
+        and len(request_tallies.read(one.counts.rider("n1"))) >= 2
+    )
 
 
 def bad(**what):
-    return counts.encoder.encode(
+    return request_tallies.encoder.encode(
         [
             {**{"name": "n1", "epoch": 1, "life": 2, "number": 1, "age": 0.0, "view": 1, "out": [1]}, **what}[field]
             for field in Tally.__struct_fields__
@@ -192,8 +195,8 @@
         data = b"\x91" + bad(**what)
     except OverflowError:
         data = b"\x91\xc1"
-    with pytest.raises(counts.Unreadable):
-        counts.read(data)
+    with pytest.raises(request_tallies.Unreadable):
+        request_tallies.read(data)
     one.counts.ridden("n1", data, 101.0)
     assert one.counts.unreadable == 1 and not one.counts.known
-    assert counts.read(b"\x91" + bad())[0].out == [1]
+    assert request_tallies.read(b"\x91" + bad())[0].out == [1]
--- a/tests/shared/test_judge.py
+++ b/tests/shared/test_judge.py
@@ -12,10 +12,10 @@
 from wickhinge.interface import Outcome
 from wickhinge.peers.detector import FailureDetector
 from wickhinge.peers.roster import Place, Roster
-from wickhinge.shared import words
-from wickhinge.shared.judge import FADE, LOOK, PUSH, Judge
-from wickhinge.shared.riding import Riding
-from wickhinge.shared.words import COLD, LOST, SLOW, WELL, Word
+from wickhinge.shared import verdicts
+from wickhinge.shared.outlier_detection import FADE, LOOK, PUSH, Judge
+from wickhinge.shared.piggyback import Riding
+from wickhinge.shared.verdicts import COLD, LOST, SLOW, WELL, Word
 
 
 class Router:
@@ -230,7 +230,7 @@
                     )
                     for _ in range(8)
                 ]
-                router.judge.ridden(f"n{liar + 1}", words.pack(lies), group.now)
+                router.judge.ridden(f"n{liar + 1}", verdicts.pack(lies), group.now)
             group.turn()
         if liars == 1:
             assert before == [(cache.fit, cache.strikes, cache.started) for cache in router.policy.fleet.mine]
@@ -260,10 +260,10 @@
     router = group.routers[0]
     router.box().failed(group.now, Outcome.UNREACHED)
     group.turn()
-    assert words.read(router.judge.rider("n1")) and router.judge.rider("n9") == b""
+    assert verdicts.read(router.judge.rider("n1")) and router.judge.rider("n9") == b""
     router.policy.fleet.parents[0].failed(group.now, Outcome.UNREACHED)
     group.turn()
-    assert [word.verdict for word in words.read(router.judge.rider("n9"))] == [LOST]
+    assert [word.verdict for word in verdicts.read(router.judge.rider("n9"))] == [LOST]
 
 
 @pytest.mark.parametrize(
@@ -271,19 +271,19 @@
     [
         b"",
         b"\xff",
-        words.encoder.encode([Word(1, 4, 0.0, 0.0)]),
-        words.encoder.encode([Word(-1, 0, 0.0, 0.0)]),
-        words.encoder.encode([Word(1 << 32, 0, 0.0, 0.0)]),
-        words.encoder.encode([Word(1, 0, float("nan"), 0.0)]),
-        words.encoder.encode([Word(1, 0, 0.0, -1.0)]),
-        words.encoder.encode([Word(1, COLD, 2e4, 0.0)]),
-        words.encoder.encode([Word(1, 0, 0.0, 0.0)] * (words.MOST + 1)),
-        words.encoder.encode([[1, 2]]),
+        verdicts.encoder.encode([Word(1, 4, 0.0, 0.0)]),
+        verdicts.encoder.encode([Word(-1, 0, 0.0, 0.0)]),
+        verdicts.encoder.encode([Word(1 << 32, 0, 0.0, 0.0)]),
+        verdicts.encoder.encode([Word(1, 0, float("nan"), 0.0)]),
+        verdicts.encoder.encode([Word(1, 0, 0.0, -1.0)]),
+        verdicts.encoder.encode([Word(1, COLD, 2e4, 0.0)]),
+        verdicts.encoder.encode([Word(1, 0, 0.0, 0.0)] * (verdicts.MOST + 1)),
+        verdicts.encoder.encode([[1, 2]]),
     ],
 )
 def test_words_that_no_honest_fellow_says_are_refused(data):
-    with pytest.raises(words.Unreadable):
-        words.read(data)
+    with pytest.raises(verdicts.Unreadable):
+        verdicts.read(data)
     router = Group(1).routers[0]
     router.judge.ridden("n1", data, 100.0)
     assert router.judge.unreadable == 1 and not router.judge.told
--- a/tests/shared/test_shared.py
+++ b/tests/shared/test_shared.py
@@ -12,10 +12,10 @@
 from wickhinge.lab.many.schedule import Fault, Schedule
 from wickhinge.peers.detector import FailureDetector
 from wickhinge.peers.roster import Place, Roster
-from wickhinge.shared import riders
-from wickhinge.shared.bucket import Bucket
-from wickhinge.shared.loans import TIME, Loans
+from wickhinge.shared import lending_payload
 from wickhinge.shared.name_lease import DRIFT, NameLeases, term
+from wickhinge.shared.quota_loans import TIME, Loans
+from wickhinge.shared.shared_bucket import Bucket
 
 # The bucket: its formula, by any order of shares and wishes.
 
@@ -163,11 +163,11 @@
     ],
 )
 def test_words_that_no_honest_fellow_says_are_refused(place, value):
-    assert riders.read(riders.pack(*GOOD)) == GOOD
-    with pytest.raises(riders.Unreadable):
-        riders.read(riders.pack(*GOOD[:place], value, *GOOD[place + 1 :]))
-    with pytest.raises(riders.Unreadable):
-        riders.read(riders.pack(*GOOD)[:-1])
+    assert lending_payload.read(lending_payload.pack(*GOOD)) == GOOD
+    with pytest.raises(lending_payload.Unreadable):
+        lending_payload.read(lending_payload.pack(*GOOD[:place], value, *GOOD[place + 1 :]))
+    with pytest.raises(lending_payload.Unreadable):
+        lending_payload.read(lending_payload.pack(*GOOD)[:-1])
 
 
 # Whole fleets.
--- a/tests/store/test_store.py
+++ b/tests/store/test_store.py
@@ -18,8 +18,8 @@
 from wickhinge.net.copies import Copies
 from wickhinge.net.forwards import Forwards
 from wickhinge.net.visits import Visits
-from wickhinge.store.keep import Copy
-from wickhinge.store.link import Link
+from wickhinge.store.admission import Copy
+from wickhinge.store.bandwidth import Link
 
 
 def begun(**more):
--- a/tests/store/test_store_deciding.py
+++ b/tests/store/test_store_deciding.py
@@ -4,14 +4,14 @@
 
 import pytest
 
-from wickhinge.store import believe
-from wickhinge.store.breaker import ERRORS, LONGEST, SLOW, Breaker
-from wickhinge.store.counts import Counts
-from wickhinge.store.keep import Copy, Keep, Tails
-from wickhinge.store.link import Link
-from wickhinge.store.pace import Pace
-from wickhinge.store.purged import Purge, Purged
-from wickhinge.store.space import Space
+from wickhinge.store import purge_log_recovery
+from wickhinge.store.admission import Copy, Keep, Tails
+from wickhinge.store.bandwidth import Link
+from wickhinge.store.circuit_breaker import ERRORS, LONGEST, SLOW, Breaker
+from wickhinge.store.frequency import Counts
+from wickhinge.store.purges import Purge, Purged
+from wickhinge.store.segments import Space
+from wickhinge.store.write_rate_limiter import Pace
 
 
 def copy(key=1, part=0, size=10, made=5.0, serial=0, proven=True, group=0):
@@ -210,7 +210,8 @@
 
 def log(*sequences, base=0):
     return [
-        (one, believe.BASE if one == base else believe.PURGE, Purge(one, 0, 10.0 + one, 1, one)) for one in sequences
+        (one, purge_log_recovery.BASE if one == base else purge_log_recovery.PURGE, Purge(one, 0, 10.0 + one, 1, one))
+        for one in sequences
     ]
 
 
@@ -229,9 +230,9 @@
     ],
 )
 def test_what_is_believed_of_a_purge_log(halves, others, believed, sequence):
-    purged, following, whole = believe.purges(halves, others)
+    purged, following, whole = purge_log_recovery.purges(halves, others)
     assert (whole, following) == (believed, sequence)
-    base = max((one for half in halves for one, kind, _ in half if kind == believe.BASE), default=0)
+    base = max((one for half in halves for one, kind, _ in half if kind == purge_log_recovery.BASE), default=0)
     assert all(purged.covers(one, 0, purge.stamp) for half in halves for one, _, purge in half if one > base)
 
 
@@ -240,7 +241,7 @@
     [({}, 3, 90, 0), ({3: 50}, 3, 90, 50), ({3: 50}, 3, 40, 0), ({3: 50}, 2, 90, 90), ({3: 50}, 4, 90, 0)],
 )
 def test_from_where_a_start_reads_a_segment(marks, number, size, start):
-    assert believe.covered(marks, number, size) == start
+    assert purge_log_recovery.covered(marks, number, size) == start
 
 
 def test_the_own_link_sends_one_after_the_other_and_each_no_faster_than_a_flow():
--- a/tests/store/test_store_faults.py
+++ b/tests/store/test_store_faults.py
@@ -10,7 +10,7 @@
 
 from tests.support.faulty_disk import Crash, Disk
 from tests.support.store_world import SEGMENT, World
-from wickhinge.store import format
+from wickhinge.store import file_format
 from wickhinge.store.volume import Unusable, Volume
 
 
@@ -64,7 +64,7 @@
 @pytest.mark.parametrize("planted", ["checksums", "purges"])
 def test_the_sweep_finds_a_planted_fault(monkeypatch, planted):
     if planted == "checksums":
-        monkeypatch.setattr(format, "intact", lambda head, body, seed: True)
+        monkeypatch.setattr(file_format, "intact", lambda head, body, seed: True)
     else:
         monkeypatch.setattr(Volume, "purge", lambda self, purges: None)
     with pytest.raises(AssertionError):
@@ -139,7 +139,7 @@
     workload(world)
     for name in halves:
         data = world.disk.nodes[f"d/{name}"].data
-        data[format.LINE_SIZE * 2 + 20] ^= 1
+        data[file_format.LINE_SIZE * 2 + 20] ^= 1
     world.restart(0, lost=False)
     assert bool(world.store.keep.count) == (len(halves) == 1)
     assert ("store_distrusted" in dict(world.log)) == (len(halves) == 2)
@@ -165,10 +165,10 @@
     world.start()
     with pytest.raises(Unusable, match="in use"):
         Volume(world.disk, "d", SEGMENT).open()
-    data = format.IDENTITY.pack(format.IDENTITY_MAGIC, format.VERSION + 1, bytes(16))
+    data = file_format.IDENTITY.pack(file_format.IDENTITY_MAGIC, file_format.VERSION + 1, bytes(16))
     newer = Disk()
     newer.open("d/store.wh", create=True)
-    newer.nodes["d/store.wh"].data[:] = data + format.SUM.pack(format.xxh3_64_intdigest(data))
+    newer.nodes["d/store.wh"].data[:] = data + file_format.SUM.pack(file_format.xxh3_64_intdigest(data))
     newer.open("d/segment-0000000001.wh", create=True)
     with pytest.raises(Unusable, match="format 2"):
         Volume(newer, "d", SEGMENT).open()
@@ -188,7 +188,7 @@
         self.world.start()
         self.number = 0
 
-    @rule(key=st.integers(0, 6), part=st.integers(0, 3), size=st.integers(1, 3 * format.CHUNK // 16))
+    @rule(key=st.integers(0, 6), part=st.integers(0, 3), size=st.integers(1, 3 * file_format.CHUNK // 16))
     def offer(self, key, part, size):
         self.world.offer(key, part, size, key % 2)
 
--- a/tests/store/test_stored_formats.py
+++ b/tests/store/test_stored_formats.py
@@ -11,7 +11,7 @@
 import pytest
 
 from tests.support.faulty_disk import Lanes
-from wickhinge.store import format, tools
+from wickhinge.store import file_format, maintenance
 from wickhinge.store.files import Files
 from wickhinge.store.store import Store
 from wickhinge.store.volume import HALVES, Volume
@@ -82,47 +82,47 @@
 
 
 def test_tools_when_written_by_format_1_count_copies_purges_and_no_damage(directory):
-    volume = tools.opened(directory)
-    assert {name: (c.group, c.tag, c.made, c.size) for name, c in tools.live(volume).items()} == COPIES
+    volume = maintenance.opened(directory)
+    assert {name: (c.group, c.tag, c.made, c.size) for name, c in maintenance.live(volume).items()} == COPIES
     assert len(volume.purged) == 4 and volume.purged.number == 13 and not volume.distrusted
-    stat = tools.stat(volume)
+    stat = maintenance.stat(volume)
     assert (stat["format"], stat["segments"], stat["copies"], stat["purges"]) == (1, 2, len(COPIES), 4)
     assert (stat["journal_number"], stat["snapshots"], stat["believed"]) == (13, 1, True)
-    verified = tools.verify(volume)
+    verified = maintenance.verify(volume)
     assert verified == {"copies": len(COPIES), "bytes": 42598, "damaged": 0, "damage": []}
     volume.close()
 
 
 def test_records_when_written_again_are_the_same_bytes(directory):
-    volume = tools.opened(directory)
+    volume = maintenance.opened(directory)
     count = 0
     for number in volume.sizes:
         segment = (DATA / f"segment-{number:010d}.wh").read_bytes()
-        seed = format.seed(volume.mark, number)
+        seed = file_format.seed(volume.mark, number)
         for head, offset in volume.heads(number, 0, True):
             body = segment[offset + head.length : offset + head.length + head.size]
             assert body == body_of(head.key, head.part, head.size)
-            record = format.record(head.key, head.part, head.group, head.tag, head.made, head.serial, body, seed)
+            record = file_format.record(head.key, head.part, head.group, head.tag, head.made, head.serial, body, seed)
             assert record == segment[offset : offset + head.whole]
             count += 1
-    assert count == 9 and format.identity(volume.mark) == (DATA / "store.wh").read_bytes()
+    assert count == 9 and file_format.identity(volume.mark) == (DATA / "store.wh").read_bytes()
     volume.close()
 
 
 def test_purge_log_when_written_again_is_the_same_bytes():
     for name in HALVES:
         data = (DATA / name).read_bytes()
-        lines = format.lines(data)
+        lines = file_format.lines(data)
         assert [kind for _, kind, _ in lines] == [0, 1, 1, 1]
-        assert b"".join(format.line(*line) for line in lines) == data
+        assert b"".join(file_format.line(*line) for line in lines) == data
 
 
 def test_snapshot_when_written_again_is_the_same_bytes(directory):
     (name,) = (path.name for path in DATA.glob("index-*.wh"))
-    volume = tools.opened(directory)
+    volume = maintenance.opened(directory)
     blocks = volume.proven(name)
     assert blocks[0]["marks"] == [[1, 45312], [2, 704]] and blocks[0]["serial"] == 5
     assert [len(rows) for _, _, rows in blocks[1]] == [1, 1, 1, 2]
-    written = format.snapshot_head(volume.mark) + b"".join(map(format.block, [*blocks, "end"]))
+    written = file_format.snapshot_head(volume.mark) + b"".join(map(file_format.block, [*blocks, "end"]))
     assert written == (DATA / name).read_bytes()
     volume.close()
--- a/wickhinge/cli/commands.py
+++ b/wickhinge/cli/commands.py
@@ -105,11 +105,11 @@
 
 
 def opened(path: str, write: bool = False) -> Any:
-    from wickhinge.store import tools
+    from wickhinge.store import maintenance
     from wickhinge.store.volume import Unusable
 
     try:
-        return tools.opened(path, write)
+        return maintenance.opened(path, write)
     except Unusable as problem:
         fail(str(problem))
 
@@ -118,9 +118,9 @@
 @directory
 def stat(dir: str, as_json: bool) -> None:
     """Sizes and counts, as a start would find them."""
-    from wickhinge.store import tools
+    from wickhinge.store import maintenance
 
-    tell(tools.stat(opened(dir)), as_json)
+    tell(maintenance.stat(opened(dir)), as_json)
 
 
 @store.command("ls")
@@ -131,9 +131,9 @@
     """The copies, the latest used first; with --json one object a line."""
     from itertools import islice
 
-    from wickhinge.store import tools
+    from wickhinge.store import maintenance
 
-    for row in islice(tools.listed(opened(dir), hexadecimal(key)), limit):
+    for row in islice(maintenance.listed(opened(dir), hexadecimal(key)), limit):
         if as_json:
             click.echo(orjson.dumps(row).decode())
         else:
@@ -155,9 +155,9 @@
 @directory
 def verify(dir: str, as_json: bool) -> None:
     """Read everything and hold it against its checksums; 1 if anything is damaged."""
-    from wickhinge.store import tools
+    from wickhinge.store import maintenance
 
-    answer = tools.verify(opened(dir))
+    answer = maintenance.verify(opened(dir))
     tell(answer, as_json)
     sys.exit(WRONG if answer["damaged"] else 0)
 
@@ -169,13 +169,13 @@
 @click.option("--all", "every", is_flag=True, help="Everything.")
 def purge(dir: str, as_json: bool, key: str | None, group: int | None, every: bool) -> None:
     """Purge copies while no router uses the directory."""
-    from wickhinge.store import tools
+    from wickhinge.store import maintenance
 
     if (key is not None) + (group is not None) + every != 1:
         raise click.UsageError("give one of --object, --group and --all")
     volume = opened(dir, write=True)
     try:
-        gone = tools.purge(volume, hexadecimal(key), group if group is not None else -1 if every else 0)
+        gone = maintenance.purge(volume, hexadecimal(key), group if group is not None else -1 if every else 0)
     except OSError as problem:
         fail(f"{dir}: {problem.strerror}")
     finally:
@@ -187,12 +187,12 @@
 @directory
 def compact(dir: str, as_json: bool) -> None:
     """Write what counts anew and recycle the rest, while no router uses the directory."""
-    from wickhinge.store import tools
+    from wickhinge.store import maintenance
 
     volume = opened(dir, write=True)
     try:
         shown = not as_json and sys.stderr.isatty()
-        tell(tools.compact(volume, progress if shown else None), as_json)
+        tell(maintenance.compact(volume, progress if shown else None), as_json)
     except OSError as problem:
         fail(f"{dir}: {problem.strerror}")
     finally:
--- a/wickhinge/lab/many/play.py
+++ b/wickhinge/lab/many/play.py
@@ -16,8 +16,8 @@
 from wickhinge.peers.detector import FailureDetector
 from wickhinge.peers.messages import Message
 from wickhinge.peers.roster import Place, Roster
-from wickhinge.shared import cold
-from wickhinge.shared.lending import Dealt, Division, LendingLimiter
+from wickhinge.shared import slow_start_quota
+from wickhinge.shared.quota_lending import Dealt, Division, LendingLimiter
 
 KEY = b"of this fleet and of no other"
 TICK = 0.1
@@ -47,11 +47,11 @@
         self.limiter = LendingLimiter(
             self.detector,
             Division(len(fleet.names), fleet.schedule.places),
-            [*(Dealt(bucket=one) for one in BUDGETS), *cold.budgets(f"z{place % fleet.schedule.zones}")],
+            [*(Dealt(bucket=one) for one in BUDGETS), *slow_start_quota.budgets(f"z{place % fleet.schedule.zones}")],
             self.clock,
             self.log,
         )
-        self.colds = cold.Colds(self.limiter, len(BUDGETS))
+        self.colds = slow_start_quota.Colds(self.limiter, len(BUDGETS))
         # One machine of the own zone, one parent: as `policy` sees them.
         self.machines = [
             SimpleNamespace(mark=mark, weight=WEIGHT, credit=-0.1) for mark in (place % fleet.schedule.zones, -1)
@@ -162,7 +162,9 @@
         self.spent: list[list[tuple[float, str, float]]] = [[] for _ in BUDGETS]
         self.needs = [[self.random.choice((0.0, 0.1, 0.5, 1.3)) for _ in BUDGETS] for _ in self.names]
         self.sent: dict[int, list[tuple[float, str, float]]] = defaultdict(list)  # to cold machines, by their marks
-        self.work = cold.PIECES * COLD.floor * COLD.multiple * COLD.span * WEIGHT / schedule.places  # of a visit
+        self.work = (
+            slow_start_quota.PIECES * COLD.floor * COLD.multiple * COLD.span * WEIGHT / schedule.places
+        )  # of a visit
         self.unreadable = self.carried = 0
 
     @property
--- a/wickhinge/net/copies.py
+++ b/wickhinge/net/copies.py
@@ -10,7 +10,7 @@
 from wickhinge.net.buffers import Body, Pool
 from wickhinge.net.deadlines import Deadlines
 from wickhinge.net.slots import Slots
-from wickhinge.store.link import Link
+from wickhinge.store.bandwidth import Link
 from wickhinge.store.store import Store
 from wickhinge.store.store import make as make_store
 
--- a/wickhinge/net/fellows.py
+++ b/wickhinge/net/fellows.py
@@ -64,25 +64,25 @@
         """Cold machines' limits are asked of the fleet's budgets from now on; judgements: and machines told of;
         counts: and what is out there.
         """
-        from wickhinge.shared import cold
-        from wickhinge.shared.counts import Counts
-        from wickhinge.shared.judge import Judge
-        from wickhinge.shared.lending import LendingLimiter
-        from wickhinge.shared.riding import Riding
+        from wickhinge.shared import slow_start_quota
+        from wickhinge.shared.outlier_detection import Judge
+        from wickhinge.shared.piggyback import Riding
+        from wickhinge.shared.quota_lending import LendingLimiter
+        from wickhinge.shared.request_tallies import Counts
 
         def log(event: str, **told: Any) -> None:
             self.log(f"shared_{event}", **told)
 
         fleet = self.node.router.fleet
         self.limiter = LendingLimiter(
-            self.detector, division, cold.budgets(self.detector.roster.mine.zone), clock(), log
+            self.detector, division, slow_start_quota.budgets(self.detector.roster.mine.zone), clock(), log
         )
         if judgements:
             self.judge = Judge(self.detector, fleet, self.node.probe, log)
         if counts:
             self.counts = Counts(self.detector, fleet, clock())
         Riding(self.detector, [self.limiter, self.judge, self.counts])
-        room = cold.Colds(self.limiter).room
+        room = slow_start_quota.Colds(self.limiter).room
         fleet.dealt = lambda *asked: room(*asked, clock())
 
     def start(self) -> None:
@@ -248,7 +248,7 @@
 
 def divided(options: Any, roster: Roster, zone: str) -> Any:
     """The Division. Raises Malformed where the roster's zones are not the platform's."""
-    from wickhinge.shared.lending import Division
+    from wickhinge.shared.quota_lending import Division
 
     mine = roster.mine
     if mine.zone != zone and any(one.zone for one in roster.places.values()):
--- a/wickhinge/shared/judge.py
+++ b/wickhinge/shared/outlier_detection.py
@@ -27,8 +27,8 @@
 from wickhinge.peers.detector import FailureDetector
 from wickhinge.peers.messages import HELLO
 from wickhinge.peers.rate import Rate
-from wickhinge.shared import words
-from wickhinge.shared.words import COLD, LOST, SLOW, WELL, Word
+from wickhinge.shared import verdicts
+from wickhinge.shared.verdicts import COLD, LOST, SLOW, WELL, Word
 
 LOOK = 0.25  # seconds from one look at the machines to the next
 FADE = 6.0  # seconds after which nobody's word counts
@@ -109,7 +109,7 @@
             seen.verdict, seen.amount = WELL, 0.0
         seen.lost = cache.lost
         if seen.verdict != was and not self.sick:
-            self.log("seen", machine=f"{cache.mark:08x}", verdict=words.VERDICTS[seen.verdict])
+            self.log("seen", machine=f"{cache.mark:08x}", verdict=verdicts.VERDICTS[seen.verdict])
             self.tell(seen, now)
 
     def tell(self, seen: Seen, now: float) -> None:
@@ -187,8 +187,8 @@
         """
         found = [(when, word) for name, (when, word) in self.told.get(mark, {}).items() if name not in sick]
         well = finding_well(found)
-        for verdict, verdicts in ((COLD, (COLD,)), (LOST, (LOST, COLD)), (SLOW, (SLOW,))):
-            said = [one for one in found if one[1].verdict in verdicts]
+        for verdict, alike in ((COLD, (COLD,)), (LOST, (LOST, COLD)), (SLOW, (SLOW,))):
+            said = [one for one in found if one[1].verdict in alike]
             if len(said) >= WITNESSES and len(said) > well:
                 return verdict, said
         return WELL, []
@@ -213,7 +213,7 @@
             self.acted += 1
             if not under:
                 room[edge] -= 1
-                self.log("told", machine=f"{mark:08x}", verdict=words.VERDICTS[verdict], witnesses=len(said))
+                self.log("told", machine=f"{mark:08x}", verdict=verdicts.VERDICTS[verdict], witnesses=len(said))
             if not under or verdict == LOST:
                 seen.under, seen.why = now, verdict
 
@@ -261,18 +261,18 @@
                     Word(
                         seen.cache.mark,
                         seen.verdict,
-                        round(min(seen.amount, words.LONGEST), 3),
+                        round(min(seen.amount, verdicts.LONGEST), 3),
                         round(now - seen.when, 2),
                     )
                 )
-        if len(said) > words.MOST:  # in turn, by chance: a storm is told over some datagrams
-            said = [said[int(self.detector.chance.draw() * len(said))] for _ in range(words.MOST)]
-        return words.pack(said)
+        if len(said) > verdicts.MOST:  # in turn, by chance: a storm is told over some datagrams
+            said = [said[int(self.detector.chance.draw() * len(said))] for _ in range(verdicts.MOST)]
+        return verdicts.pack(said)
 
     def ridden(self, name: str, data: bytes, now: float) -> None:
         try:
-            found = words.read(data)
-        except words.Unreadable:
+            found = verdicts.read(data)
+        except verdicts.Unreadable:
             self.unreadable += 1
             return
         for word in found:
@@ -299,11 +299,11 @@
             "unreadable": self.unreadable,
             "machines": {
                 f"s-{mark:08x}": {
-                    "own": words.VERDICTS[self.seen[mark].verdict],
+                    "own": verdicts.VERDICTS[self.seen[mark].verdict],
                     "under": now - self.seen[mark].under <= FADE,
                     **{
                         word: sum(told.verdict == number for _, told in found.values())
-                        for number, word in enumerate(words.VERDICTS)
+                        for number, word in enumerate(verdicts.VERDICTS)
                     },
                 }
                 for mark, found in sorted(self.told.items())[:64]
--- a/wickhinge/shared/lending.py
+++ b/wickhinge/shared/quota_lending.py
@@ -25,10 +25,10 @@
 from wickhinge.peers.detector import FailureDetector
 from wickhinge.peers.messages import HELLO
 from wickhinge.peers.roster import Roster
-from wickhinge.shared import riders
-from wickhinge.shared.bucket import Bucket
-from wickhinge.shared.loans import TIME, Loans
+from wickhinge.shared import lending_payload
 from wickhinge.shared.name_lease import DRIFT, NameLeases
+from wickhinge.shared.quota_loans import TIME, Loans
+from wickhinge.shared.shared_bucket import Bucket
 
 FLOOR = 0.04  # of each budget, for those who hear nobody
 STEP = 0.25  # seconds a tick that `late` counts at most
@@ -256,19 +256,19 @@
         now = self.ticked
         answers, granted = self.stamps.pop(to, (0.0, False))
         words = self.words.pop(to, ([], [], []))
-        return riders.pack(
+        return lending_payload.pack(
             (self.division.names, self.division.processes),
             now,
             answers,
             granted,
             [(round(one.missing, 4), round(one.spare, 4)) for one in self.budgets],
-            *(many[: riders.MOST] for many in words),
+            *(many[: lending_payload.MOST] for many in words),
         )
 
     def ridden(self, name: str, data: bytes, now: float) -> None:
         try:
-            division, stamp, answers, granted, levels, asked, lent, back = riders.read(data)
-        except riders.Unreadable:
+            division, stamp, answers, granted, levels, asked, lent, back = lending_payload.read(data)
+        except lending_payload.Unreadable:
             return
         if division != (self.division.names, self.division.processes):  # nothing of its shares and ours fits together
             if name not in self.differ:
--- a/wickhinge/shared/cold.py
+++ b/wickhinge/shared/slow_start_quota.py
@@ -19,8 +19,8 @@
 
 from typing import Any
 
-from wickhinge.shared.bucket import Bucket
-from wickhinge.shared.lending import SPAN, Dealt, LendingLimiter
+from wickhinge.shared.quota_lending import SPAN, Dealt, LendingLimiter
+from wickhinge.shared.shared_bucket import Bucket
 
 PIECES = 0.02
 EDGE, UPPER = 0, 1  # budgets of the limiter, in this order
--- a/wickhinge/store/keep.py
+++ b/wickhinge/store/admission.py
@@ -9,7 +9,7 @@
 
 from collections import OrderedDict
 
-from wickhinge.store.counts import MOST, Counts
+from wickhinge.store.frequency import MOST, Counts
 
 WANTED = 2  # visits of part 0 before anything of an object is stored
 
--- a/wickhinge/store/format.py
+++ b/wickhinge/store/file_format.py
@@ -12,7 +12,7 @@
 import msgspec
 from xxhash import xxh3_64_intdigest
 
-from wickhinge.store.purged import Purge
+from wickhinge.store.purges import Purge
 
 VERSION = 1
 CHUNK = 32768  # bytes of a body under one checksum
--- a/wickhinge/store/tools.py
+++ b/wickhinge/store/maintenance.py
@@ -6,10 +6,10 @@
 from collections.abc import Iterator
 from typing import Any
 
-from wickhinge.store import format
+from wickhinge.store import file_format
+from wickhinge.store.admission import Copy
 from wickhinge.store.files import Files
-from wickhinge.store.keep import Copy
-from wickhinge.store.purged import Purge
+from wickhinge.store.purges import Purge
 from wickhinge.store.volume import HALVES, INDEX, Damaged, Volume
 
 MEGA = 1 << 20
@@ -39,7 +39,7 @@
     copies = live(volume).values()
     now = time.time()
     return {
-        "format": format.VERSION,
+        "format": file_format.VERSION,
         "segments": len(volume.sizes),
         "bytes_on_disk": sum(volume.sizes.values()),
         "copies": len(copies),
@@ -74,8 +74,8 @@
     names = volume.names()
     for name in HALVES:
         data = volume.whole(name) if name in names else b""
-        lines = len(format.lines(data))
-        if name not in names or lines * format.LINE_SIZE != len(data):
+        lines = len(file_format.lines(data))
+        if name not in names or lines * file_format.LINE_SIZE != len(data):
             damage.append(f"{name}: {lines} lines can be read of {len(data)} bytes")
     for name in names:
         if INDEX.match(name) and volume.proven(name) is None:
--- a/wickhinge/store/believe.py
+++ b/wickhinge/store/purge_log_recovery.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Iterable
 
-from wickhinge.store.purged import Purge, Purged
+from wickhinge.store.purges import Purge, Purged
 
 BASE, PURGE = 0, 1  # kinds of the purge log's lines
 
--- a/wickhinge/store/store.py
+++ b/wickhinge/store/store.py
@@ -7,13 +7,13 @@
 from itertools import islice
 from typing import Any
 
-from wickhinge.store.breaker import Breaker
-from wickhinge.store.counts import Counts
-from wickhinge.store.keep import Copy, Keep, Tails
-from wickhinge.store.pace import Pace
-from wickhinge.store.purged import Purge
-from wickhinge.store.space import Space
+from wickhinge.store.admission import Copy, Keep, Tails
+from wickhinge.store.circuit_breaker import Breaker
+from wickhinge.store.frequency import Counts
+from wickhinge.store.purges import Purge
+from wickhinge.store.segments import Space
 from wickhinge.store.volume import Damaged, Unusable, Volume
+from wickhinge.store.write_rate_limiter import Pace
 
 FILL = 0.75  # of the room on disk that copies may take; the rest lets segments die before they are written anew
 TURN = 1.0  # seconds between two looks at what is due
--- a/wickhinge/store/volume.py
+++ b/wickhinge/store/volume.py
@@ -13,10 +13,10 @@
 from collections.abc import Callable, Iterable, Iterator
 from typing import Any
 
-from wickhinge.store import believe, format
+from wickhinge.store import file_format, purge_log_recovery
+from wickhinge.store.admission import Copy
 from wickhinge.store.files import Files, replace
-from wickhinge.store.keep import Copy
-from wickhinge.store.purged import Purge, Purged
+from wickhinge.store.purges import Purge, Purged
 
 SEGMENT = re.compile(r"segment-([0-9]{10})\.wh\Z")
 INDEX = re.compile(r"index-([0-9]{10})\.wh\Z")
@@ -72,7 +72,7 @@
                     raise Unusable(f"{self.path} is in use by another process")
             self.identify(write)
             self.load(write)
-        except format.Newer as problem:
+        except file_format.Newer as problem:
             self.close()
             raise Unusable(f"{self.path} {problem}") from None
         except Unusable:
@@ -85,7 +85,7 @@
     def identify(self, write: bool) -> None:
         found = self.names()
         data = self.whole("store.wh") if "store.wh" in found else b""
-        mark = format.read_identity(data)
+        mark = file_format.read_identity(data)
         if mark is None and not write:
             raise Unusable(f"{self.path} is no store")
         if mark is None:  # new, or its identity is damaged: then nothing in it is believed
@@ -94,7 +94,7 @@
                     self.files.remove(self.at(name))
                     self.distrusted = True
             mark = self.fresh()
-            self.replace("store.wh", format.identity(mark))
+            self.replace("store.wh", file_format.identity(mark))
         self.mark = mark
 
     def fresh(self) -> bytes:
@@ -102,9 +102,9 @@
 
     def load(self, write: bool) -> None:
         found = self.names()
-        halves = [format.lines(self.whole(name)) if name in found else [] for name in HALVES]
+        halves = [file_format.lines(self.whole(name)) if name in found else [] for name in HALVES]
         numbers = sorted(int(match[1]) for name in found if (match := SEGMENT.match(name)))
-        self.purged, self.sequence, whole = believe.purges(halves, bool(numbers))
+        self.purged, self.sequence, whole = purge_log_recovery.purges(halves, bool(numbers))
         snapshots = [int(match[1]) for name in found if (match := INDEX.match(name))]
         self.generation = max(snapshots, default=0)
         self.last = max([*numbers, *(purge.segment for purge in self.purged)], default=0)
@@ -153,8 +153,8 @@
         if not self.current or self.end >= self.segment_size:
             self.roll()
         number, offset = self.current, self.end
-        data = format.record(
-            copy.key, copy.part, copy.group, copy.tag, copy.made, copy.serial, body, format.seed(self.mark, number)
+        data = file_format.record(
+            copy.key, copy.part, copy.group, copy.tag, copy.made, copy.serial, body, file_format.seed(self.mark, number)
         )
         try:
             self.files.write(self.handles[number], data, offset)
@@ -178,49 +178,49 @@
         """The body, each chunk checked. Raises Damaged for anything but that very copy."""
         number, offset, length = place
         data = memoryview(self.files.read(self.handles[number], length, offset))
-        seed = format.seed(self.mark, number)
-        head = format.read_head(data[: format.SPAN], seed)
+        seed = file_format.seed(self.mark, number)
+        head = file_format.read_head(data[: file_format.SPAN], seed)
         if head is None or (head.key, head.part) != (key, part):
             raise Damaged(f"no head of {key:016x} {part} at {number}:{offset}")
         body = data[head.length : head.length + head.size]
-        if not format.intact(head, body, seed):
+        if not file_format.intact(head, body, seed):
             raise Damaged(f"a chunk of {key:016x} {part} at {number}:{offset}")
         return bytes(body)
 
-    def heads(self, number: int, start: int, bodies: bool) -> Iterator[tuple[format.Head, int]]:
+    def heads(self, number: int, start: int, bodies: bool) -> Iterator[tuple[file_format.Head, int]]:
         """Every record of a segment from there on, with its offset; bodies: checked as well. Past a damaged
         place it goes on with the next head.
         """
-        handle, seed = self.handles[number], format.seed(self.mark, number)
+        handle, seed = self.handles[number], file_format.seed(self.mark, number)
         size, offset = self.files.size(handle), start
         window, base = b"", 0
-        while offset + format.HEAD.size <= size:
-            if not base <= offset <= base + len(window) - format.SPAN:
+        while offset + file_format.HEAD.size <= size:
+            if not base <= offset <= base + len(window) - file_format.SPAN:
                 window, base = self.files.read(handle, WINDOW, offset), offset
-            head = format.read_head(memoryview(window)[offset - base : offset - base + format.SPAN], seed)
+            head = file_format.read_head(memoryview(window)[offset - base : offset - base + file_format.SPAN], seed)
             if head is None:
-                offset = self.seek(window, base, offset + format.ALIGN)
+                offset = self.seek(window, base, offset + file_format.ALIGN)
                 continue
             if offset + head.length + head.size > size:
-                offset += format.ALIGN
+                offset += file_format.ALIGN
                 continue
             if bodies:
                 body = self.files.read(handle, head.size, offset + head.length)
-                if not format.intact(head, body, seed):
-                    offset += format.ALIGN
+                if not file_format.intact(head, body, seed):
+                    offset += file_format.ALIGN
                     continue
             yield head, offset
             offset += head.whole
 
     def seek(self, window: bytes, base: int, offset: int) -> int:
         """The next place where a head may be, in this window or past it."""
-        at = window.find(format.MAGIC, offset - base)
+        at = window.find(file_format.MAGIC, offset - base)
         while at >= 0:
-            if (base + at) % format.ALIGN == 0:
+            if (base + at) % file_format.ALIGN == 0:
                 return base + at
-            at = window.find(format.MAGIC, at + 1)
+            at = window.find(file_format.MAGIC, at + 1)
         end = base + len(window)
-        return max(offset, end - end % format.ALIGN)
+        return max(offset, end - end % file_format.ALIGN)
 
     def drop(self, number: int) -> None:
         """Recycles a segment that nobody reads."""
@@ -234,9 +234,12 @@
 
     def purge(self, purges: list[Purge]) -> None:
         """Durable in both files when it returns. After a failure the same lines are written again."""
-        lines = b"".join(format.line(self.sequence + place, believe.PURGE, purge) for place, purge in enumerate(purges))
+        lines = b"".join(
+            file_format.line(self.sequence + place, purge_log_recovery.PURGE, purge)
+            for place, purge in enumerate(purges)
+        )
         for handle in self.logs:
-            self.files.write(handle, lines, self.logged * format.LINE_SIZE)
+            self.files.write(handle, lines, self.logged * file_format.LINE_SIZE)
             self.files.sync(handle)
         self.sequence += len(purges)
         self.logged += len(purges)
@@ -252,10 +255,10 @@
         """
         every = next((purge for purge in purges if purge.key is None and purge.group < 0), None)
         base = every or Purge(None, -1, 0.0, self.last, number)
-        lines = [format.line(self.sequence, believe.BASE, base._replace(number=number))]
+        lines = [file_format.line(self.sequence, purge_log_recovery.BASE, base._replace(number=number))]
         for purge in purges:
             if purge is not every:
-                lines.append(format.line(self.sequence + len(lines), believe.PURGE, purge))
+                lines.append(file_format.line(self.sequence + len(lines), purge_log_recovery.PURGE, purge))
         old, self.logs = self.logs, []
         for handle in old:
             self.files.close(handle)
@@ -300,19 +303,19 @@
     def blocks(
         self, objects: Iterable[tuple[int, int, list[Copy]]], marks: dict[int, int], counts: bytes, serial: int
     ) -> Iterator[bytes]:
-        yield format.snapshot_head(self.mark)
-        yield format.block({"serial": serial, "marks": list(marks.items()), "counts": counts})
+        yield file_format.snapshot_head(self.mark)
+        yield file_format.block({"serial": serial, "marks": list(marks.items()), "counts": counts})
         batch: list[Any] = []
         for key, k, copies in objects:
             rows = [(c.part, c.group, c.tag, c.made, c.size, c.serial, c.place) for c in copies if c.place]
             if rows:
                 batch.append((key, k, rows))
             if len(batch) == BATCH:
-                yield format.block(batch)
+                yield file_format.block(batch)
                 batch = []
         if batch:
-            yield format.block(batch)
-        yield format.block("end")
+            yield file_format.block(batch)
+        yield file_format.block("end")
 
     def recover(self, begin: Callable[[int, bytes], None]) -> Iterator[list[Found]]:
         """What the directory holds, in batches, the latest used first: the newest whole snapshot, then what was
@@ -333,7 +336,7 @@
                 ]
             break
         for number in sorted(self.sizes, reverse=True):
-            start, batch = believe.covered(marks, number, self.sizes[number]), []
+            start, batch = purge_log_recovery.covered(marks, number, self.sizes[number]), []
             for head, offset in self.heads(number, start, True):
                 serial = max(serial, head.serial)
                 copy = Copy(
@@ -359,7 +362,9 @@
         """The blocks of a snapshot, or None if any is damaged: a part of an index would hide copies that count."""
         handle = self.files.open(self.at(name))
         try:
-            blocks = list(format.read_snapshot(lambda size, offset: self.files.read(handle, size, offset), self.mark))
+            blocks = list(
+                file_format.read_snapshot(lambda size, offset: self.files.read(handle, size, offset), self.mark)
+            )
         finally:
             self.files.close(handle)
         return blocks[:-1] if blocks[-1] == "end" else None
