--- a/bench/planted.py
+++ b/bench/planted.py
@@ -5,16 +5,16 @@
 import sys
 
 from wickhinge.net.start import main
-from wickhinge.store import file_format
-from wickhinge.store.volume import Volume
+from wickhinge.store import volume
+from wickhinge.store.purge_log import PurgeLog
 
 
 def plant(fault: str) -> None:
     if fault == "checksums":
-        file_format.intact = lambda head, body, seed: len(body) == head.size
+        volume.body_is_intact = lambda header, body, seed: len(body) == header.size
     elif fault == "purges":  # only their numbers are put down, as if all were well
-        put_down = Volume.purge
-        Volume.purge = lambda self, purges: put_down(self, [purge._replace(key=0, group=0) for purge in purges])
+        append = PurgeLog.append
+        PurgeLog.append = lambda self, purges: append(self, [purge._replace(key=0, group=0) for purge in purges])
     elif fault in ("trust", "blind"):  # whatever a list names is as good as vouched for
         from wickhinge.membership.members import Members
 
--- a/bench/scale/watching.py
+++ b/bench/scale/watching.py
@@ -10,7 +10,7 @@
 from bench.scale.records import Row, row
 from wickhinge.decide import Purges
 from wickhinge.net import journal
-from wickhinge.store.purges import Purge, Purged
+from wickhinge.store.purges import Purge, PurgeTable
 
 PURGES_A_SECOND = 27
 DONE_WITHIN = 3.1  # seconds, of the design
@@ -153,11 +153,11 @@
     return meter.cpu(lambda: purges.told(1, 0, 1.0, 1.0), 20)
 
 
-def lasting(count: int) -> Purged:
-    """So many purges that outlive copies on disk. most: beyond the program's own bound."""
-    purged = Purged(count + 1)
+def lasting(count: int) -> PurgeTable:
+    """So many purges that outlive copies on disk. max_purges: beyond the program's own bound."""
+    purged = PurgeTable(count + 1)
     for number in range(count):
-        purged.told(Purge(number, 0, float(number), 1, number))
+        purged.record(Purge(number, 0, float(number), 1, number))
     return purged
 
 
@@ -189,7 +189,7 @@
             state_lasting,
             "B",
             "virtual",
-            "tracemalloc, store.purged.Purged",
+            "tracemalloc, store.purges.PurgeTable",
         ),
     ]
 
--- a/bench/store.py
+++ b/bench/store.py
@@ -28,11 +28,15 @@
 from hdrh.histogram import HdrHistogram
 
 from bench import told
-from wickhinge.store.admission import Copy, Keep, Tails
+from wickhinge.store.admission import AdmissionPolicy, TailEviction
+from wickhinge.store.copies import Copy, StoredObject
+from wickhinge.store.file_format import SnapshotMeta
 from wickhinge.store.files import Files
-from wickhinge.store.frequency import Counts
+from wickhinge.store.frequency import FrequencyTable
 from wickhinge.store.store import Store
+from wickhinge.store.tier import Runtime, StoreLimits
 from wickhinge.store.volume import Volume
+from wickhinge.store.writing import CopyOffer
 
 MEGA = 1 << 20
 
@@ -313,11 +317,16 @@
         answer["log"] = {
             event["event"]: event
             for event in made.router.events(
-                "store_recovered", "store_distrusted", "store_off", "store_bypassed", "fault", "store_trusted"
+                "store_recovered",
+                "store_copies_discarded",
+                "store_disabled",
+                "store_breaker_opened",
+                "fault",
+                "store_recovered_verified",
             )
         }
         answer["log"] = {
-            name: event.get("copies", event.get("why", event.get("cause", True)))
+            name: event.get("copies", event.get("reason", event.get("cause", True)))
             for name, event in answer["log"].items()
         }
         told(answer)
@@ -343,22 +352,22 @@
 
 def admit_all(trace: list[tuple[int, int]], room: int, size: Any) -> list[bool]:
     """The tier's order of eviction, tails of the last object first, but everything is let in."""
-    tails, hits = Tails(room), []
+    tails, hits = TailEviction(room), []
     for serial, (key, part) in enumerate(trace):
         hits.append(tails.find(key, part) is not None)
         tails.touch(key)
         if not hits[-1]:
-            tails.put(Copy(key, part, 0, b"", 0.0, size((key, part)), serial))
+            tails.add(Copy(key, part, 0, b"", 0.0, size((key, part)), serial))
     return hits
 
 
 def tier(trace: list[tuple[int, int]], room: int, size: Any) -> list[bool]:
-    keep, hits = Keep(room, Counts(65536)), []
+    keep, hits = AdmissionPolicy(room, FrequencyTable(65536)), []
     for serial, (key, part) in enumerate(trace):
-        keep.visit(key, part)
+        keep.record_request(key, part)
         hits.append(keep.find(key, part) is not None)
-        if not hits[-1] and keep.wants(key, part, size((key, part))):
-            keep.put(Copy(key, part, 0, b"", 0.0, size((key, part)), serial))
+        if not hits[-1] and keep.admits(key, part, size((key, part))):
+            keep.add(Copy(key, part, 0, b"", 0.0, size((key, part)), serial))
     return hits
 
 
@@ -493,7 +502,7 @@
     plain = {int(str(key)): value for key, value in plain.items()}  # keys of its own, as a table would hold
     gc.collect()
     dict_bytes = (psutil.Process().memory_info().rss - before) / objects
-    table = Counts(objects)
+    table = FrequencyTable(objects)
     answer: dict[str, Any] = {"objects": objects, "dict_bytes_an_object": round(dict_bytes, 1)}
     began = time.perf_counter()
     for key, value in plain.items():
@@ -508,11 +517,11 @@
         copy[key] = value
     dict_put = time.perf_counter() - began
     strangers = sum(table.get(chance.getrandbits(64)) > 0 for _ in range(objects))
-    size = 4 * len(table.places)
+    size = 4 * len(table.entries)
     answer |= {
         "table_bytes_an_object": round(size / objects, 2),
         "bytes_ratio": round(size / objects / dict_bytes, 4),
-        "load": round(objects / len(table.places), 3),
+        "load": round(objects / len(table.entries), 3),
         "wrong_share": round(sum(one != 0 for one in wrong) / objects, 5),
         "strangers_share": round(strangers / objects, 5),
         "put_us": round(put / objects * 1e6, 2),
@@ -541,7 +550,7 @@
         return self.volume.read(self.places[key, part], key, part)
 
     def sync(self) -> None:
-        self.volume.roll()
+        self.volume.begin_segment()
 
     def close(self) -> None:
         self.volume.close()
@@ -708,7 +717,7 @@
     def run(self, lane: str, work: Any, then: Any) -> None:
         self.queue.append((work, then))
 
-    def each(self, lane: str, work: Any, part: Any, then: Any) -> None:
+    def run_streaming(self, lane: str, work: Any, part: Any, then: Any) -> None:
         self.queue.append((lambda: work(part), then))
 
     def go(self) -> None:
@@ -733,24 +742,21 @@
     files: Files | None = None,
     after: Any = lambda *_: None,
 ) -> Store:
-    return Store(
-        Volume(files or Files(), folder, segment),
-        workers,
-        lambda: clock[0],
-        after,
-        lambda *a, **k: None,
-        size,
-        segment,
-        0,
-        1 << 20,
-        64 * MEGA,
-        1e12,
-        0.1,
-        16,
-        1e9,
-        3.0,
-        False,
+    limits = StoreLimits(
+        disk_bytes=size,
+        segment_bytes=segment,
+        memory_bytes=0,
+        counted_objects=1 << 20,
+        queued_write_bytes=64 * MEGA,
+        write_bytes_per_s=1e12,
+        slow_read_s=0.1,
+        concurrent_reads=16,
+        snapshot_interval_s=1e9,
+        quiet_s=3.0,
+        events_continue=False,
     )
+    runtime = Runtime(workers, lambda: clock[0], after, lambda *a, **k: None)
+    return Store(Volume(files or Files(), folder, segment), runtime, limits)
 
 
 def recovery(mb: int, base: str | None) -> dict[str, Any]:
@@ -765,7 +771,8 @@
             copy.place = volume.append(copy, noise[index % 9_973 :][:20_000])
             objects.setdefault(index // 8, []).append(copy)
         marks = {number: volume.files.size(handle) for number, handle in volume.handles.items()}
-        volume.snapshot([(key, 8, parts) for key, parts in objects.items()], marks, b"", count)
+        rows = [StoredObject(key, 8, parts) for key, parts in objects.items()]
+        volume.write_snapshot(rows, SnapshotMeta(count, list(marks.items()), b""))
         volume.close()
         del objects
         gc.collect()
@@ -782,7 +789,7 @@
             workers.go()
             answer[f"{how}_s"] = round(time.perf_counter() - began, 3)
             answer["serves_after_s"] = round(first, 4)
-            assert made.keep.count == count, (made.keep.count, count)
+            assert made.tier.admission.count == count, (made.tier.admission.count, count)
             if how == "snapshot":
                 answer["memory_a_part"] = round((psutil.Process().memory_info().rss - before) / count)
             made.close()
@@ -803,17 +810,18 @@
         trace = sessions(chance, 9_000, 3_000, 0.8, 600, parts=8)
         for place, (key, part) in enumerate(trace):
             clock[0] += 0.01
-            made.visit(key, part)
-            if made.find(key, part, clock[0]) is None and made.wants(key, part, 0, b"tag", clock[0], 20_000, clock[0]):
-                made.take(key, part, 0, b"tag", clock[0], noise[place % 9_973 :][:20_000])
+            made.record_request(key, part)
+            offer = CopyOffer(key, part, 0, b"tag", clock[0], 20_000)
+            if made.find(key, part, clock[0]) is None and made.admit(offer, clock[0]):
+                made.write(offer, noise[place % 9_973 :][:20_000])
                 offered += 20_000
             if place % 20 == 0:
                 workers.go()
-                made.turn()
+                made.maintain()
         workers.go()
-        assert made.counted["recycled"], "never full"
+        assert made.tier.counters.recycled, "never full"
         made.close()
-        return round(made.volume.written / offered, 3)
+        return round(made.tier.volume.bytes_written / offered, 3)
 
 
 # stall
@@ -851,24 +859,21 @@
         files = Stalling(seconds)
         late = {"well": HdrHistogram(1, 60_000_000, 3), "stalled": HdrHistogram(1, 60_000_000, 3)}
         workers = Workers(reactor, 8, lambda where: None)
-        made = Store(
-            Volume(files, folder, 4 * MEGA),
-            workers,
-            time.time,
-            reactor.callLater,
-            lambda *a, **k: None,
-            64 * MEGA,
-            4 * MEGA,
-            0,
-            4096,
-            8 * MEGA,
-            1e9,
-            0.1,
-            16,
-            1e9,
-            3.0,
-            False,
+        limits = StoreLimits(
+            disk_bytes=64 * MEGA,
+            segment_bytes=4 * MEGA,
+            memory_bytes=0,
+            counted_objects=4096,
+            queued_write_bytes=8 * MEGA,
+            write_bytes_per_s=1e9,
+            slow_read_s=0.1,
+            concurrent_reads=16,
+            snapshot_interval_s=1e9,
+            quiet_s=3.0,
+            events_continue=False,
         )
+        runtime = Runtime(workers, time.time, reactor.callLater, lambda *a, **k: None)
+        made = Store(Volume(files, folder, 4 * MEGA), runtime, limits)
         made.start()
         state = {"due": time.perf_counter(), "key": 0, "answers": 0, "none": 0}
         body = random.Random(2).randbytes(20_000)
@@ -878,13 +883,13 @@
             late["stalled" if files.stalled else "well"].record_value(max(int((now - state["due"] - 0.002) * 1e6), 1))
             state["key"] += 1
             key, wall = state["key"] % 400, time.time()
-            made.visit(key, 0)
+            made.record_request(key, 0)
             copy = made.find(key, 0, wall)
             if copy is not None:
                 state["answers"] += 1
                 made.read(copy, lambda data, memory: state.__setitem__("none", state["none"] + (data is None)))
-            elif made.wants(key, 0, 0, b"tag", wall, len(body), wall):
-                made.take(key, 0, 0, b"tag", wall, body)
+            elif made.admit(offer := CopyOffer(key, 0, 0, b"tag", wall, len(body)), wall):
+                made.write(offer, body)
             state["due"] = time.perf_counter()
             reactor.callLater(0.002, tick)
 
@@ -893,7 +898,7 @@
         reactor.callLater(4.0 + 3 * seconds, lambda: setattr(files, "stalled", False))
         task.deferLater(reactor, 4.5 + 3 * seconds, reactor.stop)
         reactor.run()
-        opened = made.breaker.opened
+        opened = made.tier.breaker.opened_count
         made.close()
         well, stalled = (late[name].get_value_at_percentile(99) for name in ("well", "stalled"))
         told(
--- a/tests/options/test_options.py
+++ b/tests/options/test_options.py
@@ -9,8 +9,8 @@
 from wickhinge.cli import main
 from wickhinge.options import Fault, load
 from wickhinge.options.load import check
-from wickhinge.store.admission import Copy
-from wickhinge.store.maintenance import opened
+from wickhinge.store.copies import Copy
+from wickhinge.store.maintenance import open_volume
 
 ROOT = Path(__file__).parents[2]
 
@@ -86,7 +86,7 @@
 
 @pytest.fixture
 def tier(tmp_path):
-    volume = opened(str(tmp_path / "tier"), write=True)
+    volume = open_volume(str(tmp_path / "tier"), write=True)
     for key in range(6):
         for part in range(2):
             one = Copy(key, part, key % 3, b"t%d" % key, 1000.0 + key, 700, key)
--- a/tests/store/test_store.py
+++ b/tests/store/test_store.py
@@ -18,8 +18,9 @@
 from wickhinge.net.copies import Copies
 from wickhinge.net.forwards import Forwards
 from wickhinge.net.visits import Visits
-from wickhinge.store.admission import Copy
-from wickhinge.store.bandwidth import Link
+from wickhinge.store.bandwidth import LinkBandwidth
+from wickhinge.store.copies import Copy
+from wickhinge.store.writing import CopyOffer
 
 
 def begun(**more):
@@ -60,9 +61,9 @@
     world = begun()
     made = world.clock
     world.purge(1)
-    world.store.visit(1, 0), world.store.visit(1, 0)
-    assert not world.store.wants(1, 0, 0, b"t", made, 500, world.clock)
-    assert world.store.wants(1, 0, 0, b"t", world.clock + 0.01, 500, world.clock)
+    world.store.record_request(1, 0), world.store.record_request(1, 0)
+    assert not world.store.admit(CopyOffer(1, 0, 0, b"t", made, 500), world.clock)
+    assert world.store.admit(CopyOffer(1, 0, 0, b"t", world.clock + 0.01, 500), world.clock)
 
 
 def test_a_part_is_being_read():
@@ -71,16 +72,16 @@
     got = reads(world, copy)
     world.purge(1)
     world.lanes.go()
-    assert got != [None] and not world.store.held(copy, world.clock)
+    assert got != [None] and not world.store.is_valid(copy, world.clock)
 
 
 def test_a_copy_is_being_renewed():
     world = begun()
     copy = held(world)
-    before = copy.made
+    before = copy.created
     world.purge(1)
-    world.store.renewed(copy, before)  # SAME, but of a copy from before the purge
-    assert not world.store.proven(copy, world.clock) and copy.made == before
+    world.store.revalidate(copy, before)  # SAME, but of a copy from before the purge
+    assert not world.store.is_current(copy, world.clock) and copy.created == before
 
 
 def test_a_snapshot_is_being_made():
@@ -101,7 +102,7 @@
     world.start()
     world.purge(1)
     world.lanes.go()
-    assert world.store.find(1, 0, world.clock) is None and not world.store.recovering
+    assert world.store.find(1, 0, world.clock) is None and not world.store.tier.is_recovering
 
 
 def test_segments_are_being_recycled():
@@ -109,14 +110,14 @@
     for key in range(20):
         world.offer(key, 0, 3000, group=int(key < 10))
         world.lanes.go()
-    world.store.turn()
+    world.store.maintain()
     world.purge(None, 1)
     for _ in range(5):
         world.lanes.go()
-        world.store.turn()
+        world.store.maintain()
     world.lanes.go()
-    assert {copy.group for parts in world.store.keep.objects.values() for copy in parts.values()} == {0}
-    assert world.store.counted["recycled"] and world.check(world.stamps)
+    assert {copy.group for parts in world.store.tier.admission.objects.values() for copy in parts.values()} == {0}
+    assert world.store.tier.counters.recycled and world.check(world.stamps)
 
 
 def test_a_router_that_is_restarted_all_the_time_still_wins_its_room_back():
@@ -127,8 +128,10 @@
         if turn % 4 == 3:
             world.restart(turn, lost=False)
             world.lanes.go()
-    assert world.store.space.total <= world.store.space.room and world.store.keep.count > 8
-    assert max(world.store.keep.objects) > 50
+    assert (
+        world.store.tier.space.total_bytes <= world.store.tier.space.capacity and world.store.tier.admission.count > 8
+    )
+    assert max(world.store.tier.admission.objects) > 50
 
 
 # Readers, bounds, faults.
@@ -141,29 +144,29 @@
         held(world, key, size=3900)
     number, got = copy.place[0], reads(world, copy)
     world.lanes.stalled = {"read"}
-    for parts in list(world.store.keep.objects.values()):
+    for parts in list(world.store.tier.admission.objects.values()):
         for one in list(parts.values()):
-            world.store.lose(one)
-    world.store.turn()
+            world.store.tier.remove(one)
+    world.store.maintain()
     world.lanes.go()
-    assert number in world.store.space.segments and world.store.space.segments[number].sealed
+    assert number in world.store.tier.space.segments and world.store.tier.space.segments[number].is_sealed
     world.lanes.stalled = set()
     world.lanes.go()
-    assert got == [world.bodies[1, 0, round(copy.made, 3)]]
-    world.store.turn()
-    assert number not in world.store.space.segments
+    assert got == [world.bodies[1, 0, round(copy.created, 3)]]
+    world.store.maintain()
+    assert number not in world.store.tier.space.segments
 
 
 def test_what_is_over_the_bounds_of_writing_is_not_kept_and_nobody_waits():
     world = begun()
-    world.store.pace.most = 2000
+    world.store.writer.limiter.max_queued_bytes = 2000
     for key in range(4):
         world.offer(key, 0, 900)
-    assert world.store.counted["kept"] == 2 and world.store.counted["refused"] == 2
+    assert world.store.tier.counters.admitted == 2 and world.store.tier.counters.refused == 2
     assert world.store.find(0, 0, world.clock) and reads(world, world.store.find(0, 0, world.clock))[0]
     world.lanes.go()
     world.offer(9, 0, 900)
-    assert world.store.counted["kept"] == 3
+    assert world.store.tier.counters.admitted == 3
 
 
 @pytest.mark.parametrize("fault", [errno.EIO, errno.ENOSPC])
@@ -173,13 +176,17 @@
     for key in range(8):
         world.offer(key, 0, 500)
         world.lanes.go()
-    assert world.store.breaker.open and world.store.keep.count == 0 and "store_bypassed" in dict(world.log)
-    assert world.store.counted["refused"] >= 4 and world.store.pace.waiting == 0
+    assert (
+        world.store.tier.breaker.is_open
+        and world.store.tier.admission.count == 0
+        and "store_breaker_opened" in dict(world.log)
+    )
+    assert world.store.tier.counters.refused >= 4 and world.store.writer.limiter.queued_bytes == 0
     world.disk.stuck = None
     world.clock += 5.0
     world.offer(20, 0, 500)
     world.lanes.go()
-    assert not world.store.breaker.open and world.store.find(20, 0, world.clock)
+    assert not world.store.tier.breaker.is_open and world.store.find(20, 0, world.clock)
     assert world.check(world.stamps) == 1
 
 
@@ -191,24 +198,24 @@
     world.lanes.go()
     world.purge(2, 0, 6)
     world.lanes.go()
-    assert len(world.store.unlogged) == 2 and world.store.find(1, 0, world.clock) is None
+    assert len(world.store.purging.pending) == 2 and world.store.find(1, 0, world.clock) is None
     world.disk.stuck = None
-    world.store.turn()
+    world.store.maintain()
     world.lanes.go()
-    assert not world.store.unlogged
+    assert not world.store.purging.pending
     world.restart(1, lost=True)
-    assert world.store.purged.number == 6 and world.store.find(1, 0, world.clock) is None
+    assert world.store.last_event_number == 6 and world.store.find(1, 0, world.clock) is None
 
 
 def test_a_storm_of_purges_while_some_are_being_put_down_loses_none(monkeypatch):
-    monkeypatch.setattr("wickhinge.store.store.PENDING", 4)
+    monkeypatch.setattr("wickhinge.store.purging.MAX_PENDING_PURGES", 4)
     world = begun(continues=True)
     for key in range(1, 8):
         world.purge(key, 0, key)
-    assert world.lanes.queue and len(world.store.unlogged) <= 5
+    assert world.lanes.queue and len(world.store.purging.pending) <= 5
     world.lanes.go()
     world.restart(1, lost=True)
-    assert all(world.store.purged.covers(key, group, stamp) for key, group, stamp in world.stamps)
+    assert all(world.store.tier.purges.covers(key, group, stamp) for key, group, stamp in world.stamps)
 
 
 def test_a_slow_disk_is_bypassed():
@@ -235,7 +242,7 @@
         held(world, key, size=900)
     world.lanes.stalled = {"read"}
     assert sum(bool(reads(world, world.store.find(key, 0, world.clock))) for key in range(8)) == 4
-    assert world.store.memory.used <= 4000
+    assert world.store.tier.memory.used <= 4000
 
 
 # Age across a start, and while the journal is away.
@@ -244,20 +251,20 @@
 def test_copies_of_an_earlier_start_are_unproven_until_they_are_the_same_or_all_is_caught_up():
     for continues, whole, proven in ((False, True, False), (True, False, False), (True, True, True)):
         world = begun(continues=continues)
-        assert world.store.proven(held(world), world.clock)
+        assert world.store.is_current(held(world), world.clock)
         world.restart(1, lost=False)
         copy = world.store.find(1, 0, world.clock)
-        assert copy is not None and not world.store.proven(copy, world.clock)
+        assert copy is not None and not world.store.is_current(copy, world.clock)
         world.store.caught_up(world.clock, whole)
-        assert world.store.proven(copy, world.clock) is proven
-        world.store.renewed(copy, world.clock)
-        assert world.store.proven(copy, world.clock)
+        assert world.store.is_current(copy, world.clock) is proven
+        world.store.revalidate(copy, world.clock)
+        assert world.store.is_current(copy, world.clock)
 
 
 @pytest.mark.parametrize("later, answers", [(0.0, True), (2.9, True), (3.1, False), (-2.0, False)])
 def test_nothing_is_proven_while_purges_may_be_untold_or_the_clock_went_back(later, answers):
     world = begun()
-    assert world.store.proven(held(world), world.clock + later) is answers
+    assert world.store.is_current(held(world), world.clock + later) is answers
 
 
 # The journal: taken up again at a number of an earlier start.
@@ -307,7 +314,7 @@
         return self.is_proven
 
     def age(self, copy, now):
-        return now - copy.made
+        return now - copy.created
 
     def held(self, copy, now):
         return self.is_held
@@ -444,8 +451,8 @@
     forwards.router = visits.router = made
     world.clock = heap.clock
     if with_store:
-        world.store.now = lambda: heap.clock
-        copies = Copies(world.store, heap, buffers, Link(1e6, 1e6), 0.1, faults.append, OthersTime())
+        world.read_clock = lambda: heap.clock
+        copies = Copies(world.store, heap, buffers, LinkBandwidth(1e6, 1e6), 0.1, faults.append, OthersTime())
         made.copies = visits.copies = forwards.copies = copies
         world.store.caught_up(heap.clock, False)
     return SimpleNamespace(
@@ -500,7 +507,7 @@
 def test_the_second_wish_is_kept_and_the_third_is_answered_by_the_copy():
     net = wired()
     visited(net), visited(net)
-    assert len(net.sent) == 2 and net.world.store.counted["kept"] == 1
+    assert len(net.sent) == 2 and net.world.store.tier.counters.admitted == 1
     ask(net)
     net.heap.run(net.heap.clock)
     net.world.lanes.go()
@@ -542,8 +549,8 @@
     net = wired()
     visited(net), visited(net)
     net.world.restart(1, lost=False)
-    net.world.store.now = lambda: net.heap.clock
-    copies = Copies(net.world.store, net.heap, net.pool, Link(1e6, 1e6), 0.1, net.faults.append, OthersTime())
+    net.world.read_clock = lambda: net.heap.clock
+    copies = Copies(net.world.store, net.heap, net.pool, LinkBandwidth(1e6, 1e6), 0.1, net.faults.append, OthersTime())
     net.router.copies = net.visits.copies = net.forwards.copies = copies
     net.world.store.caught_up(net.heap.clock, False)
     ask(net)
@@ -553,4 +560,4 @@
     net.world.lanes.go()
     net.heap.run(net.heap.clock)
     assert net.client.had[2] == (2, b"x" * 700, {}) and not net.faults
-    assert net.world.store.find(5, 0, net.heap.clock).made == 99.9
+    assert net.world.store.find(5, 0, net.heap.clock).created == 99.9
--- a/tests/store/test_store_deciding.py
+++ b/tests/store/test_store_deciding.py
@@ -4,31 +4,37 @@
 
 import pytest
 
-from wickhinge.store import purge_log_recovery
-from wickhinge.store.admission import Copy, Keep, Tails
-from wickhinge.store.bandwidth import Link
-from wickhinge.store.circuit_breaker import ERRORS, LONGEST, SLOW, Breaker
-from wickhinge.store.frequency import Counts
-from wickhinge.store.purges import Purge, Purged
-from wickhinge.store.segments import Space
-from wickhinge.store.write_rate_limiter import Pace
+from wickhinge.store.admission import AdmissionPolicy, TailEviction
+from wickhinge.store.bandwidth import LinkBandwidth
+from wickhinge.store.circuit_breaker import (
+    MAX_BACKOFF_S,
+    MAX_CONSECUTIVE_ERRORS,
+    MAX_CONSECUTIVE_SLOW_CALLS,
+    CircuitBreaker,
+)
+from wickhinge.store.copies import Copy, Place
+from wickhinge.store.frequency import FrequencyTable
+from wickhinge.store.purge_log_recovery import recover_purges, scan_start
+from wickhinge.store.purges import LineKind, Purge, PurgeLine, PurgeTable
+from wickhinge.store.segments import SegmentSpace
+from wickhinge.store.write_rate_limiter import WriteRateLimiter
 
 
-def copy(key=1, part=0, size=10, made=5.0, serial=0, proven=True, group=0):
-    return Copy(key, part, group, b"t", made, size, serial, proven=proven)
+def copy(key=1, part=0, size=10, created=5.0, serial=0, age_verified=True, group=0):
+    return Copy(key, part, group, b"t", created, size, serial, age_verified=age_verified)
 
 
 def keep(room=100):
-    return Keep(room, Counts(1024))
+    return AdmissionPolicy(room, FrequencyTable(1024))
 
 
 def visits(made, key, count):
     for _ in range(count):
-        made.visit(key, 0)
+        made.record_request(key, 0)
 
 
 def test_counts_remember_far_more_than_they_mix_up():
-    made, told = Counts(16_384), {}
+    made, told = FrequencyTable(16_384), {}
     chance = random.Random(3)
     for _ in range(10_000):
         key = chance.getrandbits(64)
@@ -38,17 +44,17 @@
     strangers = sum(made.get(chance.getrandbits(64)) > 0 for _ in range(16_000))
     assert wrong < 0.03 * len(told) and strangers < 0.002 * 16_000
     assert len(made.dump()) < 8 * len(told) + 2
-    again = Counts(16_384)
-    assert again.load(made.dump()) and again.places == made.places
-    assert not Counts(64).load(made.dump())
+    again = FrequencyTable(16_384)
+    assert again.load(made.dump()) and again.entries == made.entries
+    assert not FrequencyTable(64).load(made.dump())
 
 
 def test_counts_fade_by_half_with_each_age_and_do_not_come_back_when_ages_come_round():
-    made = Counts(64)
+    made = FrequencyTable(64)
     made.put(7, 9)
     seen = []
     for _ in range(300):
-        for _ in range(4 * len(made.places)):
+        for _ in range(4 * len(made.entries)):
             made.put(99, 1)
         seen.append(made.get(7))
     assert seen[:4] == [4, 2, 1, 0] and set(seen[4:]) == {0}
@@ -61,8 +67,8 @@
 def test_parts_below_k_are_wanted_and_nothing_that_was_not_wanted_before(count, part, wanted):
     made = keep()
     visits(made, 1, count)
-    assert made.wants(1, part, 10) is wanted
-    assert not made.wants(1, part, 26)  # over a quarter of the room
+    assert made.admits(1, part, 10) is wanted
+    assert not made.admits(1, part, 26)  # over a quarter of the room
 
 
 def test_the_least_lately_used_object_loses_its_tail_and_its_k_falls_to_what_is_left():
@@ -70,24 +76,24 @@
     for key in (1, 2):
         visits(made, key, 6)
         for part in range(5):
-            made.put(copy(key, part))
-    made.visit(1, 3)
+            made.add(copy(key, part))
+    made.record_request(1, 3)
     visits(made, 3, 2)
-    (gone,) = made.put(copy(3, 0))
-    assert (gone.key, gone.part, made.k(2), made.k(1)) == (2, 4, 4, 6)
-    assert not made.wants(2, 4, 10) and made.wants(1, 5, 10)
-    made.visit(2, 0)
-    assert made.wants(2, 4, 10)
+    (gone,) = made.add(copy(3, 0))
+    assert (gone.key, gone.part, made.frequency(2), made.frequency(1)) == (2, 4, 4, 6)
+    assert not made.admits(2, 4, 10) and made.admits(1, 5, 10)
+    made.record_request(2, 0)
+    assert made.admits(2, 4, 10)
 
 
 def test_what_lost_its_last_part_is_remembered_as_wanted_before():
     made = keep(20)
     for key in (1, 2, 3):
         visits(made, key, 4)
-        made.put(copy(key))
-    assert made.k(1) == 1 and 1 not in made.ks
+        made.add(copy(key))
+    assert made.frequency(1) == 1 and 1 not in made.frequencies
     visits(made, 1, 1)
-    assert made.wants(1, 0, 5)
+    assert made.admits(1, 0, 5)
 
 
 @pytest.mark.parametrize(
@@ -102,80 +108,83 @@
 )
 def test_of_two_recovered_copies_the_newer_counts_and_none_replaces_one_of_this_run(old, new, believed):
     made = keep()
-    first, second = (copy(made=m, serial=s, proven=p) for m, s, p in (old, new))
-    made.put(first)
-    assert made.recovered(second, 3) == [first if believed else second]
+    first, second = (copy(created=m, serial=s, age_verified=p) for m, s, p in (old, new))
+    made.add(first)
+    assert made.add_recovered(second, 3) == [first if believed else second]
     assert made.find(1, 0) is (second if believed else first)
 
 
 def test_recovered_copies_go_before_what_this_run_keeps():
     made = keep(30)
     visits(made, 9, 3)
-    made.put(copy(9))
-    assert made.recovered(copy(1, 0, proven=False), 2) == [] and made.recovered(copy(2, 0, proven=False), 2) == []
-    late = copy(3, 0, proven=False)
-    assert made.recovered(late, 2) == [late]
-    assert [gone.key for gone in made.put(copy(9, 1))] == [2] and made.k(1) == 2
+    made.add(copy(9))
+    assert (
+        made.add_recovered(copy(1, 0, age_verified=False), 2) == []
+        and made.add_recovered(copy(2, 0, age_verified=False), 2) == []
+    )
+    late = copy(3, 0, age_verified=False)
+    assert made.add_recovered(late, 2) == [late]
+    assert [gone.key for gone in made.add(copy(9, 1))] == [2] and made.frequency(1) == 2
 
 
 def test_tails_of_no_room_hold_nothing():
-    made = Tails(0)
+    made = TailEviction(0)
     one = copy()
-    assert made.put(one) == [one] and not made.objects and made.used == 0
+    assert made.add(one) == [one] and not made.objects and made.used == 0
 
 
 def test_segments_are_recycled_whole_unread_and_least_alive_first():
-    space = Space(100, 20)
+    space = SegmentSpace(100, 20)
     for number, live in ((1, 5), (2, 15), (3, 0), (4, 20)):
-        space.wrote((number, 0, 20))
-        space.segments[number].live = live
-    assert space.idle() == [3] and space.victim() == 1 and not space.full()
+        space.record_append(Place(number, 0, 20))
+        space.segments[number].live_bytes = live
+    assert space.recyclable() == [3] and space.compaction_victim() == 1 and not space.is_full()
     space.pin(3)
-    assert space.idle() == []
+    assert space.recyclable() == []
     space.unpin(3)
-    space.wrote((5, 0, 10))
-    assert space.full() and space.idle() == [3]
-    space.cleaning = 1
-    assert space.victim() is None
+    space.record_append(Place(5, 0, 10))
+    assert space.is_full() and space.recyclable() == [3]
+    space.compacting = 1
+    assert space.compaction_victim() is None
     for number in (3, 1):
-        space.drop(number)
-    assert not space.full() and space.cleaning is None and space.total == 50
+        space.remove(number)
+    assert not space.is_full() and space.compacting is None and space.total_bytes == 50
     space.unpin(1)
-    space.dead((1, 0, 5))
+    space.mark_garbage(Place(1, 0, 5))
 
 
 def test_writing_is_bounded_in_bytes_that_wait_and_bytes_a_second():
-    pace = Pace(100, 50.0)
-    assert pace.take(60, 1.0) and not pace.take(10, 1.0)  # a second's worth was there
-    assert pace.take(30, 2.0) and not pace.take(30, 9.0)  # 90 wait
-    pace.done(60)
-    assert pace.take(30, 9.0) and pace.refused == 2
-    pace.done(60)
-    assert not pace.take(90, 5.0) or pace.tokens <= 50  # a clock set back earns nothing
-    assert pace.tokens <= 50
+    limiter = WriteRateLimiter(100, 50.0)
+    assert limiter.admit(60, 1.0) and not limiter.admit(10, 1.0)  # a second's worth was there
+    assert limiter.admit(30, 2.0) and not limiter.admit(30, 9.0)  # 90 wait
+    limiter.complete(60)
+    assert limiter.admit(30, 9.0) and limiter.refused_count == 2
+    limiter.complete(60)
+    assert not limiter.admit(90, 5.0) or limiter.bucket.tokens <= 50  # a clock set back earns nothing
+    assert limiter.bucket.tokens <= 50
 
 
 def test_the_breaker_opens_after_some_in_a_row_and_one_trial_closes_it():
-    breaker = Breaker(0.1)
-    for _ in range(ERRORS - 1):
-        breaker.ended(False, 0.0, 1.0)
-    breaker.ended(True, 0.0, 1.0)
+    breaker = CircuitBreaker(0.1)
+    for _ in range(MAX_CONSECUTIVE_ERRORS - 1):
+        breaker.record(False, 0.0, 1.0)
+    breaker.record(True, 0.0, 1.0)
     assert breaker.allows(1.0)
-    for _ in range(ERRORS):
-        breaker.ended(False, 0.0, 2.0)
-    assert not breaker.allows(2.5) and breaker.opened == 1
+    for _ in range(MAX_CONSECUTIVE_ERRORS):
+        breaker.record(False, 0.0, 2.0)
+    assert not breaker.allows(2.5) and breaker.opened_count == 1
     assert breaker.allows(3.0) and not breaker.allows(3.0)
-    breaker.ended(False, 0.0, 3.1)
+    breaker.record(False, 0.0, 3.1)
     assert not breaker.allows(5.0) and breaker.allows(5.1)
-    breaker.ended(True, 0.05, 5.2)
-    assert breaker.allows(5.2) and not breaker.open
+    breaker.record(True, 0.05, 5.2)
+    assert breaker.allows(5.2) and not breaker.is_open
 
 
 def test_slowness_opens_the_breaker_and_a_clock_set_back_does_not_keep_it_open():
-    breaker = Breaker(0.1)
-    for _ in range(SLOW):
-        breaker.ended(True, 0.2, 1000.0)
-    assert not breaker.allows(1000.5) and breaker.allows(1000.5 - 2 * LONGEST)
+    breaker = CircuitBreaker(0.1)
+    for _ in range(MAX_CONSECUTIVE_SLOW_CALLS):
+        breaker.record(True, 0.2, 1000.0)
+    assert not breaker.allows(1000.5) and breaker.allows(1000.5 - 2 * MAX_BACKOFF_S)
 
 
 @pytest.mark.parametrize(
@@ -183,35 +192,35 @@
     [(10.0, 1, 0, True), (10.001, 1, 0, False), (9.0, 2, 0, False), (20.0, 2, 3, True), (20.001, 2, 3, False)],
 )
 def test_purges_cover_what_was_made_up_to_them(made, key, group, covered):
-    purged = Purged()
-    purged.told(Purge(1, 0, 10.0, 1, 4))
-    purged.told(Purge(None, 3, 20.0, 2, 5))
-    purged.told(Purge(1, 0, 8.0, 3, 6))  # told late, and older
+    purged = PurgeTable()
+    purged.record(Purge(1, 0, 10.0, 1, 4))
+    purged.record(Purge(None, 3, 20.0, 2, 5))
+    purged.record(Purge(1, 0, 8.0, 3, 6))  # told late, and older
     assert purged.covers(key, group, made) is covered
-    assert purged.number == 6 and purged.objects[1].segment == 3
+    assert purged.last_event_number == 6 and purged.objects[1].segment == 3
 
 
 def test_purges_are_forgotten_only_when_no_older_segment_is_left():
-    purged = Purged()
-    purged.told(Purge(1, 0, 10.0, 5, 1))
+    purged = PurgeTable()
+    purged.record(Purge(1, 0, 10.0, 5, 1))
     assert purged.forget(5, 1000.0) == 0 and purged.forget(6, 20.0) == 0
     assert purged.forget(6, 1000.0) == 1 and not purged.covers(1, 0, 5.0)
 
 
 def test_a_storm_of_purges_costs_copies_and_not_memory():
-    purged = Purged(most=100)
+    purged = PurgeTable(max_purges=100)
     for place in range(1000):
-        purged.told(Purge(place, 0, float(place), 1, place))
-    assert len(purged) <= 102 and purged.number == 999
+        purged.record(Purge(place, 0, float(place), 1, place))
+    assert len(purged) <= 102 and purged.last_event_number == 999
     for place in range(1000):
         assert purged.covers(place, 0, float(place))
     assert not purged.covers(5000, 0, 999.5)
 
 
 def log(*sequences, base=0):
+    kinds = {sequence: LineKind.BASE if sequence == base else LineKind.PURGE for sequence in sequences}
     return [
-        (one, purge_log_recovery.BASE if one == base else purge_log_recovery.PURGE, Purge(one, 0, 10.0 + one, 1, one))
-        for one in sequences
+        PurgeLine(sequence, kind, Purge(sequence, 0, 10.0 + sequence, 1, sequence)) for sequence, kind in kinds.items()
     ]
 
 
@@ -230,10 +239,10 @@
     ],
 )
 def test_what_is_believed_of_a_purge_log(halves, others, believed, sequence):
-    purged, following, whole = purge_log_recovery.purges(halves, others)
-    assert (whole, following) == (believed, sequence)
-    base = max((one for half in halves for one, kind, _ in half if kind == purge_log_recovery.BASE), default=0)
-    assert all(purged.covers(one, 0, purge.stamp) for half in halves for one, _, purge in half if one > base)
+    purged, following, is_complete = recover_purges(halves, has_segments=others)
+    assert (is_complete, following) == (believed, sequence)
+    base = max((one for half in halves for one, kind, _ in half if kind == LineKind.BASE), default=0)
+    assert all(purged.covers(one, 0, purge.timestamp) for half in halves for one, _, purge in half if one > base)
 
 
 @pytest.mark.parametrize(
@@ -241,11 +250,11 @@
     [({}, 3, 90, 0), ({3: 50}, 3, 90, 50), ({3: 50}, 3, 40, 0), ({3: 50}, 2, 90, 90), ({3: 50}, 4, 90, 0)],
 )
 def test_from_where_a_start_reads_a_segment(marks, number, size, start):
-    assert purge_log_recovery.covered(marks, number, size) == start
+    assert scan_start(marks, number, size) == start
 
 
 def test_the_own_link_sends_one_after_the_other_and_each_no_faster_than_a_flow():
-    link = Link(10.0, 40.0)
-    assert link.ends(20, 100.0) == 102.0
-    link.send(400, 100.0)
-    assert link.ends(20, 100.0) == 110.5 and link.ends(20, 200.0) == 202.0
+    link = LinkBandwidth(10.0, 40.0)
+    assert link.transfer_end(20, 100.0) == 102.0
+    link.record_transfer(400, 100.0)
+    assert link.transfer_end(20, 100.0) == 110.5 and link.transfer_end(20, 200.0) == 202.0
--- a/tests/store/test_store_faults.py
+++ b/tests/store/test_store_faults.py
@@ -11,7 +11,9 @@
 from tests.support.faulty_disk import Crash, Disk
 from tests.support.store_world import SEGMENT, World
 from wickhinge.store import file_format
-from wickhinge.store.volume import Unusable, Volume
+from wickhinge.store.errors import UnusableDirectoryError
+from wickhinge.store.purge_log import PurgeLog
+from wickhinge.store.volume import Volume
 
 
 def workload(world):
@@ -30,7 +32,7 @@
             world.noted()
         if turn % 12 == 11:
             world.store.snapshot(world.clock)
-        world.store.turn()
+        world.store.maintain()
     world.lanes.go()
     world.noted()
 
@@ -38,7 +40,7 @@
 def calls():
     world = World()
     workload(world)
-    assert world.store.counted["recycled"] and world.store.counted["moved"] and world.check(world.stamps) > 5
+    assert world.store.tier.counters.recycled and world.store.tier.counters.moved and world.check(world.stamps) > 5
     return world.disk.calls
 
 
@@ -54,7 +56,7 @@
         try:
             workload(world)
             world.check(world.stamps)
-        except (Crash, Unusable):
+        except (Crash, UnusableDirectoryError):
             pass
         world.restart(call, lost)
         served += world.check(world.acknowledged)
@@ -64,9 +66,9 @@
 @pytest.mark.parametrize("planted", ["checksums", "purges"])
 def test_the_sweep_finds_a_planted_fault(monkeypatch, planted):
     if planted == "checksums":
-        monkeypatch.setattr(file_format, "intact", lambda head, body, seed: True)
+        monkeypatch.setattr("wickhinge.store.volume.body_is_intact", lambda header, body, seed: True)
     else:
-        monkeypatch.setattr(Volume, "purge", lambda self, purges: None)
+        monkeypatch.setattr(PurgeLog, "append", lambda self, purges: None)
     with pytest.raises(AssertionError):
         for call in range(1, CALLS + 1):
             world = World(Disk((call, "crash")))
@@ -82,13 +84,17 @@
     world = World()
     workload(world)
     held = {
-        (copy.key, copy.part, copy.made)
-        for parts in world.store.keep.objects.values()
+        (copy.key, copy.part, copy.created)
+        for parts in world.store.tier.admission.objects.values()
         for copy in parts.values()
         if copy.place
     }
     world.restart(1, lost=False)
-    found = {(copy.key, copy.part, copy.made) for parts in world.store.keep.objects.values() for copy in parts.values()}
+    found = {
+        (copy.key, copy.part, copy.created)
+        for parts in world.store.tier.admission.objects.values()
+        for copy in parts.values()
+    }
     assert held <= found and world.check(world.stamps) >= len(held)
 
 
@@ -97,9 +103,13 @@
     workload(world)
     world.store.snapshot(world.clock)
     world.lanes.go()
-    held = {(copy.key, copy.part): copy.made for parts in world.store.keep.objects.values() for copy in parts.values()}
+    held = {
+        (copy.key, copy.part): copy.created
+        for parts in world.store.tier.admission.objects.values()
+        for copy in parts.values()
+    }
     world.restart(3, lost=True)
-    assert {name: world.store.find(*name, 0.0).made for name in held} == held
+    assert {name: world.store.find(*name, 0.0).created for name in held} == held
 
 
 @pytest.mark.parametrize("kind", ["segment", "index", "purges-a", "purges-b", "store.wh"])
@@ -139,12 +149,12 @@
     workload(world)
     for name in halves:
         data = world.disk.nodes[f"d/{name}"].data
-        data[file_format.LINE_SIZE * 2 + 20] ^= 1
+        data[file_format.PURGE_LINE_BYTES * 2 + 20] ^= 1
     world.restart(0, lost=False)
-    assert bool(world.store.keep.count) == (len(halves) == 1)
-    assert ("store_distrusted" in dict(world.log)) == (len(halves) == 2)
+    assert bool(world.store.tier.admission.count) == (len(halves) == 1)
+    assert ("store_copies_discarded" in dict(world.log)) == (len(halves) == 2)
     world.restart(0, lost=False)  # what was not believed is gone for good, not believed the next time
-    assert bool(world.store.keep.count) == (len(halves) == 1)
+    assert bool(world.store.tier.admission.count) == (len(halves) == 1)
 
 
 def test_a_purge_told_and_then_nothing_but_a_kill():
@@ -163,19 +173,19 @@
 def test_a_newer_format_a_second_router_and_a_disk_that_can_only_be_read(tmp_path):
     world = World()
     world.start()
-    with pytest.raises(Unusable, match="in use"):
+    with pytest.raises(UnusableDirectoryError, match="in use"):
         Volume(world.disk, "d", SEGMENT).open()
-    data = file_format.IDENTITY.pack(file_format.IDENTITY_MAGIC, file_format.VERSION + 1, bytes(16))
+    data = file_format.IDENTITY.pack(file_format.IDENTITY_MAGIC, file_format.FORMAT_VERSION + 1, bytes(16))
     newer = Disk()
     newer.open("d/store.wh", create=True)
-    newer.nodes["d/store.wh"].data[:] = data + file_format.SUM.pack(file_format.xxh3_64_intdigest(data))
+    newer.nodes["d/store.wh"].data[:] = data + file_format.CHECKSUM.pack(file_format.xxh3_64_intdigest(data))
     newer.open("d/segment-0000000001.wh", create=True)
-    with pytest.raises(Unusable, match="format 2"):
+    with pytest.raises(UnusableDirectoryError, match="format 2"):
         Volume(newer, "d", SEGMENT).open()
     assert "d/segment-0000000001.wh" in newer.nodes
     readable = Disk()
     readable.stuck = errno.EROFS
-    with pytest.raises(Unusable, match="can't be used"):
+    with pytest.raises(UnusableDirectoryError, match="can't be used"):
         Volume(readable, "d", SEGMENT).open()
 
 
@@ -188,7 +198,7 @@
         self.world.start()
         self.number = 0
 
-    @rule(key=st.integers(0, 6), part=st.integers(0, 3), size=st.integers(1, 3 * file_format.CHUNK // 16))
+    @rule(key=st.integers(0, 6), part=st.integers(0, 3), size=st.integers(1, 3 * file_format.CHUNK_BYTES // 16))
     def offer(self, key, part, size):
         self.world.offer(key, part, size, key % 2)
 
@@ -209,7 +219,7 @@
 
     @rule()
     def turn(self):
-        self.world.store.turn()
+        self.world.store.maintain()
 
     @rule()
     def snapshot(self):
@@ -218,8 +228,8 @@
     @rule(key=st.integers(0, 6), part=st.integers(0, 3))
     def renew(self, key, part):
         copy = self.world.store.find(key, part, self.world.clock)
-        if copy is not None and not copy.proven:
-            self.world.store.renewed(copy, copy.made)
+        if copy is not None and not copy.age_verified:
+            self.world.store.revalidate(copy, copy.created)
 
     @rule(seed=st.integers(0, 99), lost=st.booleans())
     def die(self, seed, lost):
@@ -232,12 +242,16 @@
         if hasattr(self, "world"):
             self.world.check(self.world.stamps)
             store = self.world.store
-            assert store.keep.used <= store.keep.room and store.memory.used <= max(store.memory.room, 0)
-            assert store.keep.used == sum(c.size for p in store.keep.objects.values() for c in p.values())
-            assert set(store.bodies) == {c for p in store.memory.objects.values() for c in p.values()}
-            assert set(store.keep.ks) == set(store.keep.objects)
-            for one in store.space.segments.values():
-                assert 0 <= one.live <= one.size and one.pins >= 0
+            assert store.tier.admission.used <= store.tier.admission.capacity and store.tier.memory.used <= max(
+                store.tier.memory.capacity, 0
+            )
+            assert store.tier.admission.used == sum(
+                c.size for p in store.tier.admission.objects.values() for c in p.values()
+            )
+            assert set(store.tier.bodies) == {c for p in store.tier.memory.objects.values() for c in p.values()}
+            assert set(store.tier.admission.frequencies) == set(store.tier.admission.objects)
+            for one in store.tier.space.segments.values():
+                assert 0 <= one.live_bytes <= one.size and one.pins >= 0
 
 
 Machine.TestCase.settings = bounds(
--- a/tests/store/test_stored_formats.py
+++ b/tests/store/test_stored_formats.py
@@ -12,9 +12,12 @@
 
 from tests.support.faulty_disk import Lanes
 from wickhinge.store import file_format, maintenance
+from wickhinge.store.copies import Copy
 from wickhinge.store.files import Files
+from wickhinge.store.purge_log import FILE_NAMES
 from wickhinge.store.store import Store
-from wickhinge.store.volume import HALVES, Volume
+from wickhinge.store.tier import Runtime, StoreLimits
+from wickhinge.store.volume import Volume
 
 DATA = Path(__file__).parent.parent / "data" / "store" / "format-1"
 NOW = 1_700_000_100.0
@@ -41,25 +44,21 @@
 
 def recovered_store(directory):
     lanes = Lanes()
-    volume = Volume(Files(), directory, 16384, True)
-    store = Store(
-        volume,
-        lanes,
-        lambda: NOW,
-        lambda *_: None,
-        lambda *_, **__: None,
-        8 * 65536,
-        16384,
-        0,
-        1024,
-        1 << 20,
-        1e9,
-        0.1,
-        16,
-        1e9,
-        3.0,
-        True,
+    volume = Volume(Files(), directory, 16384, events_continue=True)
+    limits = StoreLimits(
+        disk_bytes=8 * 65536,
+        segment_bytes=16384,
+        memory_bytes=0,
+        counted_objects=1024,
+        queued_write_bytes=1 << 20,
+        write_bytes_per_s=1e9,
+        slow_read_s=0.1,
+        concurrent_reads=16,
+        snapshot_interval_s=1e9,
+        quiet_s=3.0,
+        events_continue=True,
     )
+    store = Store(volume, Runtime(lanes, lambda: NOW, lambda *_: None, lambda *_, **__: None), limits)
     store.start()
     lanes.go()
     return store, lanes
@@ -69,22 +68,22 @@
     store, lanes = recovered_store(directory)
     for (key, part), (group, tag, made, size) in COPIES.items():
         copy = store.find(key, part, NOW)
-        assert (copy.group, copy.tag, copy.made, copy.size) == (group, tag, made, size)
+        assert (copy.group, copy.etag, copy.created, copy.size) == (group, tag, made, size)
         read = []
         store.read(copy, lambda data, _from_memory, read=read: read.append(data))
         lanes.go()
         assert read == [body_of(key, part, size)]
     for key, part in PURGED:
         assert store.find(key, part, NOW) is None
-    assert store.keep.count == len(COPIES)
-    assert store.purged.number == 13 and store.counted["recovered"] >= len(COPIES)
+    assert store.tier.admission.count == len(COPIES)
+    assert store.last_event_number == 13 and store.tier.counters.recovered >= len(COPIES)
     store.close()
 
 
 def test_tools_when_written_by_format_1_count_copies_purges_and_no_damage(directory):
-    volume = maintenance.opened(directory)
-    assert {name: (c.group, c.tag, c.made, c.size) for name, c in maintenance.live(volume).items()} == COPIES
-    assert len(volume.purged) == 4 and volume.purged.number == 13 and not volume.distrusted
+    volume = maintenance.open_volume(directory)
+    assert {name: (c.group, c.etag, c.created, c.size) for name, c in maintenance.live_copies(volume).items()} == COPIES
+    assert len(volume.purges) == 4 and volume.purges.last_event_number == 13 and not volume.distrusted
     stat = maintenance.stat(volume)
     assert (stat["format"], stat["segments"], stat["copies"], stat["purges"]) == (1, 2, len(COPIES), 4)
     assert (stat["journal_number"], stat["snapshots"], stat["believed"]) == (13, 1, True)
@@ -94,35 +93,37 @@
 
 
 def test_records_when_written_again_are_the_same_bytes(directory):
-    volume = maintenance.opened(directory)
+    volume = maintenance.open_volume(directory)
     count = 0
-    for number in volume.sizes:
+    for number in volume.initial_sizes:
         segment = (DATA / f"segment-{number:010d}.wh").read_bytes()
-        seed = file_format.seed(volume.mark, number)
-        for head, offset in volume.heads(number, 0, True):
-            body = segment[offset + head.length : offset + head.length + head.size]
+        seed = file_format.checksum_seed(volume.store_id, number)
+        for head, place in volume.scan(number, 0, verify_bodies=True):
+            body = segment[place.offset + head.header_bytes : place.offset + head.header_bytes + head.size]
             assert body == body_of(head.key, head.part, head.size)
-            record = file_format.record(head.key, head.part, head.group, head.tag, head.made, head.serial, body, seed)
-            assert record == segment[offset : offset + head.whole]
+            copy = Copy(head.key, head.part, head.group, head.etag, head.created, head.size, head.serial)
+            record = file_format.encode_record(copy, body, seed)
+            assert record == segment[place.offset : place.offset + place.length]
             count += 1
-    assert count == 9 and file_format.identity(volume.mark) == (DATA / "store.wh").read_bytes()
+    assert count == 9 and file_format.encode_identity(volume.store_id) == (DATA / "store.wh").read_bytes()
     volume.close()
 
 
 def test_purge_log_when_written_again_is_the_same_bytes():
-    for name in HALVES:
+    for name in FILE_NAMES:
         data = (DATA / name).read_bytes()
-        lines = file_format.lines(data)
+        lines = file_format.decode_purge_lines(data)
         assert [kind for _, kind, _ in lines] == [0, 1, 1, 1]
-        assert b"".join(file_format.line(*line) for line in lines) == data
+        assert b"".join(file_format.encode_purge_line(line) for line in lines) == data
 
 
 def test_snapshot_when_written_again_is_the_same_bytes(directory):
     (name,) = (path.name for path in DATA.glob("index-*.wh"))
-    volume = maintenance.opened(directory)
-    blocks = volume.proven(name)
-    assert blocks[0]["marks"] == [[1, 45312], [2, 704]] and blocks[0]["serial"] == 5
-    assert [len(rows) for _, _, rows in blocks[1]] == [1, 1, 1, 2]
-    written = file_format.snapshot_head(volume.mark) + b"".join(map(file_format.block, [*blocks, "end"]))
+    volume = maintenance.open_volume(directory)
+    snapshot = volume.snapshots.read(name, volume.store_id)
+    assert snapshot.meta.marks == [(1, 45312), (2, 704)] and snapshot.meta.serial == 5
+    assert [len(row.copies) for row in snapshot.batches[0]] == [1, 1, 1, 2]
+    blocks = [snapshot.meta, *snapshot.batches, file_format.SNAPSHOT_END]
+    written = file_format.encode_snapshot_header(volume.store_id) + b"".join(map(file_format.encode_block, blocks))
     assert written == (DATA / name).read_bytes()
     volume.close()
--- a/tests/support/faulty_disk.py
+++ b/tests/support/faulty_disk.py
@@ -138,7 +138,7 @@
     def run(self, lane, work, then):
         self.queue.append((lane, work, then))
 
-    def each(self, lane, work, part, then):
+    def run_streaming(self, lane, work, part, then):
         self.run(lane, lambda: work(part), then)
 
     def step(self):
--- a/tests/support/store_world.py
+++ b/tests/support/store_world.py
@@ -4,7 +4,9 @@
 
 from tests.support.faulty_disk import Disk, Lanes
 from wickhinge.store.store import Store
+from wickhinge.store.tier import Runtime, StoreLimits
 from wickhinge.store.volume import Volume
+from wickhinge.store.writing import CopyOffer
 
 SEGMENT = 16384
 
@@ -16,32 +18,33 @@
         self.disk, self.clock = disk or Disk(), 1000.0
         self.bodies, self.stamps, self.acknowledged, self.log = {}, [], [], []
         self.continues, self.memory, self.chance = continues, memory, chance
+        self.read_clock = lambda: self.clock
 
     def now(self):
-        return self.clock
+        return self.read_clock()
 
     def start(self):
         self.lanes = Lanes(self.chance)
-        volume = Volume(self.disk, "d", SEGMENT, self.continues)
-        volume.fresh = lambda: b"0123456789abcdef"
-        self.store = Store(
-            volume,
-            self.lanes,
-            self.now,
-            lambda *_: None,
-            lambda e, **f: self.log.append((e, f)),
-            8 * SEGMENT,
-            SEGMENT,
-            self.memory,
-            1024,
-            1 << 20,
-            1e9,
-            0.1,
-            16,
-            1e9,
-            3.0,
-            self.continues,
+        volume = Volume(
+            self.disk, "d", SEGMENT, events_continue=self.continues, new_store_id=lambda: b"0123456789abcdef"
         )
+        limits = StoreLimits(
+            disk_bytes=8 * SEGMENT,
+            segment_bytes=SEGMENT,
+            memory_bytes=self.memory,
+            counted_objects=1024,
+            queued_write_bytes=1 << 20,
+            write_bytes_per_s=1e9,
+            slow_read_s=0.1,
+            concurrent_reads=16,
+            snapshot_interval_s=1e9,
+            quiet_s=3.0,
+            events_continue=self.continues,
+        )
+        runtime = Runtime(
+            self.lanes, self.now, lambda *_: None, lambda event, **fields: self.log.append((event, fields))
+        )
+        self.store = Store(volume, runtime, limits)
         self.store.start()
 
     def restart(self, seed, lost):
@@ -54,12 +57,13 @@
         self.clock = round(self.clock + 0.01, 3)
         store = self.store
         for _ in range(3):
-            store.visit(key, 0)
+            store.record_request(key, 0)
         body = random.Random(key * 1000 + part + self.clock).randbytes(size)
         tag = f"{key}-{part}-{self.clock:.3f}".encode()
-        if store.wants(key, part, group, tag, self.clock, size, self.clock):
+        offer = CopyOffer(key, part, group, tag, self.clock, size)
+        if store.admit(offer, self.clock):
             self.bodies[key, part, round(self.clock, 3)] = body
-            store.take(key, part, group, tag, self.clock, body)
+            store.write(offer, body)
 
     def purge(self, key, group=0, number=0):
         self.clock = round(self.clock + 0.01, 3)
@@ -68,7 +72,7 @@
 
     def noted(self):
         """What of the purges counts as taken."""
-        left = len(self.store.unlogged)
+        left = len(self.store.purging.pending)
         self.acknowledged = self.stamps[: len(self.stamps) - left] if left else list(self.stamps)
 
     def read(self, copy):
@@ -81,14 +85,14 @@
     def check(self, purges):
         """Every copy found: its bytes are those given under its age, and no purge covers it. How many were read."""
         served = 0
-        for key, parts in list(self.store.keep.objects.items()):
+        for key, parts in list(self.store.tier.admission.objects.items()):
             for part in list(parts):
                 copy = self.store.find(key, part, self.clock)
                 data = self.read(copy) if copy is not None else None
                 if data is None:
                     continue
                 served += 1
-                assert data == self.bodies[key, part, round(copy.made, 3)]
+                assert data == self.bodies[key, part, round(copy.created, 3)]
                 for name, group, stamp in purges:
-                    assert copy.made > stamp or (copy.key != name if name is not None else copy.group != group)
+                    assert copy.created > stamp or (copy.key != name if name is not None else copy.group != group)
         return served
--- a/wickhinge/cli/commands.py
+++ b/wickhinge/cli/commands.py
@@ -106,11 +106,11 @@
 
 def opened(path: str, write: bool = False) -> Any:
     from wickhinge.store import maintenance
-    from wickhinge.store.volume import Unusable
+    from wickhinge.store.errors import UnusableDirectoryError
 
     try:
-        return maintenance.opened(path, write)
-    except Unusable as problem:
+        return maintenance.open_volume(path, write=write)
+    except UnusableDirectoryError as problem:
         fail(str(problem))
 
 
@@ -133,7 +133,7 @@
 
     from wickhinge.store import maintenance
 
-    for row in islice(maintenance.listed(opened(dir), hexadecimal(key)), limit):
+    for row in islice(maintenance.list_copies(opened(dir), hexadecimal(key)), limit):
         if as_json:
             click.echo(orjson.dumps(row).decode())
         else:
--- /dev/null
+++ b/wickhinge/common/__init__.py
@@ -0,0 +1,1 @@
+"""Small building blocks that every other package may use; this package imports none of them."""
--- a/wickhinge/net/copies.py
+++ b/wickhinge/net/copies.py
@@ -10,11 +10,15 @@
 from wickhinge.net.buffers import Body, Pool
 from wickhinge.net.deadlines import Deadlines
 from wickhinge.net.slots import Slots
-from wickhinge.store.bandwidth import Link
+from wickhinge.store.bandwidth import LinkBandwidth
 from wickhinge.store.store import Store
 from wickhinge.store.store import make as make_store
+from wickhinge.store.tier import Runtime
+from wickhinge.store.workers import Workers
+from wickhinge.store.writing import CopyOffer
 
 TOLD = 0.05  # of a copy's bytes: what telling a client that its own is the one costs
+MAX_READ_THREADS = 8
 
 
 class Copies:
@@ -25,28 +29,33 @@
         store: Store,
         deadlines: Deadlines,
         pool: Pool,
-        link: Link,
+        link: LinkBandwidth,
         within: float,
         fault: Callable[[str], None],
         others: OthersTime,
     ) -> None:
         self.store, self.deadlines, self.pool, self.link, self.within = store, deadlines, pool, link, within
         self.fault, self.others = fault, others
-        self.visit, self.find, self.proven, self.held = store.visit, store.find, store.proven, store.held
+        self.visit, self.find, self.proven, self.held = (
+            store.record_request,
+            store.find,
+            store.is_current,
+            store.is_valid,
+        )
         self.slots = Slots()
         self.served = {"memory": 0, "disk": 0, "told": 0, "late": 0}
 
     def age(self, copy: Any, now: float) -> float:
-        return now - self.others.earliest(copy.made, now)
+        return now - self.others.earliest(copy.created, now)
 
     def ends(self, copy: Any, now: float) -> float:
-        return self.link.ends(copy.size, now)
+        return self.link.transfer_end(copy.size, now)
 
     # Answers out of copies.
 
     def read(self, door: Any, copy: Any) -> None:
         number = self.slots.put((door, copy))
-        if door.cached and door.cached.encode() == copy.tag:
+        if door.cached and door.cached.encode() == copy.etag:
             self.deadlines.soon(self.ended, number, True, "told")
             return
         self.deadlines.after(self.within, self.ended, number, None, "late")
@@ -67,7 +76,7 @@
         try:
             if door.visit.read(copy, data is not None, now):
                 self.served[how] += 1
-                self.link.send(int(copy.size * TOLD) if data is True else copy.size, now)
+                self.link.record_transfer(int(copy.size * TOLD) if data is True else copy.size, now)
                 door.serve(None if data is True else Body(self.pool, data), data is True)
         except Exception:
             self.fault("copies")
@@ -83,14 +92,15 @@
             return
         tag = told.get("etag", "").encode()
         key, part, now = visit.item.key, visit.part, self.deadlines.now()
-        if self.store.wants(key, part, visit.group, tag, int(made) / 1000.0, body.length, now):
-            self.store.take(key, part, visit.group, tag, int(made) / 1000.0, b"".join(body.views()))
+        offer = CopyOffer(key, part, visit.group, tag, int(made) / 1000.0, body.length)
+        if self.store.admit(offer, now):
+            self.store.write(offer, b"".join(body.views()))
 
     def renewed(self, copy: Any, told: dict[str, str]) -> None:
         """A cache answered that ours is the one."""
         made = told.get("made", "")
         if made.isdigit() and len(made) <= 16:
-            self.store.renewed(copy, int(made) / 1000.0)
+            self.store.revalidate(copy, int(made) / 1000.0)
 
     def figures(self) -> dict[str, Any]:
         return {**self.store.figures(), "served": self.served}
@@ -106,7 +116,8 @@
     fault: Callable[[str], None],
     others: OthersTime,
 ) -> Copies | None:
-    store = make_store(options.store, options.journal, reactor, deadlines.now, deadlines.after, log, fault)
+    workers = Workers(reactor, min(options.store.reads_at_once, MAX_READ_THREADS), fault)
+    store = make_store(options.store, options.journal, Runtime(workers, deadlines.now, deadlines.after, log))
     if store is None:
         return None
-    return Copies(store, deadlines, pool, Link(*link), options.store.read_within_s, fault, others)
+    return Copies(store, deadlines, pool, LinkBandwidth(*link), options.store.read_within_s, fault, others)
--- a/wickhinge/net/forwards.py
+++ b/wickhinge/net/forwards.py
@@ -83,7 +83,7 @@
             fields += f",have={door.cached}"
         elif forward.visit.copy is not None:
             sent.offered = forward.visit.copy
-            fields += f",have={sent.offered.tag.decode()}"
+            fields += f",have={sent.offered.etag.decode()}"
         sent.fields = fields
         return self.put(sent, door.rid, patience)
 
--- a/wickhinge/net/members.py
+++ b/wickhinge/net/members.py
@@ -19,7 +19,7 @@
 from wickhinge.membership.statements import LIVE, STATIC, Statement
 from wickhinge.options import keys
 from wickhinge.store.files import Files
-from wickhinge.store.workers import Workers
+from wickhinge.store.workers import Lane, Workers
 
 TURN = 0.1
 FAILED = (Outcome.UNREACHED, Outcome.TIMED_OUT)
@@ -157,7 +157,7 @@
         if memory is None:
             return
         self.saving, self.saved = True, now
-        self.workers.run("write", lambda: self.keeper.write(memory), self.written)
+        self.workers.run(Lane.WRITE, lambda: self.keeper.write(memory), self.written)
 
     def written(self, _: Any, problem: BaseException | None) -> None:
         self.saving = False
--- a/wickhinge/net/router.py
+++ b/wickhinge/net/router.py
@@ -124,7 +124,7 @@
             self.members.follow(self.journal, options)
         self.purges_resumed = False  # all since the number of the store's purge log is told
         if self.copies is not None and options.journal.continues:
-            number = self.copies.store.purged.number
+            number = self.copies.store.last_event_number
             self.journal.remembered(number)
             self.purges_resumed = 0 < self.journal.last <= number
         self.listen = config.listen(conf)
--- a/wickhinge/store/__init__.py
+++ b/wickhinge/store/__init__.py
@@ -1,9 +1,14 @@
-"""Copies of our own: a memory tier over a tier on disk, for installations whose disk lasts.
+"""Copies of the router's own: a memory tier over a tier on disk, for installations whose disk lasts.
 
 Entered by `store.Store`, which net/copies.py makes where the settings say `store.mode: "on"`, and asked by
-`decide` through it. It never decides that a copy answers a visit (decide.Visit.own does), never waits for a disk in
-the reactor's thread, and never speaks to a network.
+`decide` through it. It never decides that a copy answers a request (`decide` does), never waits for a disk in the
+reactor's thread, and never uses the network.
 
-Deciding, without I/O: counts, keep, space, pace, breaker, purged, believe. Speaking: format. Doing: files, volume,
-workers, store.
+- Decisions, without I/O: admission, frequency, segments, write_rate_limiter, circuit_breaker, purges,
+  purge_log_recovery, bandwidth.
+- Bytes: file_format.
+- Files, on worker threads: files, purge_log, snapshots, volume.
+- In the reactor's thread: store, and its parts lookup, writing, purging, compaction, snapshotting and recovery, which
+  share the state in tier; workers runs their file calls.
+- maintenance is what the command line does with a directory.
 """
--- a/wickhinge/store/admission.py
+++ b/wickhinge/store/admission.py
@@ -1,82 +1,75 @@
-"""What is kept and what goes: gLRU of the paper (section III-B), for a tier whose evictions are seen.
+"""Admission and eviction: gLRU of the paper (section III-B), for a tier whose evictions are seen.
 
-An object asked for keeps one part more than it did, k of them, and moves to the front; when room is wanted, the
-object at the back loses its tail part, and its k falls to what is left. Only the count is the paper's; its one-off
-objects, which fill a tier with first parts, are held off: what was not wanted before is not stored.
+An object that is requested may store one part more than before, as many as its frequency, and moves to the front;
+when capacity runs out, the object at the back loses its tail part, and its frequency falls to what is left. Only the
+count is the paper's; one-off objects, which fill a tier with first parts, are kept out by a minimum of requests.
 """
 
 from __future__ import annotations
 
 from collections import OrderedDict
 
-from wickhinge.store.frequency import MOST, Counts
+from wickhinge.store.copies import Copy
+from wickhinge.store.frequency import MAX_FREQUENCY, FrequencyTable
 
-WANTED = 2  # visits of part 0 before anything of an object is stored
+MIN_REQUESTS = 2  # of part 0 before anything of an object is stored
 
 
-class Copy:
-    """One stored part. place: (segment, offset, length), None until it is written."""
+class TailEviction:
+    """Objects by last use, each with its parts; past the capacity the last object loses its tail part.
 
-    __slots__ = ("key", "part", "group", "tag", "made", "size", "serial", "place", "body", "proven")
+    Attributes:
+        capacity: Bytes of all bodies.
+        used: Bytes of all bodies that are in it.
+        count: Copies that are in it.
+        objects: The copies by object and part, the object used last at the end.
+    """
 
-    def __init__(
-        self,
-        key: int,
-        part: int,
-        group: int,
-        tag: bytes,
-        made: float,
-        size: int,
-        serial: int,
-        place: tuple[int, int, int] | None = None,
-        proven: bool = True,
-    ) -> None:
-        self.key, self.part, self.group, self.tag = key, part, group, tag
-        self.made = made  # seconds, when the origin gave it out
-        self.size, self.serial, self.place, self.proven = size, serial, place, proven
-        self.body: bytes | None = None  # while it waits to be written
-
-
-class Tails:
-    """Objects by last use, each with its parts; past its room, in bytes, the last object loses its tail part."""
-
-    def __init__(self, room: int) -> None:
-        self.room, self.used, self.count = room, 0, 0
+    def __init__(self, capacity: int) -> None:
+        self.capacity = capacity
+        self.used = 0
+        self.count = 0
         self.objects: OrderedDict[int, dict[int, Copy]] = OrderedDict()
 
     def find(self, key: int, part: int) -> Copy | None:
+        """The copy of a part, if there is one. This is no use of the object; see `touch`."""
         parts = self.objects.get(key)
         return parts.get(part) if parts else None
 
     def touch(self, key: int) -> None:
+        """Record a use of the object."""
         if key in self.objects:
             self.objects.move_to_end(key)
 
-    def put(self, copy: Copy, front: bool = True) -> list[Copy]:
-        """What had to go, the one that it replaces among it. front: False for what was recovered, whose last use
-        is not known.
+    def add(self, copy: Copy, *, used_now: bool = True) -> list[Copy]:
+        """Add a copy and return those that had to go, with the one that it replaces among them.
+
+        Args:
+            copy: What to add; may be among the evicted itself.
+            used_now: False for a recovered copy, whose last use is not known.
         """
-        old = self.find(copy.key, copy.part)
-        gone = [old] if old is not None else []
-        for one in gone:
-            self.drop(one)
+        replaced = self.find(copy.key, copy.part)
+        removed = []
+        if replaced is not None:
+            self.remove(replaced)
+            removed.append(replaced)
         if copy.key not in self.objects:
             self.objects[copy.key] = {}
-            self.objects.move_to_end(copy.key, last=front)
-        elif front:
+            self.objects.move_to_end(copy.key, last=used_now)
+        elif used_now:
             self.objects.move_to_end(copy.key)
         self.objects[copy.key][copy.part] = copy
         self.used += copy.size
         self.count += 1
-        while self.used > self.room:
-            key, parts = next(iter(self.objects.items()))
+        while self.used > self.capacity:
+            parts = next(iter(self.objects.values()))
             tail = parts[max(parts)]
-            self.drop(tail)
-            gone.append(tail)
-        return gone
+            self.remove(tail)
+            removed.append(tail)
+        return removed
 
-    def drop(self, copy: Copy) -> bool:
-        """False where it is not the one that is held."""
+    def remove(self, copy: Copy) -> bool:
+        """Remove a copy; False where it is not in here."""
         parts = self.objects.get(copy.key)
         if parts is None or parts.get(copy.part) is not copy:
             return False
@@ -88,68 +81,81 @@
         return True
 
 
-class Keep(Tails):
-    """The disk tier's choice, by k."""
+class AdmissionPolicy(TailEviction):
+    """What the disk tier stores, by the frequency of requests.
+
+    Attributes:
+        frequencies: Of stored objects.
+        unstored_frequencies: Of all others.
+    """
 
-    def __init__(self, room: int, counts: Counts) -> None:
-        super().__init__(room)
-        self.counts = counts
-        self.ks: dict[int, int] = {}  # of stored objects; of all others counts knows
+    def __init__(self, capacity: int, unstored_frequencies: FrequencyTable) -> None:
+        super().__init__(capacity)
+        self.unstored_frequencies = unstored_frequencies
+        self.frequencies: dict[int, int] = {}
 
-    def k(self, key: int) -> int:
-        return self.ks.get(key) or self.counts.get(key)
+    def frequency(self, key: int) -> int:
+        """How many parts of the object are worth storing."""
+        return self.frequencies.get(key) or self.unstored_frequencies.get(key)
 
-    def visit(self, key: int, part: int) -> None:
-        """Any part's visit is a use; that of part 0 raises k."""
+    def record_request(self, key: int, part: int) -> None:
+        """Count a request: of any part it is a use of the object, of part 0 it raises the frequency."""
         self.touch(key)
         if part == 0:
-            self.set(key, min(self.k(key) + 1, MOST))
+            self._set_frequency(key, min(self.frequency(key) + 1, MAX_FREQUENCY))
 
-    def set(self, key: int, k: int) -> None:
-        if key in self.objects:
-            self.ks[key] = k
-        else:
-            self.ks.pop(key, None)
-            self.counts.put(key, k)
-
-    def wants(self, key: int, part: int, size: int) -> bool:
-        k = self.k(key)
-        return part < k and k >= WANTED and 0 < size <= self.room // 4
+    def admits(self, key: int, part: int, size: int) -> bool:
+        """Whether a copy of so many bytes is worth storing."""
+        frequency = self.frequency(key)
+        return part < frequency and frequency >= MIN_REQUESTS and 0 < size <= self.capacity // 4
 
-    def put(self, copy: Copy, front: bool = True) -> list[Copy]:
-        k = self.k(copy.key)
-        gone = super().put(copy, front)
+    def add(self, copy: Copy, *, used_now: bool = True) -> list[Copy]:
+        """As TailEviction.add; the frequency of an object that lost its tail falls to what is left."""
+        frequency = self.frequency(copy.key)
+        removed = super().add(copy, used_now=used_now)
         if copy.key in self.objects:
-            self.ks.setdefault(copy.key, max(k, 1))
-        for one in gone:
-            if one.part != copy.part or one.key != copy.key or self.find(copy.key, copy.part) is not copy:
-                self.fell(one)
-        return gone
-
-    def fell(self, copy: Copy) -> None:
-        """Its tail was dropped: k is what is left. At least 1, for it was wanted before."""
-        k = min(self.k(copy.key), max(copy.part, 1))
-        self.ks.pop(copy.key, None)
-        self.set(copy.key, k)
-
-    def drop(self, copy: Copy) -> bool:
-        """Taken out for another reason than room (purged, damaged, not written): k stays."""
-        k = self.ks.get(copy.key)
-        held = super().drop(copy)
-        if held and copy.key not in self.objects:
-            self.ks.pop(copy.key, None)
-            self.counts.put(copy.key, max(k or 1, 1))
-        return held
-
-    def recovered(self, copy: Copy, k: int) -> list[Copy]:
-        """What a start found on disk. Of two copies of a part the newer made counts, then the later written; one of
-        this run is never replaced. Returns what goes instead, the new one itself where it is not believed.
+            self.frequencies.setdefault(copy.key, max(frequency, 1))
+        for other in removed:
+            was_replaced = (other.key, other.part) == (copy.key, copy.part) and self.find(copy.key, copy.part) is copy
+            if not was_replaced:
+                self._lower_frequency(other)
+        return removed
+
+    def add_recovered(self, copy: Copy, frequency: int) -> list[Copy]:
+        """Add what a start found on disk and return what goes instead: the copy itself where it is not accepted.
+
+        Of two copies of a part the later created wins, then the later written. A copy of this run is never replaced
+        and never evicted for one that was recovered.
         """
-        old = self.find(copy.key, copy.part)
-        if old is not None and (old.proven or (old.made, old.serial) >= (copy.made, copy.serial)):
+        present = self.find(copy.key, copy.part)
+        if present is not None:
+            present_wins = (present.created, present.serial) >= (copy.created, copy.serial)
+            if present.age_verified or present_wins:
+                return [copy]
+        elif self.used + copy.size > self.capacity:
             return [copy]
-        if old is None and self.used + copy.size > self.room:
-            return [copy]  # what this run keeps goes before what an earlier one did
-        gone = self.put(copy, front=False)
-        self.set(copy.key, max(self.k(copy.key), k, copy.part + 1))
-        return gone
+        removed = self.add(copy, used_now=False)
+        self._set_frequency(copy.key, max(self.frequency(copy.key), frequency, copy.part + 1))
+        return removed
+
+    def remove(self, copy: Copy) -> bool:
+        """Remove a copy for another reason than capacity (purged, damaged, not written): its frequency stays."""
+        frequency = self.frequencies.get(copy.key)
+        removed = super().remove(copy)
+        if removed and copy.key not in self.objects:
+            self.frequencies.pop(copy.key, None)
+            self.unstored_frequencies.put(copy.key, max(frequency or 1, 1))
+        return removed
+
+    def _set_frequency(self, key: int, frequency: int) -> None:
+        if key in self.objects:
+            self.frequencies[key] = frequency
+        else:
+            self.frequencies.pop(key, None)
+            self.unstored_frequencies.put(key, frequency)
+
+    def _lower_frequency(self, evicted: Copy) -> None:
+        """To the parts that are left; at least 1, for the object was requested before."""
+        frequency = min(self.frequency(evicted.key), max(evicted.part, 1))
+        self.frequencies.pop(evicted.key, None)
+        self._set_frequency(evicted.key, frequency)
--- /dev/null
+++ b/wickhinge/store/errors.py
@@ -0,0 +1,53 @@
+"""What can be wrong with a directory or a stored copy."""
+
+from __future__ import annotations
+
+
+class StoreError(Exception):
+    """Base of all errors of this package."""
+
+
+class UnusableDirectoryError(StoreError):
+    """The directory cannot hold a disk tier.
+
+    Attributes:
+        path: The directory.
+        reason: Why, for the operator.
+    """
+
+    def __init__(self, path: str, reason: str) -> None:
+        super().__init__(f"{path} {reason}")
+        self.path = path
+        self.reason = reason
+
+
+class NewerFormatError(StoreError):
+    """The files were written by a later release.
+
+    Attributes:
+        version: The format version found.
+        supported: The latest version that this release reads.
+    """
+
+    def __init__(self, version: int, supported: int) -> None:
+        super().__init__(f"has format {version}; this program reads {supported}")
+        self.version = version
+        self.supported = supported
+
+
+class DamagedCopyError(StoreError):
+    """The bytes at a copy's place are not those that were written there.
+
+    Attributes:
+        key: The object.
+        part: Its part.
+        segment: The number of the segment.
+        offset: Where in it the record was expected.
+    """
+
+    def __init__(self, expected: str, key: int, part: int, segment: int, offset: int) -> None:
+        super().__init__(f"expected {expected} of object {key:016x} part {part} in segment {segment} at {offset}")
+        self.key = key
+        self.part = part
+        self.segment = segment
+        self.offset = offset
--- a/wickhinge/store/frequency.py
+++ b/wickhinge/store/frequency.py
@@ -1,8 +1,8 @@
-"""The count k of objects that are not stored, for far more objects than are: four bytes each.
+"""The request frequency of objects that are not stored, for far more objects than are: four bytes each.
 
-A set-associative table: the object's hash names a bucket of eight places, and sixteen more of its bits are its
-fingerprint there. A place holds fingerprint, age and k. Two objects of one bucket and fingerprint are taken for one,
-which happens to one in 2^16 / 8 strangers; the loss is a copy kept early or late, never a wrong answer.
+A set-associative table: the object's hash names a bucket of eight entries, and sixteen more of its bits are its
+fingerprint there. An entry holds fingerprint, age and frequency. Two objects of one bucket and fingerprint are taken
+for one, which happens to one in 2^16 / 8 objects; the cost is a copy stored early or late, never a wrong answer.
 """
 
 from __future__ import annotations
@@ -11,64 +11,79 @@
 
 from xxhash import xxh3_64_intdigest
 
-WAYS = 8
-AGE = 4
-MOST = 255  # of k; objects hold fewer parts
+ENTRIES_PER_BUCKET = 8
+CALLS_PER_ENTRY_AND_AGE = 4
+MAX_FREQUENCY = 255  # an object has fewer parts
 
 
-class Counts:
-    """k fades by half in each age in which the object is not asked for; an age is AGE calls a place."""
+class FrequencyTable:
+    """Frequencies that halve with each age in which the object is not requested.
 
-    def __init__(self, objects: int) -> None:
-        self.buckets = 1 << max((objects // WAYS - 1).bit_length(), 1)
-        self.places = array("I", bytes(4 * WAYS * self.buckets))  # fingerprint:16 age:8 k:8; 0: nobody's
-        self.calls = self.age = 0
-        self.pushed_out = 0
+    An age is CALLS_PER_ENTRY_AND_AGE calls of `put` for each entry of the table.
 
-    def place(self, key: int) -> tuple[int, int]:
-        word = xxh3_64_intdigest(key.to_bytes(8, "big"))
-        return (word & self.buckets - 1) * WAYS, (word >> 48) or 1
+    Attributes:
+        entries: fingerprint:16 age:8 frequency:8 each; 0 for an empty one.
+        evicted_count: Frequencies above zero that were pushed out of a full bucket.
+    """
 
-    def faded(self, word: int) -> int:
-        return (word & 255) >> (self.age - (word >> 8) & 255)
+    def __init__(self, objects: int) -> None:
+        """Make room for so many objects, rounded up to a power of two of buckets."""
+        self.bucket_count = 1 << max((objects // ENTRIES_PER_BUCKET - 1).bit_length(), 1)
+        self.entries = array("I", bytes(4 * ENTRIES_PER_BUCKET * self.bucket_count))
+        self.evicted_count = 0
+        self._calls = 0
+        self._age = 0
 
     def get(self, key: int) -> int:
-        start, mark = self.place(key)
-        for word in self.places[start : start + WAYS]:
-            if word >> 16 == mark:
-                return self.faded(word)
+        """The object's frequency now; 0 for an unknown one."""
+        start, fingerprint = self._locate(key)
+        for entry in self.entries[start : start + ENTRIES_PER_BUCKET]:
+            if entry >> 16 == fingerprint:
+                return self._decayed(entry)
         return 0
 
-    def put(self, key: int, k: int) -> None:
-        """K as it stands; 0 takes the object out. In a full bucket the most faded, then oldest, goes."""
-        self.calls += 1
-        if self.calls >= AGE * WAYS * self.buckets:
-            self.calls, self.age = 0, self.age + 1 & 255
-            if not self.age & 127:
-                self.sweep()
-        start, mark = self.place(key)
-        bucket = self.places[start : start + WAYS]
-        at = next((place for place, word in enumerate(bucket) if word >> 16 == mark), -1)
-        if at < 0:
-            at = min(
-                range(WAYS), key=lambda place: (self.faded(bucket[place]), -(self.age - (bucket[place] >> 8) & 255))
+    def put(self, key: int, frequency: int) -> None:
+        """Set the frequency; 0 takes the object out. A full bucket drops its most decayed, then oldest, entry."""
+        self._calls += 1
+        if self._calls >= CALLS_PER_ENTRY_AND_AGE * ENTRIES_PER_BUCKET * self.bucket_count:
+            self._begin_age()
+        start, fingerprint = self._locate(key)
+        bucket = self.entries[start : start + ENTRIES_PER_BUCKET]
+        index = next((index for index, entry in enumerate(bucket) if entry >> 16 == fingerprint), -1)
+        if index < 0:
+            index = min(
+                range(ENTRIES_PER_BUCKET),
+                key=lambda index: (self._decayed(bucket[index]), -(self._age - (bucket[index] >> 8) & 255)),
             )
-            self.pushed_out += bool(self.faded(bucket[at]))
-        self.places[start + at] = mark << 16 | self.age << 8 | min(k, MOST) if k > 0 else 0
-
-    def sweep(self) -> None:
-        """Ages are told apart for 256 of them: what has wholly faded goes before they come round."""
-        for place, word in enumerate(self.places):
-            if word and not self.faded(word):
-                self.places[place] = 0
+            self.evicted_count += bool(self._decayed(bucket[index]))
+        entry = fingerprint << 16 | self._age << 8 | min(frequency, MAX_FREQUENCY) if frequency > 0 else 0
+        self.entries[start + index] = entry
 
     def dump(self) -> bytes:
-        return self.age.to_bytes(1, "big") + self.places.tobytes()
+        """The whole table, for the snapshot of the index."""
+        return self._age.to_bytes(1, "big") + self.entries.tobytes()
 
     def load(self, data: bytes) -> bool:
-        """What dump gave; False where it is of another size, and nothing is changed."""
-        if len(data) != 1 + 4 * len(self.places):
+        """Take over what `dump` returned; False, with nothing changed, where that table had another size."""
+        if len(data) != 1 + 4 * len(self.entries):
             return False
-        self.age = data[0]
-        self.places = array("I", data[1:])
+        self._age = data[0]
+        self.entries = array("I", data[1:])
         return True
+
+    def _locate(self, key: int) -> tuple[int, int]:
+        """The index of the bucket's first entry, and the fingerprint."""
+        digest = xxh3_64_intdigest(key.to_bytes(8, "big"))
+        return (digest & self.bucket_count - 1) * ENTRIES_PER_BUCKET, (digest >> 48) or 1
+
+    def _decayed(self, entry: int) -> int:
+        return (entry & 255) >> (self._age - (entry >> 8) & 255)
+
+    def _begin_age(self) -> None:
+        self._calls = 0
+        self._age = self._age + 1 & 255
+        # Ages have eight bits: entries that decayed to nothing go before their age comes round again.
+        if not self._age & 127:
+            for index, entry in enumerate(self.entries):
+                if entry and not self._decayed(entry):
+                    self.entries[index] = 0
--- a/wickhinge/store/purge_log_recovery.py
+++ b/wickhinge/store/purge_log_recovery.py
@@ -1,41 +1,51 @@
-"""What a start believes of the files it finds: pure verdicts, so that each kind of damage is a unit test."""
+"""What a start takes from the files that it finds: pure functions, so that each kind of damage is a unit test."""
 
 from __future__ import annotations
 
 from collections.abc import Iterable
+from typing import NamedTuple
 
-from wickhinge.store.purges import Purge, Purged
+from wickhinge.store.purges import LineKind, PurgeLine, PurgeTable
 
-BASE, PURGE = 0, 1  # kinds of the purge log's lines
 
+class RecoveredPurges(NamedTuple):
+    """What the purge log holds."""
 
-def purges(halves: Iterable[list[tuple[int, int, Purge]]], others: bool) -> tuple[Purged, int, bool]:
-    """The purge log, out of the lines (sequence, kind, purge) that can be read of its two files.
+    table: PurgeTable
+    next_sequence: int
+    is_complete: bool  # False: a purge may be lost, and no stored copy may be used
+
+
+def recover_purges(files: Iterable[list[PurgeLine]], *, has_segments: bool) -> RecoveredPurges:
+    """Merge the lines that can be read of the log's two files.
 
     A line is missing where its number is in neither file though a later one is, or where no base is left though
-    there are segments (others): then a purge may be lost, and nothing that was stored may be believed.
-    Returns the purges, the next sequence, and whether the copies can be believed.
+    there are segments.
     """
-    lines: dict[int, tuple[int, Purge]] = {}
-    for half in halves:
-        for sequence, kind, purge in half:
-            lines[sequence] = (kind, purge)
-    bases = [sequence for sequence, (kind, _) in lines.items() if kind == BASE]
-    purged, start, last = Purged(), max(bases, default=0), max(lines, default=0)
-    whole = bool(bases) and all(sequence in lines for sequence in range(start, last + 1))
+    lines = {line.sequence: line for file in files for line in file}
+    bases = [line.sequence for line in lines.values() if line.kind == LineKind.BASE]
+    first, last = max(bases, default=0), max(lines, default=0)
+    table = PurgeTable()
     for sequence in sorted(lines):
-        if sequence >= start:
-            purged.told(lines[sequence][1])
-    return purged, last + 1, whole or not others and not lines
+        if sequence >= first:
+            table.record(lines[sequence].purge)
+    has_all_lines = bool(bases) and all(sequence in lines for sequence in range(first, last + 1))
+    is_new = not has_segments and not lines
+    return RecoveredPurges(table, last + 1, has_all_lines or is_new)
 
 
-def covered(marks: dict[int, int], number: int, size: int) -> int:
-    """From where in a segment what the snapshot does not know begins; marks: segment to the end it has seen.
+def scan_start(marks: dict[int, int], segment: int, size: int) -> int:
+    """The offset in a segment from which on the snapshot does not know its records.
 
     A segment shorter than the snapshot says was damaged: it is read from its start. One older than all that the
-    snapshot has seen had nothing alive in it.
+    snapshot has seen had nothing live in it.
+
+    Args:
+        marks: To where the snapshot knows each segment, in bytes.
+        segment: The segment's number.
+        size: Its bytes.
     """
-    seen = marks.get(number)
-    if seen is None:
-        return size if marks and number < max(marks) else 0
-    return seen if seen <= size else 0
+    mark = marks.get(segment)
+    if mark is None:
+        return size if marks and segment < max(marks) else 0
+    return mark if mark <= size else 0
--- /dev/null
+++ b/wickhinge/store/recovery.py
@@ -0,0 +1,78 @@
+"""Taking over the copies of an earlier start, in batches, while requests are answered."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+from wickhinge.store.copies import Copy, StoredObject
+from wickhinge.store.tier import Tier
+from wickhinge.store.workers import Lane
+
+SnapshotState = tuple[int, bytes]  # highest serial, dumped frequencies
+Batch = SnapshotState | list[StoredObject]
+
+
+class Recovery:
+    """Recovers the index of a volume that was just opened."""
+
+    def __init__(self, tier: Tier) -> None:
+        self._tier = tier
+
+    def start(self, on_end: Callable[[], None]) -> None:
+        """Begin; `on_end` is called in the reactor's thread when all copies are taken over, or after an error."""
+        tier = self._tier
+        tier.is_recovering = True
+        for number, size in tier.volume.initial_sizes.items():
+            tier.space.add(number, size, is_sealed=True)
+        if tier.volume.distrusted:
+            tier.runtime.log("store_copies_discarded", dir=tier.volume.path)
+        started = tier.runtime.now()
+
+        def ended(_: None, error: BaseException | None) -> None:
+            self._ended(error, started)
+            on_end()
+
+        tier.runtime.workers.run_streaming(Lane.SLOW, self._read, self._take_over, ended)
+
+    def _read(self, hand_on: Callable[[Batch], None]) -> None:
+        """Read the volume; runs on a worker."""
+        for batch in self._tier.volume.recover(lambda serial, frequencies: hand_on((serial, frequencies))):
+            hand_on(batch)
+
+    def _take_over(self, batch: Batch) -> None:
+        tier = self._tier
+        if isinstance(batch, tuple):
+            serial, frequencies = batch
+            tier.last_serial = max(tier.last_serial, serial)
+            if frequencies and not tier.admission.objects:
+                tier.admission.unstored_frequencies.load(frequencies)
+            return
+        for stored in batch:
+            for copy in sorted(stored.copies, key=lambda copy: copy.part):
+                self._take_over_copy(copy, stored.frequency)
+
+    def _take_over_copy(self, copy: Copy, frequency: int) -> None:
+        tier = self._tier
+        if copy.place is None:
+            return
+        tier.space.mark_live(copy.place)
+        if tier.is_purged(copy):
+            tier.space.mark_garbage(copy.place)
+            tier.counters.purged += 1
+            return
+        tier.counters.recovered += 1
+        tier.evict(tier.admission.add_recovered(copy, frequency))
+
+    def _ended(self, error: BaseException | None, started: float) -> None:
+        tier = self._tier
+        tier.is_recovering = False
+        if error is not None:
+            tier.counters.errors += 1
+        tier.runtime.log(
+            "store_recovered",
+            copies=tier.admission.count,
+            bytes=tier.admission.used,
+            purges=len(tier.purges),
+            took_s=round(tier.runtime.now() - started, 3),
+            error=None if error is None else str(error),
+        )
--- a/wickhinge/store/segments.py
+++ b/wickhinge/store/segments.py
@@ -1,73 +1,101 @@
-"""Segments: how much of each is alive, which one is written anew to win its dead bytes back, when one may go."""
+"""Segments: the live and garbage bytes of each, which one is compacted next, and when one may be recycled."""
 
 from __future__ import annotations
 
+from dataclasses import dataclass
 
+from wickhinge.store.copies import Place
+
+
+@dataclass(slots=True)
 class Segment:
-    __slots__ = ("number", "size", "live", "pins", "sealed")
+    """One file of records."""
 
-    def __init__(self, number: int, size: int = 0, sealed: bool = False) -> None:
-        self.number, self.size, self.sealed = number, size, sealed
-        self.live = self.pins = 0  # bytes that count; reads and moves under way
+    number: int
+    size: int = 0  # bytes
+    is_sealed: bool = False  # nothing is appended any more
+    live_bytes: int = 0  # of records whose copies are in the index
+    pins: int = 0  # reads and moves under way
 
 
-class Space:
-    """room: bytes on disk. A segment is recycled only whole, and never under a reader."""
+class SegmentSpace:
+    """The disk space of all segments. A segment is recycled only as a whole, and never under a reader.
 
-    def __init__(self, room: int, segment: int) -> None:
-        self.room, self.segment = room, segment
+    Attributes:
+        capacity: Bytes on disk.
+        segment_bytes: The size at which a segment is full.
+        segments: All segments by number.
+        total_bytes: The bytes of all of them.
+        compacting: The segment that is being compacted, if one is.
+    """
+
+    def __init__(self, capacity: int, segment_bytes: int) -> None:
+        self.capacity = capacity
+        self.segment_bytes = segment_bytes
         self.segments: dict[int, Segment] = {}
-        self.total = 0
-        self.cleaning: int | None = None
+        self.total_bytes = 0
+        self.compacting: int | None = None
 
-    def add(self, number: int, size: int = 0, sealed: bool = False) -> Segment:
+    def add(self, number: int, size: int = 0, *, is_sealed: bool = False) -> Segment:
+        """The segment of that number, made where it is new."""
         if number not in self.segments:
-            self.segments[number] = Segment(number, size, sealed)
-            self.total += size
+            self.segments[number] = Segment(number, size, is_sealed)
+            self.total_bytes += size
         return self.segments[number]
 
-    def wrote(self, place: tuple[int, int, int]) -> None:
-        """Written there, in sequence: all earlier segments are whole."""
-        number, offset, length = place
-        if number not in self.segments:
+    def record_append(self, place: Place) -> None:
+        """Account for a record that was appended; a new segment seals all earlier ones."""
+        if place.segment not in self.segments:
             for other in self.segments.values():
-                other.sealed = other.sealed or other.number < number
-        segment = self.add(number)
-        self.total += offset + length - segment.size
-        segment.size = offset + length
+                other.is_sealed = other.is_sealed or other.number < place.segment
+        segment = self.add(place.segment)
+        end = place.offset + place.length
+        self.total_bytes += end - segment.size
+        segment.size = end
 
-    def alive(self, place: tuple[int, int, int]) -> None:
-        self.segments[place[0]].live += place[2]
+    def mark_live(self, place: Place) -> None:
+        """Count a record whose copy entered the index."""
+        self.segments[place.segment].live_bytes += place.length
 
-    def dead(self, place: tuple[int, int, int]) -> None:
-        if place[0] in self.segments:
-            self.segments[place[0]].live -= place[2]
+    def mark_garbage(self, place: Place) -> None:
+        """Count a record whose copy left the index."""
+        if place.segment in self.segments:
+            self.segments[place.segment].live_bytes -= place.length
 
     def pin(self, number: int) -> None:
+        """Keep a segment from being recycled until `unpin`."""
         self.segments[number].pins += 1
 
     def unpin(self, number: int) -> None:
+        """End one `pin`."""
         if number in self.segments:
             self.segments[number].pins -= 1
 
-    def full(self) -> bool:
-        """Nothing new until a segment was recycled."""
-        return self.total + self.segment > self.room
-
-    def idle(self) -> list[int]:
-        """Segments with nothing alive that nobody reads: to be recycled now."""
-        return [one.number for one in self.segments.values() if one.sealed and one.live <= 0 and one.pins == 0]
-
-    def victim(self) -> int | None:
-        """The sealed segment with the least alive, once room runs short; its copies move to the front."""
-        if self.cleaning is not None or self.total + 2 * self.segment <= self.room:
+    def is_full(self) -> bool:
+        """Whether nothing may be appended until a segment was recycled."""
+        return self.total_bytes + self.segment_bytes > self.capacity
+
+    def recyclable(self) -> list[int]:
+        """The sealed segments with nothing live in them that nobody reads."""
+        return [
+            segment.number
+            for segment in self.segments.values()
+            if segment.is_sealed and segment.live_bytes <= 0 and segment.pins == 0
+        ]
+
+    def compaction_victim(self) -> int | None:
+        """The sealed segment with the smallest live share, once space runs short and no other is compacted."""
+        if self.compacting is not None or self.total_bytes + 2 * self.segment_bytes <= self.capacity:
+            return None
+        candidates = [segment for segment in self.segments.values() if segment.is_sealed and segment.live_bytes > 0]
+        if not candidates:
             return None
-        sealed = [one for one in self.segments.values() if one.sealed and one.live > 0]
-        return min(sealed, key=lambda one: (one.live / max(one.size, 1), one.number)).number if sealed else None
+        return min(candidates, key=lambda segment: (segment.live_bytes / max(segment.size, 1), segment.number)).number
 
-    def drop(self, number: int) -> None:
+    def remove(self, number: int) -> None:
+        """Account for a segment that is being recycled."""
         segment = self.segments.pop(number, None)
         if segment is not None:
-            self.total -= segment.size
-        if self.cleaning == number:
-            self.cleaning = None
+            self.total_bytes -= segment.size
+        if self.compacting == number:
+            self.compacting = None
--- a/wickhinge/store/store.py
+++ b/wickhinge/store/store.py
@@ -2,547 +2,189 @@
 
 from __future__ import annotations
 
-from collections import deque
-from collections.abc import Callable
-from itertools import islice
+from dataclasses import asdict
 from typing import Any
 
-from wickhinge.store.admission import Copy, Keep, Tails
-from wickhinge.store.circuit_breaker import Breaker
-from wickhinge.store.frequency import Counts
+from wickhinge.store.compaction import Compactor
+from wickhinge.store.copies import Copy
+from wickhinge.store.errors import UnusableDirectoryError
+from wickhinge.store.files import Files
+from wickhinge.store.lookup import CopyLookup, ReadDone
 from wickhinge.store.purges import Purge
-from wickhinge.store.segments import Space
-from wickhinge.store.volume import Damaged, Unusable, Volume
-from wickhinge.store.write_rate_limiter import Pace
+from wickhinge.store.purging import PurgeRecorder
+from wickhinge.store.recovery import Recovery
+from wickhinge.store.snapshotting import SnapshotWriter
+from wickhinge.store.tier import Runtime, StoreLimits, Tier
+from wickhinge.store.volume import Volume
+from wickhinge.store.writing import CopyOffer, CopyWriter
 
-FILL = 0.75  # of the room on disk that copies may take; the rest lets segments die before they are written anew
-TURN = 1.0  # seconds between two looks at what is due
-MOVES = 16  # copies of a segment being recycled that are under way at once
-SWEEP = 2000  # objects looked at a turn for what was purged
-PENDING = 100_000  # purges that wait for a disk that fails; past it the disk keeps nothing from before
-PURGES = 2000  # in one write
+MAINTENANCE_INTERVAL_S = 1.0
+MEBIBYTE = 1 << 20
 
 
 class Store:
-    """Copies by object and part. `find` says what there is, `decide` whether it answers; `read` brings its bytes.
+    """Copies by object and part: `find` says what there is, `decide` whether it answers, `read` brings its bytes.
 
-    Times are Unix seconds. now is the clock, after(delay, call) a timer, workers a `Workers` or a test's stand-in.
+    Times are Unix seconds.
+
+    Attributes:
+        tier: The state that the parts below share.
+        lookup: Finds and reads copies.
+        writer: Admits and writes copies.
+        purging: Records purges.
+        snapshots: Writes the index.
     """
 
-    def __init__(
-        self,
-        volume: Volume,
-        workers: Any,
-        now: Callable[[], float],
-        after: Callable[..., None],
-        log: Callable[..., None],
-        size: int,
-        segment: int,
-        memory: int,
-        objects: int,
-        waiting: int,
-        write_rate: float,
-        read_within: float,
-        reads_at_once: int,
-        snapshot_every: float,
-        quiet: float,
-        continues: bool,
-    ) -> None:
-        self.volume, self.workers, self.now, self.after, self.log = volume, workers, now, after, log
-        self.keep = Keep(int(FILL * (size - 2 * segment)), Counts(objects))
-        self.memory = Tails(memory)
-        self.bodies: dict[Copy, bytes] = {}  # of the memory tier
-        self.space = Space(size, segment)
-        self.pace = Pace(waiting, write_rate)
-        self.breaker = Breaker(read_within)
-        self.purged = volume.purged
-        self.reads_at_once, self.snapshot_every, self.quiet, self.continues = (
-            reads_at_once,
-            snapshot_every,
-            quiet,
-            continues,
-        )
-        self.reads = self.serial = self.moves = 0
-        self.heard = 0.0  # when the journal last said that there is nothing more
-        self.trusted = False  # copies of an earlier start count as proven
-        self.on = self.recovering = self.closed = False
-        self.moving: deque[tuple[Copy, tuple[int, int, int]]] = deque()
-        self.unlogged: deque[Purge] = deque()
-        self.logging = self.snapping = False
-        self.snapped = 0.0
-        self.swept: list[int] = []
-        self.counted = dict.fromkeys(
-            (
-                "found",
-                "read",
-                "memory",
-                "kept",
-                "unwanted",
-                "refused",
-                "damaged",
-                "errors",
-                "evicted",
-                "purged",
-                "renewed",
-                "moved",
-                "recycled",
-                "recovered",
-            ),
-            0,
-        )
+    def __init__(self, volume: Volume, runtime: Runtime, limits: StoreLimits) -> None:
+        self.tier = Tier(volume, runtime, limits)
+        self.lookup = CopyLookup(self.tier)
+        self.writer = CopyWriter(self.tier)
+        self.purging = PurgeRecorder(self.tier)
+        self.snapshots = SnapshotWriter(self.tier)
+        self._compactor = Compactor(self.tier, self.purging)
+        self._is_closed = False
 
     def start(self) -> None:
-        """Takes the directory and begins to recover; copies are found as the recovery goes on. Raises Unusable."""
-        self.volume.open()
-        self.purged = self.volume.purged
-        self.on = self.recovering = True
-        for number, size in self.volume.sizes.items():
-            self.space.add(number, size, True)
-        if self.volume.distrusted:
-            self.log("store_distrusted", dir=self.volume.path)
-        began = self.now()
-        self.snapped = began
-        self.workers.each("slow", self.recover, self.recovered, lambda _, problem: self.whole(problem, began))
-        self.after(TURN, self.turn)
-
-    def recover(self, hand: Callable[[Any], None]) -> None:
-        """On a worker."""
-        for batch in self.volume.recover(lambda serial, counts: hand((serial, counts))):
-            hand(batch)
-
-    def recovered(self, part: Any) -> None:
-        if isinstance(part, tuple):
-            serial, counts = part
-            self.serial = max(self.serial, serial)
-            if counts and not self.keep.objects:
-                self.keep.counts.load(counts)
-            return
-        for _key, k, copies in part:
-            for copy in sorted(copies, key=lambda copy: copy.part):
-                self.space.alive(copy.place)
-                if self.purged.covers(copy.key, copy.group, copy.made):
-                    self.space.dead(copy.place)
-                    self.counted["purged"] += 1
-                    continue
-                self.counted["recovered"] += 1
-                for gone in self.keep.recovered(copy, k):
-                    self.dispose(gone)
-
-    def whole(self, problem: BaseException | None, began: float) -> None:
-        self.recovering = False
-        if problem is not None:
-            self.counted["errors"] += 1
-        self.log(
-            "store_recovered",
-            copies=self.keep.count,
-            bytes=self.keep.used,
-            purges=len(self.purged),
-            took=round(self.now() - began, 3),
-            problem=None if problem is None else str(problem),
-        )
-        self.tidy(self.now())
-
-    # What the visits ask.
-
-    def visit(self, key: int, part: int) -> None:
-        self.keep.visit(key, part)
-
-    def find(self, key: int, part: int, now: float) -> Copy | None:
-        copy = self.keep.find(key, part)
-        if copy is None or not self.on:
-            return None
-        if self.purged.covers(copy.key, copy.group, copy.made):
-            self.counted["purged"] += 1
-            self.lose(copy)
-            return None
-        self.counted["found"] += 1
-        self.memory.touch(key)
-        return copy
-
-    def proven(self, copy: Copy, now: float) -> bool:
-        """Whether its age is known: of this run, or caught up with. Nothing is while purges may be untold."""
-        return (copy.proven or self.trusted) and -1.0 <= now - self.heard <= self.quiet and self.held(copy, now)
-
-    def held(self, copy: Copy, now: float) -> bool:
-        """Whether it is not older than a purge that was told meanwhile."""
-        return self.on and not self.purged.covers(copy.key, copy.group, copy.made)
-
-    def renewed(self, copy: Copy, made: float) -> None:
-        """Upstream has the same bytes, given out by the origin then."""
-        if self.purged.covers(copy.key, copy.group, made):
-            return
-        copy.made, copy.proven = max(made, copy.made), True
-        self.counted["renewed"] += 1
-
-    def read(self, copy: Copy, then: Callable[[bytes | None, bool], None]) -> None:
-        """then(bytes, whether from memory), or then(None, False) where they can't be had; maybe at once."""
-        data = copy.body or self.bodies.get(copy)
-        if data is not None:
-            self.counted["memory"] += 1
-            then(data, True)
-            return
-        place = copy.place
-        if place is None or self.reads >= self.reads_at_once or not self.breaker.allows(self.now()):
-            then(None, False)
-            return
-        self.reads += 1
-        self.space.pin(place[0])
-        began = self.now()
-        self.workers.run(
-            "read",
-            lambda: self.volume.read(place, copy.key, copy.part),
-            lambda data, problem: self.came(copy, place, began, data, problem, then),
-        )
-
-    def came(
-        self,
-        copy: Copy,
-        place: tuple[int, int, int],
-        began: float,
-        data: bytes | None,
-        problem: BaseException | None,
-        then: Callable[[bytes | None, bool], None],
-    ) -> None:
-        self.reads -= 1
-        self.space.unpin(place[0])
-        now = self.now()
-        damaged = isinstance(problem, Damaged)
-        self.breaker_ended(problem is None or damaged, now - began, now)
-        if damaged:
-            self.counted["damaged"] += 1
-            self.log("store_damaged", what=str(problem))
-            if copy.place == place:
-                self.lose(copy)
-        elif problem is not None:
-            self.counted["errors"] += 1
-        else:
-            self.counted["read"] += 1
-            self.remember(copy, data)
-        then(data, False)
-
-    def wants(self, key: int, part: int, group: int, tag: bytes, made: float, size: int, now: float) -> bool:
-        """Whether a copy that passes is to be kept; what `take` then is given."""
-        if not self.on or not 0 < len(tag) <= 64 or self.purged.covers(key, group, made):
-            return False
-        old = self.keep.find(key, part)
-        if old is not None and old.made >= made:
-            return False
-        if old is not None and old.tag == tag and old.size == size and old.group == group:
-            self.renewed(old, made)  # the same bytes are there already
-            return False
-        if not self.keep.wants(key, part, size):
-            self.counted["unwanted"] += 1
-            if old is not None:
-                self.lose(old)
-            return False
-        if self.space.full() or not self.pace.take(size, now):
-            refused = True
-        elif refused := not self.breaker.allows(now):  # asked last: a trial that is granted must be made
-            self.pace.done(size)
-        if refused:
-            self.counted["refused"] += 1
-            if old is not None:
-                self.lose(old)
-            return False
-        return True
-
-    def take(self, key: int, part: int, group: int, tag: bytes, made: float, body: bytes) -> None:
-        """Only after `wants`, which has counted its size among what waits."""
-        self.serial += 1
-        copy = Copy(key, part, group, tag, made, len(body), self.serial)
-        copy.body = body
-        self.counted["kept"] += 1
-        for gone in self.keep.put(copy):
-            self.dispose(gone)
-        self.workers.run(
-            "write",
-            lambda: self.volume.append(copy, body),
-            lambda place, problem: self.wrote(copy, body, place, problem),
-        )
-
-    def wrote(self, copy: Copy, body: bytes, place: tuple[int, int, int] | None, problem: BaseException | None) -> None:
-        self.pace.done(len(body))
-        copy.body = None
-        now = self.now()
-        if problem is not None:
-            self.breaker_ended(False, 0.0, now)
-            self.counted["errors"] += 1
-            self.log("store_error", what="write", why=str(problem))
-            self.lose(copy)
-            return
-        self.breaker_ended(True, 0.0, now)  # a write waits for those before it: its time tells of the queue
-        self.space.wrote(place)
-        copy.place = place
-        if self.keep.find(copy.key, copy.part) is copy:
-            self.space.alive(place)
-            self.remember(copy, body)
-
-    def remember(self, copy: Copy, body: bytes) -> None:
-        if copy.size <= self.memory.room // 4 and self.keep.find(copy.key, copy.part) is copy:
-            for gone in self.memory.put(copy):
-                self.bodies.pop(gone, None)
-            if self.memory.find(copy.key, copy.part) is copy:
-                self.bodies[copy] = body
-
-    def lose(self, copy: Copy) -> None:
-        if self.keep.drop(copy):
-            self.dispose(copy, False)
-
-    def dispose(self, copy: Copy, evicted: bool = True) -> None:
-        """It has left the tier, or was never let in."""
-        self.counted["evicted"] += evicted
-        if self.memory.drop(copy):
-            del self.bodies[copy]
-        if copy.place is not None:
-            self.space.dead(copy.place)
-
-    def breaker_ended(self, ok: bool, took: float, now: float) -> None:
-        was = self.breaker.open
-        self.breaker.ended(ok, took, now)
-        if self.breaker.open != was:
-            self.log("store_bypassed" if self.breaker.open else "store_back", rest=self.breaker.rest)
-
-    # Purges.
-
-    def purge(self, key: int | None, group: int, stamp: float, number: int) -> None:
-        """In force at once; on disk soon after, and only then is its number known there."""
-        purge = Purge(key, group, stamp, max(self.volume.last, 1), number if self.continues else 0)
-        self.purged.told(purge)
-        self.unlogged.append(purge)
-        if len(self.unlogged) > PENDING:
-            self.purged.merge()  # anew, since some of the old ones may be being put down; in the journal's order
-            self.unlogged = deque(sorted(self.purged, key=lambda purge: purge.number))
-        self.put_down()
-
-    def put_down(self) -> None:
-        if self.logging or not self.unlogged or not self.on:
-            return
-        waiting = self.unlogged
-        batch = list(islice(waiting, PURGES))
-        self.logging = True
-
-        def then(_: Any, problem: BaseException | None) -> None:
-            self.logging = False
-            if problem is None:
-                for _ in batch:
-                    waiting.popleft()
-                self.put_down()
-            else:
-                self.counted["errors"] += 1
-                self.log("store_error", what="purge log", why=str(problem))
-
-        self.workers.run("log", lambda: self.volume.purge(batch), then)
-
-    def caught_up(self, now: float, whole: bool) -> None:
-        """The journal has nothing more to tell for now. whole: it has told all since the number that the purge
-        log had at the start, in the service's own unbroken count.
+        """Take the directory and begin to recover; copies are found as the recovery goes on.
+
+        Raises:
+            UnusableDirectoryError: The directory cannot hold a store.
         """
-        self.heard = now
-        if whole and self.continues and not self.trusted:
-            self.trusted = True
-            self.log("store_trusted", number=self.purged.number)
+        self.tier.volume.open()
+        self.tier.is_on = True
+        self.snapshots.begin(self.tier.runtime.now())
+        # Maintenance right after: a router that is restarted every second would never win its disk space back.
+        Recovery(self.tier).start(lambda: self._recycle_and_snapshot(self.tier.runtime.now()))
+        self.tier.runtime.after(MAINTENANCE_INTERVAL_S, self.maintain)
 
-    # What is due now and then.
+    def close(self) -> None:
+        """Wait for the calls under way and close the directory."""
+        if not self._is_closed:
+            self._is_closed, self.tier.is_on = True, False
+            self.tier.runtime.workers.close()
+            self.tier.volume.close()
+
+    # Requests.
+
+    def record_request(self, key: int, part: int) -> None:
+        """Count a request for a part, however it is answered."""
+        self.tier.admission.record_request(key, part)
+
+    def find(self, key: int, part: int, now: float) -> Copy | None:  # noqa: ARG002 - interface.LocalCopies has now
+        """The copy of a part, if there is one that is not purged."""
+        return self.lookup.find(key, part)
+
+    def is_current(self, copy: Copy, now: float) -> bool:
+        """Whether the copy's age is known, and every purge up to now."""
+        return self.lookup.is_current(copy, now)
+
+    def is_valid(self, copy: Copy, now: float) -> bool:  # noqa: ARG002 - interface.LocalCopies has now
+        """Whether no purge since it was found covers the copy."""
+        return self.lookup.is_valid(copy)
+
+    def read(self, copy: Copy, done: ReadDone) -> None:
+        """Bring the body: done(body, from memory), or done(None, False) where it cannot be had; maybe at once."""
+        self.lookup.read(copy, done)
+
+    def admit(self, offer: CopyOffer, now: float) -> bool:
+        """Whether to store a copy that passes; True counts its size as queued, so `write` must follow."""
+        return self.writer.admit(offer, now)
+
+    def write(self, offer: CopyOffer, body: bytes) -> None:
+        """Store a copy that `admit` has let in."""
+        self.writer.write(offer, body)
+
+    def revalidate(self, copy: Copy, created: float) -> None:
+        """Take in that the origin gave out the same bytes at that time."""
+        self.writer.revalidate(copy, created)
+
+    # The journal.
+
+    @property
+    def last_event_number(self) -> int:
+        """Of the latest purge that is in force."""
+        return self.tier.purges.last_event_number
+
+    def purge(self, key: int | None, group: int, timestamp: float, event_number: int) -> None:
+        """Put a purge in force at once, and on disk soon after; only then is its number known there."""
+        newest_segment = max(self.tier.volume.newest_segment, 1)
+        number = event_number if self.tier.limits.events_continue else 0
+        self.purging.record(Purge(key, group, timestamp, newest_segment, number))
+
+    def caught_up(self, now: float, all_events: bool) -> None:
+        """Take in that the journal has nothing more to tell for now.
+
+        Args:
+            now: The time.
+            all_events: It has told all since the number that the purge log had at the start, in the service's own
+                unbroken count.
+        """
+        self.lookup.caught_up(now, all_events=all_events)
 
-    def turn(self) -> None:
-        if self.closed:
+    # Maintenance.
+
+    def maintain(self) -> None:
+        """Do what is due, each MAINTENANCE_INTERVAL_S."""
+        if self._is_closed:
             return
-        self.after(TURN, self.turn)
-        self.put_down()
-        self.sweep()
-        if not self.recovering:
-            self.tidy(self.now())
-
-    def tidy(self, now: float) -> None:
-        """Also right after a start: one that is restarted every second would never win its room back."""
-        for number in self.space.idle():
-            self.recycle(number)
-        victim = self.space.victim()
-        if victim is not None:
-            self.clean(victim)
-        self.move()
-        if now - self.snapped >= self.snapshot_every or now < self.snapped:
-            self.snapshot(now)
-
-    def sweep(self) -> None:
-        """Purged copies are found out when they are asked for; the others by and by."""
-        if not self.swept and len(self.purged):
-            self.swept = list(self.keep.objects)
-        for key in self.swept[-SWEEP:]:
-            for copy in list(self.keep.objects.get(key, {}).values()):
-                if self.purged.covers(copy.key, copy.group, copy.made):
-                    self.counted["purged"] += 1
-                    self.lose(copy)
-        del self.swept[-SWEEP:]
-
-    def recycle(self, number: int) -> None:
-        self.counted["recycled"] += 1
-        self.space.drop(number)
-        self.workers.run("write", lambda: self.volume.drop(number), self.dropped)
-        oldest = min(self.space.segments, default=self.volume.last)
-        if self.purged.forget(oldest, self.now()) and self.volume.long(len(self.purged)) and not self.logging:
-            kept, known = list(self.purged), self.purged.number
-            self.logging = True
-            self.workers.run("log", lambda: self.volume.rewrite(kept, known), self.rewritten)
-
-    def rewritten(self, _: Any, problem: BaseException | None) -> None:
-        self.logging = False
-        if problem is not None:  # the log's files are not open any more: nothing can be put down
-            self.counted["errors"] += 1
-            self.off(f"purge log: {problem}")
-
-    def dropped(self, _: Any, problem: BaseException | None) -> None:
-        if problem is not None:
-            self.counted["errors"] += 1
-            self.log("store_error", what="recycle", why=str(problem))
-
-    def clean(self, number: int) -> None:
-        """Its live copies are written anew at the front, then it is idle."""
-        self.space.cleaning = number
-        self.space.pin(number)
-
-        def then(found: Any, problem: BaseException | None) -> None:
-            self.space.unpin(number)
-            if problem is not None:
-                self.counted["errors"] += 1
-                self.space.cleaning = None
-                return
-            for key, part, place in found:
-                copy = self.keep.find(key, part)
-                if copy is not None and copy.place == place:
-                    self.moving.append((copy, place))
-            self.move()
-
-        def heads() -> list[Any]:
-            return [
-                (head.key, head.part, (number, offset, head.whole))
-                for head, offset in self.volume.heads(number, 0, False)
-            ]
-
-        self.workers.run("slow", heads, then)
-
-    def move(self) -> None:
-        while self.moving and self.moves < MOVES:
-            copy, place = self.moving.popleft()
-            if copy.place != place or self.keep.find(copy.key, copy.part) is not copy:
-                continue
-            self.moves += 1
-            self.space.pin(place[0])
-            self.workers.run(
-                "write",
-                lambda copy=copy, place=place: self.again(copy, place),
-                lambda new, problem, copy=copy, place=place: self.moved(copy, place, new, problem),
-            )
-        if not self.moving and not self.moves and self.space.cleaning is not None:
-            left = self.space.segments.get(self.space.cleaning)
-            if left is None or left.live > 0:
-                self.space.cleaning = None  # what could not be moved is tried again
-
-    def again(self, copy: Copy, place: tuple[int, int, int]) -> tuple[int, int, int]:
-        """On a worker."""
-        return self.volume.append(copy, self.volume.read(place, copy.key, copy.part))
-
-    def moved(
-        self, copy: Copy, place: tuple[int, int, int], new: tuple[int, int, int] | None, problem: BaseException | None
-    ) -> None:
-        self.moves -= 1
-        self.space.unpin(place[0])
-        if new is not None:
-            self.space.wrote(new)
-            self.counted["moved"] += 1
-            if copy.place == place and self.keep.find(copy.key, copy.part) is copy:
-                self.space.dead(place)
-                self.space.alive(new)
-                copy.place = new
-        else:
-            damaged = isinstance(problem, Damaged)
-            self.counted["damaged" if damaged else "errors"] += 1
-            self.breaker_ended(damaged, 0.0, self.now())
-            self.lose(copy)
-        self.move()
+        self.tier.runtime.after(MAINTENANCE_INTERVAL_S, self.maintain)
+        self.purging.write_pending()
+        self.purging.sweep()
+        if not self.tier.is_recovering:
+            self._recycle_and_snapshot(self.tier.runtime.now())
 
     def snapshot(self, now: float) -> None:
-        if self.snapping or not self.breaker.allows(now):
-            return
-        self.snapping, self.snapped = True, now
-        # What is written but not yet told lies past these marks, and is found by the scan.
-        marks = {one.number: one.size for one in self.space.segments.values()}
-        objects = [(key, self.keep.k(key), list(parts.values())) for key, parts in reversed(self.keep.objects.items())]
-        counts, serial = self.keep.counts.dump(), self.serial
-        self.workers.run("slow", lambda: self.volume.snapshot(objects, marks, counts, serial), self.snapped_now)
-
-    def snapped_now(self, generation: int | None, problem: BaseException | None) -> None:
-        self.snapping = False
-        self.breaker_ended(problem is None, 0.0, self.now())
-        if problem is not None:
-            self.counted["errors"] += 1
-            self.log("store_error", what="snapshot", why=str(problem))
-
-    def off(self, why: str) -> None:
-        """Nothing is kept or found from here on; the router serves on without it."""
-        if self.on:
-            self.on = False
-            self.log("store_off", why=why)
+        """Write a snapshot of the index now, unless one is being written."""
+        self.snapshots.write(now)
 
-    def close(self) -> None:
-        if not self.closed:
-            self.closed, self.on = True, False
-            self.workers.close()
-            self.volume.close()
+    def _recycle_and_snapshot(self, now: float) -> None:
+        self._compactor.run()
+        self.snapshots.run(now)
 
     def figures(self) -> dict[str, Any]:
+        """Counters and sizes, for the report."""
+        tier = self.tier
         return {
-            **self.counted,
-            "copies": self.keep.count,
-            "bytes": self.keep.used,
-            "disk": self.space.total,
-            "memory_bytes": self.memory.used,
-            "waiting": self.pace.waiting,
-            "purges": len(self.purged),
-            "unlogged": len(self.unlogged),
-            "bypassed": self.breaker.open,
-            "trusted": self.trusted,
+            **asdict(tier.counters),
+            "copies": tier.admission.count,
+            "bytes": tier.admission.used,
+            "disk_bytes": tier.space.total_bytes,
+            "memory_bytes": tier.memory.used,
+            "queued_write_bytes": self.writer.limiter.queued_bytes,
+            "purges": len(tier.purges),
+            "pending_purges": len(self.purging.pending),
+            "breaker_open": tier.breaker.is_open,
+            "recovered_verified": self.lookup.recovered_are_verified,
         }
 
 
-def make(
-    options: Any,
-    journal: Any,
-    reactor: Any,
-    now: Callable[[], float],
-    after: Callable[..., None],
-    log: Callable[..., None],
-    fault: Callable[[str], None],
-) -> Store | None:
-    """The store that the settings describe, started; None, and one log event, where its directory can't be used."""
-    from wickhinge.store.files import Files
-    from wickhinge.store.workers import Workers
-
-    mega = 1 << 20
-    volume = Volume(Files(), options.dir, options.segment_mb * mega, journal.continues)
-    workers = Workers(reactor, min(options.reads_at_once, 8), fault)
-    store = Store(
-        volume,
-        workers,
-        now,
-        after,
-        log,
-        options.size_mb * mega,
-        options.segment_mb * mega,
-        options.memory_mb * mega,
-        options.objects,
-        int(options.waiting_mb * mega),
-        options.write_mb_s * mega,
-        options.read_within_s,
-        options.reads_at_once,
-        options.snapshot_s,
-        journal.quiet_s,
-        journal.continues,
+def make(options: Any, journal: Any, runtime: Runtime) -> Store | None:
+    """The store that the settings describe, started; None, and one log event, where its directory cannot be used.
+
+    Args:
+        options: The settings under `store`.
+        journal: The settings under `journal`.
+        runtime: Its workers are closed where the directory cannot be used.
+    """
+    volume = Volume(Files(), options.dir, options.segment_mb * MEBIBYTE, events_continue=journal.continues)
+    limits = StoreLimits(
+        disk_bytes=options.size_mb * MEBIBYTE,
+        segment_bytes=options.segment_mb * MEBIBYTE,
+        memory_bytes=options.memory_mb * MEBIBYTE,
+        counted_objects=options.objects,
+        queued_write_bytes=int(options.waiting_mb * MEBIBYTE),
+        write_bytes_per_s=options.write_mb_s * MEBIBYTE,
+        slow_read_s=options.read_within_s,
+        concurrent_reads=options.reads_at_once,
+        snapshot_interval_s=options.snapshot_s,
+        quiet_s=journal.quiet_s,
+        events_continue=journal.continues,
     )
+    store = Store(volume, runtime, limits)
     try:
         store.start()
-    except Unusable as problem:
-        workers.close()
-        log("store_off", why=str(problem))
+    except UnusableDirectoryError as error:
+        runtime.workers.close()
+        runtime.log("store_disabled", reason=str(error))
         return None
     return store
--- a/wickhinge/store/volume.py
+++ b/wickhinge/store/volume.py
@@ -2,8 +2,8 @@
 
     lock  store.wh  purges-a.wh  purges-b.wh  index-GENERATION.wh  segment-NUMBER.wh
 
-Appends are one lane's, purges another's, snapshots and recovery a third's, reads anybody's; a lane runs one call
-at a time. Which segment may go, and when, is told from outside.
+Appends are one lane's, purges another's, snapshots and recovery a third's, reads any lane's; a lane runs one call at
+a time. Which segment may go, and when, is decided by the caller.
 """
 
 from __future__ import annotations
@@ -11,367 +11,355 @@
 import re
 import secrets
 from collections.abc import Callable, Iterable, Iterator
-from typing import Any
 
-from wickhinge.store import file_format, purge_log_recovery
-from wickhinge.store.admission import Copy
+from wickhinge.store.copies import Copy, Place, StoredObject
+from wickhinge.store.errors import DamagedCopyError, NewerFormatError, UnusableDirectoryError
+from wickhinge.store.file_format import (
+    MAX_HEADER_BYTES,
+    RECORD_ALIGN_BYTES,
+    RECORD_HEADER,
+    RECORD_MAGIC,
+    RecordHeader,
+    SnapshotMeta,
+    body_is_intact,
+    checksum_seed,
+    decode_header,
+    decode_identity,
+    decode_purge_lines,
+    encode_identity,
+    encode_record,
+)
 from wickhinge.store.files import Files, replace
-from wickhinge.store.purges import Purge, Purged
+from wickhinge.store.purge_log import FILE_NAMES as PURGE_LOG_NAMES
+from wickhinge.store.purge_log import PurgeLog
+from wickhinge.store.purge_log_recovery import recover_purges, scan_start
+from wickhinge.store.purges import PurgeTable
+from wickhinge.store.snapshots import SnapshotFiles, generation_of, restore_copy
 
-SEGMENT = re.compile(r"segment-([0-9]{10})\.wh\Z")
-INDEX = re.compile(r"index-([0-9]{10})\.wh\Z")
-HALVES = ("purges-a.wh", "purges-b.wh")
-BATCH = 256  # objects, or copies, handed on at once
-WINDOW = 1 << 20
-GENERATIONS = 2
+IDENTITY_NAME = "store.wh"
+SEGMENT_NAME = re.compile(r"segment-([0-9]{10})\.wh\Z")
+BATCH_COPIES = 256  # handed on at once by a recovery
+SCAN_WINDOW_BYTES = 1 << 20
 
-Found = tuple[int, int, list[Copy]]  # object, its k (0: not known), its copies
 
+def random_store_id() -> bytes:
+    """The id of a new store."""
+    return secrets.token_bytes(16)
 
-class Unusable(Exception):
-    """The directory can't be a tier; the text says why, for the operator."""
 
-
-class Damaged(Exception):
-    """A copy that is not what was written."""
+def segment_number(name: str) -> int | None:
+    """The number of a segment's file; None for any other file."""
+    match = SEGMENT_NAME.match(name)
+    return int(match[1]) if match else None
 
 
 class Volume:
-    """numbered: the journal's numbers hold across starts; else what an earlier start wrote down means nothing."""
-
-    def __init__(self, files: Files, path: str, segment_size: int, numbered: bool = False) -> None:
-        self.files, self.path, self.segment_size, self.numbered = files, path, segment_size, numbered
-        self.mark = b""
+    """The files of a store, opened.
+
+    Attributes:
+        store_id: 16 bytes that tell this store's files from any other's.
+        handles: The open file of each segment.
+        initial_sizes: Bytes of each segment that was there when the directory was opened.
+        newest_segment: The latest segment number ever given.
+        purges: The purges that were found.
+        distrusted: Whether a purge may be lost, so that no stored copy was taken over.
+    """
+
+    def __init__(
+        self,
+        files: Files,
+        path: str,
+        segment_bytes: int,
+        *,
+        events_continue: bool = False,
+        new_store_id: Callable[[], bytes] = random_store_id,
+    ) -> None:
+        """Name the directory; nothing is touched before `open`.
+
+        Args:
+            files: The file calls.
+            path: The directory.
+            segment_bytes: The size at which a segment is full.
+            events_continue: The journal's event numbers hold across starts; else those of an earlier start are void.
+            new_store_id: Called for a directory that has no identity yet.
+        """
+        self.files = files
+        self.path = path
+        self.store_id = b""
         self.handles: dict[int, int] = {}
-        self.sizes: dict[int, int] = {}  # of the segments found at the start
-        self.current, self.end = 0, 0  # the segment written to; 0 before the first
-        self.last = 0  # the newest number ever given
-        self.purged = Purged()
-        self.logs: list[int] = []
-        self.sequence = self.logged = 0
-        self.generation = 0
-        self.locked: int | None = None
+        self.initial_sizes: dict[int, int] = {}
+        self.newest_segment = 0
+        self.purges = PurgeTable()
+        self.purge_log = PurgeLog(files, path)
+        self.snapshots = SnapshotFiles(files, path)
         self.distrusted = False
-        self.written = 0  # bytes, all kinds
-
-    def at(self, name: str) -> str:
-        return f"{self.path}/{name}"
-
-    def segment(self, number: int) -> str:
-        return self.at(f"segment-{number:010d}.wh")
+        self._segment_bytes = segment_bytes
+        self._events_continue = events_continue
+        self._new_store_id = new_store_id
+        self._current_segment = 0  # that is appended to; 0 for none
+        self._current_end = 0
+        self._lock: int | None = None
+        self._appended_bytes = 0
+
+    @property
+    def bytes_written(self) -> int:
+        """Bytes of all kinds that were written since the directory was opened."""
+        return self._appended_bytes + self.purge_log.bytes_written + self.snapshots.bytes_written
 
     # Opening and closing.
 
-    def open(self, write: bool = True) -> None:
-        """Locks the directory, makes it where it is new, reads the purges. Raises Unusable."""
+    def open(self, *, write: bool = True) -> None:
+        """Read identity and purges; to write, also lock the directory, and make it where it is new.
+
+        Raises:
+            UnusableDirectoryError: It is in use, no store, of a later release, or cannot be read or written.
+        """
         try:
             if write:
                 self.files.make(self.path)
-                self.locked = self.files.lock(self.at("lock"))
-                if self.locked is None:
-                    raise Unusable(f"{self.path} is in use by another process")
-            self.identify(write)
-            self.load(write)
-        except file_format.Newer as problem:
+                self._lock = self.files.lock(self.path_of("lock"))
+                if self._lock is None:
+                    raise UnusableDirectoryError(self.path, "is in use by another process")
+            self._identify(write=write)
+            self._load(write=write)
+        except NewerFormatError as error:
             self.close()
-            raise Unusable(f"{self.path} {problem}") from None
-        except Unusable:
+            raise UnusableDirectoryError(self.path, str(error)) from None
+        except UnusableDirectoryError:
             self.close()
             raise
-        except OSError as problem:
+        except OSError as error:
             self.close()
-            raise Unusable(f"{self.path} can't be used: {problem.strerror or problem}") from None
-
-    def identify(self, write: bool) -> None:
-        found = self.names()
-        data = self.whole("store.wh") if "store.wh" in found else b""
-        mark = file_format.read_identity(data)
-        if mark is None and not write:
-            raise Unusable(f"{self.path} is no store")
-        if mark is None:  # new, or its identity is damaged: then nothing in it is believed
-            for name in found:
-                if SEGMENT.match(name) or INDEX.match(name) or name in HALVES:
-                    self.files.remove(self.at(name))
-                    self.distrusted = True
-            mark = self.fresh()
-            self.replace("store.wh", file_format.identity(mark))
-        self.mark = mark
-
-    def fresh(self) -> bytes:
-        return secrets.token_bytes(16)
-
-    def load(self, write: bool) -> None:
-        found = self.names()
-        halves = [file_format.lines(self.whole(name)) if name in found else [] for name in HALVES]
-        numbers = sorted(int(match[1]) for name in found if (match := SEGMENT.match(name)))
-        self.purged, self.sequence, whole = purge_log_recovery.purges(halves, bool(numbers))
-        snapshots = [int(match[1]) for name in found if (match := INDEX.match(name))]
-        self.generation = max(snapshots, default=0)
-        self.last = max([*numbers, *(purge.segment for purge in self.purged)], default=0)
-        if not whole:
-            self.distrusted = True
-            if write:  # gone before the log says that all is well again
-                for name in found:
-                    if SEGMENT.match(name) or INDEX.match(name):
-                        self.files.remove(self.at(name))
-                self.files.sync_names(self.path)
-            numbers, self.generation = [], 0
-        for number in numbers:
-            handle = self.files.open(self.segment(number))
-            self.handles[number], self.sizes[number] = handle, self.files.size(handle)
-        if not self.numbered:
-            self.purged.number = 0
-        if write:
-            self.rewrite(list(self.purged), self.purged.number)
+            raise UnusableDirectoryError(self.path, f"can't be used: {error.strerror or error}") from None
 
     def close(self) -> None:
-        handles = [*self.handles.values(), *self.logs, *([self.locked] if self.locked is not None else [])]
-        self.handles, self.logs, self.locked = {}, [], None
+        """Close all files and release the lock."""
+        handles = [*self.handles.values(), *([self._lock] if self._lock is not None else [])]
+        self.handles, self._lock = {}, None
+        self.purge_log.close_files()
         for handle in handles:
             try:
                 self.files.close(handle)
             except OSError:
                 continue
 
+    def path_of(self, name: str) -> str:
+        """The path of a file in the directory."""
+        return f"{self.path}/{name}"
+
     def names(self) -> list[str]:
+        """All names in the directory, sorted."""
         return sorted(self.files.names(self.path))
 
-    def whole(self, name: str) -> bytes:
-        handle = self.files.open(self.at(name))
+    def read_file(self, name: str) -> bytes:
+        """All bytes of a file in the directory."""
+        handle = self.files.open(self.path_of(name))
         try:
             return self.files.read(handle, self.files.size(handle), 0)
         finally:
             self.files.close(handle)
 
-    def replace(self, name: str, data: bytes) -> None:
-        replace(self.files, self.path, name, data)
-
     # Copies.
 
-    def append(self, copy: Copy, body: bytes) -> tuple[int, int, int]:
-        """Writes in sequence; where it is now. What follows a failed write begins a new segment."""
-        if not self.current or self.end >= self.segment_size:
-            self.roll()
-        number, offset = self.current, self.end
-        data = file_format.record(
-            copy.key, copy.part, copy.group, copy.tag, copy.made, copy.serial, body, file_format.seed(self.mark, number)
-        )
+    def append(self, copy: Copy, body: bytes) -> Place:
+        """Append a copy to the current segment. After a failed write the next one begins a new segment."""
+        if not self._current_segment or self._current_end >= self._segment_bytes:
+            self.begin_segment()
+        number, offset = self._current_segment, self._current_end
+        record = encode_record(copy, body, checksum_seed(self.store_id, number))
         try:
-            self.files.write(self.handles[number], data, offset)
+            self.files.write(self.handles[number], record, offset)
         except OSError:
-            self.current = 0
+            self._current_segment = 0
             raise
-        self.end = offset + len(data)
-        self.written += len(data)
-        return number, offset, len(data)
-
-    def roll(self) -> None:
-        if self.current:
-            number, self.current = self.current, 0
+        self._current_end = offset + len(record)
+        self._appended_bytes += len(record)
+        return Place(number, offset, len(record))
+
+    def begin_segment(self) -> None:
+        """Make the current segment durable and begin a new one."""
+        if self._current_segment:
+            number, self._current_segment = self._current_segment, 0
             self.files.sync(self.handles[number])
-        number = self.last + 1
-        handle = self.files.open(self.segment(number), write=True, create=True)
-        self.last, self.current, self.end = number, number, 0
+        number = self.newest_segment + 1
+        handle = self.files.open(self._segment_path(number), write=True, create=True)
+        self.newest_segment = self._current_segment = number
+        self._current_end = 0
         self.handles[number] = handle
 
-    def read(self, place: tuple[int, int, int], key: int, part: int) -> bytes:
-        """The body, each chunk checked. Raises Damaged for anything but that very copy."""
+    def read(self, place: Place, key: int, part: int) -> bytes:
+        """The body of the copy at that place, with each chunk verified.
+
+        Raises:
+            DamagedCopyError: Anything but that very copy is there.
+        """
         number, offset, length = place
-        data = memoryview(self.files.read(self.handles[number], length, offset))
-        seed = file_format.seed(self.mark, number)
-        head = file_format.read_head(data[: file_format.SPAN], seed)
-        if head is None or (head.key, head.part) != (key, part):
-            raise Damaged(f"no head of {key:016x} {part} at {number}:{offset}")
-        body = data[head.length : head.length + head.size]
-        if not file_format.intact(head, body, seed):
-            raise Damaged(f"a chunk of {key:016x} {part} at {number}:{offset}")
+        record = memoryview(self.files.read(self.handles[number], length, offset))
+        seed = checksum_seed(self.store_id, number)
+        header = decode_header(record[:MAX_HEADER_BYTES], seed)
+        if header is None or (header.key, header.part) != (key, part):
+            raise DamagedCopyError("the header", key, part, number, offset)
+        body = record[header.header_bytes : header.header_bytes + header.size]
+        if not body_is_intact(header, body, seed):
+            raise DamagedCopyError("an intact body", key, part, number, offset)
         return bytes(body)
 
-    def heads(self, number: int, start: int, bodies: bool) -> Iterator[tuple[file_format.Head, int]]:
-        """Every record of a segment from there on, with its offset; bodies: checked as well. Past a damaged
-        place it goes on with the next head.
-        """
-        handle, seed = self.handles[number], file_format.seed(self.mark, number)
+    def scan(self, number: int, start: int, *, verify_bodies: bool) -> Iterator[tuple[RecordHeader, Place]]:
+        """Every record of a segment from an offset on; past a damaged one the scan goes on with the next header."""
+        handle, seed = self.handles[number], checksum_seed(self.store_id, number)
         size, offset = self.files.size(handle), start
-        window, base = b"", 0
-        while offset + file_format.HEAD.size <= size:
-            if not base <= offset <= base + len(window) - file_format.SPAN:
-                window, base = self.files.read(handle, WINDOW, offset), offset
-            head = file_format.read_head(memoryview(window)[offset - base : offset - base + file_format.SPAN], seed)
-            if head is None:
-                offset = self.seek(window, base, offset + file_format.ALIGN)
+        window, window_start = b"", 0
+        while offset + RECORD_HEADER.size <= size:
+            if not window_start <= offset <= window_start + len(window) - MAX_HEADER_BYTES:
+                window, window_start = self.files.read(handle, SCAN_WINDOW_BYTES, offset), offset
+            index = offset - window_start
+            header = decode_header(memoryview(window)[index : index + MAX_HEADER_BYTES], seed)
+            if header is None:
+                offset = _next_header(window, window_start, offset + RECORD_ALIGN_BYTES)
                 continue
-            if offset + head.length + head.size > size:
-                offset += file_format.ALIGN
+            body_start = offset + header.header_bytes
+            intact = body_start + header.size <= size
+            if intact and verify_bodies:
+                intact = body_is_intact(header, self.files.read(handle, header.size, body_start), seed)
+            if not intact:
+                offset += RECORD_ALIGN_BYTES
                 continue
-            if bodies:
-                body = self.files.read(handle, head.size, offset + head.length)
-                if not file_format.intact(head, body, seed):
-                    offset += file_format.ALIGN
-                    continue
-            yield head, offset
-            offset += head.whole
-
-    def seek(self, window: bytes, base: int, offset: int) -> int:
-        """The next place where a head may be, in this window or past it."""
-        at = window.find(file_format.MAGIC, offset - base)
-        while at >= 0:
-            if (base + at) % file_format.ALIGN == 0:
-                return base + at
-            at = window.find(file_format.MAGIC, at + 1)
-        end = base + len(window)
-        return max(offset, end - end % file_format.ALIGN)
-
-    def drop(self, number: int) -> None:
-        """Recycles a segment that nobody reads."""
+            yield header, Place(number, offset, header.record_bytes)
+            offset += header.record_bytes
+
+    def recycle(self, number: int) -> None:
+        """Remove a segment that nobody reads."""
         handle = self.handles.pop(number, None)
-        self.sizes.pop(number, None)
+        self.initial_sizes.pop(number, None)
         if handle is not None:
             self.files.close(handle)
-            self.files.remove(self.segment(number))
-
-    # Purges.
-
-    def purge(self, purges: list[Purge]) -> None:
-        """Durable in both files when it returns. After a failure the same lines are written again."""
-        lines = b"".join(
-            file_format.line(self.sequence + place, purge_log_recovery.PURGE, purge)
-            for place, purge in enumerate(purges)
-        )
-        for handle in self.logs:
-            self.files.write(handle, lines, self.logged * file_format.LINE_SIZE)
-            self.files.sync(handle)
-        self.sequence += len(purges)
-        self.logged += len(purges)
-        self.written += 2 * len(lines)
-
-    def long(self, count: int) -> bool:
-        """Whether the log holds far more lines than the purges that still matter."""
-        return self.logged > 4 * count + 4096
-
-    def rewrite(self, purges: list[Purge], number: int) -> None:
-        """The log anew, one file after the other: at each moment one of them is whole. number: the journal's, up
-        to which these are all.
-        """
-        every = next((purge for purge in purges if purge.key is None and purge.group < 0), None)
-        base = every or Purge(None, -1, 0.0, self.last, number)
-        lines = [file_format.line(self.sequence, purge_log_recovery.BASE, base._replace(number=number))]
-        for purge in purges:
-            if purge is not every:
-                lines.append(file_format.line(self.sequence + len(lines), purge_log_recovery.PURGE, purge))
-        old, self.logs = self.logs, []
-        for handle in old:
-            self.files.close(handle)
-        for name in HALVES:
-            self.replace(name, b"".join(lines))
-        self.logs = [self.files.open(self.at(name), write=True) for name in HALVES]
-        self.logged = len(lines)
-        self.sequence += len(lines)
+            self.files.remove(self._segment_path(number))
 
     # Snapshots and recovery.
 
-    def snapshot(
-        self, objects: Iterable[tuple[int, int, list[Copy]]], marks: dict[int, int], counts: bytes, serial: int
-    ) -> int:
-        """objects: (object, k, copies), the latest used first. marks: to where each segment is known in them.
-        Every byte that it names is made durable first. Returns the generation.
+    def write_snapshot(self, objects: Iterable[StoredObject], meta: SnapshotMeta) -> int:
+        """Write the index, the object used last first, and return its generation.
+
+        Every byte that it names is made durable first.
         """
-        for number in marks:
+        for number, _ in meta.marks:
             handle = self.handles.get(number)
-            if handle is not None and number not in self.sizes:
+            if handle is not None and number not in self.initial_sizes:
                 self.files.sync(handle)
-        name = f"index-{self.generation + 1:010d}.wh"
-        handle = self.files.open(self.at(name + ".new"), write=True, create=True)
-        try:
-            offset = 0
-            for data in self.blocks(objects, marks, counts, serial):
-                self.files.write(handle, data, offset)
-                offset += len(data)
-            self.files.sync(handle)
-        finally:
-            self.files.close(handle)
-        self.files.rename(self.at(name + ".new"), self.at(name))
-        self.files.sync_names(self.path)
-        self.generation += 1
-        self.written += offset
-        for name in self.names():
-            match = INDEX.match(name)
-            if match and int(match[1]) <= self.generation - GENERATIONS:
-                self.files.remove(self.at(name))
-        return self.generation
-
-    def blocks(
-        self, objects: Iterable[tuple[int, int, list[Copy]]], marks: dict[int, int], counts: bytes, serial: int
-    ) -> Iterator[bytes]:
-        yield file_format.snapshot_head(self.mark)
-        yield file_format.block({"serial": serial, "marks": list(marks.items()), "counts": counts})
-        batch: list[Any] = []
-        for key, k, copies in objects:
-            rows = [(c.part, c.group, c.tag, c.made, c.size, c.serial, c.place) for c in copies if c.place]
-            if rows:
-                batch.append((key, k, rows))
-            if len(batch) == BATCH:
-                yield file_format.block(batch)
-                batch = []
-        if batch:
-            yield file_format.block(batch)
-        yield file_format.block("end")
-
-    def recover(self, begin: Callable[[int, bytes], None]) -> Iterator[list[Found]]:
-        """What the directory holds, in batches, the latest used first: the newest whole snapshot, then what was
-        written after it. begin(serial, counts) is told before the first.
+        return self.snapshots.write(self.store_id, meta, objects)
+
+    def recover(self, on_meta: Callable[[int, bytes], None]) -> Iterator[list[StoredObject]]:
+        """What the directory holds, in batches: the newest whole snapshot, then what was written after it.
+
+        Args:
+            on_meta: Called with the highest serial so far and the dumped frequencies (empty for none), before the
+                snapshot's objects and again at the end.
         """
-        marks, serial = {}, 0
-        names = [name for name in self.names() if INDEX.match(name)] if self.sizes else []
-        for name in reversed(names):
-            blocks = self.proven(name)
-            if blocks is None:
-                continue
-            first, *rest = blocks
-            marks, serial = {number: end for number, end in first["marks"]}, first["serial"]
-            begin(serial, first["counts"])
-            for block in rest:
+        marks: dict[int, int] = {}
+        serial = 0
+        snapshot = self.snapshots.read_newest(self.store_id) if self.initial_sizes else None
+        if snapshot is not None:
+            marks, serial = dict(snapshot.meta.marks), snapshot.meta.serial
+            on_meta(serial, snapshot.meta.counts)
+            for batch in snapshot.batches:
                 yield [
-                    (key, k, [self.listed(key, row) for row in rows if self.there(row[6])]) for key, k, rows in block
+                    StoredObject(
+                        row.key,
+                        row.frequency,
+                        [restore_copy(row.key, copy) for copy in row.copies if self._has(copy.place)],
+                    )
+                    for row in batch
                 ]
-            break
-        for number in sorted(self.sizes, reverse=True):
-            start, batch = purge_log_recovery.covered(marks, number, self.sizes[number]), []
-            for head, offset in self.heads(number, start, True):
-                serial = max(serial, head.serial)
-                copy = Copy(
-                    head.key,
-                    head.part,
-                    head.group,
-                    head.tag,
-                    head.made,
-                    head.size,
-                    head.serial,
-                    (number, offset, head.whole),
-                    proven=False,
-                )
-                batch.append((head.key, 0, [copy]))
-                if len(batch) == BATCH:
-                    yield batch
-                    batch = []
-            if batch:
-                yield batch
-        begin(serial, b"")
-
-    def proven(self, name: str) -> list[Any] | None:
-        """The blocks of a snapshot, or None if any is damaged: a part of an index would hide copies that count."""
-        handle = self.files.open(self.at(name))
-        try:
-            blocks = list(
-                file_format.read_snapshot(lambda size, offset: self.files.read(handle, size, offset), self.mark)
-            )
-        finally:
-            self.files.close(handle)
-        return blocks[:-1] if blocks[-1] == "end" else None
+        for number in sorted(self.initial_sizes, reverse=True):
+            start = scan_start(marks, number, self.initial_sizes[number])
+            found: list[StoredObject] = []
+            for header, place in self.scan(number, start, verify_bodies=True):
+                serial = max(serial, header.serial)
+                found.append(StoredObject(header.key, 0, [_scanned_copy(header, place)]))
+                if len(found) == BATCH_COPIES:
+                    yield found
+                    found = []
+            if found:
+                yield found
+        on_meta(serial, b"")
+
+    # Parts of opening.
+
+    def _segment_path(self, number: int) -> str:
+        return self.path_of(f"segment-{number:010d}.wh")
+
+    def _has(self, place: Place) -> bool:
+        size = self.initial_sizes.get(place.segment)
+        return size is not None and place.offset + place.length <= size
+
+    def _identify(self, *, write: bool) -> None:
+        names = self.names()
+        data = self.read_file(IDENTITY_NAME) if IDENTITY_NAME in names else b""
+        store_id = decode_identity(data)
+        if store_id is None:
+            if not write:
+                raise UnusableDirectoryError(self.path, "is no store")
+            # It is new, or its identity is damaged: then nothing in it can be relied on.
+            for name in names:
+                if self._holds_data(name) or name in PURGE_LOG_NAMES:
+                    self.files.remove(self.path_of(name))
+                    self.distrusted = True
+            store_id = self._new_store_id()
+            replace(self.files, self.path, IDENTITY_NAME, encode_identity(store_id))
+        self.store_id = store_id
+
+    def _load(self, *, write: bool) -> None:
+        names = self.names()
+        logs = [decode_purge_lines(self.read_file(name)) if name in names else [] for name in PURGE_LOG_NAMES]
+        numbers = sorted(number for name in names if (number := segment_number(name)) is not None)
+        self.purges, self.purge_log.next_sequence, is_complete = recover_purges(logs, has_segments=bool(numbers))
+        generations = [generation for name in names if (generation := generation_of(name)) is not None]
+        self.snapshots.generation = max(generations, default=0)
+        self.newest_segment = max([*numbers, *(purge.segment for purge in self.purges)], default=0)
+        if not is_complete:
+            self.distrusted = True
+            if write:  # removed before the rewritten log says that all is well again
+                self._remove_data(names)
+            numbers, self.snapshots.generation = [], 0
+        for number in numbers:
+            handle = self.files.open(self._segment_path(number))
+            self.handles[number], self.initial_sizes[number] = handle, self.files.size(handle)
+        if not self._events_continue:
+            self.purges.last_event_number = 0
+        if write:
+            self.purge_log.rewrite(list(self.purges), self.purges.last_event_number, self.newest_segment)
 
-    def there(self, place: list[int]) -> bool:
-        return place[0] in self.sizes and place[1] + place[2] <= self.sizes[place[0]]
+    def _remove_data(self, names: list[str]) -> None:
+        for name in names:
+            if self._holds_data(name):
+                self.files.remove(self.path_of(name))
+        self.files.sync_names(self.path)
 
-    def listed(self, key: int, row: list[Any]) -> Copy:
-        part, group, tag, made, size, serial, place = row
-        return Copy(key, part, group, tag, made, size, serial, tuple(place), proven=False)
+    @staticmethod
+    def _holds_data(name: str) -> bool:
+        return segment_number(name) is not None or generation_of(name) is not None
+
+
+def _next_header(window: bytes, window_start: int, offset: int) -> int:
+    """The next offset at which a header may begin, in this window or past it."""
+    index = window.find(RECORD_MAGIC, offset - window_start)
+    while index >= 0:
+        if (window_start + index) % RECORD_ALIGN_BYTES == 0:
+            return window_start + index
+        index = window.find(RECORD_MAGIC, index + 1)
+    end = window_start + len(window)
+    return max(offset, end - end % RECORD_ALIGN_BYTES)
+
+
+def _scanned_copy(header: RecordHeader, place: Place) -> Copy:
+    return Copy(
+        header.key,
+        header.part,
+        header.group,
+        header.etag,
+        header.created,
+        header.size,
+        header.serial,
+        place,
+        age_verified=False,
+    )
