--- a/tests/store/test_store.py
+++ b/tests/store/test_store.py
@@ -47,7 +47,7 @@
 # A purge strikes while ...
 
 
-def test_parts_are_being_written():
+def test_purge_when_a_part_is_being_written_removes_it():
     world = begun()
     world.offer(1, 0, 500)
     world.purge(1)
@@ -57,7 +57,7 @@
     assert world.store.find(1, 0, world.clock) is None
 
 
-def test_a_copy_from_before_it_comes_in():
+def test_offer_when_created_before_a_purge_is_not_admitted():
     world = begun()
     made = world.clock
     world.purge(1)
@@ -66,7 +66,7 @@
     assert world.store.admit(CopyOffer(1, 0, 0, b"t", world.clock + 0.01, 500), world.clock)
 
 
-def test_a_part_is_being_read():
+def test_purge_when_a_part_is_being_read_makes_the_copy_invalid():
     world = begun()
     copy = held(world)
     got = reads(world, copy)
@@ -75,7 +75,7 @@
     assert got != [None] and not world.store.is_valid(copy, world.clock)
 
 
-def test_a_copy_is_being_renewed():
+def test_revalidation_when_a_purge_is_newer_changes_nothing():
     world = begun()
     copy = held(world)
     before = copy.created
@@ -84,7 +84,7 @@
     assert not world.store.is_current(copy, world.clock) and copy.created == before
 
 
-def test_a_snapshot_is_being_made():
+def test_purge_when_a_snapshot_is_being_written_outlives_a_restart():
     world = begun()
     held(world)
     world.store.snapshot(world.clock)
@@ -95,7 +95,7 @@
         assert world.store.find(1, 0, world.clock) is None
 
 
-def test_a_start_still_recovers():
+def test_purge_when_a_start_still_recovers_removes_the_copy():
     world = begun()
     held(world)
     world.disk = world.disk.restarted(1, False)
@@ -105,7 +105,7 @@
     assert world.store.find(1, 0, world.clock) is None and not world.store.tier.is_recovering
 
 
-def test_segments_are_being_recycled():
+def test_purge_when_segments_are_recycled_leaves_no_purged_copy():
     world = begun()
     for key in range(20):
         world.offer(key, 0, 3000, group=int(key < 10))
@@ -120,7 +120,7 @@
     assert world.store.tier.counters.recycled and world.check(world.stamps)
 
 
-def test_a_router_that_is_restarted_all_the_time_still_wins_its_room_back():
+def test_disk_space_when_restarted_all_the_time_is_still_recycled():
     world = begun()
     for turn in range(60):
         world.offer(turn, 0, 3900)
@@ -137,7 +137,7 @@
 # Readers, bounds, faults.
 
 
-def test_a_copy_being_read_is_not_recycled_under_the_reader():
+def test_segment_when_a_copy_is_being_read_is_not_recycled():
     world = begun()
     copy = held(world, size=3000)
     for key in range(2, 9):
@@ -157,7 +157,7 @@
     assert number not in world.store.tier.space.segments
 
 
-def test_what_is_over_the_bounds_of_writing_is_not_kept_and_nobody_waits():
+def test_offer_when_over_the_write_bounds_is_refused_at_once():
     world = begun()
     world.store.writer.limiter.max_queued_bytes = 2000
     for key in range(4):
@@ -170,7 +170,7 @@
 
 
 @pytest.mark.parametrize("fault", [errno.EIO, errno.ENOSPC])
-def test_a_disk_that_fails_is_bypassed_and_tried_again(fault):
+def test_disk_when_it_fails_is_bypassed_and_tried_again(fault):
     world = begun(disk=Disk())
     world.disk.stuck = fault
     for key in range(8):
@@ -190,7 +190,7 @@
     assert world.check(world.stamps) == 1
 
 
-def test_purges_that_could_not_be_put_down_are_put_down_in_order_later():
+def test_purges_when_the_log_cannot_be_written_are_written_in_order_later():
     world = begun(continues=True)
     held(world)
     world.disk.stuck = errno.EIO
@@ -207,7 +207,7 @@
     assert world.store.last_event_number == 6 and world.store.find(1, 0, world.clock) is None
 
 
-def test_a_storm_of_purges_while_some_are_being_put_down_loses_none(monkeypatch):
+def test_purges_when_more_than_the_bound_are_pending_are_all_in_force(monkeypatch):
     monkeypatch.setattr("wickhinge.store.purging.MAX_PENDING_PURGES", 4)
     world = begun(continues=True)
     for key in range(1, 8):
@@ -218,7 +218,7 @@
     assert all(world.store.tier.purges.covers(key, group, stamp) for key, group, stamp in world.stamps)
 
 
-def test_a_slow_disk_is_bypassed():
+def test_disk_when_it_is_slow_is_bypassed():
     world = begun()
     copy = held(world)
     for _ in range(4):
@@ -229,14 +229,14 @@
     assert got[0] is not None and reads(world, copy) == [None]
 
 
-def test_more_reads_than_may_be_out_go_the_ordinary_path():
+def test_read_when_too_many_are_under_way_is_refused_at_once():
     world = begun()
     copy = held(world)
     got = [reads(world, copy) for _ in range(17)]
     assert got[16] == [None] and got[:16] == [[]] * 16
 
 
-def test_the_memory_tier_answers_without_the_disk_and_stays_in_its_room():
+def test_memory_tier_when_the_disk_stalls_answers_within_its_capacity():
     world = begun(memory=4000)
     for key in range(8):
         held(world, key, size=900)
@@ -248,7 +248,7 @@
 # Age across a start, and while the journal is away.
 
 
-def test_copies_of_an_earlier_start_are_unproven_until_they_are_the_same_or_all_is_caught_up():
+def test_recovered_copy_when_neither_revalidated_nor_caught_up_is_not_current():
     for continues, whole, proven in ((False, True, False), (True, False, False), (True, True, True)):
         world = begun(continues=continues)
         assert world.store.is_current(held(world), world.clock)
@@ -262,7 +262,7 @@
 
 
 @pytest.mark.parametrize("later, answers", [(0.0, True), (2.9, True), (3.1, False), (-2.0, False)])
-def test_nothing_is_proven_while_purges_may_be_untold_or_the_clock_went_back(later, answers):
+def test_copy_when_the_journal_is_quiet_or_the_clock_went_back_is_not_current(later, answers):
     world = begun()
     assert world.store.is_current(held(world), world.clock + later) is answers
 
@@ -270,7 +270,7 @@
 # The journal: taken up again at a number of an earlier start.
 
 
-def test_purges_are_told_again_and_lists_are_not():
+def test_journal_when_it_resumes_passes_on_purges_and_no_lists():
     made, told = reading(5)
     made.remembered(2)
     up = []
@@ -282,7 +282,7 @@
 
 
 @pytest.mark.parametrize("remembered, first", [(9, None), (0, None), (2, 4)])
-def test_a_count_that_was_begun_anew_or_has_a_gap_proves_nothing(remembered, first):
+def test_journal_when_its_count_restarted_or_has_a_gap_is_not_unbroken(remembered, first):
     made, _ = reading(5)
     up = []
     made.caught_up = lambda: up.append(made.unbroken)
@@ -341,7 +341,7 @@
         (0.0, 1.0, {"ends": 0.8}, False),
     ],
 )
-def test_a_fresh_and_proven_copy_answers_if_its_bytes_pass_in_time(fresh, age, more, answers):
+def test_copy_when_fresh_and_current_and_in_time_answers(fresh, age, more, answers):
     made, visit, caller = asked(tariff(fresh=fresh), age, **more)
     assert bool(caller.reads) is answers and bool(caller.forwards) is not answers
     assert made.shelf.items[5].k == 1  # a visit raises k, however it is answered
@@ -350,7 +350,7 @@
 
 
 @pytest.mark.parametrize("whole, gone", [(False, False), (True, True)])
-def test_a_copy_that_cannot_be_read_or_was_purged_meanwhile_goes_the_ordinary_path_once(whole, gone):
+def test_request_when_its_copy_is_unreadable_or_purged_is_forwarded_once(whole, gone):
     made, visit, caller = asked(tariff(), 1.0)
     made.copies.is_held = not gone
     assert not visit.read(caller.reads[0], whole, 100.05)
@@ -358,13 +358,13 @@
 
 
 @pytest.mark.parametrize("kind", [tariff(Effect.EXCLUSIVE), tariff(Effect.TICKETED), tariff(passes_on=True)])
-def test_what_runs_somewhere_is_never_answered_by_a_copy(kind):
+def test_request_when_it_has_effects_is_never_answered_by_a_copy(kind):
     _, visit, caller = asked(kind, 1.0)
     assert not caller.reads and visit.copy is None
 
 
 @pytest.mark.parametrize("age, reads", [(7.0, True), (11.0, False)])
-def test_a_copy_in_its_grace_answers_only_in_place_of_a_denial(age, reads):
+def test_copy_when_in_its_grace_answers_only_in_place_of_a_denial(age, reads):
     _, visit, caller = asked(replace(tariff(fresh=5.0), grace=5.0), age)
     assert len(caller.forwards) == 1 and not caller.reads
     visit.give_up(100.1)
@@ -374,7 +374,7 @@
         assert caller.answers == [("denied", 0.5)]
 
 
-def test_an_unproven_copy_is_offered_and_answers_once_it_is_the_same():
+def test_copy_when_not_current_is_offered_and_answers_after_revalidation():
     made, visit, caller = asked(tariff(), 1.0, proven=False)
     assert visit.copy is made.copies.copy and caller.forwards
     before = dict(made.means), visit.item.work
@@ -384,7 +384,7 @@
     assert visit.read(caller.reads[0], True, 100.03) and visit.done
 
 
-def test_the_same_that_cannot_be_read_is_asked_for_whole_at_the_same_cache():
+def test_revalidated_copy_when_unreadable_is_requested_from_the_same_cache():
     made, visit, caller = asked(tariff(), 1.0, proven=False)
     made.copies.is_proven = True
     end(caller, Outcome.CURRENT, 100.02)
@@ -488,7 +488,7 @@
 
 
 @pytest.mark.parametrize("cached, have", [("00000000000000e1", "00000000000000e1"), ("zz,src=s-1", None), ("", None)])
-def test_a_clients_tag_goes_on_only_if_it_is_one_and_its_copy_answers_without_bytes(cached, have):
+def test_client_etag_when_well_formed_is_passed_on_and_answers_without_a_body(cached, have):
     net = wired(with_store=False)
     ask(net, cached=cached)
     assert told(net).get("have") == have
@@ -504,7 +504,7 @@
     net.heap.run(net.heap.clock)
 
 
-def test_the_second_wish_is_kept_and_the_third_is_answered_by_the_copy():
+def test_copy_when_requested_twice_is_stored_and_answers_the_third_request():
     net = wired()
     visited(net), visited(net)
     assert len(net.sent) == 2 and net.world.store.tier.counters.admitted == 1
@@ -519,7 +519,7 @@
     assert net.client.had[3] == (3, b"", {"keep": "1"}) and net.visits.copies.served["told"] == 1
 
 
-def test_a_read_that_does_not_come_in_time_goes_on_to_a_cache_and_answers_once():
+def test_read_when_late_is_followed_by_a_forward_and_one_answer():
     net = wired()
     visited(net), visited(net)
     net.world.lanes.stalled = {"read"}
@@ -535,7 +535,7 @@
     assert len(net.client.had) == 3 and not net.faults and net.visits.copies.served["late"] == 1
 
 
-def test_a_client_that_left_while_its_copy_was_read_gets_nothing():
+def test_client_when_gone_during_a_read_gets_no_answer():
     net = wired()
     visited(net), visited(net)
     door = ask(net)
@@ -545,7 +545,7 @@
     assert len(net.client.had) == 2 and not list(net.visits.slots)
 
 
-def test_after_a_start_the_copy_is_offered_and_serves_once_the_cache_says_it_is_the_same():
+def test_recovered_copy_when_a_cache_revalidates_it_answers():
     net = wired()
     visited(net), visited(net)
     net.world.restart(1, lost=False)
--- a/tests/store/test_store_deciding.py
+++ b/tests/store/test_store_decisions.py
@@ -33,7 +33,7 @@
         made.record_request(key, 0)
 
 
-def test_counts_remember_far_more_than_they_mix_up():
+def test_frequency_table_when_nearly_full_is_right_for_most_objects():
     made, told = FrequencyTable(16_384), {}
     chance = random.Random(3)
     for _ in range(10_000):
@@ -49,7 +49,7 @@
     assert not FrequencyTable(64).load(made.dump())
 
 
-def test_counts_fade_by_half_with_each_age_and_do_not_come_back_when_ages_come_round():
+def test_frequency_when_not_requested_halves_with_each_age_for_good():
     made = FrequencyTable(64)
     made.put(7, 9)
     seen = []
@@ -64,14 +64,14 @@
     "count, part, wanted",
     [(0, 0, False), (1, 0, False), (2, 0, True), (2, 1, True), (2, 2, False), (5, 4, True), (5, 5, False)],
 )
-def test_parts_below_k_are_wanted_and_nothing_that_was_not_wanted_before(count, part, wanted):
+def test_part_when_below_the_frequency_of_a_repeated_object_is_admitted(count, part, wanted):
     made = keep()
     visits(made, 1, count)
     assert made.admits(1, part, 10) is wanted
     assert not made.admits(1, part, 26)  # over a quarter of the room
 
 
-def test_the_least_lately_used_object_loses_its_tail_and_its_k_falls_to_what_is_left():
+def test_least_recently_used_object_when_space_runs_out_loses_its_tail_and_frequency():
     made = keep()
     for key in (1, 2):
         visits(made, key, 6)
@@ -86,7 +86,7 @@
     assert made.admits(2, 4, 10)
 
 
-def test_what_lost_its_last_part_is_remembered_as_wanted_before():
+def test_object_when_its_last_part_is_evicted_keeps_a_frequency_of_one():
     made = keep(20)
     for key in (1, 2, 3):
         visits(made, key, 4)
@@ -106,7 +106,7 @@
         ((5.0, 1, True), (6.0, 9, False), False),
     ],
 )
-def test_of_two_recovered_copies_the_newer_counts_and_none_replaces_one_of_this_run(old, new, believed):
+def test_recovered_copy_when_another_is_present_wins_only_if_newer_and_none_of_this_run(old, new, believed):
     made = keep()
     first, second = (copy(created=m, serial=s, age_verified=p) for m, s, p in (old, new))
     made.add(first)
@@ -114,7 +114,7 @@
     assert made.find(1, 0) is (second if believed else first)
 
 
-def test_recovered_copies_go_before_what_this_run_keeps():
+def test_recovered_copies_when_space_runs_out_go_before_those_of_this_run():
     made = keep(30)
     visits(made, 9, 3)
     made.add(copy(9))
@@ -127,13 +127,13 @@
     assert [gone.key for gone in made.add(copy(9, 1))] == [2] and made.frequency(1) == 2
 
 
-def test_tails_of_no_room_hold_nothing():
+def test_tail_eviction_when_without_capacity_holds_nothing():
     made = TailEviction(0)
     one = copy()
     assert made.add(one) == [one] and not made.objects and made.used == 0
 
 
-def test_segments_are_recycled_whole_unread_and_least_alive_first():
+def test_segments_when_garbage_and_unread_are_recycled_and_least_live_compacted():
     space = SegmentSpace(100, 20)
     for number, live in ((1, 5), (2, 15), (3, 0), (4, 20)):
         space.record_append(Place(number, 0, 20))
@@ -153,7 +153,7 @@
     space.mark_garbage(Place(1, 0, 5))
 
 
-def test_writing_is_bounded_in_bytes_that_wait_and_bytes_a_second():
+def test_write_rate_limiter_when_over_queue_or_rate_refuses():
     limiter = WriteRateLimiter(100, 50.0)
     assert limiter.admit(60, 1.0) and not limiter.admit(10, 1.0)  # a second's worth was there
     assert limiter.admit(30, 2.0) and not limiter.admit(30, 9.0)  # 90 wait
@@ -164,7 +164,7 @@
     assert limiter.bucket.tokens <= 50
 
 
-def test_the_breaker_opens_after_some_in_a_row_and_one_trial_closes_it():
+def test_breaker_when_errors_follow_each_other_opens_until_a_trial_succeeds():
     breaker = CircuitBreaker(0.1)
     for _ in range(MAX_CONSECUTIVE_ERRORS - 1):
         breaker.record(False, 0.0, 1.0)
@@ -180,7 +180,7 @@
     assert breaker.allows(5.2) and not breaker.is_open
 
 
-def test_slowness_opens_the_breaker_and_a_clock_set_back_does_not_keep_it_open():
+def test_breaker_when_calls_are_slow_opens_and_a_clock_step_back_allows_a_trial():
     breaker = CircuitBreaker(0.1)
     for _ in range(MAX_CONSECUTIVE_SLOW_CALLS):
         breaker.record(True, 0.2, 1000.0)
@@ -191,7 +191,7 @@
     "made, key, group, covered",
     [(10.0, 1, 0, True), (10.001, 1, 0, False), (9.0, 2, 0, False), (20.0, 2, 3, True), (20.001, 2, 3, False)],
 )
-def test_purges_cover_what_was_made_up_to_them(made, key, group, covered):
+def test_purge_when_a_copy_was_created_up_to_it_covers_it(made, key, group, covered):
     purged = PurgeTable()
     purged.record(Purge(1, 0, 10.0, 1, 4))
     purged.record(Purge(None, 3, 20.0, 2, 5))
@@ -200,14 +200,14 @@
     assert purged.last_event_number == 6 and purged.objects[1].segment == 3
 
 
-def test_purges_are_forgotten_only_when_no_older_segment_is_left():
+def test_purge_when_no_older_segment_is_left_is_forgotten():
     purged = PurgeTable()
     purged.record(Purge(1, 0, 10.0, 5, 1))
     assert purged.forget(5, 1000.0) == 0 and purged.forget(6, 20.0) == 0
     assert purged.forget(6, 1000.0) == 1 and not purged.covers(1, 0, 5.0)
 
 
-def test_a_storm_of_purges_costs_copies_and_not_memory():
+def test_purge_table_when_over_its_bound_merges_and_still_covers_all():
     purged = PurgeTable(max_purges=100)
     for place in range(1000):
         purged.record(Purge(place, 0, float(place), 1, place))
@@ -238,7 +238,7 @@
         ((log(1, 2), log(1, 2)), False, False, 3),
     ],
 )
-def test_what_is_believed_of_a_purge_log(halves, others, believed, sequence):
+def test_purge_log_when_lines_are_missing_is_complete_only_with_all_since_the_base(halves, others, believed, sequence):
     purged, following, is_complete = recover_purges(halves, has_segments=others)
     assert (is_complete, following) == (believed, sequence)
     base = max((one for half in halves for one, kind, _ in half if kind == LineKind.BASE), default=0)
@@ -249,11 +249,11 @@
     "marks, number, size, start",
     [({}, 3, 90, 0), ({3: 50}, 3, 90, 50), ({3: 50}, 3, 40, 0), ({3: 50}, 2, 90, 90), ({3: 50}, 4, 90, 0)],
 )
-def test_from_where_a_start_reads_a_segment(marks, number, size, start):
+def test_scan_when_a_snapshot_knows_a_segment_starts_at_its_mark(marks, number, size, start):
     assert scan_start(marks, number, size) == start
 
 
-def test_the_own_link_sends_one_after_the_other_and_each_no_faster_than_a_flow():
+def test_transfer_end_when_the_link_is_busy_waits_for_earlier_transfers():
     link = LinkBandwidth(10.0, 40.0)
     assert link.transfer_end(20, 100.0) == 102.0
     link.record_transfer(400, 100.0)
--- a/tests/store/test_store_faults.py
+++ b/tests/store/test_store_faults.py
@@ -49,7 +49,7 @@
 
 @pytest.mark.parametrize("how", ["crash", "tear", errno.ENOSPC, errno.EIO])
 @pytest.mark.parametrize("lost", [False, True])
-def test_whatever_call_fails_or_is_the_last_no_wrong_byte_and_no_purged_copy_is_served(how, lost):
+def test_store_when_any_file_call_fails_or_is_the_last_serves_no_wrong_or_purged_copy(how, lost):
     served = 0
     for call in range(1, CALLS + 1):
         world = World(Disk((call, how)))
@@ -64,7 +64,7 @@
 
 
 @pytest.mark.parametrize("planted", ["checksums", "purges"])
-def test_the_sweep_finds_a_planted_fault(monkeypatch, planted):
+def test_check_when_a_fault_is_planted_fails(monkeypatch, planted):
     if planted == "checksums":
         monkeypatch.setattr("wickhinge.store.volume.body_is_intact", lambda header, body, seed: True)
     else:
@@ -80,7 +80,7 @@
             world.check(world.acknowledged)
 
 
-def test_what_was_written_before_a_kill_is_there_after_it():
+def test_recovery_when_killed_finds_all_that_was_written():
     world = World()
     workload(world)
     held = {
@@ -98,7 +98,7 @@
     assert held <= found and world.check(world.stamps) >= len(held)
 
 
-def test_what_a_snapshot_names_is_there_after_the_power_went():
+def test_recovery_when_power_was_cut_finds_all_that_a_snapshot_names():
     world = World()
     workload(world)
     world.store.snapshot(world.clock)
@@ -114,7 +114,7 @@
 
 @pytest.mark.parametrize("kind", ["segment", "index", "purges-a", "purges-b", "store.wh"])
 @pytest.mark.parametrize("damage", ["flip", "sector", "cut", "gone"])
-def test_damage_anywhere_in_one_file_costs_copies_at_worst(kind, damage):
+def test_recovery_when_one_file_is_damaged_serves_no_wrong_or_purged_copy(kind, damage):
     made = World()
     workload(made)
     made.store.snapshot(made.clock)
@@ -144,7 +144,7 @@
 
 
 @pytest.mark.parametrize("halves", [("purges-a.wh",), ("purges-a.wh", "purges-b.wh")])
-def test_a_purge_log_that_may_lack_a_line_costs_all_copies_and_only_then(halves):
+def test_recovery_when_the_purge_log_may_lack_a_line_discards_all_copies(halves):
     world = World()
     workload(world)
     for name in halves:
@@ -157,7 +157,7 @@
     assert bool(world.store.tier.admission.count) == (len(halves) == 1)
 
 
-def test_a_purge_told_and_then_nothing_but_a_kill():
+def test_purge_when_power_is_cut_right_after_it_is_still_in_force():
     for seed in range(30):
         world = World()
         world.start()
@@ -170,7 +170,7 @@
         assert world.store.find(1, 0, world.clock) is None
 
 
-def test_a_newer_format_a_second_router_and_a_disk_that_can_only_be_read(tmp_path):
+def test_open_when_newer_in_use_or_read_only_raises_unusable_directory(tmp_path):
     world = World()
     world.start()
     with pytest.raises(UnusableDirectoryError, match="in use"):
