--- a/bench/peers.py
+++ b/bench/peers.py
@@ -115,7 +115,7 @@
 
 
 def alone(process: play.Process) -> None:
-    process.limiter.ask = lambda number, budget, now: None
+    process.limiter.balance = lambda number, budget, now: None
 
 
 def used(routers: int, seed: int, plants: tuple[Any, ...]) -> float:
--- a/bench/scale/day_budgets.py
+++ b/bench/scale/day_budgets.py
@@ -70,7 +70,7 @@
 
 def holds_lease(process: Process) -> bool:
     """Whether it may spend its name's own share now."""
-    return process.clock < process.limiter.vouched
+    return process.clock < process.limiter.lease_until
 
 
 class DayFleet(Fleet):
--- a/bench/scale/judgements.py
+++ b/bench/scale/judgements.py
@@ -10,10 +10,10 @@
 from wickhinge.decide import Chance, Cold, Fleet
 from wickhinge.interface import Listing
 from wickhinge.peers.messages import ALIVE
-from wickhinge.shared import outlier_detection, request_tallies, verdicts
+from wickhinge.shared import evidence, outlier_detection, request_tallies, verdicts
 
 WITNESSES = 30  # of the zone, who tell of a machine
-TALLIES = request_tallies.PASSED + 1  # a datagram
+TALLIES = request_tallies.MAX_RELAYED + 1  # a datagram
 DATAGRAMS_HEARD = 4.0  # a second, of the failure detector
 FLEET_ZONE = "z00"
 
@@ -37,49 +37,55 @@
     )
 
 
-def judge_with_words(caches: int) -> outlier_detection.Judge:
+def judge_with_words(caches: int) -> outlier_detection.OutlierDetector:
     """Each witness says of each machine that it is lost; a third of the machines is so at most."""
-    one = outlier_detection.Judge(stub_detector(WITNESSES), fleet(caches), lambda cache: None)
+    one = outlier_detection.OutlierDetector(stub_detector(WITNESSES), fleet(caches), lambda cache: None)
     one.tick(0.0, 0.0)
     marks = [cache.mark for cache in one.fleet.mine]
     for name in one.detector.roster.others:
-        for since in range(0, len(marks), verdicts.MOST):
-            told = [verdicts.Word(mark, verdicts.LOST, 0.0, 0.1) for mark in marks[since : since + verdicts.MOST]]
-            one.ridden(name, verdicts.pack(told), 0.1)
+        for since in range(0, len(marks), verdicts.MAX_VERDICTS):
+            told = [
+                verdicts.Verdict(mark, verdicts.Health.UNREACHABLE, 0.0, 0.1)
+                for mark in marks[since : since + verdicts.MAX_VERDICTS]
+            ]
+            one.receive(name, verdicts.encode(told), 0.1)
     return one
 
 
 def judge_cpu(caches: int) -> float:
     """CPU seconds a second while all tell of all machines: looks, riders read and written."""
     one, watch, now = judge_with_words(caches), Watch(), 1.0
-    told = verdicts.pack(
-        [verdicts.Word(mark + 1, verdicts.LOST, 0.0, 0.1) for mark in range(min(caches, verdicts.MOST))]
+    told = verdicts.encode(
+        [
+            verdicts.Verdict(mark + 1, verdicts.Health.UNREACHABLE, 0.0, 0.1)
+            for mark in range(min(caches, verdicts.MAX_VERDICTS))
+        ]
     )
     seconds = 2.0
     while now < 1.0 + seconds:
-        now += outlier_detection.LOOK
+        now += evidence.EVALUATION_INTERVAL_S
         with watch:
             one.tick(now, now)
-            for number in range(int(DATAGRAMS_HEARD * outlier_detection.LOOK)):
-                one.ridden(one.detector.roster.others[number], told, now)
-                one.rider(one.detector.roster.others[number])
+            for number in range(int(DATAGRAMS_HEARD * evidence.EVALUATION_INTERVAL_S)):
+                one.receive(one.detector.roster.others[number], told, now)
+                one.payload(one.detector.roster.others[number])
     return watch.spent / seconds
 
 
 def tallies(mates: int, caches: int, number: int) -> list[request_tallies.Tally]:
     """Of all mates, so many beats after the start."""
-    view = request_tallies.view([mark + 1 for mark in range(caches)])
+    view = request_tallies.hash_list([mark + 1 for mark in range(caches)])
     return [
         request_tallies.Tally(f"mate-{mate:04}", 1, mate + 1, number, 0.1, view, [3] * caches) for mate in range(mates)
     ]
 
 
-def counting(mates: int, caches: int) -> request_tallies.Counts:
+def counting(mates: int, caches: int) -> request_tallies.RequestTallies:
     """One that knows a tally of each mate."""
-    one = request_tallies.Counts(stub_detector(mates), fleet(caches, mates + 1), 0.0)
-    one.tick(request_tallies.BEAT)
+    one = request_tallies.RequestTallies(stub_detector(mates), fleet(caches, mates + 1), 0.0)
+    one.tick(request_tallies.TALLY_INTERVAL_S)
     for tally in tallies(mates, caches, 1):
-        one.merge(tally, request_tallies.BEAT, True)
+        one.merge(tally, request_tallies.TALLY_INTERVAL_S, from_itself=True)
     return one
 
 
@@ -88,16 +94,16 @@
     one, watch, beats = counting(mates, caches), Watch(), 16
     names = one.detector.roster.others
     for beat in range(2, beats + 2):
-        now = beat * request_tallies.BEAT
+        now = beat * request_tallies.TALLY_INTERVAL_S
         fresh = tallies(mates, caches, beat)
         for tally in fresh:  # kept fresh outside of the measure
-            one.merge(tally, now, True)
+            one.merge(tally, now, from_itself=True)
         rider = request_tallies.encoder.encode(fresh[:TALLIES])
         with watch:
             one.tick(now)
-            one.ridden(names[0], rider, now)
-            one.rider(names[0])
-    return watch.spent / (beats * request_tallies.BEAT)
+            one.receive(names[0], rider, now)
+            one.payload(names[0])
+    return watch.spent / (beats * request_tallies.TALLY_INTERVAL_S)
 
 
 def rows(meter: Meter) -> list[Row]:
@@ -108,12 +114,16 @@
     judged_memory = [memory(lambda size=size: judge_with_words(size)) for size in caches]
     rider = [
         DATAGRAMS_HEARD
-        * len(verdicts.pack([verdicts.Word(1 << 31, verdicts.LOST, 0.0, 0.25)] * min(size, verdicts.MOST)))
+        * len(
+            verdicts.encode(
+                [verdicts.Verdict(1 << 31, verdicts.Health.UNREACHABLE, 0.0, 0.25)] * min(size, verdicts.MAX_VERDICTS)
+            )
+        )
         for size in caches
     ]
     counted = [meter.median(lambda size=size: counts_cpu(size, caches_here)) for size in mates]
     counted_memory = [memory(lambda size=size: counting(size, caches_here)) for size in mates]
-    said = [DATAGRAMS_HEARD * len(counting(size, caches_here).rider("mate-0000")) for size in mates]
+    said = [DATAGRAMS_HEARD * len(counting(size, caches_here).payload("mate-0000")) for size in mates]
     told = f"{WITNESSES} witnesses say that each machine is lost"
     return [
         row(
--- a/bench/scale/leases.py
+++ b/bench/scale/leases.py
@@ -7,7 +7,7 @@
 from bench.scale.meter import Meter, memory
 from bench.scale.records import Row, row
 from wickhinge.peers.health import PERIOD
-from wickhinge.shared.name_lease import DRIFT, NameLeases, term
+from wickhinge.shared.name_lease import MAX_CLOCK_DRIFT, NameLeases, lease_term
 
 LATE = 1e6  # seconds that the voters have been there already
 LOOK = 20  # times a second that a router asks for the end of its lease: once a tick
@@ -27,8 +27,8 @@
             rand.shuffle(order)
         name = order.pop()
         if others[name].grant("holder", life, now):
-            holder.granted(name, now, now)
-        if holder.until(now) > now:
+            holder.receive(name, now, now)
+        if holder.held_until(now) > now:
             return now
         now += PERIOD
     return now
@@ -58,21 +58,21 @@
     """A holder's and voter's tables when all are held."""
     lease = NameLeases(routers, -LATE)
     for number in range(routers - 1):
-        lease.granted(f"voter-{number:04}", 0.0, 0.0)
+        lease.receive(f"voter-{number:04}", 0.0, 0.0)
         lease.grant(f"voter-{number:04}", number, 0.0)
     return lease
 
 
 def rows(meter: Meter) -> list[Row]:
     sizes = meter.sizes(10, 50, 200, 400, 800, 1600)
-    longest = [term(size) for size in sizes]
+    longest = [lease_term(size) for size in sizes]
     new = [first(size, meter.seed) for size in sizes]
     again = [restarted(size, meter.seed) for size in sizes]
     joint = [after_joint_start(size, meter.seed) for size in sizes]
     tables = [held(size) for size in sizes]
-    cpu = [LOOK * meter.cpu(lambda lease=lease: lease.until(1.0), 20) for lease in tables]
+    cpu = [LOOK * meter.cpu(lambda lease=lease: lease.held_until(1.0), 20) for lease in tables]
     memories = [memory(lambda size=size: held(size)) for size in sizes]
-    asked = f"one voter asked each {PERIOD} s; drift {DRIFT}"
+    asked = f"one voter asked each {PERIOD} s; drift {MAX_CLOCK_DRIFT}"
     return [
         row("name_lease_term", "router", "time", "routers", sizes, longest, "s", "computed", "name_lease.term"),
         row("name_lease_new", "router", "time", "routers", sizes, new, "s", "virtual", f"a new name; {asked}"),
@@ -87,7 +87,7 @@
             cpu,
             "core",
             "virtual",
-            f"thread CPU time of NameLeases.until, {LOOK} a second",
+            f"thread CPU time of NameLeases.held_until, {LOOK} a second",
         ),
         row("name_lease", "router", "memory", "routers", sizes, memories, "B", "virtual", "tracemalloc, both tables"),
     ]
--- a/bench/scale/lending.py
+++ b/bench/scale/lending.py
@@ -11,9 +11,10 @@
 from wickhinge.lab.many.play import BUDGETS
 from wickhinge.peers.detector import FailureDetector
 from wickhinge.shared import slow_start_quota
-from wickhinge.shared.name_lease import term
-from wickhinge.shared.quota_lending import SPAN, Division, LendingLimiter
-from wickhinge.shared.shared_bucket import Bucket
+from wickhinge.shared.budgets import BURST_S, Division
+from wickhinge.shared.name_lease import lease_term
+from wickhinge.shared.quota_bucket import Quota, QuotaBucket
+from wickhinge.shared.quota_lending import LendingLimiter
 
 SPARE = 2  # processes more than names
 LONG_AGO = -1e6
@@ -26,7 +27,7 @@
 def attach(routers: int) -> Callable[[FailureDetector, float], list[Callable[[float], None]]]:
     def to_router(detector: FailureDetector, now: float) -> list[Callable[[float], None]]:
         zone = detector.roster.mine.zone
-        return [LendingLimiter(detector, division(routers), slow_start_quota.budgets(zone), now).tick]
+        return [LendingLimiter(detector, division(routers), slow_start_quota.budget_scopes(zone), now).tick]
 
     return to_router
 
@@ -35,8 +36,10 @@
     """A peer that has been there for long, and votes as in the whole fleet."""
 
     def to_peer(detector: FailureDetector, now: float) -> None:
-        limiter = LendingLimiter(detector, division(routers), slow_start_quota.budgets(detector.roster.mine.zone), now)
-        limiter.leases.routers, limiter.leases.term, limiter.leases.born = routers, term(routers), LONG_AGO
+        limiter = LendingLimiter(
+            detector, division(routers), slow_start_quota.budget_scopes(detector.roster.mine.zone), now
+        )
+        limiter.leases.routers, limiter.leases.term, limiter.leases.started_at = routers, lease_term(routers), LONG_AGO
 
     return to_peer
 
@@ -48,7 +51,7 @@
 def usable(routers: int) -> float:
     """The part of a budget that is left when each process may spend one piece at the same moment."""
     most, window, unit = BUDGETS[0]
-    return Bucket(most, window, unit, routers, SPAN, 0.0).rate * window / most
+    return QuotaBucket(Quota(most, window, unit), routers, BURST_S, 0.0).total_rate * window / most
 
 
 def rows(meter: Meter) -> list[Row]:
--- a/bench/scale/spread.py
+++ b/bench/scale/spread.py
@@ -11,11 +11,11 @@
 from bench.scale.records import Row, row
 from wickhinge.interface import Listing
 from wickhinge.peers.messages import ALIVE
-from wickhinge.shared import outlier_detection
-from wickhinge.shared.request_tallies import BEAT, STALE, Counts
+from wickhinge.shared import evidence, outlier_detection
+from wickhinge.shared.request_tallies import MAX_AGE_S, TALLY_INTERVAL_S, RequestTallies
 
 CACHES = 14  # of a zone
-PLAYED = 12.0  # seconds, of which those after STALE count
+PLAYED = 12.0  # seconds, of which those after MAX_AGE_S count
 DETECTOR_DATAGRAMS = 4  # a second, to routers of the whole roster in turn
 PARENT = 0x700
 
@@ -27,12 +27,12 @@
 
     def __init__(self, routers: int, seed: int) -> None:
         self.now, self.random = 0.0, random.Random(seed)
-        self.counts: dict[str, Counts] = {}
+        self.counts: dict[str, RequestTallies] = {}
         names = ["mine", *(f"mate-{number:04}" for number in range(routers - 1))]
         for place, name in enumerate(names):
             self.counts[name] = self.member(name, names, place + 1)
 
-    def member(self, name: str, names: list[str], life: int) -> Counts:
+    def member(self, name: str, names: list[str], life: int) -> RequestTallies:
         detector = stub_detector(len(names) - 1)
         places, lives = detector.roster.places, {other: place + 1 for place, other in enumerate(names)}
         detector.roster.mine = places[name]
@@ -43,22 +43,22 @@
         detector.life = life
         detector.chance = self
         detector.send = lambda to, kind, serial, now: self.deliver(name, to)
-        return Counts(detector, fleet(CACHES, len(names)), 0.0)
+        return RequestTallies(detector, fleet(CACHES, len(names)), 0.0)
 
     def draw(self) -> float:
         return self.random.random()
 
     def deliver(self, sender: str, to: str) -> None:
-        self.counts[to].ridden(sender, self.counts[sender].rider(to), self.now)
+        self.counts[to].receive(sender, self.counts[sender].payload(to), self.now)
 
     def run(self) -> float:
-        """The mean share of the zone's others of whom a tally counts, after STALE."""
+        """The mean share of the zone's others of whom a tally counts, after MAX_AGE_S."""
         shares = []
         while self.now < PLAYED:
-            self.now += BEAT
+            self.now += TALLY_INTERVAL_S
             for one in self.counts.values():
                 one.tick(self.now)
-            if self.now > STALE:
+            if self.now > MAX_AGE_S:
                 shares += [len(one.known) / (len(self.counts) - 1) for one in self.counts.values()]
         return sum(shares) / len(shares)
 
@@ -70,14 +70,14 @@
     detector.send = lambda to, kind, serial, now: told.add(to)
     machines = fleet(CACHES, routers)
     machines.listed([Listing(PARENT, FLEET_ZONE, "parent", 0, "ready", 1.0, None)], False, 0.0)
-    one: Any = outlier_detection.Judge(detector, machines, lambda cache: None)
+    one: Any = outlier_detection.OutlierDetector(detector, machines, lambda cache: None)
     one.tick(0.0, 0.0)
     machines.parents[0].lost = True
     names, rand, now = detector.roster.others, random.Random(seed), 0.0
-    while now < outlier_detection.FADE:
-        now += outlier_detection.LOOK
+    while now < evidence.VERDICT_MAX_AGE_S:
+        now += evidence.EVALUATION_INTERVAL_S
         one.tick(now, now)
-        for _ in range(int(DETECTOR_DATAGRAMS * outlier_detection.LOOK)):
+        for _ in range(int(DETECTOR_DATAGRAMS * evidence.EVALUATION_INTERVAL_S)):
             told.add(rand.choice(names))
     return len(told) / len(names)
 
@@ -97,7 +97,7 @@
             known,
             "share",
             "virtual",
-            f"of the zone's others, of whom a tally of {STALE:g} s at most is known; nothing lost",
+            f"of the zone's others, of whom a tally of {MAX_AGE_S:g} s at most is known; nothing lost",
         ),
         row(
             "judgements_heard",
@@ -108,6 +108,6 @@
             heard,
             "share",
             "virtual",
-            f"of the others, that hear one witness of a lost parent within {outlier_detection.FADE:g} s",
+            f"of the others, that hear one witness of a lost parent within {evidence.VERDICT_MAX_AGE_S:g} s",
         ),
     ]
--- a/tests/bench/test_day.py
+++ b/tests/bench/test_day.py
@@ -71,7 +71,7 @@
 
 
 def every_life_is_granted_its_name(process):
-    process.limiter.leases.until = lambda now: now + 5.0
+    process.limiter.leases.held_until = lambda now: now + 5.0
 
 
 def test_a_limiter_that_spends_twice_its_share_exceeds_a_budget():
--- a/tests/bench/test_scale.py
+++ b/tests/bench/test_scale.py
@@ -116,7 +116,7 @@
     router = lending.router_with_lending(40, 7)
     router.run(leases.first(40, 7) + 2.0)
     limiter = router.ticks[0].__self__
-    assert limiter.leases.until(router.now) > router.now
+    assert limiter.leases.held_until(router.now) > router.now
 
 
 def test_followers_of_the_played_tree_have_all_and_are_informed():
--- a/tests/lab/test_many.py
+++ b/tests/lab/test_many.py
@@ -89,7 +89,7 @@
 
 def lends_what_it_keeps(process):
     for budget in process.limiter.budgets:
-        budget.loans.lent = lambda late: 0.0
+        budget.loans.total_lent = lambda late: 0.0
 
 
 def test_what_broke_is_shrunk_to_less_that_still_breaks():
--- a/tests/shared/test_judge.py
+++ b/tests/shared/test_outlier_detection.py
@@ -13,9 +13,10 @@
 from wickhinge.peers.detector import FailureDetector
 from wickhinge.peers.roster import Place, Roster
 from wickhinge.shared import verdicts
-from wickhinge.shared.outlier_detection import FADE, LOOK, PUSH, Judge
-from wickhinge.shared.piggyback import Riding
-from wickhinge.shared.verdicts import COLD, LOST, SLOW, WELL, Word
+from wickhinge.shared.evidence import EVALUATION_INTERVAL_S, VERDICT_MAX_AGE_S
+from wickhinge.shared.outlier_detection import MAX_PUSHES_PER_S, OutlierDetector
+from wickhinge.shared.piggyback import Piggyback
+from wickhinge.shared.verdicts import Health, Verdict
 
 
 class Router:
@@ -28,7 +29,7 @@
         self.sends, self.looks = [], []
         self.detector.send = lambda name, kind, serial, now: self.sends.append((now, name))
         self.policy = helpers.router(boxes=boxes, routers=3, seed=place)
-        self.judge = Judge(self.detector, self.policy.fleet, self.looks.append, group.log)
+        self.outliers = OutlierDetector(self.detector, self.policy.fleet, self.looks.append, group.log)
 
     def box(self, number=0):
         return self.policy.fleet.mine[number]
@@ -49,20 +50,20 @@
     def log(self, event, **told):
         self.told.append(event)
 
-    def turn(self, seconds=LOOK):
+    def turn(self, seconds=EVALUATION_INTERVAL_S):
         """Looks, and everybody's words to everybody."""
-        for _ in range(max(round(seconds / LOOK), 1)):
-            self.now += LOOK
+        for _ in range(max(round(seconds / EVALUATION_INTERVAL_S), 1)):
+            self.now += EVALUATION_INTERVAL_S
             for one in self.routers:
-                one.judge.tick(self.now, self.now)
+                one.outliers.tick(self.now, self.now)
             for one in self.routers:
                 for other in self.routers:
-                    data = one.judge.rider(other.name)
+                    data = one.outliers.payload(other.name)
                     if data and one is not other and (one.name, other.name) not in self.deaf:
-                        other.judge.ridden(one.name, data, self.now)
+                        other.outliers.receive(one.name, data, self.now)
 
 
-def test_one_witness_changes_nothing_and_two_make_one_failure_of_our_own_enough():
+def test_ejection_when_two_witnesses_agree_needs_one_failure_of_our_own():
     group = Group()
     group.routers[0].box().failed(group.now, Outcome.UNREACHED)
     group.turn(1.0)
@@ -81,19 +82,19 @@
     assert other.box().strikes == 0
 
 
-def test_words_fade_and_those_of_who_left_the_roster_go():
+def test_verdicts_when_old_or_of_a_former_peer_are_forgotten():
     group = Group()
     for one in group.routers[:2]:
         one.box().failed(group.now, Outcome.UNREACHED)
     group.turn(1.0)
     third = group.routers[2]
-    assert third.judge.told
+    assert third.outliers.peer_verdicts.by_server
     third.detector.reload(Roster([Place("n2", ("127.0.0.1", 1), "here")], "n2"), group.now)
-    third.judge.reload()
-    assert not any(third.judge.told.values())
+    third.outliers.reload()
+    assert not any(third.outliers.peer_verdicts.by_server.values())
     group.deaf = {(one.name, other.name) for one in group.routers for other in group.routers}
-    group.turn(FADE + 1.0)
-    assert not any(one.judge.told for one in group.routers)
+    group.turn(VERDICT_MAX_AGE_S + 1.0)
+    assert not any(one.outliers.peer_verdicts.by_server for one in group.routers)
 
 
 def slow(group, places, box=0, rounds=12):
@@ -106,19 +107,19 @@
         group.turn()
 
 
-def test_a_slow_cache_is_believed_slow_where_few_answers_are_our_own_and_nobody_echoes_it():
+def test_slow_cache_when_own_answers_are_few_is_slowed_and_not_echoed():
     group = Group()
     slow(group, (0, 1))
     third, fourth = group.routers[2:]
     assert third.box().fit < 0.6 * third.box(1).fit
-    assert group.routers[0].judge.seen[third.box().mark].verdict == SLOW
-    assert third.judge.seen[third.box().mark].verdict == WELL and third.judge.rider("n3") == b""
+    assert group.routers[0].outliers.evidence[third.box().mark].health == Health.SLOW
+    assert third.outliers.evidence[third.box().mark].health == Health.HEALTHY and third.outliers.payload("n3") == b""
     group.routers[:] = [third, fourth]
-    group.turn(2 * FADE)
-    assert not third.judge.told and not fourth.judge.told
+    group.turn(2 * VERDICT_MAX_AGE_S)
+    assert not third.outliers.peer_verdicts.by_server and not fourth.outliers.peer_verdicts.by_server
 
 
-def test_who_has_answers_enough_of_its_own_believes_them():
+def test_slow_verdict_when_own_answers_suffice_changes_nothing():
     group = Group()
     third = group.routers[2]
     for turn in range(24):
@@ -127,7 +128,7 @@
     assert third.box().fit >= 0.9 * third.box(1).fit
 
 
-def test_a_start_that_the_list_has_not_told_is_shared_once_two_saw_it():
+def test_restart_when_two_saw_it_is_taken_over_once():
     group = Group()
     for one in group.routers[:2]:
         one.box().failed(group.now, Outcome.UNREACHED)
@@ -138,21 +139,21 @@
     since = group.now
     group.turn(1.0)
     third = group.routers[2].box()
-    assert abs(third.started - since) < 3 * LOOK and third.credit <= 0.0
+    assert abs(third.started - since) < 3 * EVALUATION_INTERVAL_S and third.credit <= 0.0
     begun = third.started
     group.turn(2.0)
     assert third.started == begun
 
 
-def test_at_most_a_third_of_the_caches_stand_under_others_word():
+def test_verdicts_when_on_many_caches_apply_to_a_third_at_most():
     group = Group(count=5, boxes=6)
     for box in range(3):  # half of them, so that nobody is called sick
         slow(group, (0, 1, 2), box, 8)
     last = group.routers[4]
-    assert sum(group.now - seen.under <= FADE for seen in last.judge.seen.values()) <= 2
+    assert sum(group.now - seen.overridden_at <= VERDICT_MAX_AGE_S for seen in last.outliers.evidence.values()) <= 2
 
 
-def test_a_router_whose_own_link_is_sick_is_known_to_its_fellows_and_to_itself():
+def test_router_when_its_own_network_is_bad_is_ignored_and_tells_nothing():
     group = Group(count=4, boxes=6)
     sick = group.routers[0]
     for _ in range(8):
@@ -161,17 +162,19 @@
         for box in range(6):
             sick.box(box).failed(group.now)
         group.turn()
-    assert sick.judge.sick and "sick" in group.told and sick.judge.rider("n1") == b""
+    assert sick.outliers.is_unhealthy and "router_unhealthy" in group.told and sick.outliers.payload("n1") == b""
     assert all(not one.box(box).strikes for one in group.routers[1:] for box in range(6))
-    for _ in range(40):  # its caches, as it believes, started anew: that is over after FADE, and nobody was told
+    for _ in range(
+        40
+    ):  # its caches, as it believes, started anew: that is over after VERDICT_MAX_AGE_S, and nobody was told
         for one in group.routers:
             one.answers(group.now)
         group.turn()
     assert all(one.box(box).started < 0 for one in group.routers[1:] for box in range(6))
-    assert not sick.judge.sick and "sound" in group.told
+    assert not sick.outliers.is_unhealthy and "router_healthy" in group.told
 
 
-def test_two_sick_routers_take_nobody_out():
+def test_verdicts_when_of_two_unhealthy_routers_eject_nobody():
     """More than they may is not said of any cache that two others find well."""
     group = Group(count=5, boxes=6)
     for _ in range(10):
@@ -186,12 +189,12 @@
 
 @settings(max_examples=30, deadline=None)
 @given(st.integers(0, 10**6))
-def test_without_others_words_nothing_is_other_than_alone(seed):
+def test_detection_when_nobody_tells_anything_changes_nothing(seed):
     rand = random.Random(seed)
-    with_judge, alone = Group(1), Group(1)
+    with_peers, alone = Group(1), Group(1)
     for _ in range(60):
         box, what = rand.randrange(6), rand.random()
-        for group in (with_judge, alone):
+        for group in (with_peers, alone):
             cache = group.routers[0].box(box)
             if what < 0.2:
                 cache.failed(group.now, Outcome.UNREACHED)
@@ -200,20 +203,20 @@
             else:
                 cache.answered(group.now)
                 cache.bore(1.0 + 4.0 * what)
-        with_judge.turn()
-        alone.now += LOOK
+        with_peers.turn()
+        alone.now += EVALUATION_INTERVAL_S
         for number in range(6):
-            one, other = with_judge.routers[0].box(number), alone.routers[0].box(number)
+            one, other = with_peers.routers[0].box(number), alone.routers[0].box(number)
             assert all(
                 getattr(one, field) == getattr(other, field)
                 for field in ("fit", "best", "strikes", "lost", "shunned", "started", "credit")
             )
-    assert not with_judge.routers[0].looks
+    assert not with_peers.routers[0].looks
 
 
 @settings(max_examples=30, deadline=None)
 @given(st.integers(0, 10**6))
-def test_a_liar_alone_changes_nothing_and_two_no_more_than_a_third(seed):
+def test_liars_when_alone_change_nothing_and_two_a_third_at_most(seed):
     rand = random.Random(seed)
     for liars in (1, 2):
         group = Group(1)
@@ -222,7 +225,7 @@
         for _ in range(20):
             for liar in range(liars):
                 lies = [
-                    Word(
+                    Verdict(
                         rand.choice([1, 2, 3, 4, 5, 6, 77]),
                         rand.randrange(4),
                         rand.choice((0.0, 0.01, 9e3)),
@@ -230,7 +233,7 @@
                     )
                     for _ in range(8)
                 ]
-                router.judge.ridden(f"n{liar + 1}", verdicts.pack(lies), group.now)
+                router.outliers.receive(f"n{liar + 1}", verdicts.encode(lies), group.now)
             group.turn()
         if liars == 1:
             assert before == [(cache.fit, cache.strikes, cache.started) for cache in router.policy.fleet.mine]
@@ -240,11 +243,11 @@
                 cache.fit < 0.9 * was[0] or cache.started > 0
                 for cache, was in zip(router.policy.fleet.mine, before, strict=True)
             )
-            <= 2 + 20 * LOOK // FADE * 2
+            <= 2 + 20 * EVALUATION_INTERVAL_S // VERDICT_MAX_AGE_S * 2
         )
 
 
-def test_a_storm_of_changes_is_told_at_a_bounded_rate():
+def test_pushes_when_changes_are_many_have_a_bounded_rate():
     group = Group(count=1, boxes=60)
     router = group.routers[0]
     for turn in range(40):
@@ -252,18 +255,18 @@
             (router.box(box).failed if turn % 2 else router.box(box).answered)(group.now)
             router.box(box).failed(group.now)
         group.turn()
-    assert len(router.sends) <= PUSH * (40 * LOOK + 1)
+    assert len(router.sends) <= MAX_PUSHES_PER_S * (40 * EVALUATION_INTERVAL_S + 1)
 
 
-def test_what_concerns_a_zone_is_told_to_it_alone_and_what_concerns_parents_to_all():
+def test_payload_when_about_a_cache_goes_to_its_zone_and_about_a_parent_to_all():
     group = Group(count=2)
     router = group.routers[0]
     router.box().failed(group.now, Outcome.UNREACHED)
     group.turn()
-    assert verdicts.read(router.judge.rider("n1")) and router.judge.rider("n9") == b""
+    assert verdicts.decode(router.outliers.payload("n1")) and router.outliers.payload("n9") == b""
     router.policy.fleet.parents[0].failed(group.now, Outcome.UNREACHED)
     group.turn()
-    assert [word.verdict for word in verdicts.read(router.judge.rider("n9"))] == [LOST]
+    assert [verdict.health for verdict in verdicts.decode(router.outliers.payload("n9"))] == [Health.UNREACHABLE]
 
 
 @pytest.mark.parametrize(
@@ -271,40 +274,40 @@
     [
         b"",
         b"\xff",
-        verdicts.encoder.encode([Word(1, 4, 0.0, 0.0)]),
-        verdicts.encoder.encode([Word(-1, 0, 0.0, 0.0)]),
-        verdicts.encoder.encode([Word(1 << 32, 0, 0.0, 0.0)]),
-        verdicts.encoder.encode([Word(1, 0, float("nan"), 0.0)]),
-        verdicts.encoder.encode([Word(1, 0, 0.0, -1.0)]),
-        verdicts.encoder.encode([Word(1, COLD, 2e4, 0.0)]),
-        verdicts.encoder.encode([Word(1, 0, 0.0, 0.0)] * (verdicts.MOST + 1)),
+        verdicts.encoder.encode([Verdict(1, 4, 0.0, 0.0)]),
+        verdicts.encoder.encode([Verdict(-1, 0, 0.0, 0.0)]),
+        verdicts.encoder.encode([Verdict(1 << 32, 0, 0.0, 0.0)]),
+        verdicts.encoder.encode([Verdict(1, 0, float("nan"), 0.0)]),
+        verdicts.encoder.encode([Verdict(1, 0, 0.0, -1.0)]),
+        verdicts.encoder.encode([Verdict(1, Health.RESTARTED, 2e4, 0.0)]),
+        verdicts.encoder.encode([Verdict(1, 0, 0.0, 0.0)] * (verdicts.MAX_VERDICTS + 1)),
         verdicts.encoder.encode([[1, 2]]),
     ],
 )
-def test_words_that_no_honest_fellow_says_are_refused(data):
+def test_payload_when_malformed_is_refused(data):
     with pytest.raises(verdicts.Unreadable):
-        verdicts.read(data)
+        verdicts.decode(data)
     router = Group(1).routers[0]
-    router.judge.ridden("n1", data, 100.0)
-    assert router.judge.unreadable == 1 and not router.judge.told
+    router.outliers.receive("n1", data, 100.0)
+    assert router.outliers.unreadable == 1 and not router.outliers.peer_verdicts.by_server
 
 
-def test_parts_ride_together_also_where_one_is_off_at_one_end():
+def test_piggyback_when_a_part_is_off_at_one_end_carries_the_others():
     heard = []
 
     class Part:
         def __init__(self, name):
             self.name = name
 
-        def rider(self, to):
+        def payload(self, to):
             return self.name.encode()
 
-        def ridden(self, name, data, now):
+        def receive(self, name, data, now):
             heard.append((self.name, data))
 
     one, other = SimpleNamespace(), SimpleNamespace()
-    Riding(one, [Part("a"), None])
-    there = Riding(other, [Part("a"), Part("b")])
+    Piggyback(one, [Part("a"), None])
+    there = Piggyback(other, [Part("a"), Part("b")])
     other.ridden("n1", one.rider("n2"), 0.0)
     one.ridden("n2", other.rider("n1"), 0.0)
     other.ridden("n1", b"\xc1", 0.0)
--- a/tests/shared/test_payload_bytes.py
+++ b/tests/shared/test_payload_bytes.py
@@ -1,8 +1,9 @@
 """The bytes that routers of one release send each other are those of the release before."""
 
 from wickhinge.shared import lending_payload, request_tallies, verdicts
+from wickhinge.shared.lending_payload import LendingMessage, Level, LoanAmount, LoanReturn
 from wickhinge.shared.request_tallies import Tally
-from wickhinge.shared.verdicts import COLD, LOST, SLOW, Word
+from wickhinge.shared.verdicts import Health, Verdict
 
 LENDING = bytes.fromhex(
     "98920a0ccb4045000000000000cb4044c00000000000c39192cb3fb999999999999acb0000000000000000"
@@ -16,19 +17,32 @@
 
 
 def test_lending_payload_when_packed_and_read_is_unchanged():
-    fields = ((10, 12), 42.0, 41.5, True, [(0.1, 0.0)], [(0, 7, 0.25)], [(0, 8, 0.125)], [(0, 9)])
-    assert lending_payload.pack(*fields) == LENDING
-    assert lending_payload.read(LENDING) == fields
+    message = LendingMessage(
+        (10, 12),
+        42.0,
+        41.5,
+        True,
+        [Level(0.1, 0.0)],
+        [LoanAmount(0, 7, 0.25)],
+        [LoanAmount(0, 8, 0.125)],
+        [LoanReturn(0, 9)],
+    )
+    assert lending_payload.encode(message) == LENDING
+    assert lending_payload.decode(LENDING) == message
 
 
 def test_verdicts_payload_when_packed_and_read_is_unchanged():
-    told = [Word(1, LOST, 0.0, 0.25), Word(1 << 31, SLOW, 0.5, 1.5), Word(3, COLD, 12.0, 0.0)]
-    assert verdicts.pack(told) == VERDICTS
-    assert verdicts.read(VERDICTS) == told
+    told = [
+        Verdict(1, Health.UNREACHABLE, 0.0, 0.25),
+        Verdict(1 << 31, Health.SLOW, 0.5, 1.5),
+        Verdict(3, Health.RESTARTED, 12.0, 0.0),
+    ]
+    assert verdicts.encode(told) == VERDICTS
+    assert verdicts.decode(VERDICTS) == told
 
 
 def test_tallies_payload_when_packed_and_read_is_unchanged():
     tallies = [Tally("r1", 3, 5, 70, 0.0, 1 << 31, [0, 1, 300])]
     assert request_tallies.encoder.encode(tallies) == TALLIES
-    assert request_tallies.read(TALLIES) == tallies
-    assert request_tallies.view([1, 2, 1 << 31]) == 0xF77C57
+    assert request_tallies.decode(TALLIES) == tallies
+    assert request_tallies.hash_list([1, 2, 1 << 31]) == 0xF77C57
--- a/tests/shared/test_shared.py
+++ b/tests/shared/test_quota_lending.py
@@ -13,19 +13,20 @@
 from wickhinge.peers.detector import FailureDetector
 from wickhinge.peers.roster import Place, Roster
 from wickhinge.shared import lending_payload
-from wickhinge.shared.name_lease import DRIFT, NameLeases, term
-from wickhinge.shared.quota_loans import TIME, Loans
-from wickhinge.shared.shared_bucket import Bucket
+from wickhinge.shared.lending_payload import LendingMessage
+from wickhinge.shared.name_lease import MAX_CLOCK_DRIFT, NameLeases, lease_term
+from wickhinge.shared.quota_bucket import Quota, QuotaBucket
+from wickhinge.shared.quota_loans import LOAN_S, BorrowerKey, Loans
 
 # The bucket: its formula, by any order of shares and wishes.
 
 
 @settings(max_examples=60, deadline=None)
 @given(st.integers(0, 10**6), st.integers(1, 6), st.floats(1.0, 4.0))
-def test_shares_that_move_never_spend_more_than_the_budget_in_any_window(seed, count, window):
+def test_buckets_when_shares_move_never_spend_more_than_the_budget(seed, count, window):
     rand, most, unit = random.Random(seed), 60.0, 1.0
-    rates = [1.0 + rand.uniform(-DRIFT, DRIFT) for _ in range(count)]
-    buckets = [Bucket(most, window, unit, count, 0.1, 0.0) for _ in range(count)]
+    rates = [1.0 + rand.uniform(-MAX_CLOCK_DRIFT, MAX_CLOCK_DRIFT) for _ in range(count)]
+    buckets = [QuotaBucket(Quota(most, window, unit), count, 0.1, 0.0) for _ in range(count)]
     shares, now, spent = [1.0 / count] * count, 0.0, []
     for _ in range(600):
         now += rand.expovariate(40.0)
@@ -33,29 +34,29 @@
             one, other = rand.randrange(count), rand.randrange(count)
             part = shares[one] * rand.random()
             shares[one] -= part
-            buckets[one].shared(shares[one], now * rates[one])
+            buckets[one].set_share(shares[one], now * rates[one])
             shares[other] += part
         place = rand.randrange(count)
-        buckets[place].shared(shares[place], now * rates[place])
+        buckets[place].set_share(shares[place], now * rates[place])
         while buckets[place].take(unit, now * rates[place]):
             spent.append((now, "", unit))
     assert judges.peak(spent, most, window) <= 1.0 if spent else True
 
 
-def test_a_budget_that_cannot_be_kept_is_spent_by_nobody_and_one_lowered_takes_what_was_saved():
-    bucket = Bucket(5.0, 1.0, 1.0, 6, 0.1, 0.0)
-    bucket.shared(1.0, 0.0)
-    assert not bucket.take(1.0, 100.0) and bucket.wait(1.0) == float("inf")
-    bucket.set(100.0, 100.0)
+def test_bucket_when_its_budget_is_too_small_or_lowered_spends_nothing():
+    bucket = QuotaBucket(Quota(5.0, 1.0, 1.0), 6, 0.1, 0.0)
+    bucket.set_share(1.0, 0.0)
+    assert not bucket.take(1.0, 100.0) and bucket.wait_time(1.0) == float("inf")
+    bucket.set_amount(100.0, 100.0)
     assert not bucket.take(1.0, 100.0)
-    assert 0.0 < bucket.wait(1.0) < 0.1 and bucket.take(1.0, 101.0)
-    bucket.set(0.0, 101.0)
+    assert 0.0 < bucket.wait_time(1.0) < 0.1 and bucket.take(1.0, 101.0)
+    bucket.set_amount(0.0, 101.0)
     assert not bucket.take(0.001, 200.0)
 
 
-def test_a_restarted_bucket_is_empty():
-    bucket = Bucket(100.0, 1.0, 1.0, 1, 0.1, 50.0)
-    bucket.shared(1.0, 50.0)
+def test_bucket_when_new_is_empty():
+    bucket = QuotaBucket(Quota(100.0, 1.0, 1.0), 1, 0.1, 50.0)
+    bucket.set_share(1.0, 50.0)
     assert not bucket.take(0.5, 50.0)
 
 
@@ -73,12 +74,12 @@
         voter.vouch = NameLeases(count, 0.0)
     for one in lives:
         one.vouch = NameLeases(count, 0.0)
-    on_way, now, long = [], 0.0, term(count)
+    on_way, now, long = [], 0.0, lease_term(count)
     for _ in range(900):
         now += rand.expovariate(12.0)
         for word in [word for word in on_way if word[0] <= now]:
             _, one, place, asked = word
-            one.vouch.granted(f"n{place}", asked, one.ahead + now * one.rate)
+            one.vouch.receive(f"n{place}", asked, one.ahead + now * one.rate)
             on_way.remove(word)
         number = rand.randrange(2)
         if rand.random() < 0.7 and int(now / long) % 3 != number + 1:  # heard in turns, and at times both
@@ -89,60 +90,67 @@
         if rand.random() < 0.004:
             voter = rand.choice(others)
             voter.born, voter.vouch = now, NameLeases(count, -1e3 if forgetful else 0.0)
-        if all(one.vouch.until(one.ahead + now * one.rate) > one.ahead + now * one.rate for one in lives):
+        if all(one.vouch.held_until(one.ahead + now * one.rate) > one.ahead + now * one.rate for one in lives):
             return True
     return False
 
 
 @settings(max_examples=80, deadline=None)
 @given(st.integers(0, 10**6), st.integers(2, 7))
-def test_two_lives_of_a_name_are_never_vouched_for_at_once(seed, count):
+def test_lease_when_two_incarnations_ask_is_held_by_one_at_most(seed, count):
     assert not vouched_at_once(seed, count)
 
 
-def test_voters_that_do_not_wait_after_a_restart_are_found():
+def test_check_when_granters_do_not_wait_after_a_restart_fails():
     assert any(vouched_at_once(seed, 4, forgetful=True) for seed in range(60))
 
 
-def test_one_alone_vouches_for_itself_and_of_two_each_needs_the_other():
-    assert NameLeases(1, 0.0).until(5.0) > 5.0
+def test_lease_when_alone_is_held_and_of_two_needs_the_others_grant():
+    assert NameLeases(1, 0.0).held_until(5.0) > 5.0
     two = NameLeases(2, 0.0)
-    assert two.until(5.0) == 0.0
-    two.granted("n1", 5.0, 5.1)
-    assert two.until(5.1) == pytest.approx(5.0 + term(2) * (1 - DRIFT))
-    assert not two.grant("n1", 9, 1.0) and two.grant("n1", 9, 1.0 + 2 * term(2))
-    two.lost()
-    assert two.until(5.1) == 0.0
+    assert two.held_until(5.0) == 0.0
+    two.receive("n1", 5.0, 5.1)
+    assert two.held_until(5.1) == pytest.approx(5.0 + lease_term(2) * (1 - MAX_CLOCK_DRIFT))
+    assert not two.grant("n1", 9, 1.0) and two.grant("n1", 9, 1.0 + 2 * lease_term(2))
+    two.clear_received()
+    assert two.held_until(5.1) == 0.0
 
 
 # Loans.
 
 
-def test_a_loan_ends_at_the_borrower_before_it_ends_at_the_lender_however_late_the_word():
+def test_loan_when_it_ends_ends_at_the_borrower_first():
     lender, borrower = Loans(), Loans()
-    serial = borrower.ask("n0", 0.2, 100.0)
-    assert lender.lend("n1", 7, serial, 0.2, 0.0) == 0.2 and lender.lend("n1", 7, serial, 0.2, 0.0) == 0.0
-    assert not borrower.granted("n2", serial, 0.2, 100.1)
-    assert borrower.granted("n0", serial, 0.2, 100.1) and not borrower.granted("n0", serial, 0.2, 100.1)
-    assert borrower.borrowed(100.0 + TIME * (1 - DRIFT) - 0.3) == 0.2
-    assert borrower.borrowed(100.0 + TIME * (1 - DRIFT)) == 0.0
-    assert lender.lent(TIME) == 0.2 and lender.lent(TIME * (1 + DRIFT) + 0.01) == 0.0
-    late = borrower.ask("n0", 0.2, 200.0)
-    assert not borrower.granted("n0", late, 0.2, 200.0 + TIME)
-
-
-def test_a_loan_is_renewed_by_its_number_and_given_back_when_it_is_too_much():
+    serial = borrower.request("n0", 0.2, 100.0)
+    assert (
+        lender.lend(BorrowerKey("n1", 7, serial), 0.2, 0.0) == 0.2
+        and lender.lend(BorrowerKey("n1", 7, serial), 0.2, 0.0) == 0.0
+    )
+    assert not borrower.receive("n2", serial, 0.2, 100.1)
+    assert borrower.receive("n0", serial, 0.2, 100.1) and not borrower.receive("n0", serial, 0.2, 100.1)
+    assert borrower.total_borrowed(100.0 + LOAN_S * (1 - MAX_CLOCK_DRIFT) - 0.3) == 0.2
+    assert borrower.total_borrowed(100.0 + LOAN_S * (1 - MAX_CLOCK_DRIFT)) == 0.0
+    assert lender.total_lent(LOAN_S) == 0.2 and lender.total_lent(LOAN_S * (1 + MAX_CLOCK_DRIFT) + 0.01) == 0.0
+    late = borrower.request("n0", 0.2, 200.0)
+    assert not borrower.receive("n0", late, 0.2, 200.0 + LOAN_S)
+
+
+def test_loan_when_needed_is_renewed_and_when_not_is_given_back():
     lender, borrower = Loans(), Loans()
-    serial = borrower.ask("n0", 0.2, 0.0)
-    lender.lend("n1", 7, serial, 0.2, 0.0)
-    borrower.granted("n0", serial, 0.2, 0.0)
-    assert borrower.again(0.5, 4) == []
-    assert borrower.again(2.0, 4) == [("n0", serial, 0.2)] and borrower.again(2.0, 4) == []
-    assert lender.renew("n1", 7, serial, 2.0) == 0.2 and borrower.granted("n0", serial, 0.2, 2.1)
-    assert borrower.borrowed(4.0) == 0.2 and lender.lent(4.5) == 0.2
-    assert lender.renew("n1", 8, serial, 2.0) == 0.0
+    serial = borrower.request("n0", 0.2, 0.0)
+    lender.lend(BorrowerKey("n1", 7, serial), 0.2, 0.0)
+    borrower.receive("n0", serial, 0.2, 0.0)
+    assert borrower.renewals(0.5, 4) == []
+    assert borrower.renewals(2.0, 4) == [("n0", serial, 0.2)] and borrower.renewals(2.0, 4) == []
+    assert lender.renew(BorrowerKey("n1", 7, serial), 2.0) == 0.2 and borrower.receive("n0", serial, 0.2, 2.1)
+    assert borrower.total_borrowed(4.0) == 0.2 and lender.total_lent(4.5) == 0.2
+    assert lender.renew(BorrowerKey("n1", 8, serial), 2.0) == 0.0
     assert borrower.give_back(0.1) == [] and borrower.give_back(0.25) == [("n0", serial)]
-    assert lender.returned("n1", 7, serial) and not lender.returned("n1", 7, serial) and lender.lent(4.5) == 0.0
+    assert (
+        lender.take_back(BorrowerKey("n1", 7, serial))
+        and not lender.take_back(BorrowerKey("n1", 7, serial))
+        and lender.total_lent(4.5) == 0.0
+    )
 
 
 GOOD = ((5, 7), 1.5, 0.0, False, [(0.1, 0.2)], [(0, 1, 0.1)], [], [(0, 3)])
@@ -162,19 +170,19 @@
         (7, [(0, 1)] * 9),
     ],
 )
-def test_words_that_no_honest_fellow_says_are_refused(place, value):
-    assert lending_payload.read(lending_payload.pack(*GOOD)) == GOOD
+def test_payload_when_malformed_is_refused(place, value):
+    assert lending_payload.decode(lending_payload.encoder.encode(GOOD)) == LendingMessage(*GOOD)
     with pytest.raises(lending_payload.Unreadable):
-        lending_payload.read(lending_payload.pack(*GOOD[:place], value, *GOOD[place + 1 :]))
+        lending_payload.decode(lending_payload.encoder.encode((*GOOD[:place], value, *GOOD[place + 1 :])))
     with pytest.raises(lending_payload.Unreadable):
-        lending_payload.read(lending_payload.pack(*GOOD)[:-1])
+        lending_payload.decode(lending_payload.encoder.encode(GOOD)[:-1])
 
 
 # Whole fleets.
 
 
 @pytest.mark.parametrize("seed", range(100, 118))
-def test_no_schedule_spends_more_than_the_budget(seed):
+def test_fleet_when_faults_are_drawn_never_overspends(seed):
     drawn = schedule.draw(seed)
     played = play.play(drawn)
     assert judges.budgets(played.spent, play.BUDGETS) == [], schedule.text(drawn)
@@ -217,11 +225,11 @@
 
 
 @pytest.mark.parametrize("what", FOUND)
-def test_what_drawn_schedules_once_found_stays_mended(what):
+def test_fleet_when_a_found_schedule_is_replayed_has_no_faults(what):
     assert trial.virtual(FOUND[what]).faults == []
 
 
-def test_a_name_that_left_while_it_was_asked_about_ours_is_asked_no_more():
+def test_identity_when_an_asked_name_left_asks_it_no_more():
     detector = FailureDetector(
         Roster([Place(f"n{one}", ("127.0.0.1", one + 1), "") for one in range(3)], "n0"),
         Chance(1),
@@ -243,13 +251,13 @@
     return sum(amount for when, _, amount in fleet.spent[0] if when > 12.0) / (most / window * 13.0)
 
 
-def test_the_budget_goes_where_the_need_is():
+def test_budget_when_one_router_has_the_demand_goes_there():
     one = used(5, lambda process, number: 2.0 * (process.place == 0))
     assert one > 0.8 and used(5, lambda process, number: 2.0) > 0.8
     assert used(5, lambda process, number: 2.0 * (process.place == 0), (keeps_to_itself,)) < 0.25 * one
 
 
-def test_who_is_cut_off_spends_its_floor_and_no_more_after_its_term():
+def test_router_when_cut_off_spends_only_its_floor_after_its_term():
     fleet = play.Fleet(Schedule(5, 4, 1, (Fault("cut", 10.0, 40.0, (0,), (1, 2, 3)),), 4, 50.0, 1.0))
     fleet.wants = lambda process, number: 2.0
     fleet.run()
@@ -261,28 +269,28 @@
 
 
 def keeps_to_itself(process):
-    process.limiter.ask = lambda number, budget, now: None
+    process.limiter.balance = lambda number, budget, now: None
 
 
 def never_ends(process):
     """The plant: a borrower for whom loans have no end."""
     for budget in process.limiter.budgets:
         loans = budget.loans
-        loans.granted = lambda lender, serial, amount, now, loans=loans, granted=loans.granted: (
-            granted(lender, serial, amount, now) and (setattr(loans.had[serial], "until", 1e18) or True)
+        loans.receive = lambda lender, serial, amount, now, loans=loans, receive=loans.receive: (
+            receive(lender, serial, amount, now) and (setattr(loans.borrowed[serial], "until", 1e18) or True)
         )
 
 
 def lends_what_it_keeps(process):
     """The plant: what is out is not taken off."""
     for budget in process.limiter.budgets:
-        budget.loans.lent = lambda late: 0.0
+        budget.loans.total_lent = lambda now: 0.0
 
 
 @pytest.mark.parametrize(
     "plant, faults", [(never_ends, (Fault("cut", 14.0, 10.0, (0,), (1, 2, 3)),)), (lends_what_it_keeps, ())]
 )
-def test_a_planted_fault_is_found(plant, faults):
+def test_check_when_a_fault_is_planted_fails(plant, faults):
     told = Schedule(5, 4, 1, faults, 6, 26.0, 4.0)
 
     def play_it(plants):
--- a/tests/shared/test_counts.py
+++ b/tests/shared/test_request_tallies.py
@@ -12,7 +12,7 @@
 from wickhinge.peers.messages import ALIVE
 from wickhinge.peers.roster import Place, Roster
 from wickhinge.shared import request_tallies
-from wickhinge.shared.request_tallies import BEAT, STALE, Counts, Tally
+from wickhinge.shared.request_tallies import MAX_AGE_S, TALLY_INTERVAL_S, RequestTallies, Tally
 
 COUNT = 5
 
@@ -35,7 +35,7 @@
         self.sends = []
         self.detector.send = lambda name, kind, serial, now: self.sends.append(name)
         self.fleet = helpers.router(boxes=boxes, routers=count, seed=place).fleet
-        self.counts = Counts(self.detector, self.fleet, 100.0)
+        self.tallies = RequestTallies(self.detector, self.fleet, 100.0)
 
     def out(self, *numbers):
         for cache, number in zip(sorted(self.fleet.mine, key=lambda one: one.mark), numbers, strict=True):
@@ -43,14 +43,14 @@
 
     def table(self):
         return {
-            name: (known.tally.epoch, known.tally.life, known.tally.number, known.tally.out)
-            for name, known in self.counts.known.items()
+            name: (known.tally.epoch, known.tally.incarnation, known.tally.number, known.tally.in_flight)
+            for name, known in self.tallies.known.items()
         }
 
 
 def beat(group, now):
     for one in group:
-        one.counts.tick(now)
+        one.tallies.tick(now)
 
 
 def told(one):
@@ -59,24 +59,24 @@
 
 @settings(max_examples=40, deadline=None)
 @given(st.integers(0, 10**6))
-def test_whatever_is_lost_doubled_or_overtaken_all_end_with_the_truth(seed):
+def test_tallies_when_lost_doubled_or_reordered_converge_to_the_truth(seed):
     rand, now = random.Random(seed), 100.0
     group = [One(place) for place in range(COUNT)]
     for one in group:
         one.out(*[rand.randrange(6) for _ in range(4)])
     on_way = []
     for turn in range(80):
-        now += BEAT
+        now += TALLY_INTERVAL_S
         beat(group, now)
         for one in group:
             while one.sends:
                 to = next(other for other in group if other.name == one.sends[-1])
-                data = one.counts.rider(one.sends.pop())
+                data = one.tallies.payload(one.sends.pop())
                 copies = rand.choice((0, 1, 1, 2, 3)) if turn < 60 else 1
                 on_way += [(now + (rand.choice((0.0, 0.1, 1.5)) if turn < 60 else 0.0), one.name, to, data)] * copies
         rand.shuffle(on_way)
         for word in [word for word in on_way if word[0] <= now]:
-            word[2].counts.ridden(word[1], word[3], now)
+            word[2].tallies.receive(word[1], word[3], now)
             on_way.remove(word)
     for one in group:
         assert one.fleet.told == COUNT - 1
@@ -91,84 +91,98 @@
 
 @settings(max_examples=60, deadline=None)
 @given(st.permutations(range(8)), st.lists(st.integers(0, 7), max_size=10))
-def test_merging_has_one_result_in_any_order_and_any_number_of_times(order, again):
+def test_merge_when_repeated_in_any_order_has_one_result(order, again):
     tallies = [Tally("n1", 1, 2, 5 + number, 0.0, 7, [number]) for number in range(8)]
     one, other = One(0), One(0)
     for number in range(8):
-        one.counts.merge(tallies[number], 100.0, True)
+        one.tallies.merge(tallies[number], 100.0, from_itself=True)
     for number in [*order, *again]:
-        other.counts.merge(tallies[number], 100.0, True)
+        other.tallies.merge(tallies[number], 100.0, from_itself=True)
     assert one.table() == other.table() == {"n1": (1, 2, 12, [7])}
 
 
-def test_with_nobody_heard_the_guess_is_as_alone_and_with_all_heard_there_is_none():
+def test_fleet_when_nobody_is_heard_guesses_and_when_all_are_does_not():
     one, alone = One(0), One(0)
     for each in (one, alone):
         each.out(8, 0, 0, 0)
-    one.counts.tick(101.0)
+    one.tallies.tick(101.0)
     for each in (one, alone):
         each.fleet.count()
     assert [cache.others for cache in one.fleet.mine] == [cache.others for cache in alone.fleet.mine]
     assert all(cache.others > 0.0 for cache in alone.fleet.mine)
     for number in range(1, COUNT):
-        one.counts.merge(Tally(f"n{number}", 1, number + 1, 1, 0.0, one.counts.view, [0, 0, 0, 2]), 101.0, True)
+        one.tallies.merge(
+            Tally(f"n{number}", 1, number + 1, 1, 0.0, one.tallies.list_hash, [0, 0, 0, 2]), 101.0, from_itself=True
+        )
     for turn in range(40):
-        one.counts.known = {
-            name: request_tallies.Known(known.tally, 101.0 + turn * BEAT) for name, known in one.counts.known.items()
+        one.tallies.known = {
+            name: request_tallies.KnownTally(known.tally, 101.0 + turn * TALLY_INTERVAL_S)
+            for name, known in one.tallies.known.items()
         }
-        one.counts.tick(101.0 + (turn + 1) * BEAT)
+        one.tallies.tick(101.0 + (turn + 1) * TALLY_INTERVAL_S)
     one.fleet.count()
     assert told(one)[:3] == [(mark, 0.0) for mark, _ in told(one)[:3]]
     assert [round(cache.others) for cache in sorted(one.fleet.mine, key=lambda cache: cache.mark)] == [0, 0, 0, 8]
 
 
-def test_what_is_old_or_of_another_list_or_of_a_dead_life_counts_no_more():
+def test_tally_when_old_or_of_another_list_or_incarnation_does_not_count():
     one = One(0)
-    one.counts.tick(101.0)
-    good = Tally("n1", 1, 2, 1, 0.0, one.counts.view, [1, 1, 1, 1])
-    assert one.counts.merge(good, 101.0, True)
-    assert not one.counts.merge(Tally("n2", 2, 3, 1, 0.0, one.counts.view, [9] * 4), 101.0, True)
-    assert not one.counts.merge(Tally("n2", 1, 4, 1, 0.0, one.counts.view, [9] * 4), 101.0, False)
-    one.counts.merge(Tally("n3", 1, 4, 1, 0.0, 12345, [9] * 4), 101.0, True)
-    one.counts.tick(101.0 + BEAT)
+    one.tallies.tick(101.0)
+    good = Tally("n1", 1, 2, 1, 0.0, one.tallies.list_hash, [1, 1, 1, 1])
+    assert one.tallies.merge(good, 101.0, from_itself=True)
+    assert not one.tallies.merge(Tally("n2", 2, 3, 1, 0.0, one.tallies.list_hash, [9] * 4), 101.0, from_itself=True)
+    assert not one.tallies.merge(Tally("n2", 1, 4, 1, 0.0, one.tallies.list_hash, [9] * 4), 101.0, from_itself=False)
+    one.tallies.merge(Tally("n3", 1, 4, 1, 0.0, 12345, [9] * 4), 101.0, from_itself=True)
+    one.tallies.tick(101.0 + TALLY_INTERVAL_S)
     assert one.fleet.told == 1 and all(cache.told <= 1.0 for cache in one.fleet.mine)
-    one.counts.tick(101.0 + STALE + 1.0)
-    assert one.fleet.told == 0 and all(cache.told == 0.0 for cache in one.fleet.mine) and not one.counts.known
+    one.tallies.tick(101.0 + MAX_AGE_S + 1.0)
+    assert one.fleet.told == 0 and all(cache.told == 0.0 for cache in one.fleet.mine) and not one.tallies.known
 
 
-def test_a_number_from_the_future_is_refused_and_the_names_own_word_goes_first():
+def test_tally_when_its_number_rises_too_fast_is_refused_unless_its_own():
     one = One(0)
-    one.counts.tick(101.0)
-    view = one.counts.view
-    one.counts.merge(Tally("n1", 1, 2, 10, 0.0, view, [1] * 4), 101.0, True)
-    assert not one.counts.merge(Tally("n1", 1, 2, 1 << 60, 0.0, view, [9] * 4), 101.0, False)
-    assert one.counts.refused == 1
-    assert one.counts.merge(Tally("n1", 1, 2, 12, 0.0, view, [2] * 4), 101.2, False)
+    one.tallies.tick(101.0)
+    view = one.tallies.list_hash
+    one.tallies.merge(Tally("n1", 1, 2, 10, 0.0, view, [1] * 4), 101.0, from_itself=True)
+    assert not one.tallies.merge(Tally("n1", 1, 2, 1 << 60, 0.0, view, [9] * 4), 101.0, from_itself=False)
+    assert one.tallies.refused == 1
+    assert one.tallies.merge(Tally("n1", 1, 2, 12, 0.0, view, [2] * 4), 101.2, from_itself=False)
     # A liar was first: the name itself is believed all the same.
-    one.counts.merge(Tally("n2", 1, 3, 1 << 60, 0.0, view, [9] * 4), 101.0, False)
-    assert one.counts.merge(Tally("n2", 1, 3, 4, 0.0, view, [0] * 4), 101.1, True)
-    assert one.counts.known["n2"].tally.out == [0] * 4
+    one.tallies.merge(Tally("n2", 1, 3, 1 << 60, 0.0, view, [9] * 4), 101.0, from_itself=False)
+    assert one.tallies.merge(Tally("n2", 1, 3, 4, 0.0, view, [0] * 4), 101.1, from_itself=True)
+    assert one.tallies.known["n2"].tally.in_flight == [0] * 4
 
 
-def test_a_zones_counts_go_to_that_zone_alone_and_no_rider_is_too_long():
+def test_payload_when_built_stays_in_the_zone_and_within_its_bound():
     group = [One(place, 60, 40) for place in range(60)]
     one = group[0]
     for other in group:
         other.out(*[300] * 40)
-        other.counts.tick(101.0)
+        other.tallies.tick(101.0)
     for other in group[1:]:
-        one.counts.ridden(other.name, other.counts.rider("n0"), 101.0)
-    assert one.counts.rider("far") == b"" and len(one.counts.known) == 59
+        one.tallies.receive(other.name, other.tallies.payload("n0"), 101.0)
+    assert one.tallies.payload("far") == b"" and len(one.tallies.known) == 59
     assert (
-        len(one.counts.rider("n1")) <= request_tallies.LONGEST
-        and len(request_tallies.read(one.counts.rider("n1"))) >= 2
+        len(one.tallies.payload("n1")) <= request_tallies.MAX_PAYLOAD_BYTES
+        and len(request_tallies.decode(one.tallies.payload("n1"))) >= 2
     )
 
 
 def bad(**what):
     return request_tallies.encoder.encode(
         [
-            {**{"name": "n1", "epoch": 1, "life": 2, "number": 1, "age": 0.0, "view": 1, "out": [1]}, **what}[field]
+            {
+                **{
+                    "name": "n1",
+                    "epoch": 1,
+                    "incarnation": 2,
+                    "number": 1,
+                    "age": 0.0,
+                    "list_hash": 1,
+                    "in_flight": [1],
+                },
+                **what,
+            }[field]
             for field in Tally.__struct_fields__
         ]
     )
@@ -177,26 +191,26 @@
 @pytest.mark.parametrize(
     "what",
     [
-        {"out": [1 << 63]},
-        {"out": [-1]},
-        {"out": [0] * 257},
+        {"in_flight": [1 << 63]},
+        {"in_flight": [-1]},
+        {"in_flight": [0] * 257},
         {"age": float("nan")},
         {"age": -1.0},
         {"number": 0},
         {"number": 1 << 70},
         {"epoch": 0},
-        {"life": -3},
+        {"incarnation": -3},
         {"name": 7},
     ],
 )
-def test_tallies_that_no_honest_fellow_has_are_refused(what):
+def test_payload_when_malformed_is_refused(what):
     one = One(0)
     try:
         data = b"\x91" + bad(**what)
     except OverflowError:
         data = b"\x91\xc1"
     with pytest.raises(request_tallies.Unreadable):
-        request_tallies.read(data)
-    one.counts.ridden("n1", data, 101.0)
-    assert one.counts.unreadable == 1 and not one.counts.known
-    assert request_tallies.read(b"\x91" + bad())[0].out == [1]
+        request_tallies.decode(data)
+    one.tallies.receive("n1", data, 101.0)
+    assert one.tallies.unreadable == 1 and not one.tallies.known
+    assert request_tallies.decode(b"\x91" + bad())[0].in_flight == [1]
--- a/tests/shared/test_cold_shares.py
+++ b/tests/shared/test_slow_start_quota.py
@@ -4,6 +4,7 @@
 import random
 import subprocess
 import sys
+from dataclasses import replace
 from pathlib import Path
 from types import SimpleNamespace
 
@@ -20,8 +21,10 @@
 from wickhinge.peers.detector import FailureDetector
 from wickhinge.peers.roster import Place, Roster
 from wickhinge.shared import slow_start_quota
-from wickhinge.shared.name_lease import DRIFT
-from wickhinge.shared.quota_lending import FLOOR, SPAN, Division, LendingLimiter
+from wickhinge.shared.budgets import BURST_S, Division
+from wickhinge.shared.name_lease import MAX_CLOCK_DRIFT
+from wickhinge.shared.quota_lending import FLOOR_SHARE, LendingLimiter
+from wickhinge.shared.slow_start_quota import SlowStartQuotas, SlowStartRequest
 
 ROOT = Path(__file__).parents[2]
 LIMITS = Cold(4.0, 3.0, 0.2, 100.0)
@@ -34,9 +37,9 @@
 def colds(share=1.0, processes=4):
     """Of a router alone under its name, whose share is what the test says."""
     detector = FailureDetector(roster(["here"]), Chance(1), 0.0, lambda item: None)
-    limiter = LendingLimiter(detector, Division(1, processes), slow_start_quota.budgets("here"), 0.0)
-    made = slow_start_quota.Colds(limiter)
-    limiter.settle = lambda budget, now: budget.shared(share, limiter.late)
+    limiter = LendingLimiter(detector, Division(1, processes), slow_start_quota.budget_scopes("here"), 0.0)
+    made = SlowStartQuotas(limiter)
+    limiter.update_share = lambda budget, now: budget.set_share(share, limiter.lagging_clock)
     return made
 
 
@@ -50,26 +53,26 @@
     for turn in range(int(seconds * 100)):
         now = since + turn / 100
         made.limiter.tick(now)
-        while made.room(cache, upper, LIMITS, part, work, now):
+        while made.admits(SlowStartRequest(cache, upper, LIMITS, part, work), now):
             cache.credit -= work
             sent.append((now, "", work))
     return sent
 
 
 @pytest.mark.parametrize("work", [0.01, 0.1, 1.0, 3.0])
-def test_a_machine_gets_what_the_formula_says_also_where_a_visit_is_more_than_its_bucket(work):
+def test_server_when_in_slow_start_gets_what_the_formula_says(work):
     made, cache = colds(), machine()
     most = LIMITS.multiple * 0.2 * cache.weight * LIMITS.span
     sent = spend(made, cache, work, 30.0)
-    unit = slow_start_quota.PIECES * most / 4
+    unit = slow_start_quota.PIECES_SHARE * most / 4
     assert judges.peak(sent, most + max(work - unit, 0.0), LIMITS.span) <= 1.0
-    wanted = (1 - slow_start_quota.PIECES) * most / (LIMITS.span + SPAN) / (1 + DRIFT) * 29.0
+    wanted = (1 - slow_start_quota.PIECES_SHARE) * most / (LIMITS.span + BURST_S) / (1 + MAX_CLOCK_DRIFT) * 29.0
     assert sum(one[2] for one in sent) >= 0.95 * wanted - work
 
 
 @settings(max_examples=40, deadline=None)
 @given(st.integers(0, 10**6), st.integers(2, 6), st.floats(0.002, 0.5))
-def test_routers_whose_shares_move_never_topple_a_machine(seed, count, work):
+def test_routers_when_shares_move_never_overload_a_server(seed, count, work):
     rand, now, sent = random.Random(seed), 0.0, []
     shares = [1.0 / count] * count
     most = LIMITS.multiple * 0.2 * 10.0 * LIMITS.span
@@ -77,8 +80,8 @@
     routers = []
     for place in range(count):
         made = colds(processes=count)
-        made.limiter.settle = lambda budget, now, made=made, place=place: budget.shared(
-            shares[place], made.limiter.late
+        made.limiter.update_share = lambda budget, now, made=made, place=place: budget.set_share(
+            shares[place], made.limiter.lagging_clock
         )
         routers.append(made)
     for _ in range(500):
@@ -91,35 +94,35 @@
             shares[other] += part
         place = rand.randrange(count)
         routers[place].limiter.tick(now)
-        while routers[place].room(caches[place], False, LIMITS, 0.2, work, now):
+        while routers[place].admits(SlowStartRequest(caches[place], False, LIMITS, 0.2, work), now):
             caches[place].credit -= work
             sent.append((now, "", work))
-    over = count * max(work - slow_start_quota.PIECES * most / count, 0.0)
+    over = count * max(work - slow_start_quota.PIECES_SHARE * most / count, 0.0)
     assert not sent or judges.peak(sent, most + over, LIMITS.span) <= 1.0
 
 
-def test_a_machine_that_started_anew_has_an_empty_bucket_and_one_nobody_wants_none():
+def test_bucket_when_its_server_restarted_is_empty_and_when_idle_is_dropped():
     made, cache = colds(), machine()
     spend(made, cache, 0.1, 3.0)
     assert cache.credit > -0.1
     later = machine()  # the same mark, of another listing
-    assert not made.room(later, False, LIMITS, 0.2, 0.1, 3.0) and later.credit < 0.0
+    assert not made.admits(SlowStartRequest(later, False, LIMITS, 0.2, 0.1), 3.0) and later.credit < 0.0
     other = machine(8)
     for turn in range(400, 1200):
         made.limiter.tick(turn / 100)
-        made.room(other, False, LIMITS, 0.2, 0.1, turn / 100)
-    assert set(made.limiter.budgets[slow_start_quota.EDGE].buckets) == {8}
+        made.admits(SlowStartRequest(other, False, LIMITS, 0.2, 0.1), turn / 100)
+    assert set(made.limiter.budgets[slow_start_quota.CACHES].buckets) == {8}
 
 
-def test_no_more_machines_have_buckets_than_the_bound(monkeypatch):
-    monkeypatch.setattr(slow_start_quota, "MOST", 3)
+def test_buckets_when_at_the_bound_are_not_added(monkeypatch):
+    monkeypatch.setattr(slow_start_quota, "MAX_SERVERS", 3)
     made = colds()
     for mark in range(5):
-        made.room(machine(mark), False, LIMITS, 0.2, 0.1, 0.1)
-    assert len(made.limiter.budgets[slow_start_quota.EDGE].buckets) == 3
+        made.admits(SlowStartRequest(machine(mark), False, LIMITS, 0.2, 0.1), 0.1)
+    assert len(made.limiter.budgets[slow_start_quota.CACHES].buckets) == 3
 
 
-def test_a_machine_that_warms_up_gets_more():
+def test_server_when_warming_up_gets_more():
     cool = spend(colds(), machine(), 0.1, 10.0)
     warm = spend(colds(), machine(), 0.1, 10.0, part=0.6)
     assert len(warm) > 2.5 * len(cool)
@@ -135,7 +138,7 @@
     st.integers(0, 8),
     st.integers(0, 3),
 )
-def test_homes_and_floors_of_a_zone_add_up_to_one_while_half_the_fleet_has_another_roster(zones, spare, old, twins):
+def test_shares_when_rosters_differ_add_up_to_one_at_most(zones, spare, old, twins):
     """Routers below `old` still have the roster that ended there."""
     names = len(zones) + spare
     division = Division(names, names + twins)
@@ -145,18 +148,18 @@
             if one == zone:
                 seen = zones[: max(old, 1)] if place < old else zones
                 mine = division.within(roster(seen, f"n{place}"), zone)
-                total += (1 - FLOOR) / mine.names + FLOOR / mine.processes
+                total += (1 - FLOOR_SHARE) / mine.names + FLOOR_SHARE / mine.processes
         assert total <= 1.0 + 1e-9
 
 
-def test_a_division_smaller_than_the_roster_is_refused():
+def test_limiter_when_the_division_is_smaller_than_the_roster_raises():
     detector = FailureDetector(roster(["a", "a"]), Chance(1), 0.0, lambda item: None)
     for division in (Division(1, 4), Division(3, 2)):
         with pytest.raises(ValueError, match="2 names"):
             LendingLimiter(detector, division, [], 0.0)
 
 
-def test_a_zones_limit_goes_to_that_zones_routers_and_a_parents_to_all():
+def test_quota_when_of_a_cache_goes_to_its_zone_and_of_a_parent_to_all():
     fleet = play.Fleet(Schedule(3, 6, 2, (), 6, 18.0, 4.0))
     fleet.wants = lambda process, number: 2.0 * (process.place == 0)
     fleet.run()
@@ -174,18 +177,19 @@
 def lends_what_it_keeps(process):
     """The plant: what is out is not taken off."""
     for budget in process.limiter.budgets:
-        budget.loans.lent = lambda late: 0.0
+        budget.loans.total_lent = lambda now: 0.0
 
 
 def takes_all_for_its_own(process):
     """The plant: the limit divided among nobody."""
-    process.colds.room = lambda cache, upper, limits, part, work, now, room=process.colds.room: (
-        room(cache, upper, limits, part * len(process.fleet.names), work, now)
+    admits = process.colds.admits
+    process.colds.admits = lambda request, now: admits(
+        replace(request, warm_share=request.warm_share * len(process.fleet.names)), now
     )
 
 
 @pytest.mark.parametrize("plant", [takes_all_for_its_own, lends_what_it_keeps])
-def test_a_planted_fault_topples_a_machine(plant):
+def test_check_when_a_fault_is_planted_finds_an_overloaded_server(plant):
     told = Schedule(5, 4, 1, (), 6, 16.0, 4.0)
 
     def play_it(plants):
@@ -199,7 +203,7 @@
 # What `policy` makes of it.
 
 
-def test_policy_sends_to_a_cold_cache_where_its_part_says_so_and_charges_it():
+def test_decision_when_the_quota_admits_sends_and_charges_the_cache():
     made = helpers.router(boxes=1)
     cache = made.fleet.mine[0]
     cache.started, cache.credit, asked = 99.0, 5.0, []
@@ -219,7 +223,7 @@
     helpers.end(caller, Outcome.HONOURED, 100.1, closed=True)
 
 
-def test_policy_does_not_ask_for_warm_machines_nor_where_no_weights_are_told():
+def test_decision_when_servers_are_warm_or_unweighted_does_not_ask_the_quota():
     for weighed, started in ((True, -1e9), (False, 99.0)):
         made = helpers.router(boxes=1, weighed=weighed)
         made.fleet.mine[0].started = started
@@ -246,12 +250,12 @@
         ),
     ],
 )
-def test_settings_that_cannot_be_name_the_key(text, told):
+def test_settings_when_contradictory_name_the_key(text, told):
     with pytest.raises(Fault, match=told):
         check(text, "x")
 
 
-def test_a_router_in_another_zone_than_the_platform_says_is_refused(tmp_path):
+def test_start_when_the_zone_differs_from_the_platforms_is_refused(tmp_path):
     (tmp_path / "key").write_text("k" * 16)
     text = PEERS.replace("KEY", str(tmp_path / "key")).replace("ZONE", "hub") + 'shared: mode: "on"\n'
     (tmp_path / "o.cue").write_text(text)
--- a/wickhinge/lab/many/play.py
+++ b/wickhinge/lab/many/play.py
@@ -17,7 +17,9 @@
 from wickhinge.peers.messages import Message
 from wickhinge.peers.roster import Place, Roster
 from wickhinge.shared import slow_start_quota
-from wickhinge.shared.quota_lending import Dealt, Division, LendingLimiter
+from wickhinge.shared.budgets import BudgetScope, Division
+from wickhinge.shared.quota_bucket import Quota
+from wickhinge.shared.quota_lending import LendingLimiter
 
 KEY = b"of this fleet and of no other"
 TICK = 0.1
@@ -47,11 +49,14 @@
         self.limiter = LendingLimiter(
             self.detector,
             Division(len(fleet.names), fleet.schedule.places),
-            [*(Dealt(bucket=one) for one in BUDGETS), *slow_start_quota.budgets(f"z{place % fleet.schedule.zones}")],
+            [
+                *(BudgetScope(quota=Quota(*budget)) for budget in BUDGETS),
+                *slow_start_quota.budget_scopes(f"z{place % fleet.schedule.zones}"),
+            ],
             self.clock,
             self.log,
         )
-        self.colds = slow_start_quota.Colds(self.limiter, len(BUDGETS))
+        self.colds = slow_start_quota.SlowStartQuotas(self.limiter, len(BUDGETS))
         # One machine of the own zone, one parent: as `policy` sees them.
         self.machines = [
             SimpleNamespace(mark=mark, weight=WEIGHT, credit=-0.1) for mark in (place % fleet.schedule.zones, -1)
@@ -107,7 +112,8 @@
             work = self.fleet.work
             while self.works[number] >= work:
                 self.works[number] -= work
-                if self.colds.room(machine, machine.mark < 0, COLD, part, work, self.clock):
+                request = slow_start_quota.SlowStartRequest(machine, machine.mark < 0, COLD, part, work)
+                if self.colds.admits(request, self.clock):
                     machine.credit -= work
                     self.fleet.sent[machine.mark].append((self.fleet.now, self.name, work))
 
@@ -163,7 +169,7 @@
         self.needs = [[self.random.choice((0.0, 0.1, 0.5, 1.3)) for _ in BUDGETS] for _ in self.names]
         self.sent: dict[int, list[tuple[float, str, float]]] = defaultdict(list)  # to cold machines, by their marks
         self.work = (
-            slow_start_quota.PIECES * COLD.floor * COLD.multiple * COLD.span * WEIGHT / schedule.places
+            slow_start_quota.PIECES_SHARE * COLD.floor * COLD.multiple * COLD.span * WEIGHT / schedule.places
         )  # of a visit
         self.unreadable = self.carried = 0
 
--- a/wickhinge/net/fellows.py
+++ b/wickhinge/net/fellows.py
@@ -65,25 +65,25 @@
         counts: and what is out there.
         """
         from wickhinge.shared import slow_start_quota
-        from wickhinge.shared.outlier_detection import Judge
-        from wickhinge.shared.piggyback import Riding
+        from wickhinge.shared.outlier_detection import OutlierDetector
+        from wickhinge.shared.piggyback import Piggyback
         from wickhinge.shared.quota_lending import LendingLimiter
-        from wickhinge.shared.request_tallies import Counts
+        from wickhinge.shared.request_tallies import RequestTallies
 
         def log(event: str, **told: Any) -> None:
             self.log(f"shared_{event}", **told)
 
         fleet = self.node.router.fleet
         self.limiter = LendingLimiter(
-            self.detector, division, slow_start_quota.budgets(self.detector.roster.mine.zone), clock(), log
+            self.detector, division, slow_start_quota.budget_scopes(self.detector.roster.mine.zone), clock(), log
         )
         if judgements:
-            self.judge = Judge(self.detector, fleet, self.node.probe, log)
+            self.judge = OutlierDetector(self.detector, fleet, self.node.probe, log)
         if counts:
-            self.counts = Counts(self.detector, fleet, clock())
-        Riding(self.detector, [self.limiter, self.judge, self.counts])
-        room = slow_start_quota.Colds(self.limiter).room
-        fleet.dealt = lambda *asked: room(*asked, clock())
+            self.counts = RequestTallies(self.detector, fleet, clock())
+        Piggyback(self.detector, [self.limiter, self.judge, self.counts])
+        quotas = slow_start_quota.SlowStartQuotas(self.limiter)
+        fleet.dealt = lambda *asked: quotas.admits(slow_start_quota.SlowStartRequest(*asked), clock())
 
     def start(self) -> None:
         """Raises OSError where our address of the roster cannot be had: another process has the name here."""
@@ -248,7 +248,7 @@
 
 def divided(options: Any, roster: Roster, zone: str) -> Any:
     """The Division. Raises Malformed where the roster's zones are not the platform's."""
-    from wickhinge.shared.quota_lending import Division
+    from wickhinge.shared.budgets import Division
 
     mine = roster.mine
     if mine.zone != zone and any(one.zone for one in roster.places.values()):
--- a/wickhinge/shared/__init__.py
+++ b/wickhinge/shared/__init__.py
@@ -1,10 +1,12 @@
 """State that all routers of a fleet share, each kind with a bound that holds whatever is lost, doubled, late or paused.
 
-Entered by `lending.LendingLimiter`, one a router, on a `peers.detector.FailureDetector`, whose datagrams carry its
-messages as riders. What spends asks `LendingLimiter.take` or reads `LendingLimiter.share`, both without a message.
-docs/notes/peers.md has the bounds as formulas.
+- quota_lending.LendingLimiter, one a router, divides budgets: name_lease, quota_loans, budgets and quota_bucket hold
+  its state, lending_payload its bytes. What spends asks `take` or reads `share`, both without a message.
+  slow_start_quota is what `decide` asks for its part of the limits of servers in slow start.
+- outlier_detection.OutlierDetector weighs what other routers tell of servers: evidence is what we see ourselves,
+  peer_verdicts what the others saw, verdicts the bytes.
+- request_tallies.RequestTallies exchanges how many requests are in flight at each cache.
 
-`cold.Colds` is what `policy` asks for its part of cold machines' limits.
-
-Deciding, without I/O: name_lease, loans, bucket, lending, cold. Speaking: riders.
+All decide without I/O. Their messages go with the datagrams of a `peers.detector.FailureDetector`, joined by
+`piggyback`. docs/notes/peers.md has the bounds as formulas.
 """
--- a/wickhinge/shared/lending_payload.py
+++ b/wickhinge/shared/lending_payload.py
@@ -1,50 +1,86 @@
-"""What a datagram between fellows carries of budgets: one MessagePack array, at most LONGEST bytes.
+"""What a datagram between peers carries of budgets: one MessagePack array, about 400 bytes at most.
 
-    [[names, processes], stamp, answers, granted, [[lacks, spare] a budget], [[budget, number, amount] asked],
-     [[budget, number, amount] granted], [[budget, number] given back]]
+    [[names, processes], clock, echoed clock, granted, [[shortage, surplus] a budget], [[budget, serial, amount] asked],
+     [[budget, serial, amount] granted], [[budget, serial] returned]]
 
-The first are the numbers by which the sender divides (lending.Division). `stamp` is its own clock, which comes back as
-`answers` and tells it when it had asked; nobody else reads it. Levels and amounts are parts of a whole budget, 0 to 1.
+The first are the numbers by which the sender divides. `clock` is the sender's own, which comes back as `echoed clock`
+and tells it when it had asked; nobody else reads it. Levels and amounts are parts of a whole budget, 0 to 1.
 """
 
 from __future__ import annotations
 
 from math import isfinite
+from typing import NamedTuple
 
 import msgspec
 
 from wickhinge.peers.wire import Unreadable, decoded
 
-LONGEST = 400
-MOST = 8  # of each kind in a datagram
-BUDGETS = 8
-BODY = tuple[
-    tuple[int, int],
-    float,
-    float,
-    bool,
-    list[tuple[float, float]],
-    list[tuple[int, int, float]],
-    list[tuple[int, int, float]],
-    list[tuple[int, int]],
-]
-decoder = msgspec.msgpack.Decoder(BODY)
+MAX_ITEMS = 8  # of each kind in a datagram
+MAX_BUDGETS = 8
+
+
+class Level(NamedTuple):
+    """What a router lacks and can spare of a budget."""
+
+    shortage: float
+    surplus: float
+
+
+class LoanAmount(NamedTuple):
+    """A loan that is asked for, or granted."""
+
+    budget: int
+    serial: int
+    amount: float
+
+
+class LoanReturn(NamedTuple):
+    """A loan that is given back."""
+
+    budget: int
+    serial: int
+
+
+class LendingMessage(msgspec.Struct, array_like=True, frozen=True):
+    """All that one router tells another of budgets."""
+
+    division: tuple[int, int]
+    clock: float
+    echoed_clock: float  # 0 for none
+    lease_granted: bool
+    levels: list[Level]
+    requests: list[LoanAmount]
+    grants: list[LoanAmount]
+    returns: list[LoanReturn]
+
+
+decoder = msgspec.msgpack.Decoder(LendingMessage)
 encoder = msgspec.msgpack.Encoder()
 
 
-def pack(*words: object) -> bytes:
-    return encoder.encode(words)
+def encode(message: LendingMessage) -> bytes:
+    """The bytes of a message."""
+    return encoder.encode(message)
+
 
+def decode(data: bytes) -> LendingMessage:
+    """The message in these bytes.
 
-def read(data: bytes) -> BODY:
-    """Raises Unreadable, also for numbers that no honest fellow sends."""
-    words = decoded(decoder, data)
-    levels, *lists = words[4:]
-    if len(levels) > BUDGETS or any(len(one) > MOST for one in lists):
-        raise Unreadable("more than a datagram holds")
-    numbers = [number for pair in levels for number in pair] + [one[2] for one in (*lists[0], *lists[1])]
-    if not all(isfinite(number) and 0.0 <= number <= 1.0 for number in numbers):
-        raise Unreadable("a part of a budget that is none")
-    if any(not 0 <= one[0] < BUDGETS for many in lists for one in many) or not all(map(isfinite, words[1:3])):
-        raise Unreadable("a budget or a time that is none")
-    return words
+    Raises:
+        Unreadable: They are none, or have numbers that no router sends.
+    """
+    message: LendingMessage = decoded(decoder, data)
+    loans = [*message.requests, *message.grants]
+    item_counts = (len(message.requests), len(message.grants), len(message.returns))
+    if len(message.levels) > MAX_BUDGETS or max(item_counts) > MAX_ITEMS:
+        raise Unreadable(f"expected at most {MAX_BUDGETS} budgets and {MAX_ITEMS} loans of a kind")
+    parts = [part for level in message.levels for part in level] + [loan.amount for loan in loans]
+    if not all(isfinite(part) and 0.0 <= part <= 1.0 for part in parts):
+        raise Unreadable("expected parts of a budget from 0 to 1")
+    budgets = [loan.budget for loan in loans] + [loan.budget for loan in message.returns]
+    if not all(0 <= budget < MAX_BUDGETS for budget in budgets):
+        raise Unreadable(f"expected budgets from 0 to {MAX_BUDGETS - 1}")
+    if not (isfinite(message.clock) and isfinite(message.echoed_clock)):
+        raise Unreadable("expected finite times")
+    return message
--- a/wickhinge/shared/outlier_detection.py
+++ b/wickhinge/shared/outlier_detection.py
@@ -1,312 +1,315 @@
-"""What other routers say of machines, weighed: evidence with a witness and an age, never an order.
-
-A router says what it saw itself (`own`), to its zone's routers of caches and to all of parents: at once where that
-changes, and with each datagram that goes anyway. What it does with others' words, and all that it does:
-
-- Two witnesses at least, more than say the machine is well, none of them sick, each word FADE old at most.
-- LOST: it rests here for REST at a time while they say so, one failure of our own is enough, and some of us look at
-  once. Its witnesses go on trying it, as `policy` does with what it lost.
-- SLOW: what the machine is believed to bear, beside its fellows, is lowered to the middle of what they say, where we
-  have few answers of our own; it drifts back as every such belief does, and own answers move it from then on. Who was
-  told says nothing of it himself, so that no word feeds on its echo.
-- COLD: a start that the list has not told, and we did not see, counts from when they saw it.
-- At most SHARE of a location's caches (one at least), and of parents, stand under others' word at a time.
-
-Who finds more than half of its machines bad that others find well has a sick link: its words do not count, here and,
-as it hears the same of itself, there. Nothing here waits or sends more than PUSH datagrams a second. Without words
-nothing is done at all: no router is worse than alone for want of them.
+"""Outlier detection by several routers: evidence with a witness and an age, never an order.
+
+A router tells what it saw itself, to its zone's routers of caches and to all of parents: at once where that changes,
+and with each datagram that goes anyway. What it does with others' verdicts, and all that it does:
+
+- Two witnesses at least, more than say the server is well, none of them unhealthy themselves, each verdict
+  VERDICT_MAX_AGE_S old at most.
+- UNREACHABLE: the server is ejected here for REST_S at a time while they say so, one failure of our own is enough, and
+  some of us send it a health check at once. Its witnesses go on trying it, as `decide` does with what it lost.
+- SLOW: what the server is believed to bear, beside its peers, is lowered to the median of what they say, where we have
+  few answers of our own; it drifts back as every such belief does, and own answers move it from then on. Who was told
+  says nothing of it himself, so that no verdict feeds on its echo.
+- RESTARTED: a start that the endpoint list has not told, and we did not see, counts from when they saw it.
+- At most MAX_EJECTED_SHARE of a location's caches (one at least), and of parents, stand under others' verdict at a
+  time.
+
+Who finds more than half of its servers bad that others find well has a bad network itself: its verdicts do not count,
+here and, as it hears the same of itself, there. Nothing here waits or sends more than MAX_PUSHES_PER_S datagrams a
+second. Without verdicts nothing is done at all: no router is worse than alone for want of them.
 """
 
 from __future__ import annotations
 
-from collections.abc import Callable, Iterable
-from dataclasses import dataclass
+from collections.abc import Callable
 from typing import Any
 
+from wickhinge.common.token_bucket import TokenBucket
 from wickhinge.peers.chance import shuffle
 from wickhinge.peers.detector import FailureDetector
 from wickhinge.peers.messages import HELLO
-from wickhinge.peers.rate import Rate
+from wickhinge.peers.wire import Unreadable
 from wickhinge.shared import verdicts
-from wickhinge.shared.verdicts import COLD, LOST, SLOW, WELL, Word
-
-LOOK = 0.25  # seconds from one look at the machines to the next
-FADE = 6.0  # seconds after which nobody's word counts
-FRESH = 3.0  # seconds for which our own evidence goes before others'
-WITNESSES = 2
-SHARE = 1 / 3  # of a location's caches, at most under others' word at a time
-BEARS = 0.5  # of what its fellows bear of what they should, below which a machine is called slow
-ENOUGH = 6.0  # answers of our own, half of them forgotten each FRESH, that go before others' word
-FEW = 3.0  # without which we say nothing of its pace
-SICK = 3  # machines that must be judged before a router can be called sick
-REST = 0.75  # seconds, three looks
-LOOKERS = 3.0  # of the location's routers that look at a machine called lost, each LOOK
-PUSH = 16.0  # datagrams a second that go only to tell of a change
-MACHINES = 1024  # of whom words are kept
-
-
-@dataclass(slots=True)
-class Seen:
-    """Our own eyes on one machine."""
-
-    cache: Any
-    verdict: int = WELL
-    amount: float = 0.0
-    when: float = -1e9  # of the evidence
-    heard: float = -1e9  # by `policy`'s time: its last answer as it was at the last look
-    answers: float = 0.0  # looks that found a new one, half forgotten each FRESH
-    lost: bool = False
-    under: float = -1e9  # since when it stands under others' word, -1e9 for not
-    why: int = WELL  # which word that is
-
-
-def finding_well(found: Iterable[tuple[float, Word]]) -> int:
-    return sum(word.verdict == WELL for _, word in found)
-
-
-class Judge:
+from wickhinge.shared.evidence import (
+    EVALUATION_INTERVAL_S,
+    LONG_AGO,
+    OWN_EVIDENCE_MAX_AGE_S,
+    REST_S,
+    VERDICT_MAX_AGE_S,
+    Evidence,
+)
+from wickhinge.shared.peer_verdicts import MIN_WITNESSES, Agreement, Observation, PeerVerdicts
+from wickhinge.shared.verdicts import HEALTH_NAMES, Health, Verdict
+
+MAX_EJECTED_SHARE = 1 / 3  # of a location's caches, at most under others' verdict at a time
+OWN_ANSWERS_SUFFICE = 6.0  # half of them forgotten each OWN_EVIDENCE_MAX_AGE_S, that go before others' verdict
+MIN_SERVERS_TO_DOUBT_ROUTER = 3  # that must be judged before a router can be called unhealthy
+HEALTH_CHECKERS = 3.0  # of the location's routers that check a server called unreachable, each evaluation
+MAX_PUSHES_PER_S = 16.0  # datagrams that go only to tell of a change
+MIN_FITNESS = 0.3  # that a server is lowered to
+MAX_LISTED = 64  # servers in the figures
+MAX_WITNESSES_LISTED = 16
+
+
+def _log_nothing(event: str, **fields: Any) -> None:
+    """Stands in where no log is wanted."""
+
+
+def median_pace(servers: list[Any]) -> float:
+    """The median of what servers bear of what they should; 1.0 for none."""
+    return float(sorted(server.fit / server.best for server in servers)[len(servers) // 2]) if servers else 1.0
+
+
+class OutlierDetector:
+    """Weighs what other routers tell of servers against what we see ourselves.
+
+    Attributes:
+        evidence: Our own, by the server's id.
+        peer_verdicts: The others'.
+        is_unhealthy: Whether we ourselves are, by what the others say.
+        applied_count: How often others' verdict changed something.
+        unreadable: Payloads that could not be read.
+    """
+
     def __init__(
         self,
         detector: FailureDetector,
         fleet: Any,
-        look: Callable[[Any], None],
-        log: Callable[..., None] = lambda *a, **k: None,
+        check_health: Callable[[Any], None],
+        log: Callable[..., None] = _log_nothing,
     ) -> None:
-        """fleet: decide.Fleet; look(cache) probes one machine."""
-        self.detector, self.fleet, self.look, self.log = detector, fleet, look, log
-        self.seen: dict[int, Seen] = {}
-        self.told: dict[int, dict[str, tuple[float, Word]]] = {}  # by machine and witness: when it was seen, the word
-        self.looked = -1e9
-        self.push = Rate(PUSH, 0.0)
-        self.sick = False  # we ourselves, by what the others say
-        self.acted = 0
-        self.unreadable = 0
+        """Begin without evidence.
 
-    # Our own eyes.
-
-    def own(self, seen: Seen, pace: float, gap: float, now: float, policy_now: float) -> None:
-        """What we have seen of it ourselves since the last look, `gap` ago. pace: the middle of what its fellows bear
-        of what they should; policy_now: the time by which `policy` counts.
+        Args:
+            detector: Knows the peers, and carries the payloads.
+            fleet: decide.Fleet.
+            check_health: Called with a server that is to get a health check at once.
+            log: Called with an event and its fields.
         """
-        cache, was = seen.cache, seen.verdict
-        heard = now - max(policy_now - cache.heard, 0.0)
-        seen.answers = seen.answers * 0.5 ** (gap / FRESH) + (cache.heard > seen.heard)
-        seen.heard = cache.heard
-        if cache.lost:
-            seen.verdict, seen.amount, seen.when = LOST, 0.0, now
-        elif seen.lost and policy_now - cache.started < 2 * LOOK:
-            seen.verdict, seen.amount, seen.when = COLD, 0.0, now  # the list has not told
-        elif seen.verdict == COLD and policy_now - cache.started < FADE:
-            seen.amount, seen.when = max(policy_now - cache.started, 0.0), now
-        elif now - seen.under <= FADE:
-            # What we believe is what we were told; but an answer of its own tells that it is not lost.
-            seen.verdict, seen.when = WELL, heard if seen.why == LOST and heard > seen.under - REST else -1e9
-        elif seen.answers >= FEW and cache.fit < BEARS * pace * cache.best:
-            seen.verdict, seen.amount, seen.when = SLOW, cache.fit / cache.best / pace, now
-        elif policy_now - cache.heard <= FRESH:
-            seen.verdict, seen.amount, seen.when = WELL, 0.0, heard
-        elif now - seen.when > FADE:
-            seen.verdict, seen.amount = WELL, 0.0
-        seen.lost = cache.lost
-        if seen.verdict != was and not self.sick:
-            self.log("seen", machine=f"{cache.mark:08x}", verdict=verdicts.VERDICTS[seen.verdict])
-            self.tell(seen, now)
-
-    def tell(self, seen: Seen, now: float) -> None:
-        """At once, to those whom it concerns, in an order of chance, as far as PUSH allows."""
-        concerned = [name for name in self.detector.members if self.concerns(name, seen.cache)]
-        for name in shuffle(self.detector.chance, concerned):
-            if not self.push.take(1, now):
-                return
-            self.detector.send(name, HELLO, 0, now)
-
-    def concerns(self, name: str, cache: Any) -> bool:
-        place = self.detector.roster.places.get(name)
-        return place is not None and (not self.edge(cache) or place.zone == self.detector.roster.mine.zone)
-
-    def edge(self, cache: Any) -> bool:
-        """Whether it is a cache of our location, and no parent."""
-        return cache.kind != self.fleet.parent_kind
-
-    # Time.
+        self.detector = detector
+        self.fleet = fleet
+        self.evidence: dict[int, Evidence] = {}
+        self.peer_verdicts = PeerVerdicts()
+        self.is_unhealthy = False
+        self.applied_count = 0
+        self.unreadable = 0
+        self._check_health = check_health
+        self._log = log
+        self._evaluated_at = LONG_AGO
+        self._pushes = TokenBucket(MAX_PUSHES_PER_S, MAX_PUSHES_PER_S, 0.0, tokens=MAX_PUSHES_PER_S)
 
     def tick(self, now: float, policy_now: float) -> None:
-        gap = now - self.looked
-        if 0.0 <= gap < LOOK:
-            return
-        gap, self.looked = min(max(gap, 0.0), FADE), now
-        machines = {cache.mark: cache for cache in (*self.fleet.mine, *self.fleet.parents)}
-        for mark in [mark for mark, seen in self.seen.items() if machines.get(mark) is not seen.cache]:
-            del self.seen[mark]
-        paces = {True: self.pace(self.fleet.mine), False: self.pace(self.fleet.parents)}
-        for mark, cache in machines.items():
-            self.own(
-                self.seen.setdefault(mark, Seen(cache, heard=cache.heard, lost=cache.lost)),
-                paces[self.edge(cache)],
-                gap,
-                now,
-                policy_now,
-            )
-        for mark in list(self.told):
-            found = {name: told for name, told in self.told[mark].items() if 0.0 <= now - told[0] <= FADE}
-            if found and mark in machines:
-                self.told[mark] = found
-            else:
-                del self.told[mark]
-        self.doubt_ourselves()
-        self.act(now, policy_now)
-
-    @staticmethod
-    def pace(caches: list[Any]) -> float:
-        """The middle of what they bear of what they should."""
-        return sorted(cache.fit / cache.best for cache in caches)[len(caches) // 2] if caches else 1.0
-
-    def doubt_ourselves(self) -> None:
-        bad = [mark for mark, seen in self.seen.items() if seen.verdict != WELL]
-        well = [mark for mark in bad if finding_well(self.told.get(mark, {}).values()) >= WITNESSES]
-        sick = len(self.seen) >= SICK and 2 * len(bad) > len(self.seen) and 2 * len(well) > len(bad)
-        if sick != self.sick:
-            self.sick = sick
-            self.log("sick" if sick else "sound", bad=len(bad), well_to_others=len(well))
-
-    def sick_witnesses(self) -> set[str]:
-        """Who finds more than half of our machines bad that we, or two others, find well."""
-        if len(self.seen) < SICK:
-            return set()
-        bad: dict[str, int] = {}
-        for mark, found in self.told.items():
-            ours = self.seen[mark].verdict == WELL and self.looked - self.seen[mark].when <= FRESH
-            if ours or finding_well(found.values()) >= WITNESSES:
-                for name, (_, word) in found.items():
-                    bad[name] = bad.get(name, 0) + (word.verdict != WELL)
-        return {name for name, count in bad.items() if 2 * count > len(self.seen)}
-
-    def heard_of(self, mark: int, sick: set[str]) -> tuple[int, list[tuple[float, Word]]]:
-        """The verdict that enough others share, WELL for none, and their words. Who believes that it is just back from
-        being lost had lost it: where they do not agree on that, it counts as lost.
+        """Evaluate all servers where that is due.
+
+        Args:
+            now: The detector's time.
+            policy_now: The time by which `decide` counts.
         """
-        found = [(when, word) for name, (when, word) in self.told.get(mark, {}).items() if name not in sick]
-        well = finding_well(found)
-        for verdict, alike in ((COLD, (COLD,)), (LOST, (LOST, COLD)), (SLOW, (SLOW,))):
-            said = [one for one in found if one[1].verdict in alike]
-            if len(said) >= WITNESSES and len(said) > well:
-                return verdict, said
-        return WELL, []
-
-    def act(self, now: float, policy_now: float) -> None:
-        sick = self.sick_witnesses()
-        room = {}
-        for edge in (True, False):
-            tier = [seen for seen in self.seen.values() if self.edge(seen.cache) is edge]
-            room[edge] = max(int(len(tier) * SHARE), 1) - sum(now - seen.under <= FADE for seen in tier)
-        judged = [
-            (len(said), mark, verdict, said)
-            for mark in self.told
-            for verdict, said in [self.heard_of(mark, sick)]
-            if verdict != WELL
-        ]
-        for _, mark, verdict, said in sorted(judged, key=lambda one: (-one[0], one[1])):
-            seen = self.seen[mark]
-            edge, under = self.edge(seen.cache), now - seen.under <= FADE
-            if not under and room[edge] < 1 or not self.weigh(seen, verdict, said, now, policy_now):
-                continue
-            self.acted += 1
-            if not under:
-                room[edge] -= 1
-                self.log("told", machine=f"{mark:08x}", verdict=verdicts.VERDICTS[verdict], witnesses=len(said))
-            if not under or verdict == LOST:
-                seen.under, seen.why = now, verdict
-
-    def weigh(self, seen: Seen, verdict: int, said: list[tuple[float, Word]], now: float, policy_now: float) -> bool:
-        """Whether others' word changes what is believed of it."""
-        cache = seen.cache
-        if verdict == LOST:
-            if cache.lost or seen.when >= min(when for when, _ in said):
-                return False
-            cache.strikes = max(cache.strikes, 1.0)
-            cache.shunned = max(cache.shunned, policy_now + REST)
-            if self.detector.chance.draw() * self.fleet.routers < LOOKERS:
-                self.look(cache)
-            return True
-        if verdict == COLD:
-            # By those who saw it: the latest of the starts that two at least agree on.
-            starts = sorted(when - word.amount for when, word in said)
-            started = policy_now - (now - starts[-WITNESSES])
-            if cache.lost or cache.started > started - FADE:
-                return False  # we know of that start, or see for ourselves
-            cache.begin(policy_now)
-            cache.started = started
-            return True
-        if seen.answers >= ENOUGH:
-            return False
-        pace = self.pace(self.fleet.mine if self.edge(cache) else self.fleet.parents)
-        middle = sorted(word.amount for _, word in said)[len(said) // 2] * pace * cache.best
-        if middle >= cache.fit:
-            return False
-        cache.fit = max(middle, 0.3)
-        return True
+        elapsed = now - self._evaluated_at
+        if 0.0 <= elapsed < EVALUATION_INTERVAL_S:
+            return
+        elapsed, self._evaluated_at = min(max(elapsed, 0.0), VERDICT_MAX_AGE_S), now
+        servers = {server.mark: server for server in (*self.fleet.mine, *self.fleet.parents)}
+        for mark in [mark for mark, own in self.evidence.items() if servers.get(mark) is not own.server]:
+            del self.evidence[mark]
+        paces = {True: median_pace(self.fleet.mine), False: median_pace(self.fleet.parents)}
+        for mark, server in servers.items():
+            own = self.evidence.setdefault(mark, Evidence(server, last_answer_at=server.heard, was_lost=server.lost))
+            self._update_evidence(own, paces[self._is_cache(server)], elapsed, now, policy_now)
+        self.peer_verdicts.expire(servers, now)
+        self._update_own_health()
+        self._apply_verdicts(now, policy_now)
+
+    def reload(self) -> None:
+        """Take the detector's other roster: who left is no witness."""
+        self.peer_verdicts.keep_witnesses(self.detector.roster.places)
 
     # Datagrams.
 
-    def rider(self, to: str) -> bytes:
-        if self.sick:
+    def payload(self, to: str) -> bytes:
+        """What to tell that peer: evidence that is fresh, and bad or asked for."""
+        if self.is_unhealthy:
             return b""
-        now = self.looked
-        said = []
-        for seen in self.seen.values():
-            if seen.verdict == WELL and seen.cache.mark not in self.told or not self.concerns(to, seen.cache):
-                continue  # nobody asks
-            if 0.0 <= now - seen.when <= FADE:
-                said.append(
-                    Word(
-                        seen.cache.mark,
-                        seen.verdict,
-                        round(min(seen.amount, verdicts.LONGEST), 3),
-                        round(now - seen.when, 2),
-                    )
-                )
-        if len(said) > verdicts.MOST:  # in turn, by chance: a storm is told over some datagrams
-            said = [said[int(self.detector.chance.draw() * len(said))] for _ in range(verdicts.MOST)]
-        return verdicts.pack(said)
-
-    def ridden(self, name: str, data: bytes, now: float) -> None:
+        now = self._evaluated_at
+        tellable = [own for own in self.evidence.values() if self._is_tellable(own, to, now)]
+        own_verdicts = [
+            Verdict(
+                own.server.mark,
+                own.health,
+                round(min(own.amount, verdicts.MAX_SECONDS), 3),
+                round(now - own.observed_at, 2),
+            )
+            for own in tellable
+        ]
+        if len(own_verdicts) > verdicts.MAX_VERDICTS:  # by chance: a storm is told over some datagrams
+            count = len(own_verdicts)
+            own_verdicts = [
+                own_verdicts[int(self.detector.chance.draw() * count)] for _ in range(verdicts.MAX_VERDICTS)
+            ]
+        return verdicts.encode(own_verdicts)
+
+    def receive(self, name: str, data: bytes, now: float) -> None:
+        """Take in a peer's verdicts on our servers."""
         try:
-            found = verdicts.read(data)
-        except verdicts.Unreadable:
+            received = verdicts.decode(data)
+        except Unreadable:
             self.unreadable += 1
             return
-        for word in found:
-            if word.mark not in self.seen or word.age > FADE:
-                continue  # not one of ours
-            if word.mark in self.told or len(self.told) < MACHINES:
-                when = now - word.age
-                known = self.told.setdefault(word.mark, {}).get(name)
-                if known is None or when >= known[0]:
-                    self.told[word.mark][name] = when, word
-
-    def reload(self) -> None:
-        """The detector's roster is another: who left is no witness."""
-        for found in self.told.values():
-            for name in set(found) - set(self.detector.roster.places):
-                del found[name]
+        for verdict in received:
+            if verdict.server in self.evidence and verdict.age <= VERDICT_MAX_AGE_S:
+                self.peer_verdicts.record(name, verdict, now)
 
     def figures(self, now: float) -> dict[str, Any]:
-        sick = self.sick_witnesses()
+        """For operators: our own verdicts, and the others'."""
+        by_server = sorted(self.peer_verdicts.by_server.items())[:MAX_LISTED]
         return {
-            "sick": self.sick,
-            "sick_fellows": sorted(sick)[:16],
-            "acted": self.acted,
+            "sick": self.is_unhealthy,
+            "sick_fellows": sorted(self._unhealthy_witnesses())[:MAX_WITNESSES_LISTED],
+            "acted": self.applied_count,
             "unreadable": self.unreadable,
             "machines": {
                 f"s-{mark:08x}": {
-                    "own": verdicts.VERDICTS[self.seen[mark].verdict],
-                    "under": now - self.seen[mark].under <= FADE,
+                    "own": HEALTH_NAMES[self.evidence[mark].health],
+                    "under": self.evidence[mark].is_overridden(now),
                     **{
-                        word: sum(told.verdict == number for _, told in found.values())
-                        for number, word in enumerate(verdicts.VERDICTS)
+                        HEALTH_NAMES[health]: sum(
+                            observation.verdict.health == health for observation in observations.values()
+                        )
+                        for health in Health
                     },
                 }
-                for mark, found in sorted(self.told.items())[:64]
-                if mark in self.seen
+                for mark, observations in by_server
+                if mark in self.evidence
             },
         }
+
+    # Our own evidence.
+
+    def _update_evidence(self, own: Evidence, pace: float, elapsed: float, now: float, policy_now: float) -> None:
+        before = own.health
+        own.update(pace, elapsed, now, policy_now)
+        if own.health != before and not self.is_unhealthy:
+            self._log("server_health", server=f"{own.server.mark:08x}", health=HEALTH_NAMES[own.health])
+            self._push(own.server, now)
+
+    def _push(self, server: Any, now: float) -> None:
+        """Tell those whom it concerns at once, in random order, as far as the rate allows."""
+        concerned = [name for name in self.detector.members if self._concerns(name, server)]
+        for name in shuffle(self.detector.chance, concerned):
+            if not self._pushes.take(1, now):
+                return
+            self.detector.send(name, HELLO, 0, now)
+
+    def _is_tellable(self, own: Evidence, to: str, now: float) -> bool:
+        mark = own.server.mark
+        if own.health == Health.HEALTHY and mark not in self.peer_verdicts.by_server:
+            return False  # nobody asks
+        return self._concerns(to, own.server) and 0.0 <= now - own.observed_at <= VERDICT_MAX_AGE_S
+
+    def _concerns(self, name: str, server: Any) -> bool:
+        """Whether that router may send requests to the server."""
+        place = self.detector.roster.places.get(name)
+        return place is not None and (not self._is_cache(server) or place.zone == self.detector.roster.mine.zone)
+
+    def _is_cache(self, server: Any) -> bool:
+        """Whether it is a cache of our location, and no parent."""
+        return bool(server.kind != self.fleet.parent_kind)
+
+    # Unhealthy routers.
+
+    def _update_own_health(self) -> None:
+        bad = [mark for mark, own in self.evidence.items() if own.health != Health.HEALTHY]
+        healthy_to_others = [mark for mark in bad if self.peer_verdicts.is_healthy_to_others(mark)]
+        is_unhealthy = (
+            len(self.evidence) >= MIN_SERVERS_TO_DOUBT_ROUTER
+            and 2 * len(bad) > len(self.evidence)
+            and 2 * len(healthy_to_others) > len(bad)
+        )
+        if is_unhealthy != self.is_unhealthy:
+            self.is_unhealthy = is_unhealthy
+            event = "router_unhealthy" if is_unhealthy else "router_healthy"
+            self._log(event, bad=len(bad), healthy_to_others=len(healthy_to_others))
+
+    def _unhealthy_witnesses(self) -> set[str]:
+        """Who finds more than half of our servers bad that we, or two others, find well."""
+        if len(self.evidence) < MIN_SERVERS_TO_DOUBT_ROUTER:
+            return set()
+        wrong_verdicts: dict[str, int] = {}
+        for mark, observations in self.peer_verdicts.by_server.items():
+            own = self.evidence[mark]
+            own_age = self._evaluated_at - own.observed_at
+            is_healthy_here = own.health == Health.HEALTHY and own_age <= OWN_EVIDENCE_MAX_AGE_S
+            if is_healthy_here or self.peer_verdicts.is_healthy_to_others(mark):
+                for name, observation in observations.items():
+                    is_wrong = observation.verdict.health != Health.HEALTHY
+                    wrong_verdicts[name] = wrong_verdicts.get(name, 0) + is_wrong
+        return {name for name, count in wrong_verdicts.items() if 2 * count > len(self.evidence)}
+
+    # Others' verdicts.
+
+    def _apply_verdicts(self, now: float, policy_now: float) -> None:
+        ignored = self._unhealthy_witnesses()
+        capacity = {is_cache: self._ejection_capacity(is_cache, now) for is_cache in (True, False)}
+        agreements = [(mark, self.peer_verdicts.agreement(mark, ignored)) for mark in self.peer_verdicts.by_server]
+        bad = [(mark, agreement) for mark, agreement in agreements if agreement.health != Health.HEALTHY]
+        for mark, agreement in sorted(bad, key=lambda item: (-len(item[1].observations), item[0])):
+            own = self.evidence[mark]
+            is_cache, was_overridden = self._is_cache(own.server), own.is_overridden(now)
+            if not was_overridden and capacity[is_cache] < 1 or not self._apply(own, agreement, now, policy_now):
+                continue
+            self.applied_count += 1
+            if not was_overridden:
+                capacity[is_cache] -= 1
+                self._log(
+                    "verdict_applied",
+                    server=f"{mark:08x}",
+                    health=HEALTH_NAMES[agreement.health],
+                    witnesses=len(agreement.observations),
+                )
+            if not was_overridden or agreement.health == Health.UNREACHABLE:
+                own.overridden_at, own.override = now, agreement.health
+
+    def _ejection_capacity(self, is_cache: bool, now: float) -> int:
+        """How many more servers of a tier may come under others' verdict."""
+        tier = [own for own in self.evidence.values() if self._is_cache(own.server) is is_cache]
+        return max(int(len(tier) * MAX_EJECTED_SHARE), 1) - sum(own.is_overridden(now) for own in tier)
+
+    def _apply(self, own: Evidence, agreement: Agreement, now: float, policy_now: float) -> bool:
+        """Change what is believed of the server; False where nothing changes."""
+        if agreement.health == Health.UNREACHABLE:
+            return self._eject(own, agreement.observations, policy_now)
+        if agreement.health == Health.RESTARTED:
+            return self._restart(own.server, agreement.observations, now, policy_now)
+        return self._slow_down(own, agreement.observations)
+
+    def _eject(self, own: Evidence, observations: list[Observation], policy_now: float) -> bool:
+        server = own.server
+        if server.lost or own.observed_at >= min(observation.observed_at for observation in observations):
+            return False
+        server.strikes = max(server.strikes, 1.0)
+        server.shunned = max(server.shunned, policy_now + REST_S)
+        if self.detector.chance.draw() * self.fleet.routers < HEALTH_CHECKERS:
+            self._check_health(server)
+        return True
+
+    def _restart(self, server: Any, observations: list[Observation], now: float, policy_now: float) -> bool:
+        """Count the start by those who saw it: the latest of the starts that two at least agree on."""
+        starts = sorted(observation.observed_at - observation.verdict.amount for observation in observations)
+        started = policy_now - (now - starts[-MIN_WITNESSES])
+        if server.lost or server.started > started - VERDICT_MAX_AGE_S:
+            return False  # we know of that start, or see for ourselves
+        server.begin(policy_now)
+        server.started = started
+        return True
+
+    def _slow_down(self, own: Evidence, observations: list[Observation]) -> bool:
+        server = own.server
+        if own.answers >= OWN_ANSWERS_SUFFICE:
+            return False
+        pace = median_pace(self.fleet.mine if self._is_cache(server) else self.fleet.parents)
+        amounts = sorted(observation.verdict.amount for observation in observations)
+        fitness = amounts[len(amounts) // 2] * pace * server.best
+        if fitness >= server.fit:
+            return False
+        server.fit = max(fitness, MIN_FITNESS)
+        return True
--- a/wickhinge/shared/piggyback.py
+++ b/wickhinge/shared/piggyback.py
@@ -1,43 +1,62 @@
-"""Several parts that ride on one detector's datagrams: a MessagePack array of byte strings, one a part, in fixed order.
+"""Several payloads that are piggybacked on one failure detector's datagrams: a MessagePack array of byte strings.
 
-A part that is off at one router and on at another rides as nothing, so a fleet may switch it on one by one.
+The parts have a fixed order. One that is off at one router and on at another is empty bytes, so a fleet may switch it
+on one by one.
 """
 
 from __future__ import annotations
 
-from typing import Any, Protocol
+from collections.abc import Sequence
+from typing import Protocol
 
 import msgspec
 
 from wickhinge.peers.detector import FailureDetector
 
-MOST = 4  # parts
+MAX_PARTS = 4
 decoder = msgspec.msgpack.Decoder(list[bytes])
 encoder = msgspec.msgpack.Encoder()
 
 
-class Part(Protocol):
-    def rider(self, to: str) -> bytes: ...
+class PiggybackPart(Protocol):
+    """What has something to tell with each datagram that goes anyway."""
 
-    def ridden(self, name: str, data: bytes, now: float) -> None: ...
+    def payload(self, to: str) -> bytes:
+        """What to tell that peer now; called for each datagram that is sent."""
 
+    def receive(self, name: str, data: bytes, now: float) -> None:
+        """Take in what that peer told; called for each datagram that came with a payload."""
 
-class Riding:
-    def __init__(self, detector: FailureDetector, parts: list[Any]) -> None:
-        """parts: each a Part, or None where it is off here."""
-        self.parts = parts
+
+def attach(detector: FailureDetector, part: PiggybackPart) -> None:
+    """Let a part's payloads go with the detector's datagrams, in place of any other's."""
+    detector.rider, detector.ridden = part.payload, part.receive
+
+
+class Piggyback:
+    """Joins the payloads of several parts.
+
+    Attributes:
+        unreadable: Payloads that were not an array of byte strings.
+    """
+
+    def __init__(self, detector: FailureDetector, parts: Sequence[PiggybackPart | None]) -> None:
+        """Attach to the detector; a part that is off here is None."""
         self.unreadable = 0
-        detector.rider, detector.ridden = self.rider, self.ridden
+        self._parts = parts
+        attach(detector, self)
 
-    def rider(self, to: str) -> bytes:
-        return encoder.encode([b"" if part is None else part.rider(to) for part in self.parts])
+    def payload(self, to: str) -> bytes:
+        """The payloads of all parts."""
+        return encoder.encode([b"" if part is None else part.payload(to) for part in self._parts])
 
-    def ridden(self, name: str, data: bytes, now: float) -> None:
+    def receive(self, name: str, data: bytes, now: float) -> None:
+        """Give each part its payload."""
         try:
-            found = decoder.decode(data)
+            payloads = decoder.decode(data)
         except msgspec.MsgspecError:
             self.unreadable += 1
             return
-        for part, told in zip(self.parts, found[:MOST], strict=False):
-            if part is not None and told:
-                part.ridden(name, told, now)
+        for part, payload in zip(self._parts, payloads[:MAX_PARTS], strict=False):
+            if part is not None and payload:
+                part.receive(name, payload, now)
--- a/wickhinge/shared/quota_lending.py
+++ b/wickhinge/shared/quota_lending.py
@@ -1,339 +1,387 @@
-"""One router's part of the fleet's budgets: a floor for ever, its name's share while it is vouched for, and loans.
+"""One router's part of the fleet's budgets: a floor for ever, its name's share while it holds the lease, and loans.
 
-    share = floor + (home - lent out, while a majority vouches for this life of the name) + borrowed
+    share = floor + (home - lent, while a majority grants the lease of the name to this incarnation) + borrowed
 
-    floor = FLOOR / processes     home = (1 - FLOOR) / names
+    floor = FLOOR_SHARE / processes     home = (1 - FLOOR_SHARE) / names
 
 `names` bounds how many names any roster in use holds, `processes` how many processes spend at all: homes never add up
-to more than 1 - FLOOR, since one life of a name has it, and floors to no more than FLOOR, also while one name runs
-twice. Both are the same for the whole fleet. Who hears nobody spends its share until its term ends, then its floor.
-Nothing here waits for anybody: `take` is local. A budget that only the routers of one zone spend is dealt among those;
-one dealing may stand for many machines, each with a bucket of its own that fills by the same share.
+to more than 1 - FLOOR_SHARE, since one incarnation of a name has it, and floors to no more than FLOOR_SHARE, also
+while one name runs twice. Both are the same for the whole fleet. Who hears nobody spends its share until its lease
+ends, then its floor. Nothing here waits for anybody: `take` is local. A budget that only the routers of one zone spend
+is divided among those; one division may stand for many servers, each with a bucket of its own that fills by the same
+share.
 
 Two clocks count here. What we have of others ends by the router's own clock. What others have of us, and what
-accrues to us, is counted by `late`, which goes on by at most STEP a tick: a clock that jumps ahead, or a process that
-stood still, then holds on to what it gave for too long and never for too short. What is spent was looked at STEP
-ago at most, so what others gave counts as ended STEP early.
+accrues to us, is counted by the lagging clock, which goes on by at most MAX_STEP_S a tick: a clock that jumps ahead,
+or a process that stood still, then holds on to what it gave for too long and never for too short. Shares are updated
+each MAX_STEP_S at least, so what others gave counts as ended that much early.
 """
 
 from __future__ import annotations
 
 from collections.abc import Callable
-from dataclasses import dataclass
-from typing import Any
+from dataclasses import dataclass, field
+from typing import Any, NamedTuple
 
 from wickhinge.peers.detector import FailureDetector
 from wickhinge.peers.messages import HELLO
-from wickhinge.peers.roster import Roster
-from wickhinge.shared import lending_payload
-from wickhinge.shared.name_lease import DRIFT, NameLeases
-from wickhinge.shared.quota_loans import TIME, Loans
-from wickhinge.shared.shared_bucket import Bucket
-
-FLOOR = 0.04  # of each budget, for those who hear nobody
-STEP = 0.25  # seconds a tick that `late` counts at most
-ASK = 0.2  # seconds between two looks at whether to ask
-LENDERS = 2  # asked at a look
-RENEWED = 4  # loans at a look
-WORD = 5.0  # seconds for which another's word of what it can spare counts
-SPAN = 0.1  # seconds of a rate that a bucket saves up
-FADE = 0.4  # seconds in which a need not felt again is half forgotten
-LEAST = 0.002  # parts of a budget that are not worth a datagram
-
-
-@dataclass(frozen=True, slots=True)
-class Division:
-    """By what numbers homes and floors are divided, the same for the whole fleet."""
-
-    names: int  # of all rosters in use together, at most
-    processes: int  # that run at once, at most: names, and those started twice or not ended yet
-
-    def within(self, roster: Roster, zone: str) -> Division:
-        """Of one zone's routers: names that the roster does not hold yet may all come to be there."""
-        if not zone:
-            return self
-        names = sum(one.zone == zone for one in roster.places.values()) + self.names - len(roster)
-        return Division(names, names + self.processes - self.names)
-
-
-@dataclass(frozen=True, slots=True)
-class Dealt:
-    """What a budget is dealt among and of: zone's routers alone, "" for all; bucket (most, window, unit) its one, or
-    None where machines have one each, put there by who spends.
-    """
+from wickhinge.peers.wire import Unreadable
+from wickhinge.shared import lending_payload, piggyback
+from wickhinge.shared.budgets import Budget, BudgetScope, Division
+from wickhinge.shared.lending_payload import LendingMessage, Level, LoanAmount, LoanReturn
+from wickhinge.shared.name_lease import MAX_CLOCK_DRIFT, NameLeases
+from wickhinge.shared.quota_bucket import QuotaBucket
+from wickhinge.shared.quota_loans import LOAN_S, BorrowerKey
+
+FLOOR_SHARE = 0.04  # of each budget, for those who hear nobody
+MAX_STEP_S = 0.25  # that the lagging clock goes on by in a tick
+BALANCE_INTERVAL_S = 0.2
+LENDERS_ASKED = 2  # each BALANCE_INTERVAL_S
+MAX_RENEWALS = 4  # each BALANCE_INTERVAL_S
+LEVEL_MAX_AGE_S = 5.0  # for which another's word of what it can spare counts
+DEMAND_HALF_LIFE_S = 0.4
+DEMAND_WEIGHT = 0.7  # of what is asked for, spread over the half life
+MIN_TRANSFER = 0.002  # parts of a budget that are worth a datagram
+RETURN_HYSTERESIS = 0.1  # of the demand
+
+
+class PeerLevels(NamedTuple):
+    """What a peer said last of its levels."""
+
+    received_at: float
+    levels: list[Level]
+
+
+class Echo(NamedTuple):
+    """What to answer a peer with the next datagram."""
 
-    zone: str = ""
-    bucket: tuple[float, float, float] | None = None
+    clock: float  # the peer's own
+    lease_granted: bool
 
 
-class Budget:
-    def __init__(self, told: Dealt, division: Division, late: float) -> None:
-        self.zone, self.division = told.zone, division
-        self.loans = Loans()
-        self.share = 0.0
-        self.buckets: dict[Any, Bucket] = {}
-        if told.bucket is not None:
-            self.buckets[None] = Bucket(*told.bucket, division.processes, SPAN, late)
-        self.need = 0.0  # the part of the whole budget that was asked for here lately, where most was
-        self.missing = self.spare = 0.0  # parts of the budget that are wanted and not had, had and not wanted
+@dataclass(slots=True)
+class Outbox:
+    """What goes to a peer with the next datagram."""
 
-    def shared(self, share: float, late: float) -> None:
-        if share != self.share:
-            self.share = share
-            for bucket in self.buckets.values():
-                bucket.shared(share, late)
+    requests: list[LoanAmount] = field(default_factory=list)
+    grants: list[LoanAmount] = field(default_factory=list)
+    returns: list[LoanReturn] = field(default_factory=list)
+
+
+def _log_nothing(event: str, **fields: Any) -> None:
+    """Stands in where no log is wanted."""
 
 
 class LendingLimiter:
+    """Spends this router's part of the fleet's budgets.
+
+    Attributes:
+        division: By what numbers budgets are divided.
+        budgets: In the order that all routers agree on.
+        leases: Of the routers' names.
+        lagging_clock: See the module.
+        lease_until: When our name's lease ends for us, by our own clock.
+    """
+
     def __init__(
         self,
         detector: FailureDetector,
         division: Division,
-        budgets: list[Dealt],
+        scopes: list[BudgetScope],
         now: float,
-        log: Callable[..., None] = lambda *a, **k: None,
+        log: Callable[..., None] = _log_nothing,
     ) -> None:
-        """Raises ValueError where the roster has more names than the division counts."""
+        """Attach to the detector's datagrams.
+
+        Raises:
+            ValueError: The roster has more names than the division counts.
+        """
         if not len(detector.roster) <= division.names <= division.processes:
             raise ValueError(
                 f"{len(detector.roster)} names on the roster, divided among {division.names} names and "
                 f"{division.processes} processes"
             )
-        self.detector, self.division, self.log = detector, division, log
-        self.late, self.ticked = 0.0, now
-        self.budgets = [Budget(one, division.within(detector.roster, one.zone), self.late) for one in budgets]
-        self.leases = NameLeases(len(detector.roster), self.late)
-        self.life = detector.life
-        self.stamps: dict[str, tuple[float, bool]] = {}  # what to answer: their stamp, whether we vouch
-        self.told: dict[str, tuple[float, list[tuple[float, float]]]] = {}  # when, what it lacks and can spare
-        self.words: dict[str, tuple[list[Any], list[Any], list[Any]]] = {}  # that go with the next datagram
-        self.looked = now
-        self.vouched = 0.0
-        self.differ: set[str] = set()  # who divides by other numbers
-        detector.rider, detector.ridden = self.rider, self.ridden
-
-    # What spends asks.
+        self.division = division
+        self.lagging_clock = 0.0
+        self.budgets = [
+            Budget(scope, division.within(detector.roster, scope.zone), self.lagging_clock) for scope in scopes
+        ]
+        self.leases = NameLeases(len(detector.roster), self.lagging_clock)
+        self.lease_until = 0.0
+        self._detector = detector
+        self._log = log
+        self._incarnation = detector.life
+        self._ticked_at = self._balanced_at = now
+        self._echoes: dict[str, Echo] = {}
+        self._peer_levels: dict[str, PeerLevels] = {}
+        self._outboxes: dict[str, Outbox] = {}
+        self._mismatched_peers: set[str] = set()  # who divides by other numbers
+        piggyback.attach(detector, self)
+
+    # Spending.
 
     def take(self, number: int, amount: float, now: float, key: Any = None) -> bool:
-        """Whether so much of that budget may be spent now. Counts as need either way."""
-        bucket, late = self.wish(number, amount, now, key)
-        return bucket.take(amount, late)
+        """Spend so much of a budget, or nothing where there is less. Counts as demand either way."""
+        bucket, lagging_now = self.record_demand(number, amount, now, key)
+        return bucket.take(amount, lagging_now)
 
-    def wish(self, number: int, amount: float, now: float, key: Any = None) -> tuple[Bucket, float]:
-        """That so much is wanted counts as need. The bucket it would come from, and the time by which that counts."""
+    def record_demand(self, number: int, amount: float, now: float, key: Any = None) -> tuple[QuotaBucket, float]:
+        """Count so much as demand. Returns the bucket that it would come from, and the time by which that counts."""
         self.refresh(now)
         bucket = self.budgets[number].buckets[key]
-        bucket.wanted += amount / FADE * 0.7
-        return bucket, self.late + now - self.ticked  # the next tick counts that gap too
+        bucket.demand_rate += amount / DEMAND_HALF_LIFE_S * DEMAND_WEIGHT
+        return bucket, self.lagging_clock + now - self._ticked_at  # the next tick counts that gap too
 
     def share(self, number: int, now: float) -> float:
-        """The part of that budget which is ours to spend."""
+        """The part of a budget that is ours to spend."""
         self.refresh(now)
         return self.budgets[number].share
 
-    def change(self, number: int, most: float) -> None:
-        """The budget itself is another from now on, by the settings."""
-        self.budgets[number].buckets[None].set(most, self.late)
+    def set_amount(self, number: int, amount: float) -> None:
+        """Set another amount of a budget with one bucket, by the settings."""
+        self.budgets[number].buckets[None].set_amount(amount, self.lagging_clock)
 
     # Time.
 
     def tick(self, now: float) -> None:
-        gap, self.ticked = now - self.ticked, now
-        if gap < 0.0:  # no clock of ours goes back; if one did, nothing that others gave has an end we know
-            self.lost()
-            self.log("clock_back", seconds=round(-gap, 3))
-        self.late += min(max(gap, 0.0), STEP)
-        if self.detector.life != self.life:
-            self.life = self.detector.life
-            self.lost()
-        self.vouched = self.leases.until(now) - STEP if self.detector.epoch else 0.0
+        """Do what is due; called some times a second."""
+        elapsed, self._ticked_at = now - self._ticked_at, now
+        if elapsed < 0.0:  # no clock of ours goes back; if one did, nothing that others gave has an end we know
+            self._forget_agreements()
+            self._log("clock_went_back", seconds=round(-elapsed, 3))
+        self.lagging_clock += min(max(elapsed, 0.0), MAX_STEP_S)
+        if self._detector.life != self._incarnation:
+            self._incarnation = self._detector.life
+            self._forget_agreements()
+        self.lease_until = self.leases.held_until(now) - MAX_STEP_S if self._detector.epoch else 0.0
+        decay = 0.5 ** (max(elapsed, 0.0) / DEMAND_HALF_LIFE_S)
         for budget in self.budgets:
-            fades = 0.5 ** (max(gap, 0.0) / FADE)
-            for bucket in budget.buckets.values():
-                bucket.wanted *= fades
-            self.settle(budget, now)
-        if now - self.looked >= ASK or now < self.looked:
-            self.looked = now
+            budget.decay_demand(decay)
+            self.update_share(budget, now)
+        if now - self._balanced_at >= BALANCE_INTERVAL_S or now < self._balanced_at:
+            self._balanced_at = now
             for number, budget in enumerate(self.budgets):
-                self.ask(number, budget, now)
-
-    def lost(self) -> None:
-        """Nothing that we had of others, or they of us, is ours to reckon with any more."""
-        self.leases.lost()
-        for budget in self.budgets:
-            budget.loans.lost()
+                self.balance(number, budget, now)
 
     def refresh(self, now: float) -> None:
-        """Before anything is spent or said: shares are never older than STEP."""
-        if not 0.0 <= now - self.ticked <= STEP:
+        """Tick where the last one is too long ago; called before anything is spent or said by a share."""
+        if not 0.0 <= now - self._ticked_at <= MAX_STEP_S:
             self.tick(now)
 
-    def home(self, budget: Budget, now: float) -> float:
-        """Alone on the roster nobody vouches for one life of the name, so all its processes divide."""
-        if now >= self.vouched:
-            return 0.0
-        alone = len(self.detector.roster) == 1
-        return (1 - FLOOR) / (budget.division.processes if alone else budget.division.names)
-
-    def settle(self, budget: Budget, now: float) -> None:
-        """The share as it is now. Called before anything is spent, lent or said by it."""
-        own = max(self.home(budget, now) - budget.loans.lent(self.late), 0.0)
-        share = FLOOR / budget.division.processes + own + budget.loans.borrowed(now)
-        budget.shared(share, self.late)
-        budget.need = max(
-            (min(bucket.wanted / bucket.rate, 1.0) for bucket in budget.buckets.values() if bucket.rate > 0.0),
-            default=0.0,
-        )
-        budget.missing = max(min(1.2 * budget.need, 1.0) - share, 0.0)
-        budget.spare = min(max(share - 1.1 * budget.need, 0.0), own)
-
-    def among(self, name: str, budget: Budget) -> bool:
-        """Whether that router spends it too."""
-        place = self.detector.roster.places.get(name)
-        return place is not None and budget.zone in ("", place.zone)
+    def update_share(self, budget: Budget, now: float) -> None:
+        """Update the share to what holds now; called before anything is spent, lent or said by it."""
+        own = max(self._home_share(budget, now) - budget.loans.total_lent(self.lagging_clock), 0.0)
+        share = FLOOR_SHARE / budget.division.processes + own + budget.loans.total_borrowed(now)
+        budget.set_share(share, self.lagging_clock)
+        budget.update_levels(own)
 
-    def ask(self, number: int, budget: Budget, now: float) -> None:
-        """Toward the need: ask for what is missing, have needed loans renewed, give back what is too much."""
+    def balance(self, number: int, budget: Budget, now: float) -> None:
+        """Move the share toward the demand: borrow what is missing, have loans renewed, give back what is too much."""
         loans = budget.loans
-        loans.forget(now)
-        missing = min(1.2 * budget.need, 1.0) - budget.share
-        over = -missing - 0.1 * budget.need
-        if over > LEAST and loans.had:
-            for lender, serial in loans.give_back(over):
-                self.tell(lender, 2, (number, serial), now)
-            self.settle(budget, now)
-        for lender, serial, amount in loans.again(now, RENEWED):
-            self.tell(lender, 0, (number, serial, amount), now)
-        if missing < LEAST:
-            self.offer(number, budget, now)
-            return
-        missing -= sum(one.amount for serial, one in loans.asked.items() if serial not in loans.had)
-        spares = sorted(
-            (
-                (levels[number][1] * (0.5 + self.detector.chance.draw()), name)
-                for name, (when, levels) in self.told.items()
-                if 0.0 <= now - when <= WORD
-                and len(levels) > number
-                and levels[number][1] > LEAST
-                and self.among(name, budget)
-            ),
-            reverse=True,
-        )
-        for _, name in spares[:LENDERS]:
-            levels = self.told[name][1]
-            lacks, spare = levels[number]
-            amount = min(missing, spare)
-            if amount < LEAST:
-                break
-            missing -= amount
-            levels[number] = lacks, spare - amount  # until it says what it has left
-            self.tell(name, 0, (number, loans.ask(name, amount, now), amount), now)
-
-    def offer(self, number: int, budget: Budget, now: float) -> None:
-        """To who lacks most, as far as we know: every datagram says what we can spare."""
-        if budget.spare > LEAST:
-            lacks, name = max(
-                (
-                    (levels[number][0], name)
-                    for name, (when, levels) in self.told.items()
-                    if 0.0 <= now - when <= WORD and len(levels) > number and self.among(name, budget)
-                ),
-                default=(0.0, ""),
-            )
-            if lacks > LEAST and name in self.detector.members:
-                self.told[name][1][number] = 0.0, self.told[name][1][number][1]  # until it says so again
-                self.detector.send(name, HELLO, 0, now)
+        loans.expire_requests(now)
+        shortage = budget.wanted_share() - budget.share
+        surplus = -shortage - RETURN_HYSTERESIS * budget.demand
+        if surplus > MIN_TRANSFER and loans.borrowed:
+            for lender, serial in loans.give_back(surplus):
+                self._send_return(lender, LoanReturn(number, serial), now)
+            self.update_share(budget, now)
+        for renewal in loans.renewals(now, MAX_RENEWALS):
+            self._send_request(renewal.lender, LoanAmount(number, renewal.serial, renewal.amount), now)
+        if shortage < MIN_TRANSFER:
+            self._offer_surplus(number, budget, now)
+        else:
+            self._borrow(number, budget, shortage - loans.total_pending(), now)
 
-    def tell(self, name: str, kind: int, words: tuple[Any, ...], now: float) -> None:
-        """kind: 0 asked, 1 granted, 2 given back. At once, since loans are short."""
-        if name in self.detector.members:
-            self.words.setdefault(name, ([], [], []))[kind].append(words)
-            self.detector.send(name, HELLO, 0, now)
+    def reload(self, now: float) -> None:
+        """Take the detector's other roster."""
+        names = set(self._detector.roster.places)
+        self.leases.resize(len(names), names, self.lagging_clock)
+        tables: tuple[dict[str, Any], ...] = (self._echoes, self._peer_levels, self._outboxes)
+        for table in tables:
+            for name in set(table) - names:
+                del table[name]
+        for budget in self.budgets:
+            budget.division = self.division.within(self._detector.roster, budget.zone)
+        self.tick(now)
 
     # Datagrams.
 
-    def rider(self, to: str) -> bytes:
-        now = self.ticked
-        answers, granted = self.stamps.pop(to, (0.0, False))
-        words = self.words.pop(to, ([], [], []))
-        return lending_payload.pack(
+    def payload(self, to: str) -> bytes:
+        """What goes to that peer with a datagram that is sent now."""
+        echo = self._echoes.pop(to, Echo(0.0, False))
+        outbox = self._outboxes.pop(to, Outbox())
+        limit = lending_payload.MAX_ITEMS
+        message = LendingMessage(
             (self.division.names, self.division.processes),
-            now,
-            answers,
-            granted,
-            [(round(one.missing, 4), round(one.spare, 4)) for one in self.budgets],
-            *(many[: lending_payload.MOST] for many in words),
+            self._ticked_at,
+            echo.clock,
+            echo.lease_granted,
+            [Level(round(budget.shortage, 4), round(budget.surplus, 4)) for budget in self.budgets],
+            outbox.requests[:limit],
+            outbox.grants[:limit],
+            outbox.returns[:limit],
         )
+        return lending_payload.encode(message)
 
-    def ridden(self, name: str, data: bytes, now: float) -> None:
+    def receive(self, name: str, data: bytes, now: float) -> None:
+        """Take in what a peer's datagram carried."""
         try:
-            division, stamp, answers, granted, levels, asked, lent, back = lending_payload.read(data)
-        except lending_payload.Unreadable:
+            message = lending_payload.decode(data)
+        except Unreadable:
             return
-        if division != (self.division.names, self.division.processes):  # nothing of its shares and ours fits together
-            if name not in self.differ:
-                self.differ.add(name)
-                self.log("division_differs", name=name, names=division[0], processes=division[1])
+        if not self._divides_alike(name, message.division):
             return
-        self.differ.discard(name)
         self.refresh(now)
-        self.told[name] = now, levels
-        line = self.detector.lines[name]
-        if stamp and self.detector.others_rosters.get(name) == self.detector.roster.version:
-            self.stamps[name] = stamp, self.leases.grant(name, line.life, self.late)
-        if answers and granted and answers <= now:
-            self.leases.granted(name, answers, now)
-        for number, serial, amount in asked:
-            if number < len(self.budgets):
-                self.lend(name, line.life, number, serial, amount, now)
-        for number, serial, amount in lent:
-            if number < len(self.budgets) and self.budgets[number].loans.granted(name, serial, amount, now):
-                self.settle(self.budgets[number], now)
-        for number, serial in back:
-            if number < len(self.budgets) and self.budgets[number].loans.returned(name, line.life, serial):
-                self.settle(self.budgets[number], now)
-
-    def lend(self, name: str, life: int, number: int, serial: int, amount: float, now: float) -> None:
-        budget = self.budgets[number]
-        self.settle(budget, now)
-        if self.vouched - now < TIME * (1 + DRIFT) or not self.among(name, budget):
-            return  # it would outlast what we have
-        # Where we lack it ourselves, what is out is not renewed.
-        lent = budget.loans.renew(name, life, serial, self.late) if budget.need < budget.share else 0.0
-        if not lent:
-            lent = budget.loans.lend(name, life, serial, min(amount, budget.spare), self.late)
-        if lent:
-            self.settle(budget, now)  # not ours any more before anybody hears that it is his
-            self.tell(name, 1, (number, serial, lent), now)
-
-    def reload(self, now: float) -> None:
-        """The detector's roster is another."""
-        names = set(self.detector.roster.places)
-        self.leases.resize(len(names), names, self.late)
-        for table in (self.stamps, self.told, self.words):
-            for name in set(table) - names:
-                del table[name]
-        for budget in self.budgets:
-            budget.division = self.division.within(self.detector.roster, budget.zone)
-        self.tick(now)
+        self._peer_levels[name] = PeerLevels(now, message.levels)
+        self._exchange_leases(name, message, now)
+        self._exchange_loans(name, message, now)
 
     def figures(self, now: float) -> dict[str, Any]:
-        """For operators: by what this router spends, and until when it is vouched for."""
+        """For operators: by what this router spends, and until when it holds its name's lease."""
         self.refresh(now)
         return {
-            "vouched_s": round(max(self.vouched - now, 0.0), 1),
+            "vouched_s": round(max(self.lease_until - now, 0.0), 1),
             "names": self.division.names,
             "processes": self.division.processes,
-            "differ": len(self.differ),
+            "differ": len(self._mismatched_peers),
             "budgets": [
                 {
-                    "zone": one.zone,
-                    "share": round(one.share, 4),
-                    "need": round(one.need, 4),
-                    "lent": round(one.loans.lent(self.late), 4),
-                    "borrowed": round(one.loans.borrowed(now), 4),
-                    "machines": len(one.buckets),
+                    "zone": budget.zone,
+                    "share": round(budget.share, 4),
+                    "need": round(budget.demand, 4),
+                    "lent": round(budget.loans.total_lent(self.lagging_clock), 4),
+                    "borrowed": round(budget.loans.total_borrowed(now), 4),
+                    "machines": len(budget.buckets),
                 }
-                for one in self.budgets
+                for budget in self.budgets
             ],
         }
+
+    # Shares.
+
+    def _forget_agreements(self) -> None:
+        """Nothing that we had of others, or they of us, is ours to count with any more."""
+        self.leases.clear_received()
+        for budget in self.budgets:
+            budget.loans.clear()
+
+    def _home_share(self, budget: Budget, now: float) -> float:
+        """Our name's share. Alone on the roster nobody grants one incarnation the lease, so all processes divide."""
+        if now >= self.lease_until:
+            return 0.0
+        is_alone = len(self._detector.roster) == 1
+        return (1 - FLOOR_SHARE) / (budget.division.processes if is_alone else budget.division.names)
+
+    # Loans.
+
+    def _spends(self, name: str, budget: Budget) -> bool:
+        """Whether that router spends the budget too."""
+        place = self._detector.roster.places.get(name)
+        return place is not None and budget.zone in ("", place.zone)
+
+    def _known_levels(self, number: int, budget: Budget, now: float) -> list[tuple[str, Level]]:
+        """What others who spend the budget said lately."""
+        return [
+            (name, peer.levels[number])
+            for name, peer in self._peer_levels.items()
+            if 0.0 <= now - peer.received_at <= LEVEL_MAX_AGE_S
+            and len(peer.levels) > number
+            and self._spends(name, budget)
+        ]
+
+    def _borrow(self, number: int, budget: Budget, shortage: float, now: float) -> None:
+        """Ask those who can spare most, by chance."""
+        surpluses = sorted(
+            (
+                (level.surplus * (0.5 + self._detector.chance.draw()), name)
+                for name, level in self._known_levels(number, budget, now)
+                if level.surplus > MIN_TRANSFER
+            ),
+            reverse=True,
+        )
+        for _, name in surpluses[:LENDERS_ASKED]:
+            levels = self._peer_levels[name].levels
+            level = levels[number]
+            amount = min(shortage, level.surplus)
+            if amount < MIN_TRANSFER:
+                break
+            shortage -= amount
+            levels[number] = level._replace(surplus=level.surplus - amount)  # until it says what it has left
+            serial = budget.loans.request(name, amount, now)
+            self._send_request(name, LoanAmount(number, serial, amount), now)
+
+    def _offer_surplus(self, number: int, budget: Budget, now: float) -> None:
+        """Send a datagram to who lacks most, as far as we know: each says what we can spare."""
+        if budget.surplus <= MIN_TRANSFER:
+            return
+        known = ((level.shortage, name) for name, level in self._known_levels(number, budget, now))
+        shortage, name = max(known, default=(0.0, ""))
+        if shortage > MIN_TRANSFER and name in self._detector.members:
+            levels = self._peer_levels[name].levels
+            levels[number] = levels[number]._replace(shortage=0.0)  # until it says so again
+            self._detector.send(name, HELLO, 0, now)
+
+    def _answer_request(self, key: BorrowerKey, request: LoanAmount, now: float) -> None:
+        budget = self.budgets[request.budget]
+        self.update_share(budget, now)
+        if self.lease_until - now < LOAN_S * (1 + MAX_CLOCK_DRIFT) or not self._spends(key.borrower, budget):
+            return  # the loan would outlast what we have
+        # Where we lack it ourselves, what is lent is not renewed.
+        lent = budget.loans.renew(key, self.lagging_clock) if budget.demand < budget.share else 0.0
+        if not lent:
+            lent = budget.loans.lend(key, min(request.amount, budget.surplus), self.lagging_clock)
+        if lent:
+            self.update_share(budget, now)  # not ours any more before anybody hears that it is lent
+            self._send_grant(key.borrower, LoanAmount(request.budget, request.serial, lent), now)
+
+    # Messages, sent at once since loans are short.
+
+    def _send_request(self, name: str, request: LoanAmount, now: float) -> None:
+        if name in self._detector.members:
+            self._outboxes.setdefault(name, Outbox()).requests.append(request)
+            self._detector.send(name, HELLO, 0, now)
+
+    def _send_grant(self, name: str, grant: LoanAmount, now: float) -> None:
+        if name in self._detector.members:
+            self._outboxes.setdefault(name, Outbox()).grants.append(grant)
+            self._detector.send(name, HELLO, 0, now)
+
+    def _send_return(self, name: str, returned: LoanReturn, now: float) -> None:
+        if name in self._detector.members:
+            self._outboxes.setdefault(name, Outbox()).returns.append(returned)
+            self._detector.send(name, HELLO, 0, now)
+
+    def _divides_alike(self, name: str, division: tuple[int, int]) -> bool:
+        """Whether a peer divides by our numbers; else nothing of its shares and ours fits together."""
+        if division == (self.division.names, self.division.processes):
+            self._mismatched_peers.discard(name)
+            return True
+        if name not in self._mismatched_peers:
+            self._mismatched_peers.add(name)
+            self._log("division_mismatch", name=name, names=division[0], processes=division[1])
+        return False
+
+    def _exchange_leases(self, name: str, message: LendingMessage, now: float) -> None:
+        has_our_roster = self._detector.others_rosters.get(name) == self._detector.roster.version
+        if message.clock and has_our_roster:
+            incarnation = self._detector.lines[name].life
+            self._echoes[name] = Echo(message.clock, self.leases.grant(name, incarnation, self.lagging_clock))
+        if message.echoed_clock and message.lease_granted and message.echoed_clock <= now:
+            self.leases.receive(name, message.echoed_clock, now)
+
+    def _exchange_loans(self, name: str, message: LendingMessage, now: float) -> None:
+        incarnation = self._detector.lines[name].life
+        known = len(self.budgets)
+        for request in message.requests:
+            if request.budget < known:
+                self._answer_request(BorrowerKey(name, incarnation, request.serial), request, now)
+        for grant in message.grants:
+            if grant.budget < known:
+                budget = self.budgets[grant.budget]
+                if budget.loans.receive(name, grant.serial, grant.amount, now):
+                    self.update_share(budget, now)
+        for returned in message.returns:
+            if returned.budget < known:
+                budget = self.budgets[returned.budget]
+                if budget.loans.take_back(BorrowerKey(name, incarnation, returned.serial)):
+                    self.update_share(budget, now)
--- a/wickhinge/shared/quota_loans.py
+++ b/wickhinge/shared/quota_loans.py
@@ -3,132 +3,175 @@
 Lender and borrower agree by one exchange. The borrower counts a loan's time from when it asked, the lender from when
 it granted, each by its own clock, the one `drift` short and the other `drift` long: the lender gets back what it lent
 only when the borrower has stopped using it, though the answer was lost, late, or never read. A loan never outlasts the
-term for which the lender is vouched for: its successor under that name starts with all of its share.
+term of the lender's lease: its successor under that name starts with all of its share.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass
+from typing import NamedTuple
 
-from wickhinge.shared.name_lease import DRIFT
+from wickhinge.shared.name_lease import MAX_CLOCK_DRIFT
 
-TIME = 3.0  # seconds that a loan lasts
-UNANSWERED = 0.4  # seconds after which a request has gone astray
-EARLY = 0.25  # seconds by which a loan counts as ended here before it does: shares are looked at as often
-MOST = 64  # loans out, and loans had, at a time
+LOAN_S = 3.0  # that a loan lasts
+REQUEST_TIMEOUT_S = 0.4
+EARLY_END_S = 0.25  # by which a loan counts as ended here before it does: shares are updated as often
+MAX_LOANS = 64  # lent, and borrowed, at a time
+RENEW_BEFORE_END = 0.5  # of a loan's time
 
 
 @dataclass(slots=True)
-class Out:
+class LentQuota:
+    """A part of our share that another router uses."""
+
     amount: float
     until: float
 
 
 @dataclass(slots=True)
-class Had:
+class BorrowedQuota:
+    """A part of another's share that we use."""
+
     lender: str
     amount: float
     until: float
 
 
 @dataclass(slots=True)
-class Asked:
+class PendingRequest:
+    """A request for a loan that is not answered yet."""
+
     lender: str
-    when: float
+    asked_at: float
+    amount: float
+
+
+class BorrowerKey(NamedTuple):
+    """Names a loan at its lender."""
+
+    borrower: str
+    incarnation: int
+    serial: int
+
+
+class Renewal(NamedTuple):
+    """A loan to ask for once more."""
+
+    lender: str
+    serial: int
     amount: float
 
 
 class Loans:
-    """Of one budget."""
+    """The loans of one budget. Amounts are parts of the whole budget.
+
+    Attributes:
+        lent: By borrower.
+        borrowed: By the serial number of our request.
+        pending: Requests by serial number.
+    """
 
     def __init__(self) -> None:
-        self.out: dict[tuple[str, int, int], Out] = {}  # borrower, its life, its number
-        self.had: dict[int, Had] = {}
-        self.asked: dict[int, Asked] = {}
-        self.serial = 0
+        self.lent: dict[BorrowerKey, LentQuota] = {}
+        self.borrowed: dict[int, BorrowedQuota] = {}
+        self.pending: dict[int, PendingRequest] = {}
+        self._last_serial = 0
 
     # The lender's side.
 
-    def lend(self, borrower: str, life: int, serial: int, amount: float, now: float) -> float:
-        """So much is lent as asked for; 0.0 for nothing."""
-        if (borrower, life, serial) in self.out or len(self.out) >= MOST or amount <= 0.0:
+    def lend(self, key: BorrowerKey, amount: float, now: float) -> float:
+        """Lend for a time from now on, and return the amount; 0.0 where that loan is out already, or too many are."""
+        if key in self.lent or len(self.lent) >= MAX_LOANS or amount <= 0.0:
             return 0.0
-        self.out[borrower, life, serial] = Out(amount, now + TIME * (1 + DRIFT))
+        self.lent[key] = LentQuota(amount, now + LOAN_S * (1 + MAX_CLOCK_DRIFT))
         return amount
 
-    def renew(self, borrower: str, life: int, serial: int, now: float) -> float:
-        """The same again, for a time from now: its amount, 0.0 where it has ended here."""
-        loan = self.out.get((borrower, life, serial))
+    def renew(self, key: BorrowerKey, now: float) -> float:
+        """Lend the same again for a time from now on, and return the amount; 0.0 where the loan has ended here."""
+        loan = self.lent.get(key)
         if loan is None or now > loan.until:
             return 0.0
-        loan.until = now + TIME * (1 + DRIFT)
+        loan.until = now + LOAN_S * (1 + MAX_CLOCK_DRIFT)
         return loan.amount
 
-    def returned(self, borrower: str, life: int, serial: int) -> bool:
-        return self.out.pop((borrower, life, serial), None) is not None
+    def take_back(self, key: BorrowerKey) -> bool:
+        """End a loan that the borrower returned; False where there is no such loan."""
+        return self.lent.pop(key, None) is not None
 
-    def lent(self, now: float) -> float:
-        for key in [key for key, loan in self.out.items() if now > loan.until]:
-            del self.out[key]
-        return sum(loan.amount for loan in self.out.values())
+    def total_lent(self, now: float) -> float:
+        """What others use of our share now."""
+        for key in [key for key, loan in self.lent.items() if now > loan.until]:
+            del self.lent[key]
+        return sum(loan.amount for loan in self.lent.values())
 
     # The borrower's side.
 
-    def forget(self, now: float) -> None:
-        """What was asked and not answered; asked anew it has another time, or another number."""
-        for serial in [serial for serial, one in self.asked.items() if not 0.0 <= now - one.when <= UNANSWERED]:
-            del self.asked[serial]
-
-    def ask(self, lender: str, amount: float, now: float) -> int:
-        """The number of the request."""
-        self.serial += 1
-        self.asked[self.serial] = Asked(lender, now, amount)
-        return self.serial
-
-    def again(self, now: float, most: int) -> list[tuple[str, int, float]]:
-        """Loans whose time is half over, asked for once more: (lender, number, amount)."""
-        found = []
-        for serial, loan in sorted(self.had.items(), key=lambda one: one[1].until)[:most]:
-            if loan.until - now < 0.5 * TIME and serial not in self.asked:
-                self.asked[serial] = Asked(loan.lender, now, loan.amount)
-                found.append((loan.lender, serial, loan.amount))
-        return found
-
-    def granted(self, lender: str, serial: int, amount: float, now: float) -> bool:
-        asked = self.asked.get(serial)
-        if asked is None or asked.lender != lender or not 0.0 < amount <= 1.0:
+    def expire_requests(self, now: float) -> None:
+        """Forget requests that went astray; asked anew they have another time, or another number."""
+        expired = [
+            serial for serial, request in self.pending.items() if not 0.0 <= now - request.asked_at <= REQUEST_TIMEOUT_S
+        ]
+        for serial in expired:
+            del self.pending[serial]
+
+    def request(self, lender: str, amount: float, now: float) -> int:
+        """Note a request for a loan, and return its serial number."""
+        self._last_serial += 1
+        self.pending[self._last_serial] = PendingRequest(lender, now, amount)
+        return self._last_serial
+
+    def renewals(self, now: float, limit: int) -> list[Renewal]:
+        """Note requests for loans whose time is half over, the first to end first, and return them."""
+        renewals = []
+        for serial, loan in sorted(self.borrowed.items(), key=lambda item: item[1].until)[:limit]:
+            if loan.until - now < RENEW_BEFORE_END * LOAN_S and serial not in self.pending:
+                self.pending[serial] = PendingRequest(loan.lender, now, loan.amount)
+                renewals.append(Renewal(loan.lender, serial, loan.amount))
+        return renewals
+
+    def receive(self, lender: str, serial: int, amount: float, now: float) -> bool:
+        """Take in a granted loan; False where it was not asked for, or would have ended already."""
+        request = self.pending.get(serial)
+        if request is None or request.lender != lender or not 0.0 < amount <= 1.0:
             return False
-        del self.asked[serial]
-        until = asked.when + TIME * (1 - DRIFT) - EARLY
-        had = self.had.get(serial)
-        if had is not None:
-            had.until = max(had.until, until)
+        del self.pending[serial]
+        until = request.asked_at + LOAN_S * (1 - MAX_CLOCK_DRIFT) - EARLY_END_S
+        loan = self.borrowed.get(serial)
+        if loan is not None:
+            loan.until = max(loan.until, until)
             return True
-        if until <= now or len(self.had) >= MOST:
+        if until <= now or len(self.borrowed) >= MAX_LOANS:
             return False
-        self.had[serial] = Had(lender, amount, until)
+        self.borrowed[serial] = BorrowedQuota(lender, amount, until)
         return True
 
-    def borrowed(self, now: float) -> float:
-        for serial in [serial for serial, loan in self.had.items() if now >= loan.until]:
-            del self.had[serial]
-        return sum(loan.amount for loan in self.had.values())
-
-    def give_back(self, spare: float) -> list[tuple[str, int]]:
-        """Loans that are not needed, smallest first, while what goes fits into what is to spare: (lender, number)."""
-        back = []
-        for serial, loan in sorted(self.had.items(), key=lambda one: one[1].amount):
-            if loan.amount > spare:
+    def total_borrowed(self, now: float) -> float:
+        """What we use of others' shares now."""
+        for serial in [serial for serial, loan in self.borrowed.items() if now >= loan.until]:
+            del self.borrowed[serial]
+        return sum(loan.amount for loan in self.borrowed.values())
+
+    def total_pending(self) -> float:
+        """What is asked for and not had."""
+        return sum(request.amount for serial, request in self.pending.items() if serial not in self.borrowed)
+
+    def give_back(self, surplus: float) -> list[tuple[str, int]]:
+        """End loans that are not needed, the smallest first, as far as the surplus goes: (lender, serial) each."""
+        returned = []
+        for serial, loan in sorted(self.borrowed.items(), key=lambda item: item[1].amount):
+            if loan.amount > surplus:
                 break
-            spare -= loan.amount
-            del self.had[serial]
-            back.append((loan.lender, serial))
-        return back
-
-    def lost(self) -> None:
-        """Our life is another: what it lent is not ours to reckon with (the name is not vouched for until that has
-        ended), what it borrowed is not ours.
+            surplus -= loan.amount
+            del self.borrowed[serial]
+            returned.append((loan.lender, serial))
+        return returned
+
+    def clear(self) -> None:
+        """Forget all: our incarnation is another.
+
+        What it lent is not ours to count with (the name's lease is not held until that has ended), what it borrowed
+        is not ours.
         """
-        self.out.clear()
-        self.had.clear()
-        self.asked.clear()
+        self.lent.clear()
+        self.borrowed.clear()
+        self.pending.clear()
--- a/wickhinge/shared/request_tallies.py
+++ b/wickhinge/shared/request_tallies.py
@@ -1,15 +1,15 @@
-"""How many forwards are out at each cache of a location, by all of its routers: what each counts itself, passed on.
+"""How many requests are in flight at each cache of a location, by all of its routers: counted by each, passed on.
 
 Alone, a router takes the others for as loaded as itself (`Fleet.count`), which is wrong by as much as their loads
-differ. Here each says how many it has out, with a number that rises, and passes on what it knows of its zone's others:
-of each name the largest (epoch, life, number) counts, in whatever order, however often it comes: merging is a maximum a
-name, so it ends the same everywhere. One is old after STALE seconds and counts no more; whoever is not heard of is
-guessed as before, so with no words at all everything is as it is alone.
+differ. Here each tells how many requests it has in flight, with a number that rises, and passes on what it knows of its
+zone's others (gossip): of each name the largest (epoch, incarnation, number) counts, in whatever order, however often
+it comes. Merging is a maximum a name, so it ends the same everywhere. A tally counts no more after MAX_AGE_S; whoever
+is not heard of is guessed as before, so without tallies everything is as it is alone.
 
-What a name says itself goes before what is said of it. What is passed on counts only of the life that this router
-believes, and its number may have risen only as fast as numbers do.
+What a name says itself goes before what is said of it. What is passed on counts only of the incarnation that this
+router believes, and its number may have risen only as fast as numbers do.
 
-A tally holds counts in the order of the machines' ids, and a hash of those ids: one of another list is of no use here.
+A tally holds counts in the order of the servers' ids, and a hash of those ids: one of another list is of no use here.
 """
 
 from __future__ import annotations
@@ -25,147 +25,199 @@
 from wickhinge.peers.messages import ALIVE, HELLO, SUSPECT
 from wickhinge.peers.wire import Unreadable, decoded
 
-BEAT = 0.25  # seconds from one tally of our own to the next, each told to one of the zone
-STALE = 3.0  # seconds after which a tally counts no more
-PASSED = 4  # tallies of others in a datagram, those passed on least first
-LONGEST = 420  # bytes of a rider
-MOST = 10_000  # out at one machine, by one router
-MACHINES = 256
-SMOOTH = 0.3  # of a new sum, each BEAT
-FASTER = 1.2  # than numbers should rise, by clocks and datagrams that meet
-EARLY = 8  # numbers besides
+TALLY_INTERVAL_S = 0.25  # from one tally of our own to the next, each told to one peer of the zone
+MAX_AGE_S = 3.0
+MAX_RELAYED = 4  # tallies of others in a datagram, those passed on least first
+MAX_PAYLOAD_BYTES = 420
+MAX_REQUESTS = 10_000  # in flight at one server, by one router
+MAX_SERVERS = 256
+SMOOTHING = 0.3  # of a new sum, each TALLY_INTERVAL_S
+MAX_NUMBER_SPEEDUP = 1.2  # of others' numbers, by clocks and datagrams that meet
+NUMBERS_AHEAD = 8  # besides
 
 
 class Tally(msgspec.Struct, array_like=True, frozen=True):
+    """What one router has in flight."""
+
     name: str
     epoch: int
-    life: int
+    incarnation: int
     number: int
-    age: float
-    view: int
-    out: list[int]
+    age: float  # seconds
+    list_hash: int  # of the servers' ids
+    in_flight: list[int]
 
 
 decoder = msgspec.msgpack.Decoder(list[Tally])
 encoder = msgspec.msgpack.Encoder()
 
 
-def read(data: bytes) -> list[Tally]:
-    """Raises Unreadable, also for counts that no honest fellow has."""
-    found = decoded(decoder, data)
-    for one in found:
-        if len(found) > PASSED + 1 or len(one.out) > MACHINES or not all(0 <= count <= MOST for count in one.out):
-            raise Unreadable("more than there can be")
-        if not (isfinite(one.age) and one.age >= 0.0 and one.number > 0 and one.epoch > 0 and one.life > 0):
-            raise Unreadable("a tally that is none")
-    return found
+def decode(data: bytes) -> list[Tally]:
+    """The tallies in these bytes.
+
+    Raises:
+        Unreadable: They are none, or have numbers that no router sends.
+    """
+    tallies: list[Tally] = decoded(decoder, data)
+    if len(tallies) > MAX_RELAYED + 1:
+        raise Unreadable(f"expected at most {MAX_RELAYED + 1} tallies")
+    for tally in tallies:
+        if len(tally.in_flight) > MAX_SERVERS or not all(0 <= count <= MAX_REQUESTS for count in tally.in_flight):
+            raise Unreadable(f"expected at most {MAX_SERVERS} counts from 0 to {MAX_REQUESTS}")
+        if not (isfinite(tally.age) and tally.age >= 0.0):
+            raise Unreadable("expected an age of 0 or more")
+        if not (tally.number > 0 and tally.epoch > 0 and tally.incarnation > 0):
+            raise Unreadable("expected a number, an epoch and an incarnation above 0")
+    return tallies
 
 
-def view(marks: list[int]) -> int:
-    """The same number for the same machines, 32 bits."""
+def hash_list(marks: list[int]) -> int:
+    """The same number for the same servers, 32 bits."""
     return xxh32_intdigest(b"".join(mark.to_bytes(4) for mark in marks))
 
 
 @dataclass(slots=True)
-class Known:
+class KnownTally:
+    """A tally of another router."""
+
     tally: Tally
-    when: float  # it was counted, by our clock
-    passed: int = 0  # times passed on
+    counted_at: float  # by our clock
+    relayed: int = 0  # times
+
 
+class RequestTallies:
+    """Exchanges tallies with the zone's other routers.
+
+    Attributes:
+        known: The latest tally of each other router.
+        list_hash: Of our own list of caches.
+        refused: Tallies whose number rose too fast.
+        unreadable: Payloads that could not be read.
+    """
 
-class Counts:
     def __init__(self, detector: FailureDetector, fleet: Any, now: float) -> None:
-        """fleet: decide.Fleet, whose `told` and whose caches' `told` are set here."""
-        self.detector, self.fleet = detector, fleet
-        self.known: dict[str, Known] = {}
-        self.number = 0
-        self.beat = now
-        self.marks: list[int] = []
-        self.own: list[int] = []
-        self.view = 0
-        self.unreadable = self.refused = 0
-
-    def mates(self) -> list[str]:
-        zone = self.detector.roster.mine.zone
-        return [name for name in self.detector.roster.others if self.detector.roster.places[name].zone == zone]
+        """Begin without tallies; `told` of the fleet (a decide.Fleet) and of its caches is set here."""
+        self.detector = detector
+        self.fleet = fleet
+        self.known: dict[str, KnownTally] = {}
+        self.list_hash = 0
+        self.refused = 0
+        self.unreadable = 0
+        self._number = 0
+        self._counted_at = now
+        self._marks: list[int] = []
+        self._in_flight: list[int] = []
+
+    def zone_peers(self) -> list[str]:
+        """The names of the zone's other routers."""
+        roster = self.detector.roster
+        return [name for name in roster.others if roster.places[name].zone == roster.mine.zone]
 
     def tick(self, now: float) -> None:
-        if 0.0 <= now - self.beat < BEAT:
+        """Count and tell where that is due; called some times a second."""
+        if 0.0 <= now - self._counted_at < TALLY_INTERVAL_S:
             return
-        self.beat = now
-        caches = sorted(self.fleet.mine, key=lambda cache: cache.mark)[:MACHINES]
-        marks = [cache.mark for cache in caches]
-        if marks != self.marks:
-            self.marks, self.view = marks, view(marks)
-        self.number += 1
-        self.own = [min(len(cache.pending), MOST) for cache in caches]
-        mates = self.mates()
-        for name in [
-            name for name, known in self.known.items() if not 0.0 <= now - known.when <= STALE or name not in mates
-        ]:
+        self._counted_at = now
+        caches = sorted(self.fleet.mine, key=lambda cache: cache.mark)[:MAX_SERVERS]
+        self._count(caches)
+        peers = self.zone_peers()
+        for name in [name for name, known in self.known.items() if not self._counts(known, now) or name not in peers]:
             del self.known[name]
-        fresh = [known.tally.out for known in self.known.values() if known.tally.view == self.view]
-        self.fleet.told = min(len(fresh), self.fleet.routers - 1)
-        for place, cache in enumerate(caches):
-            total = sum(out[place] for out in fresh)
-            cache.told += SMOOTH * (total - cache.told) if fresh else -cache.told
-        there = [name for name in mates if self.detector.members[name].state in (ALIVE, SUSPECT)]
-        if there and self.detector.epoch:
-            self.detector.send(there[int(self.detector.chance.draw() * len(there))], HELLO, 0, now)
-
-    def merge(self, tally: Tally, when: float, itself: bool) -> bool:
-        """Whether it is the latest of its name. itself: said by the name of its own count."""
+        self._update_fleet(caches)
+        self._tell_one(peers, now)
+
+    def merge(self, tally: Tally, counted_at: float, *, from_itself: bool) -> bool:
+        """Take in a tally; False where it is not the latest of its name. from_itself: told by that very name."""
         entry = self.detector.members.get(tally.name)
-        if entry is None or (tally.epoch, tally.life) != (entry.epoch, entry.life):
+        if entry is None or (tally.epoch, tally.incarnation) != (entry.epoch, entry.life):
             return False
         known = self.known.get(tally.name)
-        if known is not None and (known.tally.epoch, known.tally.life) == (tally.epoch, tally.life):
-            if itself and known.tally.number - tally.number > FASTER * STALE / BEAT + EARLY:
-                pass  # none of its datagrams is so late: what we were told was no word of its own
-            elif tally.number <= known.tally.number:
+        if known is not None and (known.tally.epoch, known.tally.incarnation) == (tally.epoch, tally.incarnation):
+            step = tally.number - known.tally.number
+            most_in_flight = MAX_NUMBER_SPEEDUP * MAX_AGE_S / TALLY_INTERVAL_S + NUMBERS_AHEAD
+            elapsed = max(counted_at - known.counted_at, 0.0)
+            if from_itself and -step > most_in_flight:
+                pass  # none of its datagrams is so late: what we were told before was not its own
+            elif step <= 0:
                 return False
-            elif not itself and tally.number - known.tally.number > FASTER * max(when - known.when, 0.0) / BEAT + EARLY:
+            elif not from_itself and step > MAX_NUMBER_SPEEDUP * elapsed / TALLY_INTERVAL_S + NUMBERS_AHEAD:
                 self.refused += 1
                 return False
-        self.known[tally.name] = Known(tally, when)
+        self.known[tally.name] = KnownTally(tally, counted_at)
         return True
 
-    def rider(self, to: str) -> bytes:
-        place = self.detector.roster.places.get(to)
-        mine = self.detector.roster.mine
-        if place is None or place.zone != mine.zone or not self.number:
+    def payload(self, to: str) -> bytes:
+        """Our own tally, and others' that were passed on least; empty for routers of other zones."""
+        roster = self.detector.roster
+        place = roster.places.get(to)
+        if place is None or place.zone != roster.mine.zone or not self._number:
             return b""
-        now = self.beat
-        told = [Tally(mine.name, self.detector.epoch, self.detector.life, self.number, 0.0, self.view, self.own)]
-        size = len(encoder.encode(told))
-        passed = sorted(self.known.values(), key=lambda known: (known.passed, known.tally.name))
-        for known in passed[:PASSED]:
+        now = self._counted_at
+        own = Tally(
+            roster.mine.name,
+            self.detector.epoch,
+            self.detector.life,
+            self._number,
+            0.0,
+            self.list_hash,
+            self._in_flight,
+        )
+        tallies, size = [own], len(encoder.encode([own]))
+        candidates = sorted(self.known.values(), key=lambda known: (known.relayed, known.tally.name))
+        for known in candidates[:MAX_RELAYED]:
             if known.tally.name == to:
                 continue
-            one = msgspec.structs.replace(known.tally, age=round(max(now - known.when, 0.0), 2))
-            size += len(encoder.encode(one))
-            if size > LONGEST:
+            tally = msgspec.structs.replace(known.tally, age=round(max(now - known.counted_at, 0.0), 2))
+            size += len(encoder.encode(tally))
+            if size > MAX_PAYLOAD_BYTES:
                 break
-            known.passed += 1
-            told.append(one)
-        return encoder.encode(told)
+            known.relayed += 1
+            tallies.append(tally)
+        return encoder.encode(tallies)
 
-    def ridden(self, name: str, data: bytes, now: float) -> None:
+    def receive(self, name: str, data: bytes, now: float) -> None:
+        """Take in a peer's payload."""
         try:
-            found = read(data)
+            tallies = decode(data)
         except Unreadable:
             self.unreadable += 1
             return
-        mates = set(self.mates())
-        for tally in found:
-            if tally.name in mates and tally.age <= STALE:
-                self.merge(tally, now - tally.age, tally.name == name)
+        peers = set(self.zone_peers())
+        for tally in tallies:
+            if tally.name in peers and tally.age <= MAX_AGE_S:
+                self.merge(tally, now - tally.age, from_itself=tally.name == name)
 
     def figures(self, now: float) -> dict[str, Any]:
+        """For operators: how many routers' tallies count."""
+        ages = [now - known.counted_at for known in self.known.values()]
         return {
-            "heard": sum(known.tally.view == self.view for known in self.known.values()),
-            "of": len(self.mates()),
-            "oldest_s": round(max((now - known.when for known in self.known.values()), default=0.0), 2),
+            "heard": sum(known.tally.list_hash == self.list_hash for known in self.known.values()),
+            "of": len(self.zone_peers()),
+            "oldest_s": round(max(ages, default=0.0), 2),
             "refused": self.refused,
             "unreadable": self.unreadable,
         }
+
+    @staticmethod
+    def _counts(known: KnownTally, now: float) -> bool:
+        return 0.0 <= now - known.counted_at <= MAX_AGE_S
+
+    def _count(self, caches: list[Any]) -> None:
+        marks = [cache.mark for cache in caches]
+        if marks != self._marks:
+            self._marks, self.list_hash = marks, hash_list(marks)
+        self._number += 1
+        self._in_flight = [min(len(cache.pending), MAX_REQUESTS) for cache in caches]
+
+    def _update_fleet(self, caches: list[Any]) -> None:
+        fresh = [known.tally.in_flight for known in self.known.values() if known.tally.list_hash == self.list_hash]
+        self.fleet.told = min(len(fresh), self.fleet.routers - 1)
+        for index, cache in enumerate(caches):
+            total = sum(in_flight[index] for in_flight in fresh)
+            cache.told += SMOOTHING * (total - cache.told) if fresh else -cache.told
+
+    def _tell_one(self, peers: list[str], now: float) -> None:
+        """Send a datagram to a random peer that is up: it carries our payload."""
+        up = [name for name in peers if self.detector.members[name].state in (ALIVE, SUSPECT)]
+        if up and self.detector.epoch:
+            self.detector.send(up[int(self.detector.chance.draw() * len(up))], HELLO, 0, now)
--- a/wickhinge/shared/slow_start_quota.py
+++ b/wickhinge/shared/slow_start_quota.py
@@ -1,93 +1,127 @@
-"""The router's part of what machines that started lately can do, by true shares: asked by `policy` for each forward.
+"""The router's part of what servers in slow start can bear, by true shares: asked by `decide` for each forward.
 
 Alone, a router guesses its part from a fixed count of routers, and leaves a third unused against the others' guesses
-(`decide.Cold`). Here the limit of a cold machine is a budget of the whole fleet, or of the machine's zone: each cold
-machine has a bucket, all of one tier fill by the same share, which moves to where the need is.
+(`decide.Cold`). Here the limit of a server in slow start is a budget of the whole fleet, or of the server's zone: each
+such server has a bucket, all of one tier fill by the same share, which moves to where the demand is.
 
-Pieces. A machine that bears `most` in a window sets PIECES of it aside for pieces that meet, so many for each process:
+Pieces. Of what a server bears in a window, PIECES_SHARE is set aside for pieces that meet, so many for each process:
 
-    unit = PIECES * most / processes
+    piece = PIECES_SHARE * amount / processes
 
-A visit goes where the bucket holds its work. One larger than the bucket ever holds (many routers, a small machine)
-goes on credit where the bucket is full, and its debt is sat out: then what all send in any window is at most most + the
-sum of (work - unit) over those visits, one a process.
+A request goes where the bucket holds its work. One larger than the bucket ever holds (many routers, a small server)
+goes on credit where the bucket is full, and its debt is sat out: then what all send in any window is at most amount +
+the sum of (work - piece) over those requests, one a process.
 
-What a bucket holds stands in `cache.credit`, where `policy` charges what it sends.
+What a bucket holds stands in the server's `credit`, where `decide` charges what it sends.
 """
 
 from __future__ import annotations
 
+from dataclasses import dataclass
 from typing import Any
 
-from wickhinge.shared.quota_lending import SPAN, Dealt, LendingLimiter
-from wickhinge.shared.shared_bucket import Bucket
+from wickhinge.shared.budgets import BURST_S, BudgetScope
+from wickhinge.shared.quota_bucket import Quota, QuotaBucket
+from wickhinge.shared.quota_lending import LendingLimiter
 
-PIECES = 0.02
-EDGE, UPPER = 0, 1  # budgets of the limiter, in this order
-IDLE = 5.0  # seconds by the limiter's clock without a wish, after which a machine's bucket is given up
-MOST = 1024  # machines of a tier that are cold at once; further ones wait
+PIECES_SHARE = 0.02
+CACHES, PARENTS = 0, 1  # budgets of the limiter, in this order
+IDLE_S = 5.0  # by the limiter's clock without a request, after which a server's bucket is given up
+SWEEP_INTERVAL_S = 1.0
+MAX_SERVERS = 1024  # of a tier that are in slow start at once; further ones wait
 
 
-def budgets(zone: str) -> list[Dealt]:
-    """Of a router in that zone: caches are sent to by their zone's routers, parents by all."""
-    return [Dealt(zone), Dealt()]
+def budget_scopes(zone: str) -> list[BudgetScope]:
+    """The budgets of a router in that zone: caches get requests from their zone's routers, parents from all."""
+    return [BudgetScope(zone), BudgetScope()]
 
 
-class Held(Bucket):
-    """A machine's, its tokens kept as the credit that `policy` charges. Starts empty, or with the machine's debt."""
+@dataclass(frozen=True, slots=True)
+class SlowStartRequest:
+    """A request that may go to a server in slow start."""
 
-    def __init__(self, cache: Any, most: float, window: float, processes: int, late: float) -> None:
-        self.cache = cache
-        credit = min(cache.credit, 0.0)
-        super().__init__(most, window, PIECES * most / processes, processes, SPAN, late)
-        cache.credit = credit
-        self.wished = late
+    server: Any  # as `decide` has it
+    is_parent: bool
+    limits: Any  # decide.Cold, with the settings' limit
+    warm_share: float  # of what the server bears warm
+    work: float  # seconds that the request costs
+
+
+class ServerBucket(QuotaBucket):
+    """A server's bucket, with its tokens in the credit that `decide` charges. Starts empty, or with its debt."""
+
+    def __init__(self, server: Any, quota: Quota, processes: int, now: float) -> None:
+        self.server = server
+        debt = min(server.credit, 0.0)
+        super().__init__(quota, processes, BURST_S, now)
+        server.credit = debt
+        self.requested_at = now
 
     @property
     def tokens(self) -> float:
-        return self.cache.credit
+        """The server's credit."""
+        return float(self.server.credit)
 
     @tokens.setter
     def tokens(self, tokens: float) -> None:
-        self.cache.credit = tokens
-
-    def ready(self, work: float, late: float) -> bool:
-        """Whether a visit of so much work may go now."""
-        self.fill(late)
-        return self.tokens >= min(work, self.depth()) > 0.0
-
-
-class Colds:
-    def __init__(self, limiter: LendingLimiter, first: int = 0) -> None:
-        """first: the number that `budgets` of this module begin at in the limiter."""
-        self.limiter, self.first = limiter, first
-        self.swept = 0.0
-
-    def room(self, cache: Any, upper: bool, cold: Any, part: float, work: float, now: float) -> bool:
-        """Whether a visit of `work` seconds may go to the machine, which bears `part` of what it bears warm (cold:
-        decide.Cold, with the settings' limit). What is sent, `policy` takes off cache.credit.
-        """
-        number, window = self.first + (UPPER if upper else EDGE), cold.span
-        most = cold.multiple * part * cache.weight * window
+        self.server.credit = tokens
+
+    def admits(self, work: float, now: float) -> bool:
+        """Whether a request of so much work may go now."""
+        self.refill(now)
+        return self.tokens >= min(work, self.capacity) > 0.0
+
+
+class SlowStartQuotas:
+    """The buckets of all servers in slow start."""
+
+    def __init__(self, limiter: LendingLimiter, first_budget: int = 0) -> None:
+        """Spend of the limiter's budgets from that number on, as `budget_scopes` lists them."""
+        self.limiter = limiter
+        self._first_budget = first_budget
+        self._swept_at = 0.0
+
+    def admits(self, request: SlowStartRequest, now: float) -> bool:
+        """Whether a request may go to its server now. What is sent, `decide` takes off the server's credit."""
+        number = self._first_budget + (PARENTS if request.is_parent else CACHES)
+        bucket = self._bucket(number, request, now)
+        if bucket is None:
+            return False
+        _, lagging_now = self.limiter.record_demand(number, request.work, now, request.server.mark)
+        bucket.requested_at = lagging_now
+        if lagging_now - self._swept_at > SWEEP_INTERVAL_S:
+            self._sweep(lagging_now)
+        return bucket.admits(request.work, lagging_now)
+
+    def _bucket(self, number: int, request: SlowStartRequest, now: float) -> ServerBucket | None:
+        """The server's bucket, made or adjusted; None where there are too many."""
+        server, window_s = request.server, request.limits.span
+        amount = request.limits.multiple * request.warm_share * server.weight * window_s
         budget = self.limiter.budgets[number]
-        held = budget.buckets.get(cache.mark)
-        if held is None or held.cache is not cache or held.window != window:
-            if held is None and len(budget.buckets) >= MOST:
-                return False
-            self.limiter.refresh(now)
-            held = budget.buckets[cache.mark] = Held(cache, most, window, budget.division.processes, self.limiter.late)
-            held.shared(budget.share, self.limiter.late)
-        elif most != held.most:  # it warms up
-            held.set(most, self.limiter.late, PIECES * most / budget.division.processes)
-        _, late = self.limiter.wish(number, work, now, cache.mark)
-        held.wished = late
-        if late - self.swept > 1.0:
-            self.sweep(late)
-        return held.ready(work, late)
-
-    def sweep(self, late: float) -> None:
-        """Machines that nobody here wants to send to hold no bucket; a new one starts empty."""
-        self.swept = late
-        for budget in self.limiter.budgets[self.first : self.first + 2]:
-            for mark in [mark for mark, held in budget.buckets.items() if late - held.wished > IDLE]:
+        present = budget.buckets.get(server.mark)
+        if present is None and len(budget.buckets) >= MAX_SERVERS:
+            return None
+        if isinstance(present, ServerBucket) and present.server is server and present.quota.window_s == window_s:
+            if amount != present.quota.amount:  # it warms up
+                piece = PIECES_SHARE * amount / budget.division.processes
+                present.set_quota(Quota(amount, window_s, piece), self.limiter.lagging_clock)
+            return present
+        self.limiter.refresh(now)
+        processes = budget.division.processes
+        quota = Quota(amount, window_s, PIECES_SHARE * amount / processes)
+        bucket = ServerBucket(server, quota, processes, self.limiter.lagging_clock)
+        budget.buckets[server.mark] = bucket
+        bucket.set_share(budget.share, self.limiter.lagging_clock)
+        return bucket
+
+    def _sweep(self, lagging_now: float) -> None:
+        """Servers that nobody here wants to send to have no bucket; a new one starts empty."""
+        self._swept_at = lagging_now
+        for budget in self.limiter.budgets[self._first_budget : self._first_budget + 2]:
+            idle = [
+                mark
+                for mark, bucket in budget.buckets.items()
+                if isinstance(bucket, ServerBucket) and lagging_now - bucket.requested_at > IDLE_S
+            ]
+            for mark in idle:
                 del budget.buckets[mark]
