--- a/bench/fleet.py
+++ b/bench/fleet.py
@@ -22,9 +22,10 @@
 from twisted.internet import protocol, reactor, task
 from xxhash import xxh3_64_digest, xxh3_64_intdigest
 
-from wickhinge.net import msgpack, resp
-from wickhinge.net.buffers import Body, Pool
-from wickhinge.net.journal import GROUP, HEAD, OBJECT, RECORD
+from wickhinge.net.control.endpoint_watch import ENDPOINT_RECORD, FRAME_HEADER, GROUP_PURGE, OBJECT_PURGE
+from wickhinge.net.downstream import msgpack
+from wickhinge.net.runtime.buffers import Body, BufferPool
+from wickhinge.net.upstream import resp
 
 ROOT = Path(__file__).parent.parent
 HOST = "127.0.0.1"
@@ -82,13 +83,13 @@
         now = time.time()
         self.purges.append((key, group, now, {one: self.version(one) for one in changed}))
         stamp = int(now * 1000)
-        self.tell(3, OBJECT.pack(key, stamp)) if key is not None else self.tell(4, GROUP.pack(group, stamp))
+        self.tell(3, OBJECT_PURGE.pack(key, stamp)) if key is not None else self.tell(4, GROUP_PURGE.pack(group, stamp))
 
     # The journal service.
 
     def tell(self, kind: int, payload: bytes) -> None:
         number = len(self.frames) + 1
-        self.frames.append(HEAD.pack(9 + len(payload), number, kind) + payload)
+        self.frames.append(FRAME_HEADER.pack(9 + len(payload), number, kind) + payload)
         for reader in self.readers:
             reader.transport.write(self.frames[-1])
 
@@ -148,7 +149,7 @@
 
     def record(self, place: int) -> bytes:
         kind = self.kinds[place - 1]
-        return RECORD.pack(
+        return ENDPOINT_RECORD.pack(
             self.marks[place - 1],
             int.from_bytes(socket.inet_aton(HOST)),
             self.base + place,
@@ -209,7 +210,7 @@
             self.beat.start(1.0)
 
     def nothing(self) -> None:
-        self.transport.write(HEAD.pack(9, len(self.world.frames), 0))
+        self.transport.write(FRAME_HEADER.pack(9, len(self.world.frames), 0))
 
     def connectionLost(self, reason: Any = None) -> None:
         self.world.readers.discard(self)
@@ -223,7 +224,7 @@
     def __init__(self, world: World, place: int, kind: str) -> None:
         self.world, self.kind, self.place = world, kind, place
         self.kept = world.kept.setdefault(f"{place}", set())
-        self.stream = resp.Stream(Pool(1 << 20, lambda: None, lambda: None))
+        self.stream = resp.ReplyDecoder(BufferPool(1 << 20, lambda: None, lambda: None))
 
     def dataReceived(self, data: bytes) -> None:
         for items in self.stream.feed(data):
@@ -370,7 +371,7 @@
 
     def __init__(self, up: Callable[[Asker], None], lost: Callable[[Asker], None]) -> None:
         self.up, self.lost = up, lost
-        self.stream, self.calls, self.open = msgpack.Stream(300_000), 0, {}
+        self.stream, self.calls, self.open = msgpack.MessageDecoder(300_000), 0, {}
 
     def connectionMade(self) -> None:
         self.transport.setTcpNoDelay(True)
--- a/bench/scale/one_router.py
+++ b/bench/scale/one_router.py
@@ -2,7 +2,7 @@
 
 The peers run the same deciding code and codecs, but a roster of two each, so that one router's cost can be taken at any
 size of the fleet. They send it as many probes as a whole fleet would. CPU time is that of the one router alone: its
-ticks, its view of the fleet as net/fellows asks for it, packing, reading and judging datagrams.
+ticks, its view of the fleet as net/control/peer_transport asks for it, packing, reading and judging datagrams.
 """
 
 from __future__ import annotations
@@ -13,8 +13,8 @@
 from typing import Any
 
 from bench.scale.meter import Watch
-from wickhinge.decide import Chance
-from wickhinge.net.fellows import TICK, VIEW_INTERVAL
+from wickhinge.decide import RandomSource
+from wickhinge.net.control.peer_transport import TICK, VIEW_INTERVAL
 from wickhinge.peers import wire
 from wickhinge.peers.detector import FailureDetector
 from wickhinge.peers.health import PERIOD
@@ -67,12 +67,12 @@
         all_places = places(routers)
         roster = Roster(all_places, all_places[0].name)
         self.name = roster.mine.name
-        self.detector = FailureDetector(roster, Chance(seed), 0.0, self.outbox.append)
+        self.detector = FailureDetector(roster, RandomSource(seed), 0.0, self.outbox.append)
         self.peers: dict[str, FailureDetector] = {}
         for place in all_places[1:]:
             known = Roster([roster.mine, place], place.name)
             known.version = roster.version  # it stands for a peer with the whole roster
-            peer = FailureDetector(known, Chance(self.random.getrandbits(60)), 0.0, self.answer)
+            peer = FailureDetector(known, RandomSource(self.random.getrandbits(60)), 0.0, self.answer)
             peer.identity.epoch = EPOCH
             self.peers[place.name] = peer
         if joined:
--- a/tests/shared/test_outlier_detection.py
+++ b/tests/shared/test_outlier_detection.py
@@ -8,7 +8,7 @@
 from hypothesis import strategies as st
 
 from tests.support import routing as helpers
-from wickhinge.decide import Chance
+from wickhinge.decide import RandomSource
 from wickhinge.interface import Outcome
 from wickhinge.peers.detector import FailureDetector
 from wickhinge.peers.roster import Place, Roster
@@ -25,7 +25,7 @@
     def __init__(self, group, place, boxes):
         self.group, self.name = group, f"n{place}"
         places = [Place(f"n{one}", ("127.0.0.1", one + 1), "here" if one < 9 else "far") for one in range(10)]
-        self.detector = FailureDetector(Roster(places, self.name), Chance(place), 0.0, lambda item: None)
+        self.detector = FailureDetector(Roster(places, self.name), RandomSource(place), 0.0, lambda item: None)
         self.sends, self.looks = [], []
         self.detector.send = lambda name, kind, serial, now: self.sends.append((now, name))
         self.policy = helpers.router(boxes=boxes, routers=3, seed=place)
@@ -65,11 +65,11 @@
 
 def test_ejection_when_two_witnesses_agree_needs_one_failure_of_our_own():
     group = Group()
-    group.routers[0].box().failed(group.now, Outcome.UNREACHED)
+    group.routers[0].box().failed(group.now, Outcome.CONNECT_FAILED)
     group.turn(1.0)
     third = group.routers[2]
     assert third.box().strikes == 0 and not third.looks
-    group.routers[1].box().failed(group.now, Outcome.UNREACHED)
+    group.routers[1].box().failed(group.now, Outcome.CONNECT_FAILED)
     group.turn(2.0)
     assert third.box().strikes == 1.0 and not third.box().lost and not third.box().usable(group.now)
     assert all(third.box(number).usable(group.now) for number in range(1, 6))
@@ -85,7 +85,7 @@
 def test_verdicts_when_old_or_of_a_former_peer_are_forgotten():
     group = Group()
     for one in group.routers[:2]:
-        one.box().failed(group.now, Outcome.UNREACHED)
+        one.box().failed(group.now, Outcome.CONNECT_FAILED)
     group.turn(1.0)
     third = group.routers[2]
     assert third.outliers.peer_verdicts.by_server
@@ -131,7 +131,7 @@
 def test_restart_when_two_saw_it_is_taken_over_once():
     group = Group()
     for one in group.routers[:2]:
-        one.box().failed(group.now, Outcome.UNREACHED)
+        one.box().failed(group.now, Outcome.CONNECT_FAILED)
         one.box().shunned = 0.0
     group.turn()
     for one in group.routers[:2]:
@@ -197,7 +197,7 @@
         for group in (with_peers, alone):
             cache = group.routers[0].box(box)
             if what < 0.2:
-                cache.failed(group.now, Outcome.UNREACHED)
+                cache.failed(group.now, Outcome.CONNECT_FAILED)
             elif what < 0.5:
                 cache.failed(group.now)
             else:
@@ -261,10 +261,10 @@
 def test_payload_when_about_a_cache_goes_to_its_zone_and_about_a_parent_to_all():
     group = Group(count=2)
     router = group.routers[0]
-    router.box().failed(group.now, Outcome.UNREACHED)
+    router.box().failed(group.now, Outcome.CONNECT_FAILED)
     group.turn()
     assert verdicts.decode(router.outliers.payload("n1")) and router.outliers.payload("n9") == b""
-    router.policy.fleet.parents[0].failed(group.now, Outcome.UNREACHED)
+    router.policy.fleet.parents[0].failed(group.now, Outcome.CONNECT_FAILED)
     group.turn()
     assert [verdict.health for verdict in verdicts.decode(router.outliers.payload("n9"))] == [Health.UNREACHABLE]
 
--- a/tests/shared/test_quota_lending.py
+++ b/tests/shared/test_quota_lending.py
@@ -7,7 +7,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from wickhinge.decide import Chance
+from wickhinge.decide import RandomSource
 from wickhinge.lab.many import judges, play, schedule, trial
 from wickhinge.lab.many.schedule import Fault, Schedule
 from wickhinge.peers.detector import FailureDetector
@@ -232,7 +232,7 @@
 def test_identity_when_an_asked_name_left_asks_it_no_more():
     detector = FailureDetector(
         Roster([Place(f"n{one}", ("127.0.0.1", one + 1), "") for one in range(3)], "n0"),
-        Chance(1),
+        RandomSource(1),
         0.0,
         lambda item: None,
     )
--- a/tests/shared/test_slow_start_quota.py
+++ b/tests/shared/test_slow_start_quota.py
@@ -13,7 +13,7 @@
 from hypothesis import strategies as st
 
 from tests.support import routing as helpers
-from wickhinge.decide import Chance, Cold
+from wickhinge.decide import RandomSource, SlowStart
 from wickhinge.interface import Outcome
 from wickhinge.lab.many import judges, play
 from wickhinge.lab.many.schedule import Schedule
@@ -27,7 +27,7 @@
 from wickhinge.shared.slow_start_quota import SlowStartQuotas, SlowStartRequest
 
 ROOT = Path(__file__).parents[2]
-LIMITS = Cold(4.0, 3.0, 0.2, 100.0)
+LIMITS = SlowStart(4.0, 3.0, 0.2, 100.0)
 
 
 def roster(zones, mine="n0"):
@@ -36,7 +36,7 @@
 
 def colds(share=1.0, processes=4):
     """Of a router alone under its name, whose share is what the test says."""
-    detector = FailureDetector(roster(["here"]), Chance(1), 0.0, lambda item: None)
+    detector = FailureDetector(roster(["here"]), RandomSource(1), 0.0, lambda item: None)
     limiter = LendingLimiter(detector, Division(1, processes), slow_start_quota.budget_scopes("here"), 0.0)
     made = SlowStartQuotas(limiter)
     limiter.update_share = lambda budget, now: budget.set_share(share, limiter.lagging_clock)
@@ -153,7 +153,7 @@
 
 
 def test_limiter_when_the_division_is_smaller_than_the_roster_raises():
-    detector = FailureDetector(roster(["a", "a"]), Chance(1), 0.0, lambda item: None)
+    detector = FailureDetector(roster(["a", "a"]), RandomSource(1), 0.0, lambda item: None)
     for division in (Division(1, 4), Division(3, 2)):
         with pytest.raises(ValueError, match="2 names"):
             LendingLimiter(detector, division, [], 0.0)
@@ -219,8 +219,8 @@
     assert caller.forwards[0].cache is cache
     told, upper, limits, part, work = asked[0]
     assert (told, upper, limits) == (cache, False, made.fleet.edge) and 0.2 < part < 0.3
-    assert work == pytest.approx(made.mean(helpers.tariff())) and cache.credit == pytest.approx(5.0 - work)
-    helpers.end(caller, Outcome.HONOURED, 100.1, closed=True)
+    assert work == pytest.approx(made.mean(helpers.request_class())) and cache.credit == pytest.approx(5.0 - work)
+    helpers.end(caller, Outcome.SUCCEEDED, 100.1, closed=True)
 
 
 def test_decision_when_servers_are_warm_or_unweighted_does_not_ask_the_quota():
--- a/wickhinge/net/members.py
+++ b/wickhinge/net/control/membership.py
@@ -9,23 +9,24 @@
 from typing import Any
 
 from wickhinge import settings
-from wickhinge.decide import Chance
+from wickhinge.decide import RandomSource
 from wickhinge.fields import Malformed, endpoint
-from wickhinge.interface import Effect, Listing, Outcome
+from wickhinge.interface import Endpoint, Idempotency, Outcome
 from wickhinge.membership import remembered, talk
 from wickhinge.membership.backoff import Backoff
 from wickhinge.membership.keeper import Keeper, Unusable
 from wickhinge.membership.members import NONE, Members
 from wickhinge.membership.statements import LIVE, STATIC, Statement
+from wickhinge.net.control.endpoint_watch import EndpointWatch
 from wickhinge.options import keys
 from wickhinge.store.files import Files
 from wickhinge.store.workers import Lane, Workers
 
 TURN = 0.1
-FAILED = (Outcome.UNREACHED, Outcome.TIMED_OUT)
+FAILED = (Outcome.CONNECT_FAILED, Outcome.TIMED_OUT)
 
 
-class Membership:
+class MembershipClient:
     """The router's Members; files are written by a worker, siblings are asked in turn."""
 
     def __init__(
@@ -46,13 +47,16 @@
         self.backoff: Backoff | None = None
         members.told_purge = self.told_purge
 
-    def follow(self, journal: Any, options: Any) -> None:
-        """Before the start: reads what was kept, and lets the journal go on from there where it keeps its numbers."""
-        addresses = [journal.address, *(endpoint(one) for one in options.discovery.addresses)]
-        self.backoff = Backoff(
-            addresses, self.members.proving.chance, options.discovery.backoff_s, options.discovery.longest_backoff_s
-        )
-        journal.turn = self.backoff.failed
+    def service_addresses(self, address: tuple[str, int], options: Any) -> Backoff:
+        """The discovery service's addresses: the configuration's, and those of the `discovery` options."""
+        addresses = [address, *(endpoint(further) for further in options.addresses)]
+        self.backoff = Backoff(addresses, self.members.proving.chance, options.backoff_s, options.longest_backoff_s)
+        return self.backoff
+
+    def restore(self, watch: EndpointWatch, options: Any) -> None:
+        """Before the start: reads what was kept, and lets the watch go on from there where the service keeps its
+        numbers.
+        """
         memory = None
         if self.keeper is not None:
             memory, wrong = self.keeper.read()
@@ -63,7 +67,7 @@
         if self.members.memory is not None:
             fleet.edge.usual, fleet.upper.usual = self.members.memory.usual
             if options.journal.continues:
-                journal.resume(self.members.memory.number)
+                watch.resume_list(self.members.memory.number)
 
     def start(self) -> None:
         if self.listen:
@@ -90,7 +94,7 @@
         listings = []
         for one, state, trusted in machines:
             self.node.caches.listed(one.mark, f"{one.mark:08x}", one.address)
-            listings.append(Listing(one.mark, one.zone, one.kind, one.cell, state, one.weight, one.started, trusted))
+            listings.append(Endpoint(one.mark, one.zone, one.kind, one.cell, state, one.weight, one.started, trusted))
         self.node.router.fleet.listed(listings, False, self.now())
         for one, state, _ in machines:
             machine = self.node.caches.machines.get(one.mark)
@@ -122,12 +126,12 @@
         """The platform's address of the service is another now; the further ones stay."""
         self.backoff.moved(address)
 
-    def caught_up(self, journal: Any) -> None:
-        self.members.caught_up(self.now(), journal.last, journal.unbroken and journal.resumed)
+    def caught_up(self, watch: EndpointWatch) -> None:
+        self.members.caught_up(self.now(), watch.last_number, watch.is_unbroken and watch.is_list_resumed)
         self.backoff.well()
 
     def ended(self, sent: Any, outcome: Outcome) -> None:
-        if sent.door.tariff.effect is Effect.RERUNNABLE and (outcome.answered or outcome in FAILED):
+        if sent.door.request_class.idempotency is Idempotency.IDEMPOTENT and (outcome.answered or outcome in FAILED):
             self.members.ended(sent.cache.mark, outcome.answered, self.now())
 
     def purge(self, key: int | None, group: int, stamp: float) -> None:
@@ -193,7 +197,7 @@
             self.keeper.close()
 
 
-def make(options: Any, conf: dict[str, Any], node: Any) -> Membership:
+def make(options: Any, conf: dict[str, Any], node: Any) -> MembershipClient:
     """Raises Malformed where the key can't be read."""
     found, fleet = options.discovery, node.router.fleet
     key = keys.read("discovery.key_file", found.key_file) if found.key_file else b""
@@ -223,14 +227,14 @@
         except Unusable as problem:
             node.log.event("list_unusable", why=str(problem))
             keeper = None
-    box: list[Membership] = []
-    chance = Chance(node.seed ^ 0x5EED)
+    box: list[MembershipClient] = []
+    chance = RandomSource(node.seed ^ 0x5EED)
     members = Members(
         lambda machines: box[0].tell(machines),
         lambda one: box[0].probe(one),
         node.log.event,
         chance,
-        remembered.deployment(node.zones, node.kinds, sorted(settings.tariffs(conf))),
+        remembered.deployment(node.zones, node.kinds, sorted(settings.request_classes(conf))),
         found.routers or fleet.routers,
         (fleet.parent_kind, fleet.origin_kind),
         found.after_s,
@@ -239,5 +243,5 @@
         options.journal.quiet_s,
         node.router.purges.done,
     )
-    box.append(Membership(node, members, keeper, found, key, static))
+    box.append(MembershipClient(node, members, keeper, found, key, static))
     return box[0]
--- a/wickhinge/net/loop.py
+++ b/wickhinge/net/runtime/loop.py
@@ -11,10 +11,10 @@
 from twisted.internet.epollreactor import EPollReactor
 
 from wickhinge.clocks import monotonic, steady
-from wickhinge.net.arrivals import LONGEST_WAIT, SOON, Arrivals
-from wickhinge.net.patience import failed_calls
-from wickhinge.net.standstill import Standstills
-from wickhinge.net.transport import Connector
+from wickhinge.common.failed_calls import failed_calls
+from wickhinge.net.runtime.arrivals import LONGEST_WAIT, SOON, Arrivals
+from wickhinge.net.runtime.event_loop_stalls import EventLoopStalls
+from wickhinge.net.runtime.transport import Connector
 
 AT_ONCE = 8  # descriptors served before the deadlines have their turn again; the kernel goes on in order
 BEHIND = 0.1  # seconds for which sockets may not have been looked at, before what orders the rest is read first
@@ -32,7 +32,7 @@
         self.now: Callable[[], float] = steady
         super().__init__()
         self.arrivals = Arrivals(steady())
-        self.standstills = Standstills()
+        self.standstills = EventLoopStalls()
         self.behind: Callable[[], None] = lambda: None  # called before anything else is, after a standstill
 
     def connectTCP(
