--- a/tests/store/test_store.py
+++ b/tests/store/test_store.py
@@ -23,14 +23,14 @@
 from wickhinge.store.writing import CopyOffer
 
 
-def begun(**more):
+def started_world(**more):
     world = World(**more)
     world.start()
     world.lanes.go()
     return world
 
 
-def held(world, key=1, part=0, size=500):
+def stored_copy(world, key=1, part=0, size=500):
     world.offer(key, part, size)
     world.lanes.go()
     copy = world.store.find(key, part, world.clock)
@@ -38,7 +38,7 @@
     return copy
 
 
-def reads(world, copy):
+def read_results(world, copy):
     got = []
     world.store.read(copy, lambda data, memory: got.append(data))
     return got
@@ -48,7 +48,7 @@
 
 
 def test_purge_when_a_part_is_being_written_removes_it():
-    world = begun()
+    world = started_world()
     world.offer(1, 0, 500)
     world.purge(1)
     world.lanes.go()
@@ -58,7 +58,7 @@
 
 
 def test_offer_when_created_before_a_purge_is_not_admitted():
-    world = begun()
+    world = started_world()
     made = world.clock
     world.purge(1)
     world.store.record_request(1, 0), world.store.record_request(1, 0)
@@ -67,17 +67,17 @@
 
 
 def test_purge_when_a_part_is_being_read_makes_the_copy_invalid():
-    world = begun()
-    copy = held(world)
-    got = reads(world, copy)
+    world = started_world()
+    copy = stored_copy(world)
+    got = read_results(world, copy)
     world.purge(1)
     world.lanes.go()
     assert got != [None] and not world.store.is_valid(copy, world.clock)
 
 
 def test_revalidation_when_a_purge_is_newer_changes_nothing():
-    world = begun()
-    copy = held(world)
+    world = started_world()
+    copy = stored_copy(world)
     before = copy.created
     world.purge(1)
     world.store.revalidate(copy, before)  # SAME, but of a copy from before the purge
@@ -85,8 +85,8 @@
 
 
 def test_purge_when_a_snapshot_is_being_written_outlives_a_restart():
-    world = begun()
-    held(world)
+    world = started_world()
+    stored_copy(world)
     world.store.snapshot(world.clock)
     world.purge(1)
     world.lanes.go()
@@ -96,8 +96,8 @@
 
 
 def test_purge_when_a_start_still_recovers_removes_the_copy():
-    world = begun()
-    held(world)
+    world = started_world()
+    stored_copy(world)
     world.disk = world.disk.restarted(1, False)
     world.start()
     world.purge(1)
@@ -106,7 +106,7 @@
 
 
 def test_purge_when_segments_are_recycled_leaves_no_purged_copy():
-    world = begun()
+    world = started_world()
     for key in range(20):
         world.offer(key, 0, 3000, group=int(key < 10))
         world.lanes.go()
@@ -121,7 +121,7 @@
 
 
 def test_disk_space_when_restarted_all_the_time_is_still_recycled():
-    world = begun()
+    world = started_world()
     for turn in range(60):
         world.offer(turn, 0, 3900)
         world.lanes.go()
@@ -138,11 +138,11 @@
 
 
 def test_segment_when_a_copy_is_being_read_is_not_recycled():
-    world = begun()
-    copy = held(world, size=3000)
+    world = started_world()
+    copy = stored_copy(world, size=3000)
     for key in range(2, 9):
-        held(world, key, size=3900)
-    number, got = copy.place[0], reads(world, copy)
+        stored_copy(world, key, size=3900)
+    number, got = copy.place[0], read_results(world, copy)
     world.lanes.stalled = {"read"}
     for parts in list(world.store.tier.admission.objects.values()):
         for one in list(parts.values()):
@@ -158,12 +158,12 @@
 
 
 def test_offer_when_over_the_write_bounds_is_refused_at_once():
-    world = begun()
+    world = started_world()
     world.store.writer.limiter.max_queued_bytes = 2000
     for key in range(4):
         world.offer(key, 0, 900)
     assert world.store.tier.counters.admitted == 2 and world.store.tier.counters.refused == 2
-    assert world.store.find(0, 0, world.clock) and reads(world, world.store.find(0, 0, world.clock))[0]
+    assert world.store.find(0, 0, world.clock) and read_results(world, world.store.find(0, 0, world.clock))[0]
     world.lanes.go()
     world.offer(9, 0, 900)
     assert world.store.tier.counters.admitted == 3
@@ -171,7 +171,7 @@
 
 @pytest.mark.parametrize("fault", [errno.EIO, errno.ENOSPC])
 def test_disk_when_it_fails_is_bypassed_and_tried_again(fault):
-    world = begun(disk=Disk())
+    world = started_world(disk=Disk())
     world.disk.stuck = fault
     for key in range(8):
         world.offer(key, 0, 500)
@@ -191,8 +191,8 @@
 
 
 def test_purges_when_the_log_cannot_be_written_are_written_in_order_later():
-    world = begun(continues=True)
-    held(world)
+    world = started_world(continues=True)
+    stored_copy(world)
     world.disk.stuck = errno.EIO
     world.purge(1, 0, 5)
     world.lanes.go()
@@ -209,7 +209,7 @@
 
 def test_purges_when_more_than_the_bound_are_pending_are_all_in_force(monkeypatch):
     monkeypatch.setattr("wickhinge.store.purging.MAX_PENDING_PURGES", 4)
-    world = begun(continues=True)
+    world = started_world(continues=True)
     for key in range(1, 8):
         world.purge(key, 0, key)
     assert world.lanes.queue and len(world.store.purging.pending) <= 5
@@ -219,29 +219,29 @@
 
 
 def test_disk_when_it_is_slow_is_bypassed():
-    world = begun()
-    copy = held(world)
+    world = started_world()
+    copy = stored_copy(world)
     for _ in range(4):
-        got = reads(world, copy)
+        got = read_results(world, copy)
         world.clock += 2.0
         world.lanes.go()
         world.store.caught_up(world.clock, False)
-    assert got[0] is not None and reads(world, copy) == [None]
+    assert got[0] is not None and read_results(world, copy) == [None]
 
 
 def test_read_when_too_many_are_under_way_is_refused_at_once():
-    world = begun()
-    copy = held(world)
-    got = [reads(world, copy) for _ in range(17)]
+    world = started_world()
+    copy = stored_copy(world)
+    got = [read_results(world, copy) for _ in range(17)]
     assert got[16] == [None] and got[:16] == [[]] * 16
 
 
 def test_memory_tier_when_the_disk_stalls_answers_within_its_capacity():
-    world = begun(memory=4000)
+    world = started_world(memory=4000)
     for key in range(8):
-        held(world, key, size=900)
+        stored_copy(world, key, size=900)
     world.lanes.stalled = {"read"}
-    assert sum(bool(reads(world, world.store.find(key, 0, world.clock))) for key in range(8)) == 4
+    assert sum(bool(read_results(world, world.store.find(key, 0, world.clock))) for key in range(8)) == 4
     assert world.store.tier.memory.used <= 4000
 
 
@@ -250,8 +250,8 @@
 
 def test_recovered_copy_when_neither_revalidated_nor_caught_up_is_not_current():
     for continues, whole, proven in ((False, True, False), (True, False, False), (True, True, True)):
-        world = begun(continues=continues)
-        assert world.store.is_current(held(world), world.clock)
+        world = started_world(continues=continues)
+        assert world.store.is_current(stored_copy(world), world.clock)
         world.restart(1, lost=False)
         copy = world.store.find(1, 0, world.clock)
         assert copy is not None and not world.store.is_current(copy, world.clock)
@@ -263,8 +263,8 @@
 
 @pytest.mark.parametrize("later, answers", [(0.0, True), (2.9, True), (3.1, False), (-2.0, False)])
 def test_copy_when_the_journal_is_quiet_or_the_clock_went_back_is_not_current(later, answers):
-    world = begun()
-    assert world.store.is_current(held(world), world.clock + later) is answers
+    world = started_world()
+    assert world.store.is_current(stored_copy(world), world.clock + later) is answers
 
 
 # The journal: taken up again at a number of an earlier start.
@@ -444,7 +444,7 @@
 
 
 def wired(with_store=True):
-    world = begun()
+    world = started_world()
     heap, (buffers, _) = Heap(), pool(100)
     faults, sent = [], []
     line = SimpleNamespace(leave=lambda tag: None, unwritten=())
--- a/wickhinge/net/upstream/local_copies.py
+++ b/wickhinge/net/upstream/local_copies.py
@@ -11,8 +11,7 @@
 from wickhinge.net.runtime.deadlines import Deadlines
 from wickhinge.net.runtime.slots import Slots
 from wickhinge.store.bandwidth import LinkBandwidth
-from wickhinge.store.store import Store
-from wickhinge.store.store import make as make_store
+from wickhinge.store.store import Store, start_store
 from wickhinge.store.tier import Runtime
 from wickhinge.store.workers import Workers
 from wickhinge.store.writing import CopyOffer
@@ -118,7 +117,7 @@
     others: OthersTime,
 ) -> LocalCopies | None:
     workers = Workers(reactor, min(options.store.reads_at_once, MAX_READ_THREADS), fault)
-    store = make_store(options.store, options.journal, Runtime(workers, deadlines.now, deadlines.after, log))
+    store = start_store(options.store, options.journal, Runtime(workers, deadlines.now, deadlines.after, log))
     if store is None:
         return None
     return LocalCopies(store, deadlines, pool, LinkBandwidth(*link), options.store.read_within_s, fault, others)
--- a/wickhinge/store/compaction.py
+++ b/wickhinge/store/compaction.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 from collections import deque
+from typing import NamedTuple
 
 from wickhinge.store.copies import Copy, Place
 from wickhinge.store.errors import DamagedCopyError
@@ -12,7 +13,20 @@
 
 MAX_CONCURRENT_MOVES = 16
 
-Record = tuple[int, int, Place]  # object, part, place
+
+class ScannedRecord(NamedTuple):
+    """A record found in a segment."""
+
+    key: int
+    part: int
+    place: Place
+
+
+class Move(NamedTuple):
+    """A copy that is to be appended anew, and its place when that was decided."""
+
+    copy: Copy
+    place: Place
 
 
 class Compactor:
@@ -21,7 +35,7 @@
     def __init__(self, tier: Tier, purging: PurgeRecorder) -> None:
         self._tier = tier
         self._purging = purging
-        self._queue: deque[tuple[Copy, Place]] = deque()
+        self._queue: deque[Move] = deque()
         self._moves = 0
 
     def run(self) -> None:
@@ -51,11 +65,11 @@
         tier.space.compacting = number
         tier.space.pin(number)
 
-        def scan() -> list[Record]:
+        def scan() -> list[ScannedRecord]:
             records = tier.volume.scan(number, 0, verify_bodies=False)
-            return [(header.key, header.part, place) for header, place in records]
+            return [ScannedRecord(header.key, header.part, place) for header, place in records]
 
-        def scanned(records: list[Record] | None, error: BaseException | None) -> None:
+        def scanned(records: list[ScannedRecord] | None, error: BaseException | None) -> None:
             tier.space.unpin(number)
             if records is None or error is not None:
                 tier.counters.errors += 1
@@ -64,7 +78,7 @@
             for key, part, place in records:
                 copy = tier.admission.find(key, part)
                 if copy is not None and copy.place == place:
-                    self._queue.append((copy, place))
+                    self._queue.append(Move(copy, place))
             self._move_next()
 
         tier.runtime.workers.run(Lane.SLOW, scan, scanned)
--- a/wickhinge/store/purges.py
+++ b/wickhinge/store/purges.py
@@ -82,8 +82,10 @@
 
     def covers(self, key: int, group: int, created: float) -> bool:
         """Whether a copy created then is purged; one of the same millisecond is."""
-        purges = (self.objects.get(key), self.groups.get(group), self.everything)
-        return any(purge is not None and created <= purge.timestamp for purge in purges)
+        for purge in (self.objects.get(key), self.groups.get(group), self.everything):
+            if purge is not None and created <= purge.timestamp:
+                return True
+        return False
 
     def forget(self, oldest_segment: int, now: float) -> int:
         """Drop the purges that no segment on disk is older than, and return how many those were."""
--- a/wickhinge/store/recovery.py
+++ b/wickhinge/store/recovery.py
@@ -3,12 +3,20 @@
 from __future__ import annotations
 
 from collections.abc import Callable
+from typing import NamedTuple
 
 from wickhinge.store.copies import Copy, StoredObject
 from wickhinge.store.tier import Tier
 from wickhinge.store.workers import Lane
 
-SnapshotState = tuple[int, bytes]  # highest serial, dumped frequencies
+
+class SnapshotState(NamedTuple):
+    """What a snapshot holds besides its copies."""
+
+    last_serial: int  # the highest so far
+    frequencies: bytes  # a dumped FrequencyTable; empty for none
+
+
 Batch = SnapshotState | list[StoredObject]
 
 
@@ -36,16 +44,15 @@
 
     def _read(self, hand_on: Callable[[Batch], None]) -> None:
         """Read the volume; runs on a worker."""
-        for batch in self._tier.volume.recover(lambda serial, frequencies: hand_on((serial, frequencies))):
+        for batch in self._tier.volume.recover(lambda serial, frequencies: hand_on(SnapshotState(serial, frequencies))):
             hand_on(batch)
 
     def _take_over(self, batch: Batch) -> None:
         tier = self._tier
-        if isinstance(batch, tuple):
-            serial, frequencies = batch
-            tier.last_serial = max(tier.last_serial, serial)
-            if frequencies and not tier.admission.objects:
-                tier.admission.unstored_frequencies.load(frequencies)
+        if isinstance(batch, SnapshotState):
+            tier.last_serial = max(tier.last_serial, batch.last_serial)
+            if batch.frequencies and not tier.admission.objects:
+                tier.admission.unstored_frequencies.load(batch.frequencies)
             return
         for stored in batch:
             for copy in sorted(stored.copies, key=lambda copy: copy.part):
--- a/wickhinge/store/store.py
+++ b/wickhinge/store/store.py
@@ -158,7 +158,7 @@
         }
 
 
-def make(options: Any, journal: Any, runtime: Runtime) -> Store | None:
+def start_store(options: Any, journal: Any, runtime: Runtime) -> Store | None:
     """The store that the settings describe, started; None, and one log event, where its directory cannot be used.
 
     Args:
