--- a/wickhinge/net/control/peer_transport.py
+++ b/wickhinge/net/control/peer_transport.py
@@ -78,7 +78,7 @@
             self.detector, division, slow_start_quota.budget_scopes(self.detector.roster.mine.zone), clock(), log
         )
         if judgements:
-            self.judge = OutlierDetector(self.detector, fleet, self.node.probe, log)
+            self.judge = OutlierDetector(self.detector, fleet, self.node.check_health, log)
         if counts:
             self.counts = RequestTallies(self.detector, fleet, clock())
         Piggyback(self.detector, [self.limiter, self.judge, self.counts])
--- a/wickhinge/shared/quota_lending.py
+++ b/wickhinge/shared/quota_lending.py
@@ -20,8 +20,7 @@
 from __future__ import annotations
 
 from collections.abc import Callable
-from dataclasses import dataclass, field
-from typing import Any, NamedTuple
+from typing import Any
 
 from wickhinge.peers.detector import FailureDetector
 from wickhinge.peers.messages import HELLO
@@ -29,6 +28,7 @@
 from wickhinge.shared import lending_payload, piggyback
 from wickhinge.shared.budgets import Budget, BudgetScope, Division
 from wickhinge.shared.lending_payload import LendingMessage, Level, LoanAmount, LoanReturn
+from wickhinge.shared.lending_peers import Echo, LendingPeers
 from wickhinge.shared.name_lease import MAX_CLOCK_DRIFT, NameLeases
 from wickhinge.shared.quota_bucket import QuotaBucket
 from wickhinge.shared.quota_loans import LOAN_S, BorrowerKey
@@ -38,36 +38,12 @@
 BALANCE_INTERVAL_S = 0.2
 LENDERS_ASKED = 2  # each BALANCE_INTERVAL_S
 MAX_RENEWALS = 4  # each BALANCE_INTERVAL_S
-LEVEL_MAX_AGE_S = 5.0  # for which another's word of what it can spare counts
 DEMAND_HALF_LIFE_S = 0.4
 DEMAND_WEIGHT = 0.7  # of what is asked for, spread over the half life
 MIN_TRANSFER = 0.002  # parts of a budget that are worth a datagram
 RETURN_HYSTERESIS = 0.1  # of the demand
 
 
-class PeerLevels(NamedTuple):
-    """What a peer said last of its levels."""
-
-    received_at: float
-    levels: list[Level]
-
-
-class Echo(NamedTuple):
-    """What to answer a peer with the next datagram."""
-
-    clock: float  # the peer's own
-    lease_granted: bool
-
-
-@dataclass(slots=True)
-class Outbox:
-    """What goes to a peer with the next datagram."""
-
-    requests: list[LoanAmount] = field(default_factory=list)
-    grants: list[LoanAmount] = field(default_factory=list)
-    returns: list[LoanReturn] = field(default_factory=list)
-
-
 def _log_nothing(event: str, **fields: Any) -> None:
     """Stands in where no log is wanted."""
 
@@ -112,10 +88,7 @@
         self._log = log
         self._incarnation = detector.life
         self._ticked_at = self._balanced_at = now
-        self._echoes: dict[str, Echo] = {}
-        self._peer_levels: dict[str, PeerLevels] = {}
-        self._outboxes: dict[str, Outbox] = {}
-        self._mismatched_peers: set[str] = set()  # who divides by other numbers
+        self._peers = LendingPeers(detector, division, log)
         piggyback.attach(detector, self)
 
     # Spending.
@@ -183,10 +156,10 @@
         surplus = -shortage - RETURN_HYSTERESIS * budget.demand
         if surplus > MIN_TRANSFER and loans.borrowed:
             for lender, serial in loans.give_back(surplus):
-                self._send_return(lender, LoanReturn(number, serial), now)
+                self._peers.send_return(lender, LoanReturn(number, serial), now)
             self.update_share(budget, now)
         for renewal in loans.renewals(now, MAX_RENEWALS):
-            self._send_request(renewal.lender, LoanAmount(number, renewal.serial, renewal.amount), now)
+            self._peers.send_request(renewal.lender, LoanAmount(number, renewal.serial, renewal.amount), now)
         if shortage < MIN_TRANSFER:
             self._offer_surplus(number, budget, now)
         else:
@@ -196,10 +169,7 @@
         """Take the detector's other roster."""
         names = set(self._detector.roster.places)
         self.leases.resize(len(names), names, self.lagging_clock)
-        tables: tuple[dict[str, Any], ...] = (self._echoes, self._peer_levels, self._outboxes)
-        for table in tables:
-            for name in set(table) - names:
-                del table[name]
+        self._peers.keep(names)
         for budget in self.budgets:
             budget.division = self.division.within(self._detector.roster, budget.zone)
         self.tick(now)
@@ -208,8 +178,7 @@
 
     def payload(self, to: str) -> bytes:
         """What goes to that peer with a datagram that is sent now."""
-        echo = self._echoes.pop(to, Echo(0.0, False))
-        outbox = self._outboxes.pop(to, Outbox())
+        echo, outbox = self._peers.take_echo(to), self._peers.take_outbox(to)
         limit = lending_payload.MAX_ITEMS
         message = LendingMessage(
             (self.division.names, self.division.processes),
@@ -229,10 +198,10 @@
             message = lending_payload.decode(data)
         except Unreadable:
             return
-        if not self._divides_alike(name, message.division):
+        if not self._peers.divides_alike(name, message.division):
             return
         self.refresh(now)
-        self._peer_levels[name] = PeerLevels(now, message.levels)
+        self._peers.record_levels(name, message.levels, now)
         self._exchange_leases(name, message, now)
         self._exchange_loans(name, message, now)
 
@@ -243,7 +212,7 @@
             "vouched_s": round(max(self.lease_until - now, 0.0), 1),
             "names": self.division.names,
             "processes": self.division.processes,
-            "differ": len(self._mismatched_peers),
+            "differ": self._peers.mismatched_count,
             "budgets": [
                 {
                     "zone": budget.zone,
@@ -274,57 +243,42 @@
 
     # Loans.
 
-    def _spends(self, name: str, budget: Budget) -> bool:
-        """Whether that router spends the budget too."""
-        place = self._detector.roster.places.get(name)
-        return place is not None and budget.zone in ("", place.zone)
-
-    def _known_levels(self, number: int, budget: Budget, now: float) -> list[tuple[str, Level]]:
-        """What others who spend the budget said lately."""
-        return [
-            (name, peer.levels[number])
-            for name, peer in self._peer_levels.items()
-            if 0.0 <= now - peer.received_at <= LEVEL_MAX_AGE_S
-            and len(peer.levels) > number
-            and self._spends(name, budget)
-        ]
-
     def _borrow(self, number: int, budget: Budget, shortage: float, now: float) -> None:
         """Ask those who can spare most, by chance."""
         surpluses = sorted(
             (
                 (level.surplus * (0.5 + self._detector.chance.draw()), name)
-                for name, level in self._known_levels(number, budget, now)
+                for name, level in self._peers.known_levels(number, budget.zone, now)
                 if level.surplus > MIN_TRANSFER
             ),
             reverse=True,
         )
         for _, name in surpluses[:LENDERS_ASKED]:
-            levels = self._peer_levels[name].levels
-            level = levels[number]
+            level = self._peers.level(name, number)
             amount = min(shortage, level.surplus)
             if amount < MIN_TRANSFER:
                 break
             shortage -= amount
-            levels[number] = level._replace(surplus=level.surplus - amount)  # until it says what it has left
+            # Until it says what it has left.
+            self._peers.set_level(name, number, level._replace(surplus=level.surplus - amount))
             serial = budget.loans.request(name, amount, now)
-            self._send_request(name, LoanAmount(number, serial, amount), now)
+            self._peers.send_request(name, LoanAmount(number, serial, amount), now)
 
     def _offer_surplus(self, number: int, budget: Budget, now: float) -> None:
         """Send a datagram to who lacks most, as far as we know: each says what we can spare."""
         if budget.surplus <= MIN_TRANSFER:
             return
-        known = ((level.shortage, name) for name, level in self._known_levels(number, budget, now))
+        known = ((level.shortage, name) for name, level in self._peers.known_levels(number, budget.zone, now))
         shortage, name = max(known, default=(0.0, ""))
         if shortage > MIN_TRANSFER and name in self._detector.members:
-            levels = self._peer_levels[name].levels
-            levels[number] = levels[number]._replace(shortage=0.0)  # until it says so again
+            level = self._peers.level(name, number)
+            self._peers.set_level(name, number, level._replace(shortage=0.0))  # until it says so again
             self._detector.send(name, HELLO, 0, now)
 
     def _answer_request(self, key: BorrowerKey, request: LoanAmount, now: float) -> None:
         budget = self.budgets[request.budget]
         self.update_share(budget, now)
-        if self.lease_until - now < LOAN_S * (1 + MAX_CLOCK_DRIFT) or not self._spends(key.borrower, budget):
+        if self.lease_until - now < LOAN_S * (1 + MAX_CLOCK_DRIFT) or not self._peers.spends(key.borrower, budget.zone):
             return  # the loan would outlast what we have
         # Where we lack it ourselves, what is lent is not renewed.
         lent = budget.loans.renew(key, self.lagging_clock) if budget.demand < budget.share else 0.0
@@ -332,40 +286,16 @@
             lent = budget.loans.lend(key, min(request.amount, budget.surplus), self.lagging_clock)
         if lent:
             self.update_share(budget, now)  # not ours any more before anybody hears that it is lent
-            self._send_grant(key.borrower, LoanAmount(request.budget, request.serial, lent), now)
-
-    # Messages, sent at once since loans are short.
-
-    def _send_request(self, name: str, request: LoanAmount, now: float) -> None:
-        if name in self._detector.members:
-            self._outboxes.setdefault(name, Outbox()).requests.append(request)
-            self._detector.send(name, HELLO, 0, now)
-
-    def _send_grant(self, name: str, grant: LoanAmount, now: float) -> None:
-        if name in self._detector.members:
-            self._outboxes.setdefault(name, Outbox()).grants.append(grant)
-            self._detector.send(name, HELLO, 0, now)
-
-    def _send_return(self, name: str, returned: LoanReturn, now: float) -> None:
-        if name in self._detector.members:
-            self._outboxes.setdefault(name, Outbox()).returns.append(returned)
-            self._detector.send(name, HELLO, 0, now)
+            self._peers.send_grant(key.borrower, LoanAmount(request.budget, request.serial, lent), now)
 
-    def _divides_alike(self, name: str, division: tuple[int, int]) -> bool:
-        """Whether a peer divides by our numbers; else nothing of its shares and ours fits together."""
-        if division == (self.division.names, self.division.processes):
-            self._mismatched_peers.discard(name)
-            return True
-        if name not in self._mismatched_peers:
-            self._mismatched_peers.add(name)
-            self._log("division_mismatch", name=name, names=division[0], processes=division[1])
-        return False
+    # Messages.
 
     def _exchange_leases(self, name: str, message: LendingMessage, now: float) -> None:
         has_our_roster = self._detector.others_rosters.get(name) == self._detector.roster.version
         if message.clock and has_our_roster:
             incarnation = self._detector.lines[name].life
-            self._echoes[name] = Echo(message.clock, self.leases.grant(name, incarnation, self.lagging_clock))
+            granted = self.leases.grant(name, incarnation, self.lagging_clock)
+            self._peers.record_echo(name, Echo(message.clock, granted))
         if message.echoed_clock and message.lease_granted and message.echoed_clock <= now:
             self.leases.receive(name, message.echoed_clock, now)
 
