--- a/bench/scale/judgements.py
+++ b/bench/scale/judgements.py
@@ -7,9 +7,11 @@
 
 from bench.scale.meter import Meter, Watch, memory
 from bench.scale.records import Row, row
-from wickhinge.decide import Endpoints, RandomSource, SlowStart
 from wickhinge.interface import Endpoint
-from wickhinge.peers.messages import ALIVE
+from wickhinge.peers.messages import MemberState
+from wickhinge.routing.endpoints import Endpoints
+from wickhinge.routing.random_source import RandomSource
+from wickhinge.routing.slow_start import SlowStart
 from wickhinge.shared import evidence, outlier_detection, request_tallies, verdicts
 
 WITNESSES = 30  # of the zone, who tell of a machine
@@ -30,10 +32,18 @@
     """What counts and judgements ask of a detector: the roster, who is up, chance, and a way to send."""
     names = [f"mate-{number:04}" for number in range(mates)]
     places = {name: SimpleNamespace(name=name, zone=FLEET_ZONE) for name in ("mine", *names)}
-    roster = SimpleNamespace(mine=places["mine"], others=names, places=places)
-    members = {name: SimpleNamespace(state=ALIVE, epoch=1, life=number + 1) for number, name in enumerate(names)}
+    roster = SimpleNamespace(local=places["mine"], peer_names=names, entries=places)
+    members = {
+        name: SimpleNamespace(state=MemberState.ALIVE, epoch=1, incarnation=number + 1)
+        for number, name in enumerate(names)
+    }
     return SimpleNamespace(
-        roster=roster, members=members, chance=RandomSource(1), epoch=1, life=1, send=lambda *told, **more: None
+        roster=roster,
+        members=members,
+        random_source=RandomSource(1),
+        epoch=1,
+        incarnation=1,
+        send=lambda *told, **more: None,
     )
 
 
@@ -42,7 +52,7 @@
     one = outlier_detection.OutlierDetector(stub_detector(WITNESSES), fleet(caches), lambda cache: None)
     one.tick(0.0, 0.0)
     marks = [cache.mark for cache in one.fleet.mine]
-    for name in one.detector.roster.others:
+    for name in one.detector.roster.peer_names:
         for since in range(0, len(marks), verdicts.MAX_VERDICTS):
             told = [
                 verdicts.Verdict(mark, verdicts.Health.UNREACHABLE, 0.0, 0.1)
@@ -67,8 +77,8 @@
         with watch:
             one.tick(now, now)
             for number in range(int(DATAGRAMS_HEARD * evidence.EVALUATION_INTERVAL_S)):
-                one.receive(one.detector.roster.others[number], told, now)
-                one.payload(one.detector.roster.others[number])
+                one.receive(one.detector.roster.peer_names[number], told, now)
+                one.payload(one.detector.roster.peer_names[number])
     return watch.spent / seconds
 
 
@@ -92,7 +102,7 @@
 def counts_cpu(mates: int, caches: int) -> float:
     """CPU seconds a second: beats, and the riders of DATAGRAMS_HEARD datagrams read and written."""
     one, watch, beats = counting(mates, caches), Watch(), 16
-    names = one.detector.roster.others
+    names = one.detector.roster.peer_names
     for beat in range(2, beats + 2):
         now = beat * request_tallies.TALLY_INTERVAL_S
         fresh = tallies(mates, caches, beat)
--- a/bench/scale/lending.py
+++ b/bench/scale/lending.py
@@ -26,7 +26,7 @@
 
 def attach(routers: int) -> Callable[[FailureDetector, float], list[Callable[[float], None]]]:
     def to_router(detector: FailureDetector, now: float) -> list[Callable[[float], None]]:
-        zone = detector.roster.mine.zone
+        zone = detector.roster.local.zone
         return [LendingLimiter(detector, division(routers), slow_start_quota.budget_scopes(zone), now).tick]
 
     return to_router
@@ -37,7 +37,7 @@
 
     def to_peer(detector: FailureDetector, now: float) -> None:
         limiter = LendingLimiter(
-            detector, division(routers), slow_start_quota.budget_scopes(detector.roster.mine.zone), now
+            detector, division(routers), slow_start_quota.budget_scopes(detector.roster.local.zone), now
         )
         limiter.leases.routers, limiter.leases.term, limiter.leases.started_at = routers, lease_term(routers), LONG_AGO
 
--- a/tests/shared/test_outlier_detection.py
+++ b/tests/shared/test_outlier_detection.py
@@ -1,17 +1,16 @@
 """What others say of machines, weighed: witnesses, own eyes first, bounds, the sick, nothing where none speak."""
 
 import random
-from types import SimpleNamespace
 
 import pytest
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
 from tests.support import routing as helpers
-from wickhinge.decide import RandomSource
 from wickhinge.interface import Outcome
 from wickhinge.peers.detector import FailureDetector
-from wickhinge.peers.roster import Place, Roster
+from wickhinge.peers.roster import Roster, RosterEntry
+from wickhinge.routing.random_source import RandomSource
 from wickhinge.shared import verdicts
 from wickhinge.shared.evidence import EVALUATION_INTERVAL_S, VERDICT_MAX_AGE_S
 from wickhinge.shared.outlier_detection import MAX_PUSHES_PER_S, OutlierDetector
@@ -24,7 +23,7 @@
 
     def __init__(self, group, place, boxes):
         self.group, self.name = group, f"n{place}"
-        places = [Place(f"n{one}", ("127.0.0.1", one + 1), "here" if one < 9 else "far") for one in range(10)]
+        places = [RosterEntry(f"n{one}", ("127.0.0.1", one + 1), "here" if one < 9 else "far") for one in range(10)]
         self.detector = FailureDetector(Roster(places, self.name), RandomSource(place), 0.0, lambda item: None)
         self.sends, self.looks = [], []
         self.detector.send = lambda name, kind, serial, now: self.sends.append((now, name))
@@ -89,7 +88,7 @@
     group.turn(1.0)
     third = group.routers[2]
     assert third.outliers.peer_verdicts.by_server
-    third.detector.reload(Roster([Place("n2", ("127.0.0.1", 1), "here")], "n2"), group.now)
+    third.detector.reload(Roster([RosterEntry("n2", ("127.0.0.1", 1), "here")], "n2"), group.now)
     third.outliers.reload()
     assert not any(third.outliers.peer_verdicts.by_server.values())
     group.deaf = {(one.name, other.name) for one in group.routers for other in group.routers}
@@ -285,7 +284,7 @@
     ],
 )
 def test_payload_when_malformed_is_refused(data):
-    with pytest.raises(verdicts.Unreadable):
+    with pytest.raises(verdicts.DatagramError):
         verdicts.decode(data)
     router = Group(1).routers[0]
     router.outliers.receive("n1", data, 100.0)
@@ -305,10 +304,14 @@
         def receive(self, name, data, now):
             heard.append((self.name, data))
 
-    one, other = SimpleNamespace(), SimpleNamespace()
+    class Detector:
+        def attach_piggyback(self, piggyback_for, on_piggyback):
+            self.payload, self.receive = piggyback_for, on_piggyback
+
+    one, other = Detector(), Detector()
     Piggyback(one, [Part("a"), None])
     there = Piggyback(other, [Part("a"), Part("b")])
-    other.ridden("n1", one.rider("n2"), 0.0)
-    one.ridden("n2", other.rider("n1"), 0.0)
-    other.ridden("n1", b"\xc1", 0.0)
+    other.receive("n1", one.payload("n2"), 0.0)
+    one.receive("n2", other.payload("n1"), 0.0)
+    other.receive("n1", b"\xc1", 0.0)
     assert heard == [("a", b"a"), ("a", b"a")] and there.unreadable == 1
--- a/tests/shared/test_quota_lending.py
+++ b/tests/shared/test_quota_lending.py
@@ -7,11 +7,13 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from wickhinge.decide import RandomSource
 from wickhinge.lab.many import judges, play, schedule, trial
 from wickhinge.lab.many.schedule import Fault, Schedule
 from wickhinge.peers.detector import FailureDetector
-from wickhinge.peers.roster import Place, Roster
+from wickhinge.peers.identity import NameAnswer
+from wickhinge.peers.messages import MemberState
+from wickhinge.peers.roster import Roster, RosterEntry
+from wickhinge.routing.random_source import RandomSource
 from wickhinge.shared import lending_payload
 from wickhinge.shared.lending_payload import LendingMessage
 from wickhinge.shared.name_lease import MAX_CLOCK_DRIFT, NameLeases, lease_term
@@ -172,9 +174,9 @@
 )
 def test_payload_when_malformed_is_refused(place, value):
     assert lending_payload.decode(lending_payload.encoder.encode(GOOD)) == LendingMessage(*GOOD)
-    with pytest.raises(lending_payload.Unreadable):
+    with pytest.raises(lending_payload.DatagramError):
         lending_payload.decode(lending_payload.encoder.encode((*GOOD[:place], value, *GOOD[place + 1 :])))
-    with pytest.raises(lending_payload.Unreadable):
+    with pytest.raises(lending_payload.DatagramError):
         lending_payload.decode(lending_payload.encoder.encode(GOOD)[:-1])
 
 
@@ -231,16 +233,16 @@
 
 def test_identity_when_an_asked_name_left_asks_it_no_more():
     detector = FailureDetector(
-        Roster([Place(f"n{one}", ("127.0.0.1", one + 1), "") for one in range(3)], "n0"),
+        Roster([RosterEntry(f"n{one}", ("127.0.0.1", one + 1), "") for one in range(3)], "n0"),
         RandomSource(1),
         0.0,
         lambda item: None,
     )
-    detector.identity.told["n1"] = detector.identity.told["n2"] = (1, 5, 1, 0.0)
-    detector.reload(Roster([Place(f"n{one}", ("127.0.0.1", one + 1), "") for one in (0, 2)], "n0"), 0.1)
+    detector.identity.answers["n1"] = detector.identity.answers["n2"] = NameAnswer(1, 5, MemberState.ALIVE, 0.0)
+    detector.reload(Roster([RosterEntry(f"n{one}", ("127.0.0.1", one + 1), "") for one in (0, 2)], "n0"), 0.1)
     for turn in range(60):
         detector.tick(0.2 + turn * 0.1)
-    assert set(detector.identity.told) <= {"n2"}
+    assert set(detector.identity.answers) <= {"n2"}
 
 
 def used(routers, wants, plants=()):
--- a/wickhinge/common/__init__.py
+++ b/wickhinge/common/__init__.py
@@ -1,1 +1,1 @@
-"""Building blocks that every other package may use; this package imports none of them."""
+"""Small parts that several packages need and that need no package of ours themselves."""
--- a/wickhinge/shared/budgets.py
+++ b/wickhinge/shared/budgets.py
@@ -25,7 +25,7 @@
         """The numbers of one zone's routers: names that the roster does not hold yet may all come to be there."""
         if not zone:
             return self
-        names = sum(place.zone == zone for place in roster.places.values()) + self.names - len(roster)
+        names = sum(place.zone == zone for place in roster.entries.values()) + self.names - len(roster)
         return Division(names, names + self.processes - self.names)
 
 
--- a/wickhinge/shared/lending_payload.py
+++ b/wickhinge/shared/lending_payload.py
@@ -14,7 +14,7 @@
 
 import msgspec
 
-from wickhinge.peers.wire import Unreadable, decoded
+from wickhinge.common.sealing import DatagramError, decode_body
 
 MAX_ITEMS = 8  # of each kind in a datagram
 MAX_BUDGETS = 8
@@ -68,19 +68,19 @@
     """The message in these bytes.
 
     Raises:
-        Unreadable: They are none, or have numbers that no router sends.
+        DatagramError: They are none, or have numbers that no router sends.
     """
-    message: LendingMessage = decoded(decoder, data)
+    message: LendingMessage = decode_body(decoder, data)
     loans = [*message.requests, *message.grants]
     item_counts = (len(message.requests), len(message.grants), len(message.returns))
     if len(message.levels) > MAX_BUDGETS or max(item_counts) > MAX_ITEMS:
-        raise Unreadable(f"expected at most {MAX_BUDGETS} budgets and {MAX_ITEMS} loans of a kind")
+        raise DatagramError(f"expected at most {MAX_BUDGETS} budgets and {MAX_ITEMS} loans of a kind")
     parts = [part for level in message.levels for part in level] + [loan.amount for loan in loans]
     if not all(isfinite(part) and 0.0 <= part <= 1.0 for part in parts):
-        raise Unreadable("expected parts of a budget from 0 to 1")
+        raise DatagramError("expected parts of a budget from 0 to 1")
     budgets = [loan.budget for loan in loans] + [loan.budget for loan in message.returns]
     if not all(0 <= budget < MAX_BUDGETS for budget in budgets):
-        raise Unreadable(f"expected budgets from 0 to {MAX_BUDGETS - 1}")
+        raise DatagramError(f"expected budgets from 0 to {MAX_BUDGETS - 1}")
     if not (isfinite(message.clock) and isfinite(message.echoed_clock)):
-        raise Unreadable("expected finite times")
+        raise DatagramError("expected finite times")
     return message
--- a/wickhinge/shared/lending_peers.py
+++ b/wickhinge/shared/lending_peers.py
@@ -7,7 +7,7 @@
 from typing import Any, NamedTuple
 
 from wickhinge.peers.detector import FailureDetector
-from wickhinge.peers.messages import HELLO
+from wickhinge.peers.messages import MessageKind
 from wickhinge.shared.budgets import Division
 from wickhinge.shared.lending_payload import Level, LoanAmount, LoanReturn
 
@@ -66,7 +66,7 @@
 
     def spends(self, name: str, zone: str) -> bool:
         """Whether that peer spends the budgets of a zone ("" for all) too."""
-        place = self._detector.roster.places.get(name)
+        place = self._detector.roster.entries.get(name)
         return place is not None and zone in ("", place.zone)
 
     def divides_alike(self, name: str, division: tuple[int, int]) -> bool:
@@ -121,19 +121,19 @@
         """Ask for a loan."""
         if name in self._detector.members:
             self._outbox(name).requests.append(request)
-            self._detector.send(name, HELLO, 0, now)
+            self._detector.send(name, MessageKind.HELLO, 0, now)
 
     def send_grant(self, name: str, grant: LoanAmount, now: float) -> None:
         """Grant a loan."""
         if name in self._detector.members:
             self._outbox(name).grants.append(grant)
-            self._detector.send(name, HELLO, 0, now)
+            self._detector.send(name, MessageKind.HELLO, 0, now)
 
     def send_return(self, name: str, returned: LoanReturn, now: float) -> None:
         """Give a loan back."""
         if name in self._detector.members:
             self._outbox(name).returns.append(returned)
-            self._detector.send(name, HELLO, 0, now)
+            self._detector.send(name, MessageKind.HELLO, 0, now)
 
     def _outbox(self, name: str) -> Outbox:
         return self._outboxes.setdefault(name, Outbox())
--- a/wickhinge/shared/name_lease.py
+++ b/wickhinge/shared/name_lease.py
@@ -13,11 +13,11 @@
 
 from __future__ import annotations
 
-from wickhinge.peers.health import PERIOD
+from wickhinge.peers.health import PROBE_PERIOD_S
 
 MAX_CLOCK_DRIFT = 0.06  # by which two routers' clocks differ in their rate, either way
 MIN_TERM_S = 4.0
-PERIODS_PER_ROUTER = 0.5  # that it takes to hear a majority, by one health check a PERIOD
+PERIODS_PER_ROUTER = 0.5  # that it takes to hear a majority, by one health check a PROBE_PERIOD_S
 
 
 def lease_term(routers: int) -> float:
@@ -26,7 +26,7 @@
     Work a second is the same at any size, so a larger fleet takes longer to hear a majority: half as many periods as
     there are routers. The term is twice that, and time for a loan.
     """
-    return float(MIN_TERM_S + 2 * PERIODS_PER_ROUTER * routers * PERIOD)
+    return float(MIN_TERM_S + 2 * PERIODS_PER_ROUTER * routers * PROBE_PERIOD_S)
 
 
 class NameLeases:
--- a/wickhinge/shared/outlier_detection.py
+++ b/wickhinge/shared/outlier_detection.py
@@ -24,11 +24,11 @@
 from collections.abc import Callable
 from typing import Any
 
+from wickhinge.common.random_source import shuffle
+from wickhinge.common.sealing import DatagramError
 from wickhinge.common.token_bucket import TokenBucket
-from wickhinge.peers.chance import shuffle
 from wickhinge.peers.detector import FailureDetector
-from wickhinge.peers.messages import HELLO
-from wickhinge.peers.wire import Unreadable
+from wickhinge.peers.messages import MessageKind
 from wickhinge.shared import verdicts
 from wickhinge.shared.evidence import (
     EVALUATION_INTERVAL_S,
@@ -122,7 +122,7 @@
 
     def reload(self) -> None:
         """Take the detector's other roster: who left is no witness."""
-        self.peer_verdicts.keep_witnesses(self.detector.roster.places)
+        self.peer_verdicts.keep_witnesses(self.detector.roster.entries)
 
     # Datagrams.
 
@@ -144,7 +144,7 @@
         if len(own_verdicts) > verdicts.MAX_VERDICTS:  # by chance: a storm is told over some datagrams
             count = len(own_verdicts)
             own_verdicts = [
-                own_verdicts[int(self.detector.chance.draw() * count)] for _ in range(verdicts.MAX_VERDICTS)
+                own_verdicts[int(self.detector.random_source.draw() * count)] for _ in range(verdicts.MAX_VERDICTS)
             ]
         return verdicts.encode(own_verdicts)
 
@@ -152,7 +152,7 @@
         """Take in a peer's verdicts on our servers."""
         try:
             received = verdicts.decode(data)
-        except Unreadable:
+        except DatagramError:
             self.unreadable += 1
             return
         for verdict in received:
@@ -195,10 +195,10 @@
     def _push(self, server: Any, now: float) -> None:
         """Tell those whom it concerns at once, in random order, as far as the rate allows."""
         concerned = [name for name in self.detector.members if self._concerns(name, server)]
-        for name in shuffle(self.detector.chance, concerned):
+        for name in shuffle(self.detector.random_source, concerned):
             if not self._pushes.take(1, now):
                 return
-            self.detector.send(name, HELLO, 0, now)
+            self.detector.send(name, MessageKind.HELLO, 0, now)
 
     def _is_tellable(self, own: Evidence, to: str, now: float) -> bool:
         mark = own.server.mark
@@ -208,8 +208,8 @@
 
     def _concerns(self, name: str, server: Any) -> bool:
         """Whether that router may send requests to the server."""
-        place = self.detector.roster.places.get(name)
-        return place is not None and (not self._is_cache(server) or place.zone == self.detector.roster.mine.zone)
+        place = self.detector.roster.entries.get(name)
+        return place is not None and (not self._is_cache(server) or place.zone == self.detector.roster.local.zone)
 
     def _is_cache(self, server: Any) -> bool:
         """Whether it is a cache of our location, and no parent."""
@@ -288,7 +288,7 @@
             return False
         server.strikes = max(server.strikes, 1.0)
         server.shunned = max(server.shunned, policy_now + REST_S)
-        if self.detector.chance.draw() * self.fleet.routers < HEALTH_CHECKERS:
+        if self.detector.random_source.draw() * self.fleet.routers < HEALTH_CHECKERS:
             self._check_health(server)
         return True
 
--- a/wickhinge/shared/piggyback.py
+++ b/wickhinge/shared/piggyback.py
@@ -28,11 +28,6 @@
         """Take in what that peer told; called for each datagram that came with a payload."""
 
 
-def attach(detector: FailureDetector, part: PiggybackPart) -> None:
-    """Let a part's payloads go with the detector's datagrams, in place of any other's."""
-    detector.rider, detector.ridden = part.payload, part.receive
-
-
 class Piggyback:
     """Joins the payloads of several parts.
 
@@ -44,7 +39,7 @@
         """Attach to the detector; a part that is off here is None."""
         self.unreadable = 0
         self._parts = parts
-        attach(detector, self)
+        detector.attach_piggyback(self.payload, self.receive)
 
     def payload(self, to: str) -> bytes:
         """The payloads of all parts."""
--- a/wickhinge/shared/quota_lending.py
+++ b/wickhinge/shared/quota_lending.py
@@ -22,10 +22,10 @@
 from collections.abc import Callable
 from typing import Any
 
+from wickhinge.common.sealing import DatagramError
 from wickhinge.peers.detector import FailureDetector
-from wickhinge.peers.messages import HELLO
-from wickhinge.peers.wire import Unreadable
-from wickhinge.shared import lending_payload, piggyback
+from wickhinge.peers.messages import MessageKind
+from wickhinge.shared import lending_payload
 from wickhinge.shared.budgets import Budget, BudgetScope, Division
 from wickhinge.shared.lending_payload import LendingMessage, Level, LoanAmount, LoanReturn
 from wickhinge.shared.lending_peers import Echo, LendingPeers
@@ -86,10 +86,10 @@
         self.lease_until = 0.0
         self._detector = detector
         self._log = log
-        self._incarnation = detector.life
+        self._incarnation = detector.incarnation
         self._ticked_at = self._balanced_at = now
         self._peers = LendingPeers(detector, division, log)
-        piggyback.attach(detector, self)
+        detector.attach_piggyback(self.payload, self.receive)
 
     # Spending.
 
@@ -123,8 +123,8 @@
             self._forget_agreements()
             self._log("clock_went_back", seconds=round(-elapsed, 3))
         self.lagging_clock += min(max(elapsed, 0.0), MAX_STEP_S)
-        if self._detector.life != self._incarnation:
-            self._incarnation = self._detector.life
+        if self._detector.incarnation != self._incarnation:
+            self._incarnation = self._detector.incarnation
             self._forget_agreements()
         self.lease_until = self.leases.held_until(now) - MAX_STEP_S if self._detector.epoch else 0.0
         decay = 0.5 ** (max(elapsed, 0.0) / DEMAND_HALF_LIFE_S)
@@ -167,7 +167,7 @@
 
     def reload(self, now: float) -> None:
         """Take the detector's other roster."""
-        names = set(self._detector.roster.places)
+        names = set(self._detector.roster.entries)
         self.leases.resize(len(names), names, self.lagging_clock)
         self._peers.keep(names)
         for budget in self.budgets:
@@ -196,7 +196,7 @@
         """Take in what a peer's datagram carried."""
         try:
             message = lending_payload.decode(data)
-        except Unreadable:
+        except DatagramError:
             return
         if not self._peers.divides_alike(name, message.division):
             return
@@ -247,7 +247,7 @@
         """Ask those who can spare most, by chance."""
         surpluses = sorted(
             (
-                (level.surplus * (0.5 + self._detector.chance.draw()), name)
+                (level.surplus * (0.5 + self._detector.random_source.draw()), name)
                 for name, level in self._peers.known_levels(number, budget.zone, now)
                 if level.surplus > MIN_TRANSFER
             ),
@@ -273,7 +273,7 @@
         if shortage > MIN_TRANSFER and name in self._detector.members:
             level = self._peers.level(name, number)
             self._peers.set_level(name, number, level._replace(shortage=0.0))  # until it says so again
-            self._detector.send(name, HELLO, 0, now)
+            self._detector.send(name, MessageKind.HELLO, 0, now)
 
     def _answer_request(self, key: BorrowerKey, request: LoanAmount, now: float) -> None:
         budget = self.budgets[request.budget]
@@ -291,16 +291,16 @@
     # Messages.
 
     def _exchange_leases(self, name: str, message: LendingMessage, now: float) -> None:
-        has_our_roster = self._detector.others_rosters.get(name) == self._detector.roster.version
+        has_our_roster = self._detector.roster_versions.get(name) == self._detector.roster.version
         if message.clock and has_our_roster:
-            incarnation = self._detector.lines[name].life
+            incarnation = self._detector.sessions[name].incarnation
             granted = self.leases.grant(name, incarnation, self.lagging_clock)
             self._peers.record_echo(name, Echo(message.clock, granted))
         if message.echoed_clock and message.lease_granted and message.echoed_clock <= now:
             self.leases.receive(name, message.echoed_clock, now)
 
     def _exchange_loans(self, name: str, message: LendingMessage, now: float) -> None:
-        incarnation = self._detector.lines[name].life
+        incarnation = self._detector.sessions[name].incarnation
         known = len(self.budgets)
         for request in message.requests:
             if request.budget < known:
--- a/wickhinge/shared/request_tallies.py
+++ b/wickhinge/shared/request_tallies.py
@@ -21,9 +21,9 @@
 import msgspec
 from xxhash import xxh32_intdigest
 
+from wickhinge.common.sealing import DatagramError, decode_body
 from wickhinge.peers.detector import FailureDetector
-from wickhinge.peers.messages import ALIVE, HELLO, SUSPECT
-from wickhinge.peers.wire import Unreadable, decoded
+from wickhinge.peers.messages import MemberState, MessageKind
 
 TALLY_INTERVAL_S = 0.25  # from one tally of our own to the next, each told to one peer of the zone
 MAX_AGE_S = 3.0
@@ -56,18 +56,18 @@
     """The tallies in these bytes.
 
     Raises:
-        Unreadable: They are none, or have numbers that no router sends.
+        DatagramError: They are none, or have numbers that no router sends.
     """
-    tallies: list[Tally] = decoded(decoder, data)
+    tallies: list[Tally] = decode_body(decoder, data)
     if len(tallies) > MAX_RELAYED + 1:
-        raise Unreadable(f"expected at most {MAX_RELAYED + 1} tallies")
+        raise DatagramError(f"expected at most {MAX_RELAYED + 1} tallies")
     for tally in tallies:
         if len(tally.in_flight) > MAX_SERVERS or not all(0 <= count <= MAX_REQUESTS for count in tally.in_flight):
-            raise Unreadable(f"expected at most {MAX_SERVERS} counts from 0 to {MAX_REQUESTS}")
+            raise DatagramError(f"expected at most {MAX_SERVERS} counts from 0 to {MAX_REQUESTS}")
         if not (isfinite(tally.age) and tally.age >= 0.0):
-            raise Unreadable("expected an age of 0 or more")
+            raise DatagramError("expected an age of 0 or more")
         if not (tally.number > 0 and tally.epoch > 0 and tally.incarnation > 0):
-            raise Unreadable("expected a number, an epoch and an incarnation above 0")
+            raise DatagramError("expected a number, an epoch and an incarnation above 0")
     return tallies
 
 
@@ -111,7 +111,7 @@
     def zone_peers(self) -> list[str]:
         """The names of the zone's other routers."""
         roster = self.detector.roster
-        return [name for name in roster.others if roster.places[name].zone == roster.mine.zone]
+        return [name for name in roster.peer_names if roster.entries[name].zone == roster.local.zone]
 
     def tick(self, now: float) -> None:
         """Count and tell where that is due; called some times a second."""
@@ -129,7 +129,7 @@
     def merge(self, tally: Tally, counted_at: float, *, from_itself: bool) -> bool:
         """Take in a tally; False where it is not the latest of its name. from_itself: told by that very name."""
         entry = self.detector.members.get(tally.name)
-        if entry is None or (tally.epoch, tally.incarnation) != (entry.epoch, entry.life):
+        if entry is None or (tally.epoch, tally.incarnation) != (entry.epoch, entry.incarnation):
             return False
         known = self.known.get(tally.name)
         if known is not None and (known.tally.epoch, known.tally.incarnation) == (tally.epoch, tally.incarnation):
@@ -149,14 +149,14 @@
     def payload(self, to: str) -> bytes:
         """Our own tally, and others' that were passed on least; empty for routers of other zones."""
         roster = self.detector.roster
-        place = roster.places.get(to)
-        if place is None or place.zone != roster.mine.zone or not self._number:
+        place = roster.entries.get(to)
+        if place is None or place.zone != roster.local.zone or not self._number:
             return b""
         now = self._counted_at
         own = Tally(
-            roster.mine.name,
+            roster.local.name,
             self.detector.epoch,
-            self.detector.life,
+            self.detector.incarnation,
             self._number,
             0.0,
             self.list_hash,
@@ -179,7 +179,7 @@
         """Take in a peer's payload."""
         try:
             tallies = decode(data)
-        except Unreadable:
+        except DatagramError:
             self.unreadable += 1
             return
         peers = set(self.zone_peers())
@@ -218,6 +218,6 @@
 
     def _tell_one(self, peers: list[str], now: float) -> None:
         """Send a datagram to a random peer that is up: it carries our payload."""
-        up = [name for name in peers if self.detector.members[name].state in (ALIVE, SUSPECT)]
+        up = [name for name in peers if self.detector.members[name].state in (MemberState.ALIVE, MemberState.SUSPECT)]
         if up and self.detector.epoch:
-            self.detector.send(up[int(self.detector.chance.draw() * len(up))], HELLO, 0, now)
+            self.detector.send(up[int(self.detector.random_source.draw() * len(up))], MessageKind.HELLO, 0, now)
--- a/wickhinge/shared/verdicts.py
+++ b/wickhinge/shared/verdicts.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from wickhinge.peers.wire import Unreadable, decoded
+from wickhinge.common.sealing import DatagramError, decode_body
 
 MAX_VERDICTS = 14  # in a datagram
 MAX_SECONDS = 1e4
@@ -50,15 +50,15 @@
     """The verdicts in these bytes.
 
     Raises:
-        Unreadable: They are none, or have numbers that no router sends.
+        DatagramError: They are none, or have numbers that no router sends.
     """
-    verdicts: list[Verdict] = decoded(decoder, data)
+    verdicts: list[Verdict] = decode_body(decoder, data)
     if len(verdicts) > MAX_VERDICTS:
-        raise Unreadable(f"expected at most {MAX_VERDICTS} verdicts")
+        raise DatagramError(f"expected at most {MAX_VERDICTS} verdicts")
     for verdict in verdicts:
         seconds = (verdict.amount, verdict.age)
         if not 0 <= verdict.server < 1 << 32:
-            raise Unreadable("expected a server's id of 32 bits")
+            raise DatagramError("expected a server's id of 32 bits")
         if not all(isfinite(number) and 0.0 <= number <= MAX_SECONDS for number in seconds):
-            raise Unreadable(f"expected an amount and an age from 0 to {MAX_SECONDS:g}")
+            raise DatagramError(f"expected an amount and an age from 0 to {MAX_SECONDS:g}")
     return verdicts
