--- a/tests/store/test_store_faults.py
+++ b/tests/store/test_store_faults.py
@@ -10,8 +10,10 @@
 
 from tests.support.faulty_disk import Crash, Disk
 from tests.support.store_world import SEGMENT, World
-from wickhinge.store import format
-from wickhinge.store.volume import Unusable, Volume
+from wickhinge.store import file_format
+from wickhinge.store.errors import UnusableDirectoryError
+from wickhinge.store.purge_log import PurgeLog
+from wickhinge.store.volume import Volume
 
 
 def workload(world):
@@ -30,7 +32,7 @@
             world.noted()
         if turn % 12 == 11:
             world.store.snapshot(world.clock)
-        world.store.turn()
+        world.store.maintain()
     world.lanes.go()
     world.noted()
 
@@ -38,7 +40,7 @@
 def calls():
     world = World()
     workload(world)
-    assert world.store.counted["recycled"] and world.store.counted["moved"] and world.check(world.stamps) > 5
+    assert world.store.tier.counters.recycled and world.store.tier.counters.moved and world.check(world.stamps) > 5
     return world.disk.calls
 
 
@@ -47,14 +49,14 @@
 
 @pytest.mark.parametrize("how", ["crash", "tear", errno.ENOSPC, errno.EIO])
 @pytest.mark.parametrize("lost", [False, True])
-def test_whatever_call_fails_or_is_the_last_no_wrong_byte_and_no_purged_copy_is_served(how, lost):
+def test_store_when_any_file_call_fails_or_is_the_last_serves_no_wrong_or_purged_copy(how, lost):
     served = 0
     for call in range(1, CALLS + 1):
         world = World(Disk((call, how)))
         try:
             workload(world)
             world.check(world.stamps)
-        except (Crash, Unusable):
+        except (Crash, UnusableDirectoryError):
             pass
         world.restart(call, lost)
         served += world.check(world.acknowledged)
@@ -62,11 +64,11 @@
 
 
 @pytest.mark.parametrize("planted", ["checksums", "purges"])
-def test_the_sweep_finds_a_planted_fault(monkeypatch, planted):
+def test_check_when_a_fault_is_planted_fails(monkeypatch, planted):
     if planted == "checksums":
-        monkeypatch.setattr(format, "intact", lambda head, body, seed: True)
+        monkeypatch.setattr("wickhinge.store.volume.body_is_intact", lambda header, body, seed: True)
     else:
-        monkeypatch.setattr(Volume, "purge", lambda self, purges: None)
+        monkeypatch.setattr(PurgeLog, "append", lambda self, purges: None)
     with pytest.raises(AssertionError):
         for call in range(1, CALLS + 1):
             world = World(Disk((call, "crash")))
@@ -78,33 +80,41 @@
             world.check(world.acknowledged)
 
 
-def test_what_was_written_before_a_kill_is_there_after_it():
+def test_recovery_when_killed_finds_all_that_was_written():
     world = World()
     workload(world)
     held = {
-        (copy.key, copy.part, copy.made)
-        for parts in world.store.keep.objects.values()
+        (copy.key, copy.part, copy.created)
+        for parts in world.store.tier.admission.objects.values()
         for copy in parts.values()
         if copy.place
     }
     world.restart(1, lost=False)
-    found = {(copy.key, copy.part, copy.made) for parts in world.store.keep.objects.values() for copy in parts.values()}
+    found = {
+        (copy.key, copy.part, copy.created)
+        for parts in world.store.tier.admission.objects.values()
+        for copy in parts.values()
+    }
     assert held <= found and world.check(world.stamps) >= len(held)
 
 
-def test_what_a_snapshot_names_is_there_after_the_power_went():
+def test_recovery_when_power_was_cut_finds_all_that_a_snapshot_names():
     world = World()
     workload(world)
     world.store.snapshot(world.clock)
     world.lanes.go()
-    held = {(copy.key, copy.part): copy.made for parts in world.store.keep.objects.values() for copy in parts.values()}
+    held = {
+        (copy.key, copy.part): copy.created
+        for parts in world.store.tier.admission.objects.values()
+        for copy in parts.values()
+    }
     world.restart(3, lost=True)
-    assert {name: world.store.find(*name, 0.0).made for name in held} == held
+    assert {name: world.store.find(*name, 0.0).created for name in held} == held
 
 
 @pytest.mark.parametrize("kind", ["segment", "index", "purges-a", "purges-b", "store.wh"])
 @pytest.mark.parametrize("damage", ["flip", "sector", "cut", "gone"])
-def test_damage_anywhere_in_one_file_costs_copies_at_worst(kind, damage):
+def test_recovery_when_one_file_is_damaged_serves_no_wrong_or_purged_copy(kind, damage):
     made = World()
     workload(made)
     made.store.snapshot(made.clock)
@@ -134,20 +144,20 @@
 
 
 @pytest.mark.parametrize("halves", [("purges-a.wh",), ("purges-a.wh", "purges-b.wh")])
-def test_a_purge_log_that_may_lack_a_line_costs_all_copies_and_only_then(halves):
+def test_recovery_when_the_purge_log_may_lack_a_line_discards_all_copies(halves):
     world = World()
     workload(world)
     for name in halves:
         data = world.disk.nodes[f"d/{name}"].data
-        data[format.LINE_SIZE * 2 + 20] ^= 1
+        data[file_format.PURGE_LINE_BYTES * 2 + 20] ^= 1
     world.restart(0, lost=False)
-    assert bool(world.store.keep.count) == (len(halves) == 1)
-    assert ("store_distrusted" in dict(world.log)) == (len(halves) == 2)
+    assert bool(world.store.tier.admission.count) == (len(halves) == 1)
+    assert ("store_copies_discarded" in dict(world.log)) == (len(halves) == 2)
     world.restart(0, lost=False)  # what was not believed is gone for good, not believed the next time
-    assert bool(world.store.keep.count) == (len(halves) == 1)
+    assert bool(world.store.tier.admission.count) == (len(halves) == 1)
 
 
-def test_a_purge_told_and_then_nothing_but_a_kill():
+def test_purge_when_power_is_cut_right_after_it_is_still_in_force():
     for seed in range(30):
         world = World()
         world.start()
@@ -160,22 +170,22 @@
         assert world.store.find(1, 0, world.clock) is None
 
 
-def test_a_newer_format_a_second_router_and_a_disk_that_can_only_be_read(tmp_path):
+def test_open_when_newer_in_use_or_read_only_raises_unusable_directory(tmp_path):
     world = World()
     world.start()
-    with pytest.raises(Unusable, match="in use"):
+    with pytest.raises(UnusableDirectoryError, match="in use"):
         Volume(world.disk, "d", SEGMENT).open()
-    data = format.IDENTITY.pack(format.IDENTITY_MAGIC, format.VERSION + 1, bytes(16))
+    data = file_format.IDENTITY.pack(file_format.IDENTITY_MAGIC, file_format.FORMAT_VERSION + 1, bytes(16))
     newer = Disk()
     newer.open("d/store.wh", create=True)
-    newer.nodes["d/store.wh"].data[:] = data + format.SUM.pack(format.xxh3_64_intdigest(data))
+    newer.nodes["d/store.wh"].data[:] = data + file_format.CHECKSUM.pack(file_format.xxh3_64_intdigest(data))
     newer.open("d/segment-0000000001.wh", create=True)
-    with pytest.raises(Unusable, match="format 2"):
+    with pytest.raises(UnusableDirectoryError, match="format 2"):
         Volume(newer, "d", SEGMENT).open()
     assert "d/segment-0000000001.wh" in newer.nodes
     readable = Disk()
     readable.stuck = errno.EROFS
-    with pytest.raises(Unusable, match="can't be used"):
+    with pytest.raises(UnusableDirectoryError, match="can't be used"):
         Volume(readable, "d", SEGMENT).open()
 
 
@@ -188,7 +198,7 @@
         self.world.start()
         self.number = 0
 
-    @rule(key=st.integers(0, 6), part=st.integers(0, 3), size=st.integers(1, 3 * format.CHUNK // 16))
+    @rule(key=st.integers(0, 6), part=st.integers(0, 3), size=st.integers(1, 3 * file_format.CHUNK_BYTES // 16))
     def offer(self, key, part, size):
         self.world.offer(key, part, size, key % 2)
 
@@ -209,7 +219,7 @@
 
     @rule()
     def turn(self):
-        self.world.store.turn()
+        self.world.store.maintain()
 
     @rule()
     def snapshot(self):
@@ -218,8 +228,8 @@
     @rule(key=st.integers(0, 6), part=st.integers(0, 3))
     def renew(self, key, part):
         copy = self.world.store.find(key, part, self.world.clock)
-        if copy is not None and not copy.proven:
-            self.world.store.renewed(copy, copy.made)
+        if copy is not None and not copy.age_verified:
+            self.world.store.revalidate(copy, copy.created)
 
     @rule(seed=st.integers(0, 99), lost=st.booleans())
     def die(self, seed, lost):
@@ -232,12 +242,16 @@
         if hasattr(self, "world"):
             self.world.check(self.world.stamps)
             store = self.world.store
-            assert store.keep.used <= store.keep.room and store.memory.used <= max(store.memory.room, 0)
-            assert store.keep.used == sum(c.size for p in store.keep.objects.values() for c in p.values())
-            assert set(store.bodies) == {c for p in store.memory.objects.values() for c in p.values()}
-            assert set(store.keep.ks) == set(store.keep.objects)
-            for one in store.space.segments.values():
-                assert 0 <= one.live <= one.size and one.pins >= 0
+            assert store.tier.admission.used <= store.tier.admission.capacity and store.tier.memory.used <= max(
+                store.tier.memory.capacity, 0
+            )
+            assert store.tier.admission.used == sum(
+                c.size for p in store.tier.admission.objects.values() for c in p.values()
+            )
+            assert set(store.tier.bodies) == {c for p in store.tier.memory.objects.values() for c in p.values()}
+            assert set(store.tier.admission.frequencies) == set(store.tier.admission.objects)
+            for one in store.tier.space.segments.values():
+                assert 0 <= one.live_bytes <= one.size and one.pins >= 0
 
 
 Machine.TestCase.settings = bounds(
--- a/wickhinge/net/control/membership.py
+++ b/wickhinge/net/control/membership.py
@@ -25,7 +25,7 @@
 from wickhinge.options import keys
 from wickhinge.routing.random_source import RandomSource
 from wickhinge.store.files import Files
-from wickhinge.store.workers import Workers
+from wickhinge.store.workers import Lane, Workers
 
 TURN = 0.1
 FAILED = (Outcome.CONNECT_FAILED, Outcome.TIMED_OUT)
@@ -183,7 +183,7 @@
         if stored is None:
             return
         self.is_writing, self.written_at = True, now
-        self.workers.run("write", lambda: self.list_file.write(stored), self.written)
+        self.workers.run(Lane.WRITE, lambda: self.list_file.write(stored), self.written)
 
     def written(self, _: Any, problem: BaseException | None) -> None:
         self.is_writing = False
--- a/wickhinge/net/control/router_process.py
+++ b/wickhinge/net/control/router_process.py
@@ -315,7 +315,7 @@
             self.members.restore(self.endpoint_watch, options)
         self._purges_resumed = False  # all purges since the number of the store's purge log are told again
         if self.copies is not None and options.journal.continues:
-            number = self.copies.store.purged.number
+            number = self.copies.store.last_event_number
             self.endpoint_watch.resume_purges(number)
             self._purges_resumed = 0 < self.endpoint_watch.last_number <= number
 
--- a/wickhinge/net/upstream/local_copies.py
+++ b/wickhinge/net/upstream/local_copies.py
@@ -10,11 +10,14 @@
 from wickhinge.net.runtime.buffers import Body, BufferPool
 from wickhinge.net.runtime.deadlines import Deadlines
 from wickhinge.net.runtime.slots import Slots
-from wickhinge.store.link import Link
-from wickhinge.store.store import Store
-from wickhinge.store.store import make as make_store
+from wickhinge.store.bandwidth import LinkBandwidth
+from wickhinge.store.store import Store, start_store
+from wickhinge.store.tier import Runtime
+from wickhinge.store.workers import Workers
+from wickhinge.store.writing import CopyOffer
 
 TOLD = 0.05  # of a copy's bytes: what telling a client that its own is the one costs
+MAX_READ_THREADS = 8
 
 
 class LocalCopies:
@@ -25,7 +28,7 @@
         store: Store,
         deadlines: Deadlines,
         pool: BufferPool,
-        link: Link,
+        link: LinkBandwidth,
         within: float,
         fault: Callable[[str], None],
         others: OthersTime,
@@ -50,16 +53,16 @@
         return limit is None or self.age(copy, now) <= limit
 
     def age(self, copy: Any, now: float) -> float:
-        return now - self.others.earliest(copy.made, now)
+        return now - self.others.earliest(copy.created, now)
 
     def transfer_end(self, copy: Any, now: float) -> float:
-        return self.link.ends(copy.size, now)
+        return self.link.transfer_end(copy.size, now)
 
     # Answers out of copies.
 
     def read(self, door: Any, copy: Any) -> None:
         number = self.slots.put((door, copy))
-        if door.cached and door.cached.encode() == copy.tag:
+        if door.cached and door.cached.encode() == copy.etag:
             self.deadlines.soon(self.ended, number, True, "told")
             return
         self.deadlines.after(self.within, self.ended, number, None, "late")
@@ -80,7 +83,7 @@
         try:
             if door.visit.copy_read(copy, data is not None, now):
                 self.served[how] += 1
-                self.link.send(int(copy.size * TOLD) if data is True else copy.size, now)
+                self.link.record_transfer(int(copy.size * TOLD) if data is True else copy.size, now)
                 door.serve(None if data is True else Body(self.pool, data), data is True)
         except Exception:
             self.fault("copies")
@@ -101,14 +104,15 @@
             return
         tag = told.get("etag", "").encode()
         key, part, now = visit.item.key, visit.part, self.deadlines.now()
-        if self.store.wants(key, part, visit.group, tag, int(made) / 1000.0, body.length, now):
-            self.store.take(key, part, visit.group, tag, int(made) / 1000.0, b"".join(body.views()))
+        offer = CopyOffer(key, part, visit.group, tag, int(made) / 1000.0, body.length)
+        if self.store.admit(offer, now):
+            self.store.write(offer, b"".join(body.views()))
 
     def renewed(self, copy: Any, told: dict[str, str]) -> None:
         """A cache answered that ours is the one."""
         made = told.get("made", "")
         if made.isdigit() and len(made) <= 16:
-            self.store.renewed(copy, int(made) / 1000.0)
+            self.store.revalidate(copy, int(made) / 1000.0)
 
     def figures(self) -> dict[str, Any]:
         return {**self.store.figures(), "served": self.served}
@@ -124,7 +128,8 @@
     fault: Callable[[str], None],
     others: OthersTime,
 ) -> LocalCopies | None:
-    store = make_store(options.store, options.journal, reactor, deadlines.now, deadlines.after, log, fault)
+    workers = Workers(reactor, min(options.store.reads_at_once, MAX_READ_THREADS), fault)
+    store = start_store(options.store, options.journal, Runtime(workers, deadlines.now, deadlines.after, log))
     if store is None:
         return None
-    return LocalCopies(store, deadlines, pool, Link(*link), options.store.read_within_s, fault, others)
+    return LocalCopies(store, deadlines, pool, LinkBandwidth(*link), options.store.read_within_s, fault, others)
