--- a/tests/changelog/test_changelog.py
+++ b/tests/changelog/test_changelog.py
@@ -7,8 +7,10 @@
 
 from wickhinge.changelog import codec, messages
 from wickhinge.changelog.ballot import Role
+from wickhinge.changelog.binary_fields import MOST_NUMBER, Malformed
 from wickhinge.changelog.codec import SIZE_OF_IP_AND_UDP, Codec, decode_packet, encode_head, encode_message
-from wickhinge.changelog.echo import RATE_FACTOR
+from wickhinge.changelog.confirmations import Vouches
+from wickhinge.changelog.echo_tokens import RATE_FACTOR
 from wickhinge.changelog.effects import Accepted, Apply, Committed, Persist, PersistSnapshot, Reset, Send
 from wickhinge.changelog.entries import (
     MOST_STAMP_MS,
@@ -23,16 +25,14 @@
     next_digest,
 )
 from wickhinge.changelog.feed import Feed
-from wickhinge.changelog.fields import MOST_NUMBER, Malformed
 from wickhinge.changelog.follower import Follower
 from wickhinge.changelog.log import EMPTY_SNAPSHOT, Log, OutOfOrder, Snapshot
 from wickhinge.changelog.messages import UNVOUCHED, Packet, Record
-from wickhinge.changelog.ordering import Sequencer
 from wickhinge.changelog.replica import Replica
+from wickhinge.changelog.sequencer import Sequencer
 from wickhinge.changelog.settings import TICK_S, FeedSettings, FollowSettings, ReplicaSettings
 from wickhinge.changelog.snapshots import Assembly, cut
 from wickhinge.changelog.stored import NotLeader, Stored
-from wickhinge.changelog.vouches import Vouches
 
 KEY = b"k" * 32
 
--- a/tests/changelog/test_changelog_parts.py
+++ b/tests/changelog/test_changelog_parts.py
@@ -19,7 +19,7 @@
     Status,
 )
 from wickhinge.changelog.codec import Codec
-from wickhinge.changelog.echo import COUNTER_BITS
+from wickhinge.changelog.echo_tokens import COUNTER_BITS
 from wickhinge.changelog.effects import Accepted, Apply, Committed, Persist, Reset, Send
 from wickhinge.changelog.entries import Entry, Noop, Purge, Setting, Unknown, encode
 from wickhinge.changelog.log import Snapshot
--- a/wickhinge/changelog/__init__.py
+++ b/wickhinge/changelog/__init__.py
@@ -5,7 +5,7 @@
 and of packets by `heard`, and answers with a list of effects (`effects`); it opens no socket or file and reads no
 clock. docs/notes/changelog.md says why it is as it is, and derives the bounds.
 
-Deciding, without I/O: entries, log, echo, vouches, feed, relay; ordering, verdicts, sources, subscription, follower;
-records, ballot, leadership, replica; addresses, proposals. Speaking: fields, messages, codec, snapshots.
-Doing: storage, nodes.
+Deciding, without I/O: entries, log, echo_tokens, confirmations, feed, relay; sequencer, dispute_records, sources,
+subscription, follower; records, ballot, leadership, replica; addresses, proposals. Encoding: binary_fields, messages,
+codec, snapshots. Doing I/O: storage, nodes.
 """
--- a/wickhinge/changelog/addresses.py
+++ b/wickhinge/changelog/addresses.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Mapping
 
-from wickhinge.changelog.echo import COUNTER_BITS
+from wickhinge.changelog.echo_tokens import COUNTER_BITS
 
 Address = tuple[str, int]  # IPv4 address and UDP port
 
--- a/wickhinge/changelog/administration.py
+++ b/wickhinge/changelog/administration.py
@@ -15,10 +15,10 @@
 
 import msgspec
 
+from wickhinge.changelog.binary_fields import Malformed, Reader
 from wickhinge.changelog.codec import SIZE_OF_IP_AND_UDP
 from wickhinge.changelog.entries import Change, InvalidChange, Noop, Unknown, decode_change
 from wickhinge.changelog.feed import SubscriberRow
-from wickhinge.changelog.fields import Malformed, Reader
 from wickhinge.changelog.nodes import Counters, RelayNode, ReplicaNode
 from wickhinge.changelog.proposals import Outcome
 from wickhinge.changelog.stored import NotLeader, Overloaded
--- a/wickhinge/changelog/codec.py
+++ b/wickhinge/changelog/codec.py
@@ -15,8 +15,8 @@
 from typing import Any
 
 from wickhinge.changelog import messages
+from wickhinge.changelog.binary_fields import Malformed, Reader, Writer
 from wickhinge.changelog.entries import DIGEST_BYTES, Entry, read_change, write_change
-from wickhinge.changelog.fields import Malformed, Reader, Writer
 from wickhinge.changelog.messages import NEWEST_FORMAT, OLDEST_FORMAT, Message, Packet
 from wickhinge.peers.wire import LONGEST, MAC, Unreadable, sealed, unsealed
 
--- a/wickhinge/changelog/verdicts.py
+++ b/wickhinge/changelog/dispute_records.py
@@ -4,7 +4,7 @@
 
 from enum import Enum
 
-from wickhinge.changelog.ordering import Sequencer
+from wickhinge.changelog.sequencer import Sequencer
 
 
 class Dispute(Enum):
--- a/wickhinge/changelog/entries.py
+++ b/wickhinge/changelog/entries.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from wickhinge.changelog.fields import Malformed, Reader, Writer
+from wickhinge.changelog.binary_fields import Malformed, Reader, Writer
 
 NOOP, PURGE_OBJECT, PURGE_GROUP, PURGE_MEMBER, SETTING = range(5)
 FIRST_SIZED_KIND = 16
--- a/wickhinge/changelog/feed.py
+++ b/wickhinge/changelog/feed.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from wickhinge.changelog.codec import MOST_BATCH_ENTRIES, MOST_ENTRIES_BYTES
-from wickhinge.changelog.echo import HeldToken, age_ms
+from wickhinge.changelog.echo_tokens import HeldToken, age_ms
 from wickhinge.changelog.effects import Send
 from wickhinge.changelog.log import Log
 from wickhinge.changelog.messages import (
--- a/wickhinge/changelog/nodes.py
+++ b/wickhinge/changelog/nodes.py
@@ -17,8 +17,9 @@
 from twisted.internet.protocol import DatagramProtocol
 
 from wickhinge.changelog.addresses import Address, AddressBook
+from wickhinge.changelog.binary_fields import Malformed
 from wickhinge.changelog.codec import Codec, TooLong
-from wickhinge.changelog.echo import SESSION_BITS
+from wickhinge.changelog.echo_tokens import SESSION_BITS
 from wickhinge.changelog.effects import (
     Accepted,
     Apply,
@@ -30,7 +31,6 @@
     Send,
 )
 from wickhinge.changelog.entries import Change, Entry
-from wickhinge.changelog.fields import Malformed
 from wickhinge.changelog.follower import NEVER, Follower
 from wickhinge.changelog.log import Snapshot
 from wickhinge.changelog.messages import NEWEST_FORMAT, Packet
--- a/wickhinge/changelog/replica.py
+++ b/wickhinge/changelog/replica.py
@@ -8,7 +8,8 @@
 
 from wickhinge.changelog.ballot import Ballot, Role
 from wickhinge.changelog.codec import MOST_BATCH_ENTRIES, MOST_ENTRIES_BYTES, MOST_RECORD_EXTRA
-from wickhinge.changelog.echo import EchoClock, HeldToken, age_ms, complete_until
+from wickhinge.changelog.confirmations import Vouches
+from wickhinge.changelog.echo_tokens import EchoClock, HeldToken, age_ms, complete_until
 from wickhinge.changelog.effects import Accepted, Committed, Effect, Persist, PersistSnapshot, Send
 from wickhinge.changelog.entries import Change, Entry, Noop, check
 from wickhinge.changelog.feed import Feed, SubscriberRow
@@ -31,7 +32,6 @@
 from wickhinge.changelog.settings import ReplicaSettings
 from wickhinge.changelog.snapshots import SnapshotFetch
 from wickhinge.changelog.stored import NotLeader, Overloaded, Stored
-from wickhinge.changelog.vouches import Vouches
 
 LEAST_BROADCAST_S = 0.01  # between two rounds for new records; more wait for the next tick
 
--- a/wickhinge/changelog/snapshots.py
+++ b/wickhinge/changelog/snapshots.py
@@ -4,9 +4,9 @@
 
 from hashlib import blake2b
 
+from wickhinge.changelog.binary_fields import Malformed, Reader, Writer
 from wickhinge.changelog.codec import MOST_PART_BYTES, MOST_PARTS
 from wickhinge.changelog.entries import DIGEST_BYTES, Purge, Setting, read_change, write_change
-from wickhinge.changelog.fields import Malformed, Reader, Writer
 from wickhinge.changelog.log import MOST_PURGES, MOST_SETTINGS, Snapshot
 from wickhinge.changelog.messages import FetchSnapshot, SnapshotPart
 
--- a/wickhinge/changelog/storage.py
+++ b/wickhinge/changelog/storage.py
@@ -15,10 +15,10 @@
 import errno
 from hashlib import blake2b
 
+from wickhinge.changelog.binary_fields import Malformed, Reader, Writer
 from wickhinge.changelog.codec import MOST_PROCESS_NAME
 from wickhinge.changelog.effects import Persist, PersistSnapshot
 from wickhinge.changelog.entries import Entry, read_change, write_change
-from wickhinge.changelog.fields import Malformed, Reader, Writer
 from wickhinge.changelog.log import Snapshot
 from wickhinge.changelog.messages import Record
 from wickhinge.changelog.snapshots import decode_snapshot, encode_snapshot
--- a/wickhinge/changelog/subscription.py
+++ b/wickhinge/changelog/subscription.py
@@ -4,7 +4,9 @@
 
 from collections.abc import Callable, Sequence
 
-from wickhinge.changelog.echo import EchoClock, complete_until
+from wickhinge.changelog.confirmations import Vouches
+from wickhinge.changelog.dispute_records import Dispute, Verdicts
+from wickhinge.changelog.echo_tokens import EchoClock, complete_until
 from wickhinge.changelog.effects import Apply, Effect, Reset, Send
 from wickhinge.changelog.messages import (
     Batch,
@@ -17,12 +19,10 @@
     Subscribe,
     Unsubscribe,
 )
-from wickhinge.changelog.ordering import Sequencer
+from wickhinge.changelog.sequencer import Sequencer
 from wickhinge.changelog.settings import FollowSettings
 from wickhinge.changelog.snapshots import Assembly
 from wickhinge.changelog.sources import Source, Sources
-from wickhinge.changelog.verdicts import Dispute, Verdicts
-from wickhinge.changelog.vouches import Vouches
 
 RESUBSCRIBE_S = 0.3  # between subscriptions to a source that has not answered yet
 
--- a/wickhinge/cli/changelog.py
+++ b/wickhinge/cli/changelog.py
@@ -271,7 +271,7 @@
     """
     import msgspec
 
-    from wickhinge.changelog.fields import Malformed
+    from wickhinge.changelog.binary_fields import Malformed
     from wickhinge.changelog.snapshots import decode_snapshot
     from wickhinge.changelog.storage import FileStorage, InUse
     from wickhinge.changelog.stored import Stored
--- a/wickhinge/lab/changelog/plants.py
+++ b/wickhinge/lab/changelog/plants.py
@@ -7,15 +7,15 @@
 
 import msgspec
 
+from wickhinge.changelog.dispute_records import Verdicts
 from wickhinge.changelog.effects import Effect
 from wickhinge.changelog.entries import Entry
 from wickhinge.changelog.follower import Follower
 from wickhinge.changelog.leadership import Leadership
 from wickhinge.changelog.messages import Batch, Heartbeat, Packet, RequestVote
-from wickhinge.changelog.ordering import Sequencer
 from wickhinge.changelog.relay import Relay
 from wickhinge.changelog.replica import Replica
-from wickhinge.changelog.verdicts import Verdicts
+from wickhinge.changelog.sequencer import Sequencer
 
 STALE_S = 1.0
 
