--- a/bench/scale/change_log.py
+++ b/bench/scale/change_log.py
@@ -106,9 +106,9 @@
         with process.watch:
             packet = process.codec.decode(data)
             if isinstance(process.machine, Feed):
-                effects: list[Effect] = list(process.machine.heard(packet, self.now, self.now))
+                effects: list[Effect] = list(process.machine.receive(packet, self.now, self.now))
             else:
-                effects = process.machine.heard(packet, self.now)
+                effects = process.machine.receive(packet, self.now)
         self.send(process, effects)
 
     def run(self, seconds: float) -> None:
--- a/bench/scale/fleet_hollow.py
+++ b/bench/scale/fleet_hollow.py
@@ -18,7 +18,7 @@
 from wickhinge.changelog.codec import SIZE_OF_IP_AND_UDP
 from wickhinge.changelog.entries import Change, Entry, Purge, Setting
 from wickhinge.changelog.log import Snapshot
-from wickhinge.changelog.nodes import FollowerNode
+from wickhinge.changelog.nodes import FollowerEndpoint
 from wickhinge.changelog.settings import FollowSettings
 
 READY = "ready"
@@ -41,7 +41,7 @@
         self._place, self._region, self._group, self._began = place, router.region, group, False
         plan = group.plan
         known = {relay.name: (relay.host, relay.port) for relay in plan.relays}
-        self.node = FollowerNode(
+        self.node = FollowerEndpoint(
             router.name,
             (address(plan.block, router.region, 1), 0),
             {name: known[name] for name in router.relays},
--- a/bench/scale/fleet_proposer.py
+++ b/bench/scale/fleet_proposer.py
@@ -11,7 +11,7 @@
 from bench.scale.fleet_records import Change
 from wickhinge.changelog import entries
 from wickhinge.changelog.administration import APPEND, AppendAnswer, AppendState
-from wickhinge.cli.changelog_client import Client, NotAppended
+from wickhinge.cli.changelog_client import Client, NotAppendedError
 from wickhinge.options.records import Changelog
 
 AT_ONCE = 48
@@ -31,7 +31,7 @@
 
     def _ask(self, name: str, word: str, more: bytes, attempts: int) -> bytes:
         if self.stopped.is_set():
-            raise NotAppended("stopped")
+            raise NotAppendedError("stopped")
         data = super()._ask(name, word, more, attempts)
         if word == APPEND and name != next(iter(self.replicas)):
             if msgspec.json.decode(data, type=AppendAnswer).state in TAKEN:
@@ -72,7 +72,7 @@
         ahead_s = time.time() - time.monotonic()
         try:
             answer = self._client.append(change, WITHIN_S)
-        except NotAppended as fault:
+        except NotAppendedError as fault:
             self.failures.append(f"{identity}: {fault}")
             return
         stamped = answer.stamp_ms / 1000 - ahead_s
--- a/tests/changelog/test_changelog.py
+++ b/tests/changelog/test_changelog.py
@@ -7,38 +7,38 @@
 
 from wickhinge.changelog import codec, messages
 from wickhinge.changelog.ballot import Role
-from wickhinge.changelog.binary_fields import MOST_NUMBER, Malformed
+from wickhinge.changelog.binary_fields import MAX_NUMBER, Malformed
 from wickhinge.changelog.codec import SIZE_OF_IP_AND_UDP, Codec, decode_packet, encode_head, encode_message
-from wickhinge.changelog.confirmations import Vouches
+from wickhinge.changelog.confirmations import Confirmations
 from wickhinge.changelog.echo_tokens import RATE_FACTOR
 from wickhinge.changelog.effects import Accepted, Apply, Committed, Persist, PersistSnapshot, Reset, Send
 from wickhinge.changelog.entries import (
-    MOST_STAMP_MS,
+    MAX_STAMP_MS,
     Entry,
-    InvalidChange,
+    InvalidChangeError,
     Noop,
     Purge,
     Setting,
     Unknown,
     check,
-    most_size,
+    max_encoded_size,
     next_digest,
 )
 from wickhinge.changelog.feed import Feed
 from wickhinge.changelog.follower import Follower
-from wickhinge.changelog.log import EMPTY_SNAPSHOT, Log, OutOfOrder, Snapshot
-from wickhinge.changelog.messages import UNVOUCHED, Packet, Record
+from wickhinge.changelog.log import EMPTY_SNAPSHOT, Log, OutOfOrderError, Snapshot
+from wickhinge.changelog.messages import UNKNOWN_AGE_MS, Packet, Record
 from wickhinge.changelog.replica import Replica
 from wickhinge.changelog.sequencer import Sequencer
 from wickhinge.changelog.settings import TICK_S, FeedSettings, FollowSettings, ReplicaSettings
-from wickhinge.changelog.snapshots import Assembly, cut
-from wickhinge.changelog.stored import NotLeader, Stored
+from wickhinge.changelog.snapshots import SnapshotAssembly, cut
+from wickhinge.changelog.stored import NotLeaderError, Stored
 
 KEY = b"k" * 32
 
 # The codec.
 
-stamps = st.integers(0, MOST_STAMP_MS)
+stamps = st.integers(0, MAX_STAMP_MS)
 groups = st.integers(0, 65535)
 changes = st.one_of(
     st.just(Noop()),
@@ -55,8 +55,8 @@
 def entry_runs(draw):
     epoch, first, run, size = draw(numbers), draw(numbers), [], 0
     for change in draw(st.lists(changes, min_size=1, max_size=60)):
-        size += most_size(change) + codec.MOST_RECORD_EXTRA
-        if run and size > codec.MOST_ENTRIES_BYTES:
+        size += max_encoded_size(change) + codec.MAX_RECORD_OVERHEAD_BYTES
+        if run and size > codec.MAX_ENTRIES_BYTES:
             break
         run.append(Entry(epoch, first + len(run), change))
     return tuple(run)
@@ -135,7 +135,7 @@
         Purge(2**64, 0, 0),
         Purge(-1, 0, 0),
         Purge(None, 65536, 0),
-        Purge(1, 0, MOST_STAMP_MS + 1),
+        Purge(1, 0, MAX_STAMP_MS + 1),
         Purge(1, 0, -1),
         Setting("", b"", 0),
         Setting("é" * 51, b"", 0),
@@ -146,12 +146,12 @@
     ],
 )
 def test_a_change_out_of_its_bounds_is_refused(change):
-    with pytest.raises(InvalidChange):
+    with pytest.raises(InvalidChangeError):
         check(change)
 
 
 def test_a_number_past_the_largest_is_malformed():
-    body = encode_head(Packet("n", 2, 2, 0, 0, 0, None)) + encode_message(messages.Fetch(1, MOST_NUMBER + 1), 2)
+    body = encode_head(Packet("n", 2, 2, 0, 0, 0, None)) + encode_message(messages.Fetch(1, MAX_NUMBER + 1), 2)
     with pytest.raises(Malformed):
         decode_packet(body)
 
@@ -179,7 +179,7 @@
     assert log.entries_from(40, 10_000, 255) == log.entries_from(51, 10_000, 255) == ()
     assert len(log.entries_from(41, 1, 255)) == 1 and len(log.entries_from(41, 10_000, 3)) == 3
     for number, epoch in ((52, 1), (50, 1), (51, 2)):
-        with pytest.raises(OutOfOrder):
+        with pytest.raises(OutOfOrderError):
             log.append(Entry(epoch, number, purge(1)), 51.0)
 
 
@@ -213,14 +213,14 @@
     )
     parts = list(cut(snapshot))
     rand.shuffle(parts)
-    assembly = Assembly("r0")
+    assembly = SnapshotAssembly("r0")
     assert [assembly.add(part) for part in parts[:-1]] == [None] * (len(parts) - 1)
     assert assembly.add(parts[-1]) == snapshot
 
 
 def test_a_damaged_part_or_one_of_another_snapshot_starts_the_assembly_anew():
     parts = cut(Snapshot(3, 9, b"x" * 8, (Setting("a", b"v" * 1000, 5),) * 2, ()))
-    assembly = Assembly("r0")
+    assembly = SnapshotAssembly("r0")
     assembly.add(msgspec.structs.replace(parts[0], payload=b"y" * len(parts[0].payload)))
     assert assembly.add(parts[1]) is None and assembly.missing == 0
     assembly.add(parts[0])
@@ -235,7 +235,7 @@
 @given(st.lists(st.tuples(st.integers(1, 30), st.integers(1, 8)), max_size=40))
 def test_entries_come_out_once_and_in_order_however_they_come_in(runs):
     whole = log_of(40)
-    sequencer = Sequencer(most_held=20, most_digests=8)
+    sequencer = Sequencer(max_buffered_entries=20, max_digests=8)
     sequencer.epoch, out = 1, []
     for first, count in runs:
         entries = whole.entries_from(first, 10_000, count)
@@ -247,12 +247,12 @@
 
 @given(st.lists(st.tuples(st.integers(0, 50), st.integers(0, 20), st.integers(0, 3)), max_size=60))
 def test_a_vouch_counts_once_its_number_is_reached_and_the_latest_of_these_is_told(steps):
-    vouches, told, last = Vouches(), [], 0
+    confirmations, told, last = Confirmations(), [], 0
     for until, number, advance in steps:
-        vouches.add(float(until), number)
+        confirmations.add(float(until), number)
         told.append((until, number))
         last += advance
-        assert vouches.reached(last) == max((t for t, n in told if n <= last), default=float("-inf"))
+        assert confirmations.reached(last) == max((t for t, n in told if n <= last), default=float("-inf"))
 
 
 # A follower.
@@ -285,9 +285,9 @@
                 self.sent.append((effect.to, effect.packet.message))
                 self.tokens[effect.to], self.drawn[effect.to] = effect.packet.token, self.now
 
-    def tell(self, source, message, held_ms=0, newest=2):
-        packet = Packet(source, 1, newest, 0, self.tokens.get(source, 0), held_ms, message)
-        self.take(self.follower.heard(packet, self.now))
+    def tell(self, source, message, echo_delay_ms=0, newest=2):
+        packet = Packet(source, 1, newest, 0, self.tokens.get(source, 0), echo_delay_ms, message)
+        self.take(self.follower.receive(packet, self.now))
 
     def beat(self, source, head=None, age_ms=50, **changes):
         head = self.log.last if head is None else head
@@ -346,11 +346,11 @@
 
 def test_what_is_held_back_is_bounded():
     relayed = loaded()
-    relayed.batch("r0", SETTINGS.most_held + 1, SETTINGS.most_held + 3, digest=b"?" * 8)
+    relayed.batch("r0", SETTINGS.max_buffered_entries + 1, SETTINGS.max_buffered_entries + 3, digest=b"?" * 8)
     held = relayed.follower._subscription.sequencer._held
     assert list(held) == []
-    relayed.batch("r0", SETTINGS.most_held, SETTINGS.most_held, digest=b"?" * 8)
-    assert list(held) == [SETTINGS.most_held]
+    relayed.batch("r0", SETTINGS.max_buffered_entries, SETTINGS.max_buffered_entries, digest=b"?" * 8)
+    assert list(held) == [SETTINGS.max_buffered_entries]
 
 
 def test_informed_until_counts_from_the_token_less_the_age_and_only_what_is_applied():
@@ -359,12 +359,12 @@
     relayed.step(1.0)
     drawn = relayed.drawn["r0"]
     assert drawn < relayed.now
-    relayed.tell("r0", messages.Heartbeat(1, 2, relayed.log.digest, 200), held_ms=500)
+    relayed.tell("r0", messages.Heartbeat(1, 2, relayed.log.digest, 200), echo_delay_ms=500)
     told = drawn + 0.5 * RATE_FACTOR - 0.2 / RATE_FACTOR
     assert relayed.follower.informed_until(relayed.now) == pytest.approx(told)
-    relayed.tell("r0", messages.Heartbeat(1, 3, relayed.digest(3), 0), held_ms=500)  # 3 is not here yet
+    relayed.tell("r0", messages.Heartbeat(1, 3, relayed.digest(3), 0), echo_delay_ms=500)  # 3 is not here yet
     assert relayed.follower.informed_until(relayed.now) == pytest.approx(told)
-    relayed.batch("r0", 3, 3, age_ms=UNVOUCHED)
+    relayed.batch("r0", 3, 3, age_ms=UNKNOWN_AGE_MS)
     assert relayed.follower.informed_until(relayed.now) == pytest.approx(drawn + 0.5 * RATE_FACTOR)
 
 
@@ -394,7 +394,7 @@
         relayed.beat("r1")
     assert relayed.follower.source == "r1"
     assert relayed.asked(messages.Unsubscribe) == [("r0", messages.Unsubscribe())]
-    assert [message.watch for to, message in relayed.asked(messages.Subscribe) if to == "r1"][-1] is False
+    assert [message.heartbeats_only for to, message in relayed.asked(messages.Subscribe) if to == "r1"][-1] is False
 
 
 def test_a_follower_that_stood_still_itself_leaves_no_relay_for_that():
@@ -474,13 +474,13 @@
 # A feed, as relays and replicas have it.
 
 
-def subscribe(feed, name, now, number=0, watch=False, newest=2, epoch=1):
-    message = messages.Subscribe(epoch, number, b"\0" * 8, watch, 0)
-    return feed.heard(Packet(name, 1, newest, 77, 0, 0, message), now, now)
+def subscribe(feed, name, now, number=0, heartbeats_only=False, newest=2, epoch=1):
+    message = messages.Subscribe(epoch, number, b"\0" * 8, heartbeats_only, 0)
+    return feed.receive(Packet(name, 1, newest, 77, 0, 0, message), now, now)
 
 
 def fetch(feed, name, now, message):
-    return [send.packet.message for send in feed.heard(Packet(name, 1, 2, 78, 0, 0, message), now, now)]
+    return [send.packet.message for send in feed.receive(Packet(name, 1, 2, 78, 0, 0, message), now, now)]
 
 
 def feed_of(log, now=100.0, **changes):
@@ -490,13 +490,16 @@
 def test_followers_share_one_batch_and_the_second_relays_followers_get_heartbeats_alone():
     log = log_of(3)
     feed = feed_of(log)
-    for name, watch, newest in (("f0", False, 2), ("f1", False, 1), ("f2", True, 2)):
-        [answer] = subscribe(feed, name, 100.0, 3, watch, newest)
+    for name, heartbeats_only, newest in (("f0", False, 2), ("f1", False, 1), ("f2", True, 2)):
+        [answer] = subscribe(feed, name, 100.0, 3, heartbeats_only, newest)
         assert isinstance(answer.packet.message, messages.Heartbeat) and answer.packet.echo == 77
     log.append(Entry(1, 4, purge(4)), 100.1)
     assert feed.tick(100.2, 100.15) == []
     sends = feed.tick(100.3, 100.15)
-    assert [(send.to, send.packet.format, send.packet.held_ms) for send in sends] == [("f0", 2, 299), ("f1", 1, 299)]
+    assert [(send.to, send.packet.format, send.packet.echo_delay_ms) for send in sends] == [
+        ("f0", 2, 299),
+        ("f1", 1, 299),
+    ]
     batch = sends[0].packet.message
     assert batch is sends[1].packet.message and (batch.first, len(batch.entries), batch.age_ms) == (4, 1, 150)
     [beat, _] = feed.tick(100.9, 100.8)
@@ -508,7 +511,13 @@
 
 def test_what_was_missed_is_served_in_pieces_in_turn_and_within_the_rate():
     log = log_of(1000, retain=1000)
-    feed = feed_of(log, catch_up_bytes_s=10_000.0, catch_up_burst=5_000.0, pieces_at_once=2, forget_s=100.0)
+    feed = feed_of(
+        log,
+        catch_up_bytes_per_s=10_000.0,
+        catch_up_burst_bytes=5_000.0,
+        max_messages_per_request=2,
+        subscriber_expiry_s=100.0,
+    )
     for place in range(20):
         subscribe(feed, f"f{place}", 100.0)
     answers = [fetch(feed, f"f{place}", 100.0, messages.Fetch(1, 1)) for place in range(20)]
@@ -537,7 +546,7 @@
 
 
 def test_a_feed_without_a_log_says_nothing_and_its_table_is_bounded():
-    feed = feed_of(Log(), most_subscribers=2)
+    feed = feed_of(Log(), max_subscribers=2)
     assert [subscribe(feed, f"f{place}", 100.0, epoch=0) for place in range(3)] == [[], [], []]
     assert len(feed.rows(100.0)) == 2 and feed.refused == 1
     assert feed.tick(101.0, None) == [] and fetch(feed, "f0", 101.0, messages.Fetch(0, 1)) == []
@@ -552,7 +561,7 @@
         now = 100.0 + step * TICK_S
         if step % 20 == 0:
             subscribe(first, "router-0001", now)
-            total += sum(size(sender, send) for send in subscribe(second, "router-0001", now, watch=True))
+            total += sum(size(sender, send) for send in subscribe(second, "router-0001", now, heartbeats_only=True))
         while number < 27 * (now - 100.0):
             number += 1
             key = number * 0x9E3779B97F4A7C15 % 2**64 if number % 10 else None
@@ -577,7 +586,7 @@
         self.replica = Replica("p0", self.names, ReplicaSettings(retain=4), lambda: 0.5, 9, now, stored or Stored())
 
     def tell(self, sender, message):
-        return self.replica.heard(Packet(sender, 2, 2, 5, 0, 0, message), self.now)
+        return self.replica.receive(Packet(sender, 2, 2, 5, 0, 0, message), self.now)
 
     def until_it_stands(self):
         effects = []
@@ -599,7 +608,7 @@
 
 
 def append(term, previous, previous_term, *records, commit=0, first=1):
-    return messages.Append(1, term, previous, previous_term, records, commit, first, UNVOUCHED, 1)
+    return messages.Append(1, term, previous, previous_term, records, commit, first, UNKNOWN_AGE_MS, 1)
 
 
 def answers(effects):
@@ -609,7 +618,7 @@
 def test_a_replica_asks_before_it_raises_its_term_and_leads_with_a_majority():
     replicas = Replicas()
     effects = replicas.until_it_stands()
-    assert replicas.replica.term == 0 and all(answer.probe for answer in answers(effects))
+    assert replicas.replica.term == 0 and all(answer.pre_vote for answer in answers(effects))
     effects = replicas.elected()
     assert [type(effect) for effect in effects] == [Persist, Send, Send]
     [first, _] = answers(effects)
@@ -654,9 +663,9 @@
 def test_a_leader_commits_by_majority_and_only_by_a_record_of_its_own_term():
     replicas = Replicas(Stored(term=1, records=(record(1, 1),)), count=5)
     replicas.until_it_stands()
-    for probe in (True, False):
+    for pre_vote in (True, False):
         for peer in ("p1", "p2"):
-            replicas.tell(peer, messages.Vote(1, 2, True, probe))
+            replicas.tell(peer, messages.Vote(1, 2, True, pre_vote))
     replica = replicas.replica
     for peer in ("p1", "p2"):
         replicas.tell(peer, messages.Appended(1, 2, True, 1, 1))
@@ -671,8 +680,8 @@
     records = tuple(record(1 + number // 4, number) for number in range(1, 10))
     replicas = Replicas(Stored(term=4, records=records))
     replicas.until_it_stands()
-    for probe in (True, False):
-        replicas.tell("p1", messages.Vote(1, 5, True, probe))
+    for pre_vote in (True, False):
+        replicas.tell("p1", messages.Vote(1, 5, True, pre_vote))
     for match in (7, 3, 0):
         [again] = answers(replicas.tell("p2", messages.Appended(1, 5, False, match, 1)))
         assert (again.previous_number, again.records[0].entry.number) == (match, match + 1)
@@ -687,9 +696,9 @@
     began = replicas.now
     replicas.now += 0.3
     replicas.tell("p1", messages.Appended(1, 1, True, 0, 1))
-    assert replicas.replica.vouched_until() == float("-inf")  # its first record is not committed
+    assert replicas.replica.confirmed_until() == float("-inf")  # its first record is not committed
     replicas.tell("p1", messages.Appended(1, 1, True, 1, 1))
-    assert replicas.replica.vouched_until() == began
+    assert replicas.replica.confirmed_until() == began
 
 
 def test_a_leader_without_answers_steps_down_and_takes_no_proposals():
@@ -699,7 +708,7 @@
         replicas.now += TICK_S
         replicas.replica.tick(replicas.now)
     assert replicas.replica.role is not Role.LEADER
-    with pytest.raises(NotLeader):
+    with pytest.raises(NotLeaderError):
         replicas.replica.propose(purge(1), replicas.now)
 
 
--- a/tests/changelog/test_changelog_parts.py
+++ b/tests/changelog/test_changelog_parts.py
@@ -6,7 +6,7 @@
 import msgspec
 import pytest
 
-from wickhinge.changelog.addresses import MOST_LEARNED, QUIET_S, AddressBook
+from wickhinge.changelog.addresses import MAX_LEARNED_ADDRESSES, SESSION_TAKEOVER_S, AddressBook
 from wickhinge.changelog.administration import (
     APPEND,
     ROWS,
@@ -24,11 +24,11 @@
 from wickhinge.changelog.entries import Entry, Noop, Purge, Setting, Unknown, encode
 from wickhinge.changelog.log import Snapshot
 from wickhinge.changelog.messages import Packet, Unsubscribe
-from wickhinge.changelog.nodes import FollowerNode, RelayNode, ReplicaNode
+from wickhinge.changelog.nodes import FollowerEndpoint, RelayEndpoint, ReplicaEndpoint
 from wickhinge.changelog.proposals import Outcome, Proposal, Proposals
 from wickhinge.changelog.settings_table import SettingsTable, State, check_value
 from wickhinge.changelog.storage import MemoryStorage
-from wickhinge.changelog.stored import NotLeader
+from wickhinge.changelog.stored import NotLeaderError
 from wickhinge.decide import Purges
 from wickhinge.fields import Malformed
 from wickhinge.net.changes import Changes
@@ -50,8 +50,8 @@
 
 def test_an_address_of_the_settings_is_never_learned():
     book = AddressBook({"a": HERE})
-    book.heard("a", THERE, token(1, 1), 0.0)
-    assert (book.of("a"), book.of("b")) == (HERE, None)
+    book.record_packet("a", THERE, token(1, 1), 0.0)
+    assert (book.lookup("a"), book.lookup("b")) == (HERE, None)
 
 
 @pytest.mark.parametrize(
@@ -61,35 +61,35 @@
         (1, 5, 0.1, HERE),  # recorded and sent again
         (1, 4, 0.1, HERE),
         (2, 1, 0.1, HERE),  # of an earlier life
-        (2, 1, QUIET_S + 0.1, THERE),  # a new life
-        (1, 3, QUIET_S + 0.1, HERE),
+        (2, 1, SESSION_TAKEOVER_S + 0.1, THERE),  # a new life
+        (1, 3, SESSION_TAKEOVER_S + 0.1, HERE),
         (1, 0, 9.0, HERE),  # no token: a plain answer
     ],
 )
 def test_a_recorded_packet_draws_nothing_to_where_it_is_sent_from(session, count, after, found):
     book = AddressBook({})
-    book.heard("n", HERE, token(1, 5), 10.0)
-    book.heard("n", THERE, token(session, count) if count else 0, 10.0 + after)
-    assert book.of("n") == found
+    book.record_packet("n", HERE, token(1, 5), 10.0)
+    book.record_packet("n", THERE, token(session, count) if count else 0, 10.0 + after)
+    assert book.lookup("n") == found
 
 
 def test_a_recorded_packet_sent_often_does_not_keep_a_name_from_its_new_life():
     book = AddressBook({})
-    book.heard("n", HERE, token(1, 5), 0.0)
+    book.record_packet("n", HERE, token(1, 5), 0.0)
     for tenth in range(100):
-        book.heard("n", THERE, token(1, 5), tenth / 10)
-    book.heard("n", ELSEWHERE, token(2, 1), 10.0)
-    book.heard("n", THERE, token(1, 6), 20.0)  # of the life before
-    assert book.of("n") == ELSEWHERE
+        book.record_packet("n", THERE, token(1, 5), tenth / 10)
+    book.record_packet("n", ELSEWHERE, token(2, 1), 10.0)
+    book.record_packet("n", THERE, token(1, 6), 20.0)  # of the life before
+    assert book.lookup("n") == ELSEWHERE
 
 
 def test_learned_addresses_are_bounded_and_forgotten():
     book = AddressBook({})
-    for number in range(MOST_LEARNED + 5):
-        book.heard(f"n{number}", HERE, token(1, 1), 0.0)
-    assert book.of(f"n{MOST_LEARNED - 1}") == HERE and book.of(f"n{MOST_LEARNED}") is None
-    book.heard("late", HERE, token(1, 1), QUIET_S + 1)
-    assert book.of("late") == HERE and book.of("n0") is None
+    for number in range(MAX_LEARNED_ADDRESSES + 5):
+        book.record_packet(f"n{number}", HERE, token(1, 1), 0.0)
+    assert book.lookup(f"n{MAX_LEARNED_ADDRESSES - 1}") == HERE and book.lookup(f"n{MAX_LEARNED_ADDRESSES}") is None
+    book.record_packet("late", HERE, token(1, 1), SESSION_TAKEOVER_S + 1)
+    assert book.lookup("late") == HERE and book.lookup("n0") is None
 
 
 # Proposals.
@@ -238,16 +238,16 @@
 
 
 def relay_node(sockets, keys=(KEY,)):
-    return started(RelayNode("l", HERE, REPLICAS, keys, sockets, clock=sockets.clock))
+    return started(RelayEndpoint("l", HERE, REPLICAS, keys, sockets, clock=sockets.clock))
 
 
 def follower_node(sockets, **more):
     told = {"on_apply": lambda entry: None, "on_reset": lambda snapshot: None, **more}
-    return started(FollowerNode("n", HERE, {"l": THERE}, [KEY], sockets, clock=sockets.clock, **told))
+    return started(FollowerEndpoint("n", HERE, {"l": THERE}, [KEY], sockets, clock=sockets.clock, **told))
 
 
 def replica_node(sockets, storage, **more):
-    return started(ReplicaNode("a", REPLICAS, {}, [KEY], sockets, storage, clock=sockets.clock, **more))
+    return started(ReplicaEndpoint("a", REPLICAS, {}, [KEY], sockets, storage, clock=sockets.clock, **more))
 
 
 def datagram(key, sender="b", to="l"):
@@ -293,7 +293,7 @@
 
 
 def test_a_flood_between_two_ticks_is_left_unread(sockets, monkeypatch):
-    monkeypatch.setattr("wickhinge.changelog.nodes.MOST_A_TICK", 10)
+    monkeypatch.setattr("wickhinge.changelog.nodes.MAX_DATAGRAMS_PER_TICK", 10)
     node = relay_node(sockets)
     for _ in range(25):
         node.datagramReceived(b"x", THERE)
@@ -322,10 +322,10 @@
     def fail(*given):
         raise ValueError("planted")
 
-    heard, node.machine.heard = node.machine.heard, fail
+    receive, node.machine.receive = node.machine.receive, fail
     node.datagramReceived(datagram(KEY), THERE)
     assert node.faults == 1
-    node.machine.heard = heard
+    node.machine.receive = receive
     tick, node.machine.tick = node.machine.tick, fail
     sockets.run(0.2)
     node.machine.tick = tick
@@ -362,10 +362,10 @@
 
 def test_what_was_found_of_the_limit_is_kept_until_something_is_heard(sockets):
     node = follower_node(sockets)
-    node.machine.unlimited_until = lambda now, grace: 5.0
+    node.machine.no_age_limit_until = lambda now, grace: 5.0
     assert node.oldest(6.0) is None
     asked = []
-    node.machine.unlimited_until = lambda now, grace: asked.append(grace) or 5.0
+    node.machine.no_age_limit_until = lambda now, grace: asked.append(grace) or 5.0
     sockets.now = 4.9
     assert node.oldest(6.0) is None and asked == []
     assert node.oldest(7.0) is None and asked == [7.0]
@@ -436,7 +436,7 @@
 
 def test_another_replica_says_who_leads(leader):
     def refuse(change, now):
-        raise NotLeader("b")
+        raise NotLeaderError("b")
 
     leader.node.machine.propose = refuse
     answer = leader.append(Purge(5, 0, 0))
--- a/tests/support/changelog_fleet.py
+++ b/tests/support/changelog_fleet.py
@@ -16,7 +16,7 @@
 from tests.support.processes import PATIENT, ROOT, Process
 from tests.support.router_process import SERVED, Line, Stand
 from wickhinge.changelog.entries import Purge, Setting
-from wickhinge.cli.changelog_client import Client, NotAppended, routers_of
+from wickhinge.cli.changelog_client import Client, NotAppendedError, routers_of
 from wickhinge.options import load
 
 REPLICAS = [f"replica-{number}" for number in range(1, 6)]
@@ -52,7 +52,7 @@
         self.cut, self.noisy = set(), False
         self.passed = Counter()  # datagrams by receiver
         self._stack, self._host, self._links = stack, host, {}
-        self._chance = random.Random(5)
+        self._random_fraction = random.Random(5)
         self._selector = selectors.DefaultSelector()
         self._stopped = threading.Event()
         self._thread = threading.Thread(target=self._run, daemon=True)
@@ -97,10 +97,10 @@
         """Changed in one bit, most of them where the message is, cut short, and of chance alone."""
         for _ in range(FLIPS):
             flipped = bytearray(data)
-            flipped[self._chance.randrange(len(data))] ^= 1 << self._chance.randrange(8)
+            flipped[self._random_fraction.randrange(len(data))] ^= 1 << self._random_fraction.randrange(8)
             yield bytes(flipped)
-        yield data[: self._chance.randrange(len(data))]
-        yield self._chance.randbytes(60)
+        yield data[: self._random_fraction.randrange(len(data))]
+        yield self._random_fraction.randbytes(60)
 
 
 class Fleet:
@@ -222,7 +222,7 @@
     def can_append(self, timeout_s):
         try:
             self.client.append(Purge(1, 0, 0), timeout_s)
-        except NotAppended:
+        except NotAppendedError:
             return False
         return True
 
--- a/wickhinge/changelog/administration.py
+++ b/wickhinge/changelog/administration.py
@@ -17,17 +17,17 @@
 
 from wickhinge.changelog.binary_fields import Malformed, Reader
 from wickhinge.changelog.codec import SIZE_OF_IP_AND_UDP
-from wickhinge.changelog.entries import Change, InvalidChange, Noop, Unknown, decode_change
+from wickhinge.changelog.entries import Change, InvalidChangeError, Noop, Unknown, decode_change
 from wickhinge.changelog.feed import SubscriberRow
-from wickhinge.changelog.nodes import Counters, RelayNode, ReplicaNode
+from wickhinge.changelog.nodes import Counters, RelayEndpoint, ReplicaEndpoint
 from wickhinge.changelog.proposals import Outcome
-from wickhinge.changelog.stored import NotLeader, Overloaded
+from wickhinge.changelog.stored import NotLeaderError, OverloadedError
 from wickhinge.peers.desk import ASK, Desk
 from wickhinge.peers.wire import Unreadable
 
 STATUS, ROWS, APPEND = "changelog-status", "changelog-rows", "changelog-append"
-ROWS_AT_ONCE = 400
-MOST_REQUESTS = 4096
+ROWS_PER_PAGE = 400
+MAX_REMEMBERED_REQUESTS = 4096
 REQUEST_ID_BYTES = 16
 NEVER = float("-inf")
 
@@ -101,7 +101,7 @@
 
     def __init__(
         self,
-        node: ReplicaNode | RelayNode,
+        node: ReplicaEndpoint | RelayEndpoint,
         keys: Sequence[bytes],
         ingest_s: float,
         wall_clock: Callable[[], float] = time.time,
@@ -117,25 +117,25 @@
         for desk in self._desks:
             desk.words[STATUS] = lambda more: msgspec.json.encode(self.status())
             desk.words[ROWS] = self._rows
-            if isinstance(self._node, ReplicaNode):
+            if isinstance(self._node, ReplicaEndpoint):
                 desk.words[APPEND] = self._append
 
     def status(self) -> Status:
         node, now = self._node, self._node.clock()
         machine, counters = node.machine, node.counters
-        until = machine.vouched_until() if isinstance(node, ReplicaNode) else machine.vouched_until(now)
+        until = machine.confirmed_until() if isinstance(node, ReplicaEndpoint) else machine.confirmed_until(now)
         status = Status(
             node.name,
-            "replica" if isinstance(node, ReplicaNode) else "relay",
+            "replica" if isinstance(node, ReplicaEndpoint) else "relay",
             machine.log.epoch,
             machine.log.last,
             None if until is None or until == NEVER else round(now - until, 3),
-            sum(not row.watch for row in machine.rows(now)),
+            sum(not row.heartbeats_only for row in machine.rows(now)),
             counters.received_bytes + SIZE_OF_IP_AND_UDP * counters.received,
             counters.sent_bytes + SIZE_OF_IP_AND_UDP * counters.sent,
             counters,
         )
-        if isinstance(node, ReplicaNode):
+        if isinstance(node, ReplicaEndpoint):
             status.state, status.term = node.machine.role.value, node.machine.term
             status.leader, status.blank = node.machine.leader, node.machine.blank
         else:
@@ -163,7 +163,7 @@
             return msgspec.json.encode({"error": str(fault)})
         rows = sorted(self._node.machine.rows(self._node.clock()), key=lambda row: row.name)
         first = max(first, 0)
-        return msgspec.msgpack.encode(RowsPage(first, len(rows), rows[first : first + ROWS_AT_ONCE]))
+        return msgspec.msgpack.encode(RowsPage(first, len(rows), rows[first : first + ROWS_PER_PAGE]))
 
     def _append(self, more: bytes) -> bytes:
         return msgspec.json.encode(self._append_answer(more))
@@ -187,17 +187,17 @@
             answer.state = AppendState.COMMITTED if outcome is Outcome.COMMITTED else AppendState.FAILED
             answer.why = "" if outcome is Outcome.COMMITTED else outcome.value
 
-        assert isinstance(self._node, ReplicaNode)
+        assert isinstance(self._node, ReplicaEndpoint)
         try:
             answer.number = self._node.propose(stamped(change, stamp_ms), self._ingest_s, resolved)
-        except NotLeader as fault:
+        except NotLeaderError as fault:
             return AppendAnswer(AppendState.NOT_LEADER, leader=fault.leader)
-        except Overloaded:
+        except OverloadedError:
             return AppendAnswer(AppendState.FAILED, why="too many changes wait, or too many settings are in force")
-        except InvalidChange as fault:
+        except InvalidChangeError as fault:
             return AppendAnswer(AppendState.REFUSED, why=str(fault))
         answer.epoch = self._node.machine.epoch
         self._requests[request_id] = answer
-        if len(self._requests) > MOST_REQUESTS:
+        if len(self._requests) > MAX_REMEMBERED_REQUESTS:
             self._requests.popitem(last=False)
         return answer
--- a/wickhinge/changelog/binary_fields.py
+++ b/wickhinge/changelog/binary_fields.py
@@ -2,9 +2,9 @@
 
 from __future__ import annotations
 
-MOST_VARINT_BYTES = 10
+MAX_VARINT_BYTES = 10
 U64_LIMIT = 1 << 64
-MOST_NUMBER = (1 << 56) - 1
+MAX_NUMBER = (1 << 56) - 1
 
 
 class Malformed(ValueError):
@@ -91,7 +91,7 @@
     def varint(self, most: int = U64_LIMIT - 1) -> int:
         """The shortest form alone is accepted, so that one value has one encoding."""
         value = 0
-        for position in range(MOST_VARINT_BYTES):
+        for position in range(MAX_VARINT_BYTES):
             piece = self.byte()
             value |= (piece & 0x7F) << 7 * position
             if piece < 0x80:
@@ -106,7 +106,7 @@
 
     def number(self) -> int:
         """A sequence number, an epoch or a term: sums of two of them stay below 2**64."""
-        return self.varint(MOST_NUMBER)
+        return self.varint(MAX_NUMBER)
 
     def signed(self) -> int:
         return unzigzag(self.varint())
--- a/wickhinge/changelog/codec.py
+++ b/wickhinge/changelog/codec.py
@@ -21,21 +21,21 @@
 from wickhinge.peers.wire import LONGEST, MAC, Unreadable, sealed, unsealed
 
 MAGIC = b"WL1"
-MOST_PROCESS_NAME = 32
-MOST_HEAD_BYTES = 1 + 1 + MOST_PROCESS_NAME + 8 + 8 + 5 + 1
-MOST_BODY_BYTES = LONGEST - len(MAGIC) - MAC - MOST_HEAD_BYTES
-MOST_MESSAGE_FIELDS = 80  # bytes of a Batch or an Append beside its entries
-MOST_ENTRIES_BYTES = MOST_BODY_BYTES - MOST_MESSAGE_FIELDS  # by entries.most_size
-MOST_RECORD_EXTRA = 10  # bytes of a record beside its change
-MOST_BATCH_ENTRIES = 255
-MOST_PART_BYTES = 1200
-MOST_PARTS = 8192
-MOST_MS = 0xFFFFFFFF
+MAX_PROCESS_NAME_BYTES = 32
+MAX_HEADER_BYTES = 1 + 1 + MAX_PROCESS_NAME_BYTES + 8 + 8 + 5 + 1
+MAX_BODY_BYTES = LONGEST - len(MAGIC) - MAC - MAX_HEADER_BYTES
+MAX_MESSAGE_FIELDS_BYTES = 80  # bytes of a Batch or an Append beside its entries
+MAX_ENTRIES_BYTES = MAX_BODY_BYTES - MAX_MESSAGE_FIELDS_BYTES  # by entries.max_encoded_size
+MAX_RECORD_OVERHEAD_BYTES = 10  # bytes of a record beside its change
+MAX_BATCH_ENTRIES = 255
+MAX_PART_BYTES = 1200
+MAX_PARTS = 8192
+MAX_DURATION_MS = 0xFFFFFFFF
 HAS_TOKEN, HAS_ECHO = 1, 2
 SIZE_OF_IP_AND_UDP = 28
 
 
-class TooLong(ValueError):
+class MessageTooLongError(ValueError):
     """The message does not fit a datagram: a fault of the process that built it."""
 
 
@@ -56,14 +56,14 @@
         self._shared: dict[int, tuple[Message, bytes]] = {}  # the last message of each format
 
     def encode(self, to: str, packet: Packet) -> bytes:
-        """Raises TooLong, Malformed."""
+        """Raises MessageTooLongError, Malformed."""
         message, body = self._shared.get(packet.format, (None, b""))
         if message is not packet.message:
             body = encode_message(packet.message, packet.format)
             self._shared[packet.format] = packet.message, body
         data = sealed(receiver_key(self._key, to), MAGIC, encode_head(packet) + body)
         if len(data) > LONGEST:
-            raise TooLong(f"{len(data)} bytes")
+            raise MessageTooLongError(f"{len(data)} bytes")
         return data
 
     def decode(self, data: bytes) -> Packet:
@@ -84,7 +84,7 @@
         writer.u64(packet.token)
     if packet.echo:
         writer.u64(packet.echo)
-        writer.varint(min(packet.held_ms, MOST_MS))
+        writer.varint(min(packet.echo_delay_ms, MAX_DURATION_MS))
     return writer.done()
 
 
@@ -95,16 +95,16 @@
     written, newest = formats & 15, formats >> 4
     if not OLDEST_FORMAT <= written <= min(newest, NEWEST_FORMAT) or flags > HAS_TOKEN | HAS_ECHO:
         raise Malformed(f"format {written} of {newest}, flags {flags}")
-    sender = reader.text(MOST_PROCESS_NAME)
+    sender = reader.text(MAX_PROCESS_NAME_BYTES)
     token = reader.u64() if flags & HAS_TOKEN else 0
     echo = reader.u64() if flags & HAS_ECHO else 0
-    held_ms = reader.varint(MOST_MS) if flags & HAS_ECHO else 0
+    echo_delay_ms = reader.varint(MAX_DURATION_MS) if flags & HAS_ECHO else 0
     kind = reader.byte()
     if kind not in READERS:
         raise Malformed(f"a message of kind {kind}")
     message = READERS[kind](reader, written)
     reader.end()
-    return Packet(sender, written, newest, token, echo, held_ms, message)
+    return Packet(sender, written, newest, token, echo, echo_delay_ms, message)
 
 
 def encode_message(message: Message, form: int) -> bytes:
@@ -138,13 +138,13 @@
     writer.varint(message.epoch)
     writer.varint(message.number)
     writer.raw(message.digest)
-    writer.byte(message.watch)
-    writer.varint(min(message.uninformed_ms, MOST_MS))
+    writer.byte(message.heartbeats_only)
+    writer.varint(min(message.uninformed_ms, MAX_DURATION_MS))
 
 
 def read_subscribe(reader: Reader, form: int) -> messages.Subscribe:
     epoch, number, digest = reader.number(), reader.number(), reader.raw(DIGEST_BYTES)
-    return messages.Subscribe(epoch, number, digest, reader.flag(), reader.varint(MOST_MS))
+    return messages.Subscribe(epoch, number, digest, reader.flag(), reader.varint(MAX_DURATION_MS))
 
 
 def write_unsubscribe(writer: Writer, message: messages.Unsubscribe, form: int) -> None:
@@ -159,11 +159,13 @@
     writer.varint(message.epoch)
     writer.varint(message.head)
     writer.raw(message.digest)
-    writer.varint(min(message.age_ms, MOST_MS))
+    writer.varint(min(message.age_ms, MAX_DURATION_MS))
 
 
 def read_heartbeat(reader: Reader, form: int) -> messages.Heartbeat:
-    return messages.Heartbeat(reader.number(), reader.number(), reader.raw(DIGEST_BYTES), reader.varint(MOST_MS))
+    return messages.Heartbeat(
+        reader.number(), reader.number(), reader.raw(DIGEST_BYTES), reader.varint(MAX_DURATION_MS)
+    )
 
 
 def write_batch(writer: Writer, message: messages.Batch, form: int) -> None:
@@ -173,7 +175,7 @@
     write_changes(writer, message.entries, form)
     writer.raw(message.digest)
     writer.varint(message.head - (message.first + len(message.entries) - 1))
-    writer.varint(min(message.age_ms, MOST_MS))
+    writer.varint(min(message.age_ms, MAX_DURATION_MS))
 
 
 def read_batch(reader: Reader, form: int) -> messages.Batch:
@@ -183,7 +185,7 @@
         raise Malformed("a batch without entries")
     digest = reader.raw(DIGEST_BYTES)
     head = entries[-1].number + reader.number()
-    return messages.Batch(epoch, first, entries, digest, head, reader.varint(MOST_MS))
+    return messages.Batch(epoch, first, entries, digest, head, reader.varint(MAX_DURATION_MS))
 
 
 def write_fetch(writer: Writer, message: messages.Fetch, form: int) -> None:
@@ -202,7 +204,7 @@
 
 
 def read_fetch_snapshot(reader: Reader, form: int) -> messages.FetchSnapshot:
-    return messages.FetchSnapshot(reader.number(), reader.number(), reader.varint(MOST_PARTS - 1))
+    return messages.FetchSnapshot(reader.number(), reader.number(), reader.varint(MAX_PARTS - 1))
 
 
 def write_snapshot_part(writer: Writer, message: messages.SnapshotPart, form: int) -> None:
@@ -214,16 +216,16 @@
 
 
 def read_snapshot_part(reader: Reader, form: int) -> messages.SnapshotPart:
-    epoch, number, part, parts = reader.number(), reader.number(), reader.varint(MOST_PARTS), reader.varint(MOST_PARTS)
+    epoch, number, part, parts = reader.number(), reader.number(), reader.varint(MAX_PARTS), reader.varint(MAX_PARTS)
     if part >= parts:
         raise Malformed(f"part {part} of {parts}")
-    return messages.SnapshotPart(epoch, number, part, parts, reader.block(MOST_PART_BYTES))
+    return messages.SnapshotPart(epoch, number, part, parts, reader.block(MAX_PART_BYTES))
 
 
 def write_request_vote(writer: Writer, message: messages.RequestVote, form: int) -> None:
     for value in (message.epoch, message.term, message.last_number, message.last_term):
         writer.varint(value)
-    writer.byte(message.probe)
+    writer.byte(message.pre_vote)
 
 
 def read_request_vote(reader: Reader, form: int) -> messages.RequestVote:
@@ -235,7 +237,7 @@
     writer.varint(message.epoch)
     writer.varint(message.term)
     writer.byte(message.granted)
-    writer.byte(message.probe)
+    writer.byte(message.pre_vote)
 
 
 def read_vote(reader: Reader, form: int) -> messages.Vote:
@@ -245,7 +247,7 @@
 def write_append(writer: Writer, message: messages.Append, form: int) -> None:
     for value in (message.epoch, message.term, message.previous_number, message.previous_term):
         writer.varint(value)
-    for value in (message.commit, message.first, min(message.age_ms, MOST_MS), message.round):
+    for value in (message.commit, message.first, min(message.age_ms, MAX_DURATION_MS), message.round):
         writer.varint(value)
     writer.byte(len(message.records))
     for record in message.records:
@@ -255,7 +257,12 @@
 
 def read_append(reader: Reader, form: int) -> messages.Append:
     epoch, term, previous_number, previous_term = (reader.number() for _ in range(4))
-    commit, first, age_ms, round_number = reader.number(), reader.number(), reader.varint(MOST_MS), reader.number()
+    commit, first, age_ms, round_number = (
+        reader.number(),
+        reader.number(),
+        reader.varint(MAX_DURATION_MS),
+        reader.number(),
+    )
     terms = [reader.number() for _ in range(reader.byte())]
     entries = read_entries(reader, form, epoch, previous_number + 1, len(terms))
     records = tuple(messages.Record(*pair) for pair in zip(terms, entries, strict=True))
--- a/wickhinge/changelog/confirmations.py
+++ b/wickhinge/changelog/confirmations.py
@@ -2,11 +2,11 @@
 
 from __future__ import annotations
 
-MOST_PENDING = 64
+MAX_PENDING_CONFIRMATIONS = 64
 NEVER = float("-inf")
 
 
-class Vouches:
+class Confirmations:
     """A vouch (until, number) says: all that was stored at the replicas' majority before `until` has numbers up to
     `number`.
     """
@@ -21,7 +21,7 @@
         if any(earlier >= until and other <= number for earlier, other in self._pending):
             return
         kept = [pair for pair in self._pending if pair[0] > until or pair[1] < number]
-        self._pending = sorted([*kept, (until, number)])[:MOST_PENDING]
+        self._pending = sorted([*kept, (until, number)])[:MAX_PENDING_CONFIRMATIONS]
 
     def reached(self, last: int) -> float:
         """The latest time until which a log that ends with `last` is complete; it never goes back."""
--- a/wickhinge/changelog/daemon.py
+++ b/wickhinge/changelog/daemon.py
@@ -11,15 +11,15 @@
 
 from wickhinge.changelog.addresses import Address
 from wickhinge.changelog.administration import Administration
-from wickhinge.changelog.nodes import RelayNode, ReplicaNode, Storage, StorageFailed
+from wickhinge.changelog.nodes import RelayEndpoint, ReplicaEndpoint, Storage, StorageFailedError
 from wickhinge.changelog.settings import RelaySettings, ReplicaSettings
 from wickhinge.fields import Malformed
 from wickhinge.net.log import Log
 from wickhinge.options import changelog as options_of
 from wickhinge.options.records import Changelog
 
-REPORT_S = 5.0
-WATCH_S = 0.1  # between two looks at what the log tells of
+REPORT_INTERVAL_S = 5.0
+STATUS_CHECK_INTERVAL_S = 0.1  # between two looks at what the log tells of
 OK, FAILED = 0, 1
 
 
@@ -50,10 +50,10 @@
         self._seen: tuple[Any, ...] = ()
         keys = options_of.read_keys(options)
         replicas, relays = options_of.addresses(options.replicas), options_of.addresses(options.relays)
-        self.node: ReplicaNode | RelayNode
+        self.node: ReplicaEndpoint | RelayEndpoint
         if storage is not None:
             settings = ReplicaSettings(purge_horizon_s=options.purge_horizon_s)
-            self.node = ReplicaNode(
+            self.node = ReplicaEndpoint(
                 name,
                 replicas,
                 relays,
@@ -68,7 +68,7 @@
             follow = msgspec.structs.replace(RelaySettings().follow, bound_s=options.bound_s)
             relay_settings = RelaySettings(purge_horizon_s=options.purge_horizon_s, follow=follow)
             preferred = rotated(replicas, list(relays).index(name))
-            self.node = RelayNode(name, relays[name], preferred, keys, reactor, relay_settings, log=self._log.event)
+            self.node = RelayEndpoint(name, relays[name], preferred, keys, reactor, relay_settings, log=self._log.event)
         self._administration = Administration(self.node, keys, options.ingest_s)
 
     def run(self) -> int:
@@ -79,7 +79,7 @@
             signal.signal(number, lambda *_: self._reactor.callFromThread(self._stop))
         signal.signal(signal.SIGHUP, lambda *_: self._reactor.callFromThread(self._reload))
         self._reactor.callLater(0, self._watch)
-        self._reactor.callLater(REPORT_S, self._report)
+        self._reactor.callLater(REPORT_INTERVAL_S, self._report)
         self._reactor.run(installSignalHandlers=False)
         return self._code
 
@@ -88,7 +88,7 @@
         self.node.close()
         self._reactor.stop()
 
-    def _storage_failed(self, fault: StorageFailed) -> None:
+    def _storage_failed(self, fault: StorageFailedError) -> None:
         """What was promised may not last: only a new start, which reads what did, may go on."""
         self._code = FAILED
         self._reactor.callWhenRunning(self._reactor.stop)
@@ -105,7 +105,7 @@
 
     def _watch(self) -> None:
         """Logs a new role, term, leader, epoch or source."""
-        self._reactor.callLater(WATCH_S, self._watch)
+        self._reactor.callLater(STATUS_CHECK_INTERVAL_S, self._watch)
         status = self._administration.status()
         seen = (status.epoch, status.state, status.term, status.leader, status.blank, status.source)
         if seen != self._seen:
@@ -114,5 +114,5 @@
             self._log.event("changelog_role", **dict(zip(names, seen, strict=True)))
 
     def _report(self) -> None:
-        self._reactor.callLater(REPORT_S, self._report)
+        self._reactor.callLater(REPORT_INTERVAL_S, self._report)
         self._log.event("changelog_report", **msgspec.to_builtins(self._administration.status()))
--- a/wickhinge/changelog/dispute_records.py
+++ b/wickhinge/changelog/dispute_records.py
@@ -25,14 +25,14 @@
         self.waiting: tuple[int, bytes, float] | None = None  # number and digest that the own log has yet to reach
 
 
-class Verdicts:
+class DisputeRecords:
     """One verdict a source: the latest comparison, which counts for `valid_s`."""
 
     def __init__(self, sequencer: Sequencer, valid_s: float) -> None:
         self._sequencer, self._valid_s = sequencer, valid_s
         self._of: dict[str, Verdict] = {}
 
-    def told(self, source: str, number: int, digest: bytes, now: float) -> None:
+    def record_digest(self, source: str, number: int, digest: bytes, now: float) -> None:
         """A source's log has `digest` at `number`, of our epoch."""
         verdict = self._of.setdefault(source, Verdict())
         if number > self._sequencer.last:
@@ -49,7 +49,7 @@
             if verdict.waiting is not None and verdict.waiting[0] <= self._sequencer.last:
                 number, digest, _ = verdict.waiting
                 verdict.waiting = None
-                self.told(source, number, digest, now)
+                self.record_digest(source, number, digest, now)
 
     def clear(self) -> None:
         self._of.clear()
--- a/wickhinge/changelog/echo_tokens.py
+++ b/wickhinge/changelog/echo_tokens.py
@@ -7,18 +7,18 @@
 
 from collections import OrderedDict
 
-from wickhinge.changelog.messages import UNVOUCHED
+from wickhinge.changelog.messages import UNKNOWN_AGE_MS
 from wickhinge.changelog.settings import CLOCK_DRIFT
 
 SESSION_BITS = 40
 COUNTER_BITS = 24
-MOST_TOKENS = 64  # remembered
+MAX_TOKENS = 64  # remembered
 # A duration measured by another clock, times this, is no longer than the same duration by this clock; divided by
 # this, it is no shorter.
 RATE_FACTOR = (1 - CLOCK_DRIFT) / (1 + CLOCK_DRIFT)
 
 
-class EchoClock:
+class EchoTokenClock:
     """Draws tokens and dates the packets that echo them. `session`: as for a Follower."""
 
     def __init__(self, session: int) -> None:
@@ -31,17 +31,17 @@
         self._count = self._count % ((1 << COUNTER_BITS) - 1) + 1
         token = self._session << COUNTER_BITS | self._count
         self._drawn[token] = now
-        if len(self._drawn) > MOST_TOKENS:
+        if len(self._drawn) > MAX_TOKENS:
             self._drawn.popitem(last=False)
         return token
 
-    def sent_after(self, echo: int, held_ms: int) -> float | None:
+    def sent_after(self, echo: int, echo_delay_ms: int) -> float | None:
         """A time, by this clock, before which the packet was not sent. None for a token that is not ours or too old."""
         drawn = self._drawn.get(echo)
-        return None if drawn is None else drawn + held_ms / 1000 * RATE_FACTOR
+        return None if drawn is None else drawn + echo_delay_ms / 1000 * RATE_FACTOR
 
 
-class HeldToken:
+class ReceivedToken:
     """The latest token of another process, to be echoed to it."""
 
     __slots__ = ("token", "since")
@@ -54,18 +54,18 @@
         if token:
             self.token, self.since = token, now
 
-    def held_ms(self, now: float) -> int:
+    def echo_delay_ms(self, now: float) -> int:
         """Rounded down: the packet must not seem younger than it is."""
         return max(int((now - self.since) * 1000), 0) if self.token else 0
 
 
 def age_ms(until: float | None, now: float) -> int:
-    """The age of knowledge that is complete until `until`, rounded up; UNVOUCHED where there is none."""
+    """The age of knowledge that is complete until `until`, rounded up; UNKNOWN_AGE_MS where there is none."""
     if until is None or until == float("-inf"):
-        return UNVOUCHED
-    return min(max(int((now - until) * 1000) + 1, 0), UNVOUCHED)
+        return UNKNOWN_AGE_MS
+    return min(max(int((now - until) * 1000) + 1, 0), UNKNOWN_AGE_MS)
 
 
-def complete_until(sent_after: float, told_age_ms: int) -> float | None:
+def complete_until(sent_after: float, reported_age_ms: int) -> float | None:
     """The time, by this clock, until which a packet's sender knew all. None where it does not say."""
-    return None if told_age_ms == UNVOUCHED else sent_after - told_age_ms / 1000 / RATE_FACTOR
+    return None if reported_age_ms == UNKNOWN_AGE_MS else sent_after - reported_age_ms / 1000 / RATE_FACTOR
--- a/wickhinge/changelog/entries.py
+++ b/wickhinge/changelog/entries.py
@@ -17,11 +17,11 @@
 FIRST_SIZED_KIND = 16
 LAST_KIND = 127
 MUST_UNDERSTAND = 0x80
-MOST_NAME_BYTES = 100
-MOST_VALUE_BYTES = 1000
-MOST_UNKNOWN_BYTES = 1100
-MOST_GROUP = (1 << 16) - 1
-MOST_STAMP_MS = (1 << 48) - 1
+MAX_NAME_BYTES = 100
+MAX_VALUE_BYTES = 1000
+MAX_UNKNOWN_PAYLOAD_BYTES = 1100
+MAX_GROUP = (1 << 16) - 1
+MAX_STAMP_MS = (1 << 48) - 1
 DIGEST_BYTES = 8
 EMPTY_DIGEST = bytes(DIGEST_BYTES)  # of a log without entries
 
@@ -69,17 +69,17 @@
     change: Change
 
 
-class InvalidChange(ValueError):
+class InvalidChangeError(ValueError):
     """A change that no log may hold; the text names the fault."""
 
 
 def check(change: Change) -> None:
-    """Raises InvalidChange where the change is out of its bounds. To be called before it is proposed."""
+    """Raises InvalidChangeError where the change is out of its bounds. To be called before it is proposed."""
     try:
         if decode_change(Reader(encode(change))) != change:
-            raise InvalidChange("does not survive encoding")
+            raise InvalidChangeError("does not survive encoding")
     except (Malformed, OverflowError, UnicodeEncodeError) as fault:
-        raise InvalidChange(str(fault)) from None
+        raise InvalidChangeError(str(fault)) from None
 
 
 def write_change(writer: Writer, change: Change, base_ms: int = 0) -> int:
@@ -114,10 +114,10 @@
     return writer.done()
 
 
-def most_size(change: Change) -> int:
+def max_encoded_size(change: Change) -> int:
     """Bytes that the change takes in a batch at most, whatever the base of its stamp."""
     if isinstance(change, Purge | Setting):
-        change = msgspec.structs.replace(change, stamp_ms=MOST_STAMP_MS)
+        change = msgspec.structs.replace(change, stamp_ms=MAX_STAMP_MS)
     return len(encode(change))
 
 
@@ -126,21 +126,21 @@
     head = reader.byte()
     kind, must = head & ~MUST_UNDERSTAND, bool(head & MUST_UNDERSTAND)
     if kind >= FIRST_SIZED_KIND:
-        return Unknown(kind, must, reader.block(MOST_UNKNOWN_BYTES)), base_ms
+        return Unknown(kind, must, reader.block(MAX_UNKNOWN_PAYLOAD_BYTES)), base_ms
     if kind == NOOP and not must:
         return Noop(), base_ms
     if not (PURGE_OBJECT <= kind <= SETTING and must):
         raise Malformed(f"a change of kind {head}")
     stamp_ms = base_ms + reader.signed()
-    if not 0 <= stamp_ms <= MOST_STAMP_MS:
+    if not 0 <= stamp_ms <= MAX_STAMP_MS:
         raise Malformed(f"stamp {stamp_ms}")
     if kind == SETTING:
-        name = reader.text(MOST_NAME_BYTES)
+        name = reader.text(MAX_NAME_BYTES)
         if not name:
             raise Malformed("a setting without a name")
-        return Setting(name, reader.block(MOST_VALUE_BYTES), stamp_ms), stamp_ms
+        return Setting(name, reader.block(MAX_VALUE_BYTES), stamp_ms), stamp_ms
     key = None if kind == PURGE_GROUP else reader.u64()
-    group = 0 if kind == PURGE_OBJECT else reader.varint(MOST_GROUP)
+    group = 0 if kind == PURGE_OBJECT else reader.varint(MAX_GROUP)
     if kind == PURGE_MEMBER and not group:
         raise Malformed("an object's purge with group 0 in the long form")
     return Purge(key, group, stamp_ms), stamp_ms
@@ -153,7 +153,7 @@
     return change
 
 
-def understood(change: Change) -> bool:
+def is_understood(change: Change) -> bool:
     """False for a change that this version has to know and does not."""
     return not (isinstance(change, Unknown) and change.must_understand)
 
--- a/wickhinge/changelog/feed.py
+++ b/wickhinge/changelog/feed.py
@@ -6,8 +6,8 @@
 
 import msgspec
 
-from wickhinge.changelog.codec import MOST_BATCH_ENTRIES, MOST_ENTRIES_BYTES
-from wickhinge.changelog.echo_tokens import HeldToken, age_ms
+from wickhinge.changelog.codec import MAX_BATCH_ENTRIES, MAX_ENTRIES_BYTES
+from wickhinge.changelog.echo_tokens import ReceivedToken, age_ms
 from wickhinge.changelog.effects import Send
 from wickhinge.changelog.log import Log
 from wickhinge.changelog.messages import (
@@ -24,7 +24,7 @@
 from wickhinge.changelog.settings import FeedSettings
 from wickhinge.changelog.snapshots import cut
 
-MOST_KEPT_SNAPSHOTS = 2
+MAX_CACHED_SNAPSHOTS = 2
 MESSAGE_OVERHEAD = 100  # bytes of a datagram beside entries or payload, as the rate counts it
 
 
@@ -38,16 +38,26 @@
     lag: int
     age_s: float
     uninformed_s: float
-    watch: bool
+    heartbeats_only: bool = msgspec.field(name="watch")  # the name on the wire
     agrees: bool | None
 
 
 class Subscriber:
-    __slots__ = ("name", "epoch", "number", "digest", "watch", "newest", "token", "heard_at", "uninformed_ms")
+    __slots__ = (
+        "name",
+        "epoch",
+        "number",
+        "digest",
+        "heartbeats_only",
+        "newest",
+        "token",
+        "received_at",
+        "uninformed_ms",
+    )
 
     def __init__(self, name: str) -> None:
         self.name = name
-        self.token = HeldToken()
+        self.token = ReceivedToken()
 
 
 class TokenBucket:
@@ -65,7 +75,7 @@
         self._level -= amount
 
 
-class KeptSnapshot(msgspec.Struct):
+class CachedSnapshot(msgspec.Struct):
     parts: tuple[SnapshotPart, ...]
     cut_at: float
 
@@ -88,15 +98,15 @@
         self._name, self._log, self._settings, self._newest = name, log, settings, newest_format
         self._term_at = term_at
         self._subscribers: dict[str, Subscriber] = {}
-        self._wanted: dict[str, Fetch | FetchSnapshot] = {}  # one for each subscriber, served in turn
-        self._bucket = TokenBucket(settings.catch_up_bytes_s, settings.catch_up_burst, now)
-        self._snapshots: list[KeptSnapshot] = []  # the youngest last
+        self._pending_requests: dict[str, Fetch | FetchSnapshot] = {}  # one for each subscriber, served in turn
+        self._bucket = TokenBucket(settings.catch_up_bytes_per_s, settings.catch_up_burst_bytes, now)
+        self._snapshots: list[CachedSnapshot] = []  # the youngest last
         self._pushed = log.last  # entries up to here went to the subscribers
         self._epoch = log.epoch
         self._batch_at = self._heartbeat_at = now
         self.refused = 0  # subscriptions beyond the table's bound
 
-    def heard(self, packet: Packet, now: float, until: float | None) -> list[Send]:
+    def receive(self, packet: Packet, now: float, until: float | None) -> list[Send]:
         message = packet.message
         if isinstance(message, Subscribe):
             return self._subscribe(packet, message, now, until)
@@ -108,19 +118,19 @@
             return []
         if isinstance(message, Fetch | FetchSnapshot) and message.epoch <= self._log.epoch:
             subscriber.token.hold(packet.token, now)
-            self._wanted[packet.sender] = message
+            self._pending_requests[packet.sender] = message
             return self._serve(now, until)
         return []
 
     def tick(self, now: float, until: float | None) -> list[Send]:
         for subscriber in list(self._subscribers.values()):
-            if now - subscriber.heard_at > self._settings.forget_s:
+            if now - subscriber.received_at > self._settings.subscriber_expiry_s:
                 self._forget(subscriber.name)
         if not self._log.epoch:
             return []
         sends = self._push(now, until)
-        if now - self._heartbeat_at >= self._settings.heartbeat_s:
-            sends += self._beat(now, until)
+        if now - self._heartbeat_at >= self._settings.heartbeat_interval_s:
+            sends += self._send_heartbeats(now, until)
         return sends + self._serve(now, until)
 
     def rows(self, now: float) -> list[SubscriberRow]:
@@ -129,9 +139,9 @@
                 subscriber.name,
                 subscriber.number,
                 max(self._log.last - subscriber.number, 0),
-                now - subscriber.heard_at,
+                now - subscriber.received_at,
                 subscriber.uninformed_ms / 1000,
-                subscriber.watch,
+                subscriber.heartbeats_only,
                 self._agrees(subscriber),
             )
             for subscriber in self._subscribers.values()
@@ -143,15 +153,15 @@
         subscriber = self._subscribers.get(packet.sender)
         is_new = subscriber is None
         if subscriber is None:
-            if len(self._subscribers) >= self._settings.most_subscribers:
+            if len(self._subscribers) >= self._settings.max_subscribers:
                 self.refused += 1
                 return []
             subscriber = self._subscribers[packet.sender] = Subscriber(packet.sender)
         subscriber.epoch, subscriber.number, subscriber.digest = message.epoch, message.number, message.digest
-        subscriber.watch, subscriber.newest = message.watch, packet.newest
-        subscriber.uninformed_ms, subscriber.heard_at = message.uninformed_ms, now
+        subscriber.heartbeats_only, subscriber.newest = message.heartbeats_only, packet.newest
+        subscriber.uninformed_ms, subscriber.received_at = message.uninformed_ms, now
         subscriber.token.hold(packet.token, now)
-        if (is_new or message.watch) and self._log.epoch:
+        if (is_new or message.heartbeats_only) and self._log.epoch:
             return [self._send(subscriber, self._heartbeat(now, until), now)]
         return []
 
@@ -161,32 +171,32 @@
 
     def _forget(self, name: str) -> None:
         del self._subscribers[name]
-        self._wanted.pop(name, None)
+        self._pending_requests.pop(name, None)
 
     def _send(self, subscriber: Subscriber, message: Message, now: float) -> Send:
         newest = min(self._newest, subscriber.newest)
         token = subscriber.token
         return Send(
-            subscriber.name, Packet(self._name, newest, self._newest, 0, token.token, token.held_ms(now), message)
+            subscriber.name, Packet(self._name, newest, self._newest, 0, token.token, token.echo_delay_ms(now), message)
         )
 
     def _heartbeat(self, now: float, until: float | None) -> Heartbeat:
         return Heartbeat(self._log.epoch, self._log.last, self._log.digest, age_ms(until, now))
 
     def _to_followers(self, message: Message, now: float) -> list[Send]:
-        followers = (subscriber for subscriber in self._subscribers.values() if not subscriber.watch)
+        followers = (subscriber for subscriber in self._subscribers.values() if not subscriber.heartbeats_only)
         return [self._send(subscriber, message, now) for subscriber in followers]
 
     def _push(self, now: float, until: float | None) -> list[Send]:
         """What is new, to all followers: the same messages, so that each is encoded once."""
         if self._epoch != self._log.epoch or not self._log.first - 1 <= self._pushed <= self._log.last:
             self._epoch, self._pushed = self._log.epoch, self._log.last
-            return self._beat(now, until)
-        if self._pushed == self._log.last or now - self._batch_at < self._settings.batch_s:
+            return self._send_heartbeats(now, until)
+        if self._pushed == self._log.last or now - self._batch_at < self._settings.batch_interval_s:
             return []
         self._batch_at = self._heartbeat_at = now
         sends = []
-        for _ in range(self._settings.batches_at_once):
+        for _ in range(self._settings.max_batches_per_push):
             batch = self._batch(self._pushed + 1, now, until)
             if batch is None:
                 break
@@ -194,12 +204,12 @@
             sends += self._to_followers(batch, now)
         return sends
 
-    def _beat(self, now: float, until: float | None) -> list[Send]:
+    def _send_heartbeats(self, now: float, until: float | None) -> list[Send]:
         self._heartbeat_at = now
         return self._to_followers(self._heartbeat(now, until), now)
 
     def _batch(self, number: int, now: float, until: float | None) -> Batch | None:
-        entries = self._log.entries_from(number, MOST_ENTRIES_BYTES, MOST_BATCH_ENTRIES)
+        entries = self._log.entries_from(number, MAX_ENTRIES_BYTES, MAX_BATCH_ENTRIES)
         if not entries:
             return None
         digest = self._log.digest_at(entries[-1].number)
@@ -208,9 +218,9 @@
     def _serve(self, now: float, until: float | None) -> list[Send]:
         """Requests in the order in which they came, each a few datagrams, while the rate allows."""
         sends = []
-        while self._wanted and self._bucket.open(now):
-            name = next(iter(self._wanted))
-            subscriber, request = self._subscribers[name], self._wanted.pop(name)
+        while self._pending_requests and self._bucket.open(now):
+            name = next(iter(self._pending_requests))
+            subscriber, request = self._subscribers[name], self._pending_requests.pop(name)
             for message, size in self._answers(request, now, until):
                 self._bucket.take(size + MESSAGE_OVERHEAD)
                 sends.append(self._send(subscriber, message, now))
@@ -224,7 +234,7 @@
         if request.epoch < self._log.epoch or request.number < self._log.first:
             return self._parts(FetchSnapshot(self._log.epoch, 0, 0), now)
         answers, number = [], request.number
-        for _ in range(self._settings.pieces_at_once):
+        for _ in range(self._settings.max_messages_per_request):
             batch = self._batch(number, now, until)
             if batch is None:
                 break
@@ -235,10 +245,10 @@
     def _parts(self, request: FetchSnapshot, now: float) -> list[tuple[Message, int]]:
         kept = self._kept(request, now)
         start = request.part if kept.parts[0].number == request.number and request.number else 0
-        parts = kept.parts[start : start + self._settings.pieces_at_once]
+        parts = kept.parts[start : start + self._settings.max_messages_per_request]
         return [(part, len(part.payload)) for part in parts]
 
-    def _kept(self, request: FetchSnapshot, now: float) -> KeptSnapshot:
+    def _kept(self, request: FetchSnapshot, now: float) -> CachedSnapshot:
         """The snapshot asked for while it is kept, else the youngest, else a new one. One whose next entry is no longer
         retained is of no use.
         """
@@ -250,9 +260,9 @@
         for kept in self._snapshots:
             if request.number and kept.parts[0].number == request.number:
                 return kept
-        if self._snapshots and now - self._snapshots[-1].cut_at <= self._settings.snapshot_keep_s:
+        if self._snapshots and now - self._snapshots[-1].cut_at <= self._settings.snapshot_cache_s:
             return self._snapshots[-1]
         snapshot = msgspec.structs.replace(self._log.snapshot(now), term=self._term_at(self._log.last))
-        self._snapshots.append(KeptSnapshot(cut(snapshot), now))
-        del self._snapshots[:-MOST_KEPT_SNAPSHOTS]
+        self._snapshots.append(CachedSnapshot(cut(snapshot), now))
+        del self._snapshots[:-MAX_CACHED_SNAPSHOTS]
         return self._snapshots[-1]
--- a/wickhinge/changelog/follower.py
+++ b/wickhinge/changelog/follower.py
@@ -5,12 +5,12 @@
 from collections.abc import Callable, Sequence
 
 from wickhinge.changelog.effects import Apply, Effect, Reset
-from wickhinge.changelog.entries import Unknown, understood
-from wickhinge.changelog.messages import NEWEST_FORMAT, UNVOUCHED, Packet
+from wickhinge.changelog.entries import Unknown, is_understood
+from wickhinge.changelog.messages import NEWEST_FORMAT, UNKNOWN_AGE_MS, Packet
 from wickhinge.changelog.settings import CLOCK_DRIFT, FollowSettings
 from wickhinge.changelog.subscription import Subscription
 
-LEAST_AGE = 0.001  # seconds; never 0, which would mean no limit
+MIN_AGE_S = 0.001  # seconds; never 0, which would mean no limit
 NEVER = float("-inf")
 
 
@@ -25,13 +25,13 @@
         name: str,
         sources: Sequence[str],
         settings: FollowSettings,
-        chance: Callable[[], float],
+        random_fraction: Callable[[], float],
         session: int,
         now: float,
         newest_format: int = NEWEST_FORMAT,
     ) -> None:
         self._settings = settings
-        self._subscription = Subscription(name, sources, settings, chance, session, now, newest_format)
+        self._subscription = Subscription(name, sources, settings, random_fraction, session, now, newest_format)
         self._informed_until = NEVER
         self.skipped = 0  # entries of unknown kinds
         self.not_understood = 0  # of them, those that had to be understood: uninformed until the next start
@@ -54,18 +54,18 @@
     def tick(self, now: float) -> list[Effect]:
         """To be called every TICK_S. Effects: Send."""
         effects = self._subscription.tick(now, self._uninformed_ms(now))
-        self._learn(now)
+        self._update_informed_until(now)
         return effects
 
-    def heard(self, packet: Packet, now: float) -> list[Effect]:
+    def receive(self, packet: Packet, now: float) -> list[Effect]:
         """One packet as `codec` read it. Effects: Send, Apply, Reset."""
-        effects = self._subscription.heard(packet, now)
+        effects = self._subscription.receive(packet, now)
         for effect in effects:
             if isinstance(effect, Apply):
                 self._count(effect)
             elif isinstance(effect, Reset):
                 self.not_understood += effect.snapshot.incomplete
-        self._learn(now)
+        self._update_informed_until(now)
         return effects
 
     def leave(self) -> list[Effect]:
@@ -76,12 +76,12 @@
         """The latest time, by this clock, such that each change that was at the replicas' majority before it is known
         here; -inf where there is none.
         """
-        self._learn(now)
+        self._update_informed_until(now)
         return self._informed_until
 
     def uninformed(self, now: float) -> bool:
         """Whether changes older than the bound may be missing here."""
-        self._learn(now)
+        self._update_informed_until(now)
         if self.not_understood or self._subscription.disputed(now):
             return True
         return now - self._informed_until > self._settings.bound_s * (1 - CLOCK_DRIFT)
@@ -95,16 +95,16 @@
         unknown_for = now - self._informed_until + self._settings.ingest_s
         if not self.uninformed(now) and unknown_for <= safe:
             return None
-        return max(safe - LEAST_AGE, LEAST_AGE)
+        return max(safe - MIN_AGE_S, MIN_AGE_S)
 
-    def unlimited_until(self, now: float, grace: float) -> float:
+    def no_age_limit_until(self, now: float, grace: float) -> float:
         """`oldest` is None before this time, as long as nothing is heard; -inf where it is not None now."""
         if self.oldest(now, grace) is not None:
             return NEVER
-        most_s = min(self._settings.bound_s * (1 - CLOCK_DRIFT), grace * (1 - CLOCK_DRIFT) - self._settings.ingest_s)
-        return self._informed_until + most_s
+        max_age_s = min(self._settings.bound_s * (1 - CLOCK_DRIFT), grace * (1 - CLOCK_DRIFT) - self._settings.ingest_s)
+        return self._informed_until + max_age_s
 
-    def _learn(self, now: float) -> None:
+    def _update_informed_until(self, now: float) -> None:
         if not self.not_understood and not self._subscription.disputed(now):
             self._informed_until = max(self._informed_until, self._subscription.known_until())
 
@@ -112,11 +112,11 @@
         change = effect.entry.change
         if isinstance(change, Unknown):
             self.skipped += 1
-            self.not_understood += not understood(change)
+            self.not_understood += not is_understood(change)
 
     def _uninformed_ms(self, now: float) -> int:
         if not self.uninformed(now):
             return 0
         if self._informed_until == NEVER:
-            return UNVOUCHED
+            return UNKNOWN_AGE_MS
         return max(int((now - self._informed_until) * 1000), 1)
--- a/wickhinge/changelog/leadership.py
+++ b/wickhinge/changelog/leadership.py
@@ -5,14 +5,14 @@
 from collections import OrderedDict
 from collections.abc import Iterable
 
-MOST_ROUNDS = 1024  # remembered until a majority has answered them
+MAX_PENDING_ROUNDS = 1024  # remembered until a majority has answered them
 
 
 class Leadership:
     def __init__(self, peers: Iterable[str], last: int, now: float) -> None:
         self.match = dict.fromkeys(peers, 0)  # the logs agree up to here
         self.next = dict.fromkeys(self.match, last + 1)  # to be sent next
-        self.probing = set(self.match)  # where their logs part is not known: `next` waits for an answer
+        self.probing_peers = set(self.match)  # where their logs part is not known: `next` waits for an answer
         self.round = 0
         self.broadcast_at = now
         self.confirmed_at = now  # when a majority last answered
@@ -24,7 +24,7 @@
         self.round += 1
         self.broadcast_at, self.behind = now, False
         self._rounds[self.round] = now, last
-        if len(self._rounds) > MOST_ROUNDS:
+        if len(self._rounds) > MAX_PENDING_ROUNDS:
             self._rounds.popitem(last=False)
 
     def answered(self, peer: str, round_number: int, now: float) -> tuple[float, int] | None:
@@ -42,17 +42,17 @@
 
     def sent(self, peer: str, last: int) -> None:
         """Records up to `last` were sent. Where the logs agreed so far, the next message goes on behind them."""
-        if peer not in self.probing:
+        if peer not in self.probing_peers:
             self.next[peer] = last + 1
 
     def accepted(self, peer: str, match: int) -> None:
-        self.probing.discard(peer)
+        self.probing_peers.discard(peer)
         self.match[peer] = max(self.match[peer], match)
         self.next[peer] = max(self.next[peer], self.match[peer] + 1)
 
     def rejected(self, peer: str, match: int) -> bool:
         """The peer says to try next after `match`. Whether that is further back than so far: a late answer is not."""
-        self.probing.add(peer)
+        self.probing_peers.add(peer)
         following = max(match, self.match[peer]) + 1
         is_earlier = following < self.next[peer]
         self.next[peer] = min(self.next[peer], following)
--- a/wickhinge/changelog/log.py
+++ b/wickhinge/changelog/log.py
@@ -12,14 +12,14 @@
     Entry,
     Purge,
     Setting,
-    most_size,
+    is_understood,
+    max_encoded_size,
     next_digest,
-    understood,
 )
 
-MOST_RETAINED = 65536
-MOST_SETTINGS = 4096
-MOST_PURGES = 65536
+MAX_RETAINED_ENTRIES = 65536
+MAX_SETTINGS = 4096
+MAX_PURGES = 65536
 
 
 class Snapshot(msgspec.Struct, frozen=True):
@@ -41,7 +41,7 @@
 EMPTY_SNAPSHOT = Snapshot(0, 0, EMPTY_DIGEST, (), ())
 
 
-class OutOfOrder(ValueError):
+class OutOfOrderError(ValueError):
     """The entry is not the next one of this log."""
 
 
@@ -52,7 +52,7 @@
     """
 
     def __init__(self, retain: int = 16384, purge_horizon_s: float = 120.0) -> None:
-        self.retain = min(max(retain, 1), MOST_RETAINED)
+        self.retain = min(max(retain, 1), MAX_RETAINED_ENTRIES)
         self.purge_horizon_s = purge_horizon_s
         self.epoch = 0
         self.last = 0  # number of the last entry; 0 where there was none
@@ -69,17 +69,17 @@
         return self.last - len(self._entries) + 1
 
     def append(self, entry: Entry, now: float) -> None:
-        """Raises OutOfOrder."""
+        """Raises OutOfOrderError."""
         if entry.epoch != self.epoch or entry.number != self.last + 1:
-            raise OutOfOrder(f"entry {entry.epoch}/{entry.number} after {self.epoch}/{self.last}")
+            raise OutOfOrderError(f"entry {entry.epoch}/{entry.number} after {self.epoch}/{self.last}")
         self.digest = next_digest(self.digest, entry)
         self.last = entry.number
-        self._entries.append((entry, most_size(entry.change), self.digest))
+        self._entries.append((entry, max_encoded_size(entry.change), self.digest))
         if len(self._entries) > self.retain:
             self._base_digest = self._entries.popleft()[2]
-        self._fold(entry, now)
+        self._update_state(entry, now)
 
-    def entries_from(self, number: int, most_bytes: int, most_entries: int) -> tuple[Entry, ...]:
+    def entries_from(self, number: int, max_bytes: int, max_entries: int) -> tuple[Entry, ...]:
         """Entries from `number` on: at least one, else as many as fit by their size at most. Empty where `number` is
         past the last or no longer retained.
         """
@@ -89,7 +89,7 @@
         for place in range(number - self.first, len(self._entries)):
             entry, entry_size, _ = self._entries[place]
             size += entry_size
-            if found and (size > most_bytes or len(found) >= most_entries):
+            if found and (size > max_bytes or len(found) >= max_entries):
                 break
             found.append(entry)
         return tuple(found)
@@ -99,10 +99,10 @@
         start = number - self.first
         return sum(self._entries[place][1] for place in range(start, start + count))
 
-    def has_room(self, change: Change) -> bool:
+    def has_capacity(self, change: Change) -> bool:
         """Whether a setting would be within the bound of how many there may be."""
         is_new = isinstance(change, Setting) and change.name not in self._settings
-        return not is_new or len(self._settings) < MOST_SETTINGS
+        return not is_new or len(self._settings) < MAX_SETTINGS
 
     def digest_at(self, number: int) -> bytes | None:
         """The digest after entry `number`; None where that is not known here."""
@@ -127,21 +127,21 @@
         self.incomplete = snapshot.incomplete
         self._entries.clear()
         self._settings = {setting.name: setting for setting in snapshot.settings}
-        self._purges = deque(((now, purge) for purge in [*kept, *snapshot.purges]), maxlen=MOST_PURGES)
+        self._purges = deque(((now, purge) for purge in [*kept, *snapshot.purges]), maxlen=MAX_PURGES)
 
-    def _fold(self, entry: Entry, now: float) -> None:
+    def _update_state(self, entry: Entry, now: float) -> None:
         change = entry.change
         if isinstance(change, Setting):
-            if change.name in self._settings or len(self._settings) < MOST_SETTINGS:
+            if change.name in self._settings or len(self._settings) < MAX_SETTINGS:
                 self._settings[change.name] = change
         elif isinstance(change, Purge):
             self._purges.append((now, change))
             self._forget_purges(now)
-        elif not understood(change):
+        elif not is_understood(change):
             self.incomplete = True
 
     def _forget_purges(self, now: float) -> None:
         while self._purges and now - self._purges[0][0] > self.purge_horizon_s:
             self._purges.popleft()
-        while len(self._purges) > MOST_PURGES:
+        while len(self._purges) > MAX_PURGES:
             self._purges.popleft()
--- a/wickhinge/changelog/messages.py
+++ b/wickhinge/changelog/messages.py
@@ -12,20 +12,20 @@
 from wickhinge.changelog.entries import Entry
 
 OLDEST_FORMAT, NEWEST_FORMAT = 1, 2
-UNVOUCHED = 0xFFFFFFFF  # an age: nothing is known about how old the knowledge is
+UNKNOWN_AGE_MS = 0xFFFFFFFF  # an age: nothing is known about how old the knowledge is
 
 
 class Subscribe(msgspec.Struct, frozen=True):
     """A subscriber's own heartbeat: the first one subscribes, later ones acknowledge, once a second.
 
-    `number` and `digest` are those of the last entry applied. `watch`: heartbeats alone are wanted, no entries.
+    `number` and `digest` are those of the last entry applied. `heartbeats_only`: no entries are wanted.
     `uninformed_ms` is the age of the subscriber's knowledge where that is over its bound, else 0.
     """
 
     epoch: int
     number: int
     digest: bytes
-    watch: bool
+    heartbeats_only: bool
     uninformed_ms: int
 
 
@@ -43,7 +43,7 @@
 
 
 class Batch(msgspec.Struct, frozen=True):
-    """Entries `first` .. in order, at most MOST_BATCH_ENTRIES, and a heartbeat. `digest` is the log's at the last of
+    """Entries `first` .. in order, at most MAX_BATCH_ENTRIES, and a heartbeat. `digest` is the log's at the last of
     the entries; `head` may be past it.
     """
 
@@ -81,13 +81,13 @@
 
 
 class RequestVote(msgspec.Struct, frozen=True):
-    """A replica asks for a vote in `term`. `probe`: it only asks whether it would get one (pre-vote)."""
+    """A replica asks for a vote in `term`. `pre_vote`: it only asks whether it would get one."""
 
     epoch: int
     term: int
     last_number: int
     last_term: int
-    probe: bool
+    pre_vote: bool
 
 
 class Vote(msgspec.Struct, frozen=True):
@@ -96,7 +96,7 @@
     epoch: int
     term: int
     granted: bool
-    probe: bool
+    pre_vote: bool
 
 
 class Record(msgspec.Struct, frozen=True):
@@ -160,5 +160,5 @@
     newest: int
     token: int
     echo: int
-    held_ms: int
+    echo_delay_ms: int
     message: Message
--- a/wickhinge/changelog/nodes.py
+++ b/wickhinge/changelog/nodes.py
@@ -1,6 +1,6 @@
 """Replica, relay and follower on a UDP socket each: what the state machines decide is done here, and no more.
 
-`ReplicaNode`, `RelayNode` and `FollowerNode` take the reactor and the clock as arguments; many may run in one process.
+`ReplicaEndpoint`, `RelayEndpoint` and `FollowerEndpoint` take the reactor and the clock; many may run in one process.
 Datagrams go out as they are: where a socket's buffer is full one is lost, which is what the state machines reckon with.
 """
 
@@ -18,7 +18,7 @@
 
 from wickhinge.changelog.addresses import Address, AddressBook
 from wickhinge.changelog.binary_fields import Malformed
-from wickhinge.changelog.codec import Codec, TooLong
+from wickhinge.changelog.codec import Codec, MessageTooLongError
 from wickhinge.changelog.echo_tokens import SESSION_BITS
 from wickhinge.changelog.effects import (
     Accepted,
@@ -34,15 +34,15 @@
 from wickhinge.changelog.follower import NEVER, Follower
 from wickhinge.changelog.log import Snapshot
 from wickhinge.changelog.messages import NEWEST_FORMAT, Packet
-from wickhinge.changelog.proposals import MOST_WAITING, Outcome, Proposal, Proposals
+from wickhinge.changelog.proposals import MAX_WAITING_PROPOSALS, Outcome, Proposal, Proposals
 from wickhinge.changelog.relay import Relay
 from wickhinge.changelog.replica import Replica
 from wickhinge.changelog.settings import TICK_S, FollowSettings, RelaySettings, ReplicaSettings
-from wickhinge.changelog.stored import Overloaded, Stored
+from wickhinge.changelog.stored import OverloadedError, Stored
 from wickhinge.peers.wire import LONGEST
 
-FORGET_ADDRESS_S = 30.0
-MOST_A_TICK = 4096  # datagrams that are looked at between two ticks; the others are counted as left
+ADDRESS_EXPIRY_S = 30.0
+MAX_DATAGRAMS_PER_TICK = 4096  # datagrams that are looked at between two ticks; the others are counted as left
 
 LogEvent = Callable[..., None]  # (event name, **fields)
 
@@ -60,7 +60,7 @@
     def close(self) -> None: ...
 
 
-class StorageFailed(Exception):
+class StorageFailedError(Exception):
     """A replica's storage did not take what it was given: the replica has to end."""
 
 
@@ -74,7 +74,7 @@
     unreadable: int = 0  # not under the key, or malformed
     unsent: int = 0  # the socket's buffer was full, or no way there
     unknown: int = 0  # to a process whose address is not known
-    left: int = 0  # beyond MOST_A_TICK
+    left: int = 0  # beyond MAX_DATAGRAMS_PER_TICK
 
 
 def boottime() -> float:
@@ -160,7 +160,7 @@
         self._looked_at = 0
         self._ticks += 1
         if self._ticks % 256 == 0:
-            self.addresses.forget(now, FORGET_ADDRESS_S)
+            self.addresses.forget(now, ADDRESS_EXPIRY_S)
         try:
             self.perform(self.machine.tick(now))
             self.ticked(now)
@@ -176,7 +176,7 @@
         self.counters.received_bytes += len(datagram)
         if self.closed:
             return
-        if self._looked_at > MOST_A_TICK:
+        if self._looked_at > MAX_DATAGRAMS_PER_TICK:
             self.counters.left += 1
             return
         if self.other_datagram is not None and self.other_datagram(datagram, addr):
@@ -186,9 +186,9 @@
             self.counters.unreadable += 1
             return
         now = self.clock()
-        self.addresses.heard(packet.sender, addr, packet.token, now)
+        self.addresses.record_packet(packet.sender, addr, packet.token, now)
         try:
-            self.perform(self.machine.heard(packet, now))
+            self.perform(self.machine.receive(packet, now))
         except Exception as fault:
             self.failed(type(packet.message).__name__, fault)
 
@@ -220,13 +220,13 @@
         raise TypeError(f"{type(self).__name__} has no {type(effect).__name__}")
 
     def send(self, effect: Send) -> None:
-        address = self.addresses.of(effect.to)
+        address = self.addresses.lookup(effect.to)
         if address is None:
             self.counters.unknown += 1
             return
         try:
             datagram = self._codecs[0].encode(effect.to, effect.packet)
-        except (TooLong, Malformed) as fault:
+        except (MessageTooLongError, Malformed) as fault:
             self.log("changelog_unsendable", to=effect.to, why=str(fault))
             return
         self.write(datagram, address)
@@ -243,7 +243,7 @@
         self.counters.sent_bytes += len(datagram)
 
 
-class FollowerNode(Node):
+class FollowerEndpoint(Node):
     """A router's side. `relays`: names and addresses in order of preference.
 
     `on_apply(entry)` and `on_reset(snapshot)` are called in the log's order. Where one raises, what it should have done
@@ -265,17 +265,17 @@
         settings: FollowSettings | None = None,
         clock: Callable[[], float] = boottime,
         log: LogEvent = no_log,
-        chance: Callable[[], float] = random.random,
+        random_fraction: Callable[[], float] = random.random,
         newest_format: int = NEWEST_FORMAT,
         call_later: Callable[[float, Callable[[], None]], Any] | None = None,
         on_tick: Callable[[], None] = lambda: None,
     ) -> None:
         super().__init__(name, address, relays, keys, reactor, clock, log, call_later)
         self._on_apply, self._on_reset, self._on_tick = on_apply, on_reset, on_tick
-        self._unlimited_until = NEVER  # no limit before this time, for this grace
-        self._unlimited_grace_s = 0.0
+        self._no_age_limit_until = NEVER  # no limit before this time, for this grace
+        self._no_age_limit_grace_s = 0.0
         self.machine = Follower(
-            name, list(relays), settings or FollowSettings(), chance, new_session(), clock(), newest_format
+            name, list(relays), settings or FollowSettings(), random_fraction, new_session(), clock(), newest_format
         )
 
     def ticked(self, now: float) -> None:
@@ -291,15 +291,15 @@
         what was found is kept until something is heard.
         """
         now = self.clock()
-        if grace_s == self._unlimited_grace_s and now < self._unlimited_until:
+        if grace_s == self._no_age_limit_grace_s and now < self._no_age_limit_until:
             return None
-        self._unlimited_grace_s = grace_s
-        self._unlimited_until = self.machine.unlimited_until(now, grace_s)
-        return None if now < self._unlimited_until else self.machine.oldest(now, grace_s)
+        self._no_age_limit_grace_s = grace_s
+        self._no_age_limit_until = self.machine.no_age_limit_until(now, grace_s)
+        return None if now < self._no_age_limit_until else self.machine.oldest(now, grace_s)
 
     def perform(self, effects: Sequence[Effect]) -> None:
         """Called after each tick and each packet, with whatever came of it."""
-        self._unlimited_until = NEVER
+        self._no_age_limit_until = NEVER
         super().perform(effects)
 
     def do(self, effect: Effect) -> None:
@@ -317,7 +317,7 @@
         super().failed(where, fault)
 
 
-class RelayNode(Node):
+class RelayEndpoint(Node):
     """A relay. `replicas`: names and addresses in order of preference; routers' addresses are learned."""
 
     machine: Relay
@@ -332,16 +332,16 @@
         settings: RelaySettings | None = None,
         clock: Callable[[], float] = boottime,
         log: LogEvent = no_log,
-        chance: Callable[[], float] = random.random,
+        random_fraction: Callable[[], float] = random.random,
         newest_format: int = NEWEST_FORMAT,
     ) -> None:
         super().__init__(name, address, replicas, keys, reactor, clock, log)
         self.machine = Relay(
-            name, list(replicas), settings or RelaySettings(), chance, new_session(), clock(), newest_format
+            name, list(replicas), settings or RelaySettings(), random_fraction, new_session(), clock(), newest_format
         )
 
 
-class ReplicaNode(Node):
+class ReplicaEndpoint(Node):
     """A replica. `replicas`: names and addresses of all, this one's too; `relays`: those of the relays.
 
     `on_failure(fault)`: the storage failed; the node has closed itself, as what it promised may not last.
@@ -360,9 +360,9 @@
         settings: ReplicaSettings | None = None,
         clock: Callable[[], float] = boottime,
         log: LogEvent = no_log,
-        chance: Callable[[], float] = random.random,
+        random_fraction: Callable[[], float] = random.random,
         newest_format: int = NEWEST_FORMAT,
-        on_failure: Callable[[StorageFailed], None] = lambda fault: None,
+        on_failure: Callable[[StorageFailedError], None] = lambda fault: None,
     ) -> None:
         super().__init__(name, replicas[name], {**relays, **replicas}, keys, reactor, clock, log)
         self._storage, self._on_failure = storage, on_failure
@@ -371,7 +371,7 @@
             name,
             list(replicas),
             settings or ReplicaSettings(),
-            chance,
+            random_fraction,
             new_session(),
             clock(),
             storage.stored,
@@ -380,10 +380,10 @@
 
     def propose(self, change: Change, within_s: float, resolved: Callable[[Outcome], None]) -> int:
         """The number that the change has if it is committed; `resolved` is called once, later or before this returns.
-        Raises NotLeader, Overloaded, entries.InvalidChange.
+        Raises NotLeaderError, OverloadedError, entries.InvalidChangeError.
         """
-        if len(self._proposals) >= MOST_WAITING:
-            raise Overloaded
+        if len(self._proposals) >= MAX_WAITING_PROPOSALS:
+            raise OverloadedError
         now = self.clock()
         effects = self.machine.propose(change, now)
         number = next(effect.number for effect in effects if isinstance(effect, Accepted))
@@ -400,7 +400,7 @@
             return
         try:
             super().perform(effects)
-        except StorageFailed as fault:
+        except StorageFailedError as fault:
             self.log("changelog_storage_failed", why=str(fault))
             self.close()
             self._on_failure(fault)
@@ -412,14 +412,14 @@
             self._persist(effect)
 
     def _persist(self, effect: Persist | PersistSnapshot) -> None:
-        """Raises StorageFailed, whatever the cause: nothing may be sent that relies on what was not stored."""
+        """Raises StorageFailedError, whatever the cause: nothing may be sent that relies on what was not stored."""
         try:
             if isinstance(effect, Persist):
                 self._storage.persist(effect)
             else:
                 self._storage.persist_snapshot(effect)
         except Exception as fault:
-            raise StorageFailed(repr(fault)) from fault
+            raise StorageFailedError(repr(fault)) from fault
 
     def close(self) -> Any:
         self._storage.close()
--- a/wickhinge/changelog/proposals.py
+++ b/wickhinge/changelog/proposals.py
@@ -7,7 +7,7 @@
 
 from wickhinge.changelog.entries import Change, Entry
 
-MOST_WAITING = 8192
+MAX_WAITING_PROPOSALS = 8192
 
 
 class Outcome(Enum):
--- a/wickhinge/changelog/records.py
+++ b/wickhinge/changelog/records.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from wickhinge.changelog.entries import most_size
+from wickhinge.changelog.entries import max_encoded_size
 from wickhinge.changelog.messages import Record
 
 
@@ -34,12 +34,12 @@
         """Records `after` + 1 to `last`."""
         return tuple(self._records[after - self.base : last - self.base])
 
-    def that_fit(self, after: int, most_bytes: int, most_count: int, extra: int) -> tuple[Record, ...]:
+    def fitting(self, after: int, max_bytes: int, max_count: int, extra: int) -> tuple[Record, ...]:
         """Records from `after` + 1 on, as many as fit, each `extra` bytes longer than its change."""
         found, size = [], 0
-        for record in self._records[after - self.base : after - self.base + most_count]:
-            size += most_size(record.entry.change) + extra
-            if found and size > most_bytes:
+        for record in self._records[after - self.base : after - self.base + max_count]:
+            size += max_encoded_size(record.entry.change) + extra
+            if found and size > max_bytes:
                 break
             found.append(record)
         return tuple(found)
@@ -47,11 +47,11 @@
     def append(self, record: Record) -> None:
         self._records.append(record)
 
-    def cut_after(self, number: int) -> None:
+    def truncate_after(self, number: int) -> None:
         """Removes records above `number`."""
         del self._records[number - self.base :]
 
-    def cut_up_to(self, number: int) -> None:
+    def discard_up_to(self, number: int) -> None:
         """Makes `number` the base."""
         self.base_term = self.term_at(number) or 0
         del self._records[: number - self.base]
@@ -64,7 +64,7 @@
             number -= 1
         return number
 
-    def disagreement(self, previous: int, previous_term: int, commit: int) -> int | None:
+    def find_conflict(self, previous: int, previous_term: int, commit: int) -> int | None:
         """None where a leader's records after `previous` fit on; else the number after which it should try next."""
         if previous < self.base:
             return None  # committed, hence the same
@@ -83,6 +83,6 @@
         if not new:
             return self.last, ()
         kept = new[0].entry.number - 1
-        self.cut_after(kept)
+        self.truncate_after(kept)
         self._records += new
         return kept, tuple(new)
--- a/wickhinge/changelog/relay.py
+++ b/wickhinge/changelog/relay.py
@@ -21,14 +21,14 @@
         name: str,
         replicas: Sequence[str],
         settings: RelaySettings,
-        chance: Callable[[], float],
+        random_fraction: Callable[[], float],
         session: int,
         now: float,
         newest_format: int = NEWEST_FORMAT,
     ) -> None:
         self.log = Log(settings.retain, settings.purge_horizon_s)
         self._replicas = frozenset(replicas)
-        self._subscription = Subscription(name, replicas, settings.follow, chance, session, now, newest_format)
+        self._subscription = Subscription(name, replicas, settings.follow, random_fraction, session, now, newest_format)
         self._feed = Feed(name, self.log, settings.feed, newest_format, now)
 
     @property
@@ -39,14 +39,14 @@
     def tick(self, now: float) -> list[Effect]:
         """To be called every TICK_S. Effects: Send."""
         effects = self._subscription.tick(now, 0)
-        return effects + self._feed.tick(now, self.vouched_until(now))
+        return effects + self._feed.tick(now, self.confirmed_until(now))
 
-    def heard(self, packet: Packet, now: float) -> list[Effect]:
+    def receive(self, packet: Packet, now: float) -> list[Effect]:
         """One packet as `codec` read it, of a replica or of a router. Effects: Send."""
         if packet.sender not in self._replicas:
-            return list(self._feed.heard(packet, now, self.vouched_until(now)))
+            return list(self._feed.receive(packet, now, self.confirmed_until(now)))
         sends: list[Effect] = []
-        for effect in self._subscription.heard(packet, now):
+        for effect in self._subscription.receive(packet, now):
             if isinstance(effect, Apply):
                 self._append(effect.entry, now)
             elif isinstance(effect, Reset):
@@ -58,7 +58,7 @@
     def _append(self, entry: Entry, now: float) -> None:
         self.log.append(entry, now)
 
-    def vouched_until(self, now: float) -> float | None:
+    def confirmed_until(self, now: float) -> float | None:
         """All changes that were at the replicas' majority before this time, by this clock, are in this log. None while
         the replicas' logs are seen to differ.
         """
--- a/wickhinge/changelog/replica.py
+++ b/wickhinge/changelog/replica.py
@@ -7,9 +7,9 @@
 import msgspec
 
 from wickhinge.changelog.ballot import Ballot, Role
-from wickhinge.changelog.codec import MOST_BATCH_ENTRIES, MOST_ENTRIES_BYTES, MOST_RECORD_EXTRA
-from wickhinge.changelog.confirmations import Vouches
-from wickhinge.changelog.echo_tokens import EchoClock, HeldToken, age_ms, complete_until
+from wickhinge.changelog.codec import MAX_BATCH_ENTRIES, MAX_ENTRIES_BYTES, MAX_RECORD_OVERHEAD_BYTES
+from wickhinge.changelog.confirmations import Confirmations
+from wickhinge.changelog.echo_tokens import EchoTokenClock, ReceivedToken, age_ms, complete_until
 from wickhinge.changelog.effects import Accepted, Committed, Effect, Persist, PersistSnapshot, Send
 from wickhinge.changelog.entries import Change, Entry, Noop, check
 from wickhinge.changelog.feed import Feed, SubscriberRow
@@ -31,9 +31,9 @@
 from wickhinge.changelog.records import Records
 from wickhinge.changelog.settings import ReplicaSettings
 from wickhinge.changelog.snapshots import SnapshotFetch
-from wickhinge.changelog.stored import NotLeader, Overloaded, Stored
+from wickhinge.changelog.stored import NotLeaderError, OverloadedError, Stored
 
-LEAST_BROADCAST_S = 0.01  # between two rounds for new records; more wait for the next tick
+MIN_BROADCAST_INTERVAL_S = 0.01  # between two rounds for new records; more wait for the next tick
 
 
 class Replica:
@@ -47,7 +47,7 @@
         name: str,
         replicas: Sequence[str],
         settings: ReplicaSettings,
-        chance: Callable[[], float],
+        random_fraction: Callable[[], float],
         session: int,
         now: float,
         stored: Stored,
@@ -56,13 +56,15 @@
         self._name, self._settings, self._newest = name, settings, newest_format
         self._peers = tuple(peer for peer in replicas if peer != name)
         self._formats = dict.fromkeys(self._peers, OLDEST_FORMAT)
-        self._tokens = {peer: HeldToken() for peer in self._peers}
-        self._echo = EchoClock(session)
+        self._tokens = {peer: ReceivedToken() for peer in self._peers}
+        self._echo = EchoTokenClock(session)
         self._out: list[Effect] = []
-        self._vouches = Vouches()
+        self._confirmations = Confirmations()
         self.log = Log(settings.retain, settings.purge_horizon_s)  # of what is committed
         self.epoch = stored.epoch
-        self._ballot = Ballot(name, len(self._peers) + 1, stored.term, stored.vote, settings.election_s, chance, now)
+        self._ballot = Ballot(
+            name, len(self._peers) + 1, stored.term, stored.vote, settings.election_timeout_s, random_fraction, now
+        )
         self.blank = stored.snapshot.epoch != stored.epoch
         self._start_records(EMPTY_SNAPSHOT if self.blank else stored.snapshot, now)
         for record in () if self.blank else stored.records:
@@ -94,18 +96,18 @@
         if self._leadership is not None:
             self._lead(self._leadership, now)
         elif self._ballot.is_due(now) and not self.blank:
-            self._campaign(now, probe=True)
+            self._campaign(now, pre_vote=True)
         self._fetch_snapshot(now)
-        self._out += self._feed.tick(now, self.vouched_until())
-        return self._drained()
+        self._out += self._feed.tick(now, self.confirmed_until())
+        return self._take_effects()
 
-    def heard(self, packet: Packet, now: float) -> list[Effect]:
+    def receive(self, packet: Packet, now: float) -> list[Effect]:
         """One packet as `codec` read it, of a replica or of a relay. Effects: Persist, PersistSnapshot, Send,
         Committed.
         """
         message = packet.message
         if not isinstance(message, RequestVote | Vote | Append | Appended | SnapshotPart):
-            return list(self._feed.heard(packet, now, self.vouched_until()))
+            return list(self._feed.receive(packet, now, self.confirmed_until()))
         if packet.sender not in self._tokens or message.epoch < self.epoch:
             return []
         if message.epoch > self.epoch:
@@ -122,39 +124,39 @@
             self._on_appended(packet.sender, message, now)
         else:
             self._on_snapshot_part(packet.sender, message, now)
-        return self._drained()
+        return self._take_effects()
 
     def propose(self, change: Change, now: float) -> list[Effect]:
-        """Effects: Persist, Accepted, Send, and Committed where this replica is alone. Raises NotLeader, Overloaded,
-        entries.InvalidChange.
+        """Effects: Persist, Accepted, Send, and Committed where this replica is alone. Raises NotLeaderError,
+        OverloadedError, entries.InvalidChangeError.
         """
         if self._leadership is None:
-            raise NotLeader(self.leader)
+            raise NotLeaderError(self.leader)
         check(change)
-        if self.records.last - self.commit >= self._settings.most_uncommitted or not self.log.has_room(change):
-            raise Overloaded
+        if self.records.last - self.commit >= self._settings.max_uncommitted or not self.log.has_capacity(change):
+            raise OverloadedError
         self._append_own(change)
         self._out.append(Accepted(self.records.last, self.term))
         self._leadership.behind = True
-        if now - self._leadership.broadcast_at >= LEAST_BROADCAST_S:
+        if now - self._leadership.broadcast_at >= MIN_BROADCAST_INTERVAL_S:
             self._broadcast(self._leadership, now)
         self._commit_stored(self._leadership, now)
-        return self._drained()
+        return self._take_effects()
 
-    def vouched_until(self) -> float:
+    def confirmed_until(self) -> float:
         """All that was stored at a majority before this time, by this clock, is committed here. -inf: nothing known."""
-        return self._vouches.reached(self.commit)
+        return self._confirmations.reached(self.commit)
 
     def rows(self, now: float) -> list[SubscriberRow]:
         return self._feed.rows(now)
 
     # Elections.
 
-    def _campaign(self, now: float, probe: bool) -> None:
-        term = self._ballot.stand(probe, now)
-        if not probe:
+    def _campaign(self, now: float, pre_vote: bool) -> None:
+        term = self._ballot.stand(pre_vote, now)
+        if not pre_vote:
             self._persist(self.records.last)
-        request = RequestVote(self.epoch, term, self.records.last, self.records.last_term, probe)
+        request = RequestVote(self.epoch, term, self.records.last, self.records.last_term, pre_vote)
         for peer in self._peers:
             self._send(peer, request, now)
         self._count_votes(now)
@@ -162,15 +164,15 @@
     def _count_votes(self, now: float) -> None:
         if not self._ballot.has_majority:
             return
-        if self.role is Role.PROBER:
-            self._campaign(now, probe=False)
+        if self.role is Role.PRE_CANDIDATE:
+            self._campaign(now, pre_vote=False)
         elif self.role is Role.CANDIDATE:
             self._become_leader(now)
 
     def _on_request_vote(self, sender: str, message: RequestVote, now: float) -> None:
         ballot, records = self._ballot, self.records
-        if message.probe:
-            granted = ballot.would_grant(message, records.last_term, records.last, now)
+        if message.pre_vote:
+            granted = ballot.would_grant_pre_vote(message, records.last_term, records.last, now)
             self._send(sender, Vote(self.epoch, message.term if granted else self.term, granted, True), now)
             return
         if message.term > self.term:
@@ -183,10 +185,10 @@
         self._send(sender, Vote(self.epoch, self.term, granted, False), now)
 
     def _on_vote(self, sender: str, message: Vote, now: float) -> None:
-        if message.term > self.term and not (message.granted and message.probe):
+        if message.term > self.term and not (message.granted and message.pre_vote):
             self._enter_term(message.term, now)
         elif message.granted:
-            self._ballot.takes(sender, message.term, message.probe)
+            self._ballot.takes(sender, message.term, message.pre_vote)
             self._count_votes(now)
 
     def _enter_term(self, term: int, now: float) -> None:
@@ -209,9 +211,9 @@
         self._commit_stored(self._leadership, now)
 
     def _lead(self, leadership: Leadership, now: float) -> None:
-        if self._peers and now - leadership.confirmed_at > 2 * self._settings.election_s:
+        if self._peers and now - leadership.confirmed_at > 2 * self._settings.election_timeout_s:
             self._follow("", now)  # no majority answers
-        elif leadership.behind or now - leadership.broadcast_at >= self._settings.heartbeat_s:
+        elif leadership.behind or now - leadership.broadcast_at >= self._settings.heartbeat_interval_s:
             self._broadcast(leadership, now)
 
     def _append_own(self, change: Change) -> None:
@@ -226,7 +228,7 @@
 
     def _send_append(self, leadership: Leadership, peer: str, now: float) -> None:
         previous = max(leadership.next[peer] - 1, self.records.base)
-        records = self.records.that_fit(previous, MOST_ENTRIES_BYTES, MOST_BATCH_ENTRIES, MOST_RECORD_EXTRA)
+        records = self.records.fitting(previous, MAX_ENTRIES_BYTES, MAX_BATCH_ENTRIES, MAX_RECORD_OVERHEAD_BYTES)
         leadership.sent(peer, previous + len(records))
         message = Append(
             self.epoch,
@@ -236,7 +238,7 @@
             records,
             self.commit,
             self.records.base + 1,
-            age_ms(self.vouched_until(), now),
+            age_ms(self.confirmed_until(), now),
             leadership.round,
         )
         self._send(peer, message, now)
@@ -249,7 +251,7 @@
             return
         confirmed = leadership.answered(peer, message.round, now)
         if confirmed is not None:
-            self._vouches.add(*confirmed)
+            self._confirmations.add(*confirmed)
         if message.success:
             leadership.accepted(peer, min(message.match, self.records.last))
             self._commit_stored(leadership, now)
@@ -273,13 +275,13 @@
         if message.term > self.term:
             self._enter_term(message.term, now)
         self._follow(packet.sender, now)
-        sent_after = self._echo.sent_after(packet.echo, packet.held_ms)
+        sent_after = self._echo.sent_after(packet.echo, packet.echo_delay_ms)
         until = None if sent_after is None else complete_until(min(sent_after, now), message.age_ms)
         if until is not None:
-            self._vouches.add(until, message.commit)
+            self._confirmations.add(until, message.commit)
         try_next = 0
         if not self.blank:
-            try_next = self.records.disagreement(message.previous_number, message.previous_term, self.commit)
+            try_next = self.records.find_conflict(message.previous_number, message.previous_term, self.commit)
         if try_next is not None:
             self._reply(packet.sender, message, False, try_next, now)
             if self.blank or try_next + 1 < message.first:
@@ -331,7 +333,7 @@
         self._leadership = None
         self._ballot.enter(0, now)
         self._start_records(EMPTY_SNAPSHOT, now)
-        self._vouches.forget_pending()
+        self._confirmations.forget_pending()
         self._snapshot_fetch.stop()
         self._persist(0)
         self._out.append(PersistSnapshot(EMPTY_SNAPSHOT, True))
@@ -346,7 +348,7 @@
         if self.commit - self.records.base > 2 * self._settings.retain:
             snapshot = msgspec.structs.replace(self.log.snapshot(now), term=self._committed_term(self.commit))
             self._out.append(PersistSnapshot(snapshot, False))
-            self.records.cut_up_to(self.commit - self._settings.retain)
+            self.records.discard_up_to(self.commit - self._settings.retain)
 
     def _committed_term(self, number: int) -> int:
         return self.records.term_at(number) or 0
@@ -360,9 +362,9 @@
         written = min(self._newest, self._formats[to])
         held = self._tokens[to]
         self._out.append(
-            Send(to, Packet(self._name, written, self._newest, token, held.token, held.held_ms(now), message))
+            Send(to, Packet(self._name, written, self._newest, token, held.token, held.echo_delay_ms(now), message))
         )
 
-    def _drained(self) -> list[Effect]:
+    def _take_effects(self) -> list[Effect]:
         effects, self._out = self._out, []
         return effects
--- a/wickhinge/changelog/sequencer.py
+++ b/wickhinge/changelog/sequencer.py
@@ -11,12 +11,12 @@
 class Sequencer:
     """Where the follower's log stands: `epoch`, `last`, `digest`. Epoch 0 before the first snapshot."""
 
-    def __init__(self, most_held: int, most_digests: int) -> None:
+    def __init__(self, max_buffered_entries: int, max_digests: int) -> None:
         self.epoch = 0
         self.last = 0
         self.digest = EMPTY_DIGEST
         self.duplicates = 0  # entries that were dropped because they had been applied
-        self._most_held, self._most_digests = most_held, most_digests
+        self._most_held, self._most_digests = max_buffered_entries, max_digests
         self._held: dict[int, Entry] = {}
         self._digests: OrderedDict[int, bytes] = OrderedDict()
 
@@ -45,7 +45,7 @@
         self._digests.clear()
         self._digests[number] = digest
 
-    def drop_held(self) -> None:
+    def drop_buffered(self) -> None:
         self._held.clear()
 
     def digest_at(self, number: int) -> bytes | None:
--- a/wickhinge/changelog/snapshots.py
+++ b/wickhinge/changelog/snapshots.py
@@ -5,14 +5,14 @@
 from hashlib import blake2b
 
 from wickhinge.changelog.binary_fields import Malformed, Reader, Writer
-from wickhinge.changelog.codec import MOST_PART_BYTES, MOST_PARTS
+from wickhinge.changelog.codec import MAX_PART_BYTES, MAX_PARTS
 from wickhinge.changelog.entries import DIGEST_BYTES, Purge, Setting, read_change, write_change
-from wickhinge.changelog.log import MOST_PURGES, MOST_SETTINGS, Snapshot
+from wickhinge.changelog.log import MAX_PURGES, MAX_SETTINGS, Snapshot
 from wickhinge.changelog.messages import FetchSnapshot, SnapshotPart
 
 CHECKSUM_BYTES = 8
 LAYOUT = 1
-FETCH_S = 0.15  # between two requests of a replica for parts of a snapshot
+FETCH_INTERVAL_S = 0.15  # between two requests of a replica for parts of a snapshot
 
 
 def checksum(data: bytes) -> bytes:
@@ -43,8 +43,8 @@
         raise Malformed("a snapshot of another layout")
     epoch, number, term = reader.number(), reader.number(), reader.number()
     digest, incomplete = reader.raw(DIGEST_BYTES), reader.flag()
-    settings = _read_changes(reader, Setting, MOST_SETTINGS)
-    purges = _read_changes(reader, Purge, MOST_PURGES)
+    settings = _read_changes(reader, Setting, MAX_SETTINGS)
+    purges = _read_changes(reader, Purge, MAX_PURGES)
     reader.end()
     return Snapshot(epoch, number, digest, settings, purges, incomplete, term)
 
@@ -62,13 +62,13 @@
 def cut(snapshot: Snapshot) -> tuple[SnapshotPart, ...]:
     """The snapshot's parts, in order."""
     data = encode_snapshot(snapshot)
-    pieces = [data[start : start + MOST_PART_BYTES] for start in range(0, len(data), MOST_PART_BYTES)]
+    pieces = [data[start : start + MAX_PART_BYTES] for start in range(0, len(data), MAX_PART_BYTES)]
     return tuple(
         SnapshotPart(snapshot.epoch, snapshot.number, place, len(pieces), piece) for place, piece in enumerate(pieces)
     )
 
 
-class Assembly:
+class SnapshotAssembly:
     """A snapshot of which parts are still missing, all from one source."""
 
     def __init__(self, source: str) -> None:
@@ -88,7 +88,7 @@
 
     def add(self, part: SnapshotPart) -> Snapshot | None:
         """The snapshot, once it is whole. Parts of another one than so far start it anew, and so does a damaged one."""
-        if not 0 < part.parts <= MOST_PARTS:
+        if not 0 < part.parts <= MAX_PARTS:
             return None
         if (part.epoch, part.number, part.parts) != (self._epoch, self._number, self._count):
             self._epoch, self._number, self._count = part.epoch, part.number, part.parts
@@ -110,19 +110,19 @@
 
     def __init__(self) -> None:
         self.source = ""
-        self._assembly = Assembly("")
+        self._assembly = SnapshotAssembly("")
         self._asked_at = float("-inf")
 
     def want(self, source: str) -> None:
         if self.source != source:
-            self.source, self._assembly = source, Assembly(source)
+            self.source, self._assembly = source, SnapshotAssembly(source)
 
     def stop(self) -> None:
         self.source = ""
 
     def request(self, epoch: int, now: float) -> FetchSnapshot | None:
         """What is to be sent to `source` now."""
-        if not self.source or now - self._asked_at < FETCH_S:
+        if not self.source or now - self._asked_at < FETCH_INTERVAL_S:
             return None
         self._asked_at = now
         return FetchSnapshot(epoch, self._assembly.number, self._assembly.missing)
--- a/wickhinge/changelog/sources.py
+++ b/wickhinge/changelog/sources.py
@@ -1,4 +1,4 @@
-"""Which source a follower follows and which second one it hears, from an ordered list."""
+"""Chooses, from an ordered list, the source that a follower follows and a secondary one that it compares with."""
 
 from __future__ import annotations
 
@@ -8,140 +8,171 @@
 from wickhinge.changelog.settings import FollowSettings
 
 NEVER = float("-inf")
-BANNED_S = 60.0  # a source whose log was found wrong is not followed for so long
+BAN_DURATION_S = 60.0  # a source whose log was found wrong is not followed for so long
 
 
 class Source:
-    """What is known of one source. `heard_at`: a time before which its last packet was not sent."""
+    """What is known of one source.
 
-    __slots__ = ("name", "heard_at", "heard_since", "newest", "head", "until", "banned_until")
+    Attributes:
+        name: The process's name.
+        received_at: A time before which its last packet was not sent.
+        received_since: Since when packets have come without a gap of `source_timeout_s`.
+        newest_format: The newest wire format that it reads.
+        head: The highest number that it is known to have.
+        confirmed_until: Its log is known to be complete until this time.
+        banned_until: It is not followed before this time.
+    """
+
+    __slots__ = ("name", "received_at", "received_since", "newest_format", "head", "confirmed_until", "banned_until")
 
     def __init__(self, name: str) -> None:
         self.name = name
-        self.heard_at = self.heard_since = NEVER
-        self.newest = OLDEST_FORMAT
+        self.received_at = self.received_since = NEVER
+        self.newest_format = OLDEST_FORMAT
         self.head = 0
-        self.until = NEVER
+        self.confirmed_until = NEVER
         self.banned_until = NEVER
 
+    def record_packet(self, sent_after: float, newest_format: int, timeout_s: float) -> None:
+        """Notes a packet that was sent at `sent_after` or later; a gap over `timeout_s` starts a new run of packets."""
+        if sent_after - self.received_at > timeout_s:
+            self.received_since = sent_after
+        self.received_at = max(self.received_at, sent_after)
+        self.newest_format = newest_format
+
+    def record_progress(self, head: int, confirmed_until: float | None) -> None:
+        """Notes how far the source's log goes, and until when it says that it is complete (None: it does not say)."""
+        self.head = max(self.head, head)
+        if confirmed_until is not None:
+            self.confirmed_until = max(self.confirmed_until, confirmed_until)
+
+    def ban(self, now: float) -> None:
+        """Keeps the source from being followed for BAN_DURATION_S."""
+        self.banned_until = now + BAN_DURATION_S
+
+    def is_usable(self, now: float) -> bool:
+        """Whether the source may be followed."""
+        return now >= self.banned_until
+
 
 class Sources:
-    def __init__(self, names: Sequence[str], settings: FollowSettings, chance: Callable[[], float], now: float) -> None:
+    """The source that is followed (`current`) and the one whose heartbeats are compared with it (`secondary`).
+
+    `names` are in order of preference, each once. `random_fraction()` gives numbers in [0, 1). Times are those of the
+    process's own clock, in seconds. Raises ValueError where `names` is empty or holds a name twice.
+    """
+
+    def __init__(
+        self, names: Sequence[str], settings: FollowSettings, random_fraction: Callable[[], float], now: float
+    ) -> None:
         if not names or len(set(names)) != len(names):
-            raise ValueError("sources are to be named, each once")
-        self.all = {name: Source(name) for name in names}
+            raise ValueError(f"expected source names, each once, not {list(names)}")
+        self.by_name = {name: Source(name) for name in names}
         self._order = list(names)
-        self._settings, self._chance = settings, chance
-        self.current = self.all[names[0]]
-        self.watch = self.all[names[1]] if len(names) > 1 else None
-        self._followed_since = self._watched_since = now
-        self._behind: tuple[int, float] | None = None  # a head that the second one had and the first had not, when
-
-    def heard(self, source: Source, sent_after: float, newest: int) -> None:
-        """A packet of it came that was sent at `sent_after` or later."""
-        if sent_after - source.heard_at > self._settings.silent_s:
-            source.heard_since = sent_after
-        source.heard_at = max(source.heard_at, sent_after)
-        source.newest = newest
-
-    def told(self, source: Source, head: int, until: float | None) -> None:
-        source.head = max(source.head, head)
-        if until is not None:
-            source.until = max(source.until, until)
+        self._settings, self._random_fraction = settings, random_fraction
+        self.current = self.by_name[names[0]]
+        self.secondary = self.by_name[names[1]] if len(names) > 1 else None
+        self._followed_since = self._secondary_since = now
+        self._lag: tuple[int, float] | None = None  # a head that the secondary had and the current had not, and since
 
     def forget_heads(self) -> None:
-        """With a new epoch, numbers have another meaning."""
-        for source in self.all.values():
+        """Drops all heads: with a new epoch, numbers have another meaning."""
+        for source in self.by_name.values():
             source.head = 0
-        self._behind = None
+        self._lag = None
 
-    def heard_lately(self, now: float, within_s: float) -> list[str]:
-        return [name for name, source in self.all.items() if now - source.heard_at <= within_s]
+    def recently_received(self, now: float, within_s: float) -> list[str]:
+        """The names of the sources from which a packet came within the last `within_s`."""
+        return [name for name, source in self.by_name.items() if now - source.received_at <= within_s]
 
     def follow(self, name: str, now: float) -> None:
-        self.current = self.all[name]
+        """Makes the named source the current one."""
+        self.current = self.by_name[name]
         self._followed_since = now
-        self._behind = None
-        if self.watch is self.current:
-            self._watch_next(now)
-
-    def ban(self, name: str, now: float) -> None:
-        self.all[name].banned_until = now + BANNED_S
+        self._lag = None
+        if self.secondary is self.current:
+            self._choose_next_secondary(self.current, now)
 
     @property
     def is_confirmed(self) -> bool:
-        """Whether the source that is followed has been heard since then."""
-        return self.current.heard_at >= self._followed_since
+        """Whether a packet of the current source came since it was chosen."""
+        return self.current.received_at >= self._followed_since
 
-    def stalled(self, now: float) -> None:
-        """This process stood still: that nothing was heard meanwhile is no source's fault."""
-        self._followed_since = self._watched_since = now
-        self._behind = None
+    def restart_timeouts(self, now: float) -> None:
+        """Restarts all timeouts after this process stood still: the silence meanwhile is no source's fault."""
+        self._followed_since = self._secondary_since = now
+        self._lag = None
 
     def choose(self, now: float) -> bool:
-        """Whether another source is followed from now on."""
-        before = self.current
-        if self._silent(self.current, self._followed_since, now) or now < self.current.banned_until:
+        """Leaves a silent, banned or lagging source; returns whether another one is followed from now on."""
+        previous = self.current
+        if self._is_silent(self.current, self._followed_since, now) or not self.current.is_usable(now):
             self.follow(self._replacement(now), now)
-        elif self.watch is not None and (self._lags(now) or self._prefers_watch(now)):
-            self.follow(self.watch.name, now)
-        self._rotate_watch(now)
-        return self.current is not before
+        elif self.secondary is not None and (
+            self._is_behind(self.secondary, now) or self._prefers(self.secondary, now)
+        ):
+            self.follow(self.secondary.name, now)
+        if self.secondary is not None:
+            self._rotate_secondary(self.secondary, now)
+        return self.current is not previous
 
-    def _silent(self, source: Source, since: float, now: float) -> bool:
-        return now - max(source.heard_at, since) > self._settings.silent_s
+    def _is_silent(self, source: Source, since: float, now: float) -> bool:
+        return now - max(source.received_at, since) > self._settings.source_timeout_s
 
-    def _usable(self, source: Source, now: float) -> bool:
-        return now >= source.banned_until
+    def _is_receiving(self, source: Source, now: float) -> bool:
+        return now - source.received_at <= self._settings.source_timeout_s
 
     def _replacement(self, now: float) -> str:
-        """The second source where it is heard, else the next in the list."""
-        watch = self.watch
-        if watch is not None and self._usable(watch, now) and now - watch.heard_at <= self._settings.silent_s:
-            return watch.name
+        """The secondary where packets come from it, else the next in the list."""
+        secondary = self.secondary
+        if secondary is not None and secondary.is_usable(now) and self._is_receiving(secondary, now):
+            return secondary.name
         return self._next_after(self.current.name, now)
 
     def _next_after(self, name: str, now: float) -> str:
         place = self._order.index(name)
         following = self._order[place + 1 :] + self._order[: place + 1]
-        return next((other for other in following if self._usable(self.all[other], now)), following[0])
+        return next((other for other in following if self.by_name[other].is_usable(now)), following[0])
+
+    def _is_behind(self, secondary: Source, now: float) -> bool:
+        """Whether the current source is behind the secondary.
 
-    def _lags(self, now: float) -> bool:
-        """Whether the second source knows more: its head has been ahead for longer than `lag_s`, or its knowledge is
-        younger by so much.
+        It is where the secondary's head has been ahead for longer than `max_lag_s`, or its knowledge is younger by so
+        much.
         """
-        current, watch, lag_s = self.current, self.watch, self._settings.lag_s
-        if not self._usable(watch, now) or now - watch.heard_at > self._settings.silent_s:
-            self._behind = None
+        current, max_lag_s = self.current, self._settings.max_lag_s
+        if not secondary.is_usable(now) or not self._is_receiving(secondary, now):
+            self._lag = None
             return False
-        if self._behind is not None and current.head >= self._behind[0]:
-            self._behind = None
-        if self._behind is None and watch.head > current.head:
-            self._behind = watch.head, now
-        if self._behind is not None and now - self._behind[1] > lag_s:
+        if self._lag is not None and current.head >= self._lag[0]:
+            self._lag = None
+        if self._lag is None and secondary.head > current.head:
+            self._lag = secondary.head, now
+        if self._lag is not None and now - self._lag[1] > max_lag_s:
             return True
-        is_settled = now - self._followed_since > self._settings.silent_s
-        return is_settled and watch.until - current.until > lag_s
+        has_settled = now - self._followed_since > self._settings.source_timeout_s
+        return has_settled and secondary.confirmed_until - current.confirmed_until > max_lag_s
 
-    def _prefers_watch(self, now: float) -> bool:
-        watch, settle_s = self.watch, self._settings.settle_s
-        if self._order.index(watch.name) > self._order.index(self.current.name) or not self._usable(watch, now):
+    def _prefers(self, secondary: Source, now: float) -> bool:
+        """Whether the secondary stands earlier in the list and has been well for `return_delay_s`."""
+        return_delay_s = self._settings.return_delay_s
+        if self._order.index(secondary.name) > self._order.index(self.current.name) or not secondary.is_usable(now):
             return False
-        heard = now - watch.heard_at <= self._settings.silent_s and now - watch.heard_since >= settle_s
-        return heard and watch.head >= self.current.head and now - self._followed_since >= settle_s
-
-    def _rotate_watch(self, now: float) -> None:
-        if self.watch is None:
-            return
-        waited = now - self._watched_since
-        silent = self._silent(self.watch, self._watched_since, now)
-        if silent or not self._usable(self.watch, now) or waited > self._settings.probe_s * (1 + self._chance()):
-            self._watch_next(now)
-
-    def _watch_next(self, now: float) -> None:
-        following = self._next_after(self.watch.name, now)
+        is_steady = self._is_receiving(secondary, now) and now - secondary.received_since >= return_delay_s
+        return is_steady and secondary.head >= self.current.head and now - self._followed_since >= return_delay_s
+
+    def _rotate_secondary(self, secondary: Source, now: float) -> None:
+        waited_s = now - self._secondary_since
+        is_silent = self._is_silent(secondary, self._secondary_since, now)
+        rotation_s = self._settings.secondary_rotation_s
+        if is_silent or not secondary.is_usable(now) or waited_s > rotation_s * (1 + self._random_fraction()):
+            self._choose_next_secondary(secondary, now)
+
+    def _choose_next_secondary(self, secondary: Source, now: float) -> None:
+        following = self._next_after(secondary.name, now)
         if following == self.current.name:
             following = self._next_after(following, now)
-        self.watch = self.all[following]
-        self._watched_since = now
-        self._behind = None
+        self.secondary = self.by_name[following]
+        self._secondary_since = now
+        self._lag = None
--- a/wickhinge/changelog/storage.py
+++ b/wickhinge/changelog/storage.py
@@ -16,7 +16,7 @@
 from hashlib import blake2b
 
 from wickhinge.changelog.binary_fields import Malformed, Reader, Writer
-from wickhinge.changelog.codec import MOST_PROCESS_NAME
+from wickhinge.changelog.codec import MAX_PROCESS_NAME_BYTES
 from wickhinge.changelog.effects import Persist, PersistSnapshot
 from wickhinge.changelog.entries import Entry, read_change, write_change
 from wickhinge.changelog.log import Snapshot
@@ -30,9 +30,9 @@
 LENGTH_BYTES, CHECKSUM_BYTES = 4, 8
 HEAD_BYTES = LENGTH_BYTES + CHECKSUM_BYTES
 GENERATION_BYTES = 8
-MOST_RECORDS = 1 << 20  # in a block
-MOST_SNAPSHOT_BYTES = 16_000_000
-MOST_RECORDS_BYTES = 256_000_000
+MAX_BLOCK_RECORDS = 1 << 20  # in a block
+MAX_SNAPSHOT_BYTES = 16_000_000
+MAX_RECORDS_FILE_BYTES = 256_000_000
 
 
 class Missing(Exception):
@@ -209,7 +209,7 @@
         if records not in names:
             raise Damaged(f"{self._directory}/{records}: is missing")
         self._handle = self._files.open(f"{self._directory}/{records}", write=True)
-        data = self._files.read(self._handle, MOST_RECORDS_BYTES, 0)
+        data = self._files.read(self._handle, MAX_RECORDS_FILE_BYTES, 0)
         self._state = State(Stored(snapshot=snapshot))
         try:
             effects, self._end, self._checksum = read_blocks(data, seed(self._generation))
@@ -224,7 +224,7 @@
         path = f"{self._directory}/{SNAPSHOT}"
         handle = self._files.open(path)
         try:
-            data = self._files.read(handle, MOST_SNAPSHOT_BYTES, 0)
+            data = self._files.read(handle, MAX_SNAPSHOT_BYTES, 0)
         finally:
             self._files.close(handle)
         start = len(MAGIC) + GENERATION_BYTES
@@ -292,9 +292,9 @@
 def decode_persist(payload: bytes) -> Persist:
     """Raises Malformed."""
     reader = Reader(payload)
-    epoch, term, vote, kept = reader.number(), reader.number(), reader.text(MOST_PROCESS_NAME), reader.number()
+    epoch, term, vote, kept = reader.number(), reader.number(), reader.text(MAX_PROCESS_NAME_BYTES), reader.number()
     records = []
-    for number in range(kept + 1, kept + 1 + reader.varint(MOST_RECORDS)):
+    for number in range(kept + 1, kept + 1 + reader.varint(MAX_BLOCK_RECORDS)):
         record_term = reader.number()
         change, _ = read_change(reader)
         records.append(Record(record_term, Entry(epoch, number, change)))
--- a/wickhinge/changelog/stored.py
+++ b/wickhinge/changelog/stored.py
@@ -25,7 +25,7 @@
     records: tuple[Record, ...] = ()
 
 
-class NotLeader(Exception):
+class NotLeaderError(Exception):
     """Only the leader takes proposals. `leader` is its name where it is known, else ""."""
 
     def __init__(self, leader: str) -> None:
@@ -33,5 +33,5 @@
         self.leader = leader
 
 
-class Overloaded(Exception):
+class OverloadedError(Exception):
     """Too many proposals wait for a majority, or too many settings are in force."""
--- a/wickhinge/cli/changelog.py
+++ b/wickhinge/cli/changelog.py
@@ -116,14 +116,14 @@
 
 
 def append(options: str | None, change: Any, timeout_s: float, as_json: bool) -> NoReturn:
-    from wickhinge.changelog.entries import InvalidChange, check
-    from wickhinge.cli.changelog_client import NotAppended
+    from wickhinge.changelog.entries import InvalidChangeError, check
+    from wickhinge.cli.changelog_client import NotAppendedError
 
     asking = client(options)
     try:
         check(change)
         answer = asking.append(change, timeout_s)
-    except (InvalidChange, NotAppended) as fault:
+    except (InvalidChangeError, NotAppendedError) as fault:
         fail(str(fault), WRONG)
     has, lack, silent = asking.wait_for_routers(answer.number, timeout_s)
     told = {"epoch": answer.epoch, "number": answer.number, "stamp_ms": answer.stamp_ms, "routers": len(has)}
--- a/wickhinge/cli/changelog_client.py
+++ b/wickhinge/cli/changelog_client.py
@@ -23,7 +23,7 @@
 )
 from wickhinge.changelog.entries import Change, encode
 from wickhinge.changelog.feed import SubscriberRow
-from wickhinge.changelog.messages import UNVOUCHED
+from wickhinge.changelog.messages import UNKNOWN_AGE_MS
 from wickhinge.cli.asking import Silent, ask
 from wickhinge.options import changelog as options_of
 from wickhinge.options.records import Changelog
@@ -31,10 +31,10 @@
 AT_ONCE = 16
 POLL_S = 0.05
 SHOW_ATTEMPTS, APPEND_ATTEMPTS = 3, 2
-MOST_PAGES = 100
+MAX_PAGES = 100
 
 
-class NotAppended(Exception):
+class NotAppendedError(Exception):
     """No replica took the change, or it is not known to be committed; the text says why."""
 
 
@@ -85,7 +85,7 @@
 
     def _rows(self, name: str) -> list[SubscriberRow]:
         rows: list[SubscriberRow] = []
-        for _ in range(MOST_PAGES):
+        for _ in range(MAX_PAGES):
             more = msgspec.json.encode(len(rows))
             page = msgspec.msgpack.decode(self._ask(name, ROWS, more, SHOW_ATTEMPTS), type=RowsPage)
             rows += page.rows
@@ -99,7 +99,7 @@
 
     def append(self, change: Change, timeout_s: float) -> AppendAnswer:
         """Returns once the change is committed, and is stamped by the leader no earlier than ingest_s before that.
-        Raises NotAppended.
+        Raises NotAppendedError.
         """
         deadline = time.monotonic() + timeout_s
         why = "no replica answers"
@@ -117,7 +117,7 @@
             if answer.state is AppendState.COMMITTED:
                 return answer
             if answer.state is AppendState.REFUSED:
-                raise NotAppended(answer.why)
+                raise NotAppendedError(answer.why)
             why = f"{name}: {answer.why or answer.state.value}"
             if answer.state is AppendState.FAILED:  # a new stamp
                 request = AppendRequest(os.urandom(REQUEST_ID_BYTES), request.change)
@@ -126,7 +126,7 @@
                 names.remove(preferred)
                 names.insert(0, preferred)
             time.sleep(POLL_S)
-        raise NotAppended(f"not committed within {timeout_s} s: {why}")
+        raise NotAppendedError(f"not committed within {timeout_s} s: {why}")
 
     def wait_for_routers(self, number: int, timeout_s: float) -> tuple[list[str], list[str], list[str]]:
         """Until each router that a relay knows of has the log up to `number`, or the time is over. The routers that
@@ -151,11 +151,11 @@
     found: dict[str, tuple[bool, float, Router]] = {}
     for machine in machines:
         for row in machine.rows if machine.role == "relay" else []:
-            uninformed_s = None if row.uninformed_s >= UNVOUCHED / 1000 else row.uninformed_s
+            uninformed_s = None if row.uninformed_s >= UNKNOWN_AGE_MS / 1000 else row.uninformed_s
             router = Router(row.name, machine.name, row.number, row.lag, row.age_s, uninformed_s, row.agrees)
             former = found.get(row.name)
-            if former is None or (row.watch, row.age_s) < former[:2]:
-                found[row.name] = (row.watch, row.age_s, router)
+            if former is None or (row.heartbeats_only, row.age_s) < former[:2]:
+                found[row.name] = (row.heartbeats_only, row.age_s, router)
     return [found[name][2] for name in sorted(found)]
 
 
@@ -187,7 +187,7 @@
     """
     from wickhinge.changelog.entries import Entry
     from wickhinge.changelog.log import Log, Snapshot
-    from wickhinge.changelog.nodes import FollowerNode
+    from wickhinge.changelog.nodes import FollowerEndpoint
     from wickhinge.changelog.settings import FollowSettings
     from wickhinge.changelog.snapshots import encode_snapshot
 
@@ -208,7 +208,7 @@
         node.close()
         reactor.stop()
 
-    node = FollowerNode(
+    node = FollowerEndpoint(
         f"backup-{os.getpid()}",
         ("0.0.0.0", 0),
         options_of.addresses(options.relays),
--- a/wickhinge/lab/changelog/plants.py
+++ b/wickhinge/lab/changelog/plants.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from wickhinge.changelog.dispute_records import Verdicts
+from wickhinge.changelog.dispute_records import DisputeRecords
 from wickhinge.changelog.effects import Effect
 from wickhinge.changelog.entries import Entry
 from wickhinge.changelog.follower import Follower
@@ -30,8 +30,8 @@
 class StaleRelay(Relay):
     """Tells its head as new while it hears no replica."""
 
-    def vouched_until(self, now: float) -> float | None:
-        until = super().vouched_until(now)
+    def confirmed_until(self, now: float) -> float | None:
+        until = super().confirmed_until(now)
         is_stale = until is not None and now - until > STALE_S
         return now if is_stale else until
 
@@ -59,14 +59,14 @@
     def build(*arguments: Any) -> Follower:
         follower = Follower(*arguments)
         subscription = follower._subscription
-        subscription.sequencer = kind(subscription._settings.most_held, subscription._settings.digests)
-        subscription.verdicts._sequencer = subscription.sequencer
+        subscription.sequencer = kind(subscription._settings.max_buffered_entries, subscription._settings.digests)
+        subscription.dispute_records._sequencer = subscription.sequencer
         return follower
 
     return build
 
 
-class Agreeing(Verdicts):
+class Agreeing(DisputeRecords):
     """Takes all logs for the same."""
 
     def told(self, source: str, number: int, digest: bytes, now: float) -> None:
@@ -76,15 +76,15 @@
 class EpochBlind(Follower):
     """Takes what comes for its own epoch's. Digests are not compared either, as they would tell."""
 
-    def heard(self, packet: Packet, now: float) -> list[Effect]:
+    def receive(self, packet: Packet, now: float) -> list[Effect]:
         message, epoch = packet.message, self.epoch
         if epoch and isinstance(message, Heartbeat):
             message = msgspec.structs.replace(message, epoch=epoch)
         elif epoch and isinstance(message, Batch):
             entries = tuple(msgspec.structs.replace(entry, epoch=epoch) for entry in message.entries)
             message = msgspec.structs.replace(message, epoch=epoch, entries=entries)
-        self._subscription.verdicts.__class__ = Agreeing
-        return super().heard(msgspec.structs.replace(packet, message=message), now)
+        self._subscription.dispute_records.__class__ = Agreeing
+        return super().receive(msgspec.structs.replace(packet, message=message), now)
 
 
 class OneAnswer(Leadership):
@@ -96,7 +96,7 @@
 
 
 class Presuming(Replica):
-    """Vouches as a leader though it may have been replaced."""
+    """Confirmations as a leader though it may have been replaced."""
 
     def _become_leader(self, now: float) -> None:
         super()._become_leader(now)
@@ -107,7 +107,7 @@
     """Votes for whoever asks, also twice in a term."""
 
     def _on_request_vote(self, sender: str, message: RequestVote, now: float) -> None:
-        if not message.probe and message.term == self.term:
+        if not message.pre_vote and message.term == self.term:
             self._ballot.vote = ""
         super()._on_request_vote(sender, message, now)
 
--- a/wickhinge/lab/changelog/world.py
+++ b/wickhinge/lab/changelog/world.py
@@ -18,7 +18,7 @@
 from wickhinge.changelog.relay import Relay
 from wickhinge.changelog.replica import Replica
 from wickhinge.changelog.settings import TICK_S, FollowSettings, RelaySettings, ReplicaSettings
-from wickhinge.changelog.stored import NotLeader, Overloaded, Stored
+from wickhinge.changelog.stored import NotLeaderError, OverloadedError, Stored
 from wickhinge.lab.changelog.oracle import GRACE_S, Model, Oracle, Sample
 from wickhinge.lab.changelog.plants import Plant
 from wickhinge.lab.changelog.schedule import RELAYS, REPLICAS, Schedule
@@ -27,7 +27,7 @@
 CLOCK_ERROR = 0.05  # of a clock's rate
 IN_REGION_S, BETWEEN_REGIONS_S = 0.002, 0.03
 ENCODED = 6  # one packet of so many goes through the codec
-MOST_QUEUED = 256  # packets for a process that stands still
+MAX_QUEUED_PACKETS = 256  # packets for a process that stands still
 RETAIN = 60  # entries in a log: few, so that the walk sees snapshots
 REPLICA_SETTINGS = ReplicaSettings(retain=RETAIN, purge_horizon_s=30.0)
 RELAY_SETTINGS = RelaySettings(retain=RETAIN, purge_horizon_s=30.0)
@@ -101,19 +101,19 @@
         process.started_s, process.paused = self.now_s, False
         process.queued.clear()
         now, session = process.clock.at(self.now_s), self.rand.getrandbits(40)
-        chance, newest = self.rand.random, process.newest_format
+        random_fraction, newest = self.rand.random, process.newest_format
         if name in REPLICAS:
             process.machine = self.plant.replica(
-                name, REPLICAS, REPLICA_SETTINGS, chance, session, now, process.stored, newest
+                name, REPLICAS, REPLICA_SETTINGS, random_fraction, session, now, process.stored, newest
             )
         elif name in RELAYS:
             replicas = self.rand.sample(REPLICAS, len(REPLICAS))
-            process.machine = self.plant.relay(name, replicas, RELAY_SETTINGS, chance, session, now, newest)
+            process.machine = self.plant.relay(name, replicas, RELAY_SETTINGS, random_fraction, session, now, newest)
         else:
             first = int(name[1:]) % len(RELAYS)
             relays = (*RELAYS[first:], *RELAYS[:first])
             process.model = Model()
-            process.machine = self.plant.follower(name, relays, FOLLOW_SETTINGS, chance, session, now, newest)
+            process.machine = self.plant.follower(name, relays, FOLLOW_SETTINGS, random_fraction, session, now, newest)
         life = process.life
         self.at(self.now_s + self.rand.random() * TICK_S, lambda: self._tick(process, life))
 
@@ -148,7 +148,7 @@
             process = self.processes[name]
             try:
                 effects = process.machine.propose(change, process.clock.at(self.now_s))
-            except (NotLeader, Overloaded):
+            except (NotLeaderError, OverloadedError):
                 continue
             self._do(process, effects)
             return True
@@ -174,7 +174,7 @@
         """Notes what a replica or a relay vouches for."""
         process = self.processes[name]
         machine, now = process.machine, process.clock.at(self.now_s)
-        until = machine.vouched_until() if name in REPLICAS else machine.vouched_until(now)
+        until = machine.confirmed_until() if name in REPLICAS else machine.confirmed_until(now)
         if until is None or not machine.log.epoch:
             return
         known_s = process.clock.true(until)
@@ -191,13 +191,13 @@
         if process.machine is None:
             return
         if process.paused:
-            if len(process.queued) < MOST_QUEUED:
+            if len(process.queued) < MAX_QUEUED_PACKETS:
                 process.queued.append(packet)
             return
         if packet.format > process.newest_format:
             self.oracle.fault(f"{self.now_s:.3f} {process.name}: is sent format {packet.format} by {packet.sender}")
             return
-        self._do(process, process.machine.heard(packet, process.clock.at(self.now_s)))
+        self._do(process, process.machine.receive(packet, process.clock.at(self.now_s)))
 
     def leader(self) -> str | None:
         """A replica that runs as the leader."""
--- a/wickhinge/net/changes.py
+++ b/wickhinge/net/changes.py
@@ -9,9 +9,9 @@
 
 from typing import Any
 
-from wickhinge.changelog.entries import Entry, Purge, Setting, understood
+from wickhinge.changelog.entries import Entry, Purge, Setting, is_understood
 from wickhinge.changelog.log import Snapshot
-from wickhinge.changelog.nodes import FollowerNode
+from wickhinge.changelog.nodes import FollowerEndpoint
 from wickhinge.changelog.settings import FollowSettings
 from wickhinge.changelog.settings_table import JOURNAL, SettingsTable
 from wickhinge.fields import Malformed, endpoint
@@ -30,7 +30,7 @@
         self._options, self._node, self._log = options, node, node.log.event
         self.settings = SettingsTable(self._log)
         self.settings.subscribe(JOURNAL, self._node.move_journal)
-        self.follower = FollowerNode(
+        self.follower = FollowerEndpoint(
             name,
             endpoint(options.bind) or ANY_ADDRESS,
             options_of.addresses(options.relays),
@@ -93,7 +93,7 @@
             self._node.purge(change.key, change.group, change.stamp_ms, 0)
         elif isinstance(change, Setting):
             self.settings.put(change)
-        elif not understood(change):
+        elif not is_understood(change):
             self._log("changelog_not_understood", number=entry.number)
 
     def _reset(self, snapshot: Snapshot) -> None:
