--- a/bench/scale/change_log.py
+++ b/bench/scale/change_log.py
@@ -12,12 +12,13 @@
 from bench.scale.meter import Meter, Watch, memory
 from bench.scale.records import Row, row
 from wickhinge.changelog.codec import SIZE_OF_IP_AND_UDP, Codec
+from wickhinge.changelog.context import ProcessContext
+from wickhinge.changelog.echo_tokens import SESSION_BITS
 from wickhinge.changelog.effects import Effect, Send
 from wickhinge.changelog.entries import EMPTY_DIGEST, Entry, Purge
 from wickhinge.changelog.feed import Feed
 from wickhinge.changelog.follower import Follower
 from wickhinge.changelog.log import Log, Snapshot
-from wickhinge.changelog.messages import NEWEST_FORMAT
 from wickhinge.changelog.relay import Relay
 from wickhinge.changelog.settings import TICK_S, FollowSettings, RelaySettings, ReplicaSettings
 
@@ -55,18 +56,18 @@
         self.now, self.random, self.purges, self.owed = 0.0, random.Random(seed), purges, 0.0
         self.log = Log()
         self.log.load(Snapshot(EPOCH, 0, EMPTY_DIGEST, (), ()), 0.0)
-        self.feed = Feed(REPLICA, self.log, ReplicaSettings().feed, NEWEST_FORMAT, 0.0)
+        self.feed = Feed(self.context(REPLICA), self.log, ReplicaSettings().feed, 0.0)
         self.processes = {REPLICA: Process(REPLICA, self.feed)}
         self.under_way: deque[tuple[str, bytes]] = deque()
         for name in RELAYS:
-            self.add(name, Relay(name, [REPLICA], RelaySettings(), self.random.random, self.session(), 0.0))
+            self.add(name, Relay(self.context(name), [REPLICA], RelaySettings(), 0.0))
         for number in range(2 * followers):
             name = f"router-{number:04}"
             sources = RELAYS if number % 2 == 0 else RELAYS[::-1]
-            self.add(name, Follower(name, sources, FollowSettings(), self.random.random, self.session(), 0.0))
+            self.add(name, Follower(self.context(name), sources, FollowSettings(), 0.0))
 
-    def session(self) -> int:
-        return self.random.getrandbits(40)
+    def context(self, name: str) -> ProcessContext:
+        return ProcessContext(name, self.random.getrandbits(SESSION_BITS), self.random.random)
 
     def add(self, name: str, machine: Relay | Follower) -> None:
         self.processes[name] = Process(name, machine)
--- a/bench/scale/fleet_hollow.py
+++ b/bench/scale/fleet_hollow.py
@@ -16,9 +16,11 @@
 from bench.scale.fleet_recorder import Recorder
 from bench.scale.fleet_records import SAMPLE_S, Plan, Router, read, write
 from wickhinge.changelog.codec import SIZE_OF_IP_AND_UDP
+from wickhinge.changelog.context import Runtime
+from wickhinge.changelog.endpoint import EndpointConfig
 from wickhinge.changelog.entries import Change, Entry, Purge, Setting
+from wickhinge.changelog.follower_endpoint import FollowerEndpoint
 from wickhinge.changelog.log import Snapshot
-from wickhinge.changelog.nodes import FollowerEndpoint
 from wickhinge.changelog.settings import FollowSettings
 
 READY = "ready"
@@ -42,13 +44,14 @@
         plan = group.plan
         known = {relay.name: (relay.host, relay.port) for relay in plan.relays}
         self.node = FollowerEndpoint(
-            router.name,
-            (address(plan.block, router.region, 1), 0),
-            {name: known[name] for name in router.relays},
-            [group.key],
-            group.reactor,
-            self._apply,
-            self._reset,
+            EndpointConfig(
+                router.name,
+                (address(plan.block, router.region, 1), 0),
+                {name: known[name] for name in router.relays},
+                [group.key],
+            ),
+            Runtime(group.reactor),
+            self,
             FollowSettings(),
         )
 
@@ -56,14 +59,17 @@
         """The greatest age of a copy that it would let pass; None: any."""
         if self._group.plan.plant == "vouch" and self._region == CUT_REGION:
             return None
-        return self.node.oldest(self._group.plan.grace_s)
+        return self.node.max_copy_age_s(self._group.plan.grace_s)
 
-    def _apply(self, entry: Entry) -> None:
+    def apply_entry(self, entry: Entry) -> None:
         if self._group.plan.plant == "skip" and self._place == 0 and entry.number % SKIPPED_EVERY == 0:
             return
         self._group.recorder.applied(self._place, entry.number, identity_of(entry.change), time.monotonic())
 
-    def _reset(self, snapshot: Snapshot) -> None:
+    def after_tick(self) -> None:
+        """Nothing is done at a tick."""
+
+    def load_snapshot(self, snapshot: Snapshot) -> None:
         if self._began:
             identities = {purge.key for purge in snapshot.purges if purge.key is not None}
             self._group.recorder.was_reset(self._place, snapshot.number, identities, time.monotonic())
@@ -113,7 +119,7 @@
 
     def _finish(self) -> None:
         nodes = [router.node for router in self.routers]
-        unsent = sum(node.counters.unsent + node.counters.left for node in nodes)
+        unsent = sum(node.counters.unsent + node.counters.over_limit for node in nodes)
         write(self._path, self.recorder.report(self._network.dropped, unsent))
         self.reactor.stop()
 
--- a/bench/scale/fleet_network.py
+++ b/bench/scale/fleet_network.py
@@ -1,6 +1,7 @@
 """A stand-in for the network between regions, inside each process: what arrives is delayed, or dropped by a schedule.
 
-It takes the place of `Node.datagramReceived`, so the product knows nothing of it. Its cost counts as the process's own.
+It takes the place of `Endpoint.datagramReceived`, so the product knows nothing of it. Its cost counts as the process's
+own.
 """
 
 from __future__ import annotations
@@ -12,7 +13,7 @@
 
 from bench.scale.fleet_layout import NOT_PLACED, region_of
 from bench.scale.fleet_records import Cut, Plan, Schedule, read
-from wickhinge.changelog.nodes import Node
+from wickhinge.changelog.endpoint import Endpoint
 
 SCHEDULE_FILE = "schedule.json"
 POLL_S = 0.1
@@ -63,9 +64,9 @@
 
 def install(network: Network) -> None:
     """From now on each node of this process receives by `network`."""
-    received = Node.datagramReceived
+    received = Endpoint.datagramReceived
 
-    def datagram_received(node: Node, datagram: bytes, sender: tuple[str, int]) -> None:
+    def datagram_received(node: Endpoint, datagram: bytes, sender: tuple[str, int]) -> None:
         delay_s = network.fate(sender[0], node.address[0])
         if delay_s is None:
             return
@@ -74,4 +75,4 @@
         else:
             received(node, datagram, sender)
 
-    Node.datagramReceived = datagram_received  # type: ignore[method-assign]
+    Endpoint.datagramReceived = datagram_received  # type: ignore[method-assign]
--- a/tests/changelog/test_changelog.py
+++ b/tests/changelog/test_changelog.py
@@ -7,35 +7,42 @@
 
 from wickhinge.changelog import codec, messages
 from wickhinge.changelog.ballot import Role
-from wickhinge.changelog.binary_fields import MAX_NUMBER, Malformed
-from wickhinge.changelog.codec import SIZE_OF_IP_AND_UDP, Codec, decode_packet, encode_head, encode_message
+from wickhinge.changelog.binary_fields import MAX_NUMBER
+from wickhinge.changelog.codec import SIZE_OF_IP_AND_UDP, Codec, decode_packet, encode_header
 from wickhinge.changelog.confirmations import Confirmations
+from wickhinge.changelog.context import ProcessContext
 from wickhinge.changelog.echo_tokens import RATE_FACTOR
 from wickhinge.changelog.effects import Accepted, Apply, Committed, Persist, PersistSnapshot, Reset, Send
 from wickhinge.changelog.entries import (
     MAX_STAMP_MS,
     Entry,
-    InvalidChangeError,
     Noop,
     Purge,
     Setting,
     Unknown,
-    check,
     max_encoded_size,
     next_digest,
+    validate,
 )
+from wickhinge.changelog.errors import InvalidChangeError, MalformedMessageError, NotLeaderError, OutOfOrderError
 from wickhinge.changelog.feed import Feed
 from wickhinge.changelog.follower import Follower
-from wickhinge.changelog.log import EMPTY_SNAPSHOT, Log, OutOfOrderError, Snapshot
+from wickhinge.changelog.log import EMPTY_SNAPSHOT, Log, Snapshot
+from wickhinge.changelog.message_codecs import encode_message
 from wickhinge.changelog.messages import UNKNOWN_AGE_MS, Packet, Record
 from wickhinge.changelog.replica import Replica
 from wickhinge.changelog.sequencer import Sequencer
 from wickhinge.changelog.settings import TICK_S, FeedSettings, FollowSettings, ReplicaSettings
-from wickhinge.changelog.snapshots import SnapshotAssembly, cut
-from wickhinge.changelog.stored import NotLeaderError, Stored
+from wickhinge.changelog.snapshots import SnapshotAssembly, split_snapshot
+from wickhinge.changelog.stored import Stored
 
 KEY = b"k" * 32
 
+
+def context(name):
+    return ProcessContext(name, session=7, random_fraction=lambda: 0.5)
+
+
 # The codec.
 
 stamps = st.integers(0, MAX_STAMP_MS)
@@ -106,26 +113,26 @@
 @given(some_messages, st.data())
 def test_damaged_bodies_are_malformed_or_other_values_and_never_another_error(message, data):
     packet = Packet("n1", 2, 2, 5, 6, 7, message)
-    body = bytearray(encode_head(packet) + encode_message(message, 2))
+    body = bytearray(encode_header(packet) + encode_message(message, 2))
     for _ in range(data.draw(st.integers(1, 3))):
         body[data.draw(st.integers(0, len(body) - 1))] = data.draw(st.integers(0, 255))
     del body[data.draw(st.integers(0, len(body))) :]
     try:
         decode_packet(bytes(body))
-    except Malformed:
+    except MalformedMessageError:
         pass
 
 
 @given(st.binary(max_size=200))
 def test_garbage_is_malformed(data):
-    with pytest.raises(Malformed):
+    with pytest.raises(MalformedMessageError):
         Codec(KEY, "router").decode(data)
 
 
 def test_a_datagram_is_for_its_receiver_and_under_its_key():
     data = Codec(KEY, "relay").encode("router", Packet("relay", 2, 2, 0, 0, 0, messages.Fetch(1, 1)))
     for key, name in ((KEY, "router2"), (b"j" * 32, "router")):
-        with pytest.raises(Malformed):
+        with pytest.raises(MalformedMessageError):
             Codec(key, name).decode(data)
 
 
@@ -147,12 +154,12 @@
 )
 def test_a_change_out_of_its_bounds_is_refused(change):
     with pytest.raises(InvalidChangeError):
-        check(change)
+        validate(change)
 
 
 def test_a_number_past_the_largest_is_malformed():
-    body = encode_head(Packet("n", 2, 2, 0, 0, 0, None)) + encode_message(messages.Fetch(1, MAX_NUMBER + 1), 2)
-    with pytest.raises(Malformed):
+    body = encode_header(Packet("n", 2, 2, 0, 0, 0, None)) + encode_message(messages.Fetch(1, MAX_NUMBER + 1), 2)
+    with pytest.raises(MalformedMessageError):
         decode_packet(body)
 
 
@@ -211,7 +218,7 @@
     snapshot = Snapshot(
         3, 9, b"x" * 8, (Setting("a", b"v" * 1000, 5),) * 2, tuple(Purge(k, 0, t) for k, t in purges), True, 4
     )
-    parts = list(cut(snapshot))
+    parts = list(split_snapshot(snapshot))
     rand.shuffle(parts)
     assembly = SnapshotAssembly("r0")
     assert [assembly.add(part) for part in parts[:-1]] == [None] * (len(parts) - 1)
@@ -219,14 +226,14 @@
 
 
 def test_a_damaged_part_or_one_of_another_snapshot_starts_the_assembly_anew():
-    parts = cut(Snapshot(3, 9, b"x" * 8, (Setting("a", b"v" * 1000, 5),) * 2, ()))
+    parts = split_snapshot(Snapshot(3, 9, b"x" * 8, (Setting("a", b"v" * 1000, 5),) * 2, ()))
     assembly = SnapshotAssembly("r0")
     assembly.add(msgspec.structs.replace(parts[0], payload=b"y" * len(parts[0].payload)))
-    assert assembly.add(parts[1]) is None and assembly.missing == 0
+    assert assembly.add(parts[1]) is None and assembly.first_missing == 0
     assembly.add(parts[0])
-    assert (assembly.number, assembly.missing) == (9, 1)
+    assert (assembly.number, assembly.first_missing) == (9, 1)
     assembly.add(msgspec.structs.replace(parts[0], number=10))
-    assert (assembly.number, assembly.missing) == (10, 1)
+    assert (assembly.number, assembly.first_missing) == (10, 1)
 
 
 # Order, and what is vouched for.
@@ -240,7 +247,7 @@
     for first, count in runs:
         entries = whole.entries_from(first, 10_000, count)
         out += [entry.number for entry in sequencer.offer(entries)]
-        assert len(sequencer._held) <= 20
+        assert len(sequencer._buffered) <= 20
     assert out == list(range(1, sequencer.last + 1))
     assert sequencer.digest == whole.digest_at(sequencer.last)
 
@@ -252,7 +259,7 @@
         confirmations.add(float(until), number)
         told.append((until, number))
         last += advance
-        assert confirmations.reached(last) == max((t for t, n in told if n <= last), default=float("-inf"))
+        assert confirmations.confirmed_until(last) == max((t for t, n in told if n <= last), default=float("-inf"))
 
 
 # A follower.
@@ -266,7 +273,7 @@
     def __init__(self, count=0, now=100.0):
         self.now = now
         self.log = log_of(count, retain=5)
-        self.follower = Follower("f0", [f"r{place}" for place in range(6)], SETTINGS, lambda: 0.5, 7, now)
+        self.follower = Follower(context("f0"), [f"r{place}" for place in range(6)], SETTINGS, now)
         self.tokens, self.drawn, self.sent, self.effects = {}, {}, [], []
         self.step(0.0)
 
@@ -305,7 +312,7 @@
 
     def load(self, source="r0"):
         self.beat(source)
-        for part in cut(self.log.snapshot(self.now)):
+        for part in split_snapshot(self.log.snapshot(self.now)):
             self.tell(source, part)
 
     def asked(self, kind):
@@ -347,7 +354,7 @@
 def test_what_is_held_back_is_bounded():
     relayed = loaded()
     relayed.batch("r0", SETTINGS.max_buffered_entries + 1, SETTINGS.max_buffered_entries + 3, digest=b"?" * 8)
-    held = relayed.follower._subscription.sequencer._held
+    held = relayed.follower._subscription.sequencer._buffered
     assert list(held) == []
     relayed.batch("r0", SETTINGS.max_buffered_entries, SETTINGS.max_buffered_entries, digest=b"?" * 8)
     assert list(held) == [SETTINGS.max_buffered_entries]
@@ -380,11 +387,13 @@
 def test_oldest_is_none_while_informed_and_the_grace_less_drift_else():
     relayed = loaded(2)
     follower, now = relayed.follower, relayed.now
-    assert follower.oldest(now, 10.0) is None and not follower.uninformed(now)
-    assert follower.oldest(now + 2.0, 1.0) == pytest.approx(0.94 - 0.001)  # informed, but the bound is over the grace
+    assert follower.max_copy_age_s(now, 10.0) is None and not follower.uninformed(now)
+    assert follower.max_copy_age_s(now + 2.0, 1.0) == pytest.approx(
+        0.94 - 0.001
+    )  # informed, but the bound is over the grace
     assert follower.uninformed(now + SETTINGS.bound_s)
-    assert follower.oldest(now + SETTINGS.bound_s, 10.0) == pytest.approx(9.4 - 0.001)
-    assert follower.oldest(now + 50.0, 0.0) > 0
+    assert follower.max_copy_age_s(now + SETTINGS.bound_s, 10.0) == pytest.approx(9.4 - 0.001)
+    assert follower.max_copy_age_s(now + 50.0, 0.0) > 0
 
 
 def test_a_silent_relay_is_left_for_the_second_one_and_told_so():
@@ -484,7 +493,7 @@
 
 
 def feed_of(log, now=100.0, **changes):
-    return Feed("r0", log, msgspec.structs.replace(FeedSettings(), **changes), 2, now)
+    return Feed(context("r0"), log, msgspec.structs.replace(FeedSettings(), **changes), now)
 
 
 def test_followers_share_one_batch_and_the_second_relays_followers_get_heartbeats_alone():
@@ -583,7 +592,7 @@
     def __init__(self, stored=None, count=3, now=50.0):
         self.names = [f"p{place}" for place in range(count)]
         self.now = now
-        self.replica = Replica("p0", self.names, ReplicaSettings(retain=4), lambda: 0.5, 9, now, stored or Stored())
+        self.replica = Replica(context("p0"), self.names, ReplicaSettings(retain=4), stored or Stored(), now)
 
     def tell(self, sender, message):
         return self.replica.receive(Packet(sender, 2, 2, 5, 0, 0, message), self.now)
@@ -652,7 +661,7 @@
     effects = replicas.tell("p1", append(1, 0, 0, record(1, 1), record(1, 2)))
     assert [type(effect) for effect in effects[-2:]] == [Persist, Send]
     effects = replicas.tell("p2", append(2, 1, 1, record(2, 2), commit=2))
-    assert [effect.kept for effect in effects if isinstance(effect, Persist) and effect.records] == [1]
+    assert [effect.truncate_after for effect in effects if isinstance(effect, Persist) and effect.records] == [1]
     assert [effect.entries[-1].number for effect in effects if isinstance(effect, Committed)] == [2]
     [answer] = answers(replicas.tell("p2", append(2, 7, 2, record(2, 8))))
     assert (answer.success, answer.match) == (False, 2)
@@ -719,7 +728,7 @@
     requests = answers(replicas.replica.tick(replicas.now))
     assert messages.FetchSnapshot(1, 0, 0) in requests
     snapshot = msgspec.structs.replace(log_of(40).snapshot(40.0), term=2)
-    effects = [effect for part in cut(snapshot) for effect in replicas.tell("p1", part)]
+    effects = [effect for part in split_snapshot(snapshot) for effect in replicas.tell("p1", part)]
     assert effects == [PersistSnapshot(snapshot, True)]
     [answer] = answers(replicas.tell("p1", append(3, 40, 2, record(3, 41), commit=41, first=41)))
     assert (answer.success, answer.match, replicas.replica.commit) == (True, 41, 41)
@@ -738,7 +747,7 @@
     ask = messages.RequestVote(5, 1, 9, 0, False)
     effects = replicas.tell("p1", ask)
     assert [type(effect) for effect in effects[:2]] == [Persist, PersistSnapshot]
-    assert (effects[0].epoch, effects[0].term, effects[0].vote, effects[0].kept) == (5, 0, "", 0)
+    assert (effects[0].epoch, effects[0].term, effects[0].vote, effects[0].truncate_after) == (5, 0, "", 0)
     assert answers(effects)[-1] == messages.Vote(5, 1, True, False)
     assert replicas.tell("p2", append(9, 1, 2, record(2, 2))) == []
     replicas.now += 60.0
--- a/tests/changelog/test_changelog_parts.py
+++ b/tests/changelog/test_changelog_parts.py
@@ -19,16 +19,20 @@
     Status,
 )
 from wickhinge.changelog.codec import Codec
+from wickhinge.changelog.context import Runtime
 from wickhinge.changelog.echo_tokens import COUNTER_BITS
 from wickhinge.changelog.effects import Accepted, Apply, Committed, Persist, Reset, Send
-from wickhinge.changelog.entries import Entry, Noop, Purge, Setting, Unknown, encode
+from wickhinge.changelog.endpoint import EndpointConfig
+from wickhinge.changelog.entries import Entry, Noop, Purge, Setting, Unknown, encode_change
+from wickhinge.changelog.errors import NotLeaderError
+from wickhinge.changelog.follower_endpoint import FollowerEndpoint
 from wickhinge.changelog.log import Snapshot
 from wickhinge.changelog.messages import Packet, Unsubscribe
-from wickhinge.changelog.nodes import FollowerEndpoint, RelayEndpoint, ReplicaEndpoint
 from wickhinge.changelog.proposals import Outcome, Proposal, Proposals
-from wickhinge.changelog.settings_table import SettingsTable, State, check_value
+from wickhinge.changelog.relay_endpoint import RelayEndpoint
+from wickhinge.changelog.replica_endpoint import ReplicaEndpoint
+from wickhinge.changelog.settings_table import SettingsTable, SettingState, check_value
 from wickhinge.changelog.storage import MemoryStorage
-from wickhinge.changelog.stored import NotLeaderError
 from wickhinge.decide import Purges
 from wickhinge.fields import Malformed
 from wickhinge.net.changes import Changes
@@ -103,8 +107,8 @@
     found, proposals = [], Proposals()
     for number, change in ((1, Purge(1, 0, 5)), (2, Purge(2, 0, 5)), (3, Purge(3, 0, 5))):
         proposals.add(number, Proposal(change, 1.0, lambda outcome, number=number: found.append((number, outcome))))
-    proposals.committed((entry(1, Purge(1, 0, 5)), entry(2, Noop())))
-    proposals.committed((entry(1, Purge(1, 0, 5)),))
+    proposals.resolve((entry(1, Purge(1, 0, 5)), entry(2, Noop())))
+    proposals.resolve((entry(1, Purge(1, 0, 5)),))
     proposals.tick(0.9)
     assert found == [(1, Outcome.COMMITTED), (2, Outcome.OVERTAKEN)]
     proposals.add(3, Proposal(Noop(), 2.0, lambda outcome: found.append(("3 again", outcome))))
@@ -127,9 +131,9 @@
 def test_a_setting_that_does_not_fit_leaves_the_old_one_in_force(table):
     table.put(Setting("journal", b"10.0.0.1:7", 1))
     row = table.put(Setting("journal", b"\xff\xfe:7", 2))
-    assert row.state is State.REFUSED and "is not an address" in row.why
+    assert row.state is SettingState.REFUSED and "is not an address" in row.reason
     assert table.addresses == [("10.0.0.1", 7)]
-    assert table.put(Setting("later", b"", 3)).state is State.UNKNOWN
+    assert table.put(Setting("later", b"", 3)).state is SettingState.UNKNOWN
     assert [name for name in table.rows] == ["journal", "later"]
 
 
@@ -138,7 +142,7 @@
     table.replace((Setting("journal", b"10.0.0.1:7", 1),))
     table.replace((Setting("journal", b"10.0.0.1:8", 2),))
     assert table.addresses == [("10.0.0.1", 7), ("10.0.0.1", 8)]
-    assert ("changelog_setting_gone", "later") in table.told and list(table.rows) == ["journal"]
+    assert ("changelog_setting_removed", "later") in table.told and list(table.rows) == ["journal"]
 
 
 def test_the_command_line_checks_what_it_knows():
@@ -237,17 +241,31 @@
     return Sockets()
 
 
-def relay_node(sockets, keys=(KEY,)):
-    return started(RelayEndpoint("l", HERE, REPLICAS, keys, sockets, clock=sockets.clock))
+class Consumer:
+    """A router's side that does nothing, or what a test gives it."""
 
+    def __init__(self, apply_entry=lambda entry: None):
+        self.apply_entry = apply_entry
 
-def follower_node(sockets, **more):
-    told = {"on_apply": lambda entry: None, "on_reset": lambda snapshot: None, **more}
-    return started(FollowerEndpoint("n", HERE, {"l": THERE}, [KEY], sockets, clock=sockets.clock, **told))
+    def load_snapshot(self, snapshot):
+        pass
 
+    def after_tick(self):
+        pass
 
-def replica_node(sockets, storage, **more):
-    return started(ReplicaEndpoint("a", REPLICAS, {}, [KEY], sockets, storage, clock=sockets.clock, **more))
+
+def relay_endpoint(sockets, keys=(KEY,)):
+    return started(RelayEndpoint(EndpointConfig("l", HERE, REPLICAS, keys), Runtime(sockets, sockets.clock)))
+
+
+def follower_endpoint(sockets, consumer=None, **more):
+    config = EndpointConfig("n", HERE, {"l": THERE}, [KEY])
+    return started(FollowerEndpoint(config, Runtime(sockets, sockets.clock, **more), consumer or Consumer()))
+
+
+def replica_endpoint(sockets, storage, **more):
+    config = EndpointConfig("a", HERE, REPLICAS, [KEY])
+    return started(ReplicaEndpoint(config, Runtime(sockets, sockets.clock), storage, **more))
 
 
 def datagram(key, sender="b", to="l"):
@@ -255,7 +273,7 @@
 
 
 def test_during_a_change_of_keys_both_are_read_and_the_first_is_written_under(sockets):
-    node = relay_node(sockets)
+    node = relay_endpoint(sockets)
     node.datagramReceived(datagram(NEXT_KEY), THERE)
     assert node.counters.unreadable == 1
     node.use_keys([NEXT_KEY, KEY])
@@ -268,7 +286,7 @@
 
 
 def test_a_full_socket_loses_a_datagram_and_nothing_else(sockets):
-    node = relay_node(sockets)
+    node = relay_endpoint(sockets)
     sockets.failing = errno.EAGAIN
     sockets.run(1.0)
     unsent = node.counters.unsent
@@ -280,9 +298,9 @@
 
 
 def test_a_node_ticks_at_its_pace_and_makes_up_for_nothing(sockets):
-    node = relay_node(sockets)
+    node = relay_endpoint(sockets)
     ticks = []
-    node.ticked = ticks.append
+    node.after_tick = lambda: ticks.append(sockets.now)
     sockets.run(1.001)
     assert len(ticks) in (20, 21)
     calls, sockets.calls = sockets.calls, []
@@ -293,14 +311,14 @@
 
 
 def test_a_flood_between_two_ticks_is_left_unread(sockets, monkeypatch):
-    monkeypatch.setattr("wickhinge.changelog.nodes.MAX_DATAGRAMS_PER_TICK", 10)
-    node = relay_node(sockets)
+    monkeypatch.setattr("wickhinge.changelog.endpoint.MAX_DATAGRAMS_PER_TICK", 10)
+    node = relay_endpoint(sockets)
     for _ in range(25):
         node.datagramReceived(b"x", THERE)
-    assert (node.counters.left, node.counters.unreadable) == (15, 10)
+    assert (node.counters.over_limit, node.counters.unreadable) == (15, 10)
     sockets.run(0.06)
     node.datagramReceived(b"x", THERE)
-    assert node.counters.left == 15
+    assert node.counters.over_limit == 15
 
 
 def test_a_subscriber_that_fails_leaves_the_follower_uninformed(sockets):
@@ -308,27 +326,27 @@
         raise ValueError("planted")
 
     events = []
-    node = follower_node(sockets, on_apply=fail, log=lambda event, **fields: events.append(event))
-    node.machine.uninformed = lambda now: bool(node.machine.not_understood)
+    node = follower_endpoint(sockets, Consumer(fail), log=lambda event, **fields: events.append(event))
+    node.state_machine.uninformed = lambda now: bool(node.state_machine.not_understood)
     node.perform([Send("l", Packet("n", 2, 2, 0, 0, 0, Unsubscribe()))])
-    assert not node.machine.uninformed(0.0)
+    assert not node.state_machine.uninformed(0.0)
     node.perform([Apply(entry(1, Noop()))])
-    assert node.machine.uninformed(0.0) and events == ["changelog_fault"] and node.faults == 1
+    assert node.state_machine.uninformed(0.0) and events == ["changelog_fault"] and node.faults == 1
 
 
 def test_a_defect_in_a_packets_handling_stops_neither_the_timer_nor_later_packets(sockets):
-    node = relay_node(sockets)
+    node = relay_endpoint(sockets)
 
     def fail(*given):
         raise ValueError("planted")
 
-    receive, node.machine.receive = node.machine.receive, fail
+    receive, node.state_machine.receive = node.state_machine.receive, fail
     node.datagramReceived(datagram(KEY), THERE)
     assert node.faults == 1
-    node.machine.receive = receive
-    tick, node.machine.tick = node.machine.tick, fail
+    node.state_machine.receive = receive
+    tick, node.state_machine.tick = node.state_machine.tick, fail
     sockets.run(0.2)
-    node.machine.tick = tick
+    node.state_machine.tick = tick
     sockets.sent.clear()
     sockets.run(3.0)
     assert node.faults > 2 and sockets.sent
@@ -342,7 +360,7 @@
 def test_nothing_is_sent_after_what_was_not_stored(sockets):
     """Also where it fails by a defect of ours."""
     failures = []
-    node = replica_node(sockets, FailingStorage(), on_failure=failures.append)
+    node = replica_endpoint(sockets, FailingStorage(), on_storage_failure=failures.append)
     packet = Packet("a", 2, 2, 0, 0, 0, Unsubscribe())
     sockets.sent.clear()
     node.perform([Send("b", packet), Persist(1, 1, "b", 0, ()), Send("b", packet)])
@@ -354,25 +372,25 @@
 
 
 def test_a_follower_that_closes_tells_its_relays(sockets):
-    node = follower_node(sockets)
+    node = follower_endpoint(sockets)
     sockets.sent.clear()
     node.close()
     assert isinstance(Codec(KEY, "l").decode(sockets.sent[0][0]).message, Unsubscribe)
 
 
 def test_what_was_found_of_the_limit_is_kept_until_something_is_heard(sockets):
-    node = follower_node(sockets)
-    node.machine.no_age_limit_until = lambda now, grace: 5.0
-    assert node.oldest(6.0) is None
+    node = follower_endpoint(sockets)
+    node.state_machine.no_age_limit_until = lambda now, grace: 5.0
+    assert node.max_copy_age_s(6.0) is None
     asked = []
-    node.machine.no_age_limit_until = lambda now, grace: asked.append(grace) or 5.0
+    node.state_machine.no_age_limit_until = lambda now, grace: asked.append(grace) or 5.0
     sockets.now = 4.9
-    assert node.oldest(6.0) is None and asked == []
-    assert node.oldest(7.0) is None and asked == [7.0]
+    assert node.max_copy_age_s(6.0) is None and asked == []
+    assert node.max_copy_age_s(7.0) is None and asked == [7.0]
     node.perform([])
-    assert node.oldest(7.0) is None and asked == [7.0, 7.0]
+    assert node.max_copy_age_s(7.0) is None and asked == [7.0, 7.0]
     sockets.now = 5.0
-    assert node.oldest(7.0) == pytest.approx(0.94 * 7 - 0.001) and len(asked) == 3
+    assert node.max_copy_age_s(7.0) == pytest.approx(0.94 * 7 - 0.001) and len(asked) == 3
 
 
 # What an operator asks.
@@ -382,7 +400,7 @@
     """A replica node that takes proposals when told so."""
 
     def __init__(self, sockets):
-        self.node = replica_node(sockets, MemoryStorage())
+        self.node = replica_endpoint(sockets, MemoryStorage())
         self.desk = Administration(self.node, [KEY], 0.5, wall_clock=lambda: 1000.0)
         self.proposed = []
 
@@ -391,7 +409,7 @@
             self.proposed.append(change)
             return [Accepted(len(self.proposed), 1)]
 
-        self.node.machine.propose = propose
+        self.node.state_machine.propose = propose
 
     def ask(self, word, more=b"", address=THERE, key=KEY):
         """As a command does: the first answer is the cookie."""
@@ -405,7 +423,7 @@
         return asking.answer()
 
     def append(self, change, request_id=b"i" * 16):
-        more = msgspec.msgpack.encode(AppendRequest(request_id, encode(change)))
+        more = msgspec.msgpack.encode(AppendRequest(request_id, encode_change(change)))
         return msgspec.json.decode(self.ask(APPEND, more), type=AppendAnswer)
 
 
@@ -438,25 +456,30 @@
     def refuse(change, now):
         raise NotLeaderError("b")
 
-    leader.node.machine.propose = refuse
+    leader.node.state_machine.propose = refuse
     answer = leader.append(Purge(5, 0, 0))
     assert (answer.state, answer.leader) == (AppendState.NOT_LEADER, "b")
 
 
 @pytest.mark.parametrize(
     "more",
-    [b"", b"\xff", msgspec.msgpack.encode((b"short", encode(Noop()))), msgspec.msgpack.encode((b"i" * 16, b"\x07"))],
+    [
+        b"",
+        b"\xff",
+        msgspec.msgpack.encode((b"short", encode_change(Noop()))),
+        msgspec.msgpack.encode((b"i" * 16, b"\x07")),
+    ],
 )
 def test_what_is_no_request_is_refused(leader, more):
     leader.lead()
     answer = msgspec.json.decode(leader.ask(APPEND, more), type=AppendAnswer)
-    assert answer.state is AppendState.REFUSED and answer.why and not leader.proposed
+    assert answer.state is AppendState.REFUSED and answer.reason and not leader.proposed
 
 
 def test_asks_under_another_key_or_without_the_cookie_do_nothing(leader):
     leader.lead()
     assert leader.ask(STATUS, key=NEXT_KEY) is None
-    more = msgspec.msgpack.encode(AppendRequest(b"i" * 16, encode(Purge(5, 0, 0))))
+    more = msgspec.msgpack.encode(AppendRequest(b"i" * 16, encode_change(Purge(5, 0, 0))))
     asking = Asking(KEY, "a", 7, APPEND, more)
     leader.node.datagramReceived(asking.datagram(), THERE)
     assert leader.proposed == []
@@ -472,7 +495,7 @@
 
 
 def test_a_relay_appends_nothing(sockets):
-    node = relay_node(sockets)
+    node = relay_endpoint(sockets)
     desk = Administration(node, [KEY], 0.5)
     assert APPEND not in desk._desks[0].words and desk.status().source in REPLICAS
 
@@ -505,7 +528,7 @@
     young, old, unproven = (SimpleNamespace(made=made) for made in (999.0, 990.0, 0.0))
     proven = changes.node.copies.proven
     assert [proven(copy, 1000.0) for copy in (young, old, unproven)] == [True, False, False]
-    changes.follower.oldest = lambda grace: None
+    changes.follower.max_copy_age_s = lambda grace: None
     assert [proven(copy, 1000.0) for copy in (young, old, unproven)] == [True, True, False]
 
 
@@ -533,12 +556,12 @@
 
 
 def test_what_waits_to_be_written_is_decided_anew_once_ages_are_limited(changes):
-    changes.follower.oldest = lambda grace: None
-    changes.follower.ticked(0.0)
+    changes.follower.max_copy_age_s = lambda grace: None
+    changes.follower.after_tick()
     changes.told.clear()
-    changes.follower.oldest = lambda grace: 5.0
-    changes.follower.ticked(0.0)
-    changes.follower.ticked(0.0)
+    changes.follower.max_copy_age_s = lambda grace: 5.0
+    changes.follower.after_tick()
+    changes.follower.after_tick()
     holds, event = changes.told
     assert event == "changelog_uninformed"
     assert not holds(
--- a/tests/changelog/test_changelog_storage.py
+++ b/tests/changelog/test_changelog_storage.py
@@ -8,9 +8,10 @@
 from wickhinge.changelog import storage
 from wickhinge.changelog.effects import Persist, PersistSnapshot
 from wickhinge.changelog.entries import Entry, Noop, Purge, Setting, Unknown
+from wickhinge.changelog.errors import StorageDamagedError, StorageInUseError, StorageMissingError
 from wickhinge.changelog.log import EMPTY_SNAPSHOT, Snapshot
 from wickhinge.changelog.messages import Record
-from wickhinge.changelog.storage import Damaged, FileStorage, InUse, MemoryStorage, Missing
+from wickhinge.changelog.storage import FileStorage, MemoryStorage
 from wickhinge.changelog.stored import Stored
 from wickhinge.store.files import Files
 
@@ -78,7 +79,7 @@
     """Its state; None where nothing was begun."""
     try:
         return FileStorage.open(FOLDER, disk).stored
-    except Missing:
+    except StorageMissingError:
         return None
 
 
@@ -132,7 +133,7 @@
             second.fault = (again, "crash")
             try:
                 FileStorage.open(FOLDER, second)
-            except (Crash, Missing):
+            except (Crash, StorageMissingError):
                 pass
             assert recovered(second.restarted(again)) in allowed(done), (call, again)
 
@@ -166,7 +167,7 @@
 @pytest.mark.parametrize("plant", [no_sync, snapshot_in_place])
 def test_the_sweep_finds_a_planted_fault(monkeypatch, plant):
     plant(monkeypatch)
-    with pytest.raises((AssertionError, Damaged)):
+    with pytest.raises((AssertionError, StorageDamagedError)):
         sweep("crash")
 
 
@@ -218,7 +219,7 @@
     def change(disk):
         disk.nodes[files_of(disk, prefix)[0]].data[place] ^= 1
 
-    with pytest.raises(Damaged, match=told):
+    with pytest.raises(StorageDamagedError, match=told):
         FileStorage.open(FOLDER, damaged(change))
 
 
@@ -230,12 +231,12 @@
         first = storage.HEAD_BYTES + int.from_bytes(node.data[: storage.LENGTH_BYTES], "big")
         node.data[first + storage.HEAD_BYTES] ^= 1
 
-    with pytest.raises(Damaged, match="records.1: damaged at byte"):
+    with pytest.raises(StorageDamagedError, match="records.1: damaged at byte"):
         FileStorage.open(FOLDER, damaged(change))
 
 
 def test_records_that_are_missing_are_told():
-    with pytest.raises(Damaged, match="records.1: is missing"):
+    with pytest.raises(StorageDamagedError, match="records.1: is missing"):
         FileStorage.open(FOLDER, damaged(lambda disk: disk.nodes.pop(f"{FOLDER}/records.1")))
 
 
@@ -245,18 +246,18 @@
     disk.nodes[f"{FOLDER}/records.2"].data = bytearray(disk.nodes[f"{FOLDER}/records.1"].data)
     head = disk.nodes[f"{FOLDER}/snapshot"].data
     head[len(storage.MAGIC) + storage.GENERATION_BYTES - 1] = 2
-    with pytest.raises(Damaged, match="records.2: damaged at byte 0"):
+    with pytest.raises(StorageDamagedError, match="records.2: damaged at byte 0"):
         FileStorage.open(FOLDER, disk)
 
 
 def test_on_a_real_directory_one_process_at_a_time(tmp_path):
     folder = str(tmp_path / "replica")
-    with pytest.raises(Missing, match="no such directory"):
+    with pytest.raises(StorageMissingError, match="no such directory"):
         FileStorage.open(folder, Files())
     made = FileStorage.create(folder, Stored(), Files())
     for effect in EFFECTS:
         do(made, effect)
-    with pytest.raises(InUse):
+    with pytest.raises(StorageInUseError):
         FileStorage.open(folder, Files())
     made.close()
     with pytest.raises(FileExistsError):
--- a/tests/changelog/test_stored_data.py
+++ b/tests/changelog/test_stored_data.py
@@ -10,11 +10,11 @@
 from wickhinge.changelog.administration import AppendAnswer, AppendState, RowsPage, Status
 from wickhinge.changelog.codec import Codec
 from wickhinge.changelog.effects import Persist, PersistSnapshot
+from wickhinge.changelog.endpoint import Counters
 from wickhinge.changelog.entries import Entry, Noop, Purge, Setting, Unknown
 from wickhinge.changelog.feed import SubscriberRow
 from wickhinge.changelog.log import Snapshot
 from wickhinge.changelog.messages import Packet, Record
-from wickhinge.changelog.nodes import Counters
 from wickhinge.changelog.snapshots import decode_snapshot, encode_snapshot
 from wickhinge.changelog.storage import FileStorage
 from wickhinge.changelog.stored import Stored
--- a/wickhinge/changelog/administration.py
+++ b/wickhinge/changelog/administration.py
@@ -1,7 +1,7 @@
 """What an operator asks a replica or a relay over its socket: where it stands, who follows it, a change for the log.
 
-Asks and answers are those of `peers.desk`: under the fleet's key, and counted only with a cookie, so that one sent
-under another's address or of yesterday does nothing. Words: STATUS, ROWS, APPEND.
+Questions and answers are those of `peers.desk`: under the fleet's key, and counted only with a cookie, so that one that
+is replayed, or sent under another's address, does nothing. Words: STATUS, ROWS, APPEND.
 """
 
 from __future__ import annotations
@@ -11,17 +11,19 @@
 from collections import OrderedDict
 from collections.abc import Callable, Sequence
 from enum import Enum
-from typing import Any
 
 import msgspec
 
-from wickhinge.changelog.binary_fields import Malformed, Reader
+from wickhinge.changelog.addresses import Address
+from wickhinge.changelog.binary_fields import Reader
 from wickhinge.changelog.codec import SIZE_OF_IP_AND_UDP
-from wickhinge.changelog.entries import Change, InvalidChangeError, Noop, Unknown, decode_change
+from wickhinge.changelog.endpoint import Counters
+from wickhinge.changelog.entries import Change, Noop, Unknown, decode_change
+from wickhinge.changelog.errors import InvalidChangeError, MalformedMessageError, NotLeaderError, OverloadedError
 from wickhinge.changelog.feed import SubscriberRow
-from wickhinge.changelog.nodes import Counters, RelayEndpoint, ReplicaEndpoint
 from wickhinge.changelog.proposals import Outcome
-from wickhinge.changelog.stored import NotLeaderError, OverloadedError
+from wickhinge.changelog.relay_endpoint import RelayEndpoint
+from wickhinge.changelog.replica_endpoint import ReplicaEndpoint
 from wickhinge.peers.desk import ASK, Desk
 from wickhinge.peers.wire import Unreadable
 
@@ -29,13 +31,28 @@
 ROWS_PER_PAGE = 400
 MAX_REMEMBERED_REQUESTS = 4096
 REQUEST_ID_BYTES = 16
+SECRET_BYTES = 32
 NEVER = float("-inf")
 
 
 class Status(msgspec.Struct):
-    """Where a replica or a relay stands. `number`: the last committed one that it has. `age_s`: it knows all up to so
-    long ago; None where it can't say. `state` (of an election), `term`, `leader`, `blank`: of a replica; `source`: the
-    replica that a relay follows. Bytes are with IP and UDP headers.
+    """Where a replica or a relay stands.
+
+    Attributes:
+        name: The process's name.
+        role: "replica" or "relay".
+        epoch: The log's epoch.
+        number: The last committed entry that it has.
+        age_s: It knows all up to so long ago; None where it can't say.
+        followers: How many subscribers follow it.
+        received_bytes: With IP and UDP headers.
+        sent_bytes: With IP and UDP headers.
+        counters: Of datagrams.
+        state: Of a replica: its role in the election.
+        term: Of a replica.
+        leader: Of a replica: the leader as far as it is known.
+        blank: Of a replica: it waits for a snapshot.
+        source: Of a relay: the replica that it follows.
     """
 
     name: str
@@ -63,6 +80,8 @@
 
 
 class AppendState(Enum):
+    """What became of a request to append. The values are those on the wire."""
+
     WAITING = "waiting"
     COMMITTED = "committed"
     FAILED = "failed"  # not known to be committed: it may be, later
@@ -71,8 +90,9 @@
 
 
 class AppendRequest(msgspec.Struct, array_like=True):
-    """`id` names the request: asked again with it, the answer tells how it stands, and nothing is appended anew. The
-    change is encoded, its stamp is the leader's.
+    """A request to append an encoded change, whose stamp will be the leader's.
+
+    `id` names the request: where it comes again, the answer tells how it stands, and nothing is appended anew.
     """
 
     id: bytes
@@ -80,88 +100,109 @@
 
 
 class AppendAnswer(msgspec.Struct):
+    """How a request to append stands. `reason`, "why" on the wire, is set where it failed or was refused."""
+
     state: AppendState
     epoch: int = 0
     number: int = 0
     stamp_ms: int = 0
     leader: str = ""
-    why: str = ""
+    reason: str = msgspec.field(default="", name="why")
+
+
+class RowsFault(msgspec.Struct):
+    """The answer to a question for rows that cannot be read."""
 
+    error: str
 
-def stamped(change: Change, stamp_ms: int) -> Change:
+
+def with_stamp(change: Change, stamp_ms: int) -> Change:
+    """The change with another stamp, where its kind has one."""
     if isinstance(change, Noop | Unknown):
         return change
     return msgspec.structs.replace(change, stamp_ms=stamp_ms)
 
 
 class Administration:
-    """Answers asks that come to `node`. `ingest_s`: a change that is not committed after so long has failed.
-    `wall_clock`: Unix time in seconds.
+    """Answers an operator's questions that come to `endpoint`.
+
+    `ingest_s`: a change that is not committed after so long has failed. `wall_clock`: Unix time in seconds.
     """
 
     def __init__(
         self,
-        node: ReplicaEndpoint | RelayEndpoint,
+        endpoint: ReplicaEndpoint | RelayEndpoint,
         keys: Sequence[bytes],
         ingest_s: float,
         wall_clock: Callable[[], float] = time.time,
     ) -> None:
-        self._node, self._ingest_s, self._wall_clock = node, ingest_s, wall_clock
-        self._secret = os.urandom(32)
+        self._endpoint, self._ingest_s, self._wall_clock = endpoint, ingest_s, wall_clock
+        self._secret = os.urandom(SECRET_BYTES)
         self._requests: OrderedDict[bytes, AppendAnswer] = OrderedDict()
         self.use_keys(keys)
-        node.other_datagram = self._other_datagram
+        endpoint.handle_other_datagrams(self._handle_datagram)
 
     def use_keys(self, keys: Sequence[bytes]) -> None:
-        self._desks = [Desk(self._node.name, key, self._secret, self._node.clock()) for key in keys]
+        """Answers questions under any of the keys from now on."""
+        self._desks = [Desk(self._endpoint.name, key, self._secret, self._endpoint.clock()) for key in keys]
         for desk in self._desks:
-            desk.words[STATUS] = lambda more: msgspec.json.encode(self.status())
+            desk.words[STATUS] = lambda _more: msgspec.json.encode(self.status())
             desk.words[ROWS] = self._rows
-            if isinstance(self._node, ReplicaEndpoint):
+            if isinstance(self._endpoint, ReplicaEndpoint):
                 desk.words[APPEND] = self._append
 
     def status(self) -> Status:
-        node, now = self._node, self._node.clock()
-        machine, counters = node.machine, node.counters
-        until = machine.confirmed_until() if isinstance(node, ReplicaEndpoint) else machine.confirmed_until(now)
+        """Where the endpoint stands now."""
+        endpoint, now, counters = self._endpoint, self._endpoint.clock(), self._endpoint.counters
+        log = endpoint.state_machine.log
+        is_replica = isinstance(endpoint, ReplicaEndpoint)
         status = Status(
-            node.name,
-            "replica" if isinstance(node, ReplicaEndpoint) else "relay",
-            machine.log.epoch,
-            machine.log.last,
-            None if until is None or until == NEVER else round(now - until, 3),
-            sum(not row.heartbeats_only for row in machine.rows(now)),
+            endpoint.name,
+            "replica" if is_replica else "relay",
+            log.epoch,
+            log.last,
+            self._age_s(now),
+            sum(not row.heartbeats_only for row in endpoint.state_machine.rows(now)),
             counters.received_bytes + SIZE_OF_IP_AND_UDP * counters.received,
             counters.sent_bytes + SIZE_OF_IP_AND_UDP * counters.sent,
             counters,
         )
-        if isinstance(node, ReplicaEndpoint):
-            status.state, status.term = node.machine.role.value, node.machine.term
-            status.leader, status.blank = node.machine.leader, node.machine.blank
+        if isinstance(endpoint, ReplicaEndpoint):
+            replica = endpoint.state_machine
+            status.state, status.term = replica.role.value, replica.term
+            status.leader, status.blank = replica.leader, replica.blank
         else:
-            status.source = node.machine.source
+            status.source = endpoint.state_machine.source
         return status
 
-    def _other_datagram(self, datagram: bytes, address: Any) -> bool:
+    def _age_s(self, now: float) -> float | None:
+        endpoint = self._endpoint
+        if isinstance(endpoint, ReplicaEndpoint):
+            until: float | None = endpoint.state_machine.confirmed_until()
+        else:
+            until = endpoint.state_machine.confirmed_until(now)
+        return None if until is None or until == NEVER else round(now - until, 3)
+
+    def _handle_datagram(self, datagram: bytes, address: Address) -> bool:
         if datagram[: len(ASK)] != ASK:
             return False
         for desk in self._desks:
             try:
-                answers = desk.heard(datagram, address, self._node.clock())
+                answers = desk.heard(datagram, address, self._endpoint.clock())
             except Unreadable:
                 continue
             for answer in answers:
-                self._node.write(answer, address)
+                self._endpoint.write(answer, address)
             return True
-        self._node.counters.unreadable += 1
+        self._endpoint.counters.unreadable += 1
         return True
 
     def _rows(self, more: bytes) -> bytes:
         try:
             first = msgspec.json.decode(more, type=int)
         except msgspec.MsgspecError as fault:
-            return msgspec.json.encode({"error": str(fault)})
-        rows = sorted(self._node.machine.rows(self._node.clock()), key=lambda row: row.name)
+            return msgspec.json.encode(RowsFault(str(fault)))
+        rows = sorted(self._endpoint.state_machine.rows(self._endpoint.clock()), key=lambda row: row.name)
         first = max(first, 0)
         return msgspec.msgpack.encode(RowsPage(first, len(rows), rows[first : first + ROWS_PER_PAGE]))
 
@@ -172,31 +213,33 @@
         try:
             request = msgspec.msgpack.decode(more, type=AppendRequest)
             change = decode_change(Reader(request.change))
-        except (msgspec.MsgspecError, Malformed) as fault:
-            return AppendAnswer(AppendState.REFUSED, why=str(fault))
+        except (msgspec.MsgspecError, MalformedMessageError) as fault:
+            return AppendAnswer(AppendState.REFUSED, reason=str(fault))
         if len(request.id) != REQUEST_ID_BYTES:
-            return AppendAnswer(AppendState.REFUSED, why=f"a request's id of {len(request.id)} bytes")
+            return AppendAnswer(AppendState.REFUSED, reason=f"a request's id of {len(request.id)} bytes")
         known = self._requests.get(request.id)
         return self._propose(request.id, change) if known is None else known
 
     def _propose(self, request_id: bytes, change: Change) -> AppendAnswer:
+        endpoint = self._endpoint
+        assert isinstance(endpoint, ReplicaEndpoint)  # a relay has no APPEND
         stamp_ms = int(self._wall_clock() * 1000)
         answer = AppendAnswer(AppendState.WAITING, stamp_ms=stamp_ms)
 
-        def resolved(outcome: Outcome) -> None:
-            answer.state = AppendState.COMMITTED if outcome is Outcome.COMMITTED else AppendState.FAILED
-            answer.why = "" if outcome is Outcome.COMMITTED else outcome.value
+        def on_resolved(outcome: Outcome) -> None:
+            is_committed = outcome is Outcome.COMMITTED
+            answer.state = AppendState.COMMITTED if is_committed else AppendState.FAILED
+            answer.reason = "" if is_committed else outcome.value
 
-        assert isinstance(self._node, ReplicaEndpoint)
         try:
-            answer.number = self._node.propose(stamped(change, stamp_ms), self._ingest_s, resolved)
+            answer.number = endpoint.propose(with_stamp(change, stamp_ms), self._ingest_s, on_resolved)
         except NotLeaderError as fault:
             return AppendAnswer(AppendState.NOT_LEADER, leader=fault.leader)
         except OverloadedError:
-            return AppendAnswer(AppendState.FAILED, why="too many changes wait, or too many settings are in force")
+            return AppendAnswer(AppendState.FAILED, reason="too many changes wait, or too many settings are in force")
         except InvalidChangeError as fault:
-            return AppendAnswer(AppendState.REFUSED, why=str(fault))
-        answer.epoch = self._node.machine.epoch
+            return AppendAnswer(AppendState.REFUSED, reason=str(fault))
+        answer.epoch = endpoint.state_machine.epoch
         self._requests[request_id] = answer
         if len(self._requests) > MAX_REMEMBERED_REQUESTS:
             self._requests.popitem(last=False)
--- a/wickhinge/changelog/binary_fields.py
+++ b/wickhinge/changelog/binary_fields.py
@@ -1,22 +1,24 @@
-"""Bounded fields of a message body: variable-length integers, fixed integers and byte strings."""
+"""Bounded fields of a binary message: variable-length integers, fixed integers and byte strings.
+
+`wickhinge.fields` checks the fields of decoded JSON and MessagePack maps; nothing here is about those.
+"""
 
 from __future__ import annotations
 
+from wickhinge.changelog.errors import MalformedMessageError
+
 MAX_VARINT_BYTES = 10
 U64_LIMIT = 1 << 64
 MAX_NUMBER = (1 << 56) - 1
 
 
-class Malformed(ValueError):
-    """The bytes are no such message; the text names the fault."""
-
-
 def zigzag(value: int) -> int:
     """A signed integer as an unsigned one, small where the value is near zero."""
     return value << 1 if value >= 0 else (-value << 1) - 1
 
 
 def unzigzag(value: int) -> int:
+    """The inverse of zigzag."""
     return value >> 1 if not value & 1 else -(value + 1 >> 1)
 
 
@@ -27,24 +29,28 @@
         self.buffer = bytearray()
 
     def byte(self, value: int) -> None:
+        """One byte."""
         self.buffer.append(value)
 
     def u64(self, value: int) -> None:
+        """An unsigned integer of 8 bytes, big-endian."""
         self.buffer += value.to_bytes(8, "big")
 
     def varint(self, value: int) -> None:
-        """An unsigned integer below 2**64. Raises Malformed."""
+        """An unsigned integer below 2**64, 7 bits a byte. Raises MalformedMessageError."""
         if not 0 <= value < U64_LIMIT:
-            raise Malformed(f"integer {value} out of range")
+            raise MalformedMessageError(f"integer {value} out of range")
         while value >= 0x80:
             self.buffer.append(value & 0x7F | 0x80)
             value >>= 7
         self.buffer.append(value)
 
     def signed(self, value: int) -> None:
+        """A signed integer, as a zigzag varint."""
         self.varint(zigzag(value))
 
     def raw(self, data: bytes) -> None:
+        """Bytes as they are: the reader knows how many."""
         self.buffer += data
 
     def block(self, data: bytes) -> None:
@@ -53,55 +59,65 @@
         self.buffer += data
 
     def text(self, value: str) -> None:
+        """UTF-8 with its length in bytes."""
         self.block(value.encode())
 
     def done(self) -> bytes:
+        """All that was written."""
         return bytes(self.buffer)
 
 
 class Reader:
-    """Takes fields from a byte string. Every method raises Malformed where the field is not there or out of bounds."""
+    """Takes fields from a byte string.
+
+    Every method raises MalformedMessageError where the field is not there or out of bounds.
+    """
 
     def __init__(self, data: bytes) -> None:
         self.data = data
         self.place = 0
 
-    def left(self) -> int:
+    def remaining(self) -> int:
+        """Bytes that have not been read."""
         return len(self.data) - self.place
 
     def raw(self, size: int) -> bytes:
-        if size > self.left():
-            raise Malformed("cut short")
+        """The next `size` bytes."""
+        if size > self.remaining():
+            raise MalformedMessageError("cut short")
         start = self.place
         self.place += size
         return self.data[start : self.place]
 
     def byte(self) -> int:
+        """One byte."""
         return self.raw(1)[0]
 
     def flag(self) -> bool:
+        """A byte that is 0 or 1."""
         value = self.byte()
         if value > 1:
-            raise Malformed(f"flag {value}")
+            raise MalformedMessageError(f"flag {value}")
         return bool(value)
 
     def u64(self) -> int:
+        """An unsigned integer of 8 bytes, big-endian."""
         return int.from_bytes(self.raw(8), "big")
 
-    def varint(self, most: int = U64_LIMIT - 1) -> int:
-        """The shortest form alone is accepted, so that one value has one encoding."""
+    def varint(self, max_value: int = U64_LIMIT - 1) -> int:
+        """An unsigned integer. The shortest form alone is accepted, so that one value has one encoding."""
         value = 0
         for position in range(MAX_VARINT_BYTES):
             piece = self.byte()
             value |= (piece & 0x7F) << 7 * position
             if piece < 0x80:
                 if piece == 0 and position:
-                    raise Malformed("an integer with leading zeros")
+                    raise MalformedMessageError("an integer with leading zeros")
                 break
         else:
-            raise Malformed("an integer too long")
-        if value > most:
-            raise Malformed(f"integer {value} over {most}")
+            raise MalformedMessageError("an integer too long")
+        if value > max_value:
+            raise MalformedMessageError(f"integer {value} over {max_value}")
         return value
 
     def number(self) -> int:
@@ -109,17 +125,21 @@
         return self.varint(MAX_NUMBER)
 
     def signed(self) -> int:
+        """A signed integer, as a zigzag varint."""
         return unzigzag(self.varint())
 
-    def block(self, most: int) -> bytes:
-        return self.raw(self.varint(most))
+    def block(self, max_bytes: int) -> bytes:
+        """A byte string with its length."""
+        return self.raw(self.varint(max_bytes))
 
-    def text(self, most: int) -> str:
+    def text(self, max_bytes: int) -> str:
+        """UTF-8 with its length in bytes."""
         try:
-            return self.block(most).decode()
+            return self.block(max_bytes).decode()
         except UnicodeDecodeError:
-            raise Malformed("text that is not UTF-8") from None
+            raise MalformedMessageError("text that is not UTF-8") from None
 
     def end(self) -> None:
-        if self.left():
-            raise Malformed(f"{self.left()} bytes too many")
+        """Called after the last field."""
+        if self.remaining():
+            raise MalformedMessageError(f"{self.remaining()} bytes too many")
--- a/wickhinge/changelog/confirmations.py
+++ b/wickhinge/changelog/confirmations.py
@@ -1,4 +1,4 @@
-"""Until when all changes are known: vouches that came, and those of them that the own log has reached."""
+"""Until when a log is complete: confirmations that came, and those of them that the log has reached."""
 
 from __future__ import annotations
 
@@ -7,28 +7,30 @@
 
 
 class Confirmations:
-    """A vouch (until, number) says: all that was stored at the replicas' majority before `until` has numbers up to
-    `number`.
+    """Pairs (until, number), each of which confirms that what a majority had before `until` has numbers up to `number`.
+
+    Times are by the process's own clock, in seconds.
     """
 
     def __init__(self) -> None:
         self._pending: list[tuple[float, int]] = []  # both rise
-        self._reached = NEVER
+        self._confirmed_until = NEVER
 
     def add(self, until: float, number: int) -> None:
-        if until <= self._reached:
+        """Takes a confirmation, unless one that is pending or reached says as much."""
+        if until <= self._confirmed_until:
             return
-        if any(earlier >= until and other <= number for earlier, other in self._pending):
+        if any(other_until >= until and other_number <= number for other_until, other_number in self._pending):
             return
-        kept = [pair for pair in self._pending if pair[0] > until or pair[1] < number]
-        self._pending = sorted([*kept, (until, number)])[:MAX_PENDING_CONFIRMATIONS]
+        rest = [pair for pair in self._pending if pair[0] > until or pair[1] < number]
+        self._pending = sorted([*rest, (until, number)])[:MAX_PENDING_CONFIRMATIONS]
 
-    def reached(self, last: int) -> float:
-        """The latest time until which a log that ends with `last` is complete; it never goes back."""
+    def confirmed_until(self, last: int) -> float:
+        """The latest time until which a log that ends with `last` is complete, -inf for none; it never goes back."""
         while self._pending and self._pending[0][1] <= last:
-            self._reached = max(self._reached, self._pending.pop(0)[0])
-        return self._reached
+            self._confirmed_until = max(self._confirmed_until, self._pending.pop(0)[0])
+        return self._confirmed_until
 
     def forget_pending(self) -> None:
-        """To be called where numbers get another meaning, with a new epoch."""
+        """Drops what is pending; called where numbers get another meaning, with a new epoch."""
         self._pending.clear()
--- a/wickhinge/changelog/daemon.py
+++ b/wickhinge/changelog/daemon.py
@@ -1,4 +1,4 @@
-"""A replica or a relay as a process: its node, its administration, its log lines, until it is told to stop."""
+"""A replica or a relay as a process: its endpoint, its administration, its log lines, until it is told to stop."""
 
 from __future__ import annotations
 
@@ -10,29 +10,59 @@
 import msgspec
 
 from wickhinge.changelog.addresses import Address
-from wickhinge.changelog.administration import Administration
-from wickhinge.changelog.nodes import RelayEndpoint, ReplicaEndpoint, Storage, StorageFailedError
+from wickhinge.changelog.administration import Administration, Status
+from wickhinge.changelog.context import Runtime
+from wickhinge.changelog.endpoint import EndpointConfig
+from wickhinge.changelog.errors import StorageFailedError
+from wickhinge.changelog.relay_endpoint import RelayEndpoint
+from wickhinge.changelog.replica_endpoint import ReplicaEndpoint
 from wickhinge.changelog.settings import RelaySettings, ReplicaSettings
+from wickhinge.changelog.stored import Storage
 from wickhinge.fields import Malformed
 from wickhinge.net.log import Log
 from wickhinge.options import changelog as options_of
 from wickhinge.options.records import Changelog
 
 REPORT_INTERVAL_S = 5.0
-STATUS_CHECK_INTERVAL_S = 0.1  # between two looks at what the log tells of
-OK, FAILED = 0, 1
+STATUS_CHECK_INTERVAL_S = 0.1
+STATUS_FIELDS = ("epoch", "state", "term", "leader", "blank", "source")  # whose changes are logged
+EXIT_OK, EXIT_FAILED = 0, 1
 
 
-def rotated(replicas: Mapping[str, Address], by: int) -> dict[str, Address]:
-    """The replicas in the order in which the relay at place `by` prefers them, so that relays spread over them."""
+def rotate_preference(replicas: Mapping[str, Address], place: int) -> dict[str, Address]:
+    """The replicas as the relay at `place` prefers them, so that relays spread over them."""
     names = list(replicas)
-    start = by % len(names)
+    start = place % len(names)
     return {name: replicas[name] for name in names[start:] + names[:start]}
 
 
+def replica_endpoint(
+    name: str,
+    options: Changelog,
+    runtime: Runtime,
+    storage: Storage,
+    on_storage_failure: Callable[[StorageFailedError], None],
+) -> ReplicaEndpoint:
+    """The endpoint of the replica `name`."""
+    replicas, relays = options_of.addresses(options.replicas), options_of.addresses(options.relays)
+    config = EndpointConfig(name, replicas[name], replicas, options_of.read_keys(options), relays)
+    settings = ReplicaSettings(purge_horizon_s=options.purge_horizon_s)
+    return ReplicaEndpoint(config, runtime, storage, settings, on_storage_failure)
+
+
+def relay_endpoint(name: str, options: Changelog, runtime: Runtime) -> RelayEndpoint:
+    """The endpoint of the relay `name`."""
+    replicas, relays = options_of.addresses(options.replicas), options_of.addresses(options.relays)
+    preferred = rotate_preference(replicas, list(relays).index(name))
+    config = EndpointConfig(name, relays[name], preferred, options_of.read_keys(options))
+    follow = msgspec.structs.replace(RelaySettings().follow, bound_s=options.bound_s)
+    return RelayEndpoint(config, runtime, RelaySettings(purge_horizon_s=options.purge_horizon_s, follow=follow))
+
+
 class Daemon:
-    """One replica, where `storage` is given, or one relay. `reread` reads the settings anew, for other keys; it raises
-    Malformed. `run` returns the process's exit code; it raises OSError where the address cannot be had, and Malformed
+    """One replica, where `storage` is given, or one relay.
+
+    `reload_options` reads the settings anew, for other keys; it raises Malformed. The constructor raises Malformed
     where a key can't be read.
     """
 
@@ -41,77 +71,66 @@
         name: str,
         options: Changelog,
         reactor: Any,
-        reread: Callable[[], Changelog],
+        reload_options: Callable[[], Changelog],
         storage: Storage | None = None,
     ) -> None:
-        self._reactor, self._reread = reactor, reread
+        self._reactor, self._reload_options = reactor, reload_options
         self._log = Log(1, name, time.time)
-        self._code = OK
-        self._seen: tuple[Any, ...] = ()
-        keys = options_of.read_keys(options)
-        replicas, relays = options_of.addresses(options.replicas), options_of.addresses(options.relays)
-        self.node: ReplicaEndpoint | RelayEndpoint
-        if storage is not None:
-            settings = ReplicaSettings(purge_horizon_s=options.purge_horizon_s)
-            self.node = ReplicaEndpoint(
-                name,
-                replicas,
-                relays,
-                keys,
-                reactor,
-                storage,
-                settings,
-                log=self._log.event,
-                on_failure=self._storage_failed,
-            )
+        self._exit_code = EXIT_OK
+        self._logged_status: Sequence[Any] = ()
+        runtime = Runtime(reactor, log=self._log.event)
+        self.endpoint: ReplicaEndpoint | RelayEndpoint
+        if storage is None:
+            self.endpoint = relay_endpoint(name, options, runtime)
         else:
-            follow = msgspec.structs.replace(RelaySettings().follow, bound_s=options.bound_s)
-            relay_settings = RelaySettings(purge_horizon_s=options.purge_horizon_s, follow=follow)
-            preferred = rotated(replicas, list(relays).index(name))
-            self.node = RelayEndpoint(name, relays[name], preferred, keys, reactor, relay_settings, log=self._log.event)
-        self._administration = Administration(self.node, keys, options.ingest_s)
+            self.endpoint = replica_endpoint(name, options, runtime, storage, self._on_storage_failure)
+        self._administration = Administration(self.endpoint, options_of.read_keys(options), options.ingest_s)
 
     def run(self) -> int:
-        self.node.start()
-        host, port = self.node.address
+        """Runs until SIGTERM or SIGINT; returns the process's exit code.
+
+        Raises:
+            OSError: The address cannot be had.
+        """
+        self.endpoint.start()
+        host, port = self.endpoint.address
         self._log.event("changelog_start", address=f"{host}:{port}", role=self._administration.status().role)
         for number in (signal.SIGTERM, signal.SIGINT):
             signal.signal(number, lambda *_: self._reactor.callFromThread(self._stop))
         signal.signal(signal.SIGHUP, lambda *_: self._reactor.callFromThread(self._reload))
-        self._reactor.callLater(0, self._watch)
+        self._reactor.callLater(0, self._log_status_changes)
         self._reactor.callLater(REPORT_INTERVAL_S, self._report)
         self._reactor.run(installSignalHandlers=False)
-        return self._code
+        return self._exit_code
 
     def _stop(self) -> None:
         self._log.event("changelog_stop")
-        self.node.close()
+        self.endpoint.close()
         self._reactor.stop()
 
-    def _storage_failed(self, fault: StorageFailedError) -> None:
+    def _on_storage_failure(self, _fault: StorageFailedError) -> None:
         """What was promised may not last: only a new start, which reads what did, may go on."""
-        self._code = FAILED
+        self._exit_code = EXIT_FAILED
         self._reactor.callWhenRunning(self._reactor.stop)
 
     def _reload(self) -> None:
         try:
-            keys = options_of.read_keys(self._reread())
+            keys = options_of.read_keys(self._reload_options())
         except Malformed as fault:
             self._log.event("changelog_reload_failed", why=str(fault))
             return
-        self.node.use_keys(keys)
+        self.endpoint.use_keys(keys)
         self._administration.use_keys(keys)
         self._log.event("changelog_reload", keys=len(keys))
 
-    def _watch(self) -> None:
+    def _log_status_changes(self) -> None:
         """Logs a new role, term, leader, epoch or source."""
-        self._reactor.callLater(STATUS_CHECK_INTERVAL_S, self._watch)
-        status = self._administration.status()
-        seen = (status.epoch, status.state, status.term, status.leader, status.blank, status.source)
-        if seen != self._seen:
-            self._seen = seen
-            names: Sequence[str] = ("epoch", "state", "term", "leader", "blank", "source")
-            self._log.event("changelog_role", **dict(zip(names, seen, strict=True)))
+        self._reactor.callLater(STATUS_CHECK_INTERVAL_S, self._log_status_changes)
+        status: Status = self._administration.status()
+        values = [getattr(status, field) for field in STATUS_FIELDS]
+        if values != self._logged_status:
+            self._logged_status = values
+            self._log.event("changelog_role", **dict(zip(STATUS_FIELDS, values, strict=True)))
 
     def _report(self) -> None:
         self._reactor.callLater(REPORT_INTERVAL_S, self._report)
--- a/wickhinge/changelog/dispute_records.py
+++ b/wickhinge/changelog/dispute_records.py
@@ -2,13 +2,14 @@
 
 from __future__ import annotations
 
+from dataclasses import dataclass
 from enum import Enum
 
 from wickhinge.changelog.sequencer import Sequencer
 
 
 class Dispute(Enum):
-    """What the sources that are heard say of the own log."""
+    """What the sources that can be compared say of the own log."""
 
     NONE = "no source differs"
     OPEN = "some differ, and no majority agrees or differs"
@@ -16,55 +17,67 @@
     REFUTED = "a majority differs"
 
 
-class Verdict:
-    __slots__ = ("agrees", "at", "waiting")
+@dataclass(frozen=True, slots=True)
+class PendingDigest:
+    """A source's digest at a number that the own log has yet to reach."""
 
-    def __init__(self) -> None:
-        self.agrees: bool | None = None
-        self.at = 0.0
-        self.waiting: tuple[int, bytes, float] | None = None  # number and digest that the own log has yet to reach
+    number: int
+    digest: bytes
+    received_at: float
+
+
+@dataclass(slots=True)
+class DisputeRecord:
+    """The latest comparison with one source: None where there was none."""
+
+    agrees: bool | None = None
+    compared_at: float = 0.0
+    pending: PendingDigest | None = None
 
 
 class DisputeRecords:
-    """One verdict a source: the latest comparison, which counts for `valid_s`."""
+    """One record a source. A comparison counts for `valid_s` seconds."""
 
     def __init__(self, sequencer: Sequencer, valid_s: float) -> None:
         self._sequencer, self._valid_s = sequencer, valid_s
-        self._of: dict[str, Verdict] = {}
+        self._records: dict[str, DisputeRecord] = {}
 
     def record_digest(self, source: str, number: int, digest: bytes, now: float) -> None:
-        """A source's log has `digest` at `number`, of our epoch."""
-        verdict = self._of.setdefault(source, Verdict())
+        """Compares the digest that a source's log has at `number`, of our epoch, now or once our log goes so far."""
+        record = self._records.setdefault(source, DisputeRecord())
         if number > self._sequencer.last:
-            if verdict.waiting is None or now - verdict.waiting[2] > self._valid_s:
-                verdict.waiting = number, digest, now
+            if record.pending is None or now - record.pending.received_at > self._valid_s:
+                record.pending = PendingDigest(number, digest, now)
             return
-        own = self._sequencer.digest_at(number)
-        if own is not None:
-            verdict.agrees, verdict.at = own == digest, now
-
-    def advanced(self, now: float) -> None:
-        """The own log went on: compares what waited for that."""
-        for source, verdict in self._of.items():
-            if verdict.waiting is not None and verdict.waiting[0] <= self._sequencer.last:
-                number, digest, _ = verdict.waiting
-                verdict.waiting = None
-                self.record_digest(source, number, digest, now)
+        own_digest = self._sequencer.digest_at(number)
+        if own_digest is not None:
+            record.agrees, record.compared_at = own_digest == digest, now
+
+    def compare_pending(self, now: float) -> None:
+        """Compares what the own log has reached; called after it went on."""
+        for source, record in self._records.items():
+            pending = record.pending
+            if pending is not None and pending.number <= self._sequencer.last:
+                record.pending = None
+                self.record_digest(source, pending.number, pending.digest, now)
 
     def clear(self) -> None:
-        self._of.clear()
-
-    def of(self, source: str, now: float) -> bool | None:
-        """True: agrees, False: differs, None: not known."""
-        verdict = self._of.get(source)
-        return verdict.agrees if verdict is not None and now - verdict.at <= self._valid_s else None
-
-    def dispute(self, heard: list[str], now: float) -> Dispute:
-        """`heard`: the sources that can be heard."""
-        differing = sum(self.of(source, now) is False for source in heard)
-        agreeing = sum(self.of(source, now) is True for source in heard)
+        """Forgets all comparisons; called where the own log begins anew."""
+        self._records.clear()
+
+    def agrees(self, source: str, now: float) -> bool | None:
+        """Whether a source's log agrees with ours; None where that is not known."""
+        record = self._records.get(source)
+        if record is None or now - record.compared_at > self._valid_s:
+            return None
+        return record.agrees
+
+    def dispute(self, sources: list[str], now: float) -> Dispute:
+        """What `sources`, those from which packets come, say of the own log."""
+        differing = sum(self.agrees(source, now) is False for source in sources)
+        agreeing = sum(self.agrees(source, now) is True for source in sources)
         if not differing:
             return Dispute.NONE
-        if 2 * agreeing > len(heard):
+        if 2 * agreeing > len(sources):
             return Dispute.UPHELD
-        return Dispute.REFUTED if 2 * differing > len(heard) else Dispute.OPEN
+        return Dispute.REFUTED if 2 * differing > len(sources) else Dispute.OPEN
--- a/wickhinge/changelog/echo_tokens.py
+++ b/wickhinge/changelog/echo_tokens.py
@@ -1,6 +1,7 @@
 """Freshness without comparing clocks: a token that is drawn here and comes back in the other side's packets.
 
-A packet that echoes a token, and says that it held it for h, was sent h after the token was drawn, or later.
+A packet that echoes a token, and says that it did so a delay after the token came, was sent that delay after the token
+was drawn, or later.
 """
 
 from __future__ import annotations
@@ -19,44 +20,45 @@
 
 
 class EchoTokenClock:
-    """Draws tokens and dates the packets that echo them. `session`: as for a Follower."""
+    """Draws tokens and dates the packets that echo them. `session`: as in ProcessContext."""
 
     def __init__(self, session: int) -> None:
         self._session = session % (1 << SESSION_BITS)
         self._count = 0
-        self._drawn: OrderedDict[int, float] = OrderedDict()
+        self._drawn_at: OrderedDict[int, float] = OrderedDict()
 
     def draw(self, now: float) -> int:
         """A new token, never 0."""
         self._count = self._count % ((1 << COUNTER_BITS) - 1) + 1
         token = self._session << COUNTER_BITS | self._count
-        self._drawn[token] = now
-        if len(self._drawn) > MAX_TOKENS:
-            self._drawn.popitem(last=False)
+        self._drawn_at[token] = now
+        if len(self._drawn_at) > MAX_TOKENS:
+            self._drawn_at.popitem(last=False)
         return token
 
     def sent_after(self, echo: int, echo_delay_ms: int) -> float | None:
         """A time, by this clock, before which the packet was not sent. None for a token that is not ours or too old."""
-        drawn = self._drawn.get(echo)
-        return None if drawn is None else drawn + echo_delay_ms / 1000 * RATE_FACTOR
+        drawn_at = self._drawn_at.get(echo)
+        return None if drawn_at is None else drawn_at + echo_delay_ms / 1000 * RATE_FACTOR
 
 
 class ReceivedToken:
-    """The latest token of another process, to be echoed to it."""
+    """The latest token of another process, to be echoed to it. Its value is 0 where there is none."""
 
-    __slots__ = ("token", "since")
+    __slots__ = ("value", "received_at")
 
     def __init__(self) -> None:
-        self.token = 0
-        self.since = 0.0
+        self.value = 0
+        self.received_at = 0.0
 
-    def hold(self, token: int, now: float) -> None:
+    def record(self, token: int, now: float) -> None:
+        """Takes a packet's token, 0 for none."""
         if token:
-            self.token, self.since = token, now
+            self.value, self.received_at = token, now
 
-    def echo_delay_ms(self, now: float) -> int:
-        """Rounded down: the packet must not seem younger than it is."""
-        return max(int((now - self.since) * 1000), 0) if self.token else 0
+    def delay_ms(self, now: float) -> int:
+        """How long ago the token came, rounded down: the packet must not seem younger than it is."""
+        return max(int((now - self.received_at) * 1000), 0) if self.value else 0
 
 
 def age_ms(until: float | None, now: float) -> int:
--- a/wickhinge/changelog/entries.py
+++ b/wickhinge/changelog/entries.py
@@ -11,7 +11,8 @@
 
 import msgspec
 
-from wickhinge.changelog.binary_fields import Malformed, Reader, Writer
+from wickhinge.changelog.binary_fields import Reader, Writer
+from wickhinge.changelog.errors import InvalidChangeError, MalformedMessageError
 
 NOOP, PURGE_OBJECT, PURGE_GROUP, PURGE_MEMBER, SETTING = range(5)
 FIRST_SIZED_KIND = 16
@@ -69,16 +70,16 @@
     change: Change
 
 
-class InvalidChangeError(ValueError):
-    """A change that no log may hold; the text names the fault."""
+def validate(change: Change) -> None:
+    """Called before a change is proposed.
 
-
-def check(change: Change) -> None:
-    """Raises InvalidChangeError where the change is out of its bounds. To be called before it is proposed."""
+    Raises:
+        InvalidChangeError: The change is out of its bounds.
+    """
     try:
-        if decode_change(Reader(encode(change))) != change:
+        if decode_change(Reader(encode_change(change))) != change:
             raise InvalidChangeError("does not survive encoding")
-    except (Malformed, OverflowError, UnicodeEncodeError) as fault:
+    except (MalformedMessageError, OverflowError, UnicodeEncodeError) as fault:
         raise InvalidChangeError(str(fault)) from None
 
 
@@ -107,7 +108,7 @@
     return change.stamp_ms
 
 
-def encode(change: Change) -> bytes:
+def encode_change(change: Change) -> bytes:
     """The canonical form: stamps by base 0."""
     writer = Writer()
     write_change(writer, change)
@@ -115,50 +116,50 @@
 
 
 def max_encoded_size(change: Change) -> int:
-    """Bytes that the change takes in a batch at most, whatever the base of its stamp."""
+    """The greatest size in bytes of the change in a batch, whatever the base of its stamp."""
     if isinstance(change, Purge | Setting):
         change = msgspec.structs.replace(change, stamp_ms=MAX_STAMP_MS)
-    return len(encode(change))
+    return len(encode_change(change))
 
 
 def read_change(reader: Reader, base_ms: int = 0) -> tuple[Change, int]:
-    """The next change and the base of the one after it. Raises Malformed."""
+    """The next change and the base of the one after it. Raises MalformedMessageError."""
     head = reader.byte()
-    kind, must = head & ~MUST_UNDERSTAND, bool(head & MUST_UNDERSTAND)
+    kind, must_understand = head & ~MUST_UNDERSTAND, bool(head & MUST_UNDERSTAND)
     if kind >= FIRST_SIZED_KIND:
-        return Unknown(kind, must, reader.block(MAX_UNKNOWN_PAYLOAD_BYTES)), base_ms
-    if kind == NOOP and not must:
+        return Unknown(kind, must_understand, reader.block(MAX_UNKNOWN_PAYLOAD_BYTES)), base_ms
+    if kind == NOOP and not must_understand:
         return Noop(), base_ms
-    if not (PURGE_OBJECT <= kind <= SETTING and must):
-        raise Malformed(f"a change of kind {head}")
+    if not (PURGE_OBJECT <= kind <= SETTING and must_understand):
+        raise MalformedMessageError(f"a change of kind {head}")
     stamp_ms = base_ms + reader.signed()
     if not 0 <= stamp_ms <= MAX_STAMP_MS:
-        raise Malformed(f"stamp {stamp_ms}")
+        raise MalformedMessageError(f"stamp {stamp_ms}")
     if kind == SETTING:
         name = reader.text(MAX_NAME_BYTES)
         if not name:
-            raise Malformed("a setting without a name")
+            raise MalformedMessageError("a setting without a name")
         return Setting(name, reader.block(MAX_VALUE_BYTES), stamp_ms), stamp_ms
     key = None if kind == PURGE_GROUP else reader.u64()
     group = 0 if kind == PURGE_OBJECT else reader.varint(MAX_GROUP)
     if kind == PURGE_MEMBER and not group:
-        raise Malformed("an object's purge with group 0 in the long form")
+        raise MalformedMessageError("an object's purge with group 0 in the long form")
     return Purge(key, group, stamp_ms), stamp_ms
 
 
 def decode_change(reader: Reader) -> Change:
-    """One change in canonical form and nothing after it. Raises Malformed."""
+    """One change in canonical form and nothing after it. Raises MalformedMessageError."""
     change, _ = read_change(reader)
     reader.end()
     return change
 
 
 def is_understood(change: Change) -> bool:
-    """False for a change that this version has to know and does not."""
+    """Whether this version knows the change or may skip it."""
     return not (isinstance(change, Unknown) and change.must_understand)
 
 
 def next_digest(digest: bytes, entry: Entry) -> bytes:
     """The digest of a log after `entry`, from the digest before it."""
     head = entry.epoch.to_bytes(8, "big") + entry.number.to_bytes(8, "big")
-    return blake2b(digest + head + encode(entry.change), digest_size=DIGEST_BYTES).digest()
+    return blake2b(digest + head + encode_change(entry.change), digest_size=DIGEST_BYTES).digest()
--- a/wickhinge/changelog/follower.py
+++ b/wickhinge/changelog/follower.py
@@ -2,48 +2,42 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable, Sequence
+from collections.abc import Sequence
 
+from wickhinge.changelog.context import ProcessContext
 from wickhinge.changelog.effects import Apply, Effect, Reset
 from wickhinge.changelog.entries import Unknown, is_understood
-from wickhinge.changelog.messages import NEWEST_FORMAT, UNKNOWN_AGE_MS, Packet
+from wickhinge.changelog.messages import UNKNOWN_AGE_MS, Packet
 from wickhinge.changelog.settings import CLOCK_DRIFT, FollowSettings
 from wickhinge.changelog.subscription import Subscription
 
-MIN_AGE_S = 0.001  # seconds; never 0, which would mean no limit
+MIN_AGE_S = 0.001  # of a copy; never 0, which would mean no limit
 NEVER = float("-inf")
 
 
 class Follower:
-    """Follows one of `sources`, an ordered list of names, and hears the heartbeats of a second one.
+    """Follows one of `sources`, an ordered list of names, and compares with the heartbeats of a secondary one.
 
-    `chance()` gives numbers in [0, 1). `session` is drawn anew at each start, 40 bits that no earlier start had.
+    Attributes:
+        skipped: Entries of unknown kinds.
+        not_understood: Of them, those that had to be understood: the follower is uninformed until the next start.
     """
 
-    def __init__(
-        self,
-        name: str,
-        sources: Sequence[str],
-        settings: FollowSettings,
-        random_fraction: Callable[[], float],
-        session: int,
-        now: float,
-        newest_format: int = NEWEST_FORMAT,
-    ) -> None:
+    def __init__(self, context: ProcessContext, sources: Sequence[str], settings: FollowSettings, now: float) -> None:
         self._settings = settings
-        self._subscription = Subscription(name, sources, settings, random_fraction, session, now, newest_format)
+        self._subscription = Subscription(context, sources, settings, now)
         self._informed_until = NEVER
-        self.skipped = 0  # entries of unknown kinds
-        self.not_understood = 0  # of them, those that had to be understood: uninformed until the next start
+        self.skipped = 0
+        self.not_understood = 0
 
     @property
     def epoch(self) -> int:
-        """0 before the first snapshot."""
+        """The log's epoch; 0 before the first snapshot."""
         return self._subscription.sequencer.epoch
 
     @property
     def number(self) -> int:
-        """Of the last entry applied."""
+        """The number of the last entry applied."""
         return self._subscription.sequencer.last
 
     @property
@@ -52,13 +46,13 @@
         return self._subscription.sources.current.name
 
     def tick(self, now: float) -> list[Effect]:
-        """To be called every TICK_S. Effects: Send."""
+        """Does what is due; called every TICK_S. Effects: Send."""
         effects = self._subscription.tick(now, self._uninformed_ms(now))
         self._update_informed_until(now)
         return effects
 
     def receive(self, packet: Packet, now: float) -> list[Effect]:
-        """One packet as `codec` read it. Effects: Send, Apply, Reset."""
+        """Takes one packet as `codec` decoded it. Effects: Send, Apply, Reset."""
         effects = self._subscription.receive(packet, now)
         for effect in effects:
             if isinstance(effect, Apply):
@@ -68,45 +62,45 @@
         self._update_informed_until(now)
         return effects
 
-    def leave(self) -> list[Effect]:
-        """At the end: the relays need not wait for this follower any more. Effects: Send."""
-        return self._subscription.leave()
+    def unsubscribe(self) -> list[Effect]:
+        """Ends the subscriptions; called at the end. Effects: Send."""
+        return self._subscription.unsubscribe()
 
     def informed_until(self, now: float) -> float:
-        """The latest time, by this clock, such that each change that was at the replicas' majority before it is known
-        here; -inf where there is none.
-        """
+        """The latest time, by this clock, such that each change that a majority had before it is known; -inf: none."""
         self._update_informed_until(now)
         return self._informed_until
 
     def uninformed(self, now: float) -> bool:
         """Whether changes older than the bound may be missing here."""
         self._update_informed_until(now)
-        if self.not_understood or self._subscription.disputed(now):
+        if self.not_understood or self._subscription.is_disputed(now):
             return True
         return now - self._informed_until > self._settings.bound_s * (1 - CLOCK_DRIFT)
 
-    def oldest(self, now: float, grace: float) -> float | None:
-        """None while informed. Else the greatest age in seconds of a copy that may be served: none of that age is
-        older than a purge whose grace is over. Where the bound is longer than `grace` allows, being informed is not
-        enough, and the age is given, too.
+    def max_copy_age_s(self, now: float, grace_s: float) -> float | None:
+        """The greatest age in seconds of a copy that may be served; None while informed.
+
+        No copy of that age is older than a purge whose grace is over. Where the bound is longer than `grace_s` allows,
+        being informed is not enough, and the age is given, too.
         """
-        safe = grace * (1 - CLOCK_DRIFT)
-        unknown_for = now - self._informed_until + self._settings.ingest_s
-        if not self.uninformed(now) and unknown_for <= safe:
+        safe_s = grace_s * (1 - CLOCK_DRIFT)
+        unknown_for_s = now - self._informed_until + self._settings.ingest_s
+        if not self.uninformed(now) and unknown_for_s <= safe_s:
             return None
-        return max(safe - MIN_AGE_S, MIN_AGE_S)
+        return max(safe_s - MIN_AGE_S, MIN_AGE_S)
 
-    def no_age_limit_until(self, now: float, grace: float) -> float:
-        """`oldest` is None before this time, as long as nothing is heard; -inf where it is not None now."""
-        if self.oldest(now, grace) is not None:
+    def no_age_limit_until(self, now: float, grace_s: float) -> float:
+        """A time before which `max_copy_age_s` is None if nothing is received; -inf where it is not None now."""
+        if self.max_copy_age_s(now, grace_s) is not None:
             return NEVER
-        max_age_s = min(self._settings.bound_s * (1 - CLOCK_DRIFT), grace * (1 - CLOCK_DRIFT) - self._settings.ingest_s)
-        return self._informed_until + max_age_s
+        bound_s = self._settings.bound_s * (1 - CLOCK_DRIFT)
+        safe_s = grace_s * (1 - CLOCK_DRIFT) - self._settings.ingest_s
+        return self._informed_until + min(bound_s, safe_s)
 
     def _update_informed_until(self, now: float) -> None:
-        if not self.not_understood and not self._subscription.disputed(now):
-            self._informed_until = max(self._informed_until, self._subscription.known_until())
+        if not self.not_understood and not self._subscription.is_disputed(now):
+            self._informed_until = max(self._informed_until, self._subscription.confirmed_until())
 
     def _count(self, effect: Apply) -> None:
         change = effect.entry.change
--- a/wickhinge/changelog/log.py
+++ b/wickhinge/changelog/log.py
@@ -16,6 +16,7 @@
     max_encoded_size,
     next_digest,
 )
+from wickhinge.changelog.errors import OutOfOrderError
 
 MAX_RETAINED_ENTRIES = 65536
 MAX_SETTINGS = 4096
@@ -23,9 +24,9 @@
 
 
 class Snapshot(msgspec.Struct, frozen=True):
-    """The state after entry `number`: the settings in force, sorted by name, and the purges of the last while.
+    """The state after entry `number`: the settings in force, sorted by name, and the purges of the horizon.
 
-    `incomplete`: a change that had to be understood was not, by the process that cut the snapshot or by one that it
+    `incomplete`: a change that had to be understood was not, by the process that made the snapshot or by one that it
     had it from. `term` is the replicas' term of entry `number`, 0 where it is not known.
     """
 
@@ -41,10 +42,6 @@
 EMPTY_SNAPSHOT = Snapshot(0, 0, EMPTY_DIGEST, (), ())
 
 
-class OutOfOrderError(ValueError):
-    """The entry is not the next one of this log."""
-
-
 class Log:
     """The last `retain` entries, their digests, and the state after the last of them.
 
@@ -69,9 +66,13 @@
         return self.last - len(self._entries) + 1
 
     def append(self, entry: Entry, now: float) -> None:
-        """Raises OutOfOrderError."""
+        """Adds the next entry.
+
+        Raises:
+            OutOfOrderError: It is not the next one of this log.
+        """
         if entry.epoch != self.epoch or entry.number != self.last + 1:
-            raise OutOfOrderError(f"entry {entry.epoch}/{entry.number} after {self.epoch}/{self.last}")
+            raise OutOfOrderError(entry.epoch, entry.number, self.epoch, self.last)
         self.digest = next_digest(self.digest, entry)
         self.last = entry.number
         self._entries.append((entry, max_encoded_size(entry.change), self.digest))
@@ -80,27 +81,29 @@
         self._update_state(entry, now)
 
     def entries_from(self, number: int, max_bytes: int, max_entries: int) -> tuple[Entry, ...]:
-        """Entries from `number` on: at least one, else as many as fit by their size at most. Empty where `number` is
-        past the last or no longer retained.
+        """Entries from `number` on: at least one, else as many as fit by their greatest size.
+
+        Empty where `number` is past the last or no longer retained.
         """
         if not self.first <= number <= self.last:
             return ()
-        found, size = [], 0
+        chosen: list[Entry] = []
+        size = 0
         for place in range(number - self.first, len(self._entries)):
             entry, entry_size, _ = self._entries[place]
             size += entry_size
-            if found and (size > max_bytes or len(found) >= max_entries):
+            if chosen and (size > max_bytes or len(chosen) >= max_entries):
                 break
-            found.append(entry)
-        return tuple(found)
+            chosen.append(entry)
+        return tuple(chosen)
 
     def size_of(self, number: int, count: int) -> int:
-        """Bytes of `count` retained entries from `number` on, at most."""
+        """The greatest size in bytes of `count` retained entries from `number` on."""
         start = number - self.first
         return sum(self._entries[place][1] for place in range(start, start + count))
 
     def has_capacity(self, change: Change) -> bool:
-        """Whether a setting would be within the bound of how many there may be."""
+        """Whether the change would leave at most MAX_SETTINGS settings in force."""
         is_new = isinstance(change, Setting) and change.name not in self._settings
         return not is_new or len(self._settings) < MAX_SETTINGS
 
@@ -113,21 +116,22 @@
         return self._entries[number - self.first][2]
 
     def snapshot(self, now: float) -> Snapshot:
+        """The state now; purges older than the horizon are left out."""
         self._forget_purges(now)
         settings = tuple(self._settings[name] for name in sorted(self._settings))
         purges = tuple(purge for _, purge in self._purges)
         return Snapshot(self.epoch, self.last, self.digest, settings, purges, self.incomplete)
 
     def load(self, snapshot: Snapshot, now: float) -> None:
-        """Replaces the state. Purges known so far are kept, for as long as if they had come now."""
+        """Replaces the state. Purges known so far are retained, for as long as if they had come now."""
         known = set(snapshot.purges)
-        kept = [purge for _, purge in self._purges if purge not in known]
+        retained = [purge for _, purge in self._purges if purge not in known]
         self.epoch, self.last = snapshot.epoch, snapshot.number
         self.digest = self._base_digest = snapshot.digest
         self.incomplete = snapshot.incomplete
         self._entries.clear()
         self._settings = {setting.name: setting for setting in snapshot.settings}
-        self._purges = deque(((now, purge) for purge in [*kept, *snapshot.purges]), maxlen=MAX_PURGES)
+        self._purges = deque(((now, purge) for purge in [*retained, *snapshot.purges]), maxlen=MAX_PURGES)
 
     def _update_state(self, entry: Entry, now: float) -> None:
         change = entry.change
--- a/wickhinge/changelog/messages.py
+++ b/wickhinge/changelog/messages.py
@@ -1,8 +1,8 @@
 """Messages between replicas, relays and routers, and the packet that carries one.
 
-Ages and times held are durations in milliseconds by the sender's clock; no message carries a time of day. `token` and
+Ages and delays are durations in milliseconds by the sender's clock; no message carries a time of day. `token` and
 `echo` belong to the packet: a process that wants to know how old an answer can be draws a token, and the answer echoes
-the latest token that its sender had, with the time that it had been held.
+the latest token that its sender had, with the delay since it came.
 """
 
 from __future__ import annotations
@@ -43,8 +43,9 @@
 
 
 class Batch(msgspec.Struct, frozen=True):
-    """Entries `first` .. in order, at most MAX_BATCH_ENTRIES, and a heartbeat. `digest` is the log's at the last of
-    the entries; `head` may be past it.
+    """Entries `first` .. in order, at most MAX_BATCH_ENTRIES, and a heartbeat.
+
+    `digest` is the log's at the last of the entries; `head` may be past it.
     """
 
     epoch: int
@@ -107,9 +108,10 @@
 
 
 class Append(msgspec.Struct, frozen=True):
-    """A leader's records after `previous_number`, none in a plain heartbeat. All that was stored at a majority `age_ms`
-    ago has numbers up to `commit`. `first`: the leader retains records from this number on; who needs earlier ones
-    fetches a snapshot. `round` counts the leader's rounds of this message.
+    """A leader's records after `previous_number`, none in a plain heartbeat.
+
+    All that was stored at a majority `age_ms` ago has numbers up to `commit`. `first`: the leader retains records from
+    this number on; who needs earlier ones fetches a snapshot. `round` counts the leader's rounds of this message.
     """
 
     epoch: int
@@ -124,8 +126,9 @@
 
 
 class Appended(msgspec.Struct, frozen=True):
-    """The answer: the log agrees with the leader's up to `match`; where `success` is False, `match` is where the leader
-    should try next.
+    """The answer to Append: the log agrees with the leader's up to `match`.
+
+    Where `success` is False, `match` is where the leader should try next.
     """
 
     epoch: int
@@ -151,8 +154,16 @@
 
 
 class Packet(msgspec.Struct, frozen=True):
-    """One datagram's content. `format`: of its body; `newest`: the newest format that the sender reads. `token` and
-    `echo` are 0 where there is none.
+    """One datagram's content.
+
+    Attributes:
+        sender: The sending process's name.
+        format: The wire format of the body.
+        newest: The newest format that the sender reads.
+        token: The sender's token to be echoed, 0 for none.
+        echo: The receiver's latest token, 0 for none.
+        echo_delay_ms: How long before sending the sender had got it.
+        message: What is said.
     """
 
     sender: str
--- a/wickhinge/changelog/proposals.py
+++ b/wickhinge/changelog/proposals.py
@@ -1,8 +1,9 @@
-"""Proposals that a leader took and whose proposers wait for the outcome. Deciding."""
+"""Proposals that a leader took and whose proposers wait for the outcome. No I/O."""
 
 from __future__ import annotations
 
-from collections.abc import Callable
+from collections.abc import Callable, Iterable
+from dataclasses import dataclass
 from enum import Enum
 
 from wickhinge.changelog.entries import Change, Entry
@@ -11,23 +12,27 @@
 
 
 class Outcome(Enum):
+    """What became of a proposal."""
+
     COMMITTED = "committed"
     OVERTAKEN = "another change has the number"  # the leader changed meanwhile
     TIMED_OUT = "not committed in time"  # it may be, later
 
 
+@dataclass(frozen=True, slots=True)
 class Proposal:
-    """`resolved(outcome)` is called once."""
-
-    __slots__ = ("change", "deadline", "resolved")
+    """A change, the time by which it has to be committed, and a function that is called once with the outcome."""
 
-    def __init__(self, change: Change, deadline: float, resolved: Callable[[Outcome], None]) -> None:
-        self.change, self.deadline, self.resolved = change, deadline, resolved
+    change: Change
+    deadline: float
+    on_resolved: Callable[[Outcome], None]
 
 
 class Proposals:
-    """By number. A replica that lost and regained its leadership may have two proposals of one number: the earlier one
-    was overtaken.
+    """Waiting proposals by number.
+
+    A replica that lost and regained its leadership may have two proposals of one number: the earlier one was
+    overtaken.
     """
 
     def __init__(self) -> None:
@@ -37,19 +42,22 @@
         return len(self._waiting)
 
     def add(self, number: int, proposal: Proposal) -> None:
-        former = self._waiting.get(number)
+        """Waits for the entry `number`; an earlier proposal of that number was overtaken."""
+        overtaken = self._waiting.get(number)
         self._waiting[number] = proposal
-        if former is not None:
-            former.resolved(Outcome.OVERTAKEN)
+        if overtaken is not None:
+            overtaken.on_resolved(Outcome.OVERTAKEN)
 
-    def committed(self, entries: tuple[Entry, ...]) -> None:
+    def resolve(self, entries: Iterable[Entry]) -> None:
+        """Ends the proposals whose numbers were committed, with their own change or another one."""
         for entry in entries:
             proposal = self._waiting.pop(entry.number, None)
             if proposal is not None:
-                same = proposal.change == entry.change
-                proposal.resolved(Outcome.COMMITTED if same else Outcome.OVERTAKEN)
+                is_same = proposal.change == entry.change
+                proposal.on_resolved(Outcome.COMMITTED if is_same else Outcome.OVERTAKEN)
 
     def tick(self, now: float) -> None:
+        """Ends the proposals whose deadline has passed."""
         due = [number for number, proposal in self._waiting.items() if now >= proposal.deadline]
         for number in due:
-            self._waiting.pop(number).resolved(Outcome.TIMED_OUT)
+            self._waiting.pop(number).on_resolved(Outcome.TIMED_OUT)
--- a/wickhinge/changelog/records.py
+++ b/wickhinge/changelog/records.py
@@ -1,4 +1,4 @@
-"""A replica's records: an entry and its term for each number after a base, with what has been cut before it."""
+"""A replica's records: an entry and its term for each number after a base, with what has been discarded before it."""
 
 from __future__ import annotations
 
@@ -15,40 +15,41 @@
 
     @property
     def last(self) -> int:
+        """The last number; `base` where there are no records."""
         return self.base + len(self._records)
 
     @property
     def last_term(self) -> int:
+        """The term of the last record; `base_term` where there are none."""
         return self._records[-1].term if self._records else self.base_term
 
     def term_at(self, number: int) -> int | None:
-        """None where the number is before the base or after the last."""
+        """The term of the entry at `number`; None where it is before the base or after the last."""
         if number == self.base:
             return self.base_term
         return self._records[number - self.base - 1].term if self.base < number <= self.last else None
 
-    def at(self, number: int) -> Record:
-        return self._records[number - self.base - 1]
-
     def between(self, after: int, last: int) -> tuple[Record, ...]:
         """Records `after` + 1 to `last`."""
         return tuple(self._records[after - self.base : last - self.base])
 
-    def fitting(self, after: int, max_bytes: int, max_count: int, extra: int) -> tuple[Record, ...]:
-        """Records from `after` + 1 on, as many as fit, each `extra` bytes longer than its change."""
-        found, size = [], 0
+    def fitting(self, after: int, max_bytes: int, max_count: int, overhead_bytes: int) -> tuple[Record, ...]:
+        """Records from `after` + 1 on, at least one, else as many as fit, each `overhead_bytes` over its change."""
+        chosen: list[Record] = []
+        size = 0
         for record in self._records[after - self.base : after - self.base + max_count]:
-            size += max_encoded_size(record.entry.change) + extra
-            if found and size > max_bytes:
+            size += max_encoded_size(record.entry.change) + overhead_bytes
+            if chosen and size > max_bytes:
                 break
-            found.append(record)
-        return tuple(found)
+            chosen.append(record)
+        return tuple(chosen)
 
     def append(self, record: Record) -> None:
+        """Adds the record of the next number."""
         self._records.append(record)
 
     def truncate_after(self, number: int) -> None:
-        """Removes records above `number`."""
+        """Removes the records above `number`."""
         del self._records[number - self.base :]
 
     def discard_up_to(self, number: int) -> None:
@@ -65,7 +66,7 @@
         return number
 
     def find_conflict(self, previous: int, previous_term: int, commit: int) -> int | None:
-        """None where a leader's records after `previous` fit on; else the number after which it should try next."""
+        """The number after which a leader should try next; None where its records after `previous` fit on."""
         if previous < self.base:
             return None  # committed, hence the same
         term = self.term_at(previous)
@@ -74,15 +75,17 @@
         return None if term == previous_term else max(self.conflict_start(previous), commit)
 
     def merge(self, records: tuple[Record, ...]) -> tuple[int, tuple[Record, ...]]:
-        """Takes a leader's records, which fit on: what differs is cut, what is new is appended. The number up to which
-        the log was kept, and what was appended after it.
+        """Takes a leader's records, which fit on: what differs is removed, what is new is appended.
+
+        Returns:
+            The number after which the log was truncated, and the records that were appended to it.
         """
         new = [record for record in records if record.entry.number > self.base]
         while new and self.term_at(new[0].entry.number) == new[0].term:
             new.pop(0)
         if not new:
             return self.last, ()
-        kept = new[0].entry.number - 1
-        self.truncate_after(kept)
+        truncated_after = new[0].entry.number - 1
+        self.truncate_after(truncated_after)
         self._records += new
-        return kept, tuple(new)
+        return truncated_after, tuple(new)
--- a/wickhinge/changelog/relay.py
+++ b/wickhinge/changelog/relay.py
@@ -2,34 +2,26 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable, Sequence
+from collections.abc import Sequence
 
+from wickhinge.changelog.context import ProcessContext
 from wickhinge.changelog.effects import Apply, Effect, Reset, Send
 from wickhinge.changelog.entries import Entry
 from wickhinge.changelog.feed import Feed, SubscriberRow
 from wickhinge.changelog.log import Log
-from wickhinge.changelog.messages import NEWEST_FORMAT, Packet
+from wickhinge.changelog.messages import Packet
 from wickhinge.changelog.settings import RelaySettings
 from wickhinge.changelog.subscription import Subscription
 
 
 class Relay:
-    """`replicas` in order of preference; `chance` and `session` as for a Follower."""
+    """Follows one of `replicas`, in order of preference, and serves its subscribers from its own log."""
 
-    def __init__(
-        self,
-        name: str,
-        replicas: Sequence[str],
-        settings: RelaySettings,
-        random_fraction: Callable[[], float],
-        session: int,
-        now: float,
-        newest_format: int = NEWEST_FORMAT,
-    ) -> None:
+    def __init__(self, context: ProcessContext, replicas: Sequence[str], settings: RelaySettings, now: float) -> None:
         self.log = Log(settings.retain, settings.purge_horizon_s)
         self._replicas = frozenset(replicas)
-        self._subscription = Subscription(name, replicas, settings.follow, random_fraction, session, now, newest_format)
-        self._feed = Feed(name, self.log, settings.feed, newest_format, now)
+        self._subscription = Subscription(context, replicas, settings.follow, now)
+        self._feed = Feed(context, self.log, settings.feed, now)
 
     @property
     def source(self) -> str:
@@ -37,12 +29,12 @@
         return self._subscription.sources.current.name
 
     def tick(self, now: float) -> list[Effect]:
-        """To be called every TICK_S. Effects: Send."""
+        """Does what is due; called every TICK_S. Effects: Send."""
         effects = self._subscription.tick(now, 0)
         return effects + self._feed.tick(now, self.confirmed_until(now))
 
     def receive(self, packet: Packet, now: float) -> list[Effect]:
-        """One packet as `codec` read it, of a replica or of a router. Effects: Send."""
+        """Takes one packet as `codec` decoded it, of a replica or of a router. Effects: Send."""
         if packet.sender not in self._replicas:
             return list(self._feed.receive(packet, now, self.confirmed_until(now)))
         sends: list[Effect] = []
@@ -55,14 +47,16 @@
                 sends.append(effect)
         return sends
 
-    def _append(self, entry: Entry, now: float) -> None:
-        self.log.append(entry, now)
-
     def confirmed_until(self, now: float) -> float | None:
-        """All changes that were at the replicas' majority before this time, by this clock, are in this log. None while
-        the replicas' logs are seen to differ.
+        """The time, by this clock, such that each change that a majority had before it is in this log.
+
+        None while the replicas' logs are seen to differ, -inf where nothing is known.
         """
-        return None if self._subscription.disputed(now) else self._subscription.known_until()
+        return None if self._subscription.is_disputed(now) else self._subscription.confirmed_until()
 
     def rows(self, now: float) -> list[SubscriberRow]:
+        """The subscribers, for an operator."""
         return self._feed.rows(now)
+
+    def _append(self, entry: Entry, now: float) -> None:
+        self.log.append(entry, now)
--- a/wickhinge/changelog/replica.py
+++ b/wickhinge/changelog/replica.py
@@ -2,21 +2,22 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable, Sequence
+from collections.abc import Sequence
 
 import msgspec
 
 from wickhinge.changelog.ballot import Ballot, Role
 from wickhinge.changelog.codec import MAX_BATCH_ENTRIES, MAX_ENTRIES_BYTES, MAX_RECORD_OVERHEAD_BYTES
 from wickhinge.changelog.confirmations import Confirmations
+from wickhinge.changelog.context import ProcessContext
 from wickhinge.changelog.echo_tokens import EchoTokenClock, ReceivedToken, age_ms, complete_until
 from wickhinge.changelog.effects import Accepted, Committed, Effect, Persist, PersistSnapshot, Send
-from wickhinge.changelog.entries import Change, Entry, Noop, check
+from wickhinge.changelog.entries import Change, Entry, Noop, validate
+from wickhinge.changelog.errors import NotLeaderError, OverloadedError
 from wickhinge.changelog.feed import Feed, SubscriberRow
 from wickhinge.changelog.leadership import Leadership
 from wickhinge.changelog.log import EMPTY_SNAPSHOT, Log, Snapshot
 from wickhinge.changelog.messages import (
-    NEWEST_FORMAT,
     OLDEST_FORMAT,
     Append,
     Appended,
@@ -31,54 +32,52 @@
 from wickhinge.changelog.records import Records
 from wickhinge.changelog.settings import ReplicaSettings
 from wickhinge.changelog.snapshots import SnapshotFetch
-from wickhinge.changelog.stored import NotLeaderError, OverloadedError, Stored
+from wickhinge.changelog.stored import Stored
 
 MIN_BROADCAST_INTERVAL_S = 0.01  # between two rounds for new records; more wait for the next tick
 
 
 class Replica:
-    """`replicas`: the names of all, this one's own among them. `chance` and `session` as for a Follower.
+    """One replica of the group `replicas`: the names of all, this one's own among them.
 
     What a Persist asks for has to be on stable storage before the effects after it are done.
+
+    Attributes:
+        log: The committed entries.
+        records: All entries with their terms, committed or not.
+        epoch: The log's epoch.
+        blank: Without a state in this epoch: votes and waits for a snapshot, and does not stand for election.
     """
 
     def __init__(
-        self,
-        name: str,
-        replicas: Sequence[str],
-        settings: ReplicaSettings,
-        random_fraction: Callable[[], float],
-        session: int,
-        now: float,
-        stored: Stored,
-        newest_format: int = NEWEST_FORMAT,
+        self, context: ProcessContext, replicas: Sequence[str], settings: ReplicaSettings, stored: Stored, now: float
     ) -> None:
-        self._name, self._settings, self._newest = name, settings, newest_format
-        self._peers = tuple(peer for peer in replicas if peer != name)
+        self._context, self._settings = context, settings
+        self._peers = tuple(peer for peer in replicas if peer != context.name)
         self._formats = dict.fromkeys(self._peers, OLDEST_FORMAT)
         self._tokens = {peer: ReceivedToken() for peer in self._peers}
-        self._echo = EchoTokenClock(session)
+        self._echo = EchoTokenClock(context.session)
         self._out: list[Effect] = []
         self._confirmations = Confirmations()
         self.log = Log(settings.retain, settings.purge_horizon_s)  # of what is committed
         self.epoch = stored.epoch
-        self._ballot = Ballot(
-            name, len(self._peers) + 1, stored.term, stored.vote, settings.election_timeout_s, random_fraction, now
-        )
+        self._ballot = Ballot(context, len(self._peers) + 1, stored, settings.election_timeout_s, now)
         self.blank = stored.snapshot.epoch != stored.epoch
         self._start_records(EMPTY_SNAPSHOT if self.blank else stored.snapshot, now)
         for record in () if self.blank else stored.records:
             self.records.append(record)
-        self._feed = Feed(name, self.log, settings.feed, newest_format, now, self._committed_term)
+        self._feed = Feed(context, self.log, settings.feed, now, self._term_or_zero)
         self._leadership: Leadership | None = None  # while the leader
         self._snapshot_fetch = SnapshotFetch()
 
     @property
     def term(self) -> int:
+        """The election term that this replica is in."""
         return self._ballot.term
 
     @property
     def role(self) -> Role:
+        """What this replica is in its term."""
         return self._ballot.role
 
     @property
@@ -92,7 +91,7 @@
         return self.log.last
 
     def tick(self, now: float) -> list[Effect]:
-        """To be called every TICK_S. Effects: Persist, Send, Committed."""
+        """Does what is due; called every TICK_S. Effects: Persist, Send, Committed."""
         if self._leadership is not None:
             self._lead(self._leadership, now)
         elif self._ballot.is_due(now) and not self.blank:
@@ -102,8 +101,9 @@
         return self._take_effects()
 
     def receive(self, packet: Packet, now: float) -> list[Effect]:
-        """One packet as `codec` read it, of a replica or of a relay. Effects: Persist, PersistSnapshot, Send,
-        Committed.
+        """Takes one packet as `codec` decoded it, of a replica or of a relay.
+
+        Effects: Persist, PersistSnapshot, Send, Committed.
         """
         message = packet.message
         if not isinstance(message, RequestVote | Vote | Append | Appended | SnapshotPart):
@@ -113,7 +113,7 @@
         if message.epoch > self.epoch:
             self._adopt_epoch(message.epoch, now)
         self._formats[packet.sender] = packet.newest
-        self._tokens[packet.sender].hold(packet.token, now)
+        self._tokens[packet.sender].record(packet.token, now)
         if isinstance(message, RequestVote):
             self._on_request_vote(packet.sender, message, now)
         elif isinstance(message, Vote):
@@ -127,33 +127,38 @@
         return self._take_effects()
 
     def propose(self, change: Change, now: float) -> list[Effect]:
-        """Effects: Persist, Accepted, Send, and Committed where this replica is alone. Raises NotLeaderError,
-        OverloadedError, entries.InvalidChangeError.
+        """Appends a change to the leader's log. Effects: Persist, Accepted, Send, and Committed where it is alone.
+
+        Raises:
+            NotLeaderError: This replica does not lead.
+            OverloadedError: Too many proposals wait, or too many settings are in force.
+            InvalidChangeError: No log may hold the change.
         """
         if self._leadership is None:
             raise NotLeaderError(self.leader)
-        check(change)
+        validate(change)
         if self.records.last - self.commit >= self._settings.max_uncommitted or not self.log.has_capacity(change):
             raise OverloadedError
         self._append_own(change)
         self._out.append(Accepted(self.records.last, self.term))
-        self._leadership.behind = True
+        self._leadership.has_unsent = True
         if now - self._leadership.broadcast_at >= MIN_BROADCAST_INTERVAL_S:
             self._broadcast(self._leadership, now)
         self._commit_stored(self._leadership, now)
         return self._take_effects()
 
     def confirmed_until(self) -> float:
-        """All that was stored at a majority before this time, by this clock, is committed here. -inf: nothing known."""
-        return self._confirmations.reached(self.commit)
+        """The time, by this clock, such that all that a majority had before it is committed here; -inf: none."""
+        return self._confirmations.confirmed_until(self.commit)
 
     def rows(self, now: float) -> list[SubscriberRow]:
+        """The subscribers, for an operator."""
         return self._feed.rows(now)
 
     # Elections.
 
-    def _campaign(self, now: float, pre_vote: bool) -> None:
-        term = self._ballot.stand(pre_vote, now)
+    def _campaign(self, now: float, *, pre_vote: bool) -> None:
+        term = self._ballot.campaign(now, pre_vote=pre_vote)
         if not pre_vote:
             self._persist(self.records.last)
         request = RequestVote(self.epoch, term, self.records.last, self.records.last_term, pre_vote)
@@ -177,10 +182,9 @@
             return
         if message.term > self.term:
             self._enter_term(message.term, now)
-        granted = ballot.grants(sender, message, records.last_term, records.last)
+        granted = ballot.can_grant(sender, message, records.last_term, records.last)
         if granted:
-            ballot.vote = sender
-            ballot.restart_timer(now)
+            ballot.grant(sender, now)
             self._persist(records.last)
         self._send(sender, Vote(self.epoch, self.term, granted, False), now)
 
@@ -188,12 +192,12 @@
         if message.term > self.term and not (message.granted and message.pre_vote):
             self._enter_term(message.term, now)
         elif message.granted:
-            self._ballot.takes(sender, message.term, message.pre_vote)
+            self._ballot.record_vote(sender, message.term, pre_vote=message.pre_vote)
             self._count_votes(now)
 
     def _enter_term(self, term: int, now: float) -> None:
         self._leadership = None
-        self._ballot.enter(term, now)
+        self._ballot.enter_term(term, now)
         self._persist(self.records.last)
 
     def _follow(self, leader: str, now: float) -> None:
@@ -203,7 +207,7 @@
     # The leader.
 
     def _become_leader(self, now: float) -> None:
-        self._ballot.lead()
+        self._ballot.become_leader()
         self._snapshot_fetch.stop()
         self._leadership = Leadership(self._peers, self.records.last, now)
         self._append_own(Noop())
@@ -213,7 +217,7 @@
     def _lead(self, leadership: Leadership, now: float) -> None:
         if self._peers and now - leadership.confirmed_at > 2 * self._settings.election_timeout_s:
             self._follow("", now)  # no majority answers
-        elif leadership.behind or now - leadership.broadcast_at >= self._settings.heartbeat_interval_s:
+        elif leadership.has_unsent or now - leadership.broadcast_at >= self._settings.heartbeat_interval_s:
             self._broadcast(leadership, now)
 
     def _append_own(self, change: Change) -> None:
@@ -229,12 +233,12 @@
     def _send_append(self, leadership: Leadership, peer: str, now: float) -> None:
         previous = max(leadership.next[peer] - 1, self.records.base)
         records = self.records.fitting(previous, MAX_ENTRIES_BYTES, MAX_BATCH_ENTRIES, MAX_RECORD_OVERHEAD_BYTES)
-        leadership.sent(peer, previous + len(records))
+        leadership.record_sent(peer, previous + len(records))
         message = Append(
             self.epoch,
             self.term,
             previous,
-            self.records.term_at(previous),
+            self._term_or_zero(previous),
             records,
             self.commit,
             self.records.base + 1,
@@ -249,15 +253,15 @@
         leadership = self._leadership
         if leadership is None or message.term < self.term:
             return
-        confirmed = leadership.answered(peer, message.round, now)
+        confirmed = leadership.record_answer(peer, message.round, now)
         if confirmed is not None:
             self._confirmations.add(*confirmed)
         if message.success:
-            leadership.accepted(peer, min(message.match, self.records.last))
+            leadership.record_accepted(peer, min(message.match, self.records.last))
             self._commit_stored(leadership, now)
             if leadership.next[peer] <= self.records.last:
                 self._send_append(leadership, peer, now)
-        elif leadership.rejected(peer, message.match):
+        elif leadership.record_rejected(peer, message.match):
             self._send_append(leadership, peer, now)
 
     def _commit_stored(self, leadership: Leadership, now: float) -> None:
@@ -279,17 +283,17 @@
         until = None if sent_after is None else complete_until(min(sent_after, now), message.age_ms)
         if until is not None:
             self._confirmations.add(until, message.commit)
-        try_next = 0
+        try_next: int | None = 0
         if not self.blank:
             try_next = self.records.find_conflict(message.previous_number, message.previous_term, self.commit)
         if try_next is not None:
             self._reply(packet.sender, message, False, try_next, now)
             if self.blank or try_next + 1 < message.first:
-                self._snapshot_fetch.want(packet.sender)
+                self._snapshot_fetch.begin(packet.sender)
             return
-        kept, added = self.records.merge(message.records)
+        truncated_after, added = self.records.merge(message.records)
         if added:
-            self._persist(kept, added)
+            self._persist(truncated_after, added)
         end = message.previous_number + len(message.records)
         self._reply(packet.sender, message, True, max(end, self.records.base), now)
         self._advance_commit(min(message.commit, end), now)
@@ -301,7 +305,7 @@
     # Snapshots and epochs.
 
     def _fetch_snapshot(self, now: float) -> None:
-        """A request subscribes, too, as a feed serves subscribers alone."""
+        """Requests parts where that is due; a request subscribes, too, as a feed serves subscribers alone."""
         request = self._snapshot_fetch.request(self.epoch, now)
         if request is not None:
             leader = self._snapshot_fetch.source
@@ -325,13 +329,14 @@
         self.log.load(snapshot, now)
 
     def _adopt_epoch(self, epoch: int, now: float) -> None:
-        """The log was restarted elsewhere: this replica is blank in the new epoch. The new epoch is persisted first, so
-        that a replica that ends meanwhile is not blank in the old one.
+        """Follows a restart of the log elsewhere: this replica is blank in the new epoch.
+
+        The new epoch is persisted first, so that a replica that ends meanwhile is not blank in the old one.
         """
         self.epoch = epoch
         self.blank = True
         self._leadership = None
-        self._ballot.enter(0, now)
+        self._ballot.enter_term(0, now)
         self._start_records(EMPTY_SNAPSHOT, now)
         self._confirmations.forget_pending()
         self._snapshot_fetch.stop()
@@ -346,24 +351,25 @@
             self.log.append(entry, now)
         self._out.append(Committed(entries))
         if self.commit - self.records.base > 2 * self._settings.retain:
-            snapshot = msgspec.structs.replace(self.log.snapshot(now), term=self._committed_term(self.commit))
+            snapshot = msgspec.structs.replace(self.log.snapshot(now), term=self._term_or_zero(self.commit))
             self._out.append(PersistSnapshot(snapshot, False))
             self.records.discard_up_to(self.commit - self._settings.retain)
 
-    def _committed_term(self, number: int) -> int:
+    def _term_or_zero(self, number: int) -> int:
+        """The term of a number that the records reach; 0 where it is not known."""
         return self.records.term_at(number) or 0
 
     # Output.
 
-    def _persist(self, kept: int, records: tuple[Record, ...] = ()) -> None:
-        self._out.append(Persist(self.epoch, self.term, self._ballot.vote, kept, records))
+    def _persist(self, truncate_after: int, records: tuple[Record, ...] = ()) -> None:
+        self._out.append(Persist(self.epoch, self.term, self._ballot.vote, truncate_after, records))
 
     def _send(self, to: str, message: Message, now: float, token: int = 0) -> None:
-        written = min(self._newest, self._formats[to])
-        held = self._tokens[to]
-        self._out.append(
-            Send(to, Packet(self._name, written, self._newest, token, held.token, held.echo_delay_ms(now), message))
-        )
+        newest_format = self._context.newest_format
+        written_format = min(newest_format, self._formats[to])
+        echo, delay_ms = self._tokens[to].value, self._tokens[to].delay_ms(now)
+        packet = Packet(self._context.name, written_format, newest_format, token, echo, delay_ms, message)
+        self._out.append(Send(to, packet))
 
     def _take_effects(self) -> list[Effect]:
         effects, self._out = self._out, []
--- a/wickhinge/changelog/settings_table.py
+++ b/wickhinge/changelog/settings_table.py
@@ -1,7 +1,7 @@
-"""The settings that the change log has put in force at a router, and who is told of each. Deciding.
+"""The settings that the change log has put in force at a router, and who is notified of each. No I/O.
 
 A value that does not fit is refused by name, and what was in force before stays in force. A name that this version
-does not know is kept and shown, so that an operator sees that it was told here.
+does not know is kept and shown, so that an operator sees that it came here.
 """
 
 from __future__ import annotations
@@ -12,84 +12,89 @@
 
 import msgspec
 
+from wickhinge.changelog.context import EventLogger
 from wickhinge.changelog.entries import Setting
 from wickhinge.fields import Malformed, endpoint
 
 JOURNAL = "journal"
 
 
-class State(Enum):
+class SettingState(Enum):
+    """Whether a setting took effect. The values are those of the log lines and of `report`."""
+
     IN_FORCE = "in force"
     UNKNOWN = "unknown"  # no part of this version has such a setting
     REFUSED = "refused"
 
 
-class Row(msgspec.Struct, frozen=True):
-    """One setting as the log has it. `why`: where it is refused."""
+class SettingRow(msgspec.Struct, frozen=True):
+    """One setting as the log has it. `reason`: where it is refused."""
 
     name: str
     value: bytes
     stamp_ms: int
-    state: State
-    why: str = ""
+    state: SettingState
+    reason: str = ""
 
 
 def parse_address(value: bytes) -> tuple[str, int]:
-    """Raises Malformed."""
-    found = endpoint(value.decode("utf-8", "replace"))
-    if found is None:
+    """An IPv4 address and a port. Raises Malformed."""
+    address = endpoint(value.decode("utf-8", "replace"))
+    if address is None:
         raise Malformed(f"{value[:60]!r} is not an address as 127.0.0.1:10080")
-    return found
+    return address
 
 
 PARSERS: dict[str, Callable[[bytes], Any]] = {JOURNAL: parse_address}  # raise Malformed
 
 
 def check_value(name: str, value: bytes) -> None:
-    """To be called before a setting is proposed. Raises Malformed for a known name whose value does not fit."""
+    """Called before a setting is proposed. Raises Malformed for a known name whose value does not fit."""
     if name in PARSERS:
         PARSERS[name](value)
 
 
 class SettingsTable:
-    """`subscribe` first, then `put` and `replace` as the log tells. `log(event, **fields)`."""
+    """The settings by name, in `rows`. `subscribe` is called first, then `put` and `replace` as the log goes on."""
 
-    def __init__(self, log: Callable[..., None]) -> None:
+    def __init__(self, log: EventLogger) -> None:
         self._log = log
         self._subscribers: dict[str, Callable[[Any], None]] = {}
-        self.rows: dict[str, Row] = {}
+        self.rows: dict[str, SettingRow] = {}
 
     def subscribe(self, name: str, apply: Callable[[Any], None]) -> None:
-        """`apply(value)` is called with what the parser of PARSERS gives; it may raise Malformed to refuse."""
+        """Has `apply` called with each new value, as parsed; it may raise Malformed to refuse the value."""
         self._subscribers[name] = apply
 
-    def put(self, setting: Setting) -> Row:
+    def put(self, setting: Setting) -> SettingRow:
+        """Applies and logs one setting."""
         row = self._row(setting)
         self.rows[setting.name] = row
-        event = "changelog_setting" if row.state is State.IN_FORCE else "changelog_setting_ignored"
+        event = "changelog_setting" if row.state is SettingState.IN_FORCE else "changelog_setting_ignored"
         value = setting.value[:100].decode("utf-8", "replace")
-        self._log(event, name=setting.name, value=value, state=row.state.value, why=row.why)
+        self._log(event, name=setting.name, value=value, state=row.state.value, why=row.reason)
         return row
 
     def replace(self, settings: tuple[Setting, ...]) -> None:
-        """The log was told whole. What it no longer holds is no longer shown, and stays in force until another value
-        is told or the router starts anew.
+        """Applies the complete settings of a snapshot.
+
+        What it no longer holds is no longer shown, and stays in force until another value comes or the router restarts.
         """
         names = {setting.name for setting in settings}
         for name in [name for name in self.rows if name not in names]:
             del self.rows[name]
-            self._log("changelog_setting_gone", name=name)
+            self._log("changelog_setting_removed", name=name)
         for setting in settings:
-            former = self.rows.get(setting.name)
-            if former is None or (former.value, former.stamp_ms) != (setting.value, setting.stamp_ms):
+            previous = self.rows.get(setting.name)
+            if previous is None or (previous.value, previous.stamp_ms) != (setting.value, setting.stamp_ms):
                 self.put(setting)
 
-    def _row(self, setting: Setting) -> Row:
+    def _row(self, setting: Setting) -> SettingRow:
         apply = self._subscribers.get(setting.name)
         if apply is None:
-            return Row(setting.name, setting.value, setting.stamp_ms, State.UNKNOWN)
+            return SettingRow(setting.name, setting.value, setting.stamp_ms, SettingState.UNKNOWN)
         try:
             apply(PARSERS[setting.name](setting.value))
         except Malformed as fault:
-            return Row(setting.name, setting.value, setting.stamp_ms, State.REFUSED, str(fault))
-        return Row(setting.name, setting.value, setting.stamp_ms, State.IN_FORCE)
+            return SettingRow(setting.name, setting.value, setting.stamp_ms, SettingState.REFUSED, str(fault))
+        return SettingRow(setting.name, setting.value, setting.stamp_ms, SettingState.IN_FORCE)
--- a/wickhinge/changelog/snapshots.py
+++ b/wickhinge/changelog/snapshots.py
@@ -1,25 +1,31 @@
-"""Snapshots as bytes, in parts of a datagram each, and put together again."""
+"""Snapshots as bytes, split into parts of a datagram each, and assembled again."""
 
 from __future__ import annotations
 
 from hashlib import blake2b
+from typing import TypeVar
 
-from wickhinge.changelog.binary_fields import Malformed, Reader, Writer
-from wickhinge.changelog.codec import MAX_PART_BYTES, MAX_PARTS
+from wickhinge.changelog.binary_fields import Reader, Writer
 from wickhinge.changelog.entries import DIGEST_BYTES, Purge, Setting, read_change, write_change
+from wickhinge.changelog.errors import MalformedMessageError
 from wickhinge.changelog.log import MAX_PURGES, MAX_SETTINGS, Snapshot
+from wickhinge.changelog.message_codecs import MAX_PART_BYTES, MAX_PARTS
 from wickhinge.changelog.messages import FetchSnapshot, SnapshotPart
 
 CHECKSUM_BYTES = 8
 LAYOUT = 1
 FETCH_INTERVAL_S = 0.15  # between two requests of a replica for parts of a snapshot
 
+ChangeType = TypeVar("ChangeType", Setting, Purge)
+
 
 def checksum(data: bytes) -> bytes:
+    """Of an encoded snapshot."""
     return blake2b(data, digest_size=CHECKSUM_BYTES).digest()
 
 
 def encode_snapshot(snapshot: Snapshot) -> bytes:
+    """The snapshot's fields in LAYOUT, and a checksum. Backups and replicas' files hold the same bytes."""
     writer = Writer()
     for value in (LAYOUT, snapshot.epoch, snapshot.number, snapshot.term):
         writer.varint(value)
@@ -35,12 +41,12 @@
 
 
 def decode_snapshot(data: bytes) -> Snapshot:
-    """Raises Malformed."""
+    """Raises MalformedMessageError."""
     if checksum(data[:-CHECKSUM_BYTES]) != data[-CHECKSUM_BYTES:]:
-        raise Malformed("a snapshot whose checksum differs")
+        raise MalformedMessageError("a snapshot whose checksum differs")
     reader = Reader(data[:-CHECKSUM_BYTES])
     if reader.varint() != LAYOUT:
-        raise Malformed("a snapshot of another layout")
+        raise MalformedMessageError("a snapshot of another layout")
     epoch, number, term = reader.number(), reader.number(), reader.number()
     digest, incomplete = reader.raw(DIGEST_BYTES), reader.flag()
     settings = _read_changes(reader, Setting, MAX_SETTINGS)
@@ -49,17 +55,18 @@
     return Snapshot(epoch, number, digest, settings, purges, incomplete, term)
 
 
-def _read_changes(reader: Reader, kind: type, most: int) -> tuple:
-    changes, base_ms = [], 0
-    for _ in range(reader.varint(most)):
+def _read_changes(reader: Reader, kind: type[ChangeType], max_count: int) -> tuple[ChangeType, ...]:
+    changes: list[ChangeType] = []
+    base_ms = 0
+    for _ in range(reader.varint(max_count)):
         change, base_ms = read_change(reader, base_ms)
         if not isinstance(change, kind):
-            raise Malformed(f"{type(change).__name__} where {kind.__name__} belongs")
+            raise MalformedMessageError(f"{type(change).__name__} where {kind.__name__} belongs")
         changes.append(change)
     return tuple(changes)
 
 
-def cut(snapshot: Snapshot) -> tuple[SnapshotPart, ...]:
+def split_snapshot(snapshot: Snapshot) -> tuple[SnapshotPart, ...]:
     """The snapshot's parts, in order."""
     data = encode_snapshot(snapshot)
     pieces = [data[start : start + MAX_PART_BYTES] for start in range(0, len(data), MAX_PART_BYTES)]
@@ -69,7 +76,7 @@
 
 
 class SnapshotAssembly:
-    """A snapshot of which parts are still missing, all from one source."""
+    """The parts of one snapshot that have come from one source."""
 
     def __init__(self, source: str) -> None:
         self.source = source
@@ -78,16 +85,19 @@
 
     @property
     def number(self) -> int:
-        """0 before the first part."""
+        """The snapshot's number; 0 before the first part."""
         return self._number if self._parts else 0
 
     @property
-    def missing(self) -> int:
-        """The first part that is not there."""
+    def first_missing(self) -> int:
+        """The first part that has not come."""
         return next((place for place in range(self._count) if place not in self._parts), 0)
 
     def add(self, part: SnapshotPart) -> Snapshot | None:
-        """The snapshot, once it is whole. Parts of another one than so far start it anew, and so does a damaged one."""
+        """Takes a part; returns the snapshot once it is complete.
+
+        Parts of another snapshot than so far start the assembly anew, and so does a damaged one.
+        """
         if not 0 < part.parts <= MAX_PARTS:
             return None
         if (part.epoch, part.number, part.parts) != (self._epoch, self._number, self._count):
@@ -100,35 +110,37 @@
         self._parts.clear()
         try:
             snapshot = decode_snapshot(data)
-        except Malformed:
+        except MalformedMessageError:
             return None
         return snapshot if (snapshot.epoch, snapshot.number) == (part.epoch, part.number) else None
 
 
 class SnapshotFetch:
-    """A replica's fetching of a snapshot from the leader, while `source` is not ""."""
+    """A replica's fetching of a snapshot from the leader `source`; "" while none is wanted."""
 
     def __init__(self) -> None:
         self.source = ""
         self._assembly = SnapshotAssembly("")
-        self._asked_at = float("-inf")
+        self._requested_at = float("-inf")
 
-    def want(self, source: str) -> None:
+    def begin(self, source: str) -> None:
+        """Fetches from `source` from now on; goes on where it does already."""
         if self.source != source:
             self.source, self._assembly = source, SnapshotAssembly(source)
 
     def stop(self) -> None:
+        """Wants no snapshot any more."""
         self.source = ""
 
     def request(self, epoch: int, now: float) -> FetchSnapshot | None:
-        """What is to be sent to `source` now."""
-        if not self.source or now - self._asked_at < FETCH_INTERVAL_S:
+        """What is to be sent to `source` now; None where it is not time for a request."""
+        if not self.source or now - self._requested_at < FETCH_INTERVAL_S:
             return None
-        self._asked_at = now
-        return FetchSnapshot(epoch, self._assembly.number, self._assembly.missing)
+        self._requested_at = now
+        return FetchSnapshot(epoch, self._assembly.number, self._assembly.first_missing)
 
     def add(self, sender: str, part: SnapshotPart) -> Snapshot | None:
-        """The snapshot, once it is whole."""
+        """Takes a part; returns the snapshot once it is complete."""
         if not self.source or sender != self.source:
             return None
         snapshot = self._assembly.add(part)
--- a/wickhinge/changelog/storage.py
+++ b/wickhinge/changelog/storage.py
@@ -6,7 +6,8 @@
 A block's checksum covers the checksum before it, so that a block left from before a crash is never taken for one that
 follows. A new snapshot begins a generation: its records file is written and synced first, with the state as one block,
 then the snapshot file is replaced by rename, which is the moment at which the new generation counts. A torn last block
-is cut off at the start; one that is damaged before another is refused, as promises may be lost with it.
+is cut off at the start; one that is damaged before another is refused, as votes and entries that others rely on may be
+lost with it.
 """
 
 from __future__ import annotations
@@ -15,10 +16,16 @@
 import errno
 from hashlib import blake2b
 
-from wickhinge.changelog.binary_fields import Malformed, Reader, Writer
+from wickhinge.changelog.binary_fields import Reader, Writer
 from wickhinge.changelog.codec import MAX_PROCESS_NAME_BYTES
 from wickhinge.changelog.effects import Persist, PersistSnapshot
 from wickhinge.changelog.entries import Entry, read_change, write_change
+from wickhinge.changelog.errors import (
+    MalformedMessageError,
+    StorageDamagedError,
+    StorageInUseError,
+    StorageMissingError,
+)
 from wickhinge.changelog.log import Snapshot
 from wickhinge.changelog.messages import Record
 from wickhinge.changelog.snapshots import decode_snapshot, encode_snapshot
@@ -35,19 +42,7 @@
 MAX_RECORDS_FILE_BYTES = 256_000_000
 
 
-class Missing(Exception):
-    """There are no files of a replica in the directory."""
-
-
-class Damaged(Exception):
-    """The files do not hold what was promised; the text names file and place."""
-
-
-class InUse(Exception):
-    """Another process has the directory."""
-
-
-class State:
+class ReplicaState:
     """The sum of all effects so far, in memory."""
 
     def __init__(self, stored: Stored) -> None:
@@ -56,48 +51,54 @@
         self.records = list(stored.records)
 
     def stored(self) -> Stored:
+        """What a replica is given at its start."""
         return Stored(self.epoch, self.term, self.vote, self.snapshot, tuple(self.records))
 
     def persist(self, effect: Persist) -> None:
+        """Takes epoch, term and vote, and the log's new end."""
         self.epoch, self.term, self.vote = effect.epoch, effect.term, effect.vote
-        while self.records and self.records[-1].entry.number > effect.kept:
+        while self.records and self.records[-1].entry.number > effect.truncate_after:
             self.records.pop()
         self.records += effect.records
 
     def persist_snapshot(self, effect: PersistSnapshot) -> None:
+        """Takes a snapshot in place of the records that it stands for."""
         self.snapshot = effect.snapshot
         last = effect.snapshot.number
         self.records = [record for record in self.records if record.entry.number > last and not effect.clear]
 
-    def as_one(self) -> Persist:
+    def as_effect(self) -> Persist:
         """The effect that, after the snapshot, gives this state."""
         return Persist(self.epoch, self.term, self.vote, self.snapshot.number, tuple(self.records))
 
 
 class MemoryStorage:
-    """Lasts as long as the process: for tests and benches."""
+    """A Storage that lasts as long as the process: for tests and benches."""
 
     def __init__(self, stored: Stored | None = None) -> None:
-        self._state = State(stored or Stored())
+        self._state = ReplicaState(stored or Stored())
 
     @property
     def stored(self) -> Stored:
+        """As of Storage."""
         return self._state.stored()
 
     def persist(self, effect: Persist) -> None:
+        """As of Storage."""
         self._state.persist(effect)
 
     def persist_snapshot(self, effect: PersistSnapshot) -> None:
+        """As of Storage."""
         self._state.persist_snapshot(effect)
 
     def close(self) -> None:
-        pass
+        """As of Storage."""
 
 
 class FileStorage:
     """One replica's files in a directory of its own. `create` begins a new log there; `open` goes on with one."""
 
-    def __init__(self, files: Files, directory: str, lock: int, generation: int, state: State) -> None:
+    def __init__(self, files: Files, directory: str, lock: int, generation: int, state: ReplicaState) -> None:
         self._files, self._directory, self._lock = files, directory, lock
         self._generation, self._state = generation, state
         self._handle = -1  # of the records file
@@ -107,10 +108,16 @@
 
     @classmethod
     def create(cls, directory: str, stored: Stored, files: Files) -> FileStorage:
-        """Replaces no files: raises FileExistsError where there are some, InUse, OSError."""
+        """Begins a new log. No files are replaced.
+
+        Raises:
+            FileExistsError: There is a replica's state already.
+            StorageInUseError: Another process has the directory.
+            OSError: The files cannot be written.
+        """
         files.make(directory)
         lock = take_lock(files, directory)
-        storage = cls(files, directory, lock, 0, State(stored))
+        storage = cls(files, directory, lock, 0, ReplicaState(stored))
         try:
             if SNAPSHOT in files.names(directory):
                 raise FileExistsError(f"{directory}/{SNAPSHOT}: there is a replica's state already")
@@ -122,12 +129,19 @@
 
     @classmethod
     def open(cls, directory: str, files: Files) -> FileStorage:
-        """Raises Missing, Damaged, InUse, OSError."""
+        """Goes on with the files of an earlier process.
+
+        Raises:
+            StorageMissingError: There are no files.
+            StorageDamagedError: They do not hold what was written.
+            StorageInUseError: Another process has the directory.
+            OSError: The files cannot be read or written.
+        """
         try:
             lock = take_lock(files, directory)
         except FileNotFoundError:
-            raise Missing(f"{directory}: no such directory") from None
-        storage = cls(files, directory, lock, 0, State(Stored()))
+            raise StorageMissingError(directory, "no such directory") from None
+        storage = cls(files, directory, lock, 0, ReplicaState(Stored()))
         try:
             storage._recover()
         except BaseException:
@@ -137,12 +151,13 @@
 
     @property
     def stored(self) -> Stored:
+        """What has been persisted so far."""
         return self._state.stored()
 
     def persist(self, effect: Persist) -> None:
         """Lasts when this returns. After an OSError nothing more is taken: what was written is not known."""
-        self._check()
-        block = framed(encode_persist(effect), self._checksum)
+        self._check_usable()
+        block = frame_block(encode_persist(effect), self._checksum)
         try:
             self._files.write(self._handle, block, self._end)
             self._files.sync(self._handle)
@@ -154,8 +169,8 @@
         self._state.persist(effect)
 
     def persist_snapshot(self, effect: PersistSnapshot) -> None:
-        """As for persist."""
-        self._check()
+        """Begins a new generation of files; as for persist."""
+        self._check_usable()
         self._state.persist_snapshot(effect)
         try:
             self._begin_generation()
@@ -164,12 +179,13 @@
             raise
 
     def close(self) -> None:
+        """Releases the files and the lock; may be called more than once."""
         for handle in (self._handle, self._lock):
             if handle >= 0:
                 self._files.close(handle)
         self._handle = self._lock = -1
 
-    def _check(self) -> None:
+    def _check_usable(self) -> None:
         if self._failed:
             raise OSError(errno.EIO, f"{self._directory}: an earlier write failed")
 
@@ -178,7 +194,7 @@
         path = f"{self._directory}/{RECORDS}{generation}"
         handle = self._files.open(path, write=True, create=True)
         try:
-            block = framed(encode_persist(self._state.as_one()), seed(generation))
+            block = frame_block(encode_persist(self._state.as_effect()), initial_checksum(generation))
             self._files.write(handle, block, 0)
             self._files.sync(handle)
             self._files.sync_names(self._directory)
@@ -187,13 +203,13 @@
         except OSError:
             self._files.close(handle)
             raise
-        former, self._handle = self._handle, handle
+        previous_handle, self._handle = self._handle, handle
         self._generation, self._end, self._checksum = generation, len(block), block[LENGTH_BYTES:HEAD_BYTES]
-        if former >= 0:
-            self._files.close(former)
-        self._remove_others()
+        if previous_handle >= 0:
+            self._files.close(previous_handle)
+        self._remove_other_generations()
 
-    def _remove_others(self) -> None:
+    def _remove_other_generations(self) -> None:
         """Files of other generations; one that stays behind is removed with the next generation."""
         for name in self._files.names(self._directory):
             if name.startswith(RECORDS) and name != f"{RECORDS}{self._generation}":
@@ -203,18 +219,18 @@
     def _recover(self) -> None:
         names = self._files.names(self._directory)
         if SNAPSHOT not in names:
-            raise Missing(f"{self._directory}: holds no file named {SNAPSHOT}")
+            raise StorageMissingError(self._directory, f"holds no file named {SNAPSHOT}")
         self._generation, snapshot = self._read_snapshot()
         records = f"{RECORDS}{self._generation}"
         if records not in names:
-            raise Damaged(f"{self._directory}/{records}: is missing")
+            raise StorageDamagedError(f"{self._directory}/{records}", "is missing")
         self._handle = self._files.open(f"{self._directory}/{records}", write=True)
         data = self._files.read(self._handle, MAX_RECORDS_FILE_BYTES, 0)
-        self._state = State(Stored(snapshot=snapshot))
+        self._state = ReplicaState(Stored(snapshot=snapshot))
         try:
-            effects, self._end, self._checksum = read_blocks(data, seed(self._generation))
-        except Malformed as fault:
-            raise Damaged(f"{self._directory}/{records}: {fault}") from None
+            effects, self._end, self._checksum = read_blocks(data, initial_checksum(self._generation))
+        except MalformedMessageError as fault:
+            raise StorageDamagedError(f"{self._directory}/{records}", str(fault)) from None
         for effect in effects:
             self._state.persist(effect)
         if self._end < len(data):  # a torn last block: what is left of it must not stand behind later ones
@@ -229,59 +245,66 @@
             self._files.close(handle)
         start = len(MAGIC) + GENERATION_BYTES
         if data[: len(MAGIC)] != MAGIC:
-            raise Damaged(f"{path}: is no such file")
+            raise StorageDamagedError(path, "is no such file")
         try:
             return int.from_bytes(data[len(MAGIC) : start], "big"), decode_snapshot(data[start:])
-        except Malformed as fault:
-            raise Damaged(f"{path}: {fault}") from None
+        except MalformedMessageError as fault:
+            raise StorageDamagedError(path, str(fault)) from None
 
 
 def take_lock(files: Files, directory: str) -> int:
-    """Raises InUse."""
+    """Raises StorageInUseError."""
     handle = files.lock(f"{directory}/{LOCK}")
     if handle is None:
-        raise InUse(f"{directory}: another process has it")
+        raise StorageInUseError(directory, "another process has it")
     return handle
 
 
-def seed(generation: int) -> bytes:
+def initial_checksum(generation: int) -> bytes:
     """What the first block's checksum covers in place of a checksum before it."""
     return MAGIC + generation.to_bytes(GENERATION_BYTES, "big")
 
 
-def checksum(payload: bytes, former: bytes) -> bytes:
-    return blake2b(former + payload, digest_size=CHECKSUM_BYTES).digest()
+def checksum(payload: bytes, previous_checksum: bytes) -> bytes:
+    """Of a block, chained to the block before it."""
+    return blake2b(previous_checksum + payload, digest_size=CHECKSUM_BYTES).digest()
+
 
+def frame_block(payload: bytes, previous_checksum: bytes) -> bytes:
+    """A block as it stands in the records file."""
+    return len(payload).to_bytes(LENGTH_BYTES, "big") + checksum(payload, previous_checksum) + payload
 
-def framed(payload: bytes, former: bytes) -> bytes:
-    return len(payload).to_bytes(LENGTH_BYTES, "big") + checksum(payload, former) + payload
 
+def read_blocks(data: bytes, previous_checksum: bytes) -> tuple[list[Persist], int, bytes]:
+    """The effects, where the last complete block ends, and its checksum.
 
-def read_blocks(data: bytes, former: bytes) -> tuple[list[Persist], int, bytes]:
-    """The effects, where the last whole block ends, and its checksum. Raises Malformed where the first block is not
-    whole, or a damaged one is not the last: then more is lost than what was being written.
+    Raises:
+        MalformedMessageError: The first block is not complete, or a damaged one is not the last: then more is lost than
+            what was being written.
     """
-    effects, place = [], 0
+    effects: list[Persist] = []
+    place = 0
     while place < len(data):
         end = place + HEAD_BYTES + int.from_bytes(data[place : place + LENGTH_BYTES], "big")
-        told, payload = data[place + LENGTH_BYTES : place + HEAD_BYTES], data[place + HEAD_BYTES : end]
-        if end > len(data) or checksum(payload, former) != told:
+        stored_checksum, payload = data[place + LENGTH_BYTES : place + HEAD_BYTES], data[place + HEAD_BYTES : end]
+        if end > len(data) or checksum(payload, previous_checksum) != stored_checksum:
             if not effects or (end < len(data) and any(data[end:])):
-                raise Malformed(f"damaged at byte {place}")
+                raise MalformedMessageError(f"damaged at byte {place}")
             break
         effects.append(decode_persist(payload))
-        place, former = end, told
+        place, previous_checksum = end, stored_checksum
     if not effects:
-        raise Malformed("is empty")
-    return effects, place, former
+        raise MalformedMessageError("is empty")
+    return effects, place, previous_checksum
 
 
 def encode_persist(effect: Persist) -> bytes:
+    """The payload of a block."""
     writer = Writer()
     writer.varint(effect.epoch)
     writer.varint(effect.term)
     writer.text(effect.vote)
-    writer.varint(effect.kept)
+    writer.varint(effect.truncate_after)
     writer.varint(len(effect.records))
     for record in effect.records:
         writer.varint(record.term)
@@ -290,13 +313,18 @@
 
 
 def decode_persist(payload: bytes) -> Persist:
-    """Raises Malformed."""
+    """The inverse of encode_persist. Raises MalformedMessageError."""
     reader = Reader(payload)
-    epoch, term, vote, kept = reader.number(), reader.number(), reader.text(MAX_PROCESS_NAME_BYTES), reader.number()
+    epoch, term, vote, truncate_after = (
+        reader.number(),
+        reader.number(),
+        reader.text(MAX_PROCESS_NAME_BYTES),
+        reader.number(),
+    )
     records = []
-    for number in range(kept + 1, kept + 1 + reader.varint(MAX_BLOCK_RECORDS)):
+    for number in range(truncate_after + 1, truncate_after + 1 + reader.varint(MAX_BLOCK_RECORDS)):
         record_term = reader.number()
         change, _ = read_change(reader)
         records.append(Record(record_term, Entry(epoch, number, change)))
     reader.end()
-    return Persist(epoch, term, vote, kept, tuple(records))
+    return Persist(epoch, term, vote, truncate_after, tuple(records))
--- a/wickhinge/changelog/stored.py
+++ b/wickhinge/changelog/stored.py
@@ -1,21 +1,24 @@
-"""What a replica finds when it starts, and why it refuses a proposal."""
+"""What a replica keeps on stable storage, and the port by which it is written."""
 
 from __future__ import annotations
 
+from typing import Protocol
+
 import msgspec
 
+from wickhinge.changelog.effects import Persist, PersistSnapshot
 from wickhinge.changelog.entries import EMPTY_DIGEST
 from wickhinge.changelog.log import Snapshot
 from wickhinge.changelog.messages import Record
 
 
 class Stored(msgspec.Struct, frozen=True):
-    """What a replica finds on stable storage: the sum of all that it was told to persist. `records` begin after the
-    snapshot's number.
+    """What a replica finds on stable storage: the sum of all effects that it persisted.
 
-    A new replica has what this has by default. An operator who restarts the log from a backup gives the replicas the
-    same backup as `snapshot`, with a higher epoch in it and here, and nothing else. A replica whose snapshot is of
-    another epoch is blank: it votes and waits for a snapshot, and does not stand for election.
+    `records` begin after the snapshot's number. A new replica has what this has by default. An operator who restarts
+    the log from a backup gives the replicas the same backup as `snapshot`, with a higher epoch in it and here, and
+    nothing else. A replica whose snapshot is of another epoch is blank: it votes and waits for a snapshot, and does not
+    stand for election.
     """
 
     epoch: int = 1
@@ -25,13 +28,18 @@
     records: tuple[Record, ...] = ()
 
 
-class NotLeaderError(Exception):
-    """Only the leader takes proposals. `leader` is its name where it is known, else ""."""
+class Storage(Protocol):
+    """A replica's stable storage. Its methods return once the effect lasts, and raise where it may not."""
+
+    @property
+    def stored(self) -> Stored:
+        """The sum of all effects so far."""
 
-    def __init__(self, leader: str) -> None:
-        super().__init__(f"not the leader, which is {leader or 'not known'}")
-        self.leader = leader
+    def persist(self, effect: Persist) -> None:
+        """Writes epoch, term, vote and records."""
 
+    def persist_snapshot(self, effect: PersistSnapshot) -> None:
+        """Writes a snapshot in place of the records that it stands for."""
 
-class OverloadedError(Exception):
-    """Too many proposals wait for a majority, or too many settings are in force."""
+    def close(self) -> None:
+        """Releases the files; may be called more than once."""
--- a/wickhinge/cli/changelog.py
+++ b/wickhinge/cli/changelog.py
@@ -85,7 +85,8 @@
 @click.option("--new", is_flag=True, help="Begin a new log: at the first start of all replicas, and never else.")
 def replica(options: str | None, name: str, new: bool) -> None:
     """Run a replica until SIGTERM. One that has lost its files must stay away until the next `restore`."""
-    from wickhinge.changelog.storage import Damaged, FileStorage, InUse, Missing
+    from wickhinge.changelog.errors import StorageError, StorageMissingError
+    from wickhinge.changelog.storage import FileStorage
     from wickhinge.changelog.stored import Stored
     from wickhinge.store.files import Files
 
@@ -95,9 +96,9 @@
             storage = FileStorage.create(directory, Stored(), Files())
         else:
             storage = FileStorage.open(directory, Files())
-    except Missing as fault:
+    except StorageMissingError as fault:
         fail(f"{fault}; --new begins a new log")
-    except (Damaged, InUse, OSError) as fault:
+    except (StorageError, OSError) as fault:
         fail(str(fault))
     run(name, options, storage)
 
@@ -116,12 +117,13 @@
 
 
 def append(options: str | None, change: Any, timeout_s: float, as_json: bool) -> NoReturn:
-    from wickhinge.changelog.entries import InvalidChangeError, check
+    from wickhinge.changelog.entries import validate
+    from wickhinge.changelog.errors import InvalidChangeError
     from wickhinge.cli.changelog_client import NotAppendedError
 
     asking = client(options)
     try:
-        check(change)
+        validate(change)
         answer = asking.append(change, timeout_s)
     except (InvalidChangeError, NotAppendedError) as fault:
         fail(str(fault), WRONG)
@@ -271,9 +273,9 @@
     """
     import msgspec
 
-    from wickhinge.changelog.binary_fields import Malformed
+    from wickhinge.changelog.errors import MalformedMessageError, StorageInUseError
     from wickhinge.changelog.snapshots import decode_snapshot
-    from wickhinge.changelog.storage import FileStorage, InUse
+    from wickhinge.changelog.storage import FileStorage
     from wickhinge.changelog.stored import Stored
     from wickhinge.store.files import Files
 
@@ -281,7 +283,7 @@
     try:
         with open(file, "rb") as opened:
             snapshot = decode_snapshot(opened.read())
-    except (OSError, Malformed) as fault:
+    except (OSError, MalformedMessageError) as fault:
         fail(f"{file}: {fault}")
     if snapshot.epoch >= epoch:
         fail(f"restore: --epoch: the backup is of epoch {snapshot.epoch}, a higher one is needed")
@@ -291,6 +293,6 @@
     snapshot = msgspec.structs.replace(snapshot, epoch=epoch, term=0)
     try:
         FileStorage.create(directory, Stored(epoch=epoch, snapshot=snapshot), Files()).close()
-    except (InUse, OSError) as fault:
+    except (StorageInUseError, OSError) as fault:
         fail(str(fault))
     click.echo(f"{directory}: epoch {epoch}, number {snapshot.number}")
--- a/wickhinge/cli/changelog_client.py
+++ b/wickhinge/cli/changelog_client.py
@@ -21,9 +21,15 @@
     RowsPage,
     Status,
 )
-from wickhinge.changelog.entries import Change, encode
+from wickhinge.changelog.context import Runtime
+from wickhinge.changelog.endpoint import EndpointConfig
+from wickhinge.changelog.entries import Change, Entry, encode_change
 from wickhinge.changelog.feed import SubscriberRow
+from wickhinge.changelog.follower_endpoint import FollowerEndpoint
+from wickhinge.changelog.log import Log, Snapshot
 from wickhinge.changelog.messages import UNKNOWN_AGE_MS
+from wickhinge.changelog.settings import FollowSettings
+from wickhinge.changelog.snapshots import encode_snapshot
 from wickhinge.cli.asking import Silent, ask
 from wickhinge.options import changelog as options_of
 from wickhinge.options.records import Changelog
@@ -103,7 +109,7 @@
         """
         deadline = time.monotonic() + timeout_s
         why = "no replica answers"
-        request = AppendRequest(os.urandom(REQUEST_ID_BYTES), encode(change))
+        request = AppendRequest(os.urandom(REQUEST_ID_BYTES), encode_change(change))
         names = list(self.replicas)
         while time.monotonic() < deadline:
             name = names.pop(0)
@@ -117,8 +123,8 @@
             if answer.state is AppendState.COMMITTED:
                 return answer
             if answer.state is AppendState.REFUSED:
-                raise NotAppendedError(answer.why)
-            why = f"{name}: {answer.why or answer.state.value}"
+                raise NotAppendedError(answer.reason)
+            why = f"{name}: {answer.reason or answer.state.value}"
             if answer.state is AppendState.FAILED:  # a new stamp
                 request = AppendRequest(os.urandom(REQUEST_ID_BYTES), request.change)
             preferred = answer.leader if answer.state is AppendState.NOT_LEADER else name
@@ -181,45 +187,58 @@
     return f"uninformed for {router.uninformed_s:.1f} s" if router.uninformed_s else ""
 
 
-def backup(options: Changelog, timeout_s: float, done: Callable[[bytes, int], None], reactor: Any) -> str:
-    """Follows the relays until the whole log is known, then calls done(encoded snapshot, its number). Returns why it
-    failed, "" where it did not.
-    """
-    from wickhinge.changelog.entries import Entry
-    from wickhinge.changelog.log import Log, Snapshot
-    from wickhinge.changelog.nodes import FollowerEndpoint
-    from wickhinge.changelog.settings import FollowSettings
-    from wickhinge.changelog.snapshots import encode_snapshot
+class BackupConsumer:
+    """Takes the log from a follower until all of it is known, then hands its snapshot on."""
 
-    log = Log(purge_horizon_s=options.purge_horizon_s)
-    why = ["no relay told the whole log in time"]
+    def __init__(self, purge_horizon_s: float, done: Callable[[bytes, int], None], stop: Callable[[], None]) -> None:
+        self._log = Log(purge_horizon_s=purge_horizon_s)
+        self._done, self._stop = done, stop
+        self._follower: FollowerEndpoint | None = None
+        self.reason = "no relay told the whole log in time"  # why there is no backup; "" once there is one
 
-    def apply(entry: Entry) -> None:
-        log.append(entry, node.clock())
+    def follow(self, follower: FollowerEndpoint) -> None:
+        """Begins to take the log from `follower`."""
+        self._follower = follower
+        follower.start()
 
-    def reset(snapshot: Snapshot) -> None:
-        log.load(snapshot, node.clock())
+    def apply_entry(self, entry: Entry) -> None:
+        """As of ChangeConsumer."""
+        self._log.append(entry, self._now())
 
-    def ticked() -> None:
-        if node.machine.uninformed(node.clock()) or why[0] == "":
+    def load_snapshot(self, snapshot: Snapshot) -> None:
+        """As of ChangeConsumer."""
+        self._log.load(snapshot, self._now())
+
+    def after_tick(self) -> None:
+        """As of ChangeConsumer: ends once the follower is informed."""
+        follower = self._follower
+        if follower is None or follower.state_machine.uninformed(follower.clock()) or not self.reason:
             return
-        why[0] = ""
-        done(encode_snapshot(log.snapshot(node.clock())), log.last)
-        node.close()
-        reactor.stop()
+        self.reason = ""
+        self._done(encode_snapshot(self._log.snapshot(self._now())), self._log.last)
+        follower.close()
+        self._stop()
+
+    def _now(self) -> float:
+        assert self._follower is not None  # nothing comes before `follow`
+        return self._follower.clock()
 
-    node = FollowerEndpoint(
+
+def backup(options: Changelog, timeout_s: float, done: Callable[[bytes, int], None], reactor: Any) -> str:
+    """Follows the relays until the complete log is known, then calls done(encoded snapshot, its number).
+
+    Returns why it failed, "" where it did not. Raises Malformed where a key cannot be read, OSError where no socket can
+    be had.
+    """
+    consumer = BackupConsumer(options.purge_horizon_s, done, reactor.stop)
+    config = EndpointConfig(
         f"backup-{os.getpid()}",
         ("0.0.0.0", 0),
         options_of.addresses(options.relays),
         options_of.read_keys(options),
-        reactor,
-        apply,
-        reset,
-        FollowSettings(bound_s=options.bound_s),
-        on_tick=ticked,
     )
-    node.start()
+    settings = FollowSettings(bound_s=options.bound_s)
+    consumer.follow(FollowerEndpoint(config, Runtime(reactor), consumer, settings))
     reactor.callLater(timeout_s, reactor.stop)
     reactor.run(installSignalHandlers=False)
-    return why[0]
+    return consumer.reason
--- a/wickhinge/lab/changelog/plants.py
+++ b/wickhinge/lab/changelog/plants.py
@@ -69,7 +69,7 @@
 class Agreeing(DisputeRecords):
     """Takes all logs for the same."""
 
-    def told(self, source: str, number: int, digest: bytes, now: float) -> None:
+    def record_digest(self, source: str, number: int, digest: bytes, now: float) -> None:
         pass
 
 
@@ -90,13 +90,13 @@
 class OneAnswer(Leadership):
     """Takes a round that one replica answered for one that a majority did."""
 
-    def answered(self, peer: str, round_number: int, now: float) -> tuple[float, int] | None:
-        found = [super(OneAnswer, self).answered(other, round_number, now) for other in self.match]
+    def record_answer(self, peer: str, round_number: int, now: float) -> tuple[float, int] | None:
+        found = [super(OneAnswer, self).record_answer(other, round_number, now) for other in self.match]
         return next((one for one in reversed(found) if one is not None), None)
 
 
 class Presuming(Replica):
-    """Confirmations as a leader though it may have been replaced."""
+    """Confirms as a leader though it may have been replaced."""
 
     def _become_leader(self, now: float) -> None:
         super()._become_leader(now)
--- a/wickhinge/lab/changelog/world.py
+++ b/wickhinge/lab/changelog/world.py
@@ -11,14 +11,17 @@
 
 from wickhinge.changelog.ballot import Role
 from wickhinge.changelog.codec import Codec
+from wickhinge.changelog.context import ProcessContext
+from wickhinge.changelog.echo_tokens import SESSION_BITS
 from wickhinge.changelog.effects import Accepted, Apply, Committed, Effect, Persist, PersistSnapshot, Reset, Send
 from wickhinge.changelog.entries import Change
+from wickhinge.changelog.errors import NotLeaderError, OverloadedError
 from wickhinge.changelog.follower import Follower
 from wickhinge.changelog.messages import NEWEST_FORMAT, Packet
 from wickhinge.changelog.relay import Relay
 from wickhinge.changelog.replica import Replica
 from wickhinge.changelog.settings import TICK_S, FollowSettings, RelaySettings, ReplicaSettings
-from wickhinge.changelog.stored import NotLeaderError, OverloadedError, Stored
+from wickhinge.changelog.stored import Stored
 from wickhinge.lab.changelog.oracle import GRACE_S, Model, Oracle, Sample
 from wickhinge.lab.changelog.plants import Plant
 from wickhinge.lab.changelog.schedule import RELAYS, REPLICAS, Schedule
@@ -100,20 +103,18 @@
         process.life += 1
         process.started_s, process.paused = self.now_s, False
         process.queued.clear()
-        now, session = process.clock.at(self.now_s), self.rand.getrandbits(40)
-        random_fraction, newest = self.rand.random, process.newest_format
+        now = process.clock.at(self.now_s)
+        context = ProcessContext(name, self.rand.getrandbits(SESSION_BITS), self.rand.random, process.newest_format)
         if name in REPLICAS:
-            process.machine = self.plant.replica(
-                name, REPLICAS, REPLICA_SETTINGS, random_fraction, session, now, process.stored, newest
-            )
+            process.machine = self.plant.replica(context, REPLICAS, REPLICA_SETTINGS, process.stored, now)
         elif name in RELAYS:
             replicas = self.rand.sample(REPLICAS, len(REPLICAS))
-            process.machine = self.plant.relay(name, replicas, RELAY_SETTINGS, random_fraction, session, now, newest)
+            process.machine = self.plant.relay(context, replicas, RELAY_SETTINGS, now)
         else:
             first = int(name[1:]) % len(RELAYS)
             relays = (*RELAYS[first:], *RELAYS[:first])
             process.model = Model()
-            process.machine = self.plant.follower(name, relays, FOLLOW_SETTINGS, random_fraction, session, now, newest)
+            process.machine = self.plant.follower(context, relays, FOLLOW_SETTINGS, now)
         life = process.life
         self.at(self.now_s + self.rand.random() * TICK_S, lambda: self._tick(process, life))
 
@@ -166,7 +167,7 @@
                 process.model.number,
                 process.clock.true(process.machine.informed_until(now)),
                 process.machine.uninformed(now),
-                process.machine.oldest(now, GRACE_S) is None,
+                process.machine.max_copy_age_s(now, GRACE_S) is None,
             )
         )
 
@@ -240,8 +241,8 @@
             kept = () if effect.clear else tuple(r for r in stored.records if r.entry.number > number)
             process.stored = msgspec.structs.replace(stored, snapshot=effect.snapshot, records=kept)
             return
-        first = stored.snapshot.number if stored.snapshot.epoch == effect.epoch else effect.kept
-        kept = stored.records[: max(effect.kept - first, 0)]
+        first = stored.snapshot.number if stored.snapshot.epoch == effect.epoch else effect.truncate_after
+        kept = stored.records[: max(effect.truncate_after - first, 0)]
         process.stored = Stored(effect.epoch, effect.term, effect.vote, stored.snapshot, (*kept, *effect.records))
         for record in effect.records:
             self.oracle.stored(self.now_s, process.name, record)
--- a/wickhinge/net/changes.py
+++ b/wickhinge/net/changes.py
@@ -9,9 +9,13 @@
 
 from typing import Any
 
+import msgspec
+
+from wickhinge.changelog.context import Runtime
+from wickhinge.changelog.endpoint import EndpointConfig
 from wickhinge.changelog.entries import Entry, Purge, Setting, is_understood
+from wickhinge.changelog.follower_endpoint import FollowerEndpoint
 from wickhinge.changelog.log import Snapshot
-from wickhinge.changelog.nodes import FollowerEndpoint
 from wickhinge.changelog.settings import FollowSettings
 from wickhinge.changelog.settings_table import JOURNAL, SettingsTable
 from wickhinge.fields import Malformed, endpoint
@@ -31,17 +35,15 @@
         self.settings = SettingsTable(self._log)
         self.settings.subscribe(JOURNAL, self._node.move_journal)
         self.follower = FollowerEndpoint(
-            name,
-            endpoint(options.bind) or ANY_ADDRESS,
-            options_of.addresses(options.relays),
-            options_of.read_keys(options),
-            node.reactor,
-            self._apply,
-            self._reset,
+            EndpointConfig(
+                name,
+                endpoint(options.bind) or ANY_ADDRESS,
+                options_of.addresses(options.relays),
+                options_of.read_keys(options),
+            ),
+            Runtime(node.reactor, log=self._log, call_later=node.deadlines.after),
+            self,
             FollowSettings(bound_s=options.bound_s, ingest_s=options.ingest_s),
-            log=self._log,
-            call_later=node.deadlines.after,
-            on_tick=self._note_state,
         )
         self._limited = True  # as at the last tick: the age of copies is limited
         self._source = ""
@@ -70,10 +72,10 @@
 
     def limit(self, now: float) -> float | None:
         """The greatest age of a copy that may be served, whatever the time of day is."""
-        return self.follower.oldest(self._options.grace_s)
+        return self.follower.max_copy_age_s(self._options.grace_s)
 
     def figures(self) -> dict[str, Any]:
-        machine, now = self.follower.machine, self.follower.clock()
+        machine, now = self.follower.state_machine, self.follower.clock()
         until = machine.informed_until(now)
         return {
             "epoch": machine.epoch,
@@ -84,10 +86,10 @@
             "skipped": machine.skipped,
             "not_understood": machine.not_understood,
             "settings": {row.name: row.state.value for row in self.settings.rows.values()},
-            **{field: getattr(self.follower.counters, field) for field in self.follower.counters.__struct_fields__},
+            **msgspec.to_builtins(self.follower.counters),
         }
 
-    def _apply(self, entry: Entry) -> None:
+    def apply_entry(self, entry: Entry) -> None:
         change = entry.change
         if isinstance(change, Purge):
             self._node.purge(change.key, change.group, change.stamp_ms, 0)
@@ -96,7 +98,7 @@
         elif not is_understood(change):
             self._log("changelog_not_understood", number=entry.number)
 
-    def _reset(self, snapshot: Snapshot) -> None:
+    def load_snapshot(self, snapshot: Snapshot) -> None:
         """Purges of a snapshot are taken together: a start may bring thousands of them."""
         for purge in snapshot.purges:
             self._node.take_purge(purge.key, purge.group, purge.stamp_ms, 0)
@@ -119,11 +121,11 @@
         limit = self.limit(now)
         return self._store_proves(copy, now) and (limit is None or self._node.copies.age(copy, now) <= limit)
 
-    def _note_state(self) -> None:
+    def after_tick(self) -> None:
         """Logs what changed since the last tick. What was decided without a limit, and is not written yet, is decided
         anew once there is one: it may be written much later.
         """
-        source = self.follower.machine.source
+        source = self.follower.state_machine.source
         if source != self._source:
             self._source = source
             self._log("changelog_source", relay=source)
