--- /dev/null
+++ b/tests/changelog/test_log.py
@@ -0,0 +1,102 @@
+"""The change log: the log, its snapshots, the order of entries, and until when it is complete."""
+
+import msgspec
+import pytest
+from hypothesis import given, settings
+from hypothesis import strategies as st
+
+from tests.support.changelog_log import log_of, purge
+from wickhinge.changelog.confirmations import Confirmations
+from wickhinge.changelog.entries import (
+    MAX_STAMP_MS,
+    Entry,
+    Purge,
+    Setting,
+)
+from wickhinge.changelog.errors import OutOfOrderError
+from wickhinge.changelog.log import Snapshot
+from wickhinge.changelog.sequencer import Sequencer
+from wickhinge.changelog.snapshots import SnapshotAssembly, split_snapshot
+
+stamps = st.integers(0, MAX_STAMP_MS)
+
+
+def test_log_when_full_retains_its_last_entries_and_the_digest_before_them():
+    log, whole = log_of(50, retain=10), log_of(50)
+    assert (log.first, log.last, log.digest) == (41, 50, whole.digest)
+    assert log.digest_at(40) == whole.digest_at(40) and log.digest_at(39) is None and log.digest_at(51) is None
+    assert [entry.number for entry in log.entries_from(49, 10_000, 255)] == [49, 50]
+    assert log.entries_from(40, 10_000, 255) == log.entries_from(51, 10_000, 255) == ()
+    assert len(log.entries_from(41, 1, 255)) == 1 and len(log.entries_from(41, 10_000, 3)) == 3
+    for number, epoch in ((52, 1), (50, 1), (51, 2)):
+        with pytest.raises(OutOfOrderError):
+            log.append(Entry(epoch, number, purge(1)), 51.0)
+
+
+def test_digests_when_one_entry_differs_differ_from_there_on():
+    one, other = log_of(5), log_of(5)
+    one.append(Entry(1, 6, purge(6)), 6.0)
+    other.append(Entry(1, 6, purge(7)), 6.0)
+    for log in (one, other):
+        log.append(Entry(1, 7, purge(8)), 7.0)
+    assert [one.digest_at(number) == other.digest_at(number) for number in (5, 6, 7)] == [True, False, False]
+
+
+def test_snapshot_when_taken_holds_settings_in_force_and_recent_purges():
+    log = log_of(50)
+    log.append(Entry(1, 51, Setting("b", b"old", 0)), 51.0)
+    log.append(Entry(1, 52, Setting("b", b"new", 0)), 52.0)
+    snapshot = log.snapshot(60.0)
+    assert snapshot.settings == (Setting("b", b"new", 0),)
+    assert [one.key for one in snapshot.purges] == list(range(30, 51))
+    other = log_of(2, epoch=1)
+    other.load(msgspec.structs.replace(snapshot, epoch=2), 60.0)
+    assert {1, 2, 30, 50} <= {one.key for one in other.snapshot(61.0).purges}  # what it knew is kept
+    assert (other.epoch, other.last, other.first, other.digest) == (2, 52, 53, log.digest)
+
+
+@settings(max_examples=50, deadline=None)
+@given(st.lists(st.tuples(st.integers(0, 2**64 - 1), stamps), max_size=300), st.randoms(use_true_random=False))
+def test_snapshot_when_parts_come_in_any_order_is_assembled(purges, rand):
+    snapshot = Snapshot(
+        3, 9, b"x" * 8, (Setting("a", b"v" * 1000, 5),) * 2, tuple(Purge(k, 0, t) for k, t in purges), True, 4
+    )
+    parts = list(split_snapshot(snapshot))
+    rand.shuffle(parts)
+    assembly = SnapshotAssembly("r0")
+    assert [assembly.add(part) for part in parts[:-1]] == [None] * (len(parts) - 1)
+    assert assembly.add(parts[-1]) == snapshot
+
+
+def test_assembly_when_a_part_is_damaged_or_of_another_snapshot_starts_anew():
+    parts = split_snapshot(Snapshot(3, 9, b"x" * 8, (Setting("a", b"v" * 1000, 5),) * 2, ()))
+    assembly = SnapshotAssembly("r0")
+    assembly.add(msgspec.structs.replace(parts[0], payload=b"y" * len(parts[0].payload)))
+    assert assembly.add(parts[1]) is None and assembly.first_missing == 0
+    assembly.add(parts[0])
+    assert (assembly.number, assembly.first_missing) == (9, 1)
+    assembly.add(msgspec.structs.replace(parts[0], number=10))
+    assert (assembly.number, assembly.first_missing) == (10, 1)
+
+
+@given(st.lists(st.tuples(st.integers(1, 30), st.integers(1, 8)), max_size=40))
+def test_entries_when_offered_in_any_order_come_out_once_and_in_order(runs):
+    whole = log_of(40)
+    sequencer = Sequencer(max_buffered_entries=20, max_digests=8)
+    sequencer.epoch, out = 1, []
+    for first, count in runs:
+        entries = whole.entries_from(first, 10_000, count)
+        out += [entry.number for entry in sequencer.offer(entries)]
+        assert len(sequencer._buffered) <= 20
+    assert out == list(range(1, sequencer.last + 1))
+    assert sequencer.digest == whole.digest_at(sequencer.last)
+
+
+@given(st.lists(st.tuples(st.integers(0, 50), st.integers(0, 20), st.integers(0, 3)), max_size=60))
+def test_confirmation_when_its_number_is_reached_counts_and_the_latest_is_given(steps):
+    confirmations, told, last = Confirmations(), [], 0
+    for until, number, advance in steps:
+        confirmations.add(float(until), number)
+        told.append((until, number))
+        last += advance
+        assert confirmations.confirmed_until(last) == max((t for t, n in told if n <= last), default=float("-inf"))
--- a/tests/changelog/test_changelog_control.py
+++ b/tests/changelog/test_replicas_on_processes.py
@@ -27,7 +27,7 @@
         yield made
 
 
-def test_the_leader_is_killed_another_leads_and_it_comes_back_from_its_file(fleet):
+def test_leader_when_killed_is_replaced_and_comes_back_from_its_files(fleet):
     leader = fleet.leader()
     before = fleet.purge(0xD1)
     fleet.kill(leader)
@@ -44,7 +44,7 @@
     eventually(caught_up)
 
 
-def test_all_replicas_are_killed_and_go_on_from_their_files(fleet):
+def test_replicas_when_all_are_killed_go_on_from_their_files(fleet):
     before = fleet.purge(0xD4)
     for name in REPLICAS:
         fleet.kill(name)
@@ -55,7 +55,7 @@
     assert fleet.maxage(0xD4) > 0 and fleet.maxage(0xD5) > 0
 
 
-def test_a_replica_without_its_files_does_not_start(fleet):
+def test_replica_when_without_its_files_does_not_start(fleet):
     name = REPLICAS[0]
     fleet.stop(name)
     folder = fleet.folder / "state" / name
@@ -68,7 +68,7 @@
     fleet.start(name).wait('"event":"changelog_role"')
 
 
-def test_a_minority_commits_nothing_and_every_router_limits(fleet):
+def test_minority_when_alone_commits_nothing_and_routers_limit_ages(fleet):
     lost = REPLICAS[:3]
     number = fleet.purge(0xE0).number
 
@@ -87,7 +87,7 @@
     assert fleet.maxage(0xE2) > 0 and fleet.maxage(0xE3) is None
 
 
-def test_repeated_and_damaged_datagrams_change_nothing(fleet):
+def test_datagrams_when_repeated_or_damaged_change_nothing(fleet):
     fleet.hub.noisy = True
     try:
         fleet.purge(0xF1)
@@ -101,7 +101,7 @@
         fleet.hub.noisy = False
 
 
-def test_settings_are_told_refused_by_name_or_shown_as_unknown(fleet):
+def test_settings_when_appended_are_applied_refused_by_name_or_shown_as_unknown(fleet):
     with socket.create_server(("127.0.0.1", 0)) as elsewhere:
         elsewhere.settimeout(PATIENT)
         line = fleet.put("journal", f"127.0.0.1:{elsewhere.getsockname()[1]}".encode())
@@ -117,7 +117,7 @@
         moved.close()
 
 
-def test_a_restart_from_a_backup_with_a_higher_epoch(fleet):
+def test_log_when_restored_from_a_backup_goes_on_in_a_higher_epoch(fleet):
     fleet.put("kept", b"1")
     backup = fleet.folder / "backup"
     assert fleet.command("backup", str(backup))[0] == 0
@@ -143,7 +143,7 @@
     eventually(lambda: not any(machine.status.blank for machine in fleet.machines() if machine.status))
 
 
-def test_the_command_line_appends_and_waits_and_shows(fleet):
+def test_command_line_when_appending_waits_for_routers_and_shows_them(fleet):
     code, told = fleet.command("append-purge", "00000000000000cd")
     assert (code, "routers 1" in told) == (0, True)
     assert fleet.maxage(0xCD) > 0
--- /dev/null
+++ b/tests/changelog/test_router_changes.py
@@ -0,0 +1,93 @@
+"""The change log: what a router does with the changes that it follows."""
+
+from types import SimpleNamespace
+
+import msgspec
+import pytest
+
+from tests.support.changelog_endpoints import (
+    ON,
+    entry,
+)
+from tests.support.changelog_log import KEY
+from wickhinge.changelog.effects import Apply, Reset
+from wickhinge.changelog.entries import Noop, Purge, Setting, Unknown
+from wickhinge.changelog.log import Snapshot
+from wickhinge.decide import Purges
+from wickhinge.fields import Malformed
+from wickhinge.net.changes import Changes
+from wickhinge.options.load import check
+
+
+@pytest.fixture
+def changes(sockets, tmp_path):
+    (tmp_path / "key").write_bytes(KEY)
+    options = check(ON.replace("/k", str(tmp_path / "key")) + "}", "x").changelog
+    told = []
+    node = SimpleNamespace(
+        reactor=sockets,
+        deadlines=SimpleNamespace(after=sockets.callLater),
+        log=SimpleNamespace(event=lambda event, **fields: told.append(event)),
+        router=SimpleNamespace(purges=Purges(6.0)),
+        copies=SimpleNamespace(proven=lambda copy, now: copy.made > 0, age=lambda copy, now: now - copy.made),
+        forwards=SimpleNamespace(overtaken=lambda holds: told.append(holds)),
+        move_journal=lambda address: told.append(address),
+        purge=lambda *given: told.append(given),
+        take_purge=lambda *given: told.append(given),
+    )
+    made = Changes(options, "n1", node)
+    made.node, made.told, made.options = node, told, options
+    return made
+
+
+def test_own_copies_when_over_the_limit_are_not_proven(changes):
+    young, old, unproven = (SimpleNamespace(made=made) for made in (999.0, 990.0, 0.0))
+    proven = changes.node.copies.proven
+    assert [proven(copy, 1000.0) for copy in (young, old, unproven)] == [True, False, False]
+    changes.follower.max_copy_age_s = lambda grace: None
+    assert [proven(copy, 1000.0) for copy in (young, old, unproven)] == [True, True, False]
+
+
+def test_limit_when_the_time_of_day_differs_is_the_same(changes):
+    purges = changes.node.router.purges
+    assert purges.oldest(1, 0, 0.0) == purges.oldest(1, 0, 2e9) == pytest.approx(0.94 * 6 - 0.001)
+
+
+def test_changes_when_applied_go_where_they_belong_and_others_nowhere(changes):
+    for number, change in enumerate(
+        (Noop(), Purge(7, 3, 5), Setting("journal", b"10.0.0.1:7", 1), Unknown(20, False, b""))
+    ):
+        changes.follower.do(Apply(entry(number + 1, change)))
+    assert changes.told == [(7, 3, 5, 0), ("10.0.0.1", 7), "changelog_setting"]
+
+
+def test_snapshot_when_loaded_takes_purges_together_and_overtakes_waiting_forwards(changes):
+    changes.follower.do(Reset(Snapshot(1, 9, b"d" * 8, (), (Purge(7, 3, 5), Purge(None, 4, 6)))))
+    assert changes.told[:2] == [(7, 3, 5, 0), (None, 4, 6, 0)] and changes.told[3] == "changelog_reset"
+    waiting = [
+        SimpleNamespace(forward=SimpleNamespace(visit=SimpleNamespace(item=SimpleNamespace(key=key), group=group)))
+        for key, group in ((7, 0), (8, 4), (8, 3))
+    ]
+    assert [changes.told[2](sent) for sent in waiting] == [False, False, True]
+
+
+def test_waiting_forwards_when_ages_become_limited_are_decided_anew(changes):
+    changes.follower.max_copy_age_s = lambda grace: None
+    changes.follower.after_tick()
+    changes.told.clear()
+    changes.follower.max_copy_age_s = lambda grace: 5.0
+    changes.follower.after_tick()
+    changes.follower.after_tick()
+    holds, event = changes.told
+    assert event == "changelog_uninformed"
+    assert not holds(
+        SimpleNamespace(forward=SimpleNamespace(visit=SimpleNamespace(tariff=SimpleNamespace(passes_on=0))))
+    )
+
+
+def test_reload_when_anything_but_keys_changed_is_refused(changes):
+    assert changes.keys_in(changes.options) == [KEY]
+    with pytest.raises(Malformed, match="changelog.grace_s: changes at a restart only"):
+        changes.keys_in(msgspec.structs.replace(changes.options, grace_s=9.0))
+    with pytest.raises(Malformed, match="changelog.key_file: /nowhere can't be read"):
+        changes.keys_in(msgspec.structs.replace(changes.options, key_file="/nowhere"))
--- a/tests/changelog/test_changelog_nodes.py
+++ b/tests/changelog/test_router_on_processes.py
@@ -32,7 +32,7 @@
         yield made
 
 
-def test_a_purge_reaches_the_router_and_the_next_request_states_the_age(fleet):
+def test_purge_when_appended_limits_the_age_in_the_next_request(fleet):
     assert fleet.maxage(0xA1) is None
     began = time.time()
     answer = fleet.purge(0xA1)
@@ -42,7 +42,7 @@
     assert fleet.maxage(0xA2) is None
 
 
-def test_a_router_that_hears_nothing_limits_all_ages_within_the_bound(fleet):
+def test_router_when_cut_off_limits_all_ages_within_the_bound(fleet):
     took = uninformed_after(fleet, lambda: cut_off(fleet, ROUTER, RELAYS))
     assert took <= BOUND_S + 0.1
     assert 0 < fleet.maxage(0xB1) <= LIMIT_S
@@ -50,12 +50,12 @@
     assert fleet.maxage(0xB1) is None
 
 
-def test_a_way_cut_towards_the_router_is_no_way(fleet):
+def test_router_when_cut_inward_only_is_uninformed_within_the_bound(fleet):
     assert uninformed_after(fleet, lambda: cut_off(fleet, ROUTER, RELAYS, outward=False)) <= BOUND_S + 0.1
     heal(fleet)
 
 
-def test_a_way_cut_from_the_router_alone_keeps_it_informed_while_it_is_subscribed(fleet):
+def test_router_when_cut_outward_only_stays_informed_while_subscribed(fleet):
     """The relays go on to echo its last token with the time that they have held it."""
     cut_off(fleet, ROUTER, RELAYS, inward=False)
     fleet.client.append(Purge(0xB2, 0, 0), PATIENT)
@@ -64,7 +64,7 @@
     fleet.hub.cut.clear()
 
 
-def test_a_relay_that_is_killed_is_left_and_nothing_is_limited(fleet):
+def test_relay_when_killed_is_left_and_nothing_is_limited(fleet):
     """The change of relays takes less than the bound, so the router stays informed all along."""
     followed = eventually(fleet.router).relay
     fleet.kill(followed)
@@ -75,7 +75,7 @@
     fleet.start(followed).wait('"epoch":1')
 
 
-def test_a_relay_that_stands_still_is_left(fleet):
+def test_relay_when_it_stands_still_is_left(fleet):
     followed = eventually(fleet.router).relay
     fleet.pause(followed)
     try:
@@ -87,7 +87,7 @@
     eventually(lambda: all(machine.status for machine in fleet.machines()))
 
 
-def test_a_router_that_stood_still_believes_nothing_that_lay_unread_meanwhile(fleet):
+def test_router_when_it_stood_still_ignores_what_lay_unread(fleet):
     """What the relays sent to it, by tokens that it drew before, is older than its bound now."""
     child = fleet.stand.router.child
     child.send_signal(signal.SIGSTOP)
@@ -102,7 +102,7 @@
     heal(fleet)
 
 
-def test_keys_change_one_process_after_the_other(fleet):
+def test_keys_when_changed_one_process_after_the_other_keep_routers_informed(fleet):
     (fleet.folder / "next-key").write_text("the next key of this test's fleet")
 
     def reload(first, also):
--- /dev/null
+++ b/tests/changelog/test_settings_file.py
@@ -0,0 +1,38 @@
+"""The change log's part of the settings file."""
+
+import pytest
+
+from tests.support.changelog_endpoints import (
+    ON,
+)
+from wickhinge.options import Fault
+from wickhinge.options.load import check
+
+
+@pytest.mark.parametrize(
+    "text, told",
+    [
+        ('changelog: mode: "on"', "x: changelog.key_file: is missing"),
+        ('changelog: {mode: "on", key_file: "/k"}', "x: changelog.relays: is empty"),
+        (ON + ", grace_s: 3.7}", "x: changelog.grace_s: 3.7 is under 3.83"),
+        (ON + ', bind: "here"}', "x: changelog.bind: 'here' is not an address"),
+        ('changelog: relays: [{name: "l", address: "x"}]', "x: changelog.relays[0].address: 'x' is not an address"),
+        (
+            'changelog: replicas: [{name: "r", address: "10.0.0.1:7"}, {name: "r", address: "10.0.0.2:7"}]',
+            "x: changelog.replicas[1].name: 'r' stands twice",
+        ),
+        (f'changelog: relays: [{{name: "{"l" * 33}", address: "10.0.0.1:7"}}]', "relays[0].name: "),
+        (ON + ', replicas: [{name: "l", address: "10.0.0.2:7"}]}', "x: changelog.relays: l is a replica's name, too"),
+        ("changelog: bound_s: 0.1", "changelog.bound_s: 0.1 is not >= 0.5"),
+    ],
+)
+def test_settings_file_when_faulty_names_the_key(text, told):
+    with pytest.raises(Fault) as caught:
+        check(text, "x")
+    assert told in str(caught.value)
+
+
+def test_settings_file_when_read_gives_what_it_says_and_is_off_by_default():
+    assert check("", "x").changelog.mode == "off"
+    found = check(ON + "}", "x").changelog
+    assert (found.mode, found.bound_s, found.grace_s, found.relays[0].name) == ("on", 3.1, 6, "l")
--- a/tests/changelog/test_changelog_storage.py
+++ b/tests/changelog/test_storage.py
@@ -99,7 +99,7 @@
     return STATES[done : done + 2]
 
 
-def test_the_effects_mean_what_they_say():
+def test_memory_storage_when_given_effects_holds_their_sum():
     assert STATES[2].records == records(1, 3)
     assert STATES[4].records == records(1, 2) + records(3, 40, term=2)
     assert (STATES[4].term, STATES[4].vote) == (2, "r2")
@@ -120,11 +120,11 @@
 
 
 @pytest.mark.parametrize("how", [errno.EIO, errno.ENOSPC, "tear", "crash"])
-def test_what_was_done_is_there_whichever_call_fails(how):
+def test_file_storage_when_any_call_fails_recovers_what_was_done(how):
     sweep(how)
 
 
-def test_a_recovery_that_ends_anywhere_is_taken_up_by_the_next():
+def test_recovery_when_cut_off_anywhere_is_completed_by_the_next():
     for call in range(1, CALLS + 1):
         disk = Disk((call, "crash"))
         done = run(disk)
@@ -138,7 +138,7 @@
             assert recovered(second.restarted(again)) in allowed(done), (call, again)
 
 
-def test_after_a_failed_write_nothing_more_is_taken():
+def test_file_storage_when_a_write_failed_takes_nothing_more():
     disk = Disk()
     made = FileStorage.create(FOLDER, Stored(), disk)
     disk.fault = (disk.calls + 2, errno.EIO)  # the sync
@@ -165,7 +165,7 @@
 
 
 @pytest.mark.parametrize("plant", [no_sync, snapshot_in_place])
-def test_the_sweep_finds_a_planted_fault(monkeypatch, plant):
+def test_sweep_when_a_fault_is_planted_finds_it(monkeypatch, plant):
     plant(monkeypatch)
     with pytest.raises((AssertionError, StorageDamagedError)):
         sweep("crash")
@@ -184,7 +184,7 @@
     assert (third.stored.term, third.stored.records) == (1, ())
 
 
-def test_a_torn_block_is_followed_by_nothing_of_it():
+def test_torn_block_when_recovered_leaves_nothing_behind_later_blocks():
     check_appending_after_a_torn_block()
 
 
@@ -192,7 +192,7 @@
     return [path for path in disk.nodes if path.startswith(f"{FOLDER}/{prefix}")]
 
 
-def test_one_generation_is_kept():
+def test_generations_when_a_snapshot_is_persisted_leave_one_file():
     disk = Disk()
     run(disk)
     assert files_of(disk, storage.RECORDS) == [f"{FOLDER}/{storage.RECORDS}4"]
@@ -215,7 +215,7 @@
         ("records", 14, "damaged at byte 0"),
     ],
 )
-def test_a_damaged_file_is_refused_by_name_and_place(prefix, place, told):
+def test_damaged_file_when_opened_is_refused_by_name_and_place(prefix, place, told):
     def change(disk):
         disk.nodes[files_of(disk, prefix)[0]].data[place] ^= 1
 
@@ -223,7 +223,7 @@
         FileStorage.open(FOLDER, damaged(change))
 
 
-def test_a_damaged_block_before_others_is_refused():
+def test_damaged_block_when_before_others_is_refused():
     """It was synced before the ones after it were written, so no crash explains it."""
 
     def change(disk):
@@ -235,12 +235,12 @@
         FileStorage.open(FOLDER, damaged(change))
 
 
-def test_records_that_are_missing_are_told():
+def test_records_file_when_missing_is_named():
     with pytest.raises(StorageDamagedError, match="records.1: is missing"):
         FileStorage.open(FOLDER, damaged(lambda disk: disk.nodes.pop(f"{FOLDER}/records.1")))
 
 
-def test_a_block_of_an_earlier_generation_is_not_believed():
+def test_block_when_of_an_earlier_generation_is_refused():
     disk = damaged(lambda disk: None)
     disk.nodes[f"{FOLDER}/records.2"] = Node()
     disk.nodes[f"{FOLDER}/records.2"].data = bytearray(disk.nodes[f"{FOLDER}/records.1"].data)
@@ -250,7 +250,7 @@
         FileStorage.open(FOLDER, disk)
 
 
-def test_on_a_real_directory_one_process_at_a_time(tmp_path):
+def test_file_storage_when_on_a_real_directory_admits_one_process(tmp_path):
     folder = str(tmp_path / "replica")
     with pytest.raises(StorageMissingError, match="no such directory"):
         FileStorage.open(folder, Files())
