--- a/bench/scale/settings_file.py
+++ b/bench/scale/settings_file.py
@@ -5,7 +5,7 @@
 from bench.scale.meter import Meter
 from bench.scale.one_router import places
 from bench.scale.records import Row, row
-from wickhinge.options.load import check
+from wickhinge.options.load import parse_options
 
 CHANGES_A_DAY = 7300
 SECONDS_A_DAY = 86_400
@@ -26,8 +26,8 @@
     sizes = meter.sizes(10, 25, 50, 100, 400, 1600)
     texts = {size: settings(size) for size in sizes}
     a_second = CHANGES_A_DAY / SECONDS_A_DAY
-    check(texts[sizes[0]], "settings.cue")  # the grammar is built once
-    cpu = [a_second * meter.cpu(lambda size=size: check(texts[size], "settings.cue"), 1) for size in sizes]
+    parse_options(texts[sizes[0]], "settings.cue")  # the grammar is built once
+    cpu = [a_second * meter.cpu(lambda size=size: parse_options(texts[size], "settings.cue"), 1) for size in sizes]
     read = [a_second * len(texts[size]) for size in sizes]
     written = [a_second * size * len(texts[size]) for size in sizes]
     messages = [a_second * size for size in sizes]
--- a/tests/changelog/test_router_changes.py
+++ b/tests/changelog/test_router_changes.py
@@ -16,13 +16,13 @@
 from wickhinge.decide import Purges
 from wickhinge.fields import Malformed
 from wickhinge.net.changes import Changes
-from wickhinge.options.load import check
+from wickhinge.options.load import parse_options
 
 
 @pytest.fixture
 def changes(sockets, tmp_path):
     (tmp_path / "key").write_bytes(KEY)
-    options = check(ON.replace("/k", str(tmp_path / "key")) + "}", "x").changelog
+    options = parse_options(ON.replace("/k", str(tmp_path / "key")) + "}", "x").changelog
     told = []
     node = SimpleNamespace(
         reactor=sockets,
--- a/tests/changelog/test_settings_file.py
+++ b/tests/changelog/test_settings_file.py
@@ -5,8 +5,8 @@
 from tests.support.changelog_endpoints import (
     ON,
 )
-from wickhinge.options import Fault
-from wickhinge.options.load import check
+from wickhinge.options import OptionsError
+from wickhinge.options.load import parse_options
 
 
 @pytest.mark.parametrize(
@@ -27,12 +27,12 @@
     ],
 )
 def test_settings_file_when_faulty_names_the_key(text, told):
-    with pytest.raises(Fault) as caught:
-        check(text, "x")
+    with pytest.raises(OptionsError) as caught:
+        parse_options(text, "x")
     assert told in str(caught.value)
 
 
 def test_settings_file_when_read_gives_what_it_says_and_is_off_by_default():
-    assert check("", "x").changelog.mode == "off"
-    found = check(ON + "}", "x").changelog
+    assert parse_options("", "x").changelog.mode == "off"
+    found = parse_options(ON + "}", "x").changelog
     assert (found.mode, found.bound_s, found.grace_s, found.relays[0].name) == ("on", 3.1, 6, "l")
--- a/tests/lab/test_lab.py
+++ b/tests/lab/test_lab.py
@@ -15,7 +15,7 @@
 from wickhinge.lab.stations import Shared, Station
 from wickhinge.lab.stats import interval, paired
 from wickhinge.lab.wheel import Wheel
-from wickhinge.options import Fault
+from wickhinge.options import OptionsError
 
 SMALL = 'name: "small"\nseconds: 12\nwarm_s: 2\nrouters: 2\ncaches: 4\nobjects: 300\nvisits_per_s: 60\n'
 
@@ -177,7 +177,7 @@
     ],
 )
 def test_a_scenario_with_a_wrong_key_is_refused_by_name(text, told):
-    with pytest.raises(Fault) as caught:
+    with pytest.raises(OptionsError) as caught:
         check(text, "x")
     assert told in str(caught.value)
 
--- a/tests/lab/test_many.py
+++ b/tests/lab/test_many.py
@@ -15,7 +15,7 @@
 from wickhinge.lab.many import schedule, trial
 from wickhinge.lab.many.launch import wrong
 from wickhinge.lab.many.schedule import Fault, Schedule
-from wickhinge.options.load import check
+from wickhinge.options.load import parse_options
 
 ROOT = Path(__file__).parents[2]
 
@@ -123,7 +123,7 @@
     if key is not None:
         (tmp_path / "key").write_text(key)
     (tmp_path / "o.cue").write_text(f'peers: {{mode: "on", key_file: "{tmp_path}/key", roster: [{roster}]}}')
-    assert len(check((tmp_path / "o.cue").read_text(), "x").peers.roster) in (1, 2)
+    assert len(parse_options((tmp_path / "o.cue").read_text(), "x").peers.roster) in (1, 2)
     env = {
         **os.environ,
         "RELAY_CONFIG": str(ROOT / "example/config.json"),
--- a/tests/options/test_options.py
+++ b/tests/options/test_options.py
@@ -7,15 +7,15 @@
 
 from tests.support.imports import modules_of_a_start
 from wickhinge.cli import main
-from wickhinge.options import Fault, load
-from wickhinge.options.load import check
+from wickhinge.options import OptionsError, load
+from wickhinge.options.load import parse_options
 from wickhinge.store.keep import Copy
 from wickhinge.store.tools import opened
 
 ROOT = Path(__file__).parents[2]
 
 
-def test_what_is_off_is_not_imported():
+def test_router_when_all_is_off_imports_none_of_it():
     loaded = modules_of_a_start()
     ours = [f"wickhinge.{name}" for name in ("peers", "shared", "store", "membership", "options", "lab", "changelog")]
     off = ("msgspec", "lark", "twisted.internet.endpoints", *ours)
@@ -23,9 +23,9 @@
     assert [name for name in loaded if name.startswith(off)] == []
 
 
-def test_the_file_of_this_repository_keeps_everything_off():
+def test_deployed_file_when_loaded_keeps_everything_off():
     assert load(str(ROOT / "deploy/wickhinge.cue")).store.mode == "off"
-    assert check("", "x") == check("// nothing\n", "x")
+    assert parse_options("", "x") == parse_options("// nothing\n", "x")
 
 
 @pytest.mark.parametrize(
@@ -38,8 +38,8 @@
         'store: {mode: "on"}\nstore: {dir: "/d", mode: "on"}',
     ],
 )
-def test_the_same_said_in_several_ways(text):
-    told = check(text, "x")
+def test_options_when_written_in_several_ways_are_the_same(text):
+    told = parse_options(text, "x")
     assert (told.store.mode, told.store.dir, told.store.size_mb) == ("on", "/d", 4096)
 
 
@@ -65,17 +65,17 @@
         ("store: dir: [1]", "store.dir: is not a plain value"),
     ],
 )
-def test_a_fault_names_file_line_and_key(text, told):
-    with pytest.raises(Fault) as caught:
-        check(text, "x")
+def test_options_when_faulty_name_file_line_and_key(text, told):
+    with pytest.raises(OptionsError) as caught:
+        parse_options(text, "x")
     assert told in str(caught.value)
 
 
-def test_a_file_that_is_not_there_or_not_text(tmp_path):
-    with pytest.raises(Fault, match="cannot be read"):
+def test_file_when_missing_or_not_text_is_refused(tmp_path):
+    with pytest.raises(OptionsError, match="cannot be read"):
         load(str(tmp_path / "none.cue"))
     (tmp_path / "bytes.cue").write_bytes(b"\xff\xfe")
-    with pytest.raises(Fault, match="UTF-8"):
+    with pytest.raises(OptionsError, match="UTF-8"):
         load(str(tmp_path / "bytes.cue"))
 
 
@@ -95,7 +95,7 @@
     return tmp_path / "tier"
 
 
-def test_a_tier_is_looked_at_purged_and_compacted(tier):
+def test_store_commands_when_given_a_tier_show_purge_and_compact_it(tier):
     code, out = command("store", "stat", tier, "--json")
     assert code == 0 and '"copies":12' in out and '"objects":6' in out
     assert command("store", "ls", tier, "--object", "0000000000000003")[1].count("\n") == 2
@@ -109,7 +109,7 @@
     assert '"purged":6' in command("store", "purge", tier, "--all", "--json")[1]
 
 
-def test_damage_is_told_by_verify(tier):
+def test_store_verify_when_a_tier_is_damaged_says_so(tier):
     path = tier / "segment-0000000001.wh"
     data = bytearray(path.read_bytes())
     data[200] ^= 1
@@ -131,20 +131,20 @@
         (("check-config", "--options", "nowhere"), "cannot be read"),
     ],
 )
-def test_wrong_words_end_with_2_and_a_reason(tmp_path, monkeypatch, words, told):
+def test_command_when_given_wrong_words_ends_with_2_and_a_reason(tmp_path, monkeypatch, words, told):
     monkeypatch.chdir(tmp_path)
     code, out = command(*words)
     assert code == 2 and told in out
 
 
-def test_settings_in_force_can_be_read_back():
+def test_check_config_when_settings_are_good_shows_them():
     code, out = command(
         "check-config", "--options", ROOT / "deploy/wickhinge.cue", "--config", ROOT / "example/config.json"
     )
     assert code == 0 and "store.mode = off" in out and "tariffs = ['pages', 'results']" in out
 
 
-def test_a_remembered_list_is_shown_compared_and_exported(tmp_path):
+def test_list_commands_when_given_a_remembered_list_show_compare_and_export_it(tmp_path):
     from wickhinge.membership.keeper import Keeper
     from wickhinge.membership.remembered import Memory, Row
     from wickhinge.store.files import Files
--- a/tests/shared/test_cold_shares.py
+++ b/tests/shared/test_cold_shares.py
@@ -16,7 +16,8 @@
 from wickhinge.interface import Outcome
 from wickhinge.lab.many import judges, play
 from wickhinge.lab.many.schedule import Schedule
-from wickhinge.options.load import Fault, check
+from wickhinge.options.errors import OptionsError
+from wickhinge.options.load import parse_options
 from wickhinge.peers.detector import FailureDetector
 from wickhinge.peers.roster import Place, Roster
 from wickhinge.shared import cold
@@ -247,8 +248,8 @@
     ],
 )
 def test_settings_that_cannot_be_name_the_key(text, told):
-    with pytest.raises(Fault, match=told):
-        check(text, "x")
+    with pytest.raises(OptionsError, match=told):
+        parse_options(text, "x")
 
 
 def test_a_router_in_another_zone_than_the_platform_says_is_refused(tmp_path):
--- a/wickhinge/cli/changelog.py
+++ b/wickhinge/cli/changelog.py
@@ -23,14 +23,14 @@
 
 def settings(path: str | None) -> Any:
     """The settings' `changelog`; ends the process where they cannot be used."""
-    from wickhinge.options import Fault, load
+    from wickhinge.options import OptionsError, load
 
     path = path or os.environ.get("WICKHINGE_OPTIONS")
     if not path:
         fail("give --options or set WICKHINGE_OPTIONS")
     try:
         return load(path).changelog
-    except Fault as fault:
+    except OptionsError as fault:
         fail(str(fault))
 
 
@@ -61,11 +61,11 @@
     from wickhinge.fields import Malformed
 
     def reread() -> Any:
-        from wickhinge.options import Fault, load
+        from wickhinge.options import OptionsError, load
 
         try:
             return load(options or os.environ["WICKHINGE_OPTIONS"]).changelog
-        except Fault as fault:
+        except OptionsError as fault:
             raise Malformed(str(fault)) from None
 
     from twisted.internet import reactor
--- a/wickhinge/cli/commands.py
+++ b/wickhinge/cli/commands.py
@@ -62,7 +62,7 @@
     from wickhinge import settings
     from wickhinge.fields import Malformed
     from wickhinge.net import config as platform
-    from wickhinge.options import Fault, load
+    from wickhinge.options import OptionsError, load
 
     if not options and not config:
         fail("check-config: give --options, --config or both")
@@ -81,7 +81,7 @@
                 "location": router.fleet.zone,
                 "tariffs": list(tariffs),
             }
-    except (Fault, Malformed) as problem:
+    except (OptionsError, Malformed) as problem:
         fail(str(problem))
     if as_json:
         click.echo(orjson.dumps(answer).decode())
--- a/wickhinge/cli/lab.py
+++ b/wickhinge/cli/lab.py
@@ -21,17 +21,18 @@
 def scenario(name: str) -> tuple[Any, str]:
     """By a file's path, or the name of one that comes along."""
     from wickhinge.lab import scenario as form
-    from wickhinge.options.load import Fault, text_of
+    from wickhinge.options.errors import OptionsError
+    from wickhinge.options.load import read_text
 
     try:
         if os.path.exists(name):
-            text = text_of(name)
+            text = read_text(name)
             return form.check(text, name), text
         known = form.bundled()
         if name not in known:
             fail(f"{name}: is no file, and none of {', '.join(known)}")
         return form.check(known[name], name), known[name]
-    except Fault as problem:
+    except OptionsError as problem:
         fail(str(problem))
 
 
--- a/wickhinge/cli/peers.py
+++ b/wickhinge/cli/peers.py
@@ -23,7 +23,7 @@
 def roster(path: str | None) -> tuple[bytes, dict[str, tuple[str, int]]]:
     """The key, and of each name its address."""
     from wickhinge.fields import Malformed
-    from wickhinge.options import Fault, keys, load
+    from wickhinge.options import OptionsError, keys, load
     from wickhinge.peers.roster import places
 
     path = path or os.environ.get("WICKHINGE_OPTIONS")
@@ -33,7 +33,7 @@
         found = load(path).peers
         key = keys.read("peers.key_file", found.key_file)
         addresses = {one.name: one.address for one in places(found.roster)}
-    except (Fault, Malformed) as problem:
+    except (OptionsError, Malformed) as problem:
         fail(str(problem))
     if not addresses:
         fail(f"{path}: peers.roster: is empty")
--- a/wickhinge/lab/scenario.py
+++ b/wickhinge/lab/scenario.py
@@ -6,7 +6,8 @@
 
 import msgspec
 
-from wickhinge.options.load import Fault, text_of, unify
+from wickhinge.options.errors import OptionsError
+from wickhinge.options.load import read_text, unify_with_schema
 
 
 class Failure(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
@@ -56,20 +57,20 @@
 
 
 def check(source: str, name: str) -> Scenario:
-    """Raises Fault."""
-    made = msgspec.convert(unify("wickhinge.lab", "scenario.cue", source, name), Scenario)
+    """Raises OptionsError."""
+    made = msgspec.convert(unify_with_schema("wickhinge.lab", "scenario.cue", source, name), Scenario)
     if made.zones > min(made.caches, made.routers):
-        raise Fault(f"{name}: zones: are more than caches or routers")
+        raise OptionsError(name, "are more than caches or routers", key="zones")
     for place, failure in enumerate(made.failures):
         if failure.at_s >= made.seconds:
-            raise Fault(f"{name}: failures[{place}].at_s: lies past the scenario's {made.seconds} s")
+            raise OptionsError(name, f"lies past the scenario's {made.seconds} s", key=f"failures[{place}].at_s")
         if failure.target >= made.caches:
-            raise Fault(f"{name}: failures[{place}].target: is none of the {made.caches} caches")
+            raise OptionsError(name, f"is none of the {made.caches} caches", key=f"failures[{place}].target")
     return made
 
 
 def load(path: str) -> Scenario:
-    return check(text_of(path), path)
+    return check(read_text(path), path)
 
 
 def bundled() -> dict[str, str]:
--- a/wickhinge/net/changes.py
+++ b/wickhinge/net/changes.py
@@ -29,8 +29,10 @@
     """`options`: the settings of the change log. Raises Malformed with the faulty key."""
 
     def __init__(self, options: Changelog, name: str, node: Any) -> None:
-        if len(name.encode()) > options_of.MOST_NAME:
-            raise Malformed(f"config: field name is over {options_of.MOST_NAME} bytes, too long for the change log")
+        if len(name.encode()) > options_of.MAX_NAME_BYTES:
+            raise Malformed(
+                f"config: field name is over {options_of.MAX_NAME_BYTES} bytes, too long for the change log"
+            )
         self._options, self._node, self._log = options, node, node.log.event
         self.settings = SettingsTable(self._log)
         self.settings.subscribe(JOURNAL, self._node.move_journal)
--- a/wickhinge/net/start.py
+++ b/wickhinge/net/start.py
@@ -53,11 +53,11 @@
 
 def read_options(path: str) -> Any:
     """Our own settings as the file has them now. Raises Malformed with the faulty key."""
-    from wickhinge.options import Fault, load
+    from wickhinge.options import OptionsError, load
 
     try:
         return load(path)
-    except Fault as problem:
+    except OptionsError as problem:
         raise Malformed(str(problem)) from None
 
 
--- a/wickhinge/options/keys.py
+++ b/wickhinge/options/keys.py
@@ -4,16 +4,21 @@
 
 from wickhinge.fields import Malformed
 
-LEAST = 16  # bytes
+MIN_KEY_BYTES = 16
+MAX_KEY_FILE_BYTES = 4096  # what is behind is not read
 
 
-def read(where: str, path: str) -> bytes:
-    """Raises Malformed with the setting's name: without its key nothing is told to anybody."""
+def read(setting: str, path: str) -> bytes:
+    """The key in the file that `setting` names, without surrounding whitespace.
+
+    Raises:
+        Malformed: The file cannot be read or the key is too short; the text has the setting's name.
+    """
     try:
         with open(path, "rb") as file:
-            key = file.read(4096).strip()
-    except OSError as problem:
-        raise Malformed(f"{where}: {path} can't be read: {problem.strerror}") from None
-    if len(key) < LEAST:
-        raise Malformed(f"{where}: {path} holds under {LEAST} bytes")
+            key = file.read(MAX_KEY_FILE_BYTES).strip()
+    except OSError as error:
+        raise Malformed(f"{setting}: {path} can't be read: {error.strerror}") from None
+    if len(key) < MIN_KEY_BYTES:
+        raise Malformed(f"{setting}: {path} holds under {MIN_KEY_BYTES} bytes")
     return key
