--- a/tests/changelog/test_replicas_on_processes.py
+++ b/tests/changelog/test_replicas_on_processes.py
@@ -38,7 +38,7 @@
     number = fleet.purge(0xD3).number
 
     def caught_up():
-        status = fleet.client.machine(leader).status
+        status = fleet.client.server(leader).status
         return status is not None and status.number >= number and status.state == "follower"
 
     eventually(caught_up)
@@ -79,7 +79,7 @@
     assert uninformed_after(fleet, kill) <= BOUND_S + 0.5  # the kills take their time
     assert not fleet.can_append(1.0)
     assert 0 < fleet.maxage(0xE1) <= LIMIT_S
-    assert all(machine.status.number <= number for machine in fleet.machines() if machine.status)
+    assert all(server.status.number <= number for server in fleet.servers() if server.status)
     for name in lost:
         fleet.start(name)
     fleet.event("informed")
@@ -95,7 +95,7 @@
         fleet.client.append(Purge(0xF2, 0, 0), PATIENT)
         between = lines_until(fleet.stand.router, '"key":"00000000000000f2"')
         assert not [one for one in between if "00000000000000f1" in one]
-        statuses = [machine.status for machine in fleet.machines()]
+        statuses = [server.status for server in fleet.servers()]
         assert all(status.counters.unreadable > 0 for status in statuses)
     finally:
         fleet.hub.noisy = False
@@ -137,10 +137,10 @@
     answer = fleet.purge(0xAB)
     assert answer.epoch == 2 and answer.number <= lost
     assert fleet.maxage(0xAB) > 0
-    eventually(lambda: all(machine.status and machine.status.epoch == 2 for machine in fleet.machines()))
+    eventually(lambda: all(server.status and server.status.epoch == 2 for server in fleet.servers()))
     code, told = fleet.command("restore", "--name", restored[0], "--epoch", "2", str(backup))
     assert (code, "runs in epoch 2" in told) == (2, True)
-    eventually(lambda: not any(machine.status.blank for machine in fleet.machines() if machine.status))
+    eventually(lambda: not any(server.status.blank for server in fleet.servers() if server.status))
 
 
 def test_command_line_when_appending_waits_for_routers_and_shows_them(fleet):
--- a/tests/changelog/test_router_on_processes.py
+++ b/tests/changelog/test_router_on_processes.py
@@ -84,7 +84,7 @@
         assert fleet.maxage(0xC3) > 0
     finally:
         fleet.go_on(followed)
-    eventually(lambda: all(machine.status for machine in fleet.machines()))
+    eventually(lambda: all(server.status for server in fleet.servers()))
 
 
 def test_router_when_it_stood_still_ignores_what_lay_unread(fleet):
--- a/tests/support/changelog_fleet.py
+++ b/tests/support/changelog_fleet.py
@@ -192,19 +192,19 @@
 
     # What the test asks.
 
-    def machines(self):
-        return self.client.machines([*REPLICAS, *RELAYS])
+    def servers(self):
+        return self.client.servers([*REPLICAS, *RELAYS])
 
     def leader(self):
         def found():
-            leads = [machine.name for machine in self.machines() if machine.status and machine.status.state == "leader"]
+            leads = [server.name for server in self.servers() if server.status and server.status.state == "leader"]
             return leads[0] if len(leads) == 1 else None
 
         return eventually(found)
 
     def router(self):
         """The row of the router, or None."""
-        return next(iter(routers_of(self.machines())), None)
+        return next(iter(routers_of(self.servers())), None)
 
     def purge(self, key, timeout_s=PATIENT):
         """Returns once the router has it."""
--- a/wickhinge/cli/__init__.py
+++ b/wickhinge/cli/__init__.py
@@ -3,7 +3,7 @@
 Exit codes: 0 done, 1 something is wrong with what was looked at, 2 wrong arguments, settings or directory.
 """
 
-from wickhinge.cli import changelog, lab, peers, trace
+from wickhinge.cli import changelog, lab, peers, remembered_list, store, trace
 from wickhinge.cli.commands import main
 
-__all__ = ["changelog", "lab", "main", "peers", "trace"]
+__all__ = ["changelog", "lab", "main", "peers", "remembered_list", "store", "trace"]
--- a/wickhinge/cli/changelog.py
+++ b/wickhinge/cli/changelog.py
@@ -1,18 +1,24 @@
-"""Commands of the change log: its replicas and relays as processes, changes for it, where everybody stands, backups."""
+"""Commands of the change log: its replicas and relays as processes, changes for it, its status, backups."""
 
 from __future__ import annotations
 
 import os
 import sys
-from typing import Any, NoReturn
+from typing import TYPE_CHECKING, NoReturn
 
 import click
-import orjson
 
-from wickhinge.cli.commands import JSON, OPTIONS, WRONG, fail, main
+from wickhinge.cli.commands import main
+from wickhinge.cli.output import JSON_OPTION, OPTIONS_FILE, WRONG, fail, print_json
+
+if TYPE_CHECKING:
+    from wickhinge.changelog.entries import Change
+    from wickhinge.changelog.stored import Storage
+    from wickhinge.cli.changelog_client import Client, Router, Server
+    from wickhinge.options.records import Changelog
 
 NAME = click.option("--name", required=True, help="Which of the settings' machines this one is.")
-FILE = click.option("--options", type=OPTIONS, help="Our own settings; else WICKHINGE_OPTIONS names them.")
+FILE = click.option("--options", type=OPTIONS_FILE, help="Our own settings; else WICKHINGE_OPTIONS names them.")
 TIMEOUT = click.option("--timeout", "timeout_s", type=click.FloatRange(0.1, 600), default=10.0, show_default=True)
 
 
@@ -21,7 +27,7 @@
     """An ordered log of purges and settings, handed down to all routers."""
 
 
-def settings(path: str | None) -> Any:
+def read_settings(path: str | None) -> Changelog:
     """The settings' `changelog`; ends the process where they cannot be used."""
     from wickhinge.options import OptionsError, load
 
@@ -30,52 +36,54 @@
         fail("give --options or set WICKHINGE_OPTIONS")
     try:
         return load(path).changelog
-    except OptionsError as fault:
-        fail(str(fault))
+    except OptionsError as error:
+        fail(str(error))
 
 
-def client(path: str | None) -> Any:
+def make_client(path: str | None) -> Client:
+    """A client by the settings; ends the process where they cannot be used."""
     from wickhinge.cli.changelog_client import Client
     from wickhinge.fields import Malformed
 
-    found = settings(path)
+    settings = read_settings(path)
     for key in ("replicas", "relays"):
-        if not getattr(found, key):
+        if not getattr(settings, key):
             fail(f"changelog.{key}: is empty")
     try:
-        return Client(found)
-    except Malformed as fault:
-        fail(str(fault))
+        return Client(settings)
+    except Malformed as error:
+        fail(str(error))
 
 
-def directory_of(found: Any, name: str) -> str:
-    if name not in {machine.name for machine in found.replicas}:
+def directory_of(settings: Changelog, name: str) -> str:
+    """Where the replica `name` has its files; ends the process where the settings do not say."""
+    if name not in {server.name for server in settings.replicas}:
         fail(f"changelog.replicas: none is named {name}")
-    if not found.dir:
+    if not settings.dir:
         fail("changelog.dir: is missing")
-    return f"{found.dir}/{name}"
+    return f"{settings.dir}/{name}"
 
 
-def run(name: str, options: str | None, storage: Any) -> NoReturn:
+def run(name: str, options: str | None, storage: Storage | None) -> NoReturn:
     """Runs a replica or a relay until SIGTERM; exit code 1 where its storage failed."""
     from wickhinge.fields import Malformed
 
-    def reread() -> Any:
+    def reload_options() -> Changelog:
         from wickhinge.options import OptionsError, load
 
         try:
             return load(options or os.environ["WICKHINGE_OPTIONS"]).changelog
-        except OptionsError as fault:
-            raise Malformed(str(fault)) from None
+        except OptionsError as error:
+            raise Malformed(str(error)) from None
 
     from twisted.internet import reactor
 
     from wickhinge.changelog.daemon import Daemon
 
     try:
-        code = Daemon(name, settings(options), reactor, reread, storage).run()
-    except (Malformed, OSError) as fault:
-        fail(str(fault))
+        code = Daemon(name, read_settings(options), reactor, reload_options, storage).run()
+    except (Malformed, OSError) as error:
+        fail(str(error))
     sys.exit(code)
 
 
@@ -90,16 +98,14 @@
     from wickhinge.changelog.stored import Stored
     from wickhinge.store.files import Files
 
-    directory = directory_of(settings(options), name)
+    directory = directory_of(read_settings(options), name)
     try:
-        if new:
-            storage = FileStorage.create(directory, Stored(), Files())
-        else:
-            storage = FileStorage.open(directory, Files())
-    except StorageMissingError as fault:
-        fail(f"{fault}; --new begins a new log")
-    except (StorageError, OSError) as fault:
-        fail(str(fault))
+        files = Files()
+        storage = FileStorage.create(directory, Stored(), files) if new else FileStorage.open(directory, files)
+    except StorageMissingError as error:
+        fail(f"{error}; --new begins a new log")
+    except (StorageError, OSError) as error:
+        fail(str(error))
     run(name, options, storage)
 
 
@@ -108,38 +114,44 @@
 @NAME
 def relay(options: str | None, name: str) -> None:
     """Run a relay until SIGTERM. It keeps nothing on disk."""
-    found = settings(options)
-    if name not in {machine.name for machine in found.relays}:
+    settings = read_settings(options)
+    if name not in {server.name for server in settings.relays}:
         fail(f"changelog.relays: none is named {name}")
-    if not found.replicas:
+    if not settings.replicas:
         fail("changelog.replicas: is empty")
     run(name, options, None)
 
 
-def append(options: str | None, change: Any, timeout_s: float, as_json: bool) -> NoReturn:
+def append(options: str | None, change: Change, timeout_s: float, as_json: bool) -> NoReturn:
+    """Appends a change, waits for the routers and prints who has it."""
     from wickhinge.changelog.entries import validate
     from wickhinge.changelog.errors import InvalidChangeError
     from wickhinge.cli.changelog_client import NotAppendedError
 
-    asking = client(options)
+    client = make_client(options)
     try:
         validate(change)
-        answer = asking.append(change, timeout_s)
-    except (InvalidChangeError, NotAppendedError) as fault:
-        fail(str(fault), WRONG)
-    has, lack, silent = asking.wait_for_routers(answer.number, timeout_s)
-    told = {"epoch": answer.epoch, "number": answer.number, "stamp_ms": answer.stamp_ms, "routers": len(has)}
+        answer = client.append(change, timeout_s)
+    except (InvalidChangeError, NotAppendedError) as error:
+        fail(str(error), WRONG)
+    routers = client.wait_for_routers(answer.number, timeout_s)
+    figures = {
+        "epoch": answer.epoch,
+        "number": answer.number,
+        "stamp_ms": answer.stamp_ms,
+        "routers": len(routers.having),
+    }
     if as_json:
-        click.echo(orjson.dumps({**told, "lack": lack, "silent_relays": silent}).decode())
+        print_json({**figures, "lack": routers.lacking, "silent_relays": routers.silent_relays})
     else:
-        click.echo(", ".join(f"{name} {value}" for name, value in told.items()))
-        for name in lack:
+        click.echo(", ".join(f"{name} {value}" for name, value in figures.items()))
+        for name in routers.lacking:
             click.echo(f"router {name} lacks it")
-        for name in silent:
+        for name in routers.silent_relays:
             click.echo(f"relay {name} does not answer")
-        if not has and not lack:
+        if not routers.having and not routers.lacking:
             click.echo("no relay knows of a router")
-    sys.exit(0 if has and not lack else WRONG)
+    sys.exit(0 if routers.are_complete else WRONG)
 
 
 @changelog.command("append-purge")
@@ -147,7 +159,7 @@
 @click.option("--group", type=click.IntRange(0, 65535), help="All objects of this group; with KEY: the object's.")
 @FILE
 @TIMEOUT
-@JSON
+@JSON_OPTION
 def append_purge(key: str | None, group: int | None, options: str | None, timeout_s: float, as_json: bool) -> None:
     """Void all copies of the object KEY (16 hex digits), or of a group, that were made before now.
 
@@ -170,7 +182,7 @@
 @click.argument("value")
 @FILE
 @TIMEOUT
-@JSON
+@JSON_OPTION
 def append_setting(setting: str, value: str, options: str | None, timeout_s: float, as_json: bool) -> None:
     """Put SETTING in force with VALUE at all routers; returns as append-purge does."""
     from wickhinge.changelog.entries import Setting
@@ -179,30 +191,30 @@
 
     try:
         check_value(setting, value.encode())
-    except Malformed as fault:
-        fail(f"append-setting: {setting}: {fault}")
+    except Malformed as error:
+        fail(f"append-setting: {setting}: {error}")
     append(options, Setting(setting, value.encode(), 0), timeout_s, as_json)
 
 
 @changelog.command()
 @FILE
-@JSON
+@JSON_OPTION
 def show(options: str | None, as_json: bool) -> None:
     """Where each replica, relay and router stands; 1 if something is not well."""
     import msgspec
 
     from wickhinge.cli.changelog_client import faults_of, routers_of
 
-    asking = client(options)
-    machines = asking.machines([*asking.replicas, *asking.relays])
-    routers = routers_of(machines)
-    faults = faults_of(machines, routers)
+    client = make_client(options)
+    servers = client.servers([*client.replicas, *client.relays])
+    routers = routers_of(servers)
+    faults = faults_of(servers, routers)
     if as_json:
-        statuses = [machine.status or {"name": machine.name, "error": machine.error} for machine in machines]
+        statuses = [server.status or {"name": server.name, "error": server.error} for server in servers]
         click.echo(msgspec.json.encode({"machines": statuses, "routers": routers, "faults": faults}).decode())
     else:
-        for machine in machines:
-            click.echo(machine_line(machine))
+        for server in servers:
+            click.echo(server_line(server))
         for router in routers:
             click.echo(router_line(router))
         for fault in faults:
@@ -210,22 +222,25 @@
     sys.exit(WRONG if faults else 0)
 
 
-def machine_line(machine: Any) -> str:
-    status = machine.status
+def server_line(server: Server) -> str:
+    """One replica or relay in words."""
+    status = server.status
     if status is None:
-        return f"{machine.role:<8} {machine.name:<16} does not answer"
+        return f"{server.role:<8} {server.name:<16} does not answer"
     where = f"{status.state}, term {status.term}" if status.role == "replica" else f"follows {status.source}"
     age = "age not known" if status.age_s is None else f"age {status.age_s:.2f} s"
     return (
-        f"{machine.role:<8} {machine.name:<16} epoch {status.epoch}, number {status.number}, {age}, {where}, "
+        f"{server.role:<8} {server.name:<16} epoch {status.epoch}, number {status.number}, {age}, {where}, "
         f"{status.followers} followers"
     )
 
 
-def router_line(router: Any) -> str:
-    from wickhinge.cli.changelog_client import uninformed
+def router_line(router: Router) -> str:
+    """One router in words."""
+    from wickhinge.cli.changelog_client import describe_uninformed
 
-    state = f", {uninformed(router)}" if uninformed(router) else ""
+    uninformed = describe_uninformed(router)
+    state = f", {uninformed}" if uninformed else ""
     differs = ", its log differs" if router.agrees is False else ""
     return (
         f"router   {router.name:<16} number {router.number}, lag {router.lag}, by {router.relay}, "
@@ -241,23 +256,23 @@
     """Write the log's state, settings and latest purges, to FILE, for `restore`."""
     from twisted.internet import reactor
 
-    from wickhinge.cli.changelog_client import backup as fetch
+    from wickhinge.cli.changelog_client import fetch_backup
     from wickhinge.fields import Malformed
     from wickhinge.store.files import Files, replace
 
-    def done(data: bytes, number: int) -> None:
+    def write(data: bytes, number: int) -> None:
         replace(Files(), os.path.dirname(os.path.abspath(file)), os.path.basename(file), data)
         click.echo(f"number {number}, {len(data)} bytes")
 
-    found = settings(options)
-    if not found.relays:
+    settings = read_settings(options)
+    if not settings.relays:
         fail("changelog.relays: is empty")
     try:
-        why = fetch(found, timeout_s, done, reactor)
-    except (Malformed, OSError) as fault:
-        fail(str(fault))
-    if why:
-        fail(why, WRONG)
+        reason = fetch_backup(settings, timeout_s, write, reactor)
+    except (Malformed, OSError) as error:
+        fail(str(error))
+    if reason:
+        fail(reason, WRONG)
 
 
 @changelog.command()
@@ -279,20 +294,20 @@
     from wickhinge.changelog.stored import Stored
     from wickhinge.store.files import Files
 
-    directory = directory_of(settings(options), name)
+    directory = directory_of(read_settings(options), name)
     try:
         with open(file, "rb") as opened:
             snapshot = decode_snapshot(opened.read())
-    except (OSError, MalformedMessageError) as fault:
-        fail(f"{file}: {fault}")
+    except (OSError, MalformedMessageError) as error:
+        fail(f"{file}: {error}")
     if snapshot.epoch >= epoch:
         fail(f"restore: --epoch: the backup is of epoch {snapshot.epoch}, a higher one is needed")
-    for machine in client(options).machines(machine.name for machine in settings(options).replicas):
-        if machine.status is not None and machine.status.epoch >= epoch:
-            fail(f"restore: --epoch: {machine.name} runs in epoch {machine.status.epoch}; a higher one is needed")
+    for server in make_client(options).servers(replica.name for replica in read_settings(options).replicas):
+        if server.status is not None and server.status.epoch >= epoch:
+            fail(f"restore: --epoch: {server.name} runs in epoch {server.status.epoch}; a higher one is needed")
     snapshot = msgspec.structs.replace(snapshot, epoch=epoch, term=0)
     try:
         FileStorage.create(directory, Stored(epoch=epoch, snapshot=snapshot), Files()).close()
-    except (StorageInUseError, OSError) as fault:
-        fail(str(fault))
+    except (StorageInUseError, OSError) as error:
+        fail(str(error))
     click.echo(f"{directory}: epoch {epoch}, number {snapshot.number}")
--- a/wickhinge/cli/changelog_client.py
+++ b/wickhinge/cli/changelog_client.py
@@ -30,12 +30,12 @@
 from wickhinge.changelog.messages import UNKNOWN_AGE_MS
 from wickhinge.changelog.settings import FollowSettings
 from wickhinge.changelog.snapshots import encode_snapshot
-from wickhinge.cli.asking import Silent, ask
+from wickhinge.cli.question import NoAnswerError, Question, ask
 from wickhinge.options import changelog as options_of
 from wickhinge.options.records import Changelog
 
-AT_ONCE = 16
-POLL_S = 0.05
+MAX_CONCURRENT_QUESTIONS = 16
+POLL_INTERVAL_S = 0.05
 SHOW_ATTEMPTS, APPEND_ATTEMPTS = 3, 2
 MAX_PAGES = 100
 
@@ -44,7 +44,7 @@
     """No replica took the change, or it is not known to be committed; the text says why."""
 
 
-class Machine(msgspec.Struct):
+class Server(msgspec.Struct):
     """A replica or a relay as it answered: `status` is None, and `error` not "", where it did not."""
 
     name: str
@@ -55,8 +55,9 @@
 
 
 class Router(msgspec.Struct):
-    """A follower, as the relay that it follows, or has as its second one, tells of it. `uninformed_s`: 0 where it is
-    informed; None where it never was.
+    """A router as the relay that it follows, or has as its secondary source, reports it.
+
+    `uninformed_s` is 0 where it is informed, None where it never was.
     """
 
     name: str
@@ -68,8 +69,21 @@
     agrees: bool | None
 
 
+class RouterProgress(msgspec.Struct):
+    """The routers that have an entry, those that lack it, and the relays that do not answer."""
+
+    having: list[str]
+    lacking: list[str]
+    silent_relays: list[str]
+
+    @property
+    def are_complete(self) -> bool:
+        """Whether there are routers, and all of them have the entry."""
+        return bool(self.having) and not self.lacking
+
+
 class Client:
-    """Raises Malformed where a key cannot be read."""
+    """Asks the replicas and relays of the settings. Raises Malformed where a key cannot be read."""
 
     def __init__(self, options: Changelog) -> None:
         self._key = options_of.read_keys(options)[0]
@@ -77,17 +91,18 @@
         self.relays = options_of.addresses(options.relays)
 
     def _ask(self, name: str, word: str, more: bytes, attempts: int) -> bytes:
-        """Raises Silent."""
+        """Raises NoAnswerError."""
         address = self.replicas.get(name) or self.relays[name]
-        return ask(self._key, name, address, word, more, attempts)
+        return ask(self._key, name, address, Question(word, more, attempts))
 
-    def machine(self, name: str) -> Machine:
+    def server(self, name: str) -> Server:
+        """What one replica or relay says of itself."""
         role = "replica" if name in self.replicas else "relay"
         try:
             status = msgspec.json.decode(self._ask(name, STATUS, b"", SHOW_ATTEMPTS), type=Status)
-            return Machine(name, role, status, self._rows(name))
-        except (Silent, msgspec.MsgspecError) as fault:
-            return Machine(name, role, None, [], str(fault))
+            return Server(name, role, status, self._rows(name))
+        except (NoAnswerError, msgspec.MsgspecError) as error:
+            return Server(name, role, None, [], str(error))
 
     def _rows(self, name: str) -> list[SubscriberRow]:
         rows: list[SubscriberRow] = []
@@ -99,16 +114,19 @@
                 break
         return rows
 
-    def machines(self, names: Iterable[str]) -> list[Machine]:
-        with ThreadPoolExecutor(AT_ONCE) as executor:
-            return list(executor.map(self.machine, names))
+    def servers(self, names: Iterable[str]) -> list[Server]:
+        """What several of them say, asked at the same time."""
+        with ThreadPoolExecutor(MAX_CONCURRENT_QUESTIONS) as executor:
+            return list(executor.map(self.server, names))
 
     def append(self, change: Change, timeout_s: float) -> AppendAnswer:
-        """Returns once the change is committed, and is stamped by the leader no earlier than ingest_s before that.
-        Raises NotAppendedError.
+        """Returns once the change is committed, stamped by the leader no earlier than ingest_s before that.
+
+        Raises:
+            NotAppendedError: It is refused, or not known to be committed after `timeout_s`.
         """
         deadline = time.monotonic() + timeout_s
-        why = "no replica answers"
+        reason = "no replica answers"
         request = AppendRequest(os.urandom(REQUEST_ID_BYTES), encode_change(change))
         names = list(self.replicas)
         while time.monotonic() < deadline:
@@ -117,71 +135,73 @@
             try:
                 data = self._ask(name, APPEND, msgspec.msgpack.encode(request), APPEND_ATTEMPTS)
                 answer = msgspec.json.decode(data, type=AppendAnswer)
-            except (Silent, msgspec.MsgspecError) as fault:
-                why = str(fault)
+            except (NoAnswerError, msgspec.MsgspecError) as error:
+                reason = str(error)
                 continue
             if answer.state is AppendState.COMMITTED:
                 return answer
             if answer.state is AppendState.REFUSED:
                 raise NotAppendedError(answer.reason)
-            why = f"{name}: {answer.reason or answer.state.value}"
+            reason = f"{name}: {answer.reason or answer.state.value}"
             if answer.state is AppendState.FAILED:  # a new stamp
                 request = AppendRequest(os.urandom(REQUEST_ID_BYTES), request.change)
             preferred = answer.leader if answer.state is AppendState.NOT_LEADER else name
             if preferred in names:
                 names.remove(preferred)
                 names.insert(0, preferred)
-            time.sleep(POLL_S)
-        raise NotAppendedError(f"not committed within {timeout_s} s: {why}")
+            time.sleep(POLL_INTERVAL_S)
+        raise NotAppendedError(f"not committed within {timeout_s} s: {reason}")
 
-    def wait_for_routers(self, number: int, timeout_s: float) -> tuple[list[str], list[str], list[str]]:
-        """Until each router that a relay knows of has the log up to `number`, or the time is over. The routers that
-        have it, those that lack it, and the relays that do not answer.
-        """
+    def wait_for_routers(self, number: int, timeout_s: float) -> RouterProgress:
+        """Waits until each router that a relay knows has the log up to `number`, or the time is over."""
         deadline = time.monotonic() + timeout_s
         while True:
-            machines = self.machines(self.relays)
-            silent = [machine.name for machine in machines if machine.status is None]
-            has: dict[str, bool] = {}
-            for machine in machines:
-                for row in machine.rows:
-                    has[row.name] = has.get(row.name, False) or (row.number >= number and row.agrees is True)
-            lack = sorted(name for name, there in has.items() if not there)
-            if (has and not lack) or time.monotonic() >= deadline:
-                return sorted(set(has) - set(lack)), lack, silent
-            time.sleep(POLL_S)
-
-
-def routers_of(machines: Iterable[Machine]) -> list[Router]:
-    """One row a router: of the relay that it follows, else of a second one."""
-    found: dict[str, tuple[bool, float, Router]] = {}
-    for machine in machines:
-        for row in machine.rows if machine.role == "relay" else []:
+            servers = self.servers(self.relays)
+            silent_relays = [server.name for server in servers if server.status is None]
+            has_entry: dict[str, bool] = {}
+            for row in (row for server in servers for row in server.rows):
+                is_there = row.number >= number and row.agrees is True
+                has_entry[row.name] = has_entry.get(row.name, False) or is_there
+            having = sorted(name for name, is_there in has_entry.items() if is_there)
+            lacking = sorted(name for name, is_there in has_entry.items() if not is_there)
+            progress = RouterProgress(having, lacking, silent_relays)
+            if progress.are_complete or time.monotonic() >= deadline:
+                return progress
+            time.sleep(POLL_INTERVAL_S)
+
+
+def routers_of(servers: Iterable[Server]) -> list[Router]:
+    """One row a router: by the relay that it follows, else by its secondary one."""
+    best_rows: dict[str, tuple[bool, float, Router]] = {}
+    for server in servers:
+        for row in server.rows if server.role == "relay" else []:
             uninformed_s = None if row.uninformed_s >= UNKNOWN_AGE_MS / 1000 else row.uninformed_s
-            router = Router(row.name, machine.name, row.number, row.lag, row.age_s, uninformed_s, row.agrees)
-            former = found.get(row.name)
-            if former is None or (row.heartbeats_only, row.age_s) < former[:2]:
-                found[row.name] = (row.heartbeats_only, row.age_s, router)
-    return [found[name][2] for name in sorted(found)]
+            router = Router(row.name, server.name, row.number, row.lag, row.age_s, uninformed_s, row.agrees)
+            best = best_rows.get(row.name)
+            if best is None or (row.heartbeats_only, row.age_s) < best[:2]:
+                best_rows[row.name] = (row.heartbeats_only, row.age_s, router)
+    return [best_rows[name][2] for name in sorted(best_rows)]
 
 
-def faults_of(machines: list[Machine], routers: list[Router]) -> list[str]:
+def faults_of(servers: list[Server], routers: list[Router]) -> list[str]:
     """What an operator has to look at, in words; empty where all is well."""
-    faults = [f"{machine.role} {machine.name}: {machine.error}" for machine in machines if machine.status is None]
-    statuses = [machine.status for machine in machines if machine.status is not None]
+    faults = [f"{server.role} {server.name}: {server.error}" for server in servers if server.status is None]
+    statuses = [server.status for server in servers if server.status is not None]
     replicas = [status for status in statuses if status.role == "replica"]
     if not any(status.state == "leader" and status.age_s is not None for status in replicas):
         faults.append("no leader that a majority answers")
     if len({status.epoch for status in statuses}) > 1:
         faults.append("epochs differ")
     faults += [f"replica {status.name}: blank, waits for a snapshot" for status in replicas if status.blank]
-    faults += [f"router {router.name}: {uninformed(router)}" for router in routers if uninformed(router)]
+    faults += [
+        f"router {router.name}: {describe_uninformed(router)}" for router in routers if describe_uninformed(router)
+    ]
     faults += [f"router {router.name}: its log differs" for router in routers if router.agrees is False]
     return faults
 
 
-def uninformed(router: Router) -> str:
-    """In words; "" where it is informed."""
+def describe_uninformed(router: Router) -> str:
+    """For how long a router has been uninformed, in words; "" where it is informed."""
     if router.uninformed_s is None:
         return "never informed"
     return f"uninformed for {router.uninformed_s:.1f} s" if router.uninformed_s else ""
@@ -224,7 +244,7 @@
         return self._follower.clock()
 
 
-def backup(options: Changelog, timeout_s: float, done: Callable[[bytes, int], None], reactor: Any) -> str:
+def fetch_backup(options: Changelog, timeout_s: float, done: Callable[[bytes, int], None], reactor: Any) -> str:
     """Follows the relays until the complete log is known, then calls done(encoded snapshot, its number).
 
     Returns why it failed, "" where it did not. Raises Malformed where a key cannot be read, OSError where no socket can
--- a/wickhinge/cli/peers.py
+++ b/wickhinge/cli/peers.py
@@ -10,9 +10,10 @@
 import click
 import orjson
 
-from wickhinge.cli.commands import JSON, OPTIONS, WRONG, fail, main, tell
+from wickhinge.cli.commands import main
+from wickhinge.cli.output import JSON_OPTION, OPTIONS_FILE, WRONG, fail, print_answer, print_json, print_line
 
-AT_ONCE = 16  # routers asked at a time
+MAX_CONCURRENT_QUESTIONS = 16
 
 
 @main.group()
@@ -20,8 +21,8 @@
     """Routers that know each other."""
 
 
-def roster(path: str | None) -> tuple[bytes, dict[str, tuple[str, int]]]:
-    """The key, and of each name its address."""
+def read_roster(path: str | None) -> tuple[bytes, dict[str, tuple[str, int]]]:
+    """The fleet's key, and the routers' addresses by name; ends the process where the settings cannot be used."""
     from wickhinge.fields import Malformed
     from wickhinge.options import OptionsError, keys, load
     from wickhinge.peers.roster import places
@@ -30,9 +31,9 @@
     if not path:
         fail("give --options or set WICKHINGE_OPTIONS")
     try:
-        found = load(path).peers
-        key = keys.read("peers.key_file", found.key_file)
-        addresses = {one.name: one.address for one in places(found.roster)}
+        settings = load(path).peers
+        key = keys.read("peers.key_file", settings.key_file)
+        addresses = {peer.name: peer.address for peer in places(settings.roster)}
     except (OptionsError, Malformed) as problem:
         fail(str(problem))
     if not addresses:
@@ -40,69 +41,70 @@
     return key, addresses
 
 
-def asked(key: bytes, name: str, address: tuple[str, int]) -> dict[str, Any]:
+def ask_router(key: bytes, name: str, address: tuple[str, int]) -> dict[str, Any]:
     """What that router shows; {"name", "error"} where it does not answer."""
-    from wickhinge.cli.asking import Silent, ask
+    from wickhinge.cli.question import NoAnswerError, Question, ask
 
     try:
-        return orjson.loads(ask(key, name, address, "peers"))
-    except Silent as problem:
-        return {"name": name, "error": str(problem)}
+        answer: dict[str, Any] = orjson.loads(ask(key, name, address, Question("peers")))
+    except NoAnswerError as error:
+        return {"name": name, "error": str(error)}
+    return answer
 
 
-def brief(told: dict[str, Any]) -> dict[str, Any]:
+def summary(answer: dict[str, Any]) -> dict[str, Any]:
     """One router in a line, and whether all is well there."""
-    if "error" in told:
-        return {"router": told["name"], "well": False, "error": told["error"]}
-    well = told["settled"] and told["cut_s"] is None and not told["unheard"] and not told["twin"]
+    if "error" in answer:
+        return {"router": answer["name"], "well": False, "error": answer["error"]}
+    well = answer["settled"] and answer["cut_s"] is None and not answer["unheard"] and not answer["twin"]
     line = {
-        "router": told["name"],
-        "zone": told["zone"],
+        "router": answer["name"],
+        "zone": answer["zone"],
         "well": well,
-        "heard": told["share"],
-        "cut_s": told["cut_s"],
-        "unheard": told["unheard"],
-        "twin": told["twin"],
-        "epoch": told["epoch"],
-        "roster": told["roster"],
+        "heard": answer["share"],
+        "cut_s": answer["cut_s"],
+        "unheard": answer["unheard"],
+        "twin": answer["twin"],
+        "epoch": answer["epoch"],
+        "roster": answer["roster"],
     }
-    if "shared" in told:
-        line["shares"] = [one["share"] for one in told["shared"]["budgets"]]
-        line["vouched_s"] = told["shared"]["vouched_s"]
+    if "shared" in answer:
+        line["shares"] = [budget["share"] for budget in answer["shared"]["budgets"]]
+        line["vouched_s"] = answer["shared"]["vouched_s"]
     return line
 
 
 @peers.command()
-@click.option("--options", type=OPTIONS, help="Our own settings, with peers.roster and peers.key_file.")
+@click.option("--options", type=OPTIONS_FILE, help="Our own settings, with peers.roster and peers.key_file.")
 @click.option("--router", help="The name of the one to ask; the first of the roster where none is given.")
 @click.option("--all", "every", is_flag=True, help="Ask each router of the roster, one line each.")
-@JSON
+@JSON_OPTION
 def show(options: str | None, router: str | None, every: bool, as_json: bool) -> None:
     """Who hears whom, since when, and by what shares cold machines' limits are spent; 1 if somebody is not well."""
-    key, places = roster(options)
+    key, places = read_roster(options)
     if router is not None and router not in places:
         fail(f"{router} is not on the roster")
     if every:
-        with ThreadPoolExecutor(AT_ONCE) as many:
-            found = list(many.map(lambda name: brief(asked(key, name, places[name])), places))
+        with ThreadPoolExecutor(MAX_CONCURRENT_QUESTIONS) as executor:
+            summaries = list(executor.map(lambda name: summary(ask_router(key, name, places[name])), places))
         if as_json:
-            click.echo(orjson.dumps({"routers": found}).decode())
+            print_json({"routers": summaries})
         else:
-            for line in found:
-                click.echo(", ".join(f"{name} {value}" for name, value in line.items() if value is not None))
-        sys.exit(0 if all(line["well"] for line in found) else WRONG)
+            for line in summaries:
+                print_line(line)
+        sys.exit(0 if all(line["well"] for line in summaries) else WRONG)
     name = router or next(iter(places))
-    told = asked(key, name, places[name])
-    if "error" in told:
-        fail(told["error"], WRONG)
+    answer = ask_router(key, name, places[name])
+    if "error" in answer:
+        fail(answer["error"], WRONG)
     if as_json:
-        click.echo(orjson.dumps(told).decode())
+        print_json(answer)
     else:
-        fellows, shared = told.pop("fellows"), told.pop("shared", None)
-        tell(told, False)
-        for one in shared["budgets"] if shared else ():
-            click.echo(f"{'share':<16} " + ", ".join(f"{word} {value}" for word, value in one.items()))
-        for one in fellows:
-            ages = "" if one["since_s"] is None else f" since {one['since_s']} s, last word {one['word_s']} s ago"
-            click.echo(f"{one['name']:<16} {one['state']}{ages}{'' if one['roster'] else ', another roster'}")
-    sys.exit(0 if brief(told)["well"] else WRONG)
+        peer_rows, shared = answer.pop("fellows"), answer.pop("shared", None)
+        print_answer(answer, False)
+        for budget in shared["budgets"] if shared else ():
+            click.echo(f"{'share':<16} " + ", ".join(f"{name} {value}" for name, value in budget.items()))
+        for peer in peer_rows:
+            ages = "" if peer["since_s"] is None else f" since {peer['since_s']} s, last word {peer['word_s']} s ago"
+            click.echo(f"{peer['name']:<16} {peer['state']}{ages}{'' if peer['roster'] else ', another roster'}")
+    sys.exit(0 if summary(answer)["well"] else WRONG)
--- a/wickhinge/cli/trace.py
+++ b/wickhinge/cli/trace.py
@@ -11,7 +11,8 @@
 import click
 import orjson
 
-from wickhinge.cli.commands import JSON, UNUSABLE, WRONG, fail, main
+from wickhinge.cli.commands import main
+from wickhinge.cli.output import JSON_OPTION, UNUSABLE, WRONG, fail, print_json
 
 
 @dataclass(frozen=True, slots=True)
@@ -40,9 +41,9 @@
                 yield LogLine(str(path), number, fields)
 
 
-def life(found: LogLine) -> Iterator[str]:
+def describe(line: LogLine) -> Iterator[str]:
     """What happened, a step a line, with milliseconds since the request was taken."""
-    fields = found.fields
+    fields = line.fields
     outcome = " ".join(str(fields[name]) for name in ("end", "reason") if fields.get(name))
     yield f"{fields.get('t', '')} {fields.get('router', '')} {fields.get('event', '')}: {outcome}".rstrip(": ")
     known = ("tariff", "patience", "unread_ms", "ms", "repeat", "exclusive", "open", "unbegun", "why")
@@ -57,26 +58,26 @@
 @main.command()
 @click.argument("rid")
 @click.argument("logs", nargs=-1, required=True, type=click.Path(exists=True, dir_okay=False))
-@JSON
+@JSON_OPTION
 def trace(rid: str, logs: tuple[str, ...], as_json: bool) -> None:
     """What routers' LOGS tell of the request RID, in order of time; 1 if nothing does.
 
     A request that was not served leaves its steps, as far as the bound on lines a second allows; of those that were
     served one in 32 does.
     """
-    found: list[LogLine] = []
+    lines: list[LogLine] = []
     for path in logs:
         try:
-            found += lines_about(rid, Path(path))
+            lines += lines_about(rid, Path(path))
         except OSError as problem:
             fail(f"{path}: cannot be read: {problem.strerror}", UNUSABLE)
-    found.sort(key=lambda line: line.fields.get("t", 0.0))
+    lines.sort(key=lambda line: line.fields.get("t", 0.0))
     if as_json:
-        click.echo(orjson.dumps([line.fields for line in found]).decode())
+        print_json([line.fields for line in lines])
     else:
-        for line in found:
-            for text in life(line):
+        for line in lines:
+            for text in describe(line):
                 click.echo(text)
-    if not found:
+    if not lines:
         click.echo(f"nothing of {rid} in {len(logs)} logs", err=True)
         sys.exit(WRONG)
