--- a/tests/changelog/test_router_changes.py
+++ b/tests/changelog/test_router_changes.py
@@ -15,7 +15,7 @@
 from wickhinge.changelog.log import Snapshot
 from wickhinge.decide import Purges
 from wickhinge.fields import Malformed
-from wickhinge.net.changes import Changes
+from wickhinge.net.control.changelog_client import ChangelogClient
 from wickhinge.options.load import parse_options
 
 
@@ -35,7 +35,7 @@
         purge=lambda *given: told.append(given),
         take_purge=lambda *given: told.append(given),
     )
-    made = Changes(options, "n1", node)
+    made = ChangelogClient(options, "n1", node)
     made.node, made.told, made.options = node, told, options
     return made
 
@@ -81,7 +81,7 @@
     holds, event = changes.told
     assert event == "changelog_uninformed"
     assert not holds(
-        SimpleNamespace(forward=SimpleNamespace(visit=SimpleNamespace(tariff=SimpleNamespace(passes_on=0))))
+        SimpleNamespace(forward=SimpleNamespace(visit=SimpleNamespace(request_class=SimpleNamespace(pass_through=0))))
     )
 
 
--- a/tests/options/test_options.py
+++ b/tests/options/test_options.py
@@ -19,7 +19,7 @@
     loaded = modules_of_a_start()
     ours = [f"wickhinge.{name}" for name in ("peers", "shared", "store", "membership", "options", "lab", "changelog")]
     off = ("msgspec", "lark", "twisted.internet.endpoints", *ours)
-    assert "wickhinge.net.router" in loaded
+    assert "wickhinge.net.control.router_process" in loaded
     assert [name for name in loaded if name.startswith(off)] == []
 
 
--- a/tests/support/connections.py
+++ b/tests/support/connections.py
@@ -2,15 +2,15 @@
 
 from types import SimpleNamespace
 
-from wickhinge.net import journal
-from wickhinge.net.arrivals import Arrivals
-from wickhinge.net.buffers import Pool
-from wickhinge.net.caches import Caches, Line
+from wickhinge.net.control import endpoint_watch
+from wickhinge.net.runtime.arrivals import Arrivals
+from wickhinge.net.runtime.buffers import BufferPool
+from wickhinge.net.upstream.connection_pools import ConnectionPools, UpstreamConnection
 
 
 def pool(limit=8):
     told = []
-    made = Pool(limit, lambda: told.append("stop"), lambda: told.append("go"))
+    made = BufferPool(limit, lambda: told.append("stop"), lambda: told.append("go"))
     return made, told
 
 
@@ -43,11 +43,11 @@
         soon=lambda call, *told: soon.append((call, told)),
         arrivals=Arrivals(0.0),
     )
-    caches = Caches(None, clock, pool()[0], 0.4, 15.0, 100, 50, lambda *_, **more: None, [].append)
+    caches = ConnectionPools(None, clock, pool()[0], 0.4, 15.0, 100, 50, lambda *_, **more: None, [].append)
     caches.ended = ends.__setitem__
     caches.answered = lambda number, *_: ends.setdefault(number, "answered") == "answered"
     caches.listed(1, "1", ("127.0.0.1", 1))
-    made = Line(caches.machines[1])
+    made = UpstreamConnection(caches.machines[1])
     made.machine.lines.append(made)
     made.transport = made.socket = Wire(room)
     made.up = True
@@ -57,17 +57,15 @@
 def reading(last=40):
     told = []
     clock = SimpleNamespace(after=lambda *_: None, now=lambda: 1.0)
-    made = journal.Journal(
-        None,
-        clock,
-        ("127.0.0.1", 1),
-        last,
-        0.4,
-        lambda *a: told.append(a),
-        lambda *a: told.append(a),
-        lambda *a, **k: None,
+    listener = SimpleNamespace(
+        endpoints_changed=lambda records, *, complete: told.append((complete, records)),
+        purged=lambda *purge: told.append(purge),
+        caught_up=lambda: None,
     )
-    made.reading = SimpleNamespace(
-        stream=journal.Stream(), transport=SimpleNamespace(abortConnection=lambda: told.append("dropped"))
+    made = endpoint_watch.EndpointWatch(
+        None, clock, endpoint_watch.WatchSettings(("127.0.0.1", 1), last, 0.4), listener, lambda *a, **k: None
+    )
+    made.connection = SimpleNamespace(
+        decoder=endpoint_watch.FrameDecoder(), transport=SimpleNamespace(abortConnection=lambda: told.append("dropped"))
     )
     return made, told
--- a/wickhinge/changelog/daemon.py
+++ b/wickhinge/changelog/daemon.py
@@ -19,7 +19,7 @@
 from wickhinge.changelog.settings import RelaySettings, ReplicaSettings
 from wickhinge.changelog.stored import Storage
 from wickhinge.fields import Malformed
-from wickhinge.net.log import Log
+from wickhinge.net.runtime.log import Log
 from wickhinge.options import changelog as options_of
 from wickhinge.options.records import Changelog
 
--- a/wickhinge/cli/commands.py
+++ b/wickhinge/cli/commands.py
@@ -26,7 +26,7 @@
 )
 def run(options: str | None) -> None:
     """Start one router, told what it is by RELAY_CONFIG."""
-    from wickhinge.net.start import main as start
+    from wickhinge.net.control.start import main as start
 
     sys.exit(start(options))
 
@@ -41,7 +41,7 @@
 
     from wickhinge import settings
     from wickhinge.fields import Malformed
-    from wickhinge.net import config as platform
+    from wickhinge.net.control import config as platform
     from wickhinge.options import OptionsError, load
 
     if not options and not config:
--- a/wickhinge/net/changes.py
+++ b/wickhinge/net/control/changelog_client.py
@@ -25,7 +25,7 @@
 ANY_ADDRESS = ("0.0.0.0", 0)
 
 
-class Changes:
+class ChangelogClient:
     """`options`: the settings of the change log. Raises Malformed with the faulty key."""
 
     def __init__(self, options: Changelog, name: str, node: Any) -> None:
@@ -136,12 +136,12 @@
             return
         self._limited = limited
         if limited:
-            self._node.forwards.overtaken(lambda sent: sent.forward.visit.tariff.passes_on)
+            self._node.forwards.overtaken(lambda sent: sent.forward.visit.request_class.pass_through)
         figures = self.figures()
         state = "changelog_uninformed" if limited else "changelog_informed"
         self._log(state, epoch=figures["epoch"], number=figures["number"], age_s=figures["age_s"])
 
 
-def make(options: Changelog, name: str, node: Any) -> Changes:
+def make(options: Changelog, name: str, node: Any) -> ChangelogClient:
     """Raises Malformed with the faulty key."""
-    return Changes(options, name, node)
+    return ChangelogClient(options, name, node)
--- a/wickhinge/net/fellows.py
+++ b/wickhinge/net/control/peer_transport.py
@@ -15,7 +15,7 @@
 from twisted.internet.error import CannotListenError
 from twisted.internet.protocol import DatagramProtocol
 
-from wickhinge.decide import Chance
+from wickhinge.decide import RandomSource
 from wickhinge.fields import Malformed
 from wickhinge.options import keys
 from wickhinge.peers import desk, wire
@@ -34,7 +34,7 @@
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
-class Fellows(DatagramProtocol):
+class PeerTransport(DatagramProtocol):
     """The router's FailureDetector on its socket."""
 
     noisy = False
@@ -45,7 +45,7 @@
         self.after, self.log = node.deadlines.after, node.log.event
         self.unreadable = self.unsent = self.left = self.taken = 0
         self.detector = FailureDetector(
-            roster, Chance(seed), clock(), self.send, lambda event, **told: self.log(f"peers_{event}", **told)
+            roster, RandomSource(seed), clock(), self.send, lambda event, **told: self.log(f"peers_{event}", **told)
         )
         self.seen: Any = None  # of the last view that the log was told
         self.view_due = 0.0
@@ -260,10 +260,10 @@
     return Division(names, options.shared.processes or names + SPARE)
 
 
-def make(options: Any, name: str, node: Any) -> Fellows:
+def make(options: Any, name: str, node: Any) -> PeerTransport:
     """Raises Malformed with the faulty key."""
     roster, found = told_by(options, name)
-    made = Fellows(node, roster, found, node.seed ^ 0xFE110)
+    made = PeerTransport(node, roster, found, node.seed ^ 0xFE110)
     if options.shared.mode == "on":
         made.share(
             divided(options, roster, node.router.fleet.zone),
--- a/wickhinge/net/router.py
+++ b/wickhinge/net/control/router_process.py
@@ -11,20 +11,20 @@
 
 from wickhinge import settings
 from wickhinge.clocks import WallClockWatch, monotonic, wall
+from wickhinge.common.failed_calls import failed_calls
 from wickhinge.fields import Malformed
-from wickhinge.interface import Listing
-from wickhinge.net import config
-from wickhinge.net.accept import Clients
-from wickhinge.net.buffers import SIZE, Pool
-from wickhinge.net.caches import Caches
-from wickhinge.net.deadlines import Deadlines
-from wickhinge.net.descriptors import bounds
-from wickhinge.net.forwards import Forwards
-from wickhinge.net.journal import Journal
-from wickhinge.net.log import Log
-from wickhinge.net.opening import Opening
-from wickhinge.net.patience import failed_calls
-from wickhinge.net.visits import Visits
+from wickhinge.interface import Endpoint
+from wickhinge.net.control import config
+from wickhinge.net.control.endpoint_watch import EndpointRecord, EndpointWatch, WatchSettings
+from wickhinge.net.control.readiness import Readiness
+from wickhinge.net.downstream.client_connections import ClientConnections
+from wickhinge.net.downstream.descriptors import bounds
+from wickhinge.net.downstream.request_table import RequestTable
+from wickhinge.net.runtime.buffers import SIZE, BufferPool
+from wickhinge.net.runtime.deadlines import Deadlines
+from wickhinge.net.runtime.log import Log
+from wickhinge.net.upstream.attempts import Attempts
+from wickhinge.net.upstream.connection_pools import ConnectionPools
 
 STATES = ("ready", "draining", "gone")
 PROBE_WITHIN = 0.25  # where the settings name no time limit of probes
@@ -43,7 +43,7 @@
 CIRCLES = 25_000
 
 
-class Node:
+class RouterProcess:
     def __init__(self, conf: dict[str, Any], reactor: Any, descriptor: int = 1, options: Any = None) -> None:
         self.reactor = reactor
         self.log = Log(descriptor, config.name(conf), Deadlines.now)
@@ -56,8 +56,8 @@
         descriptors = bounds(sockets)
         self.collect_over = memory * 700  # in KB: 0.7 of the limit
         connect_within, idle, streams = config.times(conf)
-        self.pool = Pool(max((memory - BASE) * 500_000 // SIZE, 128), self.pause, self.resume)
-        self.caches = Caches(
+        self.pool = BufferPool(max((memory - BASE) * 500_000 // SIZE, 128), self.pause, self.resume)
+        self.caches = ConnectionPools(
             reactor,
             self.deadlines,
             self.pool,
@@ -68,78 +68,77 @@
             self.log.event,
             self.fault,
         )
-        self.forwards = Forwards(self.caches, self.deadlines, PROBE_WITHIN, self.fault)
+        self.forwards = Attempts(self.caches, self.deadlines, PROBE_WITHIN, self.fault)
         conf_settings = config.settings(conf)
         self.zones = settings.names(conf_settings, "zones")
         self.kinds = settings.names(conf_settings, "shapes")
         self.seed = config.seed(conf)
-        self.router, tariffs = settings.build(conf_settings, self.seed, self)
+        self.router, request_classes = settings.build(conf_settings, self.seed, self)
         self.caches.stops = self.router.cancel
         self.others = self.forwards.others
         self.others.improved = lambda: self.router.fleet.relate(self.deadlines.now())
         self.forwards.informed = self.informed
-        reactor.behind = lambda: self.journal.look()
+        reactor.behind = lambda: self.endpoint_watch.read_pending()
         self.router.fleet.instant = self.router.purges.instant = self.others.instant
-        self.last = min(max(tariff.patience for tariff in tariffs.values()), LONGEST) + LAST
-        self.visits = Visits(self.forwards, self.deadlines, self.pool, tariffs, self.log.event, self.fault)
+        self.last = min(max(request_class.timeout for request_class in request_classes.values()), LONGEST) + LAST
+        self.visits = RequestTable(
+            self.forwards, self.deadlines, self.pool, request_classes, self.log.event, self.fault
+        )
         self.forwards.router = self.visits.router = self.router
-        self.clients = Clients(self.visits, self.deadlines, descriptors.clients, self.log.event)
+        self.clients = ClientConnections(self.visits, self.deadlines, descriptors.clients, self.log.event)
         self.copies: Any = None
         if options is not None and options.store.mode == "on":
-            from wickhinge.net import copies  # what is off costs nothing
+            from wickhinge.net.upstream import local_copies  # what is off costs nothing
 
-            self.copies = copies.make(
+            self.copies = local_copies.make(
                 options, reactor, self.deadlines, self.pool, config.link(conf), self.log.event, self.fault, self.others
             )
         self.router.copies = self.visits.copies = self.forwards.copies = self.copies
         self.members: Any = None
         if options is not None and options.discovery.mode == "on":
-            from wickhinge.net import members
+            from wickhinge.net.control import membership
 
-            self.members = members.make(options, conf_settings, self)
+            self.members = membership.make(options, conf_settings, self)
         self.forwards.members = self.members
         self.fellows: Any = None
         if options is not None and options.peers.mode == "on":
-            from wickhinge.net import fellows
+            from wickhinge.net.control import peer_transport
 
-            self.fellows = fellows.make(options, config.name(conf), self)
+            self.fellows = peer_transport.make(options, config.name(conf), self)
         self.changes: Any = None
         if options is not None and options.changelog.mode == "on":
-            from wickhinge.net import changes
+            from wickhinge.net.control import changelog_client
 
-            self.changes = changes.make(options.changelog, config.name(conf), self)
+            self.changes = changelog_client.make(options.changelog, config.name(conf), self)
         last, events = config.known(conf)
-        self.journal = Journal(
+        service = config.journal(conf)
+        addresses = None if self.members is None else self.members.service_addresses(service, options.discovery)
+        self.endpoint_watch = EndpointWatch(
             reactor,
             self.deadlines,
-            config.journal(conf),
-            last,
-            connect_within,
-            self.told_records,
-            self.told_purge,
+            WatchSettings(service, last, connect_within, addresses),
+            self,
             self.log.event,
-            self.caught_up,
         )
         if self.members is not None:
-            self.members.follow(self.journal, options)
+            self.members.restore(self.endpoint_watch, options)
         self.purges_resumed = False  # all since the number of the store's purge log is told
         if self.copies is not None and options.journal.continues:
             number = self.copies.store.purged.number
-            self.journal.remembered(number)
-            self.purges_resumed = 0 < self.journal.last <= number
+            self.endpoint_watch.resume_purges(number)
+            self.purges_resumed = 0 < self.endpoint_watch.last_number <= number
         self.listen = config.listen(conf)
         for kind, *told in events:
-            (self.told_list if kind == "list" else self.told_purge)(*told)
+            (self.told_list if kind == "list" else self.purged)(*told)
 
     def start(self) -> None:
         """Raises OSError where the address to listen on cannot be had."""
-        self.opening = Opening(self.reactor, self.listen, self.clients, self.deadlines, self.log.event, self.taken)
+        self.opening = Readiness(self.reactor, self.listen, self.clients, self.deadlines, self.log.event, self.taken)
         self.started = True
         self.router.start(self.deadlines.now())
         self.reactor.addSystemEventTrigger("before", "shutdown", self.log.flush)
         self.reactor.callWhenRunning(self.opening.start)
-        self.journal.pressing = True
-        self.journal.start()
+        self.endpoint_watch.start_confirmed()
         if self.members is not None:
             self.members.start()
         if self.fellows is not None:
@@ -155,33 +154,34 @@
         self.look_at_clock()
         self.log.event("start", listen=":".join(map(str, self.listen)), pool=self.pool.limit)
 
-    # The module's Outside.
+    # Environment.
 
-    def wake(self, delay: float, call: Callable[[float], None]) -> None:
+    def call_later(self, delay: float, call: Callable[[float], None]) -> None:
         self.deadlines.after(delay, lambda: call(self.deadlines.now()))
 
-    def probe(self, cache: Any) -> None:
-        self.forwards.probe(cache)
+    def check_health(self, server: Any) -> None:
+        self.forwards.probe(server)
 
-    def follow(self) -> None:
+    def watch(self) -> None:
         """The journal follows the list by itself."""
 
-    def read_list(self) -> None:
+    def fetch_endpoints(self) -> None:
         """The journal brings it whole after a gap."""
 
-    def hang_up(self, cache: Any) -> None:
-        if cache.mark in self.caches.machines:
-            self.caches.machines[cache.mark].hang_up()
+    def close_idle(self, server: Any) -> None:
+        if server.mark in self.caches.machines:
+            self.caches.machines[server.mark].hang_up()
 
-    def say(self, to: int, content: bytes) -> None:
+    def gossip(self, recipient: int, content: bytes) -> None:
         """Routers share nothing."""
 
-    def note(self, text: str) -> None:
+    def log_line(self, text: str) -> None:
         self.log.event("note", text=text)
 
-    # What the journal tells.
+    # The WatchListener of its EndpointWatch.
 
-    def told_records(self, whole: bool, records: list[tuple[int, ...]]) -> None:
+    def endpoints_changed(self, records: list[EndpointRecord], *, complete: bool) -> None:
+        """Called by the endpoint watch."""
         machines = []
         for mark, address, port, state, zone, kind, cell, weight, started in records:
             if state >= len(STATES) or zone >= len(self.zones) or kind >= len(self.kinds):
@@ -200,7 +200,7 @@
                     started / 1000.0 or None,
                 )
             )
-        self.told_list(whole, machines)
+        self.told_list(complete, machines)
 
     def told_list(self, whole: bool, machines: list[tuple[Any, ...]]) -> None:
         listings = []
@@ -210,7 +210,7 @@
                 self.others.vouched(started, now)
         for mark, address, state, zone, kind, cell, weight, started in machines:
             self.caches.listed(mark, f"{mark:08x}", address)
-            listings.append(Listing(mark, zone, kind, cell, state, weight, started))
+            listings.append(Endpoint(mark, zone, kind, cell, state, weight, started))
         self.router.fleet.listed(listings, whole, now)
         if self.members is not None:
             self.members.live(whole, machines)
@@ -220,9 +220,9 @@
         self.forwards.overtaken(lambda sent: sent.cache.state == "ready" == sent.forward.source.state)
         self.log.event("list", whole=whole, machines=[[f"{m[0]:08x}", m[2], m[3], m[4], m[7]] for m in machines])
 
-    def told_purge(self, key: int | None, group: int, stamp: float) -> None:
-        # Of those known at the start the numbers are not told.
-        self.purge(key, group, stamp, self.journal.last + 1 if self.started else 0)
+    def purged(self, key: int | None, group: int, stamp_ms: float) -> None:
+        """Called by the endpoint watch, and for the purges that the configuration knows: those have no numbers."""
+        self.purge(key, group, stamp_ms, self.endpoint_watch.last_number + 1 if self.started else 0)
 
     def purge(self, key: int | None, group: int, stamp: float, number: int) -> None:
         """`stamp` in Unix milliseconds; `number`: the journal's, 0 where it has none."""
@@ -243,17 +243,18 @@
             self.members.purge(key, group, stamp / 1000.0)
 
     def caught_up(self) -> None:
+        """Called by the endpoint watch."""
         self.opening.caught_up()
         if self.copies is not None:
-            self.copies.store.caught_up(self.deadlines.now(), self.journal.unbroken and self.purges_resumed)
+            self.copies.store.caught_up(self.deadlines.now(), self.endpoint_watch.is_unbroken and self.purges_resumed)
         if self.members is not None:
-            self.members.caught_up(self.journal)
+            self.members.caught_up(self.endpoint_watch)
 
     def informed(self, now: float) -> bool:
         """Whether what the journal service told until lately is known here; else it is read on the next turn."""
-        if now - max(self.reactor.arrivals.settled, self.journal.looked) <= UNINFORMED:
+        if now - max(self.reactor.arrivals.settled, self.endpoint_watch.last_read_pending_at) <= UNINFORMED:
             return True
-        self.deadlines.soon(self.journal.look)
+        self.deadlines.soon(self.endpoint_watch.read_pending)
         return False
 
     # The program.
@@ -340,7 +341,7 @@
     def move_journal(self, address: tuple[str, int]) -> None:
         if self.members is not None:
             self.members.moved(address)
-        self.journal.move(address)
+        self.endpoint_watch.move(address)
 
     def leave(self) -> None:
         """On SIGTERM: ping says no, whoever still comes is served, then the program ends by itself."""
@@ -363,7 +364,7 @@
             self.deadlines.after(0.01, self.settle, last)
             return
         self.log.event("stop", open=self.visits.open(), taken=self.visits.taken)
-        self.journal.close()
+        self.endpoint_watch.close()
         if self.members is not None:
             self.members.close()
         if self.fellows is not None:
