--- a/wickhinge/changelog/daemon.py
+++ b/wickhinge/changelog/daemon.py
@@ -3,7 +3,6 @@
 from __future__ import annotations
 
 import signal
-import time
 from collections.abc import Callable, Mapping, Sequence
 from typing import Any
 
@@ -19,7 +18,6 @@
 from wickhinge.changelog.settings import RelaySettings, ReplicaSettings
 from wickhinge.changelog.stored import Storage
 from wickhinge.fields import Malformed
-from wickhinge.net.runtime.log import Log
 from wickhinge.options import changelog as options_of
 from wickhinge.options.records import Changelog
 
@@ -70,15 +68,13 @@
         self,
         name: str,
         options: Changelog,
-        reactor: Any,
+        runtime: Runtime,
         reload_options: Callable[[], Changelog],
         storage: Storage | None = None,
     ) -> None:
-        self._reactor, self._reload_options = reactor, reload_options
-        self._log = Log(1, name, time.time)
+        self._reactor, self._log, self._reload_options = runtime.reactor, runtime.log, reload_options
         self._exit_code = EXIT_OK
         self._logged_status: Sequence[Any] = ()
-        runtime = Runtime(reactor, log=self._log.event)
         self.endpoint: ReplicaEndpoint | RelayEndpoint
         if storage is None:
             self.endpoint = relay_endpoint(name, options, runtime)
@@ -94,7 +90,7 @@
         """
         self.endpoint.start()
         host, port = self.endpoint.address
-        self._log.event("changelog_start", address=f"{host}:{port}", role=self._administration.status().role)
+        self._log("changelog_start", address=f"{host}:{port}", role=self._administration.status().role)
         for number in (signal.SIGTERM, signal.SIGINT):
             signal.signal(number, lambda *_: self._reactor.callFromThread(self._stop))
         signal.signal(signal.SIGHUP, lambda *_: self._reactor.callFromThread(self._reload))
@@ -104,7 +100,7 @@
         return self._exit_code
 
     def _stop(self) -> None:
-        self._log.event("changelog_stop")
+        self._log("changelog_stop")
         self.endpoint.close()
         self._reactor.stop()
 
@@ -117,11 +113,11 @@
         try:
             keys = options_of.read_keys(self._reload_options())
         except Malformed as fault:
-            self._log.event("changelog_reload_failed", why=str(fault))
+            self._log("changelog_reload_failed", why=str(fault))
             return
         self.endpoint.use_keys(keys)
         self._administration.use_keys(keys)
-        self._log.event("changelog_reload", keys=len(keys))
+        self._log("changelog_reload", keys=len(keys))
 
     def _log_status_changes(self) -> None:
         """Logs a new role, term, leader, epoch or source."""
@@ -130,8 +126,8 @@
         values = [getattr(status, field) for field in STATUS_FIELDS]
         if values != self._logged_status:
             self._logged_status = values
-            self._log.event("changelog_role", **dict(zip(STATUS_FIELDS, values, strict=True)))
+            self._log("changelog_role", **dict(zip(STATUS_FIELDS, values, strict=True)))
 
     def _report(self) -> None:
         self._reactor.callLater(REPORT_INTERVAL_S, self._report)
-        self._log.event("changelog_report", **msgspec.to_builtins(self._administration.status()))
+        self._log("changelog_report", **msgspec.to_builtins(self._administration.status()))
--- a/wickhinge/cli/changelog.py
+++ b/wickhinge/cli/changelog.py
@@ -4,6 +4,7 @@
 
 import os
 import sys
+import time
 from typing import TYPE_CHECKING, NoReturn
 
 import click
@@ -17,6 +18,7 @@
     from wickhinge.cli.changelog_client import Client, Router, Server
     from wickhinge.options.records import Changelog
 
+STANDARD_OUTPUT = 1  # the descriptor
 NAME = click.option("--name", required=True, help="Which of the settings' machines this one is.")
 FILE = click.option("--options", type=OPTIONS_FILE, help="Our own settings; else WICKHINGE_OPTIONS names them.")
 TIMEOUT = click.option("--timeout", "timeout_s", type=click.FloatRange(0.1, 600), default=10.0, show_default=True)
@@ -78,10 +80,13 @@
 
     from twisted.internet import reactor
 
+    from wickhinge.changelog.context import Runtime
     from wickhinge.changelog.daemon import Daemon
+    from wickhinge.net.runtime.log import Log
 
     try:
-        code = Daemon(name, read_settings(options), reactor, reload_options, storage).run()
+        runtime = Runtime(reactor, log=Log(STANDARD_OUTPUT, name, time.time).event)
+        code = Daemon(name, read_settings(options), runtime, reload_options, storage).run()
     except (Malformed, OSError) as error:
         fail(str(error))
     sys.exit(code)
