--- a/bench/scale/day_change_log.py
+++ b/bench/scale/day_change_log.py
@@ -13,8 +13,8 @@
 from bench.scale.design import CONTROL_MACHINES, REGIONS, ROUTERS, ZONES
 from wickhinge.changelog.effects import Apply, Reset
 from wickhinge.lab.changelog.oracle import Model, Oracle
-from wickhinge.lab.changelog.plants import NONE, Plant
-from wickhinge.lab.changelog.schedule import RELAYS, REPLICAS, Fault, Schedule
+from wickhinge.lab.changelog.planted_faults import NO_FAULT, PlantedFault
+from wickhinge.lab.changelog.schedule import RELAYS, REPLICAS, Fault, FaultKind, Schedule
 from wickhinge.lab.changelog.walk import BOUND_S, SETTLED_S, STARTED_S, UNINFORMED_S, Walk
 
 LOSS, DUPLICATION, JITTER_S = 0.005, 0.01, 0.005
@@ -83,8 +83,8 @@
 class Day(Walk):
     """A walk that is judged to its end, also where something was found before."""
 
-    def __init__(self, drawn: Schedule, plant: Plant) -> None:
-        super().__init__(drawn, plant)
+    def __init__(self, drawn: Schedule, planted: PlantedFault) -> None:
+        super().__init__(drawn, planted)
         self.worst_calm_s = 0.0  # of `judge`
         self.oracle = self.world.oracle = CountingOracle(len(REPLICAS) // 2 + 1)
 
@@ -131,14 +131,14 @@
         """Times in which no replica and no relay is away and nothing is cut."""
         spans, start_s = [], STARTED_S
         for fault in sorted(self.schedule.faults, key=lambda fault: fault.at_s):
-            if fault.kind == "cut" or not set(fault.names) <= set(self.schedule.followers):
+            if fault.kind is FaultKind.CUT or not set(fault.names) <= set(self.schedule.followers):
                 spans.append((start_s, fault.at_s))
                 start_s = max(start_s, fault.end_s + SETTLED_S)
         return [*spans, (start_s, self.schedule.end_s)]
 
     def _spans(self) -> dict[str, Spans]:
         """When each follower ran, had had time to start and was not cut off."""
-        cuts = [fault for fault in self.schedule.faults if fault.kind == "cut"]
+        cuts = [fault for fault in self.schedule.faults if fault.kind is FaultKind.CUT]
         spans = {}
         for name, ran in super()._spans().items():
             left = [(start_s + STARTED_S, end_s) for start_s, end_s in ran]
@@ -197,18 +197,18 @@
     apart = {*REPLICAS[:APART_REPLICAS], *RELAYS[:APART_RELAYS]}
     apart |= {name for name in names if region[name] >= REGIONS - APART_REGIONS}
     rest = tuple(name for name in region if name not in apart)
-    faults = [Fault("kill", one.at_s, one.for_s, (one.name,)) for one in outages.drawn]
-    faults.append(Fault("kill", when.zone_at_s, when.zone_for_s, zone))
-    faults.append(Fault("cut", when.cut_at_s, when.cut_for_s, tuple(sorted(apart)), rest))
+    faults = [Fault(FaultKind.KILL, one.at_s, one.for_s, (one.name,)) for one in outages.drawn]
+    faults.append(Fault(FaultKind.KILL, when.zone_at_s, when.zone_for_s, zone))
+    faults.append(Fault(FaultKind.CUT, when.cut_at_s, when.cut_for_s, tuple(sorted(apart)), rest))
     faults.sort(key=lambda fault: fault.at_s)
     return Schedule(seed, names, region, LOSS, DUPLICATION, JITTER_S, tuple(faults), seconds, True, changes_s)
 
 
 def play(
-    seed: int, followers: int, seconds: float, changes_s: float, counts: Counts, plant: Plant = NONE
+    seed: int, followers: int, seconds: float, changes_s: float, counts: Counts, planted: PlantedFault = NO_FAULT
 ) -> ChangeLogDay:
     """Plays and judges the part of the change log."""
-    day = Day(draw(seed, followers, seconds, changes_s, counts), plant)
+    day = Day(draw(seed, followers, seconds, changes_s, counts), planted)
     day.play()
     worst_delay_s = day.judge()
     oracle = day.oracle
--- a/tests/bench/test_day.py
+++ b/tests/bench/test_day.py
@@ -8,7 +8,7 @@
 from bench.scale import day, day_budgets, day_change_log
 from bench.scale.__main__ import main
 from bench.scale.day_faults import Counts, DayTooShort
-from wickhinge.lab.changelog.plants import PLANTS
+from wickhinge.lab.changelog.planted_faults import PLANTED_FAULTS
 from wickhinge.lab.changelog.schedule import RELAYS, REPLICAS
 
 COUNTS = Counts(restarts=12, lost=4)
@@ -56,12 +56,12 @@
     [("skipped-gap", "out_of_order"), ("batch-twice", "out_of_order"), ("stale-relay", "stale_vouched")],
 )
 def test_a_fault_planted_in_the_change_log_is_found(plant, found):
-    told = day_change_log.play(7, 12, 80.0, 8.0, COUNTS, PLANTS[plant])
+    told = day_change_log.play(7, 12, 80.0, 8.0, COUNTS, PLANTED_FAULTS[plant])
     assert getattr(told, found) > 0, told
 
 
 def test_an_entry_that_a_follower_skipped_is_missed():
-    told = day_change_log.play(7, 12, 80.0, 8.0, COUNTS, PLANTS["skipped-gap"])
+    told = day_change_log.play(7, 12, 80.0, 8.0, COUNTS, PLANTED_FAULTS["skipped-gap"])
     assert told.missed > 0
 
 
--- a/tests/lab/test_changelog_walk.py
+++ b/tests/lab/test_changelog_walk.py
@@ -5,8 +5,8 @@
 from wickhinge.changelog.entries import Entry, Purge
 from wickhinge.changelog.relay import Relay
 from wickhinge.lab.changelog import schedule
-from wickhinge.lab.changelog.plants import NONE, PLANTS, Plant
-from wickhinge.lab.changelog.schedule import Fault, Schedule
+from wickhinge.lab.changelog.planted_faults import NO_FAULT, PLANTED_FAULTS, PlantedFault
+from wickhinge.lab.changelog.schedule import Fault, FaultKind, Schedule
 from wickhinge.lab.changelog.walk import Walk, walk
 
 SEEDS = (6, 7, 10, 16, 20, 33)  # mixed with bursts and restores, single relays lost, replicas churned
@@ -14,26 +14,26 @@
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_no_invariant_is_broken_under_drawn_faults(seed):
+def test_walk_when_faults_are_drawn_breaks_no_invariant(seed):
     report = walk(seed)
     assert report.faults == []
     assert report.committed > 30 and report.applied > 200
 
 
-@pytest.mark.parametrize("name", sorted(set(PLANTS) - {"one-answer"}))
-def test_each_planted_fault_is_found(name):
-    assert any(walk(seed, PLANTS[name]).faults for seed in range(PLANT_SEEDS))
+@pytest.mark.parametrize("name", sorted(set(PLANTED_FAULTS) - {"one-answer"}))
+def test_walk_when_a_fault_is_planted_finds_it(name):
+    assert any(walk(seed, PLANTED_FAULTS[name]).faults for seed in range(PLANT_SEEDS))
 
 
 def isolated_leaders():
     """Each leader in turn, with one other, is cut off from the replicas and from nobody else; changes are few."""
-    faults = tuple(Fault("isolate", 6.0 + 6.0 * turn, 4.0, (f"p{turn % 5}",)) for turn in range(8))
+    faults = tuple(Fault(FaultKind.ISOLATE, 6.0 + 6.0 * turn, 4.0, (f"p{turn % 5}",)) for turn in range(8))
     regions = dict.fromkeys(names(), 0)
     return Schedule(4, ("f0", "f1", "f2", "f7"), regions, 0.0, 0.0, 0.002, faults, 70.0, True, 1.0)
 
 
-@pytest.mark.parametrize("plant, is_found", [(NONE, False), (PLANTS["one-answer"], True)])
-def test_a_leader_that_was_replaced_vouches_for_nothing_and_one_that_does_is_found(plant, is_found):
+@pytest.mark.parametrize("plant, is_found", [(NO_FAULT, False), (PLANTED_FAULTS["one-answer"], True)])
+def test_leader_when_replaced_confirms_nothing_and_one_that_does_is_found(plant, is_found):
     played = Walk(isolated_leaders(), plant)
     played.play()
     played.judge()
@@ -49,9 +49,9 @@
         super()._append(entry, now)
 
 
-def test_a_relay_that_lies_is_left_by_its_followers_who_know_that_they_are_uninformed_until_then():
+def test_relay_when_it_lies_is_left_by_followers_that_are_uninformed_until_then():
     drawn = Schedule(1, ("f0", "f1", "f2", "f7"), dict.fromkeys(names(), 0), 0.0, 0.0, 0.002, (), 20.0)
-    played = Walk(drawn, Plant(relay=Lying))
+    played = Walk(drawn, PlantedFault(relay=Lying))
     played.play()
     oracle, processes = played.world.oracle, played.world.processes
     lies = [applied for applied in oracle.applied if applied.entry.change == Purge(5, 5, 5)]
@@ -62,8 +62,8 @@
     played.judge()
     for name in drawn.followers:
         process = processes[name]
-        assert process.machine.source != "r1" and process.machine.number > 100
-        assert not process.machine.uninformed(process.clock.at(played.world.now_s))
+        assert process.state_machine.source != "r1" and process.state_machine.number > 100
+        assert not process.state_machine.uninformed(process.clock.at(played.world.now_s))
     assert all("goes back" in fault or "not committed" in fault for fault in oracle.faults), oracle.faults
 
 
--- a/wickhinge/changelog/follower.py
+++ b/wickhinge/changelog/follower.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 from collections.abc import Sequence
+from typing import ClassVar
 
 from wickhinge.changelog.context import ProcessContext
 from wickhinge.changelog.effects import Apply, Effect, Reset
@@ -23,9 +24,11 @@
         not_understood: Of them, those that had to be understood: the follower is uninformed until the next start.
     """
 
+    subscription_type: ClassVar[type[Subscription]] = Subscription
+
     def __init__(self, context: ProcessContext, sources: Sequence[str], settings: FollowSettings, now: float) -> None:
         self._settings = settings
-        self._subscription = Subscription(context, sources, settings, now)
+        self._subscription = self.subscription_type(context, sources, settings, now)
         self._informed_until = NEVER
         self.skipped = 0
         self.not_understood = 0
--- a/wickhinge/changelog/replica.py
+++ b/wickhinge/changelog/replica.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 from collections.abc import Sequence
+from typing import ClassVar
 
 import msgspec
 
@@ -49,6 +50,8 @@
         blank: Without a state in this epoch: votes and waits for a snapshot, and does not stand for election.
     """
 
+    leadership_type: ClassVar[type[Leadership]] = Leadership
+
     def __init__(
         self, context: ProcessContext, replicas: Sequence[str], settings: ReplicaSettings, stored: Stored, now: float
     ) -> None:
@@ -209,7 +212,7 @@
     def _become_leader(self, now: float) -> None:
         self._ballot.become_leader()
         self._snapshot_fetch.stop()
-        self._leadership = Leadership(self._peers, self.records.last, now)
+        self._leadership = self.leadership_type(self._peers, self.records.last, now)
         self._append_own(Noop())
         self._broadcast(self._leadership, now)
         self._commit_stored(self._leadership, now)
--- a/wickhinge/changelog/subscription.py
+++ b/wickhinge/changelog/subscription.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 from collections.abc import Sequence
+from typing import ClassVar
 
 from wickhinge.changelog.confirmations import Confirmations
 from wickhinge.changelog.context import ProcessContext
@@ -43,11 +44,14 @@
         refused_epochs: Packets that were refused for that.
     """
 
+    sequencer_type: ClassVar[type[Sequencer]] = Sequencer
+    dispute_records_type: ClassVar[type[DisputeRecords]] = DisputeRecords
+
     def __init__(self, context: ProcessContext, sources: Sequence[str], settings: FollowSettings, now: float) -> None:
         self._context, self._settings = context, settings
-        self.sequencer = Sequencer(settings.max_buffered_entries, settings.digests)
+        self.sequencer = self.sequencer_type(settings.max_buffered_entries, settings.digests)
         self.sources = Sources(sources, settings, context.random_fraction, now)
-        self.dispute_records = DisputeRecords(self.sequencer, settings.dispute_valid_s)
+        self.dispute_records = self.dispute_records_type(self.sequencer, settings.dispute_valid_s)
         self.highest_epoch = 0
         self.refused_epochs = 0
         self._confirmations = Confirmations()
--- a/wickhinge/lab/changelog/oracle.py
+++ b/wickhinge/lab/changelog/oracle.py
@@ -14,7 +14,10 @@
 GRACE_S = 4.0  # a purge's, over the followers' bound and INGEST_S
 INGEST_S = 0.5  # from a purge's stamp to the replicas' majority, for the purges that are judged
 RECENT_S = 20.0  # purges so young are in each snapshot; replicas and relays keep them for longer
-ROUNDING_S = 0.002  # ages and times held are told in milliseconds
+MAX_FAULTS = 50  # noted
+ROUNDING_S = 0.002  # ages and echo delays are sent in milliseconds
+
+Spans = dict[str, list[tuple[float, float]]]  # by process, from when until when
 
 
 class Sample(msgspec.Struct, frozen=True):
@@ -30,6 +33,8 @@
 
 
 class Applied(msgspec.Struct, frozen=True):
+    """An entry that a follower applied."""
+
     at_s: float
     name: str
     entry: Entry
@@ -47,7 +52,7 @@
 
 
 class Model:
-    """What a follower's machine has been told, as an application of the log would keep it."""
+    """A router's state by the effects that its follower gave, as an application of the log would have it."""
 
     def __init__(self) -> None:
         self.epoch = self.number = 0
@@ -56,6 +61,8 @@
 
 
 class Oracle:
+    """Collects what the processes did, and the invariants that they broke as `faults`. Times are true, in seconds."""
+
     def __init__(self, majority: int) -> None:
         self.faults: list[str] = []
         self.samples: list[Sample] = []
@@ -72,12 +79,14 @@
         self._majority_s: dict[tuple[int, int, int], float] = {}
 
     def fault(self, text: str) -> None:
-        if len(self.faults) < 50:
+        """Notes a broken invariant."""
+        if len(self.faults) < MAX_FAULTS:
             self.faults.append(text)
 
     # Replicas.
 
     def stored(self, at_s: float, replica: str, record: Record) -> None:
+        """Called when a replica has a record on stable storage."""
         key = (record.entry.epoch, record.entry.number, record.term)
         self._terms[replica, record.entry.epoch, record.entry.number] = record.term
         holders = self._holders[key]
@@ -86,11 +95,13 @@
             self._majority_s.setdefault(key, at_s)
 
     def leads(self, at_s: float, replica: str, epoch: int, term: int) -> None:
+        """Called whenever a replica acts as the leader of a term, of which there may be one."""
         first = self.leaders.setdefault((epoch, term), replica)
         if first != replica:
             self.fault(f"{at_s:.3f} {replica}: leads in term {term} of epoch {epoch}, as {first} does")
 
     def commits(self, at_s: float, replica: str, entry: Entry) -> None:
+        """Called when a replica commits an entry: a majority has stored it, and no other one has its number."""
         term = self._terms.get((replica, entry.epoch, entry.number), 0)
         known = self.committed[entry.epoch]
         if entry.number not in known:
@@ -105,6 +116,7 @@
     # Followers.
 
     def reset(self, at_s: float, name: str, model: Model, effect: Reset) -> None:
+        """Called when a follower loads a snapshot, which must not be older than its state."""
         snapshot = effect.snapshot
         if snapshot.epoch < model.epoch:
             self.fault(f"{at_s:.3f} {name}: goes back to epoch {snapshot.epoch}")
@@ -116,6 +128,7 @@
         self.resets.append(Loaded(at_s, name, snapshot.epoch, snapshot.number, dict(model.settings), set(model.purges)))
 
     def applies(self, at_s: float, name: str, model: Model, effect: Apply) -> None:
+        """Called when a follower applies an entry, which must be the next one."""
         entry = effect.entry
         if entry.epoch != model.epoch or entry.number != model.number + 1:
             self.fault(f"{at_s:.3f} {name}: applies {entry.epoch}/{entry.number} after {model.epoch}/{model.number}")
@@ -129,6 +142,7 @@
     # Judging, at the end.
 
     def judge_values(self) -> None:
+        """What followers applied and loaded was committed."""
         for applied in self.applied:
             entry = applied.entry
             if self.committed[entry.epoch].get(entry.number) != entry:
@@ -143,15 +157,15 @@
             self._judge_purges(loaded)
 
     def _judge_purges(self, loaded: Loaded) -> None:
-        """Purges of the last while are in a snapshot."""
+        """Purges of the last RECENT_S are in a snapshot."""
         for number, entry in self.committed[loaded.epoch].items():
             recent = self.stored_s[loaded.epoch][number] >= loaded.at_s - RECENT_S
-            if recent and number <= loaded.number and isinstance(entry.change, Purge):
-                if entry.change not in loaded.purges:
-                    self.fault(f"{loaded.at_s:.3f} {loaded.name}: a snapshot without the purge {number}")
+            is_due = recent and number <= loaded.number and isinstance(entry.change, Purge)
+            if is_due and entry.change not in loaded.purges:
+                self.fault(f"{loaded.at_s:.3f} {loaded.name}: a snapshot without the purge {number}")
 
     def judge_claims(self) -> None:
-        """Who claims to be informed until T has all that a majority had stored before T."""
+        """Whoever claims to be informed until T has all that a majority had stored before T."""
         reached = {epoch: self._running(times) for epoch, times in self.stored_s.items()}
         for sample in self.samples:
             for epoch, (times, numbers) in reached.items():
@@ -165,7 +179,7 @@
                 )
 
     def judge_copies(self) -> None:
-        """Who sets no limit to a copy's age has each purge whose grace is over."""
+        """Whoever sets no limit to a copy's age has each purge whose grace is over."""
         for epoch, entries in self.committed.items():
             stamped = []
             for number, entry in sorted(entries.items()):
@@ -187,8 +201,8 @@
                 if start + bound_s < sample.at_s < end and not sample.uninformed:
                     self.fault(f"{sample.at_s:.3f} {sample.name}: counts as informed, without replicas since {start}")
 
-    def judge_bound(self, calm: list[tuple[float, float]], up: dict[str, list[tuple[float, float]]], bound_s: float):
-        """Each entry stored in a calm time is at each follower that ran within the bound. The worst delay."""
+    def judge_bound(self, calm: list[tuple[float, float]], up: Spans, bound_s: float) -> float:
+        """Each entry stored in a calm time is at each follower that ran within the bound. Returns the worst delay."""
         first: dict[tuple[str, int, int], float] = {}
         for applied in self.applied:
             first.setdefault((applied.name, applied.entry.epoch, applied.entry.number), applied.at_s)
--- a/wickhinge/lab/changelog/schedule.py
+++ b/wickhinge/lab/changelog/schedule.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import random
+from enum import StrEnum
 
 import msgspec
 
@@ -10,21 +11,30 @@
 RELAYS = tuple(f"r{place}" for place in range(6))
 REGIONS = 3
 FAULTS_FROM_S, FAULTS_UNTIL_S = 6.0, 34.0
-CALM_S = 16.0  # at the end
+RECOVERY_S = 8.0  # between faults that do not concern each other
+CALM_S = 16.0  # without faults, at the end
 CHURN_FOLLOWERS = 6  # where all faults are the replicas'
-BURST = 250  # changes at once, more than a log of the walk retains
+BURST_CHANGES = 250  # at once, more than a log of the walk retains
 
 
-class Fault(msgspec.Struct, frozen=True):
-    """`kind` happens to `names` from `at_s` for `for_s`.
+class FaultKind(StrEnum):
+    """What happens to a fault's `names`."""
 
-    kill, pause: the processes. isolate: whichever replica leads, with `names`, and the other replicas are cut off from
-    each other, and from nobody else. depose: whichever replica leads then stands still. burst: BURST changes at once.
-    cut_out, cut_in: nothing that they send to, or are sent by, `others` arrives. restore: all replicas end; `names`
-    start from a backup with a higher epoch, the others with what they have.
-    """
+    KILL = "kill"  # the processes end, and start again at the fault's end
+    PAUSE = "pause"  # the processes stand still
+    ISOLATE = "isolate"  # whichever replica leads, with `names`, and the other replicas are cut off from each other
+    DEPOSE = "depose"  # whichever replica leads then stands still
+    BURST = "burst"  # BURST_CHANGES at once
+    CUT = "cut"  # nothing passes between `names` and `others`
+    CUT_OUT = "cut_out"  # nothing that `names` send to `others` arrives
+    CUT_IN = "cut_in"  # nothing that `others` send to `names` arrives
+    RESTORE = "restore"  # all replicas end; `names` start from a backup with a higher epoch, the others as they were
+
+
+class Fault(msgspec.Struct, frozen=True):
+    """`kind` happens to `names` from `at_s` for `for_s` seconds; `others` are those that they are cut off from."""
 
-    kind: str
+    kind: FaultKind
     at_s: float
     for_s: float
     names: tuple[str, ...]
@@ -32,11 +42,13 @@
 
     @property
     def end_s(self) -> float:
+        """When it is over."""
         return self.at_s + self.for_s
 
 
 class Schedule(msgspec.Struct, frozen=True):
-    """`loss` and `duplication` are shares of all packets, `jitter_s` a mean; they last from start to end.
+    """One walk. `loss` and `duplication` are shares of all packets, `jitter_s` a mean; they last from start to end.
+
     `newest_leader`: proposals go to the leader of the latest term, else to any that takes them.
     """
 
@@ -52,18 +64,22 @@
     changes_s: float = 8.0  # a second
 
 
-def one_relay_lost(schedule: Schedule) -> bool:
-    """Whether nothing else happens than that single relays end or stand still, one after the other: no follower is cut
-    off then, and each entry is due within the bound throughout.
+def loses_single_relays_only(schedule: Schedule) -> bool:
+    """Whether nothing else happens than that single relays end or stand still, one after the other.
+
+    No follower is cut off then, and each entry is due within the bound throughout.
     """
     faults = sorted(schedule.faults, key=lambda fault: fault.at_s)
-    alone = all(fault.kind in ("kill", "pause") and set(fault.names) <= set(RELAYS) for fault in faults)
-    single = all(len(fault.names) == 1 for fault in faults)
-    apart = all(later.at_s > fault.end_s + 8.0 for fault, later in zip(faults, faults[1:], strict=False))
-    return alone and single and apart
+    only_relays = all(
+        fault.kind in (FaultKind.KILL, FaultKind.PAUSE) and set(fault.names) <= set(RELAYS) for fault in faults
+    )
+    one_at_a_time = all(len(fault.names) == 1 for fault in faults)
+    well_apart = all(later.at_s > fault.end_s + RECOVERY_S for fault, later in zip(faults, faults[1:], strict=False))
+    return only_relays and one_at_a_time and well_apart
 
 
 def draw(seed: int, followers: int = 24) -> Schedule:
+    """The schedule of a seed; the same seed always draws the same."""
     rand = random.Random(seed)
     names = tuple(f"f{place}" for place in range(followers))
     everyone = (*REPLICAS, *RELAYS, *names)
@@ -102,7 +118,7 @@
         others = _rest(REPLICAS, names) if kind in ("cut", "cut_in") else ()
         if kind == "isolate":
             names = names[: rand.choice((0, 1, 1))]
-        faults.append(Fault(kind, round(at_s, 3), for_s, names, others))
+        faults.append(Fault(FaultKind(kind), round(at_s, 3), for_s, names, others))
         at_s += rand.choice((0.3, 0.8, 1.6, 2.4))
     if rand.random() < 0.3:
         faults.append(_restore(rand))
@@ -110,13 +126,13 @@
 
 
 def _single_relays(rand: random.Random) -> list[Fault]:
-    kinds = [rand.choice(("kill", "pause")) for _ in range(3)]
+    kinds = [rand.choice((FaultKind.KILL, FaultKind.PAUSE)) for _ in range(3)]
     return [Fault(kind, 6.0 + 11.0 * place, 2.5, (rand.choice(RELAYS),)) for place, kind in enumerate(kinds)]
 
 
 def _restore(rand: random.Random) -> Fault:
     restored = tuple(rand.sample(REPLICAS, rand.choice((2, 3, 4, 5))))
-    return Fault("restore", round(rand.uniform(14.0, 30.0), 3), round(rand.uniform(0.5, 4.0), 3), restored)
+    return Fault(FaultKind.RESTORE, round(rand.uniform(14.0, 30.0), 3), round(rand.uniform(0.5, 4.0), 3), restored)
 
 
 def _fault(rand: random.Random, followers: tuple[str, ...], region: dict[str, int]) -> Fault:
@@ -127,24 +143,24 @@
         ("kill", "kill", "pause", "one_way", "region", "zone", "minority", "relay_cut", "leaders", "depose", "burst")
     )
     if kind in ("kill", "pause"):
-        return Fault(kind, at_s, for_s, tuple(rand.sample(everyone, rand.choice((1, 2, 5)))))
+        return Fault(FaultKind(kind), at_s, for_s, tuple(rand.sample(everyone, rand.choice((1, 2, 5)))))
     if kind in ("depose", "burst"):
-        return Fault(kind, at_s, 1.5, ())
+        return Fault(FaultKind(kind), at_s, 1.5, ())
     if kind == "minority":
-        return Fault("kill", at_s, max(for_s, 5.0), tuple(rand.sample(REPLICAS, rand.choice((3, 4, 5)))))
+        return Fault(FaultKind.KILL, at_s, max(for_s, 5.0), tuple(rand.sample(REPLICAS, rand.choice((3, 4, 5)))))
     if kind == "leaders":  # replicas end and are back at once: what they answered has to be on their disks
-        return Fault("kill", at_s, 0.05, tuple(rand.sample(REPLICAS, rand.choice((2, 3, 4)))))
+        return Fault(FaultKind.KILL, at_s, 0.05, tuple(rand.sample(REPLICAS, rand.choice((2, 3, 4)))))
     if kind == "one_way":
         names = tuple(rand.sample(everyone, rand.randint(1, len(everyone) // 2)))
-        return Fault(rand.choice(("cut_out", "cut_in")), at_s, for_s, names, _rest(everyone, names))
+        return Fault(rand.choice((FaultKind.CUT_OUT, FaultKind.CUT_IN)), at_s, for_s, names, _rest(everyone, names))
     if kind == "region":
-        apart = rand.randrange(REGIONS)
-        names = tuple(name for name in everyone if region[name] == apart)
-        return Fault("cut", at_s, for_s, names, _rest(everyone, names))
+        cut_region = rand.randrange(REGIONS)
+        names = tuple(name for name in everyone if region[name] == cut_region)
+        return Fault(FaultKind.CUT, at_s, for_s, names, _rest(everyone, names))
     if kind == "zone":
         names = tuple(rand.sample(followers, min(4, len(followers))))
-        return Fault("cut", at_s, for_s, names, _rest(everyone, names))
-    return Fault("cut", at_s, max(for_s, 3.0), tuple(rand.sample(RELAYS, rand.choice((1, 2)))), REPLICAS)
+        return Fault(FaultKind.CUT, at_s, for_s, names, _rest(everyone, names))
+    return Fault(FaultKind.CUT, at_s, max(for_s, 3.0), tuple(rand.sample(RELAYS, rand.choice((1, 2)))), REPLICAS)
 
 
 def _rest(everyone: tuple[str, ...], names: tuple[str, ...]) -> tuple[str, ...]:
--- a/wickhinge/lab/changelog/walk.py
+++ b/wickhinge/lab/changelog/walk.py
@@ -5,15 +5,18 @@
 import argparse
 import random
 import time
+from collections.abc import Callable
+from functools import partial
 
 import msgspec
 
 from wickhinge.changelog.entries import Change, Purge, Setting
 from wickhinge.changelog.log import Snapshot
+from wickhinge.changelog.replica import Replica
 from wickhinge.changelog.stored import Stored
-from wickhinge.lab.changelog import plants, schedule
-from wickhinge.lab.changelog.plants import Plant
-from wickhinge.lab.changelog.schedule import RELAYS, REPLICAS, Fault, Schedule
+from wickhinge.lab.changelog import schedule
+from wickhinge.lab.changelog.planted_faults import NO_FAULT, PLANTED_FAULTS, PlantedFault
+from wickhinge.lab.changelog.schedule import RELAYS, REPLICAS, Fault, FaultKind, Schedule
 from wickhinge.lab.changelog.world import FOLLOW_SETTINGS, World
 
 BOUND_S = 3.1  # an entry is everywhere within
@@ -25,6 +28,8 @@
 
 
 class Report(msgspec.Struct, frozen=True):
+    """What came of one walk."""
+
     seed: int
     faults: list[str]
     committed: int
@@ -38,31 +43,34 @@
 
 
 class Walk:
-    def __init__(self, drawn: Schedule, plant: Plant) -> None:
+    """One schedule, played in a world and judged."""
+
+    def __init__(self, drawn: Schedule, planted: PlantedFault) -> None:
         self.schedule = drawn
-        self.world = World(drawn, plant)
+        self.world = World(drawn, planted)
         self.rand = random.Random(drawn.seed * 104729 + 3)
         self.backup = Stored()
         self.outages: list[tuple[float, float]] = []  # no majority of replicas runs, or they are kept apart
         self._changes = 0
 
     def play(self) -> None:
+        """Lets the schedule's time pass."""
         world = self.world
         for name in world.processes:
             world.start(name)
         for fault in self.schedule.faults:
-            world.at(fault.at_s, lambda fault=fault: self._begin(fault))
-            world.at(fault.end_s, lambda fault=fault: self._end(fault))
+            world.at(fault.at_s, partial(self._begin, fault))
+            world.at(fault.end_s, partial(self._end, fault))
         world.at(BACKUP_S, self._back_up)
         world.at(1.0, self._propose)
         world.at(1.0, self._sample)
         world.run(self.schedule.end_s)
         for name, process in world.processes.items():
-            if process.machine is not None:
+            if process.state_machine is not None:
                 world.up[name].append((process.started_s, world.now_s))
 
     def judge(self) -> float:
-        """The worst delay of an entry in calm time, seconds."""
+        """Has the oracle judge; the worst delay of an entry in calm time, seconds."""
         oracle = self.world.oracle
         if oracle.faults:
             return 0.0
@@ -93,45 +101,69 @@
     # Faults.
 
     def _begin(self, fault: Fault) -> None:
-        world, kind = self.world, fault.kind
-        if kind == "kill":
-            for name in fault.names:
-                world.kill(name)
-        elif kind == "pause":
-            for name in fault.names:
-                world.pause(name, True)
-        elif kind == "restore":
-            for name in REPLICAS:
-                world.kill(name)
-        elif kind == "depose":
-            self._depose(fault)
-        elif kind == "isolate":
-            self._isolate(fault)
-        elif kind == "burst":
-            for _ in range(schedule.BURST):
-                world.propose(self._change())
-        else:
-            world.cuts += self._cuts(fault)
+        actions: dict[FaultKind, Callable[[Fault], None]] = {
+            FaultKind.KILL: self._kill,
+            FaultKind.PAUSE: self._pause,
+            FaultKind.RESTORE: self._kill_replicas,
+            FaultKind.DEPOSE: self._depose,
+            FaultKind.ISOLATE: self._isolate,
+            FaultKind.BURST: self._burst,
+            FaultKind.CUT: self._cut,
+            FaultKind.CUT_OUT: self._cut,
+            FaultKind.CUT_IN: self._cut,
+        }
+        actions[FaultKind(fault.kind)](fault)
 
     def _end(self, fault: Fault) -> None:
-        world, kind = self.world, fault.kind
-        if kind == "pause":
-            for name in fault.names:
-                world.pause(name, False)
-        elif kind == "restore":
-            self._restore(fault)
-        elif kind not in ("kill", "depose", "isolate", "burst"):
-            for cut in self._cuts(fault):
-                world.cuts.remove(cut)
-        if kind in ("kill", "restore"):
-            for name in REPLICAS if kind == "restore" else fault.names:
-                world.start(name)
+        """Ends a fault; those that are not here end by themselves."""
+        actions: dict[FaultKind, Callable[[Fault], None]] = {
+            FaultKind.KILL: self._start,
+            FaultKind.PAUSE: self._resume,
+            FaultKind.RESTORE: self._restore,
+            FaultKind.CUT: self._heal,
+            FaultKind.CUT_OUT: self._heal,
+            FaultKind.CUT_IN: self._heal,
+        }
+        action = actions.get(FaultKind(fault.kind))
+        if action is not None:
+            action(fault)
+
+    def _kill(self, fault: Fault) -> None:
+        for name in fault.names:
+            self.world.kill(name)
+
+    def _start(self, fault: Fault) -> None:
+        for name in fault.names:
+            self.world.start(name)
+
+    def _pause(self, fault: Fault) -> None:
+        for name in fault.names:
+            self.world.pause(name)
+
+    def _resume(self, fault: Fault) -> None:
+        for name in fault.names:
+            self.world.resume(name)
+
+    def _kill_replicas(self, _fault: Fault) -> None:
+        for name in REPLICAS:
+            self.world.kill(name)
+
+    def _burst(self, _fault: Fault) -> None:
+        for _ in range(schedule.BURST_CHANGES):
+            self.world.propose(self._change())
+
+    def _cut(self, fault: Fault) -> None:
+        self.world.cuts += self._cuts(fault)
+
+    def _heal(self, fault: Fault) -> None:
+        for cut in self._cuts(fault):
+            self.world.cuts.remove(cut)
 
     def _depose(self, fault: Fault) -> None:
         world, leader = self.world, self.world.leader()
         if leader is not None:
-            world.pause(leader, True)
-            world.at(fault.end_s, lambda: world.pause(leader, False))
+            world.pause(leader)
+            world.at(fault.end_s, partial(world.resume, leader))
 
     def _isolate(self, fault: Fault) -> None:
         world, leader = self.world, self.world.leader()
@@ -141,19 +173,25 @@
         rest = frozenset(REPLICAS) - group
         cuts = [(group, rest), (rest, group)]
         world.cuts += cuts
-        world.at(fault.end_s, lambda: [world.cuts.remove(cut) for cut in cuts])
+        for cut in cuts:
+            world.at(fault.end_s, partial(world.cuts.remove, cut))
 
     def _cuts(self, fault: Fault) -> list[tuple[frozenset[str], frozenset[str]]]:
         names, others = frozenset(fault.names), frozenset(fault.others)
-        ways = {"cut": [(names, others), (others, names)], "cut_out": [(names, others)], "cut_in": [(others, names)]}
-        return ways[fault.kind]
+        outward, inward = (names, others), (others, names)
+        directions = {
+            FaultKind.CUT: [outward, inward],
+            FaultKind.CUT_OUT: [outward],
+            FaultKind.CUT_IN: [inward],
+        }
+        return directions[FaultKind(fault.kind)]
 
     def _back_up(self) -> None:
-        """From the first replica that runs; where none does, later."""
+        """Takes a backup from the first replica that runs; where none does, later."""
         for name in REPLICAS:
-            machine = self.world.processes[name].machine
-            if machine is not None and not machine.blank:
-                snapshot = machine.log.snapshot(self.world.processes[name].clock.at(self.world.now_s))
+            replica = self.world.processes[name].state_machine
+            if isinstance(replica, Replica) and not replica.blank:
+                snapshot = replica.log.snapshot(self.world.processes[name].clock.at(self.world.now_s))
                 self.backup = Stored(snapshot=snapshot)
                 return
         self.world.at(self.world.now_s + 0.5, self._back_up)
@@ -167,6 +205,8 @@
         for name in fault.names:
             world.kill(name)  # where another fault has ended meanwhile
             world.processes[name].stored = Stored(epoch=epoch, snapshot=snapshot)
+        for name in REPLICAS:
+            world.start(name)
 
     # Judging.
 
@@ -197,7 +237,7 @@
 
     def _calm(self) -> list[tuple[float, float]]:
         """Times in which each entry is due within the bound."""
-        if schedule.one_relay_lost(self.schedule):
+        if schedule.loses_single_relays_only(self.schedule):
             return [(STARTED_S, self.schedule.end_s)]
         spans, start = [], STARTED_S
         for fault in sorted(self.schedule.faults, key=lambda fault: fault.at_s):
@@ -209,10 +249,10 @@
         """After the calm at the end all followers have all but the last changes, and are informed."""
         world, oracle = self.world, self.world.oracle
         epoch = max(oracle.committed)
-        due = [n for n, at_s in oracle.stored_s[epoch].items() if at_s < world.now_s - BOUND_S]
+        due = [number for number, at_s in oracle.stored_s[epoch].items() if at_s < world.now_s - BOUND_S]
         for name in self.schedule.followers:
             process = world.processes[name]
-            follower, now = process.machine, process.clock.at(world.now_s)
+            follower, now = process.follower, process.clock.at(world.now_s)
             if (follower.epoch, follower.number) < (epoch, max(due, default=0)) or follower.uninformed(now):
                 known_s = process.clock.true(follower.informed_until(now))
                 oracle.fault(
@@ -221,9 +261,10 @@
                 )
 
 
-def walk(seed: int, plant: Plant = plants.NONE, followers: int = 24) -> Report:
+def walk(seed: int, planted: PlantedFault = NO_FAULT, followers: int = 24) -> Report:
+    """Plays and judges the schedule of a seed."""
     began = time.monotonic()
-    played = Walk(schedule.draw(seed, followers), plant)
+    played = Walk(schedule.draw(seed, followers), planted)
     played.play()
     worst_s = played.judge()
     oracle = played.world.oracle
@@ -242,15 +283,16 @@
 
 
 def main() -> None:
+    """Plays the seeds that the command line names; a line of JSON each."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--seeds", default="0-9", help="one, or first-last")
-    parser.add_argument("--plant", choices=sorted(plants.PLANTS))
+    parser.add_argument("--plant", choices=sorted(PLANTED_FAULTS))
     parser.add_argument("--followers", type=int, default=24)
     options = parser.parse_args()
     first, _, last = options.seeds.partition("-")
-    plant = plants.PLANTS[options.plant] if options.plant else plants.NONE
+    planted = PLANTED_FAULTS[options.plant] if options.plant else NO_FAULT
     for seed in range(int(first), int(last or first) + 1):
-        report = walk(seed, plant, options.followers)
+        report = walk(seed, planted, options.followers)
         print(msgspec.json.encode(report).decode(), flush=True)
 
 
