--- a/bench/scale/detector.py
+++ b/bench/scale/detector.py
@@ -5,10 +5,10 @@
 from bench.scale.meter import Meter, memory
 from bench.scale.one_router import OneRouter, introduce, places
 from bench.scale.records import Row, row
-from wickhinge.decide import RandomSource
 from wickhinge.net.control.peer_transport import VIEW_INTERVAL
 from wickhinge.peers.detector import FailureDetector
 from wickhinge.peers.roster import Roster
+from wickhinge.routing.random_source import RandomSource
 
 VIEWS = 50  # of a measure
 LEAST_HEARD = 0.9  # of the others, at which a join counts as done
@@ -20,8 +20,8 @@
     """A detector that knows all others."""
     all_places = places(routers)
     detector = FailureDetector(Roster(all_places, all_places[0].name), RandomSource(seed), 0.0, lambda message: None)
-    for name in detector.roster.others:
-        peer = Roster([detector.roster.mine, detector.roster.places[name]], name)
+    for name in detector.roster.peer_names:
+        peer = Roster([detector.roster.local, detector.roster.entries[name]], name)
         introduce(detector, FailureDetector(peer, RandomSource(seed), 0.0, lambda message: None))
     return detector
 
@@ -36,7 +36,7 @@
         router.run(1.0)
         router.sent = router.bytes_sent = 0
         cpu.append(meter.median(lambda router=router: router.cpu(seconds)))
-        views.append(meter.cpu(lambda router=router: router.detector.view(router.now).brief(), VIEWS) / VIEW_INTERVAL)
+        views.append(meter.cpu(lambda router=router: router.detector.view(router.now).summary(), VIEWS) / VIEW_INTERVAL)
         passed = meter.rounds * seconds
         messages.append(router.sent / passed)
         sent.append(router.bytes_sent / passed)
--- a/tests/changelog/test_administration.py
+++ b/tests/changelog/test_administration.py
@@ -27,7 +27,7 @@
 from wickhinge.changelog.entries import Noop, Purge, encode_change
 from wickhinge.changelog.errors import NotLeaderError
 from wickhinge.changelog.storage import MemoryStorage
-from wickhinge.peers.desk import Asking
+from wickhinge.peers.status_client import StatusClient
 
 
 class Leader:
@@ -47,13 +47,13 @@
 
     def ask(self, word, more=b"", address=THERE, key=KEY):
         """As a command does: the first answer is the cookie."""
-        asking = Asking(key, "a", 7, word, more)
+        asking = StatusClient(key, "a", 7, word, more)
         for _ in range(2):
             before = len(self.node.reactor.sent)
             self.node.datagramReceived(asking.datagram(), address)
             for data, to in self.node.reactor.sent[before:]:
                 assert to == address
-                asking.heard(data)
+                asking.receive(data)
         return asking.answer()
 
     def append(self, change, request_id=b"i" * 16):
@@ -114,7 +114,7 @@
     leader.lead()
     assert leader.ask(STATUS, key=NEXT_KEY) is None
     more = msgspec.msgpack.encode(AppendRequest(b"i" * 16, encode_change(Purge(5, 0, 0))))
-    asking = Asking(KEY, "a", 7, APPEND, more)
+    asking = StatusClient(KEY, "a", 7, APPEND, more)
     leader.node.datagramReceived(asking.datagram(), THERE)
     assert leader.proposed == []
 
@@ -131,4 +131,4 @@
 def test_relay_when_asked_to_append_has_no_such_word(sockets):
     node = relay_endpoint(sockets)
     desk = Administration(node, [KEY], 0.5)
-    assert APPEND not in desk._desks[0].words and desk.status().source in REPLICAS
+    assert APPEND not in desk._servers[0].command_names and desk.status().source in REPLICAS
--- a/tests/changelog/test_router_changes.py
+++ b/tests/changelog/test_router_changes.py
@@ -13,10 +13,10 @@
 from wickhinge.changelog.effects import Apply, Reset
 from wickhinge.changelog.entries import Noop, Purge, Setting, Unknown
 from wickhinge.changelog.log import Snapshot
-from wickhinge.decide import Purges
 from wickhinge.fields import Malformed
 from wickhinge.net.control.changelog_client import ChangelogClient
 from wickhinge.options.load import parse_options
+from wickhinge.routing.purges import Purges
 
 
 @pytest.fixture
--- a/tests/shared/test_cold_shares.py
+++ b/tests/shared/test_cold_shares.py
@@ -12,14 +12,15 @@
 from hypothesis import strategies as st
 
 from tests.support import routing as helpers
-from wickhinge.decide import RandomSource, SlowStart
 from wickhinge.interface import Outcome
 from wickhinge.lab.many import judges, play
 from wickhinge.lab.many.schedule import Schedule
 from wickhinge.options.errors import OptionsError
 from wickhinge.options.load import parse_options
 from wickhinge.peers.detector import FailureDetector
-from wickhinge.peers.roster import Place, Roster
+from wickhinge.peers.roster import Roster, RosterEntry
+from wickhinge.routing.random_source import RandomSource
+from wickhinge.routing.slow_start import SlowStart
 from wickhinge.shared import cold
 from wickhinge.shared.lending import FLOOR, SPAN, Division, LendingLimiter
 from wickhinge.shared.name_lease import DRIFT
@@ -29,7 +30,7 @@
 
 
 def roster(zones, mine="n0"):
-    return Roster([Place(f"n{place}", ("127.0.0.1", place + 1), zone) for place, zone in enumerate(zones)], mine)
+    return Roster([RosterEntry(f"n{place}", ("127.0.0.1", place + 1), zone) for place, zone in enumerate(zones)], mine)
 
 
 def colds(share=1.0, processes=4):
--- a/wickhinge/changelog/administration.py
+++ b/wickhinge/changelog/administration.py
@@ -1,7 +1,7 @@
 """What an operator asks a replica or a relay over its socket: where it stands, who follows it, a change for the log.
 
-Questions and answers are those of `peers.desk`: under the fleet's key, and counted only with a cookie, so that one that
-is replayed, or sent under another's address, does nothing. Words: STATUS, ROWS, APPEND.
+Questions and answers are those of `peers.status_messages`: under the fleet's key, and counted only with a cookie, so
+that one that is replayed, or sent under another's address, does nothing. Words: STATUS, ROWS, APPEND.
 """
 
 from __future__ import annotations
@@ -24,8 +24,9 @@
 from wickhinge.changelog.proposals import Outcome
 from wickhinge.changelog.relay_endpoint import RelayEndpoint
 from wickhinge.changelog.replica_endpoint import ReplicaEndpoint
-from wickhinge.peers.desk import ASK, Desk
-from wickhinge.peers.wire import Unreadable
+from wickhinge.common.sealing import DatagramError
+from wickhinge.peers.status_messages import REQUEST_MAGIC
+from wickhinge.peers.status_server import StatusServer
 
 STATUS, ROWS, APPEND = "changelog-status", "changelog-rows", "changelog-append"
 ROWS_PER_PAGE = 400
@@ -144,12 +145,13 @@
 
     def use_keys(self, keys: Sequence[bytes]) -> None:
         """Answers questions under any of the keys from now on."""
-        self._desks = [Desk(self._endpoint.name, key, self._secret, self._endpoint.clock()) for key in keys]
-        for desk in self._desks:
-            desk.words[STATUS] = lambda _more: msgspec.json.encode(self.status())
-            desk.words[ROWS] = self._rows
+        now = self._endpoint.clock()
+        self._servers = [StatusServer(self._endpoint.name, key, self._secret, now) for key in keys]
+        for server in self._servers:
+            server.add_command(STATUS, lambda _more: msgspec.json.encode(self.status()))
+            server.add_command(ROWS, self._rows)
             if isinstance(self._endpoint, ReplicaEndpoint):
-                desk.words[APPEND] = self._append
+                server.add_command(APPEND, self._append)
 
     def status(self) -> Status:
         """Where the endpoint stands now."""
@@ -184,12 +186,12 @@
         return None if until is None or until == NEVER else round(now - until, 3)
 
     def _handle_datagram(self, datagram: bytes, address: Address) -> bool:
-        if datagram[: len(ASK)] != ASK:
+        if datagram[: len(REQUEST_MAGIC)] != REQUEST_MAGIC:
             return False
-        for desk in self._desks:
+        for server in self._servers:
             try:
-                answers = desk.heard(datagram, address, self._endpoint.clock())
-            except Unreadable:
+                answers = server.receive(datagram, address, self._endpoint.clock())
+            except DatagramError:
                 continue
             for answer in answers:
                 self._endpoint.write(answer, address)
--- a/wickhinge/changelog/codec.py
+++ b/wickhinge/changelog/codec.py
@@ -1,4 +1,4 @@
-"""Packets as datagrams of at most LONGEST bytes, sealed under the fleet's key as `peers.wire` seals.
+"""Packets as datagrams of at most MAX_DATAGRAM_BYTES bytes, sealed under the fleet's key as `common.sealing` seals.
 
     datagram = "WL1" body mac:16      body: head, kind byte, fields of the message
 
@@ -15,12 +15,12 @@
 from wickhinge.changelog.errors import MalformedMessageError, MessageTooLongError
 from wickhinge.changelog.message_codecs import MAX_DURATION_MS, encode_message, read_message
 from wickhinge.changelog.messages import NEWEST_FORMAT, OLDEST_FORMAT, Message, Packet
-from wickhinge.peers.wire import LONGEST, MAC, Unreadable, sealed, unsealed
+from wickhinge.common.sealing import MAC_BYTES, MAX_DATAGRAM_BYTES, DatagramError, seal, unseal
 
 MAGIC = b"WL1"
 MAX_PROCESS_NAME_BYTES = 32
 MAX_HEADER_BYTES = 1 + 1 + MAX_PROCESS_NAME_BYTES + 8 + 8 + 5 + 1
-MAX_BODY_BYTES = LONGEST - len(MAGIC) - MAC - MAX_HEADER_BYTES
+MAX_BODY_BYTES = MAX_DATAGRAM_BYTES - len(MAGIC) - MAC_BYTES - MAX_HEADER_BYTES
 MAX_MESSAGE_FIELDS_BYTES = 80  # bytes of a Batch or an Append beside its entries
 MAX_ENTRIES_BYTES = MAX_BODY_BYTES - MAX_MESSAGE_FIELDS_BYTES  # by entries.max_encoded_size
 MAX_RECORD_OVERHEAD_BYTES = 10  # bytes of a record beside its change
@@ -51,9 +51,9 @@
         if message is not packet.message:
             body = encode_message(packet.message, packet.format)
             self._encoded[packet.format] = packet.message, body
-        data = sealed(receiver_key(self._key, to), MAGIC, encode_header(packet) + body)
-        if len(data) > LONGEST:
-            raise MessageTooLongError(len(data), LONGEST)
+        data = seal(receiver_key(self._key, to), MAGIC, encode_header(packet) + body)
+        if len(data) > MAX_DATAGRAM_BYTES:
+            raise MessageTooLongError(len(data), MAX_DATAGRAM_BYTES)
         return data
 
     def decode(self, data: bytes) -> Packet:
@@ -63,8 +63,8 @@
             MalformedMessageError: The datagram is not for us, not under the key, or no such message.
         """
         try:
-            body = unsealed(receiver_key(self._key, self._name), MAGIC, data)
-        except Unreadable as fault:
+            body = unseal(receiver_key(self._key, self._name), MAGIC, data)
+        except DatagramError as fault:
             raise MalformedMessageError(str(fault)) from None
         return decode_packet(body)
 
--- a/wickhinge/changelog/endpoint.py
+++ b/wickhinge/changelog/endpoint.py
@@ -21,7 +21,7 @@
 from wickhinge.changelog.errors import MalformedMessageError, MessageTooLongError
 from wickhinge.changelog.messages import Packet
 from wickhinge.changelog.settings import TICK_S
-from wickhinge.peers.wire import LONGEST
+from wickhinge.common.sealing import MAX_DATAGRAM_BYTES
 
 ADDRESS_EXPIRY_S = 30.0
 ADDRESS_EXPIRY_TICKS = 256  # between two looks for expired addresses
@@ -116,7 +116,7 @@
         """
         host, port = self.address
         try:
-            self._port = self.reactor.listenUDP(port, self, interface=host, maxPacketSize=LONGEST + 1)
+            self._port = self.reactor.listenUDP(port, self, interface=host, maxPacketSize=MAX_DATAGRAM_BYTES + 1)
         except CannotListenError as fault:
             cause = fault.socketError
             raise OSError(cause.errno, f"changelog: {host}:{port}: {cause.strerror}") from None
--- a/wickhinge/cli/peers.py
+++ b/wickhinge/cli/peers.py
@@ -25,7 +25,7 @@
     """The fleet's key, and the routers' addresses by name; ends the process where the settings cannot be used."""
     from wickhinge.fields import Malformed
     from wickhinge.options import OptionsError, keys, load
-    from wickhinge.peers.roster import places
+    from wickhinge.peers.roster import read_entries
 
     path = path or os.environ.get("WICKHINGE_OPTIONS")
     if not path:
@@ -33,7 +33,8 @@
     try:
         settings = load(path).peers
         key = keys.read("peers.key_file", settings.key_file)
-        addresses = {peer.name: peer.address for peer in places(settings.roster)}
+        rows: list[Any] = list(settings.roster)  # frozen records, where RosterRow asks for attributes that can be set
+        addresses = {peer.name: peer.address for peer in read_entries(rows)}
     except (OptionsError, Malformed) as problem:
         fail(str(problem))
     if not addresses:
--- a/wickhinge/cli/question.py
+++ b/wickhinge/cli/question.py
@@ -7,7 +7,7 @@
 import time
 from dataclasses import dataclass
 
-from wickhinge.peers.desk import Asking
+from wickhinge.peers.status_client import StatusClient
 
 RETRY_INTERVAL_S = 0.3  # without a datagram, after which the question is sent again
 REFUSED_WAIT_S = RETRY_INTERVAL_S / 3  # where nobody listens
@@ -45,12 +45,12 @@
         NoAnswerError: All attempts were without an answer.
     """
     reason = ""
-    asking = Asking(key, name, int.from_bytes(os.urandom(NONCE_BYTES)), question.word, question.more)
+    client = StatusClient(key, name, int.from_bytes(os.urandom(NONCE_BYTES)), question.word, question.more)
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as udp_socket:
         udp_socket.connect(address)
         for _ in range(question.attempts):
             try:
-                answer = attempt(udp_socket, asking)
+                answer = attempt(udp_socket, client)
             except TimeoutError:
                 continue
             except OSError as error:  # refused: nobody listens there
@@ -62,16 +62,16 @@
     raise NoAnswerError(name, address, reason)
 
 
-def attempt(udp_socket: socket.socket, asking: Asking) -> bytes | None:
+def attempt(udp_socket: socket.socket, client: StatusClient) -> bytes | None:
     """Sends the question once, and once more with the cookie that comes first. Raises TimeoutError, OSError."""
-    udp_socket.send(asking.datagram())
+    udp_socket.send(client.datagram())
     deadline = time.monotonic() + RETRY_INTERVAL_S
     while (remaining_s := deadline - time.monotonic()) > 0:
         udp_socket.settimeout(remaining_s)
-        if asking.heard(udp_socket.recv(MAX_DATAGRAM_BYTES)):
-            udp_socket.send(asking.datagram())
+        if client.receive(udp_socket.recv(MAX_DATAGRAM_BYTES)):
+            udp_socket.send(client.datagram())
             deadline = time.monotonic() + RETRY_INTERVAL_S
-        answer: bytes | None = asking.answer()
+        answer: bytes | None = client.answer()
         if answer is not None:
             return answer
     return None
--- a/wickhinge/common/__init__.py
+++ b/wickhinge/common/__init__.py
@@ -1,1 +1,1 @@
-"""What the router on sockets and the optional subsystems share."""
+"""Small parts that several packages need and that need no package of ours themselves."""
