--- a/tests/shared/test_slow_start_quota.py
+++ b/tests/shared/test_slow_start_quota.py
@@ -16,7 +16,8 @@
 from wickhinge.interface import Outcome
 from wickhinge.lab.many import judges, play
 from wickhinge.lab.many.schedule import Schedule
-from wickhinge.options.load import Fault, check
+from wickhinge.options.errors import OptionsError
+from wickhinge.options.load import parse_options
 from wickhinge.peers.detector import FailureDetector
 from wickhinge.peers.roster import Roster, RosterEntry
 from wickhinge.routing.random_source import RandomSource
@@ -252,8 +253,8 @@
     ],
 )
 def test_settings_when_contradictory_name_the_key(text, told):
-    with pytest.raises(Fault, match=told):
-        check(text, "x")
+    with pytest.raises(OptionsError, match=told):
+        parse_options(text, "x")
 
 
 def test_start_when_the_zone_differs_from_the_platforms_is_refused(tmp_path):
