--- a/bench/cold_sum.py
+++ b/bench/cold_sum.py
@@ -31,6 +31,7 @@
 from wickhinge.interface import (
     AttemptParameters,
     Capabilities,
+    Completion,
     Endpoint,
     Idempotency,
     Outcome,
@@ -44,11 +45,11 @@
 from wickhinge.lab.many.stands import AGE, LIMITS, WARM
 from wickhinge.lab.many.stands import Scene as StandScene
 from wickhinge.routing.attempt import Attempt
-from wickhinge.routing.endpoints import Endpoints
+from wickhinge.routing.endpoints import Endpoints, Topology
 from wickhinge.routing.object_counts import ObjectCounts
 from wickhinge.routing.purges import Purges
 from wickhinge.routing.random_source import RandomSource
-from wickhinge.routing.router import Router
+from wickhinge.routing.router import Router, RouterSettings
 from wickhinge.routing.server import Server
 from wickhinge.routing.slow_start import SlowStart
 
@@ -152,7 +153,7 @@
 def distribution(
     limits: Limits, budget: float, processes: int, scene: Scene, rule: Rule, trials: int, seed: int
 ) -> Found:
-    """The arithmetic of decide.Cold.room for all routers at once, in visits of mean work."""
+    """The arithmetic of routing.SlowStart.admits for all routers at once, in requests of mean work."""
     draw, share = np.random.default_rng(seed), loads(processes)
     count = int(limits.warm * STEPS / limits.span)
     second = limits.span / STEPS
@@ -245,17 +246,17 @@
 
     def forward(self, parameters: AttemptParameters) -> None:
         play, forward, cache = self.play, parameters.attempt, parameters.server
-        if cache.mark == COLD:
+        if cache.id == COLD:
             play.sent.append((play.wheel.now, self.place))
         play.wheel.wake(play.work, lambda now: self.answered(forward, now))
 
     def answered(self, forward: Attempt, now: float) -> None:
-        if forward.pending:
+        if forward.is_pending:
             self.play.served += 1
-            forward.visit.ended(forward, Outcome.SUCCEEDED, self.play.work, True, None, now)
+            forward.request.attempt_ended(forward, Completion(Outcome.SUCCEEDED, self.play.work, True), now)
 
     def cancel(self, forward: Attempt) -> None:
-        forward.visit.ended(forward, Outcome.CANCELLED, 0.0, True, None, self.play.wheel.now)
+        forward.request.attempt_ended(forward, Completion(Outcome.CANCELLED, 0.0, True), self.play.wheel.now)
 
     def reject(self, wait: float, why: RejectionReason) -> None:
         self.play.denied += 1
@@ -287,7 +288,7 @@
         self.play = play
 
     def room(self, cache: Server, visit: Any, now: float) -> bool:
-        if cache.mark != COLD:
+        if cache.id != COLD:
             return True
         play = self.play
         recent = sum(when > now - play.limits.span for when, _ in play.sent[-2000:])
@@ -335,25 +336,16 @@
     def router(self, place: int) -> Router:
         tier = (self.limits.multiple, self.limits.span, self.limits.floor, self.limits.warm)
         chance = RandomSource(self.random.getrandbits(60))
-        fleet = Endpoints(chance, "here", self.processes, "parent", "origin", True, SlowStart(*tier), SlowStart(*tier))
-        made = Router(
-            self.worlds[place],
-            chance,
-            fleet,
-            ObjectCounts(self.processes),
-            Purges(6.0),
-            ALLOWED,
-            flow=1000.0,
-            most_forwards=6,
-            ask_within=0.0,
-            longest_wait=0.5,
-        )
+        topology = Topology("here", self.processes, "parent", "origin", has_weights=True)
+        endpoints = Endpoints(chance, topology, SlowStart(*tier), SlowStart(*tier))
+        settings = RouterSettings(ALLOWED, flow=1000.0, max_attempts=6, max_list_age=0.0, max_retry_after=0.5)
+        made = Router(self.worlds[place], endpoints, ObjectCounts(self.processes), Purges(6.0), settings)
         if self.bucket:
-            fleet.room = self.bucket.room
+            endpoints.admits = self.bucket.room
         now = self.wheel.now
         known = place != self.deaf or now >= DEAF_FOR
-        fleet.listed(self.listings(0.0 if known else None), True, now)
-        made.start(now)
+        endpoints.update(self.listings(0.0 if known else None), now, complete=True)
+        made.start()
         return made
 
     def listings(self, started: float | None) -> list[Endpoint]:
@@ -373,14 +365,14 @@
     def tell(self, now: float) -> None:
         for place, router in enumerate(self.routers):
             known = place != self.deaf or now >= DEAF_FOR
-            router.fleet.listed(self.listings(0.0 if known else None), True, now)
+            router.endpoints.update(self.listings(0.0 if known else None), now, complete=True)
 
     def ask(self, place: int, rate: float, now: float) -> None:
         if now > self.limits.warm:
             return
         self.asked += 1
         request = Request(self.random.randrange(KEYS), 0, 0, 1000.0 * self.work, self.offers.timeout)
-        self.routers[place].take(Client(self, place), self.offers, request, now)
+        self.routers[place].route(Client(self, place), self.offers, request, now)
         self.wheel.wake(self.random.expovariate(rate), lambda then: self.ask(place, rate, then))
 
     def run(self) -> Ending:
@@ -424,7 +416,9 @@
     killed = tuple(Fault("kill", begins + 1.0 + turn * 0.8, 0.5, (one,)) for turn, one in enumerate(place))
     share = loads(processes)
     scene = StandScene(lambda process, now: 3.0 * float(share[process.place]) * (now > 0.0))
-    one_unit = LIMITS.multiple * (LIMITS.floor + (1 - LIMITS.floor) * AGE / WARM) * LIMITS.span
+    one_unit = (
+        LIMITS.overload_factor * (LIMITS.initial_capacity + (1 - LIMITS.initial_capacity) * AGE / WARM) * LIMITS.window
+    )
     told_all = Schedule(seed, processes, 1, killed, processes, begins, seconds)
     with (
         patch.object(stands, "WEIGHT", budget * stands.WORK / one_unit),
@@ -433,7 +427,7 @@
     ):
         made = rig.run().stands
         sent = made.sent[made.caches[0].mark]
-        worst = worst_window([when for when, _, _ in sent], LIMITS.span, lambda when: budget_of(made, when))
+        worst = worst_window([when for when, _, _ in sent], LIMITS.window, lambda when: budget_of(made, when))
         answered = sum(took is not None for _, took, _ in made.visits)
         return {
             "processes": processes,
--- a/bench/discovery.py
+++ b/bench/discovery.py
@@ -23,6 +23,7 @@
 from bench import told
 from wickhinge.interface import (
     AttemptParameters,
+    Completion,
     Endpoint,
     Idempotency,
     Outcome,
@@ -316,7 +317,7 @@
 
 
 class Herd:
-    """So many routers, each with its own decide.Router and MembershipController, in one virtual time."""
+    """So many routers, each with its own routing.Router and MembershipController, in one virtual time."""
 
     SPAN, MULTIPLE, FLOOR, WARM = 3.0, 4.0, 0.2, 10.0
 
@@ -365,7 +366,7 @@
             watch=lambda: None,
         )
         made = emulated(outside, chance, "here", routers, (self.MULTIPLE, self.SPAN, self.FLOOR, self.WARM))
-        made.means["clips"] = 0.1
+        made.mean_works["clips"] = 0.1
 
         port = HerdPort(self, made)
         settings = MembershipSettings(
@@ -391,7 +392,7 @@
                 )
 
             members.adopt = all_of_it
-        made.start(self.now)
+        made.start()
         self.routers.append((made, members))
         self.ticking(members)
 
@@ -406,7 +407,7 @@
         self.arrivals(rate)
         made, members = self.random.choice(self.routers)
         request = Request(int(self.random.paretovariate(0.9)) % 5000, 0, 0, 100.0, 3.0)
-        made.take(HerdCaller(self, made, members), self.request_class, request, self.now)
+        made.route(HerdCaller(self, made, members), self.request_class, request, self.now)
 
     def run(self, seconds: float) -> dict[str, Any]:
         self.wheel.run(self.began + seconds)
@@ -472,7 +473,7 @@
                     one.is_trusted,
                 )
             )
-        self.router.fleet.listed(rows, False, self.herd.now)
+        self.router.endpoints.update(rows, self.herd.now, complete=False)
 
     def check_health(self, statement: Statement) -> None:
         mark, herd = statement.endpoint_id, self.herd
@@ -495,9 +496,9 @@
     def forward(self, parameters: AttemptParameters) -> None:
         forward, cache, source = parameters.attempt, parameters.server, parameters.source
         herd = self.herd
-        herd.cells[cache.mark].work.append((herd.now, 0.1))
+        herd.cells[cache.id].work.append((herd.now, 0.1))
         if source is not None and source is not cache:
-            herd.cells[source.mark].work.append((herd.now, 0.1))
+            herd.cells[source.id].work.append((herd.now, 0.1))
         filled = source is not cache or cache.kind != "box"
         took = 0.1 if filled else 0.005
 
@@ -505,17 +506,19 @@
             if forward in self.gone:
                 return
             outcome = Outcome.SUCCEEDED if filled else Outcome.MISS
-            self.members.record_request(cache.mark, herd.now, answered=True)
-            if outcome is Outcome.SUCCEEDED and not forward.visit.done:
+            self.members.record_request(cache.id, herd.now, answered=True)
+            if outcome is Outcome.SUCCEEDED and not forward.request.is_finished:
                 herd.served += 1
-            forward.visit.ended(forward, outcome, took, outcome is Outcome.SUCCEEDED, None, herd.now)
+            completion = Completion(outcome, took, outcome is Outcome.SUCCEEDED)
+            forward.request.attempt_ended(forward, completion, herd.now)
 
         herd.at(herd.now + took, done)
 
     def cancel(self, forward: Any) -> None:
         self.gone.add(forward)
         self.herd.at(
-            self.herd.now, lambda: forward.visit.ended(forward, Outcome.CANCELLED, 0.0, False, None, self.herd.now)
+            self.herd.now,
+            lambda: forward.request.attempt_ended(forward, Completion(Outcome.CANCELLED, 0.0, False), self.herd.now),
         )
 
     def reject(self, wait: float, why: RejectionReason) -> None:
--- a/bench/planted.py
+++ b/bench/planted.py
@@ -31,9 +31,9 @@
     elif fault == "drains":
         from wickhinge.routing.endpoints import Endpoints
 
-        listed = Endpoints.listed
-        Endpoints.listed = lambda self, listings, whole, now: listed(
-            self, [one for one in listings if one.state != "draining"], whole, now
+        update = Endpoints.update
+        Endpoints.update = lambda self, listed, now, *, complete: update(
+            self, [endpoint for endpoint in listed if endpoint.state != "draining"], now, complete=complete
         )
     else:
         raise SystemExit(f"no fault {fault}")
--- a/bench/scale/day_budgets.py
+++ b/bench/scale/day_budgets.py
@@ -128,7 +128,7 @@
     spends = Spends()
     fleet = DayFleet(draw(seed, routers, seconds, counts), (*plants, spends)).run()
     limits = [(spent, most, window_s) for spent, (most, window_s, _) in zip(fleet.spent, BUDGETS, strict=True)]
-    limits += [(sent, fleet.bears, COLD.span) for sent in fleet.sent.values()]
+    limits += [(sent, fleet.bears, COLD.window) for sent in fleet.sent.values()]
     return BudgetsDay(
         routers,
         counts.restarts,
--- a/bench/scale/deciding.py
+++ b/bench/scale/deciding.py
@@ -10,12 +10,11 @@
 from wickhinge.interface import Capabilities
 from wickhinge.routing.object_counts import ObjectCounts
 from wickhinge.routing.purges import Purges
-from wickhinge.routing.random_source import RandomSource
-from wickhinge.routing.router import Router
-from wickhinge.routing.slow_start import ROUND
+from wickhinge.routing.router import Router, RouterSettings
+from wickhinge.routing.slow_start import ROUND_INTERVAL_S
 
 VISITS = 2000  # requests of a measure
-ROUNDS = 40  # of probes
+ROUND_INTERVAL_SS = 40  # of probes
 KEYS = 1 << 40  # of objects, drawn from
 
 
@@ -23,7 +22,7 @@
     """A table of k that is full."""
     shelf = ObjectCounts(1, size)
     for number in range(size):
-        shelf.visit(number * 7919 % KEYS, 0, 0.0)
+        shelf.record_request(number * 7919 % KEYS, 0, 0.0)
     return shelf
 
 
@@ -32,8 +31,8 @@
     shelf, watch = filled(size), Watch()
     with watch:
         for number in range(VISITS // 2):
-            shelf.visit((size - 1 - number % size) * 7919 % KEYS, 0, 0.1)
-            shelf.visit((size + number) * 7919 % KEYS, 0, 0.1)
+            shelf.record_request((size - 1 - number % size) * 7919 % KEYS, 0, 0.1)
+            shelf.record_request((size + number) * 7919 % KEYS, 0, 0.1)
     return watch.spent / VISITS
 
 
@@ -43,7 +42,7 @@
     turns = max(VISITS // (10 * caches), 5)
     with watch:
         for number in range(turns):
-            one.order(one.mine, number, 1.0)
+            one.in_order(one.edge_caches, number, 1.0)
     return watch.spent / turns
 
 
@@ -63,14 +62,13 @@
     """Probes a second of one router, CPU seconds a second of its rounds."""
     outside, watch = Outside(), Watch()
     allowed = Capabilities(True, True, True, True, True, True, False)
-    router = Router(
-        outside, RandomSource(3), fleet(caches, routers), ObjectCounts(), Purges(3.0), allowed, 1e5, 3, 1.0, 3.0
-    )
-    rounds = ROUNDS * max(routers // 4, 1)  # each probes the less, the more routers there are
+    settings = RouterSettings(allowed, flow=1e5, max_attempts=3, max_list_age=1.0, max_retry_after=3.0)
+    router = Router(outside, fleet(caches, routers), ObjectCounts(), Purges(3.0), settings)
+    rounds = ROUND_INTERVAL_SS * max(routers // 4, 1)  # each probes the less, the more routers there are
     with watch:
         for number in range(rounds):
-            router.round(number * ROUND)
-    return outside.probes / (rounds * ROUND), watch.spent / (rounds * ROUND)
+            router.round(number * ROUND_INTERVAL_S)
+    return outside.probes / (rounds * ROUND_INTERVAL_S), watch.spent / (rounds * ROUND_INTERVAL_S)
 
 
 def rows(meter: Meter) -> list[Row]:
--- a/bench/scale/design.py
+++ b/bench/scale/design.py
@@ -42,7 +42,10 @@
 TCP_HEADERS = Assumption("TCP and IPv4 headers of a segment", 52, "B", "RFC 9293 (20), RFC 7323 timestamps (12), IPv4")
 PROBE_BYTES = Assumption("a probe of a cache and its answer, payload", 250, "B", "estimate; not measured")
 PURGES_HELD = Assumption(
-    "purges that a router remembers", PURGES * (PURGE_WITHIN + 2.0), "", "rate times (done within + 2 s), decide.Purges"
+    "purges that a router remembers",
+    PURGES * (PURGE_WITHIN + 2.0),
+    "",
+    "rate times (done within + 2 s), routing.Purges",
 )
 LASTING_DAYS = Assumption("days for which a purge must outlast copies on disk", 1, "day", "operators' shortest use")
 LOG_RATE = Assumption("log lines of control a router writes", 1, "1/s", "estimate: changes of state, not requests")
--- a/bench/scale/findings.py
+++ b/bench/scale/findings.py
@@ -6,7 +6,7 @@
 from bench.scale.records import Known
 from bench.scale.roles import ROUTER_CONTROL
 from bench.scale.tables import EXTRAPOLATED, ROUTERS, amount, at_design, number
-from wickhinge.routing.object_counts import SHELF_SIZE
+from wickhinge.routing.object_counts import MAX_OBJECTS
 from wickhinge.store.purges import MAX_PURGES
 
 
@@ -60,12 +60,12 @@
     cpu, sent = (ROUTER_CONTROL.total("ordinary", kind, known).value for kind in ("cpu", "bytes"))
     purges = known["router.purges_lasting.memory"]
     lasting, kept = purges.at(design.PURGES * design.DAY), amount("memory", purges.at(MAX_PURGES))
-    k_memory = amount("memory", known["router.k.memory"].at(SHELF_SIZE))
+    k_memory = amount("memory", known["router.k.memory"].at(MAX_OBJECTS))
     return (
         f"A router's control takes {amount('cpu', cpu)} of a core (allowed {amount('cpu', design.ALLOWED_CPU)}) and"
         f" {number(sent)} bytes a second (allowed {design.ALLOWED_BYTES:,}); a day's purges that outlast copies"
         f" {amount('memory', lasting)}{EXTRAPOLATED} (allowed {amount('memory', design.ALLOWED_MEMORY)};"
         f" {MAX_PURGES:,} are kept, {MAX_PURGES / design.PURGES / 60:.0f} minutes' worth, for {kept},"
         " then copies are dropped);"
-        f" k is known of {SHELF_SIZE:,} of {design.OBJECTS / 1e6:g} million objects, for {k_memory}."
+        f" k is known of {MAX_OBJECTS:,} of {design.OBJECTS / 1e6:g} million objects, for {k_memory}."
     )
--- a/bench/scale/judgements.py
+++ b/bench/scale/judgements.py
@@ -9,7 +9,7 @@
 from bench.scale.records import Row, row
 from wickhinge.interface import Endpoint
 from wickhinge.peers.messages import MemberState
-from wickhinge.routing.endpoints import Endpoints
+from wickhinge.routing.endpoints import Endpoints, Topology
 from wickhinge.routing.random_source import RandomSource
 from wickhinge.routing.slow_start import SlowStart
 from wickhinge.shared import evidence, outlier_detection, request_tallies, verdicts
@@ -23,8 +23,9 @@
 def fleet(caches: int, routers: int = 15, zone: str = FLEET_ZONE) -> Endpoints:
     """A location with so many caches, all ready and weighed."""
     warm = SlowStart(4.0, 3.0, 0.2, 120.0)
-    made = Endpoints(RandomSource(1), zone, routers, "parent", "origin", True, warm, warm)
-    made.listed([Endpoint(mark + 1, zone, "edge", 0, "ready", 1.0, None) for mark in range(caches)], True, 0.0)
+    topology = Topology(zone, routers, "parent", "origin", has_weights=True)
+    made = Endpoints(RandomSource(1), topology, warm, warm)
+    made.update([Endpoint(mark + 1, zone, "edge", 0, "ready", 1.0, None) for mark in range(caches)], 0.0, complete=True)
     return made
 
 
@@ -51,7 +52,7 @@
     """Each witness says of each machine that it is lost; a third of the machines is so at most."""
     one = outlier_detection.OutlierDetector(stub_detector(WITNESSES), fleet(caches), lambda cache: None)
     one.tick(0.0, 0.0)
-    marks = [cache.mark for cache in one.fleet.mine]
+    marks = [cache.id for cache in one.endpoints.edge_caches]
     for name in one.detector.roster.peer_names:
         for since in range(0, len(marks), verdicts.MAX_VERDICTS):
             told = [
--- a/bench/scale/roles.py
+++ b/bench/scale/roles.py
@@ -103,7 +103,7 @@
 PURGES = Mechanism(
     "purges remembered",
     f"{design.PURGES_HELD.value:.0f} purges",
-    "decide.Purges",
+    "routing.Purges",
     "forgotten 2 s after they are done everywhere",
     Costs(
         cpu=(Term("router.purges.cpu", design.PURGES_HELD.value, design.PURGES),),
@@ -123,7 +123,7 @@
 PROBES = Mechanism(
     "probes of caches",
     "none",
-    "decide.Router.round over RESP",
+    "routing.Router.round over RESP",
     "0.25 s, then a failure of that cache",
     Costs(
         messages=(Term("router.probes.messages", design.CACHES_OF_ZONE, BOTH_WAYS),),
@@ -153,14 +153,14 @@
 K = Mechanism(
     "k of objects",
     "20,000 of 570 million objects",
-    "decide.Shelf",
+    "routing.ObjectCounts",
     "forgotten after four idle times",
     SERVING_PEAK,
 )
 CANDIDATES = Mechanism(
     "candidates of a request",
     "the zone's caches",
-    "decide.Fleet.order",
+    "routing.Endpoints.in_order",
     "the last list, without any age",
     Costs(
         cpu=(Term("router.candidates.cpu", design.CACHES_OF_ZONE, design.REQUESTS_OF_ROUTER),),
--- a/bench/scale/spread.py
+++ b/bench/scale/spread.py
@@ -70,7 +70,7 @@
     detector = stub_detector(routers - 1)
     detector.send = lambda to, kind, serial, now: told.add(to)
     machines = fleet(CACHES, routers)
-    machines.listed([Endpoint(PARENT, FLEET_ZONE, "parent", 0, "ready", 1.0, None)], False, 0.0)
+    machines.update([Endpoint(PARENT, FLEET_ZONE, "parent", 0, "ready", 1.0, None)], 0.0, complete=False)
     one: Any = outlier_detection.OutlierDetector(detector, machines, lambda cache: None)
     one.tick(0.0, 0.0)
     machines.parents[0].lost = True
--- a/tests/changelog/test_router_changes.py
+++ b/tests/changelog/test_router_changes.py
@@ -55,7 +55,7 @@
 
 def test_limit_when_the_time_of_day_differs_is_the_same(changes):
     purges = changes.node.router.purges
-    assert purges.oldest(1, 0, 0.0) == purges.oldest(1, 0, 2e9) == pytest.approx(0.94 * 6 - 0.001)
+    assert purges.max_age(1, 0, 0.0) == purges.max_age(1, 0, 2e9) == pytest.approx(0.94 * 6 - 0.001)
 
 
 def test_changes_when_applied_go_where_they_belong_and_others_nowhere(changes):
@@ -70,7 +70,9 @@
     changes.follower.do(Reset(Snapshot(1, 9, b"d" * 8, (), (Purge(7, 3, 5), Purge(None, 4, 6)))))
     assert changes.told[:2] == [(7, 3, 5, 0), (None, 4, 6, 0)] and changes.told[3] == "changelog_reset"
     waiting = [
-        SimpleNamespace(forward=SimpleNamespace(visit=SimpleNamespace(item=SimpleNamespace(key=key), group=group)))
+        SimpleNamespace(
+            forward=SimpleNamespace(request=SimpleNamespace(object_count=SimpleNamespace(key=key), group=group))
+        )
         for key, group in ((7, 0), (8, 4), (8, 3))
     ]
     assert [changes.told[2](sent) for sent in waiting] == [False, False, True]
@@ -86,7 +88,7 @@
     holds, event = changes.told
     assert event == "changelog_uninformed"
     assert not holds(
-        SimpleNamespace(forward=SimpleNamespace(visit=SimpleNamespace(request_class=SimpleNamespace(pass_through=0))))
+        SimpleNamespace(forward=SimpleNamespace(request=SimpleNamespace(request_class=SimpleNamespace(pass_through=0))))
     )
 
 
--- a/tests/membership/test_untrusted_endpoints.py
+++ b/tests/membership/test_untrusted_endpoints.py
@@ -18,18 +18,18 @@
 def test_a_request_with_effects_when_only_an_old_list_names_a_server_is_not_sent_there(class_of_request, sent):
     routing = router(boxes=0, parents=0)
     endpoints = [listing(1), listing(100, "parent", "hub"), listing(200, "origin", "hub")]
-    routing.fleet.listed(
+    routing.endpoints.update(
         [
             endpoint.__class__(**{**{n: getattr(endpoint, n) for n in endpoint.__slots__}, "is_verified": False})
             for endpoint in endpoints
         ],
-        True,
         99.0,
+        complete=True,
     )
     _, caller = take(routing, class_of_request)
     assert len(caller.forwards) == sent and len(caller.answers) == 1 - sent
-    routing.fleet.listed(endpoints, True, 101.0)
-    routing.fleet.known[1].answered(101.0), routing.fleet.known[200].answered(101.0)
+    routing.endpoints.update(endpoints, 101.0, complete=True)
+    routing.endpoints.servers[1].record_answer(101.0), routing.endpoints.servers[200].record_answer(101.0)
     _, caller = take(routing, class_of_request, now=112.0)
     assert len(caller.forwards) == 1
 
@@ -37,9 +37,10 @@
 def test_an_untrusted_server_when_tried_gets_one_request_at_a_time_and_starts_cold():
     routing = router(boxes=0)
     endpoint = listing(1)
-    routing.fleet.listed([endpoint.__class__(1, "here", "box", 0, "ready", 20.0, None, False)], False, 99.0)
+    unverified = endpoint.__class__(1, "here", "box", 0, "ready", 20.0, None, False)
+    routing.endpoints.update([unverified], 99.0, complete=False)
     _, first = take(routing, key=1)
     take(routing, key=2)
-    assert first.forwards[0].cache.mark == 1 and len(routing.fleet.known[1].pending) == 1
+    assert first.forwards[0].server.id == 1 and len(routing.endpoints.servers[1].pending) == 1
     end(first, Outcome.MISS, 100.01)
-    assert routing.fleet.known[1].started == 100.01 and not routing.fleet.known[1].lost
+    assert routing.endpoints.servers[1].started == 100.01 and not routing.endpoints.servers[1].has_failed
--- a/tests/net/test_crossings.py
+++ b/tests/net/test_crossings.py
@@ -465,15 +465,17 @@
     forwards.ended = lambda *_: None
     door, cache = (
         DownstreamRequest(SimpleNamespace(taken=1), None, 1, "a", request_class(), 0.0),
-        SimpleNamespace(mark=1),
+        SimpleNamespace(id=1),
     )
     door.until = 200.0
     number = forwards.slots.put(SentAttempt(door, None, cache, 0.0, 1.0))
     forwards.slots.get(number).line, forwards.slots.get(number).tag = made, b"a"
     assert forwards.answered(number, b"MISS", b"-", None)
     made.caches.most = 0  # no other connection may be made, so none takes it
-    forward = Attempt(SimpleNamespace(copy=None), cache, SimpleNamespace(mark=2), held, 0.0)
-    parameters = AttemptParameters(forward, cache, 200.0, SimpleNamespace(mark=2), 1, None, False, held, False)
+    source = SimpleNamespace(id=2)
+    request = SimpleNamespace(local_copy=None, router=SimpleNamespace(endpoints=SimpleNamespace(edge_caches=[])))
+    forward = Attempt(request, cache, source, 0.0, only_if_cached=held)
+    parameters = AttemptParameters(forward, cache, 200.0, source, 1, None, False, held, False)
     forwards.send(door, parameters)
     assert (b"a" in made.open) is again
 
@@ -486,17 +488,17 @@
     visit, caller = take(made)
     end(caller, Outcome.MISS, 100.1)
     end(caller, Outcome.OVERLOADED, 100.2)
-    assert made.outside.probes == []
+    assert made.environment.probes == []
 
 
 @pytest.mark.parametrize("multiple, span", [(0.0, 1.0), (4.0, 0.0)])
 def test_where_no_load_topples_a_cold_machine_none_is_kept_from_it(multiple, span):
     made = router(boxes=1)
-    made.fleet.edge.__init__(multiple, span, 0.2, 10.0)
-    made.fleet.mine[0].started = 99.9
+    made.endpoints.edge.__init__(multiple, span, 0.2, 10.0)
+    made.endpoints.edge_caches[0].started = 99.9
     for number in range(20):
         _, caller = take(made, key=number)
-        assert caller.forwards[0].cache is made.fleet.mine[0]
+        assert caller.forwards[0].server is made.endpoints.edge_caches[0]
 
 
 @pytest.mark.parametrize("field", ["connectTimeoutMs", "connIdleMs", "maxStreams"])
--- a/tests/net/test_net.py
+++ b/tests/net/test_net.py
@@ -487,12 +487,12 @@
     client = SimpleNamespace(error=lambda call, word, fields: None)
     visits = RequestTable(None, clock, pool()[0], {"t": request_class()}, lambda *_, **more: None, [].append)
     visits.router = router(boxes=0, parents=0, direct=False)
-    seen, take = [], visits.router.take
-    visits.router.take = lambda *told: seen.append(weakref.ref(visit := take(*told))) or visit
+    seen, take = [], visits.router.route
+    visits.router.route = lambda *told: seen.append(weakref.ref(visit := take(*told))) or visit
     gc.disable()
     try:
         visits.take(client, 1, "t", {"rid": "0" * 16, "budget": "3000", "obj": "0" * 16}, b"", 100.0)
-        visits.router.outside.alarms.clear()
+        visits.router.environment.alarms.clear()
         assert visits.answers == {"denied": 1} and seen[0]() is None
     finally:
         gc.enable()
--- a/tests/routing/test_cold_sum.py
+++ b/tests/routing/test_cold_sum.py
@@ -7,7 +7,7 @@
 
 from bench.cold_sum import EDGE, PARENT, PRESENT, SCENES, Play, Rule, Scene, chernoff, distribution
 from tests.support.routing import listing, request_class, router
-from wickhinge.routing.slow_start import FIRST_DEBT, SlowStart
+from wickhinge.routing.slow_start import MAX_INITIAL_DEBT, SlowStart
 
 HERD, THIN = SCENES[0], SCENES[1]
 SEEDS = range(1, 13)
@@ -29,7 +29,7 @@
     ideal = Play(EDGE, 9, 30, HERD, 0.57, 1, ideal=True).run()
     ours = Play(EDGE, 9, 30, HERD, 0.57, 1).run()
     assert 0.4 * ideal.served < ours.served < ideal.served and ideal.worst <= 1.0
-    monkeypatch.setattr(SlowStart, "room", lambda self, cache, mine, share, work, now: True)
+    monkeypatch.setattr(SlowStart, "admits", lambda self, server, own_capacity, share, work, now: True)
     assert Play(EDGE, 9, 30, HERD, 0.57, 1).run().worst > 1.5
 
 
@@ -41,15 +41,15 @@
 def test_what_is_owed_at_a_start_is_counted_in_visits(work):
     """So that it spreads first visits alike, whatever their size; two for the largest debt."""
     made = router(boxes=2, seed=11, routers=30)
-    made.fleet.listed([listing(9, started=100.0, weight=1.0)], False, 100.0)
-    cold, asks = made.fleet.known[9], visit(made, 2 * work)
+    made.endpoints.update([listing(9, started=100.0, weight=1.0)], 100.0, complete=False)
+    cold, asks = made.endpoints.servers[9], visit(made, 2 * work)
     rate = 0.65 * 4.0 * 0.2 / 30  # before it has warmed much
-    due = cold.owed * FIRST_DEBT * work / rate
-    made.fleet.edge.warm = 1e9
-    assert not made.fleet.room(cold, asks, 100.0 + 0.98 * due)
-    assert made.fleet.room(cold, asks, 100.0 + 1.02 * due)
+    due = cold.initial_debt * MAX_INITIAL_DEBT * work / rate
+    made.endpoints.edge.duration = 1e9
+    assert not made.endpoints.admits(cold, asks, 100.0 + 0.98 * due)
+    assert made.endpoints.admits(cold, asks, 100.0 + 1.02 * due)
     cold.charge(work)
-    assert not made.fleet.room(cold, asks, 100.0 + 1.03 * due)
+    assert not made.endpoints.admits(cold, asks, 100.0 + 1.03 * due)
 
 
 def test_a_restart_in_the_ramp_refreshes_no_credit():
@@ -58,13 +58,13 @@
     for restarted in sent:
         for seed in range(200):
             made = router(boxes=2, seed=seed, routers=30)
-            made.fleet.edge.warm = 1e9
-            made.fleet.listed([listing(9, started=100.0, weight=30.0)], False, 100.0)
-            cold, asks = made.fleet.known[9], visit(made, 2.0)
+            made.endpoints.edge.duration = 1e9
+            made.endpoints.update([listing(9, started=100.0, weight=30.0)], 100.0, complete=False)
+            cold, asks = made.endpoints.servers[9], visit(made, 2.0)
             for at in range(10000, 12100):
                 if at == 12000 and restarted:
-                    cold.begin(at / 100)
-                if made.fleet.room(cold, asks, at / 100):
+                    cold.reset(at / 100)
+                if made.endpoints.admits(cold, asks, at / 100):
                     cold.charge(1.0)
                     sent[restarted] += at >= 12000
     assert 0 < sent[True] <= sent[False]
@@ -72,9 +72,9 @@
 
 def test_where_no_load_topples_a_machine_all_may_go():
     made = router(boxes=2, routers=30)
-    made.fleet.edge = SlowStart(0.0, 1.0, 0.2, 10.0)
-    made.fleet.listed([listing(9, started=100.0)], False, 100.0)
-    assert all(made.fleet.room(made.fleet.known[9], visit(made, 2.0), 100.0) for _ in range(1000))
+    made.endpoints.edge = SlowStart(0.0, 1.0, 0.2, 10.0)
+    made.endpoints.update([listing(9, started=100.0)], 100.0, complete=False)
+    assert all(made.endpoints.admits(made.endpoints.servers[9], visit(made, 2.0), 100.0) for _ in range(1000))
 
 
 def test_the_draws_tell_a_debt_of_half_a_second_from_one_of_two_visits():
@@ -92,16 +92,16 @@
 def test_what_all_have_saved_up_is_the_rules_root_while_the_machine_bears_less_than_a_warm_one_can_do():
     """At a tenth of its capacity a parent of 400 visits a span; each router's share is 1/20 of it."""
     made = router(boxes=2, routers=20)
-    tier = made.fleet.edge = SlowStart(2.0, 1.0, 0.1, 1e15)
-    made.fleet.listed([listing(9, started=100.0, weight=2000.0)], False, 100.0)
-    cold, asks = made.fleet.known[9], visit(made, 2.0)
+    tier = made.endpoints.edge = SlowStart(2.0, 1.0, 0.1, 1e15)
+    made.endpoints.update([listing(9, started=100.0, weight=2000.0)], 100.0, complete=False)
+    cold, asks = made.endpoints.servers[9], visit(made, 2.0)
     for at in range(1, 1000):  # saves up, and sends nothing
-        assert made.fleet.room(cold, asks, 100.0 + at) or cold.owed > 0.0
-    assert cold.credit == pytest.approx(0.65 * 2 * 400**0.5 / 20)
-    tier.floor = 0.6
-    made.fleet.room(cold, asks, 2000.0)
-    made.fleet.room(cold, asks, 3000.0)
-    assert cold.credit == pytest.approx(0.5 * 0.65 * 2400 / 20)
+        assert made.endpoints.admits(cold, asks, 100.0 + at) or cold.initial_debt > 0.0
+    assert cold.tokens == pytest.approx(0.65 * 2 * 400**0.5 / 20)
+    tier.initial_capacity = 0.6
+    made.endpoints.admits(cold, asks, 2000.0)
+    made.endpoints.admits(cold, asks, 3000.0)
+    assert cold.tokens == pytest.approx(0.5 * 0.65 * 2400 / 20)
 
 
 def test_one_router_that_is_not_told_does_not_break_a_parents_rule_in_a_step():
--- a/tests/routing/test_decide.py
+++ b/tests/routing/test_decide.py
@@ -4,7 +4,7 @@
 import pytest
 
 from tests.support.routing import Recorder, end, listing, request_class, router, take
-from wickhinge.interface import Idempotency, Outcome, Request
+from wickhinge.interface import Completion, Idempotency, Outcome, Request
 from wickhinge.routing.attempt import NEVER_RAN
 from wickhinge.routing.object_counts import ObjectCount, ObjectCounts
 from wickhinge.routing.purges import Purges
@@ -19,40 +19,40 @@
 
 @pytest.mark.parametrize("times, routers, k", [(1, 1, 1), (2, 1, 3), (3, 1, 6), (1, 12, 12)])
 def test_requests_of_part_0_raise_k(times, routers, k):
-    shelf = ObjectCounts(routers)
+    counts = ObjectCounts(routers)
     for _ in range(times):
-        item = shelf.visit(5, 0, 1.0)
-    assert item.k == k
-    shelf.visit(5, 1, 1.0)
-    assert (item.k > k) is (routers > 1)  # its part 0 was seen by another
+        entry = counts.record_request(5, 0, 1.0)
+    assert entry.leading_parts == k
+    counts.record_request(5, 1, 1.0)
+    assert (entry.leading_parts > k) is (routers > 1)  # its part 0 was seen by another
 
 
 @pytest.mark.parametrize("idle, k", [(9.0, 8), (10.0, 4), (25.0, 2), (1000.0, 0.0)])
 def test_idle_object_has_k_halved(idle, k):
-    shelf = ObjectCounts()
-    shelf.visit(5, 1, 0.0).k = 8
-    assert shelf.visit(5, 1, idle).k == pytest.approx(k, abs=1e-9)
+    counts = ObjectCounts()
+    counts.record_request(5, 1, 0.0).leading_parts = 8
+    assert counts.record_request(5, 1, idle).leading_parts == pytest.approx(k, abs=1e-9)
 
 
 def test_table_of_k_is_bounded_and_drops_the_least_lately_asked():
-    shelf = ObjectCounts(size=2)
+    counts = ObjectCounts(capacity=2)
     for key in (1, 2, 1, 3):
-        shelf.visit(key, 0, 0.0)
-    assert list(shelf.items) == [1, 3]
+        counts.record_request(key, 0, 0.0)
+    assert list(counts.entries) == [1, 3]
 
 
 @pytest.mark.parametrize("part, heat, rank", [(0, 1.0, 1), (2, 1.0, 1), (3, 50.0, 0), (0, 50.0, 2)])
 def test_parts_below_k_are_kept_and_those_asked_often_higher(part, heat, rank):
-    shelf, item = ObjectCounts(), ObjectCount(5, 0.0)
-    item.k, item.heat = 3, heat
-    shelf.kept = 1000.0
-    assert shelf.rank(item, part, 1.0) == rank
+    counts, entry = ObjectCounts(), ObjectCount(5, 0.0)
+    entry.leading_parts, entry.frequency = 3, heat
+    counts.kept_work = 1000.0
+    assert counts.retention_rank(entry, part, 1.0) == rank
 
 
 def test_middle_rank_holds_a_small_share():
-    shelf, item = ObjectCounts(), ObjectCount(5, 0.0)
-    item.k, item.heat = 3, 50.0
-    ranks = [shelf.rank(item, 0, 1.0) for _ in range(1000)]
+    counts, entry = ObjectCounts(), ObjectCount(5, 0.0)
+    entry.leading_parts, entry.frequency = 3, 50.0
+    ranks = [counts.retention_rank(entry, 0, 1.0) for _ in range(1000)]
     assert 0 < ranks[-500:].count(2) <= 0.2 * 500
 
 
@@ -61,38 +61,38 @@
     for part in range(4):
         _, caller = take(made, part=part)
         look = caller.forwards[0]
-        assert look.cache is look.source
+        assert look.server is look.source
         end(caller, MISS, 100.01)
         fill = caller.forwards[1]
-        assert fill.cache is look.cache
-        assert fill.source is made.fleet.order(made.fleet.parents, 5, 100.0)[0]
+        assert fill.server is look.server
+        assert fill.source is made.endpoints.in_order(made.endpoints.parents, 5, 100.0)[0]
         assert (fill.rank > 0) == (part == 0)
 
 
 def test_losing_a_cache_moves_only_its_own_parts():
-    fleet = router(boxes=5).fleet
-    before = {salt: fleet.order(fleet.mine, salt, 0.0) for salt in range(200)}
-    gone = fleet.mine[2]
-    fleet.listed([listing(gone.mark, state="gone")], False, 0.0)
+    endpoints = router(boxes=5).endpoints
+    before = {salt: endpoints.in_order(endpoints.edge_caches, salt, 0.0) for salt in range(200)}
+    gone = endpoints.edge_caches[2]
+    endpoints.update([listing(gone.id, state="gone")], 0.0, complete=False)
     for salt, order in before.items():
-        assert fleet.order(fleet.mine, salt, 0.0) == [cache for cache in order if cache is not gone]
+        assert endpoints.in_order(endpoints.edge_caches, salt, 0.0) == [cache for cache in order if cache is not gone]
 
 
 @pytest.mark.parametrize("started, purged, k", [(None, False, 1), (99.0, False, 8), (None, True, 8)])
 def test_a_miss_below_k_shrinks_it_unless_nothing_was_pushed_out(started, purged, k):
     made = router(extra=[listing(i + 1, started=started) for i in range(4)])
     visit, caller = take(made)
-    visit.item.k = 8
+    visit.object_count.leading_parts = 8
     if purged:
-        made.purges.told(5, 3, 99.9, 100.0)
+        made.purges.notify(5, 3, 99.9, 100.0)
     end(caller, MISS, 100.01)
-    assert visit.item.k == k
+    assert visit.object_count.leading_parts == k
 
 
 def test_a_hit_at_or_above_k_raises_it():
     visit, caller = take(router(), part=6)
     end(caller, OK, 100.1, closed=True)
-    assert visit.item.k == 7
+    assert visit.object_count.leading_parts == 7
 
 
 def test_an_empty_cache_is_filled_without_a_look_and_keeps_parts_above_k():
@@ -113,9 +113,9 @@
     assert [kind for kind, _ in caller.answers] == ["denied" if harmless else "abandoned"]
     sent = len(caller.forwards)
     end(caller, outcome, 105.0, closed=True)
-    visit.finish(105.0)
+    visit.finish()
     visit.give_up(105.1)
-    for _, call in visit.router.outside.alarms:
+    for _, call in visit.router.environment.alarms:
         call(106.0)
     assert len(caller.answers) == 1 and len(caller.forwards) == sent
 
@@ -125,7 +125,7 @@
     made = router()
     _, caller = take(made, request_class(Idempotency.NOT_IDEMPOTENT, pass_through=True))
     end(caller, outcome, 100.1)
-    made.serve(100.4)  # where the origin refuses or is gone it waits a little first
+    made.serve_waiting(100.4)  # where the origin refuses or is gone it waits a little first
     if outcome in NEVER_RAN:
         assert len(caller.forwards) == 2 and not caller.answers
     else:
@@ -146,54 +146,54 @@
     made = router(extra=[listing(9, cell=cell)])
     visit, caller = take(made, request_class(Idempotency.IDEMPOTENCY_KEY, group))
     first = caller.forwards[0].it
-    first.pending, first.outcome = False, TIMED
-    other = next(c for c in made.fleet.mine if c.mark == 9)
-    assert visit.allowed(other, 100.0 + later) is allowed
+    first.is_pending, first.outcome = False, TIMED
+    other = next(c for c in made.endpoints.edge_caches if c.id == 9)
+    assert visit.may_send(other, 100.0 + later) is allowed
 
 
 def test_no_second_pending_copy_where_copies_are_barred():
     made = router(second_copies=False)
     visit, _ = take(made)
-    assert not any(visit.allowed(cache, 100.1) for cache in made.fleet.mine)
+    assert not any(visit.may_send(cache, 100.1) for cache in made.endpoints.edge_caches)
 
 
 @pytest.mark.parametrize("state", ["draining", "gone"])
 def test_nothing_new_goes_to_what_drains_or_is_gone(state):
     made = router(boxes=2, parents=2)
-    lost = [made.fleet.mine[0], made.fleet.parents[0]]
-    made.fleet.listed([listing(c.mark, c.kind, c.zone, state=state) for c in lost], False, 99.0)
+    lost = [made.endpoints.edge_caches[0], made.endpoints.parents[0]]
+    made.endpoints.update([listing(c.id, c.kind, c.zone, state=state) for c in lost], 99.0, complete=False)
     for key in range(60):
         _, caller = take(made, key=key)
         end(caller, MISS, 100.01)
-        assert not any(f.cache in lost or f.source in lost for f in caller.forwards)
+        assert not any(f.server in lost or f.source in lost for f in caller.forwards)
 
 
 def test_what_a_whole_list_leaves_out_is_gone():
     made = router(boxes=2)
-    made.fleet.listed([listing(1)], True, 50.0)
-    assert [cache.mark for cache in made.fleet.mine] == [1] and not made.fleet.parents
+    made.endpoints.update([listing(1)], 50.0, complete=True)
+    assert [cache.id for cache in made.endpoints.edge_caches] == [1] and not made.endpoints.parents
 
 
 @pytest.mark.parametrize("weighed", [True, False])
 def test_cold_machines_get_no_more_than_this_routers_share(weighed):
     made = router(boxes=2, weighed=weighed)
-    made.fleet.listed([listing(9, started=99.0)], False, 100.0)
-    cold = next(c for c in made.fleet.mine if c.mark == 9)
-    made.fleet.edge.usual = 5.0
+    made.endpoints.update([listing(9, started=99.0)], 100.0, complete=False)
+    cold = next(c for c in made.endpoints.edge_caches if c.id == 9)
+    made.endpoints.edge.usual_load = 5.0
     visit = SimpleNamespace(router=made, request_class=request_class())
-    sent = sum(made.fleet.room(cold, visit, at / 100.0) and not cold.charge(0.3) for at in range(10000, 10100))
+    sent = sum(made.endpoints.admits(cold, visit, at / 100.0) and not cold.charge(0.3) for at in range(10000, 10100))
     assert 0 < sent * 0.3 <= 4.0 * 0.28 * (20.0 if weighed else 5.0)
 
 
 def test_a_share_under_one_visit_is_spent_on_credit_and_not_by_all_routers_at_once():
     routers, sent = [router(seed=seed, routers=100) for seed in range(100)], 0.0
-    visits = [(made.fleet, SimpleNamespace(router=made, request_class=request_class())) for made in routers]
-    for fleet, _ in visits:
-        fleet.listed([listing(9, started=100.0)], False, 100.0)
+    visits = [(made.endpoints, SimpleNamespace(router=made, request_class=request_class())) for made in routers]
+    for endpoints, _ in visits:
+        endpoints.update([listing(9, started=100.0)], 100.0, complete=False)
     for at in range(10000, 10100):
-        for fleet, visit in visits:
-            if fleet.room(fleet.known[9], visit, at / 100.0):
-                fleet.known[9].charge(0.4)
+        for endpoints, visit in visits:
+            if endpoints.admits(endpoints.servers[9], visit, at / 100.0):
+                endpoints.servers[9].charge(0.4)
                 sent += 0.4
     assert 0.2 * 20.0 < sent < 4.0 * 0.2 * 20.0
 
@@ -203,28 +203,28 @@
 )
 def test_what_was_gone_and_answers_again_is_cold_before_the_list_says_so(strikes, outcome):
     made = router()
-    cache = made.fleet.mine[0]
+    cache = made.endpoints.edge_caches[0]
     for _ in range(strikes):
-        cache.failed(99.0, outcome)
-    assert made.fleet.edge.part(cache, 99.5) == pytest.approx(0.2)
-    cache.answered(100.0)
-    assert made.fleet.edge.part(cache, 105.0) == pytest.approx(0.6)
+        cache.record_failure(99.0, outcome)
+    assert made.endpoints.edge.capacity_share(cache, 99.5) == pytest.approx(0.2)
+    cache.record_answer(100.0)
+    assert made.endpoints.edge.capacity_share(cache, 105.0) == pytest.approx(0.6)
 
 
 def test_what_a_warm_parent_bears_is_remembered_when_all_have_started_anew():
     made = router(weighed=False)
     for _ in range(50):
-        for parent in made.fleet.parents:
-            parent.sent = 3.5
-        made.fleet.upper.weigh(made.fleet.parents, 100.0)
-    made.fleet.listed([listing(100 + i, "parent", "hub", started=100.0) for i in range(2)], False, 100.0)
-    made.fleet.upper.weigh(made.fleet.parents, 105.0)
-    assert made.source(take(made, now=105.0)[0], 105.0) in made.fleet.parents
+        for parent in made.endpoints.parents:
+            parent.sent_work = 3.5
+        made.endpoints.upper.observe_load(made.endpoints.parents, 100.0)
+    made.endpoints.update([listing(100 + i, "parent", "hub", started=100.0) for i in range(2)], 100.0, complete=False)
+    made.endpoints.upper.observe_load(made.endpoints.parents, 105.0)
+    assert made.choose_source(take(made, now=105.0)[0], 105.0) in made.endpoints.parents
 
 
 def test_a_parent_too_cold_leaves_its_fills_to_the_next():
     made = router(parents=1, extra=[listing(101, "parent", "hub", started=99.9, weight=0.01)])
-    assert {made.source(take(made, key=key)[0], 100.0).mark for key in range(20)} == {100}
+    assert {made.choose_source(take(made, key=key)[0], 100.0).id for key in range(20)} == {100}
 
 
 def test_fills_count_against_a_cold_parent():
@@ -233,8 +233,8 @@
     for key in range(40):
         _, caller = take(made, key=key, now=100.0)
         end(caller, MISS, 100.0)
-        fills += sum(f.source.mark == 100 for f in caller.forwards)
-    assert 0 < fills * made.mean(request_class()) <= 2.0 * 0.19 * 2.0
+        fills += sum(f.source.id == 100 for f in caller.forwards)
+    assert 0 < fills * made.mean_work(request_class()) <= 2.0 * 0.19 * 2.0
 
 
 @pytest.mark.parametrize(
@@ -252,8 +252,8 @@
 def test_the_youngest_purge_sets_the_oldest_copy(told, key, group, now, oldest):
     purges = Purges(6.0)
     for what, of, made in told:
-        purges.told(what, of, made, now)
-    assert purges.oldest(key, group, now) == pytest.approx(oldest, abs=0.002)
+        purges.notify(what, of, made, now)
+    assert purges.max_age(key, group, now) == pytest.approx(oldest, abs=0.002)
 
 
 @pytest.mark.parametrize(
@@ -262,15 +262,15 @@
 )
 def test_while_purges_may_be_missing_no_copy_is_older_than_the_limit(limit, known, oldest):
     purges = Purges(6.0)
-    purges.limit = lambda now: limit
+    purges.limit_age_by(lambda now: limit)
     if known is not None:
-        purges.told(7, 0, 10.0 - known, 10.0)
-    assert purges.oldest(7, 0, 10.0) == pytest.approx(oldest, abs=0.002)
+        purges.notify(7, 0, 10.0 - known, 10.0)
+    assert purges.max_age(7, 0, 10.0) == pytest.approx(oldest, abs=0.002)
 
 
 def test_every_forward_of_a_purged_object_carries_the_limit():
     made = router()
-    made.purges.told(5, 3, 99.0, 100.0)
+    made.purges.notify(5, 3, 99.0, 100.0)
     _, caller = take(made, request_class(freshness_lifetime=0.5), now=100.2)
     end(caller, MISS, 100.3)
     assert [forward.oldest for forward in caller.forwards] == [0.5, 0.5]
@@ -283,7 +283,7 @@
 
 def test_what_cannot_be_in_time_is_denied_at_once_with_a_time_to_come_back():
     made = router(boxes=1, direct=False)
-    made.fleet.mine[0].fit = made.fleet.mine[0].best = 1.0
+    made.endpoints.edge_caches[0].concurrency_limit = made.endpoints.edge_caches[0].max_concurrency_limit = 1.0
     callers = [take(made, key=key, size=500.0)[1] for key in range(8)]
     assert len(callers[0].forwards) == 1
     assert not callers[-1].forwards and callers[-1].answers == [("denied", 0.5)]
@@ -292,7 +292,7 @@
 @pytest.mark.parametrize("repeat, crowd, denied", [(True, 2.0, True), (False, 2.0, False), (True, 1.0, False)])
 def test_a_repeat_is_not_taken_into_a_crowd(repeat, crowd, denied):
     visit, _ = take(router(), repeat=repeat)
-    assert visit.late(crowd, 100.0) is denied
+    assert visit.is_late(crowd, 100.0) is denied
 
 
 @pytest.mark.parametrize("boxes, size, denied", [(1, 2500.0, False), (1, 6000.0, True), (0, 2500.0, False)])
@@ -310,14 +310,14 @@
     """Guessed at half of the promised time and stretched by two, each was late, and none ever taught the mean."""
     caller = Recorder()
     short = replace(request_class(), latency_objective=0.3, objective_stretch=0.0)
-    router().take(caller, short, Request(5, 0, 3, 0.0, 2.0), 100.0, waited)
+    router().route(caller, short, Request(5, 0, 3, 0.0, 2.0), 100.0, waited)
     assert len(caller.forwards) == 1 and not caller.answers
 
 
 @pytest.mark.parametrize("load, denied", [(1.0, False), (30.0, True)])
 def test_a_fill_predicted_late_on_a_crowded_link_is_denied(load, denied):
     made = router()
-    made.link_load = load
+    made.zone_link.reported_load = load
     _, caller = take(made, size=400.0)
     end(caller, MISS, 100.01)
     assert bool(caller.answers) is denied and (len(caller.forwards) == 1) is denied
@@ -330,18 +330,18 @@
     for key in range(20):
         _, caller = take(made, key=key, size=10.0)
         forward = caller.forwards[0].it
-        forward.visit.ended(forward, OK, 0.01, True, None, 100.0, {"x1": load})
-    assert (made.link_crowd() > 1.0) is (load > 1.0)
+        forward.request.attempt_ended(forward, Completion(OK, 0.01, True, None, {"x1": load}), 100.0)
+    assert (made.link_utilization() > 1.0) is (load > 1.0)
 
 
 @pytest.mark.parametrize("ratio, grows", [(1.0, True), (4.0, False)])
 def test_capacity_is_learned_from_answer_times(ratio, grows):
-    cache = router().fleet.mine[0]
-    cache.fit = cache.best = 2.0
+    cache = router().endpoints.edge_caches[0]
+    cache.concurrency_limit = cache.max_concurrency_limit = 2.0
     cache.pending = set(range(5))
     for _ in range(20):
-        cache.bore(ratio)
-    assert (cache.fit > 2.0) is grows
+        cache.observe_latency(ratio)
+    assert (cache.concurrency_limit > 2.0) is grows
 
 
 def test_a_silent_source_is_left_for_the_next_parent():
@@ -350,17 +350,17 @@
         _, caller = take(made, key=5, part=part)
         end(caller, MISS, 100.01)
         fill = caller.forwards[1]
-        fill.source.heard = 99.0
-        fill.it.visit.overdue(fill.it, 100.5)
+        fill.source.last_answer = 99.0
+        fill.it.request.check_overdue(fill.it, 100.5)
         assert bool(caller.cancelled) is (part > 0)  # alone it may only be slow
-        fill.source.filling.add("another")
-        fill.it.visit.overdue(fill.it, 100.5)
+        fill.source.pending_fills.add("another")
+        fill.it.request.check_overdue(fill.it, 100.5)
         assert caller.cancelled[0] is fill.it
         end(caller, Outcome.CANCELLED, 100.5, 1)
         assert caller.forwards[2].source is not fill.source
-    assert fill.source.lost and fill.source.credit <= 0.0
-    fill.source.credited = 100.7
-    assert made.source(take(made, key=5, part=7, now=100.7)[0], 100.7) is not fill.source
+    assert fill.source.has_failed and fill.source.tokens <= 0.0
+    fill.source.refilled_at = 100.7
+    assert made.choose_source(take(made, key=5, part=7, now=100.7)[0], 100.7) is not fill.source
 
 
 @pytest.mark.parametrize(
@@ -370,46 +370,46 @@
     """Taken for gone, every cache whose connections are reset was cold, and all went to the origin."""
     made = router()
     visit, caller = take(made)
-    first = caller.forwards[0].cache
+    first = caller.forwards[0].server
     for _ in range(3):
         other = take(made, key=5)[1]
-        assert other.forwards[0].cache is first
+        assert other.forwards[0].server is first
     end(caller, outcome, 100.1)
-    assert first.lost is rests and (caller.forwards[1].cache is first) is not rests
+    assert first.has_failed is rests and (caller.forwards[1].server is first) is not rests
 
 
 def test_the_parent_is_not_blamed_for_the_connection_to_the_cache():
     visit, caller = take(router())
     end(caller, Outcome.MISS, 100.1)
     end(caller, Outcome.CONNECTION_LOST, 100.2)
-    assert caller.forwards[2].source is caller.forwards[1].source is not caller.forwards[1].cache
+    assert caller.forwards[2].source is caller.forwards[1].source is not caller.forwards[1].server
 
 
 def test_caches_gone_and_objects_long_unasked_are_freed():
     made = router()
     take(made, key=6, now=1.0)
-    made.fleet.listed([listing(1, state="gone")], False, 1.0)
+    made.endpoints.update([listing(1, state="gone")], 1.0, complete=False)
     take(made, key=7, now=1000.0)
-    assert 1 not in made.fleet.known and list(made.shelf.items) == [7]
+    assert 1 not in made.endpoints.servers and list(made.object_counts.entries) == [7]
 
 
 def test_a_failed_machine_is_tried_by_one_visit_at_a_time():
-    cache = router().fleet.mine[0]
-    cache.failed(1.0)
-    cache.failed(1.0)
-    assert not cache.usable(1.5) and cache.usable(10.0)
+    cache = router().endpoints.edge_caches[0]
+    cache.record_failure(1.0)
+    cache.record_failure(1.0)
+    assert not cache.is_available(1.5) and cache.is_available(10.0)
     cache.pending.add("trial")
-    assert not cache.usable(10.0)
-    cache.answered(10.1)
-    assert cache.usable(10.1)
+    assert not cache.is_available(10.0)
+    cache.record_answer(10.1)
+    assert cache.is_available(10.1)
 
 
 @pytest.mark.parametrize("routers, pending", [(1, 0.0), (12, 0.5)])
 def test_a_crowd_counts_what_the_other_routers_have_there(routers, pending):
-    fleet = router(routers=routers).fleet
-    fleet.pending = pending * len(fleet.mine)
-    fleet.count()
-    assert fleet.mine[0].out() == pytest.approx(1 + (routers - 1) * pending, rel=0.11)
+    endpoints = router(routers=routers).endpoints
+    endpoints.mean_pending = pending * len(endpoints.edge_caches)
+    endpoints.estimate_other_transfers()
+    assert endpoints.edge_caches[0].transfers() == pytest.approx(1 + (routers - 1) * pending, rel=0.11)
 
 
 def test_after_an_error_the_same_cache_is_asked_twice_more():
@@ -417,7 +417,7 @@
     _, caller = take(made)
     for _ in range(3):
         end(caller, Outcome.ERROR, 100.01)
-    first, *others = [forward.cache for forward in caller.forwards]
+    first, *others = [forward.server for forward in caller.forwards]
     assert others[:2] == [first, first] and others[2] is not first
 
 
@@ -425,9 +425,9 @@
 def test_a_guessed_size_tells_nothing_of_the_crowd(size, learned):
     made = router()
     _, caller = take(made, size=size)
-    before = caller.forwards[0].cache.fit
+    before = caller.forwards[0].server.concurrency_limit
     end(caller, OK, 103.0, closed=True, took=3.0)
-    assert (caller.forwards[0].cache.fit != before) is learned
+    assert (caller.forwards[0].server.concurrency_limit != before) is learned
 
 
 def refused(made, *then, key=5, now=100.0):
@@ -443,11 +443,11 @@
     made = router()
     caller = refused(made)
     look, fill, held = caller.forwards
-    assert made.outside.probes == [fill.source]
-    assert held.source is fill.source and held.cache is fill.cache and (fill.held, held.held) == (False, True)
+    assert made.environment.probes == [fill.source]
+    assert held.source is fill.source and held.server is fill.server and (fill.held, held.held) == (False, True)
     end(caller, FULL, 100.03)  # it refuses that as well, so it may be the one: the visit waits
-    assert len(caller.forwards) == 3 and not caller.answers and not made.gap
-    made.serve(100.4)
+    assert len(caller.forwards) == 3 and not caller.answers and not made.origin_pacing.interval
+    made.serve_waiting(100.4)
     assert caller.forwards[3].source is fill.source and caller.forwards[3].held
 
 
@@ -457,9 +457,9 @@
     """
     made = router()
     caller = refused(made, MISS)  # the source is there and lacks it: the origin refused, fetched once more in turn
-    assert made.gap > 0.0 and caller.forwards[-1].held is False
+    assert made.origin_pacing.interval > 0.0 and caller.forwards[-1].held is False
     end(caller, FULL, 100.05)
-    gap = made.gap
+    gap = made.origin_pacing.interval
     _, held = take(made, key=6, now=100.06)
     end(held, MISS, 100.07)
     assert held.forwards[1].held is True
@@ -469,38 +469,38 @@
     end(lacks, MISS, 100.12)
     assert lacks.answers == [("denied", 0.5)]  # not its turn: at once
     later = 100.2 + 1.5 * gap
-    made.fleet.origin.lags.clear()
+    made.endpoints.origin.fill_delays.clear()
     _, turn = take(made, key=8, now=later)
     end(turn, MISS, later)
     end(turn, MISS, later)
-    assert turn.forwards[2].held is False and made.turn >= later + 0.5 * gap
+    assert turn.forwards[2].held is False and made.origin_pacing.next_fetch >= later + 0.5 * gap
     end(turn, OK, later + 0.2, closed=True, took=0.2)
-    assert made.gap < gap
+    assert made.origin_pacing.interval < gap
     for _ in range(3):
-        made.pace(True)
-    assert made.gap == 0.0  # and the ordinary path is back
+        made.origin_pacing.fetch_succeeded()
+    assert made.origin_pacing.interval == 0.0  # and the ordinary path is back
 
 
 @pytest.mark.parametrize("gap, strikes", [(0.0, 1.0), (1.0, 0)])
 def test_a_source_silent_to_a_fill_is_not_blamed_while_the_origin_refuses(gap, strikes):
     made = router()
-    made.gap = gap
+    made.origin_pacing.interval = gap
     for key in (5, 5):
         visit, caller = take(made, key=key, part=key)
         end(caller, MISS, 100.01)
     forward = caller.forwards[1].it
-    forward.held, source = False, forward.source
-    visit.overdue(forward, 102.0)
-    assert source.strikes == strikes
+    forward.only_if_cached, source = False, forward.source
+    visit.check_overdue(forward, 102.0)
+    assert source.consecutive_failures == strikes
 
 
 def test_the_origin_as_a_source_is_tried_again():
     """Its lag never faded: once late by belief, nothing went there that could have shown it better."""
     made = router(parents=0)
-    made.fleet.origin.lags["t"] = 5.0
+    made.endpoints.origin.fill_delays["t"] = 5.0
     for _ in range(40):
         made.round(101.0)
-    assert made.fleet.origin.lags["t"] < 0.01
+    assert made.endpoints.origin.fill_delays["t"] < 0.01
 
 
 @pytest.mark.parametrize("routers, least, most", [(1, 400, 400), (12, 50, 150)])
@@ -508,7 +508,7 @@
     made = router(routers=routers)
     for _ in range(100):
         made.round(1.0)
-    assert least <= len(made.outside.probes) <= most
+    assert least <= len(made.environment.probes) <= most
 
 
 @pytest.mark.parametrize("outcome", [MISS, FULL, Outcome.ERROR])
@@ -518,23 +518,23 @@
 ):
     """A parent that refuses one is not a cache whose fill was refused: the bench ended a day on that."""
     made = router(boxes=0)
-    made.gap = gap
-    home = made.fleet.order(made.fleet.parents, 5, 100.0)[0]
-    home.shunned = 100.05  # so another takes it, and the home is back when that one's answer comes
+    made.origin_pacing.interval = gap
+    home = made.endpoints.in_order(made.endpoints.parents, 5, 100.0)[0]
+    home.ejected_until = 100.05  # so another takes it, and the home is back when that one's answer comes
     _, caller = take(made)
     end(caller, outcome, 100.1)
-    made.serve(100.5)
-    assert caller.forwards[0].cache in made.fleet.parents
-    assert all(forward.source in (forward.cache, made.fleet.origin) for forward in caller.forwards)
+    made.serve_waiting(100.5)
+    assert caller.forwards[0].server in made.endpoints.parents
+    assert all(forward.source in (forward.server, made.endpoints.origin) for forward in caller.forwards)
 
 
 def test_where_no_source_will_do_a_visit_waits_only_while_it_can_be_in_time():
     made = router()
-    made.fleet.parents, made.fleet.origin = [], None
+    made.endpoints.parents, made.endpoints.origin = [], None
     visit, caller = take(made)
     end(caller, MISS, 100.01)
     assert not caller.answers and len(caller.forwards) == 1
-    made.outside.alarms[-1][1](visit.due)
+    made.environment.alarms[-1][1](visit.on_time_until)
     assert caller.answers == [("denied", 0.5)]
 
 
@@ -557,8 +557,8 @@
 @pytest.mark.parametrize("lag, sent", [(0.1, 1), (5.0, 0)])
 def test_a_visit_straight_to_a_parent_is_held_to_its_lag(lag, sent):
     made = router(boxes=0)
-    for parent in made.fleet.parents:
-        parent.lags["t"] = lag
+    for parent in made.endpoints.parents:
+        parent.fill_delays["t"] = lag
     _, caller = take(made, size=500.0)
     assert len(caller.forwards) == sent and len(caller.answers) == 1 - sent
 
@@ -573,12 +573,12 @@
 @pytest.mark.parametrize("age, part", [(0.0, 0.2), (5.0, 0.6), (10.0, 1.0)])
 def test_a_cold_machine_warms_in_a_line(age, part):
     cold = SlowStart(4.0, 1.0, 0.2, 10.0)
-    cache = router(extra=[listing(9, started=100.0)]).fleet.known[9]
-    assert cold.part(cache, 100.0 + age) == pytest.approx(part)
+    cache = router(extra=[listing(9, started=100.0)]).endpoints.servers[9]
+    assert cold.capacity_share(cache, 100.0 + age) == pytest.approx(part)
 
 
 @pytest.mark.parametrize("waited, sent", [(0.0, 1), (0.5, 1), (0.7, 0)])
 def test_a_visit_that_waited_too_long_to_be_read_is_denied_at_once(waited, sent):
     made, caller = router(), Recorder()
-    made.take(caller, request_class(), Request(5, 0, 3, 100.0, 5.0 - waited), 100.0, waited)
+    made.route(caller, request_class(), Request(5, 0, 3, 100.0, 5.0 - waited), 100.0, waited)
     assert len(caller.forwards) == sent and bool(caller.answers) is not bool(sent)
--- a/tests/shared/test_outlier_detection.py
+++ b/tests/shared/test_outlier_detection.py
@@ -28,16 +28,16 @@
         self.sends, self.looks = [], []
         self.detector.send = lambda name, kind, serial, now: self.sends.append((now, name))
         self.policy = helpers.router(boxes=boxes, routers=3, seed=place)
-        self.outliers = OutlierDetector(self.detector, self.policy.fleet, self.looks.append, group.log)
+        self.outliers = OutlierDetector(self.detector, self.policy.endpoints, self.looks.append, group.log)
 
     def box(self, number=0):
-        return self.policy.fleet.mine[number]
+        return self.policy.endpoints.edge_caches[number]
 
     def answers(self, now, ratio=1.0, boxes=None):
         """An own answer of each box, that took `ratio` times its sending time."""
-        for number in boxes if boxes is not None else range(len(self.policy.fleet.mine)):
-            self.box(number).answered(now)
-            self.box(number).bore(ratio)
+        for number in boxes if boxes is not None else range(len(self.policy.endpoints.edge_caches)):
+            self.box(number).record_answer(now)
+            self.box(number).observe_latency(ratio)
 
 
 class Group:
@@ -64,27 +64,31 @@
 
 def test_ejection_when_two_witnesses_agree_needs_one_failure_of_our_own():
     group = Group()
-    group.routers[0].box().failed(group.now, Outcome.CONNECT_FAILED)
+    group.routers[0].box().record_failure(group.now, Outcome.CONNECT_FAILED)
     group.turn(1.0)
     third = group.routers[2]
-    assert third.box().strikes == 0 and not third.looks
-    group.routers[1].box().failed(group.now, Outcome.CONNECT_FAILED)
+    assert third.box().consecutive_failures == 0 and not third.looks
+    group.routers[1].box().record_failure(group.now, Outcome.CONNECT_FAILED)
     group.turn(2.0)
-    assert third.box().strikes == 1.0 and not third.box().lost and not third.box().usable(group.now)
-    assert all(third.box(number).usable(group.now) for number in range(1, 6))
+    assert (
+        third.box().consecutive_failures == 1.0
+        and not third.box().has_failed
+        and not third.box().is_available(group.now)
+    )
+    assert all(third.box(number).is_available(group.now) for number in range(1, 6))
     assert any(one.looks for one in group.routers[2:])
-    third.box().failed(group.now)
-    assert third.box().lost
+    third.box().record_failure(group.now)
+    assert third.box().has_failed
     other = group.routers[3]
-    other.box().answered(group.now)  # it answers us: own eyes
+    other.box().record_answer(group.now)  # it answers us: own eyes
     group.turn()
-    assert other.box().strikes == 0
+    assert other.box().consecutive_failures == 0
 
 
 def test_verdicts_when_old_or_of_a_former_peer_are_forgotten():
     group = Group()
     for one in group.routers[:2]:
-        one.box().failed(group.now, Outcome.CONNECT_FAILED)
+        one.box().record_failure(group.now, Outcome.CONNECT_FAILED)
     group.turn(1.0)
     third = group.routers[2]
     assert third.outliers.peer_verdicts.by_server
@@ -102,7 +106,7 @@
         for place in places:
             router = group.routers[place]
             router.answers(group.now, 1.0)
-            router.box(box).bore(30.0)
+            router.box(box).observe_latency(30.0)
         group.turn()
 
 
@@ -110,9 +114,9 @@
     group = Group()
     slow(group, (0, 1))
     third, fourth = group.routers[2:]
-    assert third.box().fit < 0.6 * third.box(1).fit
-    assert group.routers[0].outliers.evidence[third.box().mark].health == Health.SLOW
-    assert third.outliers.evidence[third.box().mark].health == Health.HEALTHY and third.outliers.payload("n3") == b""
+    assert third.box().concurrency_limit < 0.6 * third.box(1).concurrency_limit
+    assert group.routers[0].outliers.evidence[third.box().id].health == Health.SLOW
+    assert third.outliers.evidence[third.box().id].health == Health.HEALTHY and third.outliers.payload("n3") == b""
     group.routers[:] = [third, fourth]
     group.turn(2 * VERDICT_MAX_AGE_S)
     assert not third.outliers.peer_verdicts.by_server and not fourth.outliers.peer_verdicts.by_server
@@ -124,21 +128,21 @@
     for turn in range(24):
         third.answers(group.now)
         slow(group, (0, 1) if turn > 11 else (), rounds=1)
-    assert third.box().fit >= 0.9 * third.box(1).fit
+    assert third.box().concurrency_limit >= 0.9 * third.box(1).concurrency_limit
 
 
 def test_restart_when_two_saw_it_is_taken_over_once():
     group = Group()
     for one in group.routers[:2]:
-        one.box().failed(group.now, Outcome.CONNECT_FAILED)
-        one.box().shunned = 0.0
+        one.box().record_failure(group.now, Outcome.CONNECT_FAILED)
+        one.box().ejected_until = 0.0
     group.turn()
     for one in group.routers[:2]:
-        one.box().answered(group.now)
+        one.box().record_answer(group.now)
     since = group.now
     group.turn(1.0)
     third = group.routers[2].box()
-    assert abs(third.started - since) < 3 * EVALUATION_INTERVAL_S and third.credit <= 0.0
+    assert abs(third.started - since) < 3 * EVALUATION_INTERVAL_S and third.tokens <= 0.0
     begun = third.started
     group.turn(2.0)
     assert third.started == begun
@@ -159,10 +163,10 @@
         for one in group.routers[1:]:
             one.answers(group.now)
         for box in range(6):
-            sick.box(box).failed(group.now)
+            sick.box(box).record_failure(group.now)
         group.turn()
     assert sick.outliers.is_unhealthy and "router_unhealthy" in group.told and sick.outliers.payload("n1") == b""
-    assert all(not one.box(box).strikes for one in group.routers[1:] for box in range(6))
+    assert all(not one.box(box).consecutive_failures for one in group.routers[1:] for box in range(6))
     for _ in range(
         40
     ):  # its caches, as it believes, started anew: that is over after VERDICT_MAX_AGE_S, and nobody was told
@@ -181,9 +185,11 @@
             one.answers(group.now)
         for one in group.routers[:2]:
             for box in range(6):
-                one.box(box).failed(group.now)
+                one.box(box).record_failure(group.now)
         group.turn()
-    assert not any(one.box(box).strikes or one.box(box).lost for one in group.routers[2:] for box in range(6))
+    assert not any(
+        one.box(box).consecutive_failures or one.box(box).has_failed for one in group.routers[2:] for box in range(6)
+    )
 
 
 @settings(max_examples=30, deadline=None)
@@ -196,19 +202,27 @@
         for group in (with_peers, alone):
             cache = group.routers[0].box(box)
             if what < 0.2:
-                cache.failed(group.now, Outcome.CONNECT_FAILED)
+                cache.record_failure(group.now, Outcome.CONNECT_FAILED)
             elif what < 0.5:
-                cache.failed(group.now)
+                cache.record_failure(group.now)
             else:
-                cache.answered(group.now)
-                cache.bore(1.0 + 4.0 * what)
+                cache.record_answer(group.now)
+                cache.observe_latency(1.0 + 4.0 * what)
         with_peers.turn()
         alone.now += EVALUATION_INTERVAL_S
         for number in range(6):
             one, other = with_peers.routers[0].box(number), alone.routers[0].box(number)
             assert all(
                 getattr(one, field) == getattr(other, field)
-                for field in ("fit", "best", "strikes", "lost", "shunned", "started", "credit")
+                for field in (
+                    "concurrency_limit",
+                    "max_concurrency_limit",
+                    "consecutive_failures",
+                    "has_failed",
+                    "ejected_until",
+                    "started",
+                    "tokens",
+                )
             )
     assert not with_peers.routers[0].looks
 
@@ -220,7 +234,10 @@
     for liars in (1, 2):
         group = Group(1)
         router = group.routers[0]
-        before = [(cache.fit, cache.strikes, cache.started) for cache in router.policy.fleet.mine]
+        before = [
+            (cache.concurrency_limit, cache.consecutive_failures, cache.started)
+            for cache in router.policy.endpoints.edge_caches
+        ]
         for _ in range(20):
             for liar in range(liars):
                 lies = [
@@ -235,12 +252,17 @@
                 router.outliers.receive(f"n{liar + 1}", verdicts.encode(lies), group.now)
             group.turn()
         if liars == 1:
-            assert before == [(cache.fit, cache.strikes, cache.started) for cache in router.policy.fleet.mine]
-        assert sum(not cache.usable(group.now) for cache in router.policy.fleet.mine) <= (0 if liars == 1 else 2)
+            assert before == [
+                (cache.concurrency_limit, cache.consecutive_failures, cache.started)
+                for cache in router.policy.endpoints.edge_caches
+            ]
+        assert sum(not cache.is_available(group.now) for cache in router.policy.endpoints.edge_caches) <= (
+            0 if liars == 1 else 2
+        )
         assert (
             sum(
-                cache.fit < 0.9 * was[0] or cache.started > 0
-                for cache, was in zip(router.policy.fleet.mine, before, strict=True)
+                cache.concurrency_limit < 0.9 * was[0] or cache.started > 0
+                for cache, was in zip(router.policy.endpoints.edge_caches, before, strict=True)
             )
             <= 2 + 20 * EVALUATION_INTERVAL_S // VERDICT_MAX_AGE_S * 2
         )
@@ -251,8 +273,8 @@
     router = group.routers[0]
     for turn in range(40):
         for box in range(60):
-            (router.box(box).failed if turn % 2 else router.box(box).answered)(group.now)
-            router.box(box).failed(group.now)
+            (router.box(box).record_failure if turn % 2 else router.box(box).record_answer)(group.now)
+            router.box(box).record_failure(group.now)
         group.turn()
     assert len(router.sends) <= MAX_PUSHES_PER_S * (40 * EVALUATION_INTERVAL_S + 1)
 
@@ -260,14 +282,19 @@
 def test_payload_when_about_a_cache_goes_to_its_zone_and_about_a_parent_to_all():
     group = Group(count=2)
     router = group.routers[0]
-    router.box().failed(group.now, Outcome.CONNECT_FAILED)
+    router.box().record_failure(group.now, Outcome.CONNECT_FAILED)
     group.turn()
     assert verdicts.decode(router.outliers.payload("n1")) and router.outliers.payload("n9") == b""
-    router.policy.fleet.parents[0].failed(group.now, Outcome.CONNECT_FAILED)
+    router.policy.endpoints.parents[0].record_failure(group.now, Outcome.CONNECT_FAILED)
     group.turn()
     assert [verdict.health for verdict in verdicts.decode(router.outliers.payload("n9"))] == [Health.UNREACHABLE]
 
 
+def beliefs(router):
+    caches = router.policy.endpoints.edge_caches
+    return [(cache.concurrency_limit, cache.consecutive_failures, cache.started) for cache in caches]
+
+
 @pytest.mark.parametrize(
     "data",
     [
--- a/tests/shared/test_request_tallies.py
+++ b/tests/shared/test_request_tallies.py
@@ -34,11 +34,11 @@
                 entry.epoch, entry.incarnation, entry.state = 1, other + 1, MemberState.ALIVE
         self.sends = []
         self.detector.send = lambda name, kind, serial, now: self.sends.append(name)
-        self.fleet = helpers.router(boxes=boxes, routers=count, seed=place).fleet
-        self.tallies = RequestTallies(self.detector, self.fleet, 100.0)
+        self.endpoints = helpers.router(boxes=boxes, routers=count, seed=place).endpoints
+        self.tallies = RequestTallies(self.detector, self.endpoints, 100.0)
 
     def out(self, *numbers):
-        for cache, number in zip(sorted(self.fleet.mine, key=lambda one: one.mark), numbers, strict=True):
+        for cache, number in zip(sorted(self.endpoints.edge_caches, key=lambda one: one.id), numbers, strict=True):
             cache.pending = {object() for _ in range(number)}
 
     def table(self):
@@ -54,7 +54,7 @@
 
 
 def told(one):
-    return sorted((cache.mark, round(cache.told, 2)) for cache in one.fleet.mine)
+    return sorted((cache.id, round(cache.reported_transfers, 2)) for cache in one.endpoints.edge_caches)
 
 
 @settings(max_examples=40, deadline=None)
@@ -79,14 +79,14 @@
             word[2].tallies.receive(word[1], word[3], now)
             on_way.remove(word)
     for one in group:
-        assert one.fleet.told == COUNT - 1
-        for place, cache in enumerate(sorted(one.fleet.mine, key=lambda cache: cache.mark)):
+        assert one.endpoints.reporting_routers == COUNT - 1
+        for place, cache in enumerate(sorted(one.endpoints.edge_caches, key=lambda cache: cache.id)):
             truth = sum(
-                len(sorted(other.fleet.mine, key=lambda one: one.mark)[place].pending)
+                len(sorted(other.endpoints.edge_caches, key=lambda one: one.id)[place].pending)
                 for other in group
                 if other is not one
             )
-            assert cache.told == pytest.approx(truth, abs=0.01)
+            assert cache.reported_transfers == pytest.approx(truth, abs=0.01)
 
 
 @settings(max_examples=60, deadline=None)
@@ -107,9 +107,11 @@
         each.out(8, 0, 0, 0)
     one.tallies.tick(101.0)
     for each in (one, alone):
-        each.fleet.count()
-    assert [cache.others for cache in one.fleet.mine] == [cache.others for cache in alone.fleet.mine]
-    assert all(cache.others > 0.0 for cache in alone.fleet.mine)
+        each.endpoints.estimate_other_transfers()
+    assert [cache.other_transfers for cache in one.endpoints.edge_caches] == [
+        cache.other_transfers for cache in alone.endpoints.edge_caches
+    ]
+    assert all(cache.other_transfers > 0.0 for cache in alone.endpoints.edge_caches)
     for number in range(1, COUNT):
         one.tallies.merge(
             Tally(f"n{number}", 1, number + 1, 1, 0.0, one.tallies.list_hash, [0, 0, 0, 2]), 101.0, from_itself=True
@@ -120,9 +122,16 @@
             for name, known in one.tallies.known.items()
         }
         one.tallies.tick(101.0 + (turn + 1) * TALLY_INTERVAL_S)
-    one.fleet.count()
+    one.endpoints.estimate_other_transfers()
     assert told(one)[:3] == [(mark, 0.0) for mark, _ in told(one)[:3]]
-    assert [round(cache.others) for cache in sorted(one.fleet.mine, key=lambda cache: cache.mark)] == [0, 0, 0, 8]
+    assert [
+        round(cache.other_transfers) for cache in sorted(one.endpoints.edge_caches, key=lambda cache: cache.id)
+    ] == [
+        0,
+        0,
+        0,
+        8,
+    ]
 
 
 def test_tally_when_old_or_of_another_list_or_incarnation_does_not_count():
@@ -134,9 +143,15 @@
     assert not one.tallies.merge(Tally("n2", 1, 4, 1, 0.0, one.tallies.list_hash, [9] * 4), 101.0, from_itself=False)
     one.tallies.merge(Tally("n3", 1, 4, 1, 0.0, 12345, [9] * 4), 101.0, from_itself=True)
     one.tallies.tick(101.0 + TALLY_INTERVAL_S)
-    assert one.fleet.told == 1 and all(cache.told <= 1.0 for cache in one.fleet.mine)
+    assert one.endpoints.reporting_routers == 1 and all(
+        cache.reported_transfers <= 1.0 for cache in one.endpoints.edge_caches
+    )
     one.tallies.tick(101.0 + MAX_AGE_S + 1.0)
-    assert one.fleet.told == 0 and all(cache.told == 0.0 for cache in one.fleet.mine) and not one.tallies.known
+    assert (
+        one.endpoints.reporting_routers == 0
+        and all(cache.reported_transfers == 0.0 for cache in one.endpoints.edge_caches)
+        and not one.tallies.known
+    )
 
 
 def test_tally_when_its_number_rises_too_fast_is_refused_unless_its_own():
--- a/tests/shared/test_slow_start_quota.py
+++ b/tests/shared/test_slow_start_quota.py
@@ -46,7 +46,7 @@
 
 
 def machine(mark=7, weight=10.0):
-    return SimpleNamespace(mark=mark, weight=weight, credit=-0.3)
+    return SimpleNamespace(id=mark, weight=weight, tokens=-0.3)
 
 
 def spend(made, cache, work, seconds, upper=False, part=0.2, since=0.0):
@@ -56,7 +56,7 @@
         now = since + turn / 100
         made.limiter.tick(now)
         while made.admits(SlowStartRequest(cache, upper, LIMITS, part, work), now):
-            cache.credit -= work
+            cache.tokens -= work
             sent.append((now, "", work))
     return sent
 
@@ -64,11 +64,11 @@
 @pytest.mark.parametrize("work", [0.01, 0.1, 1.0, 3.0])
 def test_server_when_in_slow_start_gets_what_the_formula_says(work):
     made, cache = colds(), machine()
-    most = LIMITS.multiple * 0.2 * cache.weight * LIMITS.span
+    most = LIMITS.overload_factor * 0.2 * cache.weight * LIMITS.window
     sent = spend(made, cache, work, 30.0)
     unit = slow_start_quota.PIECES_SHARE * most / 4
-    assert judges.peak(sent, most + max(work - unit, 0.0), LIMITS.span) <= 1.0
-    wanted = (1 - slow_start_quota.PIECES_SHARE) * most / (LIMITS.span + BURST_S) / (1 + MAX_CLOCK_DRIFT) * 29.0
+    assert judges.peak(sent, most + max(work - unit, 0.0), LIMITS.window) <= 1.0
+    wanted = (1 - slow_start_quota.PIECES_SHARE) * most / (LIMITS.window + BURST_S) / (1 + MAX_CLOCK_DRIFT) * 29.0
     assert sum(one[2] for one in sent) >= 0.95 * wanted - work
 
 
@@ -77,7 +77,7 @@
 def test_routers_when_shares_move_never_overload_a_server(seed, count, work):
     rand, now, sent = random.Random(seed), 0.0, []
     shares = [1.0 / count] * count
-    most = LIMITS.multiple * 0.2 * 10.0 * LIMITS.span
+    most = LIMITS.overload_factor * 0.2 * 10.0 * LIMITS.window
     caches = [machine() for _ in range(count)]
     routers = []
     for place in range(count):
@@ -97,18 +97,18 @@
         place = rand.randrange(count)
         routers[place].limiter.tick(now)
         while routers[place].admits(SlowStartRequest(caches[place], False, LIMITS, 0.2, work), now):
-            caches[place].credit -= work
+            caches[place].tokens -= work
             sent.append((now, "", work))
     over = count * max(work - slow_start_quota.PIECES_SHARE * most / count, 0.0)
-    assert not sent or judges.peak(sent, most + over, LIMITS.span) <= 1.0
+    assert not sent or judges.peak(sent, most + over, LIMITS.window) <= 1.0
 
 
 def test_bucket_when_its_server_restarted_is_empty_and_when_idle_is_dropped():
     made, cache = colds(), machine()
     spend(made, cache, 0.1, 3.0)
-    assert cache.credit > -0.1
+    assert cache.tokens > -0.1
     later = machine()  # the same mark, of another listing
-    assert not made.admits(SlowStartRequest(later, False, LIMITS, 0.2, 0.1), 3.0) and later.credit < 0.0
+    assert not made.admits(SlowStartRequest(later, False, LIMITS, 0.2, 0.1), 3.0) and later.tokens < 0.0
     other = machine(8)
     for turn in range(400, 1200):
         made.limiter.tick(turn / 100)
@@ -170,9 +170,9 @@
     assert all(shares[name][0] < 0.03 for name in ("n2", "n4")) and all(
         shares[name][0] > 0.3 for name in ("n1", "n3", "n5")
     )
-    assert judges.toppled(fleet.sent, fleet.bears, play.COLD.span) == []
+    assert judges.toppled(fleet.sent, fleet.bears, play.COLD.window) == []
     one = sum(work for when, _, work in fleet.sent[0] if when > 12.0)
-    could = sum(fleet.bears(when / 10) / play.COLD.span / 10 for when in range(120, 220))
+    could = sum(fleet.bears(when / 10) / play.COLD.window / 10 for when in range(120, 220))
     assert one > 0.8 * could
 
 
@@ -197,7 +197,7 @@
     def play_it(plants):
         fleet = play.Fleet(told, plants)
         fleet.wants = lambda process, number: 2.0 * (process.place == 0 or fleet.now > 12.0)
-        return judges.toppled(fleet.run().sent, fleet.bears, play.COLD.span)
+        return judges.toppled(fleet.run().sent, fleet.bears, play.COLD.window)
 
     assert play_it((plant,)) and play_it(()) == []
 
@@ -207,31 +207,31 @@
 
 def test_decision_when_the_quota_admits_sends_and_charges_the_cache():
     made = helpers.router(boxes=1)
-    cache = made.fleet.mine[0]
-    cache.started, cache.credit, asked = 99.0, 5.0, []
+    cache = made.endpoints.edge_caches[0]
+    cache.started, cache.tokens, asked = 99.0, 5.0, []
 
     def dealt(*words):
         asked.append(words)
         return len(asked) > 1
 
-    made.fleet.dealt = dealt
+    made.endpoints.slow_start_quota = dealt
     _, caller = helpers.take(made)
-    assert cache not in [sent.cache for sent in caller.forwards]
+    assert cache not in [sent.server for sent in caller.forwards]
     _, caller = helpers.take(made)
-    assert caller.forwards[0].cache is cache
+    assert caller.forwards[0].server is cache
     told, upper, limits, part, work = asked[0]
-    assert (told, upper, limits) == (cache, False, made.fleet.edge) and 0.2 < part < 0.3
-    assert work == pytest.approx(made.mean(helpers.request_class())) and cache.credit == pytest.approx(5.0 - work)
+    assert (told, upper, limits) == (cache, False, made.endpoints.edge) and 0.2 < part < 0.3
+    assert work == pytest.approx(made.mean_work(helpers.request_class())) and cache.tokens == pytest.approx(5.0 - work)
     helpers.end(caller, Outcome.SUCCEEDED, 100.1, closed=True)
 
 
 def test_decision_when_servers_are_warm_or_unweighted_does_not_ask_the_quota():
     for weighed, started in ((True, -1e9), (False, 99.0)):
         made = helpers.router(boxes=1, weighed=weighed)
-        made.fleet.mine[0].started = started
-        made.fleet.dealt = lambda *words: pytest.fail("asked")
-        made.fleet.edge.usual = 10.0
-        made.fleet.mine[0].credit = 1.0
+        made.endpoints.edge_caches[0].started = started
+        made.endpoints.slow_start_quota = lambda *words: pytest.fail("asked")
+        made.endpoints.edge.usual_load = 10.0
+        made.endpoints.edge_caches[0].tokens = 1.0
         _, caller = helpers.take(made)
         assert caller.forwards
 
--- a/tests/store/test_store.py
+++ b/tests/store/test_store.py
@@ -325,7 +325,7 @@
 
 def asked(kind, age, now=100.0, **more):
     made = router()
-    made.copies = PreparedCopies(Copy(5, 0, 3, b"t", now - age, 100, 1), **more)
+    made.local_copies = PreparedCopies(Copy(5, 0, 3, b"t", now - age, 100, 1), **more)
     visit, caller = take(made, kind, now=now)
     return made, visit, caller
 
@@ -344,17 +344,17 @@
 def test_copy_when_fresh_and_current_and_in_time_answers(fresh, age, more, answers):
     made, visit, caller = asked(request_class(freshness_lifetime=fresh), age, **more)
     assert bool(caller.reads) is answers and bool(caller.forwards) is not answers
-    assert made.shelf.items[5].k == 1  # a visit raises k, however it is answered
+    assert made.object_counts.entries[5].leading_parts == 1  # a visit raises k, however it is answered
     if answers:
-        assert visit.copy_read(caller.reads[0], True, 100.01) and visit.done and caller.answers == []
+        assert visit.copy_read(caller.reads[0], 100.01, is_complete=True) and visit.is_finished and caller.answers == []
 
 
 @pytest.mark.parametrize("whole, gone", [(False, False), (True, True)])
 def test_request_when_its_copy_is_unreadable_or_purged_is_forwarded_once(whole, gone):
     made, visit, caller = asked(request_class(), 1.0)
-    made.copies.is_held = not gone
-    assert not visit.copy_read(caller.reads[0], whole, 100.05)
-    assert len(caller.forwards) == 1 and visit.copy is None and len(caller.reads) == 1
+    made.local_copies.is_held = not gone
+    assert not visit.copy_read(caller.reads[0], 100.05, is_complete=whole)
+    assert len(caller.forwards) == 1 and visit.local_copy is None and len(caller.reads) == 1
 
 
 @pytest.mark.parametrize(
@@ -367,7 +367,7 @@
 )
 def test_request_when_it_has_effects_is_never_answered_by_a_copy(kind):
     _, visit, caller = asked(kind, 1.0)
-    assert not caller.reads and visit.copy is None
+    assert not caller.reads and visit.local_copy is None
 
 
 @pytest.mark.parametrize("age, reads", [(7.0, True), (11.0, False)])
@@ -377,28 +377,28 @@
     visit.give_up(100.1)
     assert bool(caller.reads) is reads and bool(caller.answers) is not reads
     if reads:
-        assert not visit.copy_read(caller.reads[0], False, 104.99)
+        assert not visit.copy_read(caller.reads[0], 104.99, is_complete=False)
         assert caller.answers == [("denied", 0.5)]
 
 
 def test_copy_when_not_current_is_offered_and_answers_after_revalidation():
     made, visit, caller = asked(request_class(), 1.0, proven=False)
-    assert visit.copy is made.copies.copy and caller.forwards
-    before = dict(made.means), visit.item.work
-    made.copies.is_proven = True
+    assert visit.local_copy is made.local_copies.copy and caller.forwards
+    before = dict(made.mean_works), visit.object_count.work
+    made.local_copies.is_proven = True
     end(caller, Outcome.NOT_MODIFIED, 100.02)
-    assert caller.reads and not visit.done and (dict(made.means), visit.item.work) == before
-    assert visit.copy_read(caller.reads[0], True, 100.03) and visit.done
+    assert caller.reads and not visit.is_finished and (dict(made.mean_works), visit.object_count.work) == before
+    assert visit.copy_read(caller.reads[0], 100.03, is_complete=True) and visit.is_finished
 
 
 def test_revalidated_copy_when_unreadable_is_requested_from_the_same_cache():
     made, visit, caller = asked(request_class(), 1.0, proven=False)
-    made.copies.is_proven = True
+    made.local_copies.is_proven = True
     end(caller, Outcome.NOT_MODIFIED, 100.02)
-    assert not visit.copy_read(caller.reads[0], False, 100.03)
-    assert len(caller.forwards) == 2 and caller.forwards[1].cache is caller.forwards[0].cache
+    assert not visit.copy_read(caller.reads[0], 100.03, is_complete=False)
+    assert len(caller.forwards) == 2 and caller.forwards[1].server is caller.forwards[0].server
     end(caller, Outcome.SUCCEEDED, 100.04, closed=True)
-    assert visit.done
+    assert visit.is_finished
 
 
 # The glue, and the wire.
@@ -460,7 +460,7 @@
     if with_store:
         world.read_clock = lambda: heap.clock
         copies = LocalCopies(world.store, heap, buffers, LinkBandwidth(1e6, 1e6), 0.1, faults.append, OthersTime())
-        made.copies = visits.copies = forwards.copies = copies
+        made.local_copies = visits.copies = forwards.copies = copies
         world.store.caught_up(heap.clock, False)
     return SimpleNamespace(
         world=world,
@@ -560,7 +560,7 @@
     copies = LocalCopies(
         net.world.store, net.heap, net.pool, LinkBandwidth(1e6, 1e6), 0.1, net.faults.append, OthersTime()
     )
-    net.router.copies = net.visits.copies = net.forwards.copies = copies
+    net.router.local_copies = net.visits.copies = net.forwards.copies = copies
     net.world.store.caught_up(net.heap.clock, False)
     ask(net)
     assert told(net)["have"] == "00000000000000e1"
--- a/tests/support/routing.py
+++ b/tests/support/routing.py
@@ -2,12 +2,12 @@
 
 from types import SimpleNamespace
 
-from wickhinge.interface import Capabilities, Endpoint, Idempotency, Request, RequestClass
-from wickhinge.routing.endpoints import Endpoints
+from wickhinge.interface import Capabilities, Completion, Endpoint, Idempotency, Request, RequestClass
+from wickhinge.routing.endpoints import Endpoints, Topology
 from wickhinge.routing.object_counts import ObjectCounts
 from wickhinge.routing.purges import Purges
 from wickhinge.routing.random_source import RandomSource
-from wickhinge.routing.router import Router
+from wickhinge.routing.router import Router, RouterSettings
 from wickhinge.routing.slow_start import SlowStart
 
 
@@ -21,7 +21,7 @@
     def forward(self, parameters):
         sent = SimpleNamespace(
             it=parameters.attempt,
-            cache=parameters.server,
+            server=parameters.server,
             source=parameters.source,
             rank=parameters.retention_rank,
             oldest=parameters.max_age,
@@ -81,35 +81,28 @@
     outside = Recorder()
     edge, upper = SlowStart(4.0, 1.0, 0.2, 10.0), SlowStart(2.0, 1.0, 0.1, 10.0)
     chance = RandomSource(seed)
-    fleet = Endpoints(chance, "here", routers, "parent", "origin", weighed, edge, upper)
-    permitted = Capabilities(joins, direct, second_copies, cancel, probes, load_reports=True, polls_endpoints=False)
-    made = Router(
-        outside,
-        chance,
-        fleet,
-        ObjectCounts(),
-        Purges(6.0),
-        permitted,
-        flow=1000.0,
-        most_forwards=most_forwards,
-        ask_within=0.0,
-        longest_wait=0.5,
+    topology = Topology("here", routers, "parent", "origin", has_weights=weighed)
+    endpoints = Endpoints(chance, topology, edge, upper)
+    capabilities = Capabilities(joins, direct, second_copies, cancel, probes, load_reports=True, polls_endpoints=False)
+    settings = RouterSettings(
+        capabilities, flow=1000.0, max_attempts=most_forwards, max_list_age=0.0, max_retry_after=0.5
     )
-    made.fleet.listed(
+    made = Router(outside, endpoints, ObjectCounts(), Purges(6.0), settings)
+    made.endpoints.update(
         [listing(i + 1) for i in range(boxes)]
         + [listing(100 + i, "parent", "hub") for i in range(parents)]
         + [listing(200, "origin", "hub"), *extra],
-        True,
         0.0,
+        complete=True,
     )
     return made
 
 
 def take(made, kind=None, key=5, part=0, size=100.0, now=100.0, group=3, patience=5.0, repeat=False):
     caller = Recorder()
-    return made.take(caller, kind or request_class(), Request(key, part, group, size, patience, repeat), now), caller
+    return made.route(caller, kind or request_class(), Request(key, part, group, size, patience, repeat), now), caller
 
 
 def end(caller, outcome, now, number=-1, closed=False, took=0.01):
     forward = caller.forwards[number].it
-    forward.visit.ended(forward, outcome, took, closed, None, now)
+    forward.request.attempt_ended(forward, Completion(outcome, took, closed), now)
--- a/wickhinge/cli/commands.py
+++ b/wickhinge/cli/commands.py
@@ -62,7 +62,7 @@
                 "name": platform.name(conf),
                 "listen": ":".join(map(str, platform.listen_address(conf))),
                 "journal": ":".join(map(str, platform.discovery_address(conf))),
-                "location": router.fleet.zone,
+                "location": router.endpoints.zone,
                 "tariffs": list(tariffs),
             }
     except (OptionsError, Malformed) as problem:
--- a/wickhinge/interface.py
+++ b/wickhinge/interface.py
@@ -9,7 +9,11 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 from enum import Enum
-from typing import Any, Protocol
+from typing import TYPE_CHECKING, Protocol
+
+if TYPE_CHECKING:
+    from wickhinge.routing.attempt import Attempt
+    from wickhinge.routing.server import Server
 
 
 class Idempotency(Enum):
@@ -135,10 +139,10 @@
 class AttemptParameters:
     """One attempt to be sent, and what the server is asked to do with it."""
 
-    attempt: Any  # of wickhinge.routing; handed back when the attempt ends
-    server: Any
+    attempt: Attempt  # handed back when the attempt ends
+    server: Server
     timeout: float  # seconds left to the client
-    source: Any  # fills a miss; the server itself: nobody does
+    source: Server  # fills a miss; the server itself: nobody does
     retention_rank: int  # 0: the copy is not kept
     max_age: float | None  # seconds; the oldest copy that may answer
     collapse: bool  # the fill may join one in progress
@@ -146,13 +150,24 @@
     revalidate: bool  # the cache may renew a stale copy
 
 
+@dataclass(frozen=True, slots=True)
+class Completion:
+    """How an attempt ended."""
+
+    outcome: Outcome
+    duration: float  # seconds since it was sent
+    is_answered: bool  # the request has its final answer, by this attempt or an earlier one
+    cache_status: CacheStatus | None = None  # where the deployment tells it
+    load: dict[str, float] | None = None  # the server's load report, where one came with the answer
+
+
 class RequestTransport(Protocol):
     """What a front does for one request. `reject` and `fail` are final answers."""
 
     def forward(self, parameters: AttemptParameters) -> None:
         """Send the request to a server."""
 
-    def cancel(self, attempt: Any) -> None:
+    def cancel(self, attempt: Attempt) -> None:
         """Stop waiting for an attempt."""
 
     def serve_copy(self, copy: LocalCopy) -> None:
@@ -201,7 +216,7 @@
     def call_later(self, delay: float, call: Callable[[float], None]) -> None:
         """Call back after so many seconds with the time then; cannot be cancelled."""
 
-    def check_health(self, server: Any) -> None:
+    def check_health(self, server: Server) -> None:
         """Ask a server for its load; the answer is a call of Router.health_checked."""
 
     def watch(self) -> None:
@@ -210,7 +225,7 @@
     def fetch_endpoints(self) -> None:
         """Ask for the whole endpoint list once."""
 
-    def close_idle(self, server: Any) -> None:
+    def close_idle(self, server: Server) -> None:
         """Close idle connections to a server."""
 
     def gossip(self, recipient: int, content: bytes) -> None:
--- a/wickhinge/lab/many/play.py
+++ b/wickhinge/lab/many/play.py
@@ -61,7 +61,7 @@
         self.colds = slow_start_quota.SlowStartQuotas(self.limiter, len(BUDGETS))
         # One machine of the own zone, one parent: as `policy` sees them.
         self.machines = [
-            SimpleNamespace(mark=mark, weight=WEIGHT, credit=-0.1) for mark in (place % fleet.schedule.zones, -1)
+            SimpleNamespace(id=mark, weight=WEIGHT, tokens=-0.1) for mark in (place % fleet.schedule.zones, -1)
         ]
         self.wants = [0.0] * len(BUDGETS)  # times the whole budget's rate
         self.works = [0.0] * len(self.machines)
@@ -110,14 +110,14 @@
                     self.fleet.spent[number].append((self.fleet.now, self.name, unit))
         part = self.fleet.warmth(self.fleet.now)
         for number, machine in enumerate(self.machines):
-            self.works[number] += self.fleet.wants(self, number) * COLD.multiple * part * WEIGHT * TICK
+            self.works[number] += self.fleet.wants(self, number) * COLD.overload_factor * part * WEIGHT * TICK
             work = self.fleet.work
             while self.works[number] >= work:
                 self.works[number] -= work
-                request = slow_start_quota.SlowStartRequest(machine, machine.mark < 0, COLD, part, work)
+                request = slow_start_quota.SlowStartRequest(machine, machine.id < 0, COLD, part, work)
                 if self.colds.admits(request, self.clock):
-                    machine.credit -= work
-                    self.fleet.sent[machine.mark].append((self.fleet.now, self.name, work))
+                    machine.tokens -= work
+                    self.fleet.sent[machine.id].append((self.fleet.now, self.name, work))
 
     def send(self, item: Message) -> None:
         self.fleet.carry(self, self.fleet.places.get(item.to), wire.encode(KEY, item))
@@ -173,7 +173,12 @@
         self.needs = [[self.random.choice((0.0, 0.1, 0.5, 1.3)) for _ in BUDGETS] for _ in self.names]
         self.sent: dict[int, list[tuple[float, str, float]]] = defaultdict(list)  # to cold machines, by their marks
         self.work = (
-            slow_start_quota.PIECES_SHARE * COLD.floor * COLD.multiple * COLD.span * WEIGHT / schedule.places
+            slow_start_quota.PIECES_SHARE
+            * COLD.initial_capacity
+            * COLD.overload_factor
+            * COLD.window
+            * WEIGHT
+            / schedule.places
         )  # of a visit
         self.unreadable = self.carried = 0
 
@@ -200,11 +205,11 @@
         return self.needs[(process.place + turn) % len(self.names)][number]
 
     def warmth(self, when: float) -> float:
-        return min(COLD.floor + (1 - COLD.floor) * when / COLD.warm, 0.99)
+        return min(COLD.initial_capacity + (1 - COLD.initial_capacity) * when / COLD.duration, 0.99)
 
     def bears(self, when: float) -> float:
-        """Seconds of work in COLD.span over which a machine topples then."""
-        return COLD.multiple * self.warmth(when) * WEIGHT * COLD.span
+        """Seconds of work in COLD.window over which a machine topples then."""
+        return COLD.overload_factor * self.warmth(when) * WEIGHT * COLD.window
 
     def start(self, place: int) -> Process:
         self.numbers += 1
--- a/wickhinge/lab/many/stands.py
+++ b/wickhinge/lab/many/stands.py
@@ -213,10 +213,15 @@
             self.forget(made)
 
     def bears(self, when: float) -> float:
-        """Seconds of work in LIMITS.span over which a cold machine topples then."""
-        return LIMITS.multiple * (LIMITS.floor + (1 - LIMITS.floor) * (AGE + when) / WARM) * WEIGHT * LIMITS.span
+        """Seconds of work in LIMITS.window over which a cold machine topples then."""
+        return (
+            LIMITS.overload_factor
+            * (LIMITS.initial_capacity + (1 - LIMITS.initial_capacity) * (AGE + when) / WARM)
+            * WEIGHT
+            * LIMITS.window
+        )
 
-    span = LIMITS.span
+    span = LIMITS.window
 
     def cold(self) -> dict[int, list[tuple[float, str, float]]]:
         """What reached the cold machines: (when, "", seconds of work) by their marks."""
@@ -225,22 +230,22 @@
     def rate(self, process: Any) -> float:
         """Visits a second that are wanted there."""
         wanted = self.scene.needs(process, self.rig.now)
-        return wanted * self.bears(self.rig.now) / LIMITS.span / WORK if self.scene.cold else wanted
+        return wanted * self.bears(self.rig.now) / LIMITS.window / WORK if self.scene.cold else wanted
 
     def settings(self, settings: dict[str, Any], place: int) -> dict[str, Any]:
         """The platform's settings for the router at that place, from those of the example."""
         zones, count = len(self.zones), self.rig.schedule.routers
         tariffs = [{**settings["classes"][0], "hardLimitMs": int(PATIENCE * 1000)}, settings["classes"][1]]
         rules = {
-            "fallMultiple": LIMITS.multiple,
-            "fallMs": LIMITS.span * 1000,
-            "coldFrom": LIMITS.floor,
+            "fallMultiple": LIMITS.overload_factor,
+            "fallMs": LIMITS.window * 1000,
+            "coldFrom": LIMITS.initial_capacity,
             "coldMs": WARM * 1000,
         }
         family = {
             "zoneBalancers": [len(range(zone, count, zones)) for zone in range(zones)] + [0],
-            "upperFallMultiple": LIMITS.multiple / 2,
-            "parentFloor": LIMITS.floor,
+            "upperFallMultiple": LIMITS.overload_factor / 2,
+            "parentFloor": LIMITS.initial_capacity,
             "parentWarmsInMs": WARM * 1000,
         }
         return settings | {
--- a/wickhinge/lab/many/trial.py
+++ b/wickhinge/lab/many/trial.py
@@ -23,7 +23,7 @@
 
 def virtual(schedule: Schedule, plants: tuple[Any, ...] = ()) -> Trial:
     fleet = play.play(schedule, plants)
-    span = play.COLD.span
+    span = play.COLD.window
     return Trial(
         judges.all_of(fleet.history, schedule)
         + judges.budgets(fleet.spent, play.BUDGETS)
--- a/wickhinge/lab/play.py
+++ b/wickhinge/lab/play.py
@@ -12,6 +12,7 @@
 from wickhinge.interface import (
     AttemptParameters,
     Capabilities,
+    Completion,
     Endpoint,
     Idempotency,
     Outcome,
@@ -23,12 +24,12 @@
 from wickhinge.lab.machines import Fabric, Machine
 from wickhinge.lab.scenario import Failure, Scenario
 from wickhinge.lab.wheel import Wheel
-from wickhinge.routing.endpoints import Endpoints
+from wickhinge.routing.endpoints import Endpoints, Topology
 from wickhinge.routing.object_counts import ObjectCounts
 from wickhinge.routing.purges import Purges
 from wickhinge.routing.random_source import RandomSource
 from wickhinge.routing.routed_request import RoutedRequest
-from wickhinge.routing.router import Router
+from wickhinge.routing.router import Router, RouterSettings
 from wickhinge.routing.slow_start import SlowStart
 
 PARENTS, ORIGIN = 100_000, 200_000
@@ -40,8 +41,9 @@
     """The module as a front builds it, with what the laboratory does not vary. routers: of its location; cold: what
     topples a machine times its capacity, over which seconds, its pace at first, seconds until it is warm.
     """
-    fleet = Endpoints(chance, zone, routers, "parent", "origin", True, SlowStart(*cold), SlowStart(*cold))
-    permitted = Capabilities(
+    topology = Topology(zone, routers, "parent", "origin", has_weights=True)
+    endpoints = Endpoints(chance, topology, SlowStart(*cold), SlowStart(*cold))
+    capabilities = Capabilities(
         collapse_fills=False,
         direct_to_source=True,
         hedging=True,
@@ -50,18 +52,8 @@
         load_reports=False,
         polls_endpoints=False,
     )
-    return Router(
-        outside,
-        chance,
-        fleet,
-        ObjectCounts(fleet.routers),
-        Purges(6.0),
-        permitted,
-        flow=1000.0,
-        most_forwards=6,
-        ask_within=0.0,
-        longest_wait=0.5,
-    )
+    settings = RouterSettings(capabilities, flow=1000.0, max_attempts=6, max_list_age=0.0, max_retry_after=0.5)
+    return Router(outside, endpoints, ObjectCounts(endpoints.routers), Purges(6.0), settings)
 
 
 class Asked:
@@ -104,25 +96,26 @@
         source = parameters.source
         play, asked = self.play, self.asked
         asked.forwards += 1
-        came_from = source.mark if source is not None and source is not cache else None
-        play.judge.sent(asked, asked.router, cache.mark, came_from, play.wheel.now)
+        came_from = source.id if source is not None and source is not cache else None
+        play.judge.sent(asked, asked.router, cache.id, came_from, play.wheel.now)
         began = play.wheel.now
 
         def then(outcome: Outcome, made: float | None, note: Any) -> None:
             if self.out.pop(forward, None) is None:
                 return
             now = play.wheel.now
-            ours = outcome is Outcome.SUCCEEDED and not asked.answers and not forward.visit.done
+            ours = outcome is Outcome.SUCCEEDED and not asked.answers and not forward.request.is_finished
             if ours:
                 asked.hit = note is not None and note.name == "HIT"
                 if not asked.exclusive:
                     play.judge.served(asked, made, now)
                 play.answer(asked, "honoured")
-            forward.visit.ended(forward, outcome, now - began, asked.answers > 0, note, now)
+            completion = Completion(outcome, now - began, asked.answers > 0, note)
+            forward.request.attempt_ended(forward, completion, now)
 
         runs = (lambda: play.judge.runs(asked, play.wheel.now)) if asked.exclusive else None
         self.out[forward] = play.fabric.ask(
-            cache.mark,
+            cache.id,
             (asked.key, asked.part),
             came_from,
             max(parameters.retention_rank, 0),
@@ -137,25 +130,19 @@
         give_up = self.out.pop(forward, None)
         if give_up is not None:
             give_up()
-            forward.visit.ended(
-                forward,
-                Outcome.TIMED_OUT,
-                self.play.wheel.now - began,
-                self.asked.answers > 0,
-                None,
-                self.play.wheel.now,
-            )
+            now = self.play.wheel.now
+            completion = Completion(Outcome.TIMED_OUT, now - began, self.asked.answers > 0)
+            forward.request.attempt_ended(forward, completion, now)
 
     def cancel(self, forward: Any) -> None:
         give_up = self.out.pop(forward, None)
         if give_up is not None:
             give_up()
-            self.play.wheel.after(
-                0.0,
-                lambda: forward.visit.ended(
-                    forward, Outcome.CANCELLED, 0.0, self.asked.answers > 0, None, self.play.wheel.now
-                ),
-            )
+            self.play.wheel.after(0.0, self.cancelled, forward)
+
+    def cancelled(self, forward: Any) -> None:
+        completion = Completion(Outcome.CANCELLED, 0.0, self.asked.answers > 0)
+        forward.request.attempt_ended(forward, completion, self.play.wheel.now)
 
     def serve_copy(self, copy: Any) -> None:
         raise AssertionError("no copies of their own here")
@@ -242,36 +229,36 @@
             s.routers // s.zones,
             (s.fall_multiple, s.fall_s, s.cold_from, s.cold_s),
         )
-        made.fleet.listed([self.listing(mark) for mark in self.machines], True, 0.0)
+        made.endpoints.update([self.listing(mark) for mark in self.machines], 0.0, complete=True)
         self.baseline(made)
-        made.start(0.0)
+        made.start()
         return made
 
     def probed(self, number: int, cache: Any) -> None:
-        machine = self.machines[cache.mark]
+        machine = self.machines[cache.id]
         well = machine.up and not machine.hung
         outcome = Outcome.SUCCEEDED if well else Outcome.CONNECT_FAILED if not machine.up else Outcome.TIMED_OUT
         self.routers[number].health_checked(cache, outcome, {}, self.wheel.now)
 
     def baseline(self, made: Router) -> None:
         """Named plain policies, and planted faults, in place of parts of the module."""
-        policy, plant, fleet = self.scenario.policy, self.scenario.plant, made.fleet
+        policy, plant, fleet = self.scenario.policy, self.scenario.plant, made.endpoints
         if policy == "random":
-            fleet.order = lambda caches, salt, now: self.random.sample(caches, len(caches))
+            fleet.in_order = lambda caches, salt, now: self.random.sample(caches, len(caches))
         elif policy == "least_loaded":
-            fleet.order = lambda caches, salt, now: sorted(caches, key=lambda cache: (len(cache.pending), cache.mark))
+            fleet.in_order = lambda caches, salt, now: sorted(caches, key=lambda cache: (len(cache.pending), cache.id))
         elif policy == "keep_all":
-            made.shelf.rank = lambda item, part, work: 1
+            made.object_counts.retention_rank = lambda item, part, work: 1
         elif policy == "keep_none":
-            made.shelf.rank = lambda item, part, work: 0
+            made.object_counts.retention_rank = lambda item, part, work: 0
         if plant == "cold":
-            fleet.room = lambda cache, visit, now: True
+            fleet.admits = lambda server, request, now: True
         elif plant == "purges":
-            made.purges.oldest = lambda key, group, now: None
+            made.purges.max_age = lambda key, group, now: None
         elif plant == "drains":
-            listed = fleet.listed
-            fleet.listed = lambda listings, whole, now: listed(
-                [one for one in listings if one.state != "draining"], whole, now
+            update = fleet.update
+            fleet.update = lambda listings, now, *, complete: update(
+                [one for one in listings if one.state != "draining"], now, complete=complete
             )
 
     def listing(self, mark: int) -> Endpoint:
@@ -307,19 +294,19 @@
         asked = Asked(self.count, now, s.patience_s, key, part, exclusive, again, number)
         request_class = self.results if exclusive else self.clips
         client = Client(self, asked)
-        visit: RoutedRequest = self.routers[number].take(
+        visit: RoutedRequest = self.routers[number].route(
             client, request_class, Request(key, part, 0, 0.0, s.patience_s, again > 0), now
         )
-        if s.plant == "repeats" and exclusive and not visit.done:
+        if s.plant == "repeats" and exclusive and not visit.is_finished:
             self.wheel.after(0.2, self.planted_repeat, client, visit)
         if s.plant == "answers":
             self.wheel.after(0.3, self.answer, asked, "honoured")
         self.wheel.after(s.patience_s + 0.2, self.judge.unanswered, asked, now + s.patience_s + 0.2)
 
     def planted_repeat(self, client: Client, visit: RoutedRequest) -> None:
-        if visit.forwards:
-            first = visit.forwards[0]
-            client.forward(AttemptParameters(first, first.cache, 1.0, None, 0, None, False, False, False))
+        if visit.attempts:
+            first = visit.attempts[0]
+            client.forward(AttemptParameters(first, first.server, 1.0, None, 0, None, False, False, False))
 
     def answer(self, asked: Asked, word: str) -> None:
         now = self.wheel.now
@@ -405,7 +392,7 @@
                 self.wheel.after(5.0 * self.random.random(), lambda machine=machine: machine.held.purge(key))
 
     def told_purge(self, number: int, key: int, stamp: float) -> None:
-        self.routers[number].purges.told(key, 0, stamp, self.wheel.now)
+        self.routers[number].purges.notify(key, 0, stamp, self.wheel.now)
 
     def tell(self, marks: list[int]) -> None:
         delay = max(self.listing_lost - self.wheel.now, 0.0) + self.scenario.list_s
@@ -416,7 +403,7 @@
         for one in listings:
             if one.state != "ready":
                 self.judge.drained[number, one.server] = self.wheel.now
-        self.routers[number].fleet.listed(listings, False, self.wheel.now)
+        self.routers[number].endpoints.update(listings, self.wheel.now, complete=False)
 
     # Results.
 
--- a/wickhinge/net/control/changelog_client.py
+++ b/wickhinge/net/control/changelog_client.py
@@ -49,7 +49,7 @@
         )
         self._limited = True  # as at the last tick: the age of copies is limited
         self._source = ""
-        node.router.purges.limit = self.limit
+        node.router.purges.limit_age_by(self.limit)
         if node.copies is not None:
             node.copies.limit_age(self.limit)
 
@@ -106,7 +106,7 @@
         keys = {purge.key for purge in snapshot.purges if purge.key is not None}
         groups = {purge.group for purge in snapshot.purges if purge.key is None}
         self._node.forwards.overtaken(
-            lambda sent: sent.forward.visit.item.key not in keys and sent.forward.visit.group not in groups
+            lambda sent: sent.forward.request.object_count.key not in keys and sent.forward.request.group not in groups
         )
         self._log(
             "changelog_reset",
@@ -130,7 +130,7 @@
             return
         self._limited = limited
         if limited:
-            self._node.forwards.overtaken(lambda sent: sent.forward.visit.request_class.pass_through)
+            self._node.forwards.overtaken(lambda sent: sent.forward.request.request_class.pass_through)
         figures = self.figures()
         state = "changelog_uninformed" if limited else "changelog_informed"
         self._log(state, epoch=figures["epoch"], number=figures["number"], age_s=figures["age_s"])
--- a/wickhinge/net/control/endpoint_updates.py
+++ b/wickhinge/net/control/endpoint_updates.py
@@ -89,7 +89,7 @@
                     endpoint.started_at,
                 )
             )
-        self._decisions.fleet.listed(listings, complete, now)
+        self._decisions.endpoints.update(listings, now, complete=complete)
         if self._membership is not None:
             self._membership.live(complete, endpoints)
         self._close_unlisted()
@@ -106,16 +106,14 @@
     def purge(self, key: int | None, group: int, stamp_ms: float, number: int = NO_NUMBER) -> None:
         """Puts a purge in force, of a whole group where key is None, also for what waits to be written."""
         self.record_purge(key, group, stamp_ms, number)
-        self._attempts.overtaken(
-            lambda sent: sent.forward.visit.group != group if key is None else sent.forward.visit.item.key != key
-        )
+        self._attempts.overtaken(lambda sent: not _is_purged(sent, key, group))
         self._log("purge", key=None if key is None else f"{key:016x}", group=group, stamp=stamp_ms)
 
     def record_purge(self, key: int | None, group: int, stamp_ms: float, number: int = NO_NUMBER) -> None:
         """Puts a purge in force for what is sent from now on; what waits to be written is the caller's to recall."""
         now, stamp_s = self._deadlines.now(), stamp_ms / 1000.0
         self._others_time.vouched(stamp_s, now)
-        self._decisions.purges.told(key, group, stamp_s, now)
+        self._decisions.purges.notify(key, group, stamp_s, now)
         if self._local_copies is not None:
             self._local_copies.store.purge(key, group, stamp_s, number)
         if self._membership is not None:
@@ -140,9 +138,14 @@
     def _close_unlisted(self) -> None:
         for mark, pool in list(self._pools.machines.items()):
             is_member = self._membership is not None and self._membership.knows(mark)
-            if mark not in self._decisions.fleet.known and not is_member:
+            if mark not in self._decisions.endpoints.servers and not is_member:
                 pool.leave()
 
 
+def _is_purged(sent: SentAttempt, key: int | None, group: int) -> bool:
+    request = sent.forward.request
+    return bool(request.group == group if key is None else request.object_count.key == key)
+
+
 def _may_still_be_sent(sent: SentAttempt) -> bool:
     return sent.cache.state == "ready" == sent.forward.source.state
--- a/wickhinge/net/control/membership.py
+++ b/wickhinge/net/control/membership.py
@@ -73,9 +73,9 @@
             for problem in problems:
                 self.log_event("membership_list_unusable", reason=problem)
         self.controller.start(stored, self.static, self.now())
-        fleet = self.node.router.fleet
+        fleet = self.node.router.endpoints
         if self.controller.stored is not None:
-            fleet.edge.usual, fleet.upper.usual = self.controller.stored.usual_loads
+            fleet.edge.usual_load, fleet.upper.usual_load = self.controller.stored.usual_loads
             if options.journal.continues:
                 watch.resume_list(self.controller.stored.last_event)
 
@@ -119,7 +119,7 @@
                     listing.is_trusted,
                 )
             )
-        self.node.router.fleet.listed(rows, False, self.now())
+        self.node.router.endpoints.update(rows, self.now(), complete=False)
         for listing in listings:
             machine = self.node.caches.machines.get(listing.statement.endpoint_id)
             if listing.state is EndpointState.GONE and machine is not None:
@@ -128,14 +128,14 @@
     def check_health(self, statement: Statement) -> None:
         endpoint_id = statement.endpoint_id
         self.node.caches.listed(endpoint_id, f"{endpoint_id:08x}", statement.address)
-        self.node.forwards.probe(SimpleNamespace(mark=endpoint_id), self.probed)
+        self.node.forwards.probe(SimpleNamespace(id=endpoint_id), self.probed)
 
     def probed(self, cache: Any, up: bool) -> None:
-        self.controller.record_health_check(cache.mark, self.now(), healthy=up)
+        self.controller.record_health_check(cache.id, self.now(), healthy=up)
 
     def recover_purge(self, purge: PurgeRecord) -> None:
         """Carries out a purge that was stored, or that another router told."""
-        self.node.router.purges.told(purge.object_key, purge.group, purge.stamp, self.now())
+        self.node.router.purges.notify(purge.object_key, purge.group, purge.stamp, self.now())
         if self.node.copies is not None:
             self.node.copies.store.purge(purge.object_key, purge.group, purge.stamp, 0)
 
@@ -161,7 +161,7 @@
 
     def ended(self, sent: Any, outcome: Outcome) -> None:
         if sent.door.request_class.idempotency is Idempotency.IDEMPOTENT and (outcome.answered or outcome in FAILED):
-            self.controller.record_request(sent.cache.mark, self.now(), answered=outcome.answered)
+            self.controller.record_request(sent.cache.id, self.now(), answered=outcome.answered)
 
     def purge(self, key: int | None, group: int, stamp: float) -> None:
         self.controller.record_purge(PurgeRecord(key, group, stamp), self.now())
@@ -178,8 +178,8 @@
     def save(self, now: float) -> None:
         if self.list_file is None or self.is_writing or 0.0 <= now - self.written_at < self.write_interval_s:
             return
-        fleet = self.node.router.fleet
-        stored = self.controller.snapshot(now, (fleet.edge.usual, fleet.upper.usual))
+        fleet = self.node.router.endpoints
+        stored = self.controller.snapshot(now, (fleet.edge.usual_load, fleet.upper.usual_load))
         if stored is None:
             return
         self.is_writing, self.written_at = True, now
@@ -220,7 +220,7 @@
 
 def make(options: Any, conf: dict[str, Any], node: Any) -> MembershipClient:
     """Raises Malformed where the key can't be read."""
-    found, fleet = options.discovery, node.router.fleet
+    found, fleet = options.discovery, node.router.endpoints
     key = keys.read("discovery.key_file", found.key_file) if found.key_file else b""
     static = []
     for place, one in enumerate(found.static):
@@ -256,6 +256,6 @@
         hint_age_s=found.hint_after_s,
         max_uninformed_copy_age_s=found.untold_s,
         quiet_s=options.journal.quiet_s,
-        purge_done_s=node.router.purges.done,
+        purge_done_s=node.router.purges.retention,
     )
     return MembershipClient(node, membership_settings, list_file, found, key, static)
--- a/wickhinge/net/control/peer_transport.py
+++ b/wickhinge/net/control/peer_transport.py
@@ -76,7 +76,7 @@
         def log(event: str, **told: Any) -> None:
             self.log(f"shared_{event}", **told)
 
-        fleet = self.node.router.fleet
+        fleet = self.node.router.endpoints
         self.limiter = LendingLimiter(
             self.detector, division, slow_start_quota.budget_scopes(self.detector.roster.local.zone), clock(), log
         )
@@ -86,7 +86,7 @@
             self.counts = RequestTallies(self.detector, fleet, clock())
         Piggyback(self.detector, [self.limiter, self.judge, self.counts])
         quotas = slow_start_quota.SlowStartQuotas(self.limiter)
-        fleet.dealt = lambda *asked: quotas.admits(slow_start_quota.SlowStartRequest(*asked), clock())
+        fleet.slow_start_quota = lambda *asked: quotas.admits(slow_start_quota.SlowStartRequest(*asked), clock())
 
     def start(self) -> None:
         """Raises OSError where our address of the roster cannot be had: another process has the name here."""
@@ -217,7 +217,7 @@
         if roster.local.address != self.detector.roster.local.address:
             raise Malformed("peers.roster: our own address changes at a restart only")
         if self.limiter is not None:
-            division = divided(options, roster, self.node.router.fleet.zone)
+            division = divided(options, roster, self.node.router.endpoints.zone)
             if division != self.limiter.division:
                 raise Malformed(
                     f"shared.names, shared.processes: are {self.limiter.division.names} and "
@@ -269,7 +269,7 @@
     made = PeerTransport(node, roster, found, node.seed ^ 0xFE110)
     if options.shared.mode == "on":
         made.share(
-            divided(options, roster, node.router.fleet.zone),
+            divided(options, roster, node.router.endpoints.zone),
             options.shared.judgements == "on",
             options.shared.counts == "on",
         )
--- a/wickhinge/net/control/process_report.py
+++ b/wickhinge/net/control/process_report.py
@@ -88,9 +88,9 @@
             "line_descriptors": pools.held,
             "buffers": pools.pool.peak,
             "late_answers": pools.lates,
-            "known": len(self._decisions.fleet.known),
+            "known": len(self._decisions.endpoints.servers),
             "machines": len(pools.machines),
-            "objects": len(self._decisions.shelf.items),
+            "objects": len(self._decisions.object_counts.entries),
         }
 
     def _collect(self, peak_kb: int) -> None:
--- a/wickhinge/net/control/router_process.py
+++ b/wickhinge/net/control/router_process.py
@@ -86,7 +86,7 @@
             self.readiness, self.clients, self.deadlines, self.log.event, self._longest_timeout_s
         )
         self._has_started = True
-        self.router.start(self.deadlines.now())
+        self.router.start()
         self.reactor.addSystemEventTrigger("before", "shutdown", self.log.flush)
         self.reactor.callWhenRunning(self.readiness.start)
         self.endpoint_watch.start_confirmed()
@@ -159,8 +159,8 @@
 
     def close_idle(self, server: Any) -> None:
         """Closes the idle connections to a server."""
-        if server.mark in self.caches.machines:
-            self.caches.machines[server.mark].hang_up()
+        if server.id in self.caches.machines:
+            self.caches.machines[server.id].hang_up()
 
     def gossip(self, recipient: int, content: bytes) -> None:
         """Does nothing: the decisions of routers on sockets share nothing this way."""
@@ -243,12 +243,12 @@
             self.log.event,
             self.fault,
         )
-        self.caches.stops = self.router.cancel
+        self.caches.stops = self.router.capabilities.cancellation
         self.forwards = Attempts(self.caches, self.deadlines, PROBE_TIMEOUT_S, self.fault)
         self.forwards.informed = self.is_up_to_date
         self.others = self.forwards.others
-        self.others.improved = lambda: self.router.fleet.relate(self.deadlines.now())
-        self.router.fleet.instant = self.router.purges.instant = self.others.instant
+        self.others.improved = lambda: self.router.endpoints.clock_improved(self.deadlines.now())
+        self.router.endpoints.to_local_time = self.router.purges.to_local_time = self.others.instant
         self.visits = RequestTable(
             self.forwards, self.deadlines, self.pool, self._request_classes, self.log.event, self.fault
         )
@@ -275,7 +275,7 @@
                 self.fault,
                 self.others,
             )
-        self.router.copies = self.visits.copies = self.forwards.copies = self.copies
+        self.router.local_copies = self.visits.copies = self.forwards.copies = self.copies
         if options is not None and options.discovery.mode == "on":
             from wickhinge.net.control import membership
 
--- a/wickhinge/net/downstream/request_table.py
+++ b/wickhinge/net/downstream/request_table.py
@@ -73,7 +73,7 @@
     # RequestTransport.
 
     def forward(self, parameters: AttemptParameters) -> None:
-        self.visit = parameters.attempt.visit
+        self.visit = parameters.attempt.request
         self.visits.forwards.send(self, parameters)
 
     def cancel(self, attempt: Any) -> None:
@@ -106,7 +106,7 @@
         if not self.final:
             self.end("broken", "a fault of ours", lambda client: client.error(self.call, "Internal", {}))
         if self.visit is not None:
-            self.visit.done = True
+            self.visit.is_finished = True
         for number in list(self.out.values()):
             self.visits.forwards.cancel(number)
 
@@ -207,7 +207,7 @@
         door.until = now + patience - SLACK
         try:
             request = Request(key, part, group, 0.0, patience, "again" in fields)
-            visit = self.router.take(door, request_class, request, now, waited)
+            visit = self.router.route(door, request_class, request, now, waited)
             if not door.final:  # over already, it would only close the circle that ended() opens
                 door.visit = visit
         except Exception:
@@ -233,7 +233,7 @@
         door.final, door.answer, door.reason = True, "gone", why
         door.trace.add(self.deadlines.now(), Step.CLIENT_LEFT, 0, why)
         if door.visit is not None:
-            door.visit.finish(self.deadlines.now())
+            door.visit.finish()
         door.recall()
         door.settle()
 
@@ -256,7 +256,7 @@
             door.body.release()
         visit, door.visit = door.visit, None
         if visit is not None:
-            visit.forwards.clear()  # they name the visit: a circle that only the collector would find
+            visit.attempts.clear()  # they name the visit: a circle that only the collector would find
         self.answers[door.answer] = self.answers.get(door.answer, 0) + 1
         self.requests.ended(
             self.deadlines.now(),
@@ -266,7 +266,7 @@
             door.trace,
             request_class=door.request_class.name,
             patience=round((door.until - door.since) * 1000),
-            repeat=visit.repeat if visit else None,
+            repeat=visit.is_retry if visit else None,
             part=visit.part if visit else None,
             work=round(visit.work * 1000) if visit else None,
             exclusive=door.request_class.idempotency is Idempotency.NOT_IDEMPOTENT,
--- a/wickhinge/net/upstream/attempts.py
+++ b/wickhinge/net/upstream/attempts.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from wickhinge.clocks import OthersTime
-from wickhinge.interface import AttemptParameters, CacheStatus, Outcome
+from wickhinge.interface import AttemptParameters, CacheStatus, Completion, Outcome
 from wickhinge.net.downstream.request_log import Step
 from wickhinge.net.runtime.deadlines import Deadlines
 from wickhinge.net.runtime.slots import Slots
@@ -53,7 +53,7 @@
         forward, cache, source = parameters.attempt, parameters.server, parameters.source
         oldest, fields = parameters.max_age, ""
         if source is not None and source is not cache:
-            fields += f",src=s-{source.mark:08x}"
+            fields += f",src=s-{source.id:08x}"
         if parameters.retention_rank:
             fields += f",keep={parameters.retention_rank}"
         if self.members is not None and not door.request_class.pass_through:
@@ -76,8 +76,8 @@
         if door.cached:
             sent.offered = door.cached
             fields += f",have={door.cached}"
-        elif forward.visit.copy is not None:
-            sent.offered = forward.visit.copy
+        elif forward.request.local_copy is not None:
+            sent.offered = forward.request.local_copy
             fields += f",have={sent.offered.etag.decode()}"
         sent.fields = fields
         return self.put(sent, door.rid, parameters.timeout)
@@ -92,12 +92,12 @@
         sent.tag = tag or b"p%d" % number
         if sent.door is not None:
             sent.door.out[sent.forward] = number
-            source = sent.forward.source.mark if sent.forward.source is not sent.cache else 0
-            sent.door.trace.add(sent.since, Step.SENT, sent.cache.mark, (round(patience * 1000), source))
+            source = sent.forward.source.id if sent.forward.source is not sent.cache else 0
+            sent.door.trace.add(sent.since, Step.SENT, sent.cache.id, (round(patience * 1000), source))
             if sent.door.left():
                 self.deadlines.soon(self.ended, number, AttemptResult.RECALLED)
                 return number
-        machine = self.caches.machines.get(sent.cache.mark)  # none: gone meanwhile, and freed
+        machine = self.caches.machines.get(sent.cache.id)  # none: gone meanwhile, and freed
         if machine is not None:
             probe = resp.pack(b"STAT", sent.tag) if sent.door is None else None
             sent.line = machine.send(sent.tag, number, probe)
@@ -136,7 +136,7 @@
             for number in [line.open[tag] for line in machine.lines for tag in line.unwritten if tag in line.open]:
                 sent = self.slots.get(number)
                 if sent is not None and sent.door is not None and not holds(sent):
-                    sent.door.trace.add(self.deadlines.now(), Step.TAKEN_BACK, sent.cache.mark, "told meanwhile")
+                    sent.door.trace.add(self.deadlines.now(), Step.TAKEN_BACK, sent.cache.id, "told meanwhile")
                     self.recall(number)
 
     def begin(self, number: int) -> bytes | None:
@@ -162,7 +162,7 @@
             if self.deadlines.now() - now <= PROMPT:
                 break
         if now - sent.since > LATER:
-            sent.door.trace.add(now, Step.WRITTEN_LATER, sent.cache.mark)
+            sent.door.trace.add(now, Step.WRITTEN_LATER, sent.cache.id)
         return data
 
     def request(self, sent: SentAttempt, now: float) -> bytes:
@@ -174,7 +174,7 @@
     def take_back(self, number: int, why: str) -> None:
         """Nothing of it has been written: it is decided anew on the next turn."""
         sent = self.slots.get(number)
-        sent.door.trace.add(self.deadlines.now(), Step.TAKEN_BACK, sent.cache.mark, why)
+        sent.door.trace.add(self.deadlines.now(), Step.TAKEN_BACK, sent.cache.id, why)
         if sent.line is not None:
             sent.line.stop(sent.tag, sent.since)
         self.deadlines.soon(self.ended, number, AttemptResult.RECALLED)
@@ -230,10 +230,10 @@
             return
         if self.members is not None:
             self.members.ended(sent, outcome)
-        door.trace.add(now, Step.ENDED, sent.cache.mark, (end, told))
+        door.trace.add(now, Step.ENDED, sent.cache.id, (end, told))
         if outcome is Outcome.SUCCEEDED:
             if self.copies is not None and not door.final:
-                self.copies.passed(sent.forward.visit, resp.fields(told), body)
+                self.copies.passed(sent.forward.request, resp.fields(told), body)
             door.serve(body, False)
         elif body is not None:
             body.release()
@@ -248,7 +248,8 @@
             place = told.find(b"detail=")
             note = NOTES.get(told[place + 7 : place + 8]) if place >= 0 else None
             load = resp.loads(resp.fields(told).get("use", "")) if b"use=" in told else None
-            sent.forward.visit.ended(sent.forward, outcome, took, door.final, note, now, load)
+            completion = Completion(outcome, took, door.final, note, load)
+            sent.forward.request.attempt_ended(sent.forward, completion, now)
         except Exception:
             self.fault("forward")
             door.broken()
--- a/wickhinge/net/upstream/local_copies.py
+++ b/wickhinge/net/upstream/local_copies.py
@@ -81,7 +81,7 @@
         self.served["late"] += how == "late"
         now = self.deadlines.now()
         try:
-            if door.visit.copy_read(copy, data is not None, now):
+            if door.visit.copy_read(copy, now, is_complete=data is not None):
                 self.served[how] += 1
                 self.link.record_transfer(int(copy.size * TOLD) if data is True else copy.size, now)
                 door.serve(None if data is True else Body(self.pool, data), data is True)
@@ -103,7 +103,7 @@
         ):
             return
         tag = told.get("etag", "").encode()
-        key, part, now = visit.item.key, visit.part, self.deadlines.now()
+        key, part, now = visit.object_count.key, visit.part, self.deadlines.now()
         offer = CopyOffer(key, part, visit.group, tag, int(made) / 1000.0, body.length)
         if self.store.admit(offer, now):
             self.store.write(offer, b"".join(body.views()))
--- a/wickhinge/routing/attempt.py
+++ b/wickhinge/routing/attempt.py
@@ -10,23 +10,27 @@
 if TYPE_CHECKING:
     from wickhinge.routing.routed_request import RoutedRequest
 
-
-NEVER_RAN = (
-    Outcome.OVERLOADED,
-    Outcome.CONNECT_FAILED,
-    Outcome.NOT_SENT,
-    Outcome.SUPERSEDED,
-    Outcome.MISS,
-)  # others may have
-PASSING = (Outcome.ERROR, Outcome.CONNECTION_LOST, Outcome.NOT_SENT)  # the same cache may well answer the next time
-FINE = (Outcome.MISS, Outcome.NOT_MODIFIED, *PASSING)
-REFUSED = (Outcome.OVERLOADED, Outcome.ERROR)
-# The same source may fill the next time.
-NOT_THE_SOURCE = (Outcome.MISS, Outcome.OVERLOADED, Outcome.CONNECTION_LOST, Outcome.NOT_SENT)
+# The request never ran at the server.
+NEVER_RAN = (Outcome.OVERLOADED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT, Outcome.SUPERSEDED, Outcome.MISS)
+# The same cache may well answer the next time.
+TRANSIENT = (Outcome.ERROR, Outcome.CONNECTION_LOST, Outcome.NOT_SENT)
+# The cache itself has not failed.
+CACHE_USABLE = (Outcome.MISS, Outcome.NOT_MODIFIED, *TRANSIENT)
+REJECTED = (Outcome.OVERLOADED, Outcome.ERROR)
+# The source of the fill did not cause it and may fill the next time.
+SOURCE_NOT_AT_FAULT = (Outcome.MISS, Outcome.OVERLOADED, Outcome.CONNECTION_LOST, Outcome.NOT_SENT)
 
 
 class Attempt:
-    def __init__(self, visit: RoutedRequest, cache: Server, source: Server, held: bool, now: float) -> None:
-        self.visit, self.cache, self.source, self.sent = visit, cache, source, now
-        self.pending, self.outcome, self.held = True, None, held  # held: the source gives only what it holds
-        self.far = source is not cache or cache not in visit.router.fleet.mine  # through the location's link
+    """One attempt: the server it went to, the source that fills a miss, and how it ended."""
+
+    def __init__(
+        self, request: RoutedRequest, server: Server, source: Server, now: float, *, only_if_cached: bool
+    ) -> None:
+        """Args: source: the server itself where nobody fills; only_if_cached: the source gives only what it has."""
+        self.request, self.server, self.source, self.sent = request, server, source, now
+        self.is_pending = True
+        self.outcome: Outcome | None = None
+        self.only_if_cached = only_if_cached
+        is_local = server in request.router.endpoints.edge_caches
+        self.uses_zone_link = source is not server or not is_local
--- a/wickhinge/routing/object_counts.py
+++ b/wickhinge/routing/object_counts.py
@@ -1,50 +1,73 @@
-"""gLRU: for each object, the count of leading parts to keep."""
+"""gLRU: for each object, the count of leading parts to keep in the caches.
+
+After "Generalization of LRU Cache Replacement Policy with Applications to Video Streaming" (Friedlander and Aggarwal).
+"""
 
 from __future__ import annotations
 
 from collections import OrderedDict
 
-SHELF_SIZE = 20000  # objects whose k is known
-IDLE = 10.0  # seconds in which k halves, at a location's only router
-OFTEN = 6.0  # requests lately, from which an object is asked for often
-MIDDLE = 0.15  # share of the work kept that goes to rank 2
-LATER = 0.12  # of a visit of part 0 at another router, for each later part seen here
+MAX_OBJECTS = 20000  # objects whose count is known
+IDLE_TIME_S = 10.0  # in which a count halves, at a zone's only router
+FREQUENT_REQUESTS = 6.0  # recent requests, from which an object counts as frequently requested
+MIDDLE_RANK_SHARE = 0.15  # of the work that is kept
+LATER_PART_WEIGHT = 0.12  # of a request of part 0 at another router, for each later part seen here
+FORGET_AFTER_IDLE_TIMES = 4  # the count is a sixteenth by then
+MAX_HALVINGS = 60.0
+TALLY_DECAY = 0.999  # of the kept work, at each part that is kept
 
 
 class ObjectCount:
-    __slots__ = ("key", "k", "heat", "last", "work")
+    """One object: its count of leading parts to keep and its recent popularity."""
+
+    __slots__ = ("key", "leading_parts", "frequency", "last_request", "work")
 
     def __init__(self, key: int, now: float) -> None:
-        self.key, self.k, self.heat, self.last, self.work = key, 0, 0.0, now, 0.0  # work: 0 before the first
-
-
-class ObjectCounts:  # the count k of leading parts to keep, for each object
-    def __init__(self, routers: int = 1, size: int = SHELF_SIZE) -> None:
-        self.routers, self.size, self.idle = routers, size, IDLE * routers
-        self.items: OrderedDict[int, ObjectCount] = OrderedDict()  # the least lately asked first, found at once
-        self.kept = self.kept_middle = 0.0
-
-    def visit(self, key: int, part: int, now: float) -> ObjectCount:
-        """K rises by p at the p-th request, gLRU(1), times the routers for which a visit seen here stands."""
-        item = self.items[key] = self.items.pop(key, None) or ObjectCount(key, now)
-        first = next(iter(self.items.values()))
-        if len(self.items) > self.size or now - first.last > 4 * self.idle:  # k is a sixteenth by then
-            del self.items[first.key]
-        rests = min((now - item.last) / self.idle, 60.0)
-        item.k *= 0.5 ** int(rests)
-        item.heat, item.last = item.heat * 0.5**rests, now
+        self.key = key
+        self.leading_parts = 0.0
+        self.frequency = 0.0
+        self.last_request = now
+        self.work = 0.0  # seconds to transfer one part; 0 before the first
+
+
+class ObjectCounts:
+    """The counts of all objects that were requested lately; bounded."""
+
+    def __init__(self, routers: int = 1, capacity: int = MAX_OBJECTS) -> None:
+        """Args: routers: how many the zone has; capacity: objects at the most."""
+        self.routers = routers
+        self.capacity = capacity
+        self.idle_time = IDLE_TIME_S * routers
+        self.entries: OrderedDict[int, ObjectCount] = OrderedDict()  # least recently requested first
+        self.kept_work = self.middle_rank_work = 0.0
+
+    def record_request(self, key: int, part: int, now: float) -> ObjectCount:
+        """Count a request: gLRU(1) raises the count by p at the p-th request, for each router of the zone."""
+        entry = self.entries.pop(key) if key in self.entries else ObjectCount(key, now)
+        self.entries[key] = entry
+        self._forget_oldest(now)
+        idle_times = min((now - entry.last_request) / self.idle_time, MAX_HALVINGS)
+        entry.leading_parts *= 0.5 ** int(idle_times)
+        entry.frequency, entry.last_request = entry.frequency * 0.5**idle_times, now
         if part == 0:
-            item.heat += 1
-            item.k += self.routers * round(item.heat)
-        else:  # its part 0 was asked for, but at another router
-            item.k += LATER * (self.routers - 1)
-        return item
-
-    def rank(self, item: ObjectCount, part: int, work: float) -> int:
-        """0 to pass unkept, 1 for parts below k, 2 for those asked often while the middle share lasts."""
-        if part >= item.k:
+            entry.frequency += 1
+            entry.leading_parts += self.routers * round(entry.frequency)
+        else:  # its part 0 was requested, but at another router
+            entry.leading_parts += LATER_PART_WEIGHT * (self.routers - 1)
+        return entry
+
+    def _forget_oldest(self, now: float) -> None:
+        oldest = next(iter(self.entries.values()))
+        is_forgotten = now - oldest.last_request > FORGET_AFTER_IDLE_TIMES * self.idle_time
+        if len(self.entries) > self.capacity or is_forgotten:
+            del self.entries[oldest.key]
+
+    def retention_rank(self, entry: ObjectCount, part: int, work: float) -> int:
+        """Return 0 to pass the part unkept, 1 below the count, 2 where it is frequent and the middle rank has room."""
+        if part >= entry.leading_parts:
             return 0
-        self.kept = self.kept * 0.999 + work
-        middle = item.heat >= OFTEN and self.kept_middle + work <= MIDDLE * self.kept
-        self.kept_middle = self.kept_middle * 0.999 + work * middle
-        return 1 + middle
+        self.kept_work = self.kept_work * TALLY_DECAY + work
+        has_room = self.middle_rank_work + work <= MIDDLE_RANK_SHARE * self.kept_work
+        is_middle = entry.frequency >= FREQUENT_REQUESTS and has_room
+        self.middle_rank_work = self.middle_rank_work * TALLY_DECAY + work * is_middle
+        return 1 + is_middle
--- a/wickhinge/routing/routed_request.py
+++ b/wickhinge/routing/routed_request.py
@@ -6,7 +6,7 @@
 
 from wickhinge.interface import (
     AttemptParameters,
-    CacheStatus,
+    Completion,
     Idempotency,
     LocalCopy,
     Outcome,
@@ -15,288 +15,376 @@
     RequestClass,
     RequestTransport,
 )
-from wickhinge.routing.attempt import FINE, NEVER_RAN, PASSING, Attempt
+from wickhinge.routing.attempt import CACHE_USABLE, NEVER_RAN, TRANSIENT, Attempt
 from wickhinge.routing.hashing import mix
-from wickhinge.routing.object_counts import ObjectCount
 from wickhinge.routing.server import Server
 
 if TYPE_CHECKING:
     from wickhinge.routing.router import Router
 
-
-COMING = 1.0  # what will come while a visit is under way, against what is there when it is taken
-EMPTY = 15.0  # a cache that started less than this ago has nothing to push out
-GIVE_UP = 0.02  # before the client does, so that the answer is there in time
+ARRIVALS_WEIGHT = 1.0  # of what will come during a transfer, against what is there when it begins
+EMPTY_TIME_S = 15.0  # a cache that started less than this ago has nothing to evict
+ANSWER_MARGIN_S = 0.02  # before the client gives up, so that the answer is there in time
+DEDUPLICATION_MARGIN_S = 0.05  # before the servers forget an idempotency key
+MAX_TRANSIENT_RETRIES = 2  # of one cache
+RETRY_INTERVAL_S = 0.3  # at the most, while the request waits for capacity
+MIN_TRANSFER_S = 0.005
 
 
 class RoutedRequest:
+    """A request in flight: its attempts so far, and the decision what comes next."""
+
     def __init__(
-        self,
-        router: Router,
-        caller: RequestTransport,
-        request_class: RequestClass,
-        item: ObjectCount,
-        request: Request,
-        work: float,
-        now: float,
+        self, router: Router, transport: RequestTransport, request_class: RequestClass, request: Request, now: float
     ) -> None:
-        self.router, self.caller, self.request_class, self.item = router, caller, request_class, item
-        self.part, self.group, self.repeat = request.part, request.group, request.is_retry
-        self.salt = mix(request.part, mix(item.key))
-        self.work, self.known = work, request.size_kb or item.work  # its sending time; else the tariff's mean
-        self.expires = now + request.timeout
-        self.due = min(now + request_class.latency_objective + request_class.objective_stretch * work, self.expires)
-        self.forwards, self.done, self.held, self.rest = [], False, False, 0.0  # held: waits here, till rest
-        self.at = self.copy = None  # whose miss is to be filled; of our own, its tag offered by forwards
-        self.lacking, self.refusing = [], []  # sources that hold no copy; that refused, or whose origin did
+        self.router, self.transport, self.request_class = router, transport, request_class
+        self.object_count = router.object_counts.record_request(request.key, request.part, now)
+        self.part, self.group, self.is_retry = request.part, request.group, request.is_retry
+        self.part_hash = mix(request.part, mix(self.object_count.key))
+        known_work = request.size_kb / router.flow if request.size_kb else self.object_count.work
+        self.is_work_known = bool(known_work)  # else it is the mean of its class
+        self.work = known_work or router.mean_work(request_class)  # seconds of transfer
+        self.deadline = now + request.timeout
+        objective = request_class.latency_objective + request_class.objective_stretch * self.work
+        self.on_time_until = min(now + objective, self.deadline)
+        self.attempts: list[Attempt] = []
+        self.is_finished = False
+        self.is_waiting = False  # for capacity, until wait_until
+        self.wait_until = 0.0
+        self.missed_at: Server | None = None  # the cache whose miss is to be filled
+        self.local_copy: LocalCopy | None = None  # its tag is offered by the attempts
+        self.sources_without_copy: list[Server] = []
+        self.rejecting_sources: list[Server] = []  # that rejected a fill, or whose origin did
+
+    # What may be sent where.
 
     def pending(self) -> list[Attempt]:
-        return [f for f in self.forwards if f.pending]
+        """Return the attempts in progress."""
+        return [attempt for attempt in self.attempts if attempt.is_pending]
 
-    def risky(self) -> list[Attempt]:
-        return [f for f in self.forwards if f.pending or f.outcome not in NEVER_RAN]
+    def may_have_run(self) -> list[Attempt]:
+        """Return the attempts that may have had an effect."""
+        return [attempt for attempt in self.attempts if attempt.is_pending or attempt.outcome not in NEVER_RAN]
 
-    def allowed(self, cache: Server, now: float) -> bool:
-        """Against a second effect: what may have run is repeated only where a repeat is dropped."""
-        risky = self.risky()
-        if len(self.forwards) >= self.router.most_forwards or not self.trusts(cache):
+    def may_send(self, server: Server, now: float) -> bool:
+        """Return whether another attempt is allowed; what may have run is repeated only where a repeat is dropped."""
+        if len(self.attempts) >= self.router.max_attempts or not self._trusts(server):
             return False
-        if self.pending() and not self.router.second_copies:
+        if self.pending() and not self.router.capabilities.hedging:
             return False
-        if not risky or self.request_class.idempotency is Idempotency.IDEMPOTENT:
+        earlier = self.may_have_run()
+        idempotency = self.request_class.idempotency
+        if not earlier or idempotency is Idempotency.IDEMPOTENT:
             return True
-        if (
-            self.request_class.idempotency is Idempotency.NOT_IDEMPOTENT
-            or now - risky[0].sent >= self.request_class.deduplication_window - 0.05
-        ):
+        if idempotency is Idempotency.NOT_IDEMPOTENT:
+            return False
+        if now - earlier[0].sent >= self.request_class.deduplication_window - DEDUPLICATION_MARGIN_S:
             return False
+        return self._shares_keys(server, earlier)
+
+    def _shares_keys(self, server: Server, earlier: list[Attempt]) -> bool:
+        """Whether the server drops a repeat of any of these attempts."""
         group = self.request_class.deduplication_group
-        return group == "all" or all(
-            f.cache.zone == cache.zone and (group == "zone" or f.cache.cell == cache.cell) for f in risky
-        )
+        if group == "all":
+            return True
+        if any(attempt.server.zone != server.zone for attempt in earlier):
+            return False
+        return group == "zone" or all(attempt.server.cell == server.cell for attempt in earlier)
+
+    def _trusts(self, server: Server) -> bool:
+        # A request with effects goes to no server that only an old list names.
+        return server.is_verified or self.request_class.idempotency is Idempotency.IDEMPOTENT
 
-    def trusts(self, cache: Server) -> bool:  # what has effects goes to no machine that only an old list names
-        return cache.is_verified or self.request_class.idempotency is Idempotency.IDEMPOTENT
+    def is_late(self, utilization: float, now: float) -> bool:
+        """Return whether an answer out of a server, or through a link, of this utilization would be late."""
+        if self.request_class.pass_through:
+            return False
+        # A retry's objective mostly ran out with its first try: past full load it takes pace from first tries.
+        if self.is_retry and utilization > 1.0:
+            return True
+        transfer = self.work * (max(utilization, 1.0) + ARRIVALS_WEIGHT * utilization)
+        return now + transfer > self.on_time_until
 
-    def late(self, crowd: float, now: float) -> bool:
-        # A repeat's promise mostly ran out with its first try: in a crowd it takes pace from first tries.
-        return not self.request_class.pass_through and (
-            now + self.work * (max(crowd, 1.0) + COMING * crowd) > self.due or self.repeat and crowd > 1.0
+    def _is_usable(self, server: Server, now: float) -> bool:
+        return (
+            server.is_available(now) and self.may_send(server, now) and self.router.endpoints.admits(server, self, now)
         )
 
-    def fits(self, cache: Server, now: float) -> bool:
-        return cache.usable(now) and self.allowed(cache, now) and self.router.fleet.room(cache, self, now)
-
-    def own(self, now: float, last: bool = False) -> bool:
-        """Whether a copy of ours answers: a fresh one, or in place of a denial one in its grace."""
-        copy, request_class, copies = self.copy, self.request_class, self.router.copies
-        answers = copy is not None and copies.is_current(copy, now)
-        if answers and request_class.freshness_lifetime:
-            answers = copies.age(copy, now) <= request_class.freshness_lifetime + last * request_class.stale_grace
-        answers = answers and copies.transfer_end(copy, now) <= (self.expires if last else self.due)
-        self.copy = None if answers or last else copy
+    # Answers out of a local copy.
+
+    def try_local_copy(self, now: float, *, is_last_resort: bool = False) -> bool:
+        """Answer with the local copy if it may: a fresh one, or as a last resort one in its stale grace."""
+        copy, copies = self.local_copy, self.router.local_copies
+        if copy is None or copies is None:
+            return False
+        answers = copies.is_current(copy, now)
+        if answers and self.request_class.freshness_lifetime:
+            grace = self.request_class.stale_grace if is_last_resort else 0.0
+            answers = copies.age(copy, now) <= self.request_class.freshness_lifetime + grace
+        answers = answers and copies.transfer_end(copy, now) <= (
+            self.deadline if is_last_resort else self.on_time_until
+        )
+        self.local_copy = None if answers or is_last_resort else copy
         if answers:
-            self.caller.serve_copy(copy)
+            self.transport.serve_copy(copy)
         return answers
 
-    def copy_read(self, copy: LocalCopy, whole: bool, now: float) -> bool:
-        """What came of Caller.read. True: it is the answer; else purged meanwhile, damaged or slow."""
-        answers = whole and not self.done and self.router.copies.is_valid(copy, now)
+    def copy_read(self, copy: LocalCopy, now: float, *, is_complete: bool) -> bool:
+        """Called after RequestTransport.serve_copy; returns whether the copy is the answer.
+
+        False: it was purged meanwhile, damaged or slow, and the request goes the ordinary path.
+        """
+        copies = self.router.local_copies
+        answers = is_complete and not self.is_finished and copies is not None and copies.is_valid(copy, now)
         if answers:
-            self.finish(now)
-        elif not self.done:
-            (self.look if now + 2 * GIVE_UP < self.expires else self.give_up)(now)
+            self.finish()
+        elif not self.is_finished:
+            if now + 2 * ANSWER_MARGIN_S < self.deadline:
+                self.try_edge_cache(now)
+            else:
+                self.give_up(now)
         return answers
 
-    def look(self, now: float) -> None:
-        """Ask the cache on the part's hash, and the next where that one fails or would be late."""
-        router, fleet = self.router, self.router.fleet
-        if self.late(0.0, now) and not self.pending():  # late anywhere: a flood is denied without a choice
-            return self.give_up(now, RejectionReason.TOO_LATE)
+    # The ordinary path.
+
+    def try_edge_cache(self, now: float) -> None:
+        """Ask the cache on the part's hash, or the next where that one fails or would be late."""
+        if self.is_late(0.0, now) and not self.pending():  # late anywhere: overload is shed without a choice
+            self.give_up(now, RejectionReason.TOO_LATE)
+            return
+        cache = self._choose_edge_cache(now)
+        if self.request_class.pass_through:
+            self._pass_through(cache, now)
+        elif cache is None:
+            self._try_source_directly(now)
+        elif now - cache.started < EMPTY_TIME_S:
+            self.fill(cache, now)  # it would miss, which costs as much of its slow start as the fill
+        else:
+            self._send_or_give_up(cache, cache, now)
+
+    def _choose_edge_cache(self, now: float) -> Server | None:
         # An error may pass, and elsewhere the part must be filled anew: the same cache is asked twice more.
-        failed = [f.cache for f in self.forwards if f.outcome not in FINE]
-        failed += [f.cache for f in self.forwards if f.outcome in PASSING][2:]
-        source, wanted = fleet.origin, None
-        for cache in fleet.order(fleet.mine, self.salt, now):
-            if cache not in failed and self.fits(cache, now) and not self.late(cache.crowd(), now):
-                wanted = cache
-                break
-        if self.request_class.pass_through:  # runs at the origin: straight there, or through a cache that names it
-            wanted = source if router.direct else wanted
-            hopeful = source and self.trusts(source) and now + self.work < self.expires
-        elif wanted:
-            source = hopeful = wanted
-            if now - wanted.started < EMPTY:
-                self.at = wanted  # a look would miss, and cost as much of a cold cache's budget as the fill
-                return self.fill(now)
-        else:  # no cache of the location will do: straight to a parent, past the caches' links
-            wanted = router.source(self, now) if router.direct and not self.pending() else None
-            hopeful = wanted and not self.late(router.link_crowd(), now + wanted.lag(self))
-        if wanted and hopeful and self.allowed(wanted, now):
-            self.send(wanted, source or wanted, now)
+        failed = [attempt.server for attempt in self.attempts if attempt.outcome not in CACHE_USABLE]
+        transient = [attempt.server for attempt in self.attempts if attempt.outcome in TRANSIENT]
+        failed += transient[MAX_TRANSIENT_RETRIES:]
+        endpoints = self.router.endpoints
+        for cache in endpoints.in_order(endpoints.edge_caches, self.part_hash, now):
+            is_usable = cache not in failed and self._is_usable(cache, now)
+            if is_usable and not self.is_late(cache.utilization(), now):
+                return cache
+        return None
+
+    def _pass_through(self, cache: Server | None, now: float) -> None:
+        """Run at the origin: straight there, or through a cache that names it as the source."""
+        origin = self.router.endpoints.origin
+        server = origin if self.router.capabilities.direct_to_source else cache
+        is_in_time = origin and self._trusts(origin) and now + self.work < self.deadline
+        self._send_or_give_up(server if is_in_time else None, origin, now)
+
+    def _try_source_directly(self, now: float) -> None:
+        """No cache of the zone is usable: ask a parent, past the caches' link."""
+        router, source = self.router, None
+        if router.capabilities.direct_to_source and not self.pending():
+            source = router.choose_source(self, now)
+        if source is not None and self.is_late(router.link_utilization(), now + source.fill_delay(self)):
+            source = None
+        self._send_or_give_up(source, router.endpoints.origin, now)
+
+    def _send_or_give_up(self, server: Server | None, source: Server | None, now: float) -> None:
+        if server is not None and self.may_send(server, now):
+            self.send(server, source or server, now)
         elif not self.pending():
             self.give_up(now, RejectionReason.NO_SERVER)
 
-    def fill(self, now: float) -> None:
-        """Fill the miss at self.at from the object's parent; wait for a place while there is hope."""
-        router, cache = self.router, self.at
-        if self.done or any(f.source is not f.cache for f in self.pending()):
+    def fill(self, cache: Server, now: float) -> None:
+        """Fill the miss at the cache from the object's parent, or wait for capacity."""
+        router, self.missed_at = self.router, cache
+        if self.is_finished or any(attempt.source is not attempt.server for attempt in self.pending()):
+            return
+        # An empty cache evicts nothing by keeping all, and its later parts need not cross the link again.
+        is_empty = now - cache.started < EMPTY_TIME_S
+        rank = router.object_counts.retention_rank(self.object_count, self.part, self.work) or int(is_empty)
+        if not cache.is_available(now):
+            self.try_edge_cache(now)
             return
-        # An empty cache displaces nothing by keeping all, and its tails need not cross the link again.
-        rank = router.shelf.rank(self.item, self.part, self.work) or int(now - cache.started < EMPTY)
-        if not cache.usable(now):
-            self.look(now)
-        elif self.late(crowd := max(cache.crowd(), router.link_crowd()), now):
+        utilization = max(cache.utilization(), router.link_utilization())
+        if self.is_late(utilization, now):
             self.give_up(now, RejectionReason.TOO_LATE)
-        elif not self.fits(cache, now):
+        elif not self._is_usable(cache, now):
             self.give_up(now, RejectionReason.NO_SERVER)
-        elif not (source := router.source(self, now)):
-            self.wait(now)
+        elif (source := router.choose_source(self, now)) is None:
+            self._wait_for_capacity(now)
         else:
-            self.draw(cache, source, crowd, rank, now)
-
-    def draw(self, cache: Server, source: Server, crowd: float, rank: int, now: float) -> None:
-        """While the origin refuses, a parent gives what it holds, and what it lacks is fetched in turn."""
-        router, origin = self.router, self.router.fleet.origin
-        fetched = source is origin or source in self.lacking
-        held = not fetched and bool(router.gap or self.refusing)
-        behind = (origin or source if fetched else source).lag(self, held)
-        if self.late(crowd, now + max(behind, source.lag(self, True))) or fetched and now < router.turn:
-            # Its link is full, or what is behind it slow or refusing.
-            return self.give_up(now, RejectionReason.SOURCE_TOO_SLOW)
-        if fetched and router.gap:
-            router.turn = now + router.gap * (0.5 + router.chance.draw())
-        self.send(cache, source, now, rank, held)
-
-    def wait(self, now: float) -> None:  # only while an answer in time is possible
-        self.router.queue.append(self)
-        self.rest = now + 0.3 * self.router.chance.draw()
-        if not self.held:
-            self.held = True
-            self.router.outside.call_later(
-                max(self.due - 0.9 * self.work - now, 0.001),
-                lambda then: self.give_up(then, RejectionReason.NO_CAPACITY) if self.held else None,
-            )
-
-    def send(self, cache: Server, source: Server, now: float, rank: int = -1, held: bool = False) -> None:
-        router, request_class, self.held = self.router, self.request_class, False
-        oldest = None if request_class.pass_through else router.purges.oldest(self.item.key, self.group, now)
-        oldest = (
-            min(oldest, request_class.freshness_lifetime) if oldest and request_class.freshness_lifetime else oldest
-        )
-        if rank < 0:
-            rank = router.shelf.rank(self.item, self.part, self.work) if cache in router.fleet.mine else 0
-        forward = Attempt(self, cache, source, held, now)
-        self.forwards.append(forward)
-        router.fills += forward.far
-        cache.pending.add(forward)
-        cache.charge(router.mean(request_class))
-        if source is not cache:
-            source.filling.add(forward)
-            source.charge(router.mean(request_class))
-        join, renew = router.joins and source is not cache, bool(rank and request_class.freshness_lifetime)
-        self.caller.forward(
-            AttemptParameters(forward, cache, self.expires - now, source, rank, oldest, join, held, renew)
+            self._fill_from(source, cache, utilization, rank, now)
+
+    def _fill_from(self, source: Server, cache: Server, utilization: float, rank: int, now: float) -> None:
+        """While the origin rejects, a parent gives what it has cached, and what it lacks is fetched in turn."""
+        pacing, origin = self.router.origin_pacing, self.router.endpoints.origin
+        is_origin_fetch = source is origin or source in self.sources_without_copy
+        only_if_cached = not is_origin_fetch and bool(pacing.interval or self.rejecting_sources)
+        delaying = (origin or source) if is_origin_fetch else source
+        delay = delaying.fill_delay(self, only_if_cached=only_if_cached)
+        delay = max(delay, source.fill_delay(self, only_if_cached=True))
+        if self.is_late(utilization, now + delay) or is_origin_fetch and now < pacing.next_fetch:
+            # Its link is full, or what is behind it is slow or rejects.
+            self.give_up(now, RejectionReason.SOURCE_TOO_SLOW)
+            return
+        if is_origin_fetch:
+            pacing.fetch_begins(now)
+        self.send(cache, source, now, rank=rank, only_if_cached=only_if_cached)
+
+    def _wait_for_capacity(self, now: float) -> None:
+        """Wait, but only while an answer in time is possible."""
+        router = self.router
+        router.waiting.append(self)
+        self.wait_until = now + RETRY_INTERVAL_S * router.random_source.draw()
+        if not self.is_waiting:
+            self.is_waiting = True
+            delay = max(self.on_time_until - 0.9 * self.work - now, 0.001)
+            router.environment.call_later(delay, self._stop_waiting)
+
+    def _stop_waiting(self, now: float) -> None:
+        if self.is_waiting:
+            self.give_up(now, RejectionReason.NO_CAPACITY)
+
+    # Attempts.
+
+    def send(
+        self, server: Server, source: Server, now: float, *, rank: int | None = None, only_if_cached: bool = False
+    ) -> None:
+        """Send an attempt; rank: None for the object's own."""
+        router, self.is_waiting = self.router, False
+        if rank is None:
+            rank = self._retention_rank(server)
+        attempt = Attempt(self, server, source, now, only_if_cached=only_if_cached)
+        self.attempts.append(attempt)
+        router.attempt_begins(attempt)
+        parameters = AttemptParameters(
+            attempt=attempt,
+            server=server,
+            timeout=self.deadline - now,
+            source=source,
+            retention_rank=rank,
+            max_age=self._max_age(now),
+            collapse=router.capabilities.collapse_fills and source is not server,
+            only_if_cached=only_if_cached,
+            revalidate=bool(rank and self.request_class.freshness_lifetime),
         )
-        latest = 0.3 + 2 * (self.work + source.lag(self))
-        router.outside.call_later(latest, lambda then: self.overdue(forward, then))
+        self.transport.forward(parameters)
+        overdue_after = 0.3 + 2 * (self.work + source.fill_delay(self))
+        router.environment.call_later(overdue_after, lambda then: self.check_overdue(attempt, then))
+
+    def _retention_rank(self, server: Server) -> int:
+        if server not in self.router.endpoints.edge_caches:
+            return 0
+        return self.router.object_counts.retention_rank(self.object_count, self.part, self.work)
 
-    def overdue(self, forward: Attempt, now: float) -> None:
-        """Against what takes work and answers nothing, cache or source: one silent to all since then."""
-        silent = forward.cache if forward.cache.heard < forward.sent else forward.source
-        if not forward.pending or self.done or silent.heard >= forward.sent:
+    def _max_age(self, now: float) -> float | None:
+        if self.request_class.pass_through:
+            return None
+        max_age = self.router.purges.max_age(self.object_count.key, self.group, now)
+        lifetime = self.request_class.freshness_lifetime
+        return min(max_age, lifetime) if max_age and lifetime else max_age
+
+    def check_overdue(self, attempt: Attempt, now: float) -> None:
+        """Find servers that take work and answer nothing: the cache or the source, silent to all since the attempt."""
+        silent = attempt.server if attempt.server.last_answer < attempt.sent else attempt.source
+        if not attempt.is_pending or self.is_finished or silent.last_answer >= attempt.sent:
             return
-        if len(silent.pending) + len(silent.filling) < 2:  # alone out there it may only be slow
-            self.router.outside.call_later(0.3, lambda then: self.overdue(forward, then))
+        if len(silent.pending) + len(silent.pending_fills) < 2:  # alone in progress there, it may only be slow
+            self.router.environment.call_later(0.3, lambda then: self.check_overdue(attempt, then))
             return
-        if silent is forward.cache or forward.held or not self.router.gap:
-            silent.failed(now)  # else it may only wait for an origin that refuses or stands still
-        if self.request_class.idempotency is Idempotency.IDEMPOTENT and now + self.work < self.due:
-            if self.router.cancel:
-                self.caller.cancel(forward)
+        if silent is attempt.server or attempt.only_if_cached or not self.router.origin_pacing.interval:
+            silent.record_failure(now)  # else it may only wait for an origin that rejects or hangs
+        if self.request_class.idempotency is Idempotency.IDEMPOTENT and now + self.work < self.on_time_until:
+            if self.router.capabilities.cancellation:
+                self.transport.cancel(attempt)
             else:
-                self.look(now)
-
-    def ended(
-        self,
-        forward: Attempt,
-        outcome: Outcome,
-        took: float,
-        closed: bool,
-        note: CacheStatus | None,
-        now: float,
-        load: dict[str, float] | None = None,
-    ) -> None:
-        """closed: the visit has its final answer, by this outcome or earlier. load: as told beside it."""
-        router, cache, source = self.router, forward.cache, forward.source
-        forward.pending, forward.outcome = False, outcome
-        cache.pending.discard(forward)
-        source.filling.discard(forward)
-        router.fills -= forward.far
-        filled, ours = source is not cache, cache in router.fleet.mine and not self.request_class.pass_through
-        if load and cache in router.fleet.mine:
-            router.loaded(load)
-        if outcome.answered:
-            cache.answered(now)
-        elif outcome not in (Outcome.SUPERSEDED, Outcome.CANCELLED, Outcome.NOT_SENT) and cache.heard < forward.sent:
-            cache.failed(now, outcome)
-        if outcome is Outcome.SUCCEEDED and ours and not filled:
-            router.learn(self, took)
-            if self.known:  # a guessed time tells the size of the object, not of the crowd
-                cache.bore(took / max(self.work, 0.005))
-            # After a restart k is zero though the cache holds the object; the paper keeps what is held.
-            self.item.k = max(self.item.k, self.part + 1)
-        if outcome is Outcome.SUCCEEDED or closed:
-            self.finish(now)  # first: what follows sends for those who wait, and it may be one of them
-        if filled:
-            router.filled(forward, outcome, took, note, now)
-        if self.done or outcome is Outcome.NOT_MODIFIED and self.own(now, True):
+                self.try_edge_cache(now)
+
+    def attempt_ended(self, attempt: Attempt, completion: Completion, now: float) -> None:
+        """Take the end of an attempt: learn from it, then answer, retry or wait."""
+        router, outcome = self.router, completion.outcome
+        router.attempt_ends(attempt, completion)
+        is_fill = attempt.source is not attempt.server
+        is_cacheable = attempt.server in router.endpoints.edge_caches and not self.request_class.pass_through
+        router.observe_answer(attempt, outcome, now)
+        if outcome is Outcome.SUCCEEDED and is_cacheable and not is_fill:
+            self._learn_from_hit(attempt.server, completion.duration)
+        if outcome is Outcome.SUCCEEDED or completion.is_answered:
+            self.finish()  # first: what follows sends for those who wait, and it may be one of them
+        if is_fill:
+            router.fill_ended(attempt, completion, now)
+        if self.is_finished:
             return
-        if outcome is Outcome.MISS and ours and not filled:
-            # Pushed out, so its tail will be too; not so at an empty cache or after a purge.
-            if now - cache.started > EMPTY and router.purges.oldest(self.item.key, self.group, now) is None:
-                self.item.k = min(self.item.k, self.part + 1)
-            self.at = cache
-            self.fill(now)
-        elif self.pending():
+        if outcome is Outcome.NOT_MODIFIED and self.try_local_copy(now, is_last_resort=True):
             return
-        elif now + self.work > self.due:
+        if outcome is Outcome.MISS and is_cacheable and not is_fill:
+            self._missed(attempt.server, now)
+        elif not self.pending():
+            self._retry(attempt, outcome, now, is_cacheable=is_cacheable)
+
+    def _learn_from_hit(self, cache: Server, duration: float) -> None:
+        self.router.learn_work(self, duration)
+        if self.is_work_known:  # a guessed time tells the size of the object, not of the load
+            cache.observe_latency(duration / max(self.work, MIN_TRANSFER_S))
+        # After a restart the count is zero though the cache has the object; the paper keeps what is there.
+        self.object_count.leading_parts = max(self.object_count.leading_parts, self.part + 1)
+
+    def _missed(self, cache: Server, now: float) -> None:
+        # Evicted, so later parts will be too; not so at an empty cache or after a purge.
+        is_purged = self.router.purges.max_age(self.object_count.key, self.group, now) is not None
+        if now - cache.started > EMPTY_TIME_S and not is_purged:
+            self.object_count.leading_parts = min(self.object_count.leading_parts, self.part + 1)
+        self.fill(cache, now)
+
+    def _retry(self, attempt: Attempt, outcome: Outcome, now: float, *, is_cacheable: bool) -> None:
+        """Choose what follows an attempt that was not the answer, where no other is pending."""
+        cache, source = attempt.server, attempt.source
+        is_fill = source is not cache
+        may_fill_again = is_fill and is_cacheable and cache.is_available(now)
+        is_cancelled = outcome is Outcome.CANCELLED
+        if now + self.work > self.on_time_until:
             self.give_up(now, RejectionReason.TOO_LATE)
-        elif outcome is Outcome.CANCELLED and self.request_class.idempotency is not Idempotency.IDEMPOTENT:
+        elif is_cancelled and self.request_class.idempotency is not Idempotency.IDEMPOTENT:
             self.give_up(now, RejectionReason.MAY_HAVE_RUN)
-        elif filled and ours and not forward.held and source in self.refusing and cache.usable(now):
-            self.at = cache
-            self.fill(now)  # asked for what it holds: who refused shows, and it may be the answer
-        elif outcome in (Outcome.OVERLOADED, Outcome.CONNECT_FAILED) and (filled or self.request_class.pass_through):
-            self.wait(now)  # asked again at once, the same origin would refuse again
-        elif filled and ours and cache.usable(now):
-            self.at = cache
-            self.fill(now)
+        elif may_fill_again and not attempt.only_if_cached and source in self.rejecting_sources:
+            self.fill(cache, now)  # asked for what it has cached: who rejected shows, and it may be the answer
+        elif outcome in (Outcome.OVERLOADED, Outcome.CONNECT_FAILED) and (is_fill or self.request_class.pass_through):
+            self._wait_for_capacity(now)  # asked again at once, the same origin would reject again
+        elif may_fill_again:
+            self.fill(cache, now)
         else:
-            self.look(now)
+            self.try_edge_cache(now)
+
+    # The end.
 
-    def began(self, forward: Attempt, now: float) -> None:
-        forward.cache.answered(now)
-        self.done = True  # streamed: it is the client's from now on
+    def answer_began(self, attempt: Attempt, now: float) -> None:
+        """Called when an attempt's answer is streamed: it is the client's from now on."""
+        attempt.server.record_answer(now)
+        self.is_finished = True
 
-    def finish(self, now: float) -> None:
-        """Answered, or the client has gone: nothing is owed, and what is still out is only waste."""
-        if self.done:
+    def finish(self) -> None:
+        """Take the final answer, or the client's leaving: nothing more is due, and what is pending is cancelled."""
+        if self.is_finished:
             return
-        self.done = True
-        for forward in self.pending() if self.router.cancel else ():
-            self.caller.cancel(forward)
+        self.is_finished = True
+        for attempt in self.pending() if self.router.capabilities.cancellation else ():
+            self.transport.cancel(attempt)
 
-    def give_up(self, now: float, why: RejectionReason = RejectionReason.DEADLINE_EXCEEDED) -> None:
-        """Given up on: answered at once, with a time to come back where a new try is harmless."""
-        if self.done or self.own(now, True):
-            return None
-        harmless = self.request_class.idempotency is Idempotency.IDEMPOTENT or not self.risky()
-        harmless |= (
-            self.request_class.idempotency is Idempotency.IDEMPOTENCY_KEY
-            and self.request_class.deduplication_group == "all"
-        )
-        self.finish(now)
-        if harmless:
-            return self.caller.reject(self.router.longest_wait, why)
-        self.caller.fail(why)
+    def give_up(self, now: float, reason: RejectionReason = RejectionReason.DEADLINE_EXCEEDED) -> None:
+        """Answer at once: with Retry-After where a retry is harmless, else without any promise."""
+        if self.is_finished or self.try_local_copy(now, is_last_resort=True):
+            return
+        is_retry_harmless = self._is_retry_harmless()
+        self.finish()
+        if is_retry_harmless:
+            self.transport.reject(self.router.max_retry_after, reason)
+        else:
+            self.transport.fail(reason)
+
+    def _is_retry_harmless(self) -> bool:
+        idempotency = self.request_class.idempotency
+        if idempotency is Idempotency.IDEMPOTENT or not self.may_have_run():
+            return True
+        return idempotency is Idempotency.IDEMPOTENCY_KEY and self.request_class.deduplication_group == "all"
--- a/wickhinge/routing/router.py
+++ b/wickhinge/routing/router.py
@@ -1,177 +1,283 @@
-"""The router: request admission, sources of fills, load and pacing."""
+"""The router: it takes requests, chooses sources of fills, and judges servers by what comes of them."""
 
 from __future__ import annotations
 
+from dataclasses import dataclass
+
 from wickhinge.interface import (
     CacheStatus,
     Capabilities,
+    Completion,
     Environment,
     Idempotency,
+    LocalCopies,
     Outcome,
     Request,
     RequestClass,
     RequestTransport,
 )
-from wickhinge.routing.attempt import NOT_THE_SOURCE, REFUSED, Attempt
+from wickhinge.routing.attempt import REJECTED, SOURCE_NOT_AT_FAULT, Attempt
 from wickhinge.routing.endpoints import Endpoints
 from wickhinge.routing.object_counts import ObjectCounts
+from wickhinge.routing.origin_pacing import OriginPacing
 from wickhinge.routing.purges import Purges
-from wickhinge.routing.random_source import RandomSource
-from wickhinge.routing.routed_request import GIVE_UP, RoutedRequest
+from wickhinge.routing.routed_request import ANSWER_MARGIN_S, RoutedRequest
 from wickhinge.routing.server import Server
-from wickhinge.routing.slow_start import ROUND
+from wickhinge.routing.slow_start import ROUND_INTERVAL_S
+from wickhinge.routing.zone_link import ZoneLink
+
+INITIAL_WORK_SHARE = 0.5  # of the latency objective: pessimistic, for the sake of slow start
+WORK_GAIN = 0.02  # of one sample, for a class's mean
+PART_WORK_GAIN = 0.05  # of what a sample took longer than the shortest seen
+SAMPLE_GAIN = 0.1  # for each router of the zone, up to MAX_GAIN_ROUTERS
+MAX_GAIN_ROUTERS = 3
+MAX_FILL_DELAY = 5.0  # times the fill's own time
+HEALTH_CHECK_INTERVAL_S = 1.0  # of one source
+HEALTH_CHECKS_PER_ROUND = 3  # of a cache by all routers of the zone: more cost more than they tell
+POLLS_PER_MAX_AGE = 8  # a failed poll is made up for before the list counts as old
+DEFAULT_POLL_INTERVAL_S = 1.0
+MAX_FIRST_ROUND_DELAY_S, MIN_FIRST_ROUND_DELAY_S = 0.5, 0.1
+# The attempt says nothing of the server's health.
+NO_EVIDENCE = (Outcome.SUPERSEDED, Outcome.CANCELLED, Outcome.NOT_SENT)
+
+
+@dataclass(frozen=True, slots=True)
+class RouterSettings:
+    """What the settings state for the whole router."""
 
-LINK = 0.35  # of the location's link's load as told: it counts fills that still wait, and bursts soon past
+    capabilities: Capabilities
+    flow: float  # KB a second of one transfer alone
+    max_attempts: int  # of a request
+    max_list_age: float  # seconds within which the endpoint list has to be polled; 0: no limit
+    max_retry_after: float  # seconds
 
 
 class Router:
+    """All state of one instance's decisions; made by `wickhinge.settings.build`."""
+
     def __init__(
         self,
-        outside: Environment,
-        chance: RandomSource,
-        fleet: Endpoints,
-        shelf: ObjectCounts,
+        environment: Environment,
+        endpoints: Endpoints,
+        object_counts: ObjectCounts,
         purges: Purges,
-        permitted: Capabilities,
-        flow: float,
-        most_forwards: int,
-        ask_within: float,
-        longest_wait: float,
+        settings: RouterSettings,
     ) -> None:
-        self.outside, self.chance, self.fleet, self.shelf = outside, chance, fleet, shelf
-        self.purges, self.joins, self.direct, self.flow = (
-            purges,
-            permitted.collapse_fills,
-            permitted.direct_to_source,
-            flow,
-        )
-        self.most_forwards, self.second_copies = most_forwards, permitted.hedging
-        self.cancel, self.probes, self.follows = (
-            permitted.cancellation,
-            permitted.health_checks,
-            permitted.polls_endpoints,
-        )
-        self.longest_wait = longest_wait
-        self.loads = permitted.health_checks and permitted.load_reports  # probes alone bring the machines' load
-        self.ask_again = ask_within / 8 or 1.0  # a failed call is made up for before the list counts as old
-        self.means, self.queue, self.copies = {}, [], None  # by tariffs; visits that wait; of our own, if any
-        self.gap = self.turn = 0.0  # between two fetches from an origin that refuses; the next one's time
-        self.fills, self.gain = 0, 0.1 * min(fleet.routers, 3)  # of one sample: larger where few are seen
-        self.link_load = self.link_fills = 0.0  # the location's link as told, and these fills meanwhile
-
-    def start(self, now: float) -> None:
-        if self.follows:
-            self.outside.watch()
-        self.outside.call_later(0.1 + 0.4 * self.chance.draw(), self.round)
-
-    def list_lost(self, now: float) -> None:
-        self.outside.call_later(self.ask_again * (0.5 + self.chance.draw()), lambda then: self.outside.watch())
-
-    def take(
-        self, caller: RequestTransport, request_class: RequestClass, request: Request, now: float, waited: float = 0.0
+        self.environment, self.endpoints = environment, endpoints
+        self.object_counts, self.purges = object_counts, purges
+        self.random_source = endpoints.random_source
+        self.capabilities, self.flow = settings.capabilities, settings.flow
+        self.max_attempts, self.max_retry_after = settings.max_attempts, settings.max_retry_after
+        self.poll_interval = settings.max_list_age / POLLS_PER_MAX_AGE or DEFAULT_POLL_INTERVAL_S
+        self.local_copies: LocalCopies | None = None
+        self.mean_works: dict[str, float] = {}  # seconds of transfer, by request class
+        self.waiting: list[RoutedRequest] = []  # for capacity
+        self.gain = SAMPLE_GAIN * min(endpoints.routers, MAX_GAIN_ROUTERS)  # larger where few are seen
+        self.zone_link = ZoneLink(self.gain)
+        self.origin_pacing = OriginPacing(self.random_source)
+
+    def start(self) -> None:
+        """Begin to watch the endpoint list, and the rounds."""
+        if self.capabilities.polls_endpoints:
+            self.environment.watch()
+        spread = MAX_FIRST_ROUND_DELAY_S - MIN_FIRST_ROUND_DELAY_S
+        self.environment.call_later(MIN_FIRST_ROUND_DELAY_S + spread * self.random_source.draw(), self.round)
+
+    def watch_lost(self) -> None:
+        """Called when a poll of the endpoint list failed: poll again soon."""
+        delay = self.poll_interval * (0.5 + self.random_source.draw())
+        self.environment.call_later(delay, lambda _: self.environment.watch())
+
+    # Requests.
+
+    def route(
+        self,
+        transport: RequestTransport,
+        request_class: RequestClass,
+        request: Request,
+        now: float,
+        waited: float = 0.0,
     ) -> RoutedRequest:
-        item = self.shelf.visit(request.key, request.part, now)
-        work = request.size_kb / self.flow if request.size_kb else item.work or self.mean(request_class)
-        self.fleet.count()
-        visit = RoutedRequest(self, caller, request_class, item, request, work, now)
-        visit.due -= waited  # behind with its work, a router takes less instead of answering all too late
-        if self.copies and request_class.idempotency is Idempotency.IDEMPOTENT and not request_class.pass_through:
-            self.copies.record_request(request.key, request.part)
-            visit.copy = self.copies.find(request.key, request.part, now)
-        if not visit.own(now):
-            visit.look(now)
-        if not visit.done:
-            self.outside.call_later(max(request.timeout - GIVE_UP, 0.0), visit.give_up)
-        return visit
-
-    def mean(self, request_class: RequestClass) -> float:
-        """Mean sending time of a tariff, learned; pessimistic until then, for the cold budgets' sake."""
-        return self.means.get(request_class.name, 0.5 * request_class.latency_objective)
-
-    def learn(self, visit: RoutedRequest, took: float) -> None:
-        self.means[visit.request_class.name] = self.mean(visit.request_class) * 0.98 + took * 0.02
-        # All parts are about as large, and crowding only adds: the shortest time seen is nearest to the work.
-        work = min(visit.item.work or took, took)
-        visit.item.work = work + (took - work) * 0.05
-
-    def source(self, visit: RoutedRequest, now: float) -> Server | None:
-        """The parent on the object's hash, the next where one fails or is too cold, then the origin."""
-        failed = [f.source for f in visit.forwards if not f.pending and f.outcome not in NOT_THE_SOURCE]
-        for source in [*self.fleet.order(self.fleet.parents, visit.item.key, now), self.fleet.origin]:
-            if source and source.usable(now) and source not in failed and self.fleet.room(source, visit, now):
+        """Take a request; its answer comes through the transport.
+
+        Args:
+            transport: of this request.
+            request_class: of the settings.
+            request: what the client asks for.
+            now: the time.
+            waited: seconds that it lay unread: behind with its work, a router takes less and answers in time.
+        """
+        self.endpoints.estimate_other_transfers()
+        routed = RoutedRequest(self, transport, request_class, request, now)
+        routed.on_time_until -= waited
+        self._find_local_copy(routed, request, now)
+        if not routed.try_local_copy(now):
+            routed.try_edge_cache(now)
+        if not routed.is_finished:
+            self.environment.call_later(max(request.timeout - ANSWER_MARGIN_S, 0.0), routed.give_up)
+        return routed
+
+    def _find_local_copy(self, routed: RoutedRequest, request: Request, now: float) -> None:
+        is_idempotent = routed.request_class.idempotency is Idempotency.IDEMPOTENT
+        if self.local_copies and is_idempotent and not routed.request_class.pass_through:
+            self.local_copies.record_request(request.key, request.part)
+            routed.local_copy = self.local_copies.find(request.key, request.part, now)
+
+    def mean_work(self, request_class: RequestClass) -> float:
+        """Return a class's mean seconds of transfer, as learned."""
+        return self.mean_works.get(request_class.name, INITIAL_WORK_SHARE * request_class.latency_objective)
+
+    def learn_work(self, routed: RoutedRequest, duration: float) -> None:
+        """Learn from a transfer out of a cache of the zone."""
+        request_class, count = routed.request_class, routed.object_count
+        self.mean_works[request_class.name] = self.mean_work(request_class) * (1 - WORK_GAIN) + duration * WORK_GAIN
+        # All parts are about as large, and load only adds: the shortest time seen is nearest to the work.
+        work = min(count.work or duration, duration)
+        count.work = work + (duration - work) * PART_WORK_GAIN
+
+    # Attempts.
+
+    def attempt_begins(self, attempt: Attempt) -> None:
+        """Count an attempt at its server and source."""
+        self.zone_link.fills += attempt.uses_zone_link
+        work = self.mean_work(attempt.request.request_class)
+        attempt.server.pending.add(attempt)
+        attempt.server.charge(work)
+        if attempt.source is not attempt.server:
+            attempt.source.pending_fills.add(attempt)
+            attempt.source.charge(work)
+
+    def attempt_ends(self, attempt: Attempt, completion: Completion) -> None:
+        """Take an attempt off its server and source, and the load that was reported beside its answer."""
+        attempt.is_pending, attempt.outcome = False, completion.outcome
+        attempt.server.pending.discard(attempt)
+        attempt.source.pending_fills.discard(attempt)
+        self.zone_link.fills -= attempt.uses_zone_link
+        if completion.load and attempt.server in self.endpoints.edge_caches:
+            self.zone_link.observe_report(completion.load)
+
+    def observe_answer(self, attempt: Attempt, outcome: Outcome, now: float) -> None:
+        """Judge the server that an attempt went to."""
+        server = attempt.server
+        if outcome.answered:
+            server.record_answer(now)
+        elif outcome not in NO_EVIDENCE and server.last_answer < attempt.sent:
+            server.record_failure(now, outcome)
+
+    def link_utilization(self) -> float:
+        """Return the utilization of the zone's link if one more fill comes."""
+        return self.zone_link.utilization()
+
+    # Fills.
+
+    def choose_source(self, routed: RoutedRequest, now: float) -> Server | None:
+        """Return the parent on the object's hash, the next where one fails or has no capacity, then the origin."""
+        failed = [
+            attempt.source
+            for attempt in routed.attempts
+            if not attempt.is_pending and attempt.outcome not in SOURCE_NOT_AT_FAULT
+        ]
+        endpoints = self.endpoints
+        for source in [*endpoints.in_order(endpoints.parents, routed.object_count.key, now), endpoints.origin]:
+            if source is None or not source.is_available(now) or source in failed:
+                continue
+            if endpoints.admits(source, routed, now):
                 return source
         return None
 
-    def filled(self, forward: Attempt, outcome: Outcome, took: float, note: CacheStatus | None, now: float) -> None:
-        """A fill is over: judge the source by what it added, and try again for those who wait."""
-        source, visit = forward.source, forward.visit
-        crowd = max(forward.cache.crowd(), self.link_crowd(), 1.0)
-        lag = (took - visit.work * crowd) / (visit.work + 0.1)
-        if refused := outcome in REFUSED:
-            lag = 5.0  # from all routers the same refused fills would come again at once
-        origin, name, missed = self.fleet.origin, visit.request_class.name, outcome is Outcome.MISS
-        if missed or note is CacheStatus.ORIGIN_FAILED:
-            visit.lacking.append(source)
-        fetched = not forward.held and (source is origin or source in visit.lacking)
-        ours = forward.cache in self.fleet.mine  # a parent asked itself may have refused itself
-        if ours and fetched and refused or missed and source in visit.refusing:  # so it was not the source
-            self.pace(False)
-        elif ours and fetched and outcome is Outcome.SUCCEEDED:
-            self.pace(True)
-        elif ours and refused and not forward.held and note is None:
-            visit.refusing.append(source)
-        if refused or visit.known and outcome in (Outcome.SUCCEEDED, Outcome.CANCELLED):
-            lags = source.holds if forward.held else (origin or source if fetched else source).lags
-            usual = lags.get(name, 0.0)
-            lags[name] = usual + self.gain * (max(min(lag, 5.0), 0.0) - usual)
-        if missed or outcome is Outcome.SUCCEEDED:
-            source.answered(now)
-        elif note is CacheStatus.SOURCE_UNREACHABLE:
-            source.failed(now, Outcome.CONNECT_FAILED)
-        elif note is None and outcome in REFUSED and self.probes and now - source.asked > 1.0:
-            source.asked = now  # refused or dead? Nothing tells, so it is asked itself
-            self.outside.check_health(source)
-        self.serve(now)
-
-    def pace(self, fine: bool) -> None:
-        """Against an origin that refuses: caches and parents try each call again; pushed further it stops.
-        Time between two fetches by this router, doubled from half a round to four.
-        """
-        self.gap = 0.3 * self.gap if fine else min(max(2 * self.gap, 0.5 * ROUND), 4 * ROUND)
-        self.gap *= self.gap > 0.1
+    def fill_ended(self, attempt: Attempt, completion: Completion, now: float) -> None:
+        """Judge the source by what it added, and try again for those who wait."""
+        source, routed = attempt.source, attempt.request
+        if completion.outcome is Outcome.MISS or completion.cache_status is CacheStatus.ORIGIN_FAILED:
+            routed.sources_without_copy.append(source)
+        is_from_origin = source is self.endpoints.origin or source in routed.sources_without_copy
+        is_origin_fetch = is_from_origin and not attempt.only_if_cached
+        self._pace_origin(attempt, completion, is_origin_fetch=is_origin_fetch)
+        self._learn_fill_delay(attempt, completion, is_origin_fetch=is_origin_fetch)
+        self._judge_source(source, completion, now)
+        self.serve_waiting(now)
+
+    def _pace_origin(self, attempt: Attempt, completion: Completion, *, is_origin_fetch: bool) -> None:
+        source, routed, outcome = attempt.source, attempt.request, completion.outcome
+        is_rejected = outcome in REJECTED
+        # A parent that was asked directly may have rejected by itself.
+        is_through_cache = attempt.server in self.endpoints.edge_caches
+        is_not_the_source = outcome is Outcome.MISS and source in routed.rejecting_sources
+        if is_through_cache and is_origin_fetch and is_rejected or is_not_the_source:
+            self.origin_pacing.fetch_rejected()
+        elif is_through_cache and is_origin_fetch and outcome is Outcome.SUCCEEDED:
+            self.origin_pacing.fetch_succeeded()
+        elif is_through_cache and is_rejected and not attempt.only_if_cached and completion.cache_status is None:
+            routed.rejecting_sources.append(source)
+
+    def _learn_fill_delay(self, attempt: Attempt, completion: Completion, *, is_origin_fetch: bool) -> None:
+        source, routed, outcome = attempt.source, attempt.request, completion.outcome
+        if outcome in REJECTED:
+            delay = MAX_FILL_DELAY  # from all routers the same rejected fills would come again at once
+        elif routed.is_work_known and outcome in (Outcome.SUCCEEDED, Outcome.CANCELLED):
+            utilization = max(attempt.server.utilization(), self.link_utilization(), 1.0)
+            delay = (completion.duration - routed.work * utilization) / (routed.work + 0.1)
+            delay = max(min(delay, MAX_FILL_DELAY), 0.0)
+        else:
+            return
+        if attempt.only_if_cached:
+            delays = source.cached_fill_delays
+        else:
+            delays = ((self.endpoints.origin or source) if is_origin_fetch else source).fill_delays
+        name = routed.request_class.name
+        usual = delays.get(name, 0.0)
+        delays[name] = usual + self.gain * (delay - usual)
+
+    def _judge_source(self, source: Server, completion: Completion, now: float) -> None:
+        outcome, status = completion.outcome, completion.cache_status
+        if outcome in (Outcome.MISS, Outcome.SUCCEEDED):
+            source.record_answer(now)
+        elif status is CacheStatus.SOURCE_UNREACHABLE:
+            source.record_failure(now, Outcome.CONNECT_FAILED)
+        elif status is None and outcome in REJECTED:
+            self._check_health_of_source(source, now)
 
-    def serve(self, now: float) -> None:
-        held = [visit for visit in self.queue if visit.held and not visit.done]
-        waiting, self.queue = [v for v in held if v.rest <= now], [v for v in held if v.rest > now]
-        for visit in sorted(waiting, key=lambda v: (v.work + 0.05) / v.request_class.priority_weight):
-            (visit.fill if visit.at else visit.look)(now)
+    def _check_health_of_source(self, source: Server, now: float) -> None:
+        """Rejecting or dead? No answer tells, so the source is asked itself."""
+        is_due = now - source.last_health_check > HEALTH_CHECK_INTERVAL_S
+        if self.capabilities.health_checks and is_due:
+            source.last_health_check = now
+            self.environment.check_health(source)
 
-    def link_crowd(self) -> float:
-        return LINK * (self.fills + 1) * self.link_load / max(self.link_fills, 1.0)
+    # Rounds.
+
+    def serve_waiting(self, now: float) -> None:
+        """Try again for requests that wait for capacity, those of the greatest weight for their work first."""
+        waiting = [routed for routed in self.waiting if routed.is_waiting and not routed.is_finished]
+        ready = [routed for routed in waiting if routed.wait_until <= now]
+        self.waiting = [routed for routed in waiting if routed.wait_until > now]
+        for routed in sorted(ready, key=lambda routed: (routed.work + 0.05) / routed.request_class.priority_weight):
+            if routed.missed_at is not None:
+                routed.fill(routed.missed_at, now)
+            else:
+                routed.try_edge_cache(now)
 
     def round(self, now: float) -> None:
-        for cache in self.fleet.mine if self.loads else ():
-            # Three a cache by all routers of the location, by chance: more cost more than they tell.
-            if self.chance.draw() * self.fleet.routers < 3:
-                self.outside.check_health(cache)
-        self.outside.call_later(ROUND, self.round)
-        self.fleet.edge.weigh(self.fleet.mine, now)
-        self.fleet.upper.weigh(self.fleet.parents, now)
-        if self.fleet.origin:
-            self.fleet.origin.forget()
-        self.serve(now)
-
-    def health_checked(self, cache: Server, outcome: Outcome, load: dict[str, float], now: float) -> None:
-        """One that answers is not therefore well: a hung one may answer probes and nothing else."""
+        """Check the caches' health, let what was learned decay, and serve those who wait; each ROUND_INTERVAL_S."""
+        if self.capabilities.health_checks and self.capabilities.load_reports:
+            self._check_health_of_caches()
+        self.environment.call_later(ROUND_INTERVAL_S, self.round)
+        self.endpoints.edge.observe_load(self.endpoints.edge_caches, now)
+        self.endpoints.upper.observe_load(self.endpoints.parents, now)
+        if self.endpoints.origin:
+            self.endpoints.origin.decay()
+        self.serve_waiting(now)
+
+    def _check_health_of_caches(self) -> None:
+        for cache in self.endpoints.edge_caches:
+            if self.random_source.draw() * self.endpoints.routers < HEALTH_CHECKS_PER_ROUND:
+                self.environment.check_health(cache)
+
+    def health_checked(self, server: Server, outcome: Outcome, load: dict[str, float], now: float) -> None:
+        """Take the answer to a health check; a server that hangs may answer these and nothing else."""
         if outcome is not Outcome.SUCCEEDED:
-            cache.failed(now, outcome)
-        elif cache.lost:
-            cache.answered(now)
-        elif cache in self.fleet.mine:
-            self.loaded(load)
-
-    def loaded(self, load: dict[str, float]) -> None:
-        """What a cache of the location tells of its link, to a probe or beside an answer."""
-        if "x1" in load:
-            self.link_load += self.gain * (load["x1"] - self.link_load)
-            self.link_fills += self.gain * (self.fills - self.link_fills)
+            server.record_failure(now, outcome)
+        elif server.has_failed:
+            server.record_answer(now)
+        elif server in self.endpoints.edge_caches:
+            self.zone_link.observe_report(load)
