--- a/wickhinge/routing/slow_start.py
+++ b/wickhinge/routing/slow_start.py
@@ -1,4 +1,4 @@
-"""Slow start: what servers that started lately may be sent."""
+"""Slow start: how much a server that started lately may be sent, so that it is not overloaded."""
 
 from __future__ import annotations
 
@@ -8,49 +8,79 @@
 if TYPE_CHECKING:
     from wickhinge.routing.server import Server
 
-
-ROUND = 0.7  # seconds from one look at the whole fleet to the next
-FIRST_DEBT = 2.0  # visits owed to a machine at its start, at most: half as many go first as are earned
+ROUND_INTERVAL_S = 0.7  # from one look at all servers to the next
+MAX_INITIAL_DEBT = 2.0  # mean requests; half as many go first as are earned
+CAPACITY_SHARE = 0.65  # of the limit, as sizes vary and routers spend unknown to each other
+LOAD_GAIN = 0.1  # of one sample
 
 
 class SlowStart:
-    """A router's share of what machines that started lately can do, against toppling them: routers spend
-    unknown to each other, so each its share alone, and two thirds of the rule's, as sizes vary.
+    """One router's share of what warming servers of a tier can take.
+
+    Routers spend unknown to each other, so each spends its own share alone, and two thirds of what the limit allows,
+    since sizes vary.
     """
 
-    def __init__(self, multiple: float, span: float, floor: float, warm: float) -> None:
-        self.multiple, self.span, self.floor, self.warm = multiple, span, floor, warm
-        self.rule = multiple > 0.0 < span  # else no load topples them
-        self.usual = 0.0  # work a second that this router sends to a warm machine of the tier
-        self.mean = 0.0  # work of a visit that may go to a cold one; 0 before the first
-
-    def part(self, cache: Server, now: float) -> float:
-        age = 0.0 if cache.lost else now - cache.started
-        return 1.0 if age >= self.warm else self.floor + (1 - self.floor) * max(age, 0.0) / self.warm
-
-    def weigh(self, caches: list[Server], now: float) -> None:
-        """Remembered, since after a release no warm fellow may be left to compare with."""
-        warm = [cache.sent / ROUND for cache in caches if self.part(cache, now) >= 1.0]
-        self.usual += 0.1 * (sum(warm) / len(warm) - self.usual) if warm else 0.0
-        for cache in caches:
-            cache.sent = 0.0
-            cache.forget()
-
-    def room(self, cache: Server, mine: float, share: float, work: float, now: float) -> bool:
-        """One visit may be more than a share: it is sent on credit, and the debt sat out. Saved up is half a
-        span's worth, and no more than the share of the rule's 2 root of N while a warm machine can do more
-        than this one bears: one router that has not been told then adds much to what all others saved.
+    def __init__(self, overload_factor: float, window: float, initial_capacity: float, duration: float) -> None:
+        """Take the limit as the settings state it.
+
+        Args:
+            overload_factor: a server falls when it gets so many times its capacity of the moment.
+            window: seconds over which that counts.
+            initial_capacity: share of a warm server's capacity right after the start.
+            duration: seconds until a server is warm.
+        """
+        self.overload_factor, self.window = overload_factor, window
+        self.initial_capacity, self.duration = initial_capacity, duration
+        self.is_limited = overload_factor > 0.0 < window  # else no load overloads them
+        self.usual_load = 0.0  # work a second that this router sends to a warm server of the tier
+        self.mean_work = 0.0  # of a request that may go to a warming server; 0 before the first
+
+    def capacity_share(self, server: Server, now: float) -> float:
+        """Return the server's capacity over that of a warm one."""
+        age = 0.0 if server.has_failed else now - server.started
+        if age >= self.duration:
+            return 1.0
+        return self.initial_capacity + (1 - self.initial_capacity) * max(age, 0.0) / self.duration
+
+    def observe_load(self, servers: list[Server], now: float) -> None:
+        """Learn the usual load of warm servers; after a release none may be left to compare with."""
+        loads = [server.sent_work / ROUND_INTERVAL_S for server in servers if self.capacity_share(server, now) >= 1.0]
+        self.usual_load += LOAD_GAIN * (sum(loads) / len(loads) - self.usual_load) if loads else 0.0
+        for server in servers:
+            server.sent_work = 0.0
+            server.decay()
+
+    def admits(self, server: Server, own_capacity: float, share: float, work: float, now: float) -> bool:
+        """Return whether a request may go to a warming server now, out of its token bucket.
+
+        One request may be more than a share: it is sent on credit, and the debt is waited out. Half a window's worth is
+        saved at the most, and no more than the share of the limit's 2 root of N while a warm server can do more than
+        this one: a router that has not been notified then adds much to what all others saved.
+
+        Args:
+            server: the one that is warming up.
+            own_capacity: of a warm server, as far as it is this router's share.
+            share: of this router in all requests of the tier.
+            work: seconds of transfer of the request.
+            now: the time.
         """
-        self.mean += 0.1 * (work - self.mean) if self.mean else work
-        bears = self.multiple * self.part(cache, now)  # in what a warm one can do
-        rate = 0.65 * bears * mine
-        most = 0.5 * rate * self.span
-        if bears < 1.0:
-            most = min(most, 0.65 * 2 * sqrt(bears * mine * share * self.span * self.mean))
-        earned, cache.credited = rate * (now - cache.credited), now
-        if cache.owed > 0.0:
-            debt = FIRST_DEBT * self.mean
-            left = cache.owed - earned / debt
-            cache.owed, cache.credit, earned = max(left, 0.0), 0.0, max(-left, 0.0) * debt
-        cache.credit = min(cache.credit + earned, most)
-        return cache.credit > 0.0
+        self.mean_work += LOAD_GAIN * (work - self.mean_work) if self.mean_work else work
+        capacity = self.overload_factor * self.capacity_share(server, now)  # in what a warm one can do
+        rate = CAPACITY_SHARE * capacity * own_capacity
+        max_tokens = 0.5 * rate * self.window
+        if capacity < 1.0:
+            mean_requests = capacity * own_capacity * share * self.window * self.mean_work
+            max_tokens = min(max_tokens, CAPACITY_SHARE * 2 * sqrt(mean_requests))
+        earned, server.refilled_at = rate * (now - server.refilled_at), now
+        if server.initial_debt > 0.0:
+            earned = self._pay_initial_debt(server, earned)
+        server.tokens = min(server.tokens + earned, max_tokens)
+        return server.tokens > 0.0
+
+    def _pay_initial_debt(self, server: Server, earned: float) -> float:
+        """Return what of the earned tokens is left."""
+        debt = MAX_INITIAL_DEBT * self.mean_work
+        left = server.initial_debt - earned / debt
+        server.initial_debt, server.tokens = max(left, 0.0), 0.0
+        return max(-left, 0.0) * debt
--- a/wickhinge/settings.py
+++ b/wickhinge/settings.py
@@ -17,11 +17,11 @@
     word,
 )
 from wickhinge.interface import Capabilities, Environment, Idempotency, RequestClass
-from wickhinge.routing.endpoints import Endpoints
+from wickhinge.routing.endpoints import Endpoints, Topology
 from wickhinge.routing.object_counts import ObjectCounts
-from wickhinge.routing.purges import Purges
+from wickhinge.routing.purges import Purges, ToLocalTime, same_clock
 from wickhinge.routing.random_source import RandomSource
-from wickhinge.routing.router import Router
+from wickhinge.routing.router import Router, RouterSettings
 from wickhinge.routing.slow_start import SlowStart
 
 EFFECTS = {
@@ -77,7 +77,20 @@
     return result
 
 
-def build(conf: dict[str, Any], seed: int, outside: Environment) -> tuple[Router, dict[str, RequestClass]]:
+def build(
+    conf: dict[str, Any], seed: int, environment: Environment, to_local_time: ToLocalTime = same_clock
+) -> tuple[Router, dict[str, RequestClass]]:
+    """Return the router and the request classes, by name.
+
+    Args:
+        conf: the settings as decoded.
+        seed: of the router's random numbers.
+        environment: what the router calls out on.
+        to_local_time: others' times by our clock.
+
+    Raises:
+        Malformed: a field is missing or not of its type; the text names it.
+    """
     family, rules = record("conf", conf, "familyInfo"), record("conf", conf, "rules")
     limits, stats = record("conf", conf, "limits"), record("conf", conf, "stats")
     shapes, zones = listing("conf", conf, "shapes"), listing("conf", conf, "zones")
@@ -104,19 +117,18 @@
         number(info, family, "parentFloor"),
         seconds(info, family, "parentWarmsInMs"),
     )
-    chance = RandomSource(seed)
-    fleet = Endpoints(
-        chance,
-        zone,
-        integer("conf.familyInfo.zoneBalancers", dict(zip(zones, routers, strict=True)), zone),
-        shape("shieldKind"),
-        shape("sourceKind"),
-        text("conf", conf, "weights") != "off",
-        edge,
-        upper,
+    topology = Topology(
+        zone=zone,
+        routers=integer("conf.familyInfo.zoneBalancers", dict(zip(zones, routers, strict=True)), zone),
+        parent_kind=shape("shieldKind"),
+        origin_kind=shape("sourceKind"),
+        has_weights=text("conf", conf, "weights") != "off",
+    )
+    endpoints = Endpoints(RandomSource(seed), topology, edge, upper, to_local_time)
+    max_retry_after = (
+        seconds("conf.limits", limits, "maxRetryAfterMs") if flag("conf.limits", limits, "retryAfter") else 0.0
     )
-    wait = seconds("conf.limits", limits, "maxRetryAfterMs") if flag("conf.limits", limits, "retryAfter") else 0.0
-    permitted = Capabilities(
+    capabilities = Capabilities(
         collapse_fills=flag(info, family, "joins"),
         direct_to_source=flag(info, family, "passThroughOk"),
         hedging=flag("conf.limits", limits, "mayDuplicate"),
@@ -125,16 +137,13 @@
         load_reports=text("conf.stats", stats, "how") == "on_probe",
         polls_endpoints=text("conf", conf, "discovery") == "ask",
     )
-    router = Router(
-        outside,
-        chance,
-        fleet,
-        ObjectCounts(fleet.routers),
-        Purges(seconds(info, family, "goneEverywhereMs")),
-        permitted,
+    router_settings = RouterSettings(
+        capabilities=capabilities,
         flow=number(info, family, "oneFlowKbPerS"),
-        most_forwards=integer("conf.limits", limits, "mostTries"),
-        ask_within=seconds("conf.rules", rules, "mustAskInMs", 0.0),
-        longest_wait=wait,
+        max_attempts=integer("conf.limits", limits, "mostTries"),
+        max_list_age=seconds("conf.rules", rules, "mustAskInMs", 0.0),
+        max_retry_after=max_retry_after,
     )
+    purges = Purges(seconds(info, family, "goneEverywhereMs"), to_local_time)
+    router = Router(environment, endpoints, ObjectCounts(endpoints.routers), purges, router_settings)
     return router, request_classes(conf)
--- a/wickhinge/shared/evidence.py
+++ b/wickhinge/shared/evidence.py
@@ -20,11 +20,11 @@
 class Evidence:
     """Our own evidence on one server. Times are the detector's unless said otherwise."""
 
-    server: Any  # as `decide` has it
+    server: Any  # as `routing` has it
     health: Health = Health.HEALTHY
     amount: float = 0.0  # as Verdict.amount
     observed_at: float = LONG_AGO
-    last_answer_at: float = LONG_AGO  # by `decide`'s time, as it was at the last evaluation
+    last_answer_at: float = LONG_AGO  # by `routing`'s time, as it was at the last evaluation
     answers: float = 0.0  # evaluations that found a new one, half forgotten each OWN_EVIDENCE_MAX_AGE_S
     was_lost: bool = False
     overridden_at: float = LONG_AGO  # since when others' verdict holds; LONG_AGO for none
@@ -41,14 +41,18 @@
             median_pace: The median of what the servers of its tier bear of what they should.
             elapsed: Seconds since the last evaluation.
             now: The detector's time.
-            policy_now: The time by which `decide` counts.
+            policy_now: The time by which `routing` counts.
         """
         server = self.server
-        answered_at = now - max(policy_now - server.heard, 0.0)
-        self.answers = self.answers * 0.5 ** (elapsed / OWN_EVIDENCE_MAX_AGE_S) + (server.heard > self.last_answer_at)
-        self.last_answer_at = server.heard
+        answered_at = now - max(policy_now - server.last_answer, 0.0)
+        self.answers = self.answers * 0.5 ** (elapsed / OWN_EVIDENCE_MAX_AGE_S) + (
+            server.last_answer > self.last_answer_at
+        )
+        self.last_answer_at = server.last_answer
         since_start = policy_now - server.started
-        if server.lost:
+        pace = server.concurrency_limit / server.max_concurrency_limit
+        is_slow = server.concurrency_limit < SLOW_BELOW * median_pace * server.max_concurrency_limit
+        if server.has_failed:
             self._set(Health.UNREACHABLE, 0.0, now)
         elif self.was_lost and since_start < 2 * EVALUATION_INTERVAL_S:
             self._set(Health.RESTARTED, 0.0, now)
@@ -58,13 +62,13 @@
             # What we believe is what we were told; but an answer of its own tells that it is reachable.
             answered = self.override == Health.UNREACHABLE and answered_at > self.overridden_at - REST_S
             self.health, self.observed_at = Health.HEALTHY, answered_at if answered else LONG_AGO
-        elif self.answers >= MIN_ANSWERS_TO_JUDGE and server.fit < SLOW_BELOW * median_pace * server.best:
-            self._set(Health.SLOW, server.fit / server.best / median_pace, now)
-        elif policy_now - server.heard <= OWN_EVIDENCE_MAX_AGE_S:
+        elif self.answers >= MIN_ANSWERS_TO_JUDGE and is_slow:
+            self._set(Health.SLOW, pace / median_pace, now)
+        elif policy_now - server.last_answer <= OWN_EVIDENCE_MAX_AGE_S:
             self._set(Health.HEALTHY, 0.0, answered_at)
         elif now - self.observed_at > VERDICT_MAX_AGE_S:
             self.health, self.amount = Health.HEALTHY, 0.0
-        self.was_lost = server.lost
+        self.was_lost = server.has_failed
 
     def _set(self, health: Health, amount: float, observed_at: float) -> None:
         self.health = health
--- a/wickhinge/shared/outlier_detection.py
+++ b/wickhinge/shared/outlier_detection.py
@@ -6,7 +6,7 @@
 - Two witnesses at least, more than say the server is well, none of them unhealthy themselves, each verdict
   VERDICT_MAX_AGE_S old at most.
 - UNREACHABLE: the server is ejected here for REST_S at a time while they say so, one failure of our own is enough, and
-  some of us send it a health check at once. Its witnesses go on trying it, as `decide` does with what it lost.
+  some of us send it a health check at once. Its witnesses go on trying it, as `routing` does with what it lost.
 - SLOW: what the server is believed to bear, beside its peers, is lowered to the median of what they say, where we have
   few answers of our own; it drifts back as every such belief does, and own answers move it from then on. Who was told
   says nothing of it himself, so that no verdict feeds on its echo.
@@ -57,7 +57,11 @@
 
 def median_pace(servers: list[Any]) -> float:
     """The median of what servers bear of what they should; 1.0 for none."""
-    return float(sorted(server.fit / server.best for server in servers)[len(servers) // 2]) if servers else 1.0
+    return (
+        float(sorted(server.concurrency_limit / server.max_concurrency_limit for server in servers)[len(servers) // 2])
+        if servers
+        else 1.0
+    )
 
 
 class OutlierDetector:
@@ -74,7 +78,7 @@
     def __init__(
         self,
         detector: FailureDetector,
-        fleet: Any,
+        endpoints: Any,
         check_health: Callable[[Any], None],
         log: Callable[..., None] = _log_nothing,
     ) -> None:
@@ -82,12 +86,12 @@
 
         Args:
             detector: Knows the peers, and carries the payloads.
-            fleet: decide.Fleet.
+            endpoints: routing.Endpoints.
             check_health: Called with a server that is to get a health check at once.
             log: Called with an event and its fields.
         """
         self.detector = detector
-        self.fleet = fleet
+        self.endpoints = endpoints
         self.evidence: dict[int, Evidence] = {}
         self.peer_verdicts = PeerVerdicts()
         self.is_unhealthy = False
@@ -103,18 +107,20 @@
 
         Args:
             now: The detector's time.
-            policy_now: The time by which `decide` counts.
+            policy_now: The time by which `routing` counts.
         """
         elapsed = now - self._evaluated_at
         if 0.0 <= elapsed < EVALUATION_INTERVAL_S:
             return
         elapsed, self._evaluated_at = min(max(elapsed, 0.0), VERDICT_MAX_AGE_S), now
-        servers = {server.mark: server for server in (*self.fleet.mine, *self.fleet.parents)}
+        servers = {server.id: server for server in (*self.endpoints.edge_caches, *self.endpoints.parents)}
         for mark in [mark for mark, own in self.evidence.items() if servers.get(mark) is not own.server]:
             del self.evidence[mark]
-        paces = {True: median_pace(self.fleet.mine), False: median_pace(self.fleet.parents)}
+        paces = {True: median_pace(self.endpoints.edge_caches), False: median_pace(self.endpoints.parents)}
         for mark, server in servers.items():
-            own = self.evidence.setdefault(mark, Evidence(server, last_answer_at=server.heard, was_lost=server.lost))
+            own = self.evidence.setdefault(
+                mark, Evidence(server, last_answer_at=server.last_answer, was_lost=server.has_failed)
+            )
             self._update_evidence(own, paces[self._is_cache(server)], elapsed, now, policy_now)
         self.peer_verdicts.expire(servers, now)
         self._update_own_health()
@@ -134,7 +140,7 @@
         tellable = [own for own in self.evidence.values() if self._is_tellable(own, to, now)]
         own_verdicts = [
             Verdict(
-                own.server.mark,
+                own.server.id,
                 own.health,
                 round(min(own.amount, verdicts.MAX_SECONDS), 3),
                 round(now - own.observed_at, 2),
@@ -189,7 +195,7 @@
         before = own.health
         own.update(pace, elapsed, now, policy_now)
         if own.health != before and not self.is_unhealthy:
-            self._log("server_health", server=f"{own.server.mark:08x}", health=HEALTH_NAMES[own.health])
+            self._log("server_health", server=f"{own.server.id:08x}", health=HEALTH_NAMES[own.health])
             self._push(own.server, now)
 
     def _push(self, server: Any, now: float) -> None:
@@ -201,7 +207,7 @@
             self.detector.send(name, MessageKind.HELLO, 0, now)
 
     def _is_tellable(self, own: Evidence, to: str, now: float) -> bool:
-        mark = own.server.mark
+        mark = own.server.id
         if own.health == Health.HEALTHY and mark not in self.peer_verdicts.by_server:
             return False  # nobody asks
         return self._concerns(to, own.server) and 0.0 <= now - own.observed_at <= VERDICT_MAX_AGE_S
@@ -213,7 +219,7 @@
 
     def _is_cache(self, server: Any) -> bool:
         """Whether it is a cache of our location, and no parent."""
-        return bool(server.kind != self.fleet.parent_kind)
+        return bool(server.kind != self.endpoints.parent_kind)
 
     # Unhealthy routers.
 
@@ -284,11 +290,11 @@
 
     def _eject(self, own: Evidence, observations: list[Observation], policy_now: float) -> bool:
         server = own.server
-        if server.lost or own.observed_at >= min(observation.observed_at for observation in observations):
+        if server.has_failed or own.observed_at >= min(observation.observed_at for observation in observations):
             return False
-        server.strikes = max(server.strikes, 1.0)
-        server.shunned = max(server.shunned, policy_now + REST_S)
-        if self.detector.random_source.draw() * self.fleet.routers < HEALTH_CHECKERS:
+        server.consecutive_failures = max(server.consecutive_failures, 1.0)
+        server.ejected_until = max(server.ejected_until, policy_now + REST_S)
+        if self.detector.random_source.draw() * self.endpoints.routers < HEALTH_CHECKERS:
             self._check_health(server)
         return True
 
@@ -296,9 +302,9 @@
         """Count the start by those who saw it: the latest of the starts that two at least agree on."""
         starts = sorted(observation.observed_at - observation.verdict.amount for observation in observations)
         started = policy_now - (now - starts[-MIN_WITNESSES])
-        if server.lost or server.started > started - VERDICT_MAX_AGE_S:
+        if server.has_failed or server.started > started - VERDICT_MAX_AGE_S:
             return False  # we know of that start, or see for ourselves
-        server.begin(policy_now)
+        server.reset(policy_now)
         server.started = started
         return True
 
@@ -306,10 +312,10 @@
         server = own.server
         if own.answers >= OWN_ANSWERS_SUFFICE:
             return False
-        pace = median_pace(self.fleet.mine if self._is_cache(server) else self.fleet.parents)
+        pace = median_pace(self.endpoints.edge_caches if self._is_cache(server) else self.endpoints.parents)
         amounts = sorted(observation.verdict.amount for observation in observations)
-        fitness = amounts[len(amounts) // 2] * pace * server.best
-        if fitness >= server.fit:
+        fitness = amounts[len(amounts) // 2] * pace * server.max_concurrency_limit
+        if fitness >= server.concurrency_limit:
             return False
-        server.fit = max(fitness, MIN_FITNESS)
+        server.concurrency_limit = max(fitness, MIN_FITNESS)
         return True
--- a/wickhinge/shared/request_tallies.py
+++ b/wickhinge/shared/request_tallies.py
@@ -95,10 +95,10 @@
         unreadable: Payloads that could not be read.
     """
 
-    def __init__(self, detector: FailureDetector, fleet: Any, now: float) -> None:
-        """Begin without tallies; `told` of the fleet (a decide.Fleet) and of its caches is set here."""
+    def __init__(self, detector: FailureDetector, endpoints: Any, now: float) -> None:
+        """Begin without tallies; the reports in `endpoints` (a routing.Endpoints) are set here."""
         self.detector = detector
-        self.fleet = fleet
+        self.endpoints = endpoints
         self.known: dict[str, KnownTally] = {}
         self.list_hash = 0
         self.refused = 0
@@ -118,12 +118,12 @@
         if 0.0 <= now - self._counted_at < TALLY_INTERVAL_S:
             return
         self._counted_at = now
-        caches = sorted(self.fleet.mine, key=lambda cache: cache.mark)[:MAX_SERVERS]
+        caches = sorted(self.endpoints.edge_caches, key=lambda cache: cache.id)[:MAX_SERVERS]
         self._count(caches)
         peers = self.zone_peers()
         for name in [name for name, known in self.known.items() if not self._counts(known, now) or name not in peers]:
             del self.known[name]
-        self._update_fleet(caches)
+        self._update_endpoints(caches)
         self._tell_one(peers, now)
 
     def merge(self, tally: Tally, counted_at: float, *, from_itself: bool) -> bool:
@@ -203,18 +203,20 @@
         return 0.0 <= now - known.counted_at <= MAX_AGE_S
 
     def _count(self, caches: list[Any]) -> None:
-        marks = [cache.mark for cache in caches]
+        marks = [cache.id for cache in caches]
         if marks != self._marks:
             self._marks, self.list_hash = marks, hash_list(marks)
         self._number += 1
         self._in_flight = [min(len(cache.pending), MAX_REQUESTS) for cache in caches]
 
-    def _update_fleet(self, caches: list[Any]) -> None:
+    def _update_endpoints(self, caches: list[Any]) -> None:
         fresh = [known.tally.in_flight for known in self.known.values() if known.tally.list_hash == self.list_hash]
-        self.fleet.told = min(len(fresh), self.fleet.routers - 1)
+        self.endpoints.reporting_routers = min(len(fresh), self.endpoints.routers - 1)
         for index, cache in enumerate(caches):
             total = sum(in_flight[index] for in_flight in fresh)
-            cache.told += SMOOTHING * (total - cache.told) if fresh else -cache.told
+            cache.reported_transfers += (
+                SMOOTHING * (total - cache.reported_transfers) if fresh else -cache.reported_transfers
+            )
 
     def _tell_one(self, peers: list[str], now: float) -> None:
         """Send a datagram to a random peer that is up: it carries our payload."""
--- a/wickhinge/shared/slow_start_quota.py
+++ b/wickhinge/shared/slow_start_quota.py
@@ -1,7 +1,7 @@
-"""The router's part of what servers in slow start can bear, by true shares: asked by `decide` for each forward.
+"""The router's part of what servers in slow start can bear, by true shares: asked by `routing` for each attempt.
 
 Alone, a router guesses its part from a fixed count of routers, and leaves a third unused against the others' guesses
-(`decide.Cold`). Here the limit of a server in slow start is a budget of the whole fleet, or of the server's zone: each
+(`routing.SlowStart`). Here the limit of a server in slow start is a budget of the whole fleet, or of its zone: each
 such server has a bucket, all of one tier fill by the same share, which moves to where the demand is.
 
 Pieces. Of what a server bears in a window, PIECES_SHARE is set aside for pieces that meet, so many for each process:
@@ -12,7 +12,7 @@
 goes on credit where the bucket is full, and its debt is sat out: then what all send in any window is at most amount +
 the sum of (work - piece) over those requests, one a process.
 
-What a bucket holds stands in the server's `credit`, where `decide` charges what it sends.
+What a bucket holds stands in the server's `tokens`, where `routing` charges what it sends.
 """
 
 from __future__ import annotations
@@ -40,31 +40,31 @@
 class SlowStartRequest:
     """A request that may go to a server in slow start."""
 
-    server: Any  # as `decide` has it
+    server: Any  # as `routing` has it
     is_parent: bool
-    limits: Any  # decide.Cold, with the settings' limit
+    limits: Any  # routing.SlowStart, with the settings' limit
     warm_share: float  # of what the server bears warm
     work: float  # seconds that the request costs
 
 
 class ServerBucket(QuotaBucket):
-    """A server's bucket, with its tokens in the credit that `decide` charges. Starts empty, or with its debt."""
+    """A server's bucket, with its tokens in the tokens that `routing` charges. Starts empty, or with its debt."""
 
     def __init__(self, server: Any, quota: Quota, processes: int, now: float) -> None:
         self.server = server
-        debt = min(server.credit, 0.0)
+        debt = min(server.tokens, 0.0)
         super().__init__(quota, processes, BURST_S, now)
-        server.credit = debt
+        server.tokens = debt
         self.requested_at = now
 
     @property
     def tokens(self) -> float:
-        """The server's credit."""
-        return float(self.server.credit)
+        """The server's tokens."""
+        return float(self.server.tokens)
 
     @tokens.setter
     def tokens(self, tokens: float) -> None:
-        self.server.credit = tokens
+        self.server.tokens = tokens
 
     def admits(self, work: float, now: float) -> bool:
         """Whether a request of so much work may go now."""
@@ -82,12 +82,12 @@
         self._swept_at = 0.0
 
     def admits(self, request: SlowStartRequest, now: float) -> bool:
-        """Whether a request may go to its server now. What is sent, `decide` takes off the server's credit."""
+        """Whether a request may go to its server now. What is sent, `routing` takes off the server's tokens."""
         number = self._first_budget + (PARENTS if request.is_parent else CACHES)
         bucket = self._bucket(number, request, now)
         if bucket is None:
             return False
-        _, lagging_now = self.limiter.record_demand(number, request.work, now, request.server.mark)
+        _, lagging_now = self.limiter.record_demand(number, request.work, now, request.server.id)
         bucket.requested_at = lagging_now
         if lagging_now - self._swept_at > SWEEP_INTERVAL_S:
             self._sweep(lagging_now)
@@ -95,10 +95,10 @@
 
     def _bucket(self, number: int, request: SlowStartRequest, now: float) -> ServerBucket | None:
         """The server's bucket, made or adjusted; None where there are too many."""
-        server, window_s = request.server, request.limits.span
-        amount = request.limits.multiple * request.warm_share * server.weight * window_s
+        server, window_s = request.server, request.limits.window
+        amount = request.limits.overload_factor * request.warm_share * server.weight * window_s
         budget = self.limiter.budgets[number]
-        present = budget.buckets.get(server.mark)
+        present = budget.buckets.get(server.id)
         if present is None and len(budget.buckets) >= MAX_SERVERS:
             return None
         if isinstance(present, ServerBucket) and present.server is server and present.quota.window_s == window_s:
@@ -110,7 +110,7 @@
         processes = budget.division.processes
         quota = Quota(amount, window_s, PIECES_SHARE * amount / processes)
         bucket = ServerBucket(server, quota, processes, self.limiter.lagging_clock)
-        budget.buckets[server.mark] = bucket
+        budget.buckets[server.id] = bucket
         bucket.set_share(budget.share, self.limiter.lagging_clock)
         return bucket
 
--- a/wickhinge/store/store.py
+++ b/wickhinge/store/store.py
@@ -23,7 +23,7 @@
 
 
 class Store:
-    """Copies by object and part: `find` says what there is, `decide` whether it answers, `read` brings its bytes.
+    """Copies by object and part: `find` says what there is, `routing` whether it answers, `read` brings its bytes.
 
     Times are Unix seconds.
 
--- a/wickhinge/wirehost/host.py
+++ b/wickhinge/wirehost/host.py
@@ -8,7 +8,7 @@
 
 from wickhinge import fields as checks
 from wickhinge.fields import Malformed
-from wickhinge.interface import AttemptParameters, CacheStatus, Endpoint, Outcome, RejectionReason, Request
+from wickhinge.interface import AttemptParameters, CacheStatus, Completion, Endpoint, Outcome, RejectionReason, Request
 from wickhinge.settings import build
 from wickhinge.wirehost import codec
 
@@ -40,12 +40,12 @@
 
     def forward(self, parameters: AttemptParameters) -> None:
         self.forwards.append(parameters.attempt)
-        fields = {"ref": self.ref, "cache": parameters.server.mark, "tryForMs": parameters.timeout * 1000.0}
+        fields = {"ref": self.ref, "cache": parameters.server.id, "tryForMs": parameters.timeout * 1000.0}
         if parameters.source is None:
             self.host.act("Try", fields)
             return
         options = parameters.collapse | parameters.only_if_cached << 1 | parameters.revalidate << 3
-        fields |= {"source": parameters.source.mark, "admit": parameters.retention_rank, "opts": options}
+        fields |= {"source": parameters.source.id, "admit": parameters.retention_rank, "opts": options}
         if parameters.max_age is not None:
             fields["howOldMs"] = parameters.max_age * 1000.0
         self.host.act("PullVia", fields)
@@ -63,7 +63,7 @@
 
     def close(self) -> None:
         """The visit is over: nothing will name it once no forward is out."""
-        if not any(forward.pending for forward in self.forwards):
+        if not any(forward.is_pending for forward in self.forwards):
             self.host.doors.pop(self.ref, None)
 
 
@@ -90,7 +90,7 @@
         self.act("WakeMe", {"delayMs": max(delay, 0.0) * 1000.0, "handle": self.alarm})
 
     def check_health(self, server: Any) -> None:
-        self.act("Poll", {"cache": server.mark})
+        self.act("Poll", {"cache": server.id})
 
     def watch(self) -> None:
         self.act("Follow", {"want": True})
@@ -99,7 +99,7 @@
         self.act("ReadList", {})
 
     def close_idle(self, server: Any) -> None:
-        self.act("HangUp", {"cache": server.mark})
+        self.act("HangUp", {"cache": server.id})
 
     def gossip(self, recipient: int, content: bytes) -> None:
         self.act("Say", {"to": recipient, "content": b64encode(content).decode()})
@@ -112,12 +112,12 @@
     def power_on(self, name: str, fields: dict[str, Any], now: float) -> None:
         seed, conf = checks.integer(name, fields, "initSeed"), checks.record(name, fields, "conf")
         self.router, self.request_classes = build(conf, seed, self)
-        self.router.start(now)
+        self.router.start()
 
     def announce(self, name: str, fields: dict[str, Any], now: float) -> None:
         kind = checks.word(name, fields, "kind", ("lost", *LISTS))
         if kind == "lost":
-            self.router.list_lost(now)
+            self.router.watch_lost()
             return
         listings = []
         for entry in checks.records(name, fields, "hosts"):
@@ -132,7 +132,7 @@
                     checks.seconds(name, entry, "readyAtMs", 0.0) or None,
                 )
             )
-        self.router.fleet.listed(listings, LISTS[kind], now)
+        self.router.endpoints.update(listings, now, complete=LISTS[kind])
 
     def inbound(self, name: str, fields: dict[str, Any], now: float) -> None:
         request_class = self.request_classes.get(checks.text(name, fields, "kind"))
@@ -148,7 +148,7 @@
             checks.seconds(name, fields, "expiresInMs"),
             checks.flag(name, fields, "repeat", False),
         )
-        door.visit = self.router.take(door, request_class, request, now)
+        door.visit = self.router.route(door, request_class, request, now)
 
     def resolved(self, name: str, fields: dict[str, Any], now: float) -> None:
         forward, outcome = self.sent(name, fields), self.outcome(name, fields)
@@ -157,14 +157,15 @@
             return
         note = NOTES.get(checks.integer(name, fields, "detail", 0))
         load = None if fields.get("report") is None else checks.record(name, fields, "report")
-        forward.visit.ended(forward, outcome, took, closed, note, now, load)
-        if forward.visit.done:
-            forward.visit.caller.close()
+        completion = Completion(outcome, took, closed, note, load)
+        forward.request.attempt_ended(forward, completion, now)
+        if forward.request.is_finished:
+            forward.request.transport.close()
 
     def ack_first(self, name: str, fields: dict[str, Any], now: float) -> None:
         forward = self.sent(name, fields)
         if forward is not None:
-            forward.visit.began(forward, now)
+            forward.request.answer_began(forward, now)
 
     def sent(self, name: str, fields: dict[str, Any]) -> Any:
         """The forward that the message names, None where its visit is long over."""
@@ -181,11 +182,11 @@
     def gone(self, name: str, fields: dict[str, Any], now: float) -> None:
         door = self.doors.get(checks.text(name, fields, "ref"))
         if door is not None and door.visit is not None:
-            door.visit.finish(now)
+            door.visit.finish()
             door.close()
 
     def check_result(self, name: str, fields: dict[str, Any], now: float) -> None:
-        cache = self.router.fleet.known.get(checks.integer(name, fields, "cache"))
+        cache = self.router.endpoints.servers.get(checks.integer(name, fields, "cache"))
         outcome = self.outcome(name, fields)
         load = {} if fields.get("report") is None else checks.record(name, fields, "report")
         if cache is not None:
@@ -194,7 +195,7 @@
     def expired_now(self, name: str, fields: dict[str, Any], now: float) -> None:
         key = None if fields.get("contentId") is None else checks.hexadecimal(name, fields, "contentId")
         made = now - checks.seconds(name, fields, "howOldMs")
-        self.router.purges.told(key, checks.integer(name, fields, "setNo", 0), made, now)
+        self.router.purges.notify(key, checks.integer(name, fields, "setNo", 0), made, now)
 
     def ring(self, name: str, fields: dict[str, Any], now: float) -> None:
         call = self.alarms.pop(checks.integer(name, fields, "handle"), None)
