--- a/wickhinge/common/connector.py
+++ b/wickhinge/common/connector.py
@@ -1,4 +1,4 @@
-"""One try to connect, that leaves nothing behind.
+"""One attempt to connect that leaves no reference cycles behind.
 
 Twisted's endpoints and connectors point to each other, and through our factory to the protocol, for good: a circle of
 some fifteen objects, 4 KB, a connection, that only the collector frees, which is off in service. Here the links are cut
@@ -14,42 +14,48 @@
 from twisted.python.failure import Failure
 
 
-def nothing() -> None:
-    pass
+def _do_nothing() -> None:
+    """Stands in for a transport's methods that the event loop may still call."""
 
 
 class ConnectAttempt(ClientFactory):
-    """The protocol's connectionMade tells that it is up; failed(reason) that it never will be, once."""
+    """One attempt to connect, begun at once.
+
+    The protocol's connectionMade tells that it is up; on_failed(reason) is called once if it never will be.
+    """
 
     noisy = False
 
     def __init__(
-        self, reactor: Any, address: tuple[str, int], protocol: Protocol, failed: Callable[[Failure], None]
+        self, reactor: Any, address: tuple[str, int], protocol: Protocol, on_failed: Callable[[Failure], None]
     ) -> None:
-        self.made: Protocol | None = protocol
-        self.failed: Callable[[Failure], None] | None = failed
-        self.connector = reactor.connectTCP(*address, self, timeout=None)
-        self.transport = getattr(self.connector, "transport", None)
+        self._protocol: Protocol | None = protocol
+        self._on_failed: Callable[[Failure], None] | None = on_failed
+        self._connector = reactor.connectTCP(*address, self, timeout=None)
+        self._transport = getattr(self._connector, "transport", None)
 
     def stop(self) -> None:
-        """Given up where it is not up yet: failed is called, with UserError."""
-        if self.connector is not None and self.connector.state == "connecting":
-            self.connector.stopConnecting()
-
-    def buildProtocol(self, addr: Any) -> Protocol | None:
-        made, self.made = self.made, None
-        self.failed = self.connector = self.transport = None
-        return made
-
-    def clientConnectionFailed(self, connector: Any, reason: Failure) -> None:
-        failed, self.failed = self.failed, None
-        if self.transport is not None:
+        """Gives up an attempt that is under way: on_failed is called, with UserError."""
+        if self._connector is not None and self._connector.state == "connecting":
+            self._connector.stopConnecting()
+
+    def buildProtocol(self, addr: Any) -> Protocol | None:  # noqa: ARG002 - Twisted's signature
+        """Twisted calls it when the connection is up."""
+        protocol, self._protocol = self._protocol, None
+        self._on_failed = self._connector = self._transport = None
+        return protocol
+
+    def clientConnectionFailed(self, connector: Any, reason: Failure) -> None:  # noqa: ARG002 - Twisted's signature
+        """Twisted calls it when the attempt failed or was stopped."""
+        on_failed, self._on_failed = self._on_failed, None
+        if self._transport is not None:
             # Its own method, bound, while it was connecting; and the loop may call the second after the first failed.
-            self.transport.doRead = self.transport.doWrite = nothing
-        self.made = self.connector = self.transport = None
-        if failed is not None:
-            failed(reason)
+            self._transport.doRead = self._transport.doWrite = _do_nothing
+        self._protocol = self._connector = self._transport = None
+        if on_failed is not None:
+            on_failed(reason)
 
-    def clientConnectionLost(self, connector: Any, reason: Failure) -> None:
+    def clientConnectionLost(self, connector: Any, reason: Failure) -> None:  # noqa: ARG002 - Twisted's signature
+        """Twisted calls it when a connection that was up has ended."""
         transport, connector.transport = connector.transport, None
         transport.connector = None  # its connectionLost has called us by it and asks for it no more
--- a/wickhinge/common/failed_calls.py
+++ b/wickhinge/common/failed_calls.py
@@ -42,6 +42,7 @@
         self.counts: dict[str, int] = {}
 
     def count(self, call: str, error: int | None) -> None:
+        """Notes that a call failed with this errno."""
         name = f"{call} {errorcode.get(error or 0, str(error))}"
         self.counts[name] = self.counts.get(name, 0) + 1
 
