--- a/wickhinge/net/upstream/local_copies.py
+++ b/wickhinge/net/upstream/local_copies.py
@@ -36,10 +36,22 @@
         self.store, self.deadlines, self.pool, self.link, self.within = store, deadlines, pool, link, within
         self.fault, self.others = fault, others
         self.record_request, self.find = store.record_request, store.find
-        self.is_current, self.is_valid = store.is_current, store.is_valid
+        self.is_valid = store.is_valid
+        self._age_limit: Callable[[float], float | None] = lambda now: None
         self.slots = Slots()
         self.served = {"memory": 0, "disk": 0, "told": 0, "late": 0}
 
+    def limit_age(self, limit: Callable[[float], float | None]) -> None:
+        """From now on no copy is current that is older than limit(now) seconds; None: of any age."""
+        self._age_limit = limit
+
+    def is_current(self, copy: Any, now: float) -> bool:
+        """Whether the store vouches for the copy, and it is no older than the limit."""
+        if not self.store.is_current(copy, now):
+            return False
+        limit = self._age_limit(now)
+        return limit is None or self.age(copy, now) <= limit
+
     def age(self, copy: Any, now: float) -> float:
         return now - self.others.earliest(copy.created, now)
 
