--- a/wickhinge/shared/lending_peers.py
+++ b/wickhinge/shared/lending_peers.py
@@ -2,10 +2,11 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable, Collection
+from collections.abc import Collection
 from dataclasses import dataclass, field
 from typing import Any, NamedTuple
 
+from wickhinge.common.log_event import LogEvent
 from wickhinge.peers.detector import FailureDetector
 from wickhinge.peers.messages import MessageKind
 from wickhinge.shared.budgets import Division
@@ -43,7 +44,7 @@
     Messages are sent at once, since loans are short.
     """
 
-    def __init__(self, detector: FailureDetector, division: Division, log: Callable[..., None]) -> None:
+    def __init__(self, detector: FailureDetector, division: Division, log: LogEvent) -> None:
         self._detector = detector
         self._division = division
         self._log = log
--- a/wickhinge/shared/outlier_detection.py
+++ b/wickhinge/shared/outlier_detection.py
@@ -24,6 +24,7 @@
 from collections.abc import Callable
 from typing import Any
 
+from wickhinge.common.log_event import LogEvent, ignore_event
 from wickhinge.common.random_source import shuffle
 from wickhinge.common.sealing import DatagramError
 from wickhinge.common.token_bucket import TokenBucket
@@ -51,10 +52,6 @@
 MAX_WITNESSES_LISTED = 16
 
 
-def _log_nothing(event: str, **fields: Any) -> None:
-    """Stands in where no log is wanted."""
-
-
 def median_pace(servers: list[Any]) -> float:
     """The median of what servers bear of what they should; 1.0 for none."""
     return float(sorted(server.fit / server.best for server in servers)[len(servers) // 2]) if servers else 1.0
@@ -76,7 +73,7 @@
         detector: FailureDetector,
         fleet: Any,
         check_health: Callable[[Any], None],
-        log: Callable[..., None] = _log_nothing,
+        log: LogEvent = ignore_event,
     ) -> None:
         """Begin without evidence.
 
--- a/wickhinge/shared/quota_lending.py
+++ b/wickhinge/shared/quota_lending.py
@@ -19,9 +19,9 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable
 from typing import Any
 
+from wickhinge.common.log_event import LogEvent, ignore_event
 from wickhinge.common.sealing import DatagramError
 from wickhinge.peers.detector import FailureDetector
 from wickhinge.peers.messages import MessageKind
@@ -44,10 +44,6 @@
 RETURN_HYSTERESIS = 0.1  # of the demand
 
 
-def _log_nothing(event: str, **fields: Any) -> None:
-    """Stands in where no log is wanted."""
-
-
 class LendingLimiter:
     """Spends this router's part of the fleet's budgets.
 
@@ -65,7 +61,7 @@
         division: Division,
         scopes: list[BudgetScope],
         now: float,
-        log: Callable[..., None] = _log_nothing,
+        log: LogEvent = ignore_event,
     ) -> None:
         """Attach to the detector's datagrams.
 
--- a/wickhinge/store/tier.py
+++ b/wickhinge/store/tier.py
@@ -5,6 +5,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
+from wickhinge.common.log_event import LogEvent
 from wickhinge.store.admission import AdmissionPolicy, TailEviction
 from wickhinge.store.circuit_breaker import CircuitBreaker
 from wickhinge.store.copies import Copy
@@ -42,7 +43,7 @@
     workers: LaneRunner
     now: Callable[[], float]  # Unix seconds
     after: Callable[..., object]  # after(delay in seconds, call)
-    log: Callable[..., None]  # log(event, **fields)
+    log: LogEvent  # log(event, **fields)
 
 
 @dataclass(slots=True)
