--- a/bench/planted.py
+++ b/bench/planted.py
@@ -5,13 +5,13 @@
 import sys
 
 from wickhinge.net.control.start import main
-from wickhinge.store import volume
+from wickhinge.store import segment_files
 from wickhinge.store.purge_log import PurgeLog
 
 
 def plant(fault: str) -> None:
     if fault == "checksums":
-        volume.body_is_intact = lambda header, body, seed: len(body) == header.size
+        segment_files.body_is_intact = lambda header, body, seed: len(body) == header.size
     elif fault == "purges":  # only their numbers are put down, as if all were well
         append = PurgeLog.append
         PurgeLog.append = lambda self, purges: append(self, [purge._replace(key=0, group=0) for purge in purges])
--- a/bench/store.py
+++ b/bench/store.py
@@ -544,13 +544,13 @@
     def write(self, key: int, part: int, data: bytes) -> None:
         self.serial += 1
         copy = Copy(key, part, 0, b"0123456789abcdef", 1000.0, len(data), self.serial)
-        self.places[key, part] = self.volume.append(copy, data)
+        self.places[key, part] = self.volume.segments.append(copy, data)
 
     def read(self, key: int, part: int) -> bytes:
-        return self.volume.read(self.places[key, part], key, part)
+        return self.volume.segments.read(self.places[key, part], key, part)
 
     def sync(self) -> None:
-        self.volume.begin_segment()
+        self.volume.segments.begin()
 
     def close(self) -> None:
         self.volume.close()
@@ -768,9 +768,9 @@
         count = mb * MEGA // 20_000
         for index in range(count):
             copy = Copy(index // 8, index % 8, 0, b"0123456789abcdef", 1000.0, 20_000, index)
-            copy.place = volume.append(copy, noise[index % 9_973 :][:20_000])
+            copy.place = volume.segments.append(copy, noise[index % 9_973 :][:20_000])
             objects.setdefault(index // 8, []).append(copy)
-        marks = {number: volume.files.size(handle) for number, handle in volume.handles.items()}
+        marks = volume.segments.current_sizes()
         rows = [StoredObject(key, 8, parts) for key, parts in objects.items()]
         volume.write_snapshot(rows, SnapshotMeta(count, list(marks.items()), b""))
         volume.close()
--- a/tests/store/test_store_faults.py
+++ b/tests/store/test_store_faults.py
@@ -66,7 +66,7 @@
 @pytest.mark.parametrize("planted", ["checksums", "purges"])
 def test_check_when_a_fault_is_planted_fails(monkeypatch, planted):
     if planted == "checksums":
-        monkeypatch.setattr("wickhinge.store.volume.body_is_intact", lambda header, body, seed: True)
+        monkeypatch.setattr("wickhinge.store.segment_files.body_is_intact", lambda header, body, seed: True)
     else:
         monkeypatch.setattr(PurgeLog, "append", lambda self, purges: None)
     with pytest.raises(AssertionError):
--- a/tests/store/test_stored_formats.py
+++ b/tests/store/test_stored_formats.py
@@ -95,10 +95,10 @@
 def test_records_when_written_again_are_the_same_bytes(directory):
     volume = maintenance.open_volume(directory)
     count = 0
-    for number in volume.initial_sizes:
+    for number in volume.segments.initial_sizes:
         segment = (DATA / f"segment-{number:010d}.wh").read_bytes()
         seed = file_format.checksum_seed(volume.store_id, number)
-        for head, place in volume.scan(number, 0, verify_bodies=True):
+        for head, place in volume.segments.scan(number, 0, verify_bodies=True):
             body = segment[place.offset + head.header_bytes : place.offset + head.header_bytes + head.size]
             assert body == body_of(head.key, head.part, head.size)
             copy = Copy(head.key, head.part, head.group, head.etag, head.created, head.size, head.serial)
--- a/wickhinge/store/__init__.py
+++ b/wickhinge/store/__init__.py
@@ -7,7 +7,7 @@
 - Decisions, without I/O: admission, frequency, segments, write_rate_limiter, circuit_breaker, purges,
   purge_log_recovery, bandwidth.
 - Bytes: file_format.
-- Files, on worker threads: files, purge_log, snapshots, volume.
+- Files, on worker threads: files, segment_files, purge_log, snapshots, volume.
 - In the reactor's thread: store, and its parts lookup, writing, purging, compaction, snapshotting and recovery, which
   share the state in tier; workers runs their file calls.
 - maintenance is what the command line does with a directory.
--- a/wickhinge/store/compaction.py
+++ b/wickhinge/store/compaction.py
@@ -57,8 +57,8 @@
             if error is not None:
                 tier.record_error("recycle", error)
 
-        tier.runtime.workers.run(Lane.WRITE, lambda: tier.volume.recycle(number), recycled)
-        self._purging.forget(min(tier.space.segments, default=tier.volume.newest_segment))
+        tier.runtime.workers.run(Lane.WRITE, lambda: tier.volume.segments.recycle(number), recycled)
+        self._purging.forget(min(tier.space.segments, default=tier.volume.segments.newest))
 
     def _compact(self, number: int) -> None:
         tier = self._tier
@@ -66,7 +66,7 @@
         tier.space.pin(number)
 
         def scan() -> list[ScannedRecord]:
-            records = tier.volume.scan(number, 0, verify_bodies=False)
+            records = tier.volume.segments.scan(number, 0, verify_bodies=False)
             return [ScannedRecord(header.key, header.part, place) for header, place in records]
 
         def scanned(records: list[ScannedRecord] | None, error: BaseException | None) -> None:
@@ -100,7 +100,7 @@
         tier.space.pin(place.segment)
 
         def append_again() -> Place:
-            return tier.volume.append(copy, tier.volume.read(place, copy.key, copy.part))
+            return tier.volume.segments.append(copy, tier.volume.segments.read(place, copy.key, copy.part))
 
         tier.runtime.workers.run(
             Lane.WRITE, append_again, lambda new_place, error: self._moved(copy, place, new_place, error)
--- a/wickhinge/store/lookup.py
+++ b/wickhinge/store/lookup.py
@@ -84,7 +84,7 @@
                 tier.hold_in_memory(copy, body)
             done(body, False)
 
-        tier.runtime.workers.run(Lane.READ, lambda: tier.volume.read(place, copy.key, copy.part), read_done)
+        tier.runtime.workers.run(Lane.READ, lambda: tier.volume.segments.read(place, copy.key, copy.part), read_done)
 
     def _record_read(self, copy: Copy, place: Place, error: BaseException | None, started: float) -> None:
         tier = self._tier
--- a/wickhinge/store/maintenance.py
+++ b/wickhinge/store/maintenance.py
@@ -60,8 +60,8 @@
     now = time.time()
     return {
         "format": FORMAT_VERSION,
-        "segments": len(volume.initial_sizes),
-        "bytes_on_disk": sum(volume.initial_sizes.values()),
+        "segments": len(volume.segments.initial_sizes),
+        "bytes_on_disk": sum(volume.segments.initial_sizes.values()),
         "copies": len(copies),
         "objects": len({copy.key for copy in copies}),
         "bytes_live": sum(copy.size for copy in copies),
@@ -116,7 +116,7 @@
 def purge(volume: Volume, key: int | None, group: int) -> int:
     """Purge an object, a group, or all (EVERY_GROUP without a key); durable on return. How many copies went."""
     copies = live_copies(volume).values()
-    new_purge = Purge(key, group, time.time(), volume.newest_segment, volume.purges.last_event_number)
+    new_purge = Purge(key, group, time.time(), volume.segments.newest, volume.purges.last_event_number)
     volume.purges.record(new_purge)
     volume.purge_log.append([new_purge])
     return sum(volume.purges.covers(copy.key, copy.group, copy.created) for copy in copies)
@@ -129,12 +129,12 @@
         volume: Open for writing.
         on_progress: Called after each copy with the number that is done and the number of all.
     """
-    live, old_segments = live_copies(volume), list(volume.initial_sizes)
-    bytes_before = sum(volume.initial_sizes.values())
+    live, old_segments = live_copies(volume), list(volume.segments.initial_sizes)
+    bytes_before = sum(volume.segments.initial_sizes.values())
     moved: list[Copy] = []
     for index, copy in enumerate(live.values()):
         try:
-            copy.place = volume.append(copy, _read_body(volume, copy))
+            copy.place = volume.segments.append(copy, _read_body(volume, copy))
             moved.append(copy)
         except DamagedCopyError:
             pass
@@ -142,9 +142,9 @@
             on_progress(index + 1, len(live))
     _write_index(volume, moved, old_segments)
     for number in old_segments:
-        volume.recycle(number)
-    volume.purge_log.rewrite(list(volume.purges), volume.purges.last_event_number, volume.newest_segment)
-    bytes_after = sum(volume.files.size(handle) for handle in volume.handles.values())
+        volume.segments.recycle(number)
+    volume.purge_log.rewrite(list(volume.purges), volume.purges.last_event_number, volume.segments.newest)
+    bytes_after = sum(volume.segments.current_sizes().values())
     return {
         "copies": len(moved),
         "damaged": len(live) - len(moved),
@@ -156,7 +156,7 @@
 def _read_body(volume: Volume, copy: Copy) -> bytes:
     if copy.place is None:
         raise ValueError(f"expected a written copy of object {copy.key:016x} part {copy.part}")
-    return volume.read(copy.place, copy.key, copy.part)
+    return volume.segments.read(copy.place, copy.key, copy.part)
 
 
 def _damaged_purge_logs(volume: Volume, names: list[str]) -> list[str]:
@@ -173,9 +173,7 @@
     objects: dict[int, list[Copy]] = {}
     for copy in copies:
         objects.setdefault(copy.key, []).append(copy)
-    new_sizes = {
-        number: volume.files.size(handle) for number, handle in volume.handles.items() if number not in old_segments
-    }
+    new_sizes = {number: size for number, size in volume.segments.current_sizes().items() if number not in old_segments}
     meta = SnapshotMeta(max((copy.serial for copy in copies), default=0), list(new_sizes.items()), b"")
     rows = [StoredObject(key, max(copy.part for copy in parts) + 1, parts) for key, parts in objects.items()]
     volume.write_snapshot(rows, meta)
--- a/wickhinge/store/purging.py
+++ b/wickhinge/store/purging.py
@@ -73,7 +73,7 @@
                 tier.switch_off(f"purge log: {error}")
 
         tier.runtime.workers.run(
-            Lane.LOG, lambda: log.rewrite(in_force, event_number, tier.volume.newest_segment), rewritten
+            Lane.LOG, lambda: log.rewrite(in_force, event_number, tier.volume.segments.newest), rewritten
         )
 
     def sweep(self) -> None:
--- a/wickhinge/store/recovery.py
+++ b/wickhinge/store/recovery.py
@@ -30,7 +30,7 @@
         """Begin; `on_end` is called in the reactor's thread when all copies are taken over, or after an error."""
         tier = self._tier
         tier.is_recovering = True
-        for number, size in tier.volume.initial_sizes.items():
+        for number, size in tier.volume.segments.initial_sizes.items():
             tier.space.add(number, size, is_sealed=True)
         if tier.volume.distrusted:
             tier.runtime.log("store_copies_discarded", dir=tier.volume.path)
--- a/wickhinge/store/store.py
+++ b/wickhinge/store/store.py
@@ -107,7 +107,7 @@
 
     def purge(self, key: int | None, group: int, timestamp: float, event_number: int) -> None:
         """Put a purge in force at once, and on disk soon after; only then is its number known there."""
-        newest_segment = max(self.tier.volume.newest_segment, 1)
+        newest_segment = max(self.tier.volume.segments.newest, 1)
         number = event_number if self.tier.limits.events_continue else 0
         self.purging.record(Purge(key, group, timestamp, newest_segment, number))
 
--- a/wickhinge/store/writing.py
+++ b/wickhinge/store/writing.py
@@ -62,7 +62,7 @@
         tier.evict(tier.admission.add(copy))
         tier.runtime.workers.run(
             Lane.WRITE,
-            lambda: tier.volume.append(copy, body),
+            lambda: tier.volume.segments.append(copy, body),
             lambda place, error: self._written(copy, body, place, error),
         )
 
