--- a/wickhinge/net/control/changelog_client.py
+++ b/wickhinge/net/control/changelog_client.py
@@ -9,9 +9,13 @@
 
 from typing import Any
 
-from wickhinge.changelog.entries import Entry, Purge, Setting, understood
+import msgspec
+
+from wickhinge.changelog.context import Runtime
+from wickhinge.changelog.endpoint import EndpointConfig
+from wickhinge.changelog.entries import Entry, Purge, Setting, is_understood
+from wickhinge.changelog.follower_endpoint import FollowerEndpoint
 from wickhinge.changelog.log import Snapshot
-from wickhinge.changelog.nodes import FollowerNode
 from wickhinge.changelog.settings import FollowSettings
 from wickhinge.changelog.settings_table import JOURNAL, SettingsTable
 from wickhinge.fields import Malformed, endpoint
@@ -25,23 +29,23 @@
     """`options`: the settings of the change log. Raises Malformed with the faulty key."""
 
     def __init__(self, options: Changelog, name: str, node: Any) -> None:
-        if len(name.encode()) > options_of.MOST_NAME:
-            raise Malformed(f"config: field name is over {options_of.MOST_NAME} bytes, too long for the change log")
+        if len(name.encode()) > options_of.MAX_NAME_BYTES:
+            raise Malformed(
+                f"config: field name is over {options_of.MAX_NAME_BYTES} bytes, too long for the change log"
+            )
         self._options, self._node, self._log = options, node, node.log.event
         self.settings = SettingsTable(self._log)
         self.settings.subscribe(JOURNAL, self._node.move_endpoint_watch)
-        self.follower = FollowerNode(
-            name,
-            endpoint(options.bind) or ANY_ADDRESS,
-            options_of.addresses(options.relays),
-            options_of.read_keys(options),
-            node.reactor,
-            self._apply,
-            self._reset,
+        self.follower = FollowerEndpoint(
+            EndpointConfig(
+                name,
+                endpoint(options.bind) or ANY_ADDRESS,
+                options_of.addresses(options.relays),
+                options_of.read_keys(options),
+            ),
+            Runtime(node.reactor, log=self._log, call_later=node.deadlines.after),
+            self,
             FollowSettings(bound_s=options.bound_s, ingest_s=options.ingest_s),
-            log=self._log,
-            call_later=node.deadlines.after,
-            on_tick=self._note_state,
         )
         self._limited = True  # as at the last tick: the age of copies is limited
         self._source = ""
@@ -69,10 +73,10 @@
 
     def limit(self, now: float) -> float | None:
         """The greatest age of a copy that may be served, whatever the time of day is."""
-        return self.follower.oldest(self._options.grace_s)
+        return self.follower.max_copy_age_s(self._options.grace_s)
 
     def figures(self) -> dict[str, Any]:
-        machine, now = self.follower.machine, self.follower.clock()
+        machine, now = self.follower.state_machine, self.follower.clock()
         until = machine.informed_until(now)
         return {
             "epoch": machine.epoch,
@@ -83,19 +87,19 @@
             "skipped": machine.skipped,
             "not_understood": machine.not_understood,
             "settings": {row.name: row.state.value for row in self.settings.rows.values()},
-            **{field: getattr(self.follower.counters, field) for field in self.follower.counters.__struct_fields__},
+            **msgspec.to_builtins(self.follower.counters),
         }
 
-    def _apply(self, entry: Entry) -> None:
+    def apply_entry(self, entry: Entry) -> None:
         change = entry.change
         if isinstance(change, Purge):
             self._node.updates.purge(change.key, change.group, change.stamp_ms, 0)
         elif isinstance(change, Setting):
             self.settings.put(change)
-        elif not understood(change):
+        elif not is_understood(change):
             self._log("changelog_not_understood", number=entry.number)
 
-    def _reset(self, snapshot: Snapshot) -> None:
+    def load_snapshot(self, snapshot: Snapshot) -> None:
         """Purges of a snapshot are taken together: a start may bring thousands of them."""
         for purge in snapshot.purges:
             self._node.updates.record_purge(purge.key, purge.group, purge.stamp_ms, 0)
@@ -113,11 +117,11 @@
         )
         self.settings.replace(snapshot.settings)
 
-    def _note_state(self) -> None:
+    def after_tick(self) -> None:
         """Logs what changed since the last tick. What was decided without a limit, and is not written yet, is decided
         anew once there is one: it may be written much later.
         """
-        source = self.follower.machine.source
+        source = self.follower.state_machine.source
         if source != self._source:
             self._source = source
             self._log("changelog_source", relay=source)
