--- a/wickhinge/changelog/feed.py
+++ b/wickhinge/changelog/feed.py
@@ -74,20 +74,24 @@
         self.token.record(packet.token, now)
 
 
-class TokenBucket:
-    """`rate` units a second, at most `burst` saved up; one taking may overdraw it."""
+class CatchUpBudget:
+    """A token bucket of `rate` bytes a second that saves up `burst` bytes and that one answer may overdraw.
+
+    `common.token_bucket` refuses what it does not cover; here a whole answer is sent once there is any credit, so that
+    the largest one never waits for ever.
+    """
 
     def __init__(self, rate: float, burst: float, now: float) -> None:
         self._rate, self._burst, self._level, self._refilled_at = rate, burst, burst, now
 
     def has_credit(self, now: float) -> bool:
-        """Refills the bucket; whether something may be taken."""
+        """Adds the credit of the time since the last call; whether something may be sent."""
         self._level = min(self._level + self._rate * max(now - self._refilled_at, 0.0), self._burst)
         self._refilled_at = now
         return self._level > 0
 
     def take(self, amount: float) -> None:
-        """Takes an amount, also where there is less."""
+        """Spends so many bytes, also where there are fewer."""
         self._level -= amount
 
 
@@ -136,7 +140,7 @@
         self._log, self._settings, self._term_at = log, settings, term_at
         self._subscribers: dict[str, Subscriber] = {}
         self._pending_requests: dict[str, Fetch | FetchSnapshot] = {}  # one for each subscriber, served in turn
-        self._bucket = TokenBucket(settings.catch_up_bytes_per_s, settings.catch_up_burst_bytes, now)
+        self._budget = CatchUpBudget(settings.catch_up_bytes_per_s, settings.catch_up_burst_bytes, now)
         self._snapshots: list[CachedSnapshot] = []  # the youngest last
         self._pushed = log.last  # entries up to here went to the subscribers
         self._epoch = log.epoch
@@ -255,11 +259,11 @@
     def _serve(self, now: float, confirmed_until: float | None) -> list[Send]:
         """Answers requests in the order in which they came, each with a few datagrams, while the rate allows."""
         sends = []
-        while self._pending_requests and self._bucket.has_credit(now):
+        while self._pending_requests and self._budget.has_credit(now):
             name = next(iter(self._pending_requests))
             subscriber, request = self._subscribers[name], self._pending_requests.pop(name)
             for message, size_bytes in self._answers(request, now, confirmed_until):
-                self._bucket.take(size_bytes + MESSAGE_OVERHEAD_BYTES)
+                self._budget.take(size_bytes + MESSAGE_OVERHEAD_BYTES)
                 sends.append(self._send(subscriber, message, now))
         return sends
 
--- a/wickhinge/changelog/settings.py
+++ b/wickhinge/changelog/settings.py
@@ -27,17 +27,17 @@
 
     bound_s: float = 3.1  # knowledge older than this makes the follower uninformed
     ingest_s: float = 0.5  # from a purge's stamp to its place at the replicas' majority, at most
-    subscribe_interval_s: float = 1.0  # between two of its own heartbeats
+    subscribe_interval_s: float = 1.0  # between two subscriptions, which are its heartbeats
     source_timeout_s: float = 1.5  # a source silent for so long is left
-    max_lag_s: float = 0.7  # a source behind the second one for so long, or by so much, is left
+    max_lag_s: float = 0.7  # a source behind the secondary one for so long, or by so much, is left
     gap_wait_s: float = 0.06  # before what is missing is asked for; entries may come out of order
     fetch_timeout_s: float = 0.25  # before a request for missing entries is repeated, doubled each time
     max_fetch_timeout_s: float = 2.0
-    secondary_rotation_s: float = 20.0  # between two changes of the second source
-    return_delay_s: float = 5.0  # a preferred source is returned to after being heard for so long
-    max_buffered_entries: int = 4096  # entries held back because earlier ones are missing
+    secondary_rotation_s: float = 20.0  # between two changes of the secondary source
+    return_delay_s: float = 5.0  # a preferred source is returned to after packets came from it for so long
+    max_buffered_entries: int = 4096  # early entries, while others are missing before them
     dispute_valid_s: float = 4.0  # a digest compared with another source's counts for so long
-    digests: int = 1024  # own digests remembered for comparing
+    max_digests: int = 1024  # of the own log, remembered for comparing
 
 
 class ReplicaSettings(msgspec.Struct, frozen=True):
@@ -46,7 +46,7 @@
     heartbeat_interval_s: float = 0.1  # between two rounds of a leader
     election_timeout_s: float = 0.6  # silence before an election, up to twice as long by chance
     max_uncommitted: int = 8192  # proposals that wait for a majority; more are refused
-    retain: int = 16384  # committed records kept for slow replicas and for subscribers
+    retain: int = 16384  # committed records, for slow replicas and for subscribers
     purge_horizon_s: float = 120.0
     feed: FeedSettings = FeedSettings(batch_interval_s=0.05, heartbeat_interval_s=0.25, max_subscribers=64)
 
--- a/wickhinge/changelog/settings_table.py
+++ b/wickhinge/changelog/settings_table.py
@@ -1,7 +1,7 @@
 """The settings that the change log has put in force at a router, and who is notified of each. No I/O.
 
 A value that does not fit is refused by name, and what was in force before stays in force. A name that this version
-does not know is kept and shown, so that an operator sees that it came here.
+does not know is stored and shown, so that an operator sees that it came here.
 """
 
 from __future__ import annotations
--- a/wickhinge/changelog/sources.py
+++ b/wickhinge/changelog/sources.py
@@ -60,7 +60,7 @@
     """The source that is followed (`current`) and the one whose heartbeats are compared with it (`secondary`).
 
     `names` are in order of preference, each once. `random_fraction()` gives numbers in [0, 1). Times are those of the
-    process's own clock, in seconds. Raises ValueError where `names` is empty or holds a name twice.
+    process's clock, in seconds. Raises ValueError where `names` is empty or holds a name twice.
     """
 
     def __init__(
--- a/wickhinge/changelog/subscription.py
+++ b/wickhinge/changelog/subscription.py
@@ -49,7 +49,7 @@
 
     def __init__(self, context: ProcessContext, sources: Sequence[str], settings: FollowSettings, now: float) -> None:
         self._context, self._settings = context, settings
-        self.sequencer = self.sequencer_type(settings.max_buffered_entries, settings.digests)
+        self.sequencer = self.sequencer_type(settings.max_buffered_entries, settings.max_digests)
         self.sources = Sources(sources, settings, context.random_fraction, now)
         self.dispute_records = self.dispute_records_type(self.sequencer, settings.dispute_valid_s)
         self.highest_epoch = 0
