--- a/tests/changelog/test_router_changes.py
+++ b/tests/changelog/test_router_changes.py
@@ -15,6 +15,7 @@
 from wickhinge.changelog.log import Snapshot
 from wickhinge.fields import Malformed
 from wickhinge.net.control.changelog_client import ChangelogClient
+from wickhinge.net.upstream.local_copies import LocalCopies
 from wickhinge.options.load import parse_options
 from wickhinge.routing.purges import Purges
 
@@ -24,28 +25,32 @@
     (tmp_path / "key").write_bytes(KEY)
     options = parse_options(ON.replace("/k", str(tmp_path / "key")) + "}", "x").changelog
     told = []
+    store = SimpleNamespace(
+        record_request=None, find=None, is_valid=None, is_current=lambda copy, now: copy.created > 0
+    )
     node = SimpleNamespace(
         reactor=sockets,
         deadlines=SimpleNamespace(after=sockets.callLater),
         log=SimpleNamespace(event=lambda event, **fields: told.append(event)),
         router=SimpleNamespace(purges=Purges(6.0)),
-        copies=SimpleNamespace(proven=lambda copy, now: copy.made > 0, age=lambda copy, now: now - copy.made),
+        copies=LocalCopies(store, None, None, None, 0.1, None, SimpleNamespace(earliest=lambda made, now: made)),
         forwards=SimpleNamespace(overtaken=lambda holds: told.append(holds)),
-        move_journal=lambda address: told.append(address),
-        purge=lambda *given: told.append(given),
-        take_purge=lambda *given: told.append(given),
+        move_endpoint_watch=lambda address: told.append(address),
+        updates=SimpleNamespace(
+            purge=lambda *given: told.append(given), record_purge=lambda *given: told.append(given)
+        ),
     )
     made = ChangelogClient(options, "n1", node)
     made.node, made.told, made.options = node, told, options
     return made
 
 
-def test_own_copies_when_over_the_limit_are_not_proven(changes):
-    young, old, unproven = (SimpleNamespace(made=made) for made in (999.0, 990.0, 0.0))
-    proven = changes.node.copies.proven
-    assert [proven(copy, 1000.0) for copy in (young, old, unproven)] == [True, False, False]
+def test_own_copies_when_over_the_limit_are_not_current(changes):
+    young, old, unproven = (SimpleNamespace(created=created) for created in (999.0, 990.0, 0.0))
+    is_current = changes.node.copies.is_current
+    assert [is_current(copy, 1000.0) for copy in (young, old, unproven)] == [True, False, False]
     changes.follower.max_copy_age_s = lambda grace: None
-    assert [proven(copy, 1000.0) for copy in (young, old, unproven)] == [True, True, False]
+    assert [is_current(copy, 1000.0) for copy in (young, old, unproven)] == [True, True, False]
 
 
 def test_limit_when_the_time_of_day_differs_is_the_same(changes):
--- a/wickhinge/cli/store.py
+++ b/wickhinge/cli/store.py
@@ -27,12 +27,12 @@
 
 def open_volume(path: str, *, write: bool = False) -> Any:
     """The copies of a directory; ends the process where it is no store."""
-    from wickhinge.store import tools
-    from wickhinge.store.volume import Unusable
+    from wickhinge.store import maintenance
+    from wickhinge.store.errors import UnusableDirectoryError
 
     try:
-        return tools.opened(path, write)
-    except Unusable as problem:
+        return maintenance.open_volume(path, write=write)
+    except UnusableDirectoryError as problem:
         fail(str(problem))
 
 
@@ -40,9 +40,9 @@
 @directory_command
 def stat(dir: str, as_json: bool) -> None:
     """Sizes and counts, as a start would find them."""
-    from wickhinge.store import tools
+    from wickhinge.store import maintenance
 
-    print_answer(tools.stat(open_volume(dir)), as_json)
+    print_answer(maintenance.stat(open_volume(dir)), as_json)
 
 
 @store.command("ls")
@@ -53,9 +53,9 @@
     """The copies, the latest used first; with --json one object a line."""
     from itertools import islice
 
-    from wickhinge.store import tools
+    from wickhinge.store import maintenance
 
-    for row in islice(tools.listed(open_volume(dir), hexadecimal(key)), limit):
+    for row in islice(maintenance.list_copies(open_volume(dir), hexadecimal(key)), limit):
         if as_json:
             print_json(row)
         else:
@@ -78,9 +78,9 @@
 @directory_command
 def verify(dir: str, as_json: bool) -> None:
     """Read everything and hold it against its checksums; 1 if anything is damaged."""
-    from wickhinge.store import tools
+    from wickhinge.store import maintenance
 
-    answer = tools.verify(open_volume(dir))
+    answer = maintenance.verify(open_volume(dir))
     print_answer(answer, as_json)
     sys.exit(WRONG if answer["damaged"] else 0)
 
@@ -92,13 +92,13 @@
 @click.option("--all", "every", is_flag=True, help="Everything.")
 def purge(dir: str, as_json: bool, key: str | None, group: int | None, every: bool) -> None:
     """Purge copies while no router uses the directory."""
-    from wickhinge.store import tools
+    from wickhinge.store import maintenance
 
     if (key is not None) + (group is not None) + every != 1:
         raise click.UsageError("give one of --object, --group and --all")
     volume = open_volume(dir, write=True)
     try:
-        purged = tools.purge(volume, hexadecimal(key), group if group is not None else -1 if every else 0)
+        purged = maintenance.purge(volume, hexadecimal(key), group if group is not None else -1 if every else 0)
     except OSError as problem:
         fail(f"{dir}: {problem.strerror}")
     finally:
@@ -110,12 +110,12 @@
 @directory_command
 def compact(dir: str, as_json: bool) -> None:
     """Write what counts anew and recycle the rest, while no router uses the directory."""
-    from wickhinge.store import tools
+    from wickhinge.store import maintenance
 
     volume = open_volume(dir, write=True)
     try:
         shows_progress = not as_json and sys.stderr.isatty()
-        print_answer(tools.compact(volume, show_progress if shows_progress else None), as_json)
+        print_answer(maintenance.compact(volume, show_progress if shows_progress else None), as_json)
     except OSError as problem:
         fail(f"{dir}: {problem.strerror}")
     finally:
--- a/wickhinge/net/control/peer_transport.py
+++ b/wickhinge/net/control/peer_transport.py
@@ -67,26 +67,26 @@
         """Cold machines' limits are asked of the fleet's budgets from now on; judgements: and machines told of;
         counts: and what is out there.
         """
-        from wickhinge.shared import cold
-        from wickhinge.shared.counts import Counts
-        from wickhinge.shared.judge import Judge
-        from wickhinge.shared.lending import LendingLimiter
-        from wickhinge.shared.riding import Riding
+        from wickhinge.shared import slow_start_quota
+        from wickhinge.shared.outlier_detection import OutlierDetector
+        from wickhinge.shared.piggyback import Piggyback
+        from wickhinge.shared.quota_lending import LendingLimiter
+        from wickhinge.shared.request_tallies import RequestTallies
 
         def log(event: str, **told: Any) -> None:
             self.log(f"shared_{event}", **told)
 
         fleet = self.node.router.fleet
         self.limiter = LendingLimiter(
-            self.detector, division, cold.budgets(self.detector.roster.local.zone), clock(), log
+            self.detector, division, slow_start_quota.budget_scopes(self.detector.roster.local.zone), clock(), log
         )
         if judgements:
-            self.judge = Judge(self.detector, fleet, self.node.probe, log)
+            self.judge = OutlierDetector(self.detector, fleet, self.node.check_health, log)
         if counts:
-            self.counts = Counts(self.detector, fleet, clock())
-        Riding(self.detector, [self.limiter, self.judge, self.counts])
-        room = cold.Colds(self.limiter).room
-        fleet.dealt = lambda *asked: room(*asked, clock())
+            self.counts = RequestTallies(self.detector, fleet, clock())
+        Piggyback(self.detector, [self.limiter, self.judge, self.counts])
+        quotas = slow_start_quota.SlowStartQuotas(self.limiter)
+        fleet.dealt = lambda *asked: quotas.admits(slow_start_quota.SlowStartRequest(*asked), clock())
 
     def start(self) -> None:
         """Raises OSError where our address of the roster cannot be had: another process has the name here."""
@@ -251,7 +251,7 @@
 
 def divided(options: Any, roster: Roster, zone: str) -> Any:
     """The Division. Raises Malformed where the roster's zones are not the platform's."""
-    from wickhinge.shared.lending import Division
+    from wickhinge.shared.budgets import Division
 
     mine = roster.local
     if mine.zone != zone and any(one.zone for one in roster.entries.values()):
--- a/wickhinge/net/upstream/local_copies.py
+++ b/wickhinge/net/upstream/local_copies.py
@@ -10,11 +10,14 @@
 from wickhinge.net.runtime.buffers import Body, BufferPool
 from wickhinge.net.runtime.deadlines import Deadlines
 from wickhinge.net.runtime.slots import Slots
-from wickhinge.store.link import Link
-from wickhinge.store.store import Store
-from wickhinge.store.store import make as make_store
+from wickhinge.store.bandwidth import LinkBandwidth
+from wickhinge.store.store import Store, start_store
+from wickhinge.store.tier import Runtime
+from wickhinge.store.workers import Workers
+from wickhinge.store.writing import CopyOffer
 
 TOLD = 0.05  # of a copy's bytes: what telling a client that its own is the one costs
+MAX_READ_THREADS = 8
 
 
 class LocalCopies:
@@ -25,7 +28,7 @@
         store: Store,
         deadlines: Deadlines,
         pool: BufferPool,
-        link: Link,
+        link: LinkBandwidth,
         within: float,
         fault: Callable[[str], None],
         others: OthersTime,
@@ -33,21 +36,33 @@
         self.store, self.deadlines, self.pool, self.link, self.within = store, deadlines, pool, link, within
         self.fault, self.others = fault, others
         self.record_request, self.find = store.record_request, store.find
-        self.is_current, self.is_valid = store.is_current, store.is_valid
+        self.is_valid = store.is_valid
+        self._age_limit: Callable[[float], float | None] = lambda now: None
         self.slots = Slots()
         self.served = {"memory": 0, "disk": 0, "told": 0, "late": 0}
 
+    def limit_age(self, limit: Callable[[float], float | None]) -> None:
+        """From now on no copy is current that is older than limit(now) seconds; None: of any age."""
+        self._age_limit = limit
+
+    def is_current(self, copy: Any, now: float) -> bool:
+        """Whether the store vouches for the copy, and it is no older than the limit."""
+        if not self.store.is_current(copy, now):
+            return False
+        limit = self._age_limit(now)
+        return limit is None or self.age(copy, now) <= limit
+
     def age(self, copy: Any, now: float) -> float:
-        return now - self.others.earliest(copy.made, now)
+        return now - self.others.earliest(copy.created, now)
 
     def transfer_end(self, copy: Any, now: float) -> float:
-        return self.link.ends(copy.size, now)
+        return self.link.transfer_end(copy.size, now)
 
     # Answers out of copies.
 
     def read(self, door: Any, copy: Any) -> None:
         number = self.slots.put((door, copy))
-        if door.cached and door.cached.encode() == copy.tag:
+        if door.cached and door.cached.encode() == copy.etag:
             self.deadlines.soon(self.ended, number, True, "told")
             return
         self.deadlines.after(self.within, self.ended, number, None, "late")
@@ -68,7 +83,7 @@
         try:
             if door.visit.copy_read(copy, data is not None, now):
                 self.served[how] += 1
-                self.link.send(int(copy.size * TOLD) if data is True else copy.size, now)
+                self.link.record_transfer(int(copy.size * TOLD) if data is True else copy.size, now)
                 door.serve(None if data is True else Body(self.pool, data), data is True)
         except Exception:
             self.fault("copies")
@@ -89,14 +104,15 @@
             return
         tag = told.get("etag", "").encode()
         key, part, now = visit.item.key, visit.part, self.deadlines.now()
-        if self.store.wants(key, part, visit.group, tag, int(made) / 1000.0, body.length, now):
-            self.store.take(key, part, visit.group, tag, int(made) / 1000.0, b"".join(body.views()))
+        offer = CopyOffer(key, part, visit.group, tag, int(made) / 1000.0, body.length)
+        if self.store.admit(offer, now):
+            self.store.write(offer, b"".join(body.views()))
 
     def renewed(self, copy: Any, told: dict[str, str]) -> None:
         """A cache answered that ours is the one."""
         made = told.get("made", "")
         if made.isdigit() and len(made) <= 16:
-            self.store.renewed(copy, int(made) / 1000.0)
+            self.store.revalidate(copy, int(made) / 1000.0)
 
     def figures(self) -> dict[str, Any]:
         return {**self.store.figures(), "served": self.served}
@@ -112,7 +128,8 @@
     fault: Callable[[str], None],
     others: OthersTime,
 ) -> LocalCopies | None:
-    store = make_store(options.store, options.journal, reactor, deadlines.now, deadlines.after, log, fault)
+    workers = Workers(reactor, min(options.store.reads_at_once, MAX_READ_THREADS), fault)
+    store = start_store(options.store, options.journal, Runtime(workers, deadlines.now, deadlines.after, log))
     if store is None:
         return None
-    return LocalCopies(store, deadlines, pool, Link(*link), options.store.read_within_s, fault, others)
+    return LocalCopies(store, deadlines, pool, LinkBandwidth(*link), options.store.read_within_s, fault, others)
