--- a/wickhinge/changelog/context.py
+++ b/wickhinge/changelog/context.py
@@ -11,13 +11,7 @@
 
 from wickhinge.changelog.echo_tokens import SESSION_BITS
 from wickhinge.changelog.messages import NEWEST_FORMAT
-
-
-class EventLogger(Protocol):
-    """Writes one log line: an event's name and its fields."""
-
-    def __call__(self, event: str, **fields: Any) -> None:
-        """Writes the line."""
+from wickhinge.common.log_event import LogEvent, ignore_event
 
 
 class LaterCaller(Protocol):
@@ -54,10 +48,6 @@
     return int.from_bytes(os.urandom(SESSION_BITS // 8), "big")
 
 
-def ignore_event(event: str, **fields: Any) -> None:  # noqa: ARG001 - the names are those of EventLogger
-    """An EventLogger that writes nothing."""
-
-
 @dataclass(frozen=True, slots=True)
 class Runtime:
     """The reactor, clock, timers, randomness and log that an endpoint uses.
@@ -73,7 +63,7 @@
 
     reactor: Any
     clock: Callable[[], float] = boottime
-    log: EventLogger = ignore_event
+    log: LogEvent = ignore_event
     call_later: LaterCaller | None = None
     random_fraction: Callable[[], float] = random.random
     newest_format: int = NEWEST_FORMAT
--- a/wickhinge/changelog/settings_table.py
+++ b/wickhinge/changelog/settings_table.py
@@ -12,8 +12,8 @@
 
 import msgspec
 
-from wickhinge.changelog.context import EventLogger
 from wickhinge.changelog.entries import Setting
+from wickhinge.common.log_event import LogEvent
 from wickhinge.fields import Malformed, endpoint
 
 JOURNAL = "journal"
@@ -57,7 +57,7 @@
 class SettingsTable:
     """The settings by name, in `rows`. `subscribe` is called first, then `put` and `replace` as the log goes on."""
 
-    def __init__(self, log: EventLogger) -> None:
+    def __init__(self, log: LogEvent) -> None:
         self._log = log
         self._subscribers: dict[str, Callable[[Any], None]] = {}
         self.rows: dict[str, SettingRow] = {}
--- a/wickhinge/cli/changelog.py
+++ b/wickhinge/cli/changelog.py
@@ -85,7 +85,12 @@
     from wickhinge.net.runtime.log import Log
 
     try:
-        runtime = Runtime(reactor, log=Log(STANDARD_OUTPUT, name, time.time).event)
+        log = Log(STANDARD_OUTPUT, name, time.time)
+
+        def write_event(event: str, /, **fields: object) -> None:
+            log.event(event, **fields)
+
+        runtime = Runtime(reactor, log=write_event)
         code = Daemon(name, read_settings(options), runtime, reload_options, storage).run()
     except (Malformed, OSError) as error:
         fail(str(error))
