--- a/wickhinge/changelog/__init__.py
+++ b/wickhinge/changelog/__init__.py
@@ -7,6 +7,6 @@
 
 State machines, without I/O: entries, log, echo_tokens, confirmations, feed, relay; sequencer, dispute_records,
 sources, subscription, follower; records, ballot, leadership, replica; addresses, proposals, settings_table. Encoding:
-binary_fields, messages, message_codecs, codec, snapshots. Doing I/O: storage, endpoint and its roles, administration,
-daemon.
+binary_fields, messages, message_codecs, codec, snapshots, record_blocks. Doing I/O: storage, endpoint and
+its roles, administration, daemon.
 """
