--- a/bench/discovery.py
+++ b/bench/discovery.py
@@ -235,15 +235,15 @@
         first = [
             place * 0.5 for place in sorted(self.buckets) if self.buckets[place][1] >= 0.9 * self.buckets[place][0]
         ]
-        taken = [event["t"] for event in self.router.events("list") if event["whole"]]
-        reached = [event["t"] for event in self.router.events("journal_up")]
+        taken = [event["t"] for event in self.router.events("endpoints_updated") if event["complete"]]
+        reached = [event["t"] for event in self.router.events("endpoint_watch_connected")]
         return {
             "served_share": round(sum(one[1] for one in away) / max(sum(one[0] for one in away), 1), 3),
             "served_from_s": first[0] if first else None,
             "takeover_ms": round((min(taken) - min(reached)) * 1000, 1) if taken and reached else None,
             "reached_ms": round((min(reached) - self.service) * 1000) if reached else None,
             "wrong_sends": self.counted["exclusive_to_unproven"] + self.counted["to_drained"],
-            "faults": len(self.router.events("fault")),
+            "faults": len(self.router.events("router_fault")),
             "by_kind": dict(self.by_kind),
             **self.counted,
         }
--- a/bench/scale/fleet_real.py
+++ b/bench/scale/fleet_real.py
@@ -18,7 +18,7 @@
 
 LISTEN_BLOCK = "127.91.1"
 FIRST_PLACE = 100
-OPEN = b'"event":"open"'
+OPEN = b'"event":"listener_opened"'
 
 
 def free_port(host: str) -> int:
@@ -73,8 +73,8 @@
     times: dict[int, float] = {}
     faults = 0
     for line in output.read_bytes().splitlines():
-        faults += b'"event":"fault"' in line or line.startswith(b"Traceback")
-        if b'"event":"purge"' not in line:
+        faults += b'"event":"router_fault"' in line or line.startswith(b"Traceback")
+        if b'"event":"purge_applied"' not in line:
             continue
         event = orjson.loads(line)
         key = int(event["key"], 16)
--- a/bench/start.py
+++ b/bench/start.py
@@ -83,7 +83,7 @@
 
 def wait_until_open(child: subprocess.Popen[bytes], since: float, results: list[Start]) -> None:
     for line in child.stdout or ():
-        if b'"event":"open"' in line:
+        if b'"event":"listener_opened"' in line:
             results.append(Start(time.monotonic() - since, cpu_seconds(child.pid)))
             return
 
--- a/bench/store.py
+++ b/bench/store.py
@@ -313,7 +313,7 @@
         answer["log"] = {
             event["event"]: event
             for event in made.router.events(
-                "store_recovered", "store_distrusted", "store_off", "store_bypassed", "fault", "store_trusted"
+                "store_recovered", "store_distrusted", "store_off", "store_bypassed", "router_fault", "store_trusted"
             )
         }
         answer["log"] = {
--- a/tests/bench/test_bench_store.py
+++ b/tests/bench/test_bench_store.py
@@ -24,7 +24,7 @@
     told = told[how]
     assert (told["corrupt"], told["older_than_purge"], told["too_old"], told["lost_visits"]) == (0, 0, 0, 0)
     assert told["kills"] == 5 and told["served_from_disk"] > 200 and told["served_from_earlier_start"] > 50
-    assert "fault" not in told["log"]
+    assert "router_fault" not in told["log"]
 
 
 @pytest.mark.parametrize("plant, found", [("checksums", "corrupt"), ("purges", "older_than_purge")])
--- a/tests/membership/test_discovery.py
+++ b/tests/membership/test_discovery.py
@@ -76,7 +76,11 @@
     other, address = second(deployment, tmp_path / "b", f"127.0.0.1:{port}", extra)
     try:
         assert other.wait('"source":"sibling"' if served else '"event":"membership_exchange_failed"')
-        assert '"trusted"' in other.wait('"event":"open"') if served else other.wait('"event":"open"')
+        assert (
+            '"trusted"' in other.wait('"event":"listener_opened"')
+            if served
+            else other.wait('"event":"listener_opened"')
+        )
         assert honoured(Client(address), PATIENT if served else 1.0) is served
     finally:
         other.close()
@@ -114,7 +118,7 @@
         env = {**os.environ, "RELAY_CONFIG": str(deployment.path)}
         deployment.router = Process("-m", "wickhinge", env=env)
         assert '"source":"remembered"' in deployment.router.wait('"event":"membership_source_changed"')
-        assert '"trusted"' in deployment.router.wait('"event":"open"')
+        assert '"trusted"' in deployment.router.wait('"event":"listener_opened"')
         assert honoured(deployment.client(), PATIENT)
     finally:
         deployment.close()
--- a/tests/net/test_clock_wrong_at_start.py
+++ b/tests/net/test_clock_wrong_at_start.py
@@ -24,7 +24,7 @@
     """Tells of a purge, by default of the object that clients ask for; its time of day by the right clock."""
     stamp = unix_ms()
     made.tell(endpoint_watch.FrameKind.OBJECT_PURGED, endpoint_watch.OBJECT_PURGE.pack(key, stamp))
-    made.router.wait('"event":"purge"')
+    made.router.wait('"event":"purge_applied"')
     return stamp
 
 
@@ -101,7 +101,7 @@
     """
     made, _ = faulty(before=lambda shim: shim.step_wall_clock(off))
     made.tell(endpoint_watch.FrameKind.ALL_ENDPOINTS, records(made.places, unix_ms() - int(age * 1000)))
-    made.router.wait('"event":"list"')
+    made.router.wait('"event":"endpoints_updated"')
     client = made.client()
     client.ask("pages", block="7")
     made.places[0].settimeout(COLD)
--- a/tests/net/test_crossings.py
+++ b/tests/net/test_crossings.py
@@ -62,7 +62,7 @@
     call = client.ask(budget="6000")
     assert client.ping()
     made.tell(3, endpoint_watch.OBJECT_PURGE.pack(OBJECT, int(time.time() * 1000) - 1))
-    made.router.wait('"event":"purge"')
+    made.router.wait('"event":"purge_applied"')
     asked = late().next()
     assert int(asked.fields["maxage"]) < 2000  # without a purge it is not named: the fresh time of the tariff
     asked.answer("OK", SERVED, b"x")
@@ -81,7 +81,7 @@
         assert client.ping()
     else:
         client.socket.close()
-        made.router.wait('"event":"client_lost"')
+        made.router.wait('"event":"client_connection_lost"')
     connection = late()
     assert other.ping() and other.ping()
     made.router.close()
--- a/tests/net/test_descriptors.py
+++ b/tests/net/test_descriptors.py
@@ -117,7 +117,7 @@
     address = made.service.getsockname()
     made.service.close()
     made.journal.close()
-    made.router.wait("journal_lost")
+    made.router.wait("endpoint_watch_lost")
     return address
 
 
--- a/tests/net/test_failing_calls.py
+++ b/tests/net/test_failing_calls.py
@@ -211,7 +211,7 @@
     text = path.read_text().replace(*("{}:{}".format(*place.getsockname()) for place in (made.service, other)))
     path.write_text(text[: len(text) // 2])
     os.kill(made.router.child.pid, signal.SIGHUP)
-    made.router.wait("reload_failed")
+    made.router.wait("config_reload_failed")
     path.write_text(text)
     moved = made.take(other)
     assert int.from_bytes(moved.recv(8)) == made.number
--- a/tests/net/test_request_log.py
+++ b/tests/net/test_request_log.py
@@ -115,4 +115,4 @@
     made.router.child.poll()
     time.sleep(0.7)
     os.kill(pid, signal.SIGCONT)
-    assert json.loads(made.router.wait("stood_still"))["ms"] >= 400
+    assert json.loads(made.router.wait("event_loop_stalled"))["duration_ms"] >= 400
--- a/tests/net/test_sockets.py
+++ b/tests/net/test_sockets.py
@@ -59,21 +59,21 @@
     client.answer(client.ask())
     for place in "1234":
         deployment.toy.say(f"kill {place}")
-    assert deployment.router.wait('"event":"line_end"')
+    assert deployment.router.wait('"event":"upstream_connection_lost"')
     assert client.answer(client.ask(block="1"))[2] is None
 
 
 def test_a_draining_cache_gets_nothing_more_also_after_the_journal_was_lost(deployment):
     deployment.toy.say("drop")
-    assert '"last":1' in deployment.router.wait('"event":"journal_up"')
+    assert '"last_event":1' in deployment.router.wait('"event":"endpoint_watch_connected"')
     deployment.toy.say("drain 1")
-    assert "draining" in deployment.router.wait('"event":"list"')
+    assert "draining" in deployment.router.wait('"event":"endpoints_updated"')
     deployment.toy.say("silent 1")
     client = deployment.client()
     for call in [client.ask(block=str(part)) for part in range(20)]:
         assert client.answer(call)[2] is None
     deployment.toy.say("purge 00000000000000aa")
-    assert "00000000000000aa" in deployment.router.wait('"event":"purge"')
+    assert "00000000000000aa" in deployment.router.wait('"event":"purge_applied"')
     assert client.answer(client.ask(block="1"))[2] is None
 
 
@@ -150,7 +150,7 @@
     client, other = deployment.client(), deployment.client()
     calls = [client.ask(block=str(part)) for part in range(20)]
     deployment.router.child.send_signal(signal.SIGTERM)
-    deployment.router.wait('"event":"leaving"')
+    deployment.router.wait('"event":"shutdown_started"')
     deployment.router.child.send_signal(signal.SIGTERM)
     assert other.ping() is False
     late = deployment.client()
@@ -166,7 +166,7 @@
         place.settimeout(PATIENT)
         path.write_text(json.dumps(conf | {"journal": "nowhere"}))
         deployment.router.child.send_signal(signal.SIGHUP)
-        assert "field journal" in deployment.router.wait('"event":"reload_failed"')
+        assert "field journal" in deployment.router.wait('"event":"config_reload_failed"')
         path.write_text(json.dumps(conf | {"journal": f"127.0.0.1:{place.getsockname()[1]}"}))
         for _ in range(2):
             deployment.router.child.send_signal(signal.SIGHUP)
@@ -174,7 +174,7 @@
             journal.settimeout(PATIENT)
             assert int.from_bytes(journal.recv(8)) == 1
             journal.sendall(b"\x00\x00\x00\x13" + (2).to_bytes(8) + b"\x04" + b"\x00\x07" + bytes(8))
-            assert deployment.router.wait('"event":"purge"')
+            assert deployment.router.wait('"event":"purge_applied"')
             assert client.answer(client.ask())[2] is None
 
 
@@ -251,7 +251,7 @@
         assert int.from_bytes(journal.recv(8)) == 2
         restarted.refuses()
         journal.sendall((9).to_bytes(4) + (2).to_bytes(8) + b"\x00")
-        assert '"caught up"' in restarted.router.wait('"event":"open"')
+        assert '"caught up"' in restarted.router.wait('"event":"listener_opened"')
         client = Client(restarted.address)
         assert client.ping() is True
         for call in [client.ask(block=str(part)) for part in range(20)]:
@@ -263,7 +263,7 @@
     if not silent:
         restarted.service.close()
     start = time.monotonic()
-    assert '"not told"' in restarted.router.wait('"event":"open"')
+    assert '"not told"' in restarted.router.wait('"event":"listener_opened"')
     assert time.monotonic() - start < 4.0
     client = Client(restarted.address)
     assert client.ping() is True
@@ -279,7 +279,7 @@
     restarted.refuses()
 
 
-@pytest.mark.parametrize("event", ["start", "open"])
+@pytest.mark.parametrize("event", ["router_started", "listener_opened"])
 def test_of_two_at_one_address_one_ends_also_where_both_wait(restarted, event):
     restarted.router.wait(f'"event":"{event}"')
     other = Process("-m", "wickhinge", env=restarted.told)
--- a/tests/peers/test_status.py
+++ b/tests/peers/test_status.py
@@ -247,7 +247,9 @@
     ):
         fleet.change(place, **what)
         fleet.until(
-            lambda place=place, why=why: any(why in event["why"] for event in fleet.events(place, "reload_failed"))
+            lambda place=place, why=why: any(
+                why in event["reason"] for event in fleet.events(place, "config_reload_failed")
+            )
         )
     for place in range(3):
         fleet.write(place, key="other")
--- a/tests/support/changelog_fleet.py
+++ b/tests/support/changelog_fleet.py
@@ -209,7 +209,7 @@
     def purge(self, key, timeout_s=PATIENT):
         """Returns once the router has it."""
         answer = self.client.append(Purge(key, 0, 0), timeout_s)
-        self.stand.router.wait(f'"event":"purge","key":"{key:016x}","group":0,"stamp":{answer.stamp_ms}')
+        self.stand.router.wait(f'"event":"purge_applied","key":"{key:016x}","group":0,"stamp_ms":{answer.stamp_ms}')
         return answer
 
     def put(self, name, value):
--- a/tests/support/imports.py
+++ b/tests/support/imports.py
@@ -21,7 +21,7 @@
         text=True,
     )
     try:
-        assert '"event":"start"' in child.stdout.readline()
+        assert '"event":"router_started"' in child.stdout.readline()
     finally:
         child.kill()
         told = child.communicate()[1]
--- a/tests/support/processes.py
+++ b/tests/support/processes.py
@@ -87,7 +87,7 @@
         self.toy.wait("ready")
         told = {**os.environ, "RELAY_CONFIG": str(self.path)}
         self.router = Process("-m", "wickhinge", env=told)
-        self.router.wait('"event":"open"')
+        self.router.wait('"event":"listener_opened"')
 
     def client(self):
         return Client(self.address)
--- a/tests/support/router_process.py
+++ b/tests/support/router_process.py
@@ -123,7 +123,7 @@
         self.journal = self.take(self.service)
         assert int.from_bytes(self.journal.recv(8)) == 1
         self.tell(0)
-        self.router.wait('"event":"open"')
+        self.router.wait('"event":"listener_opened"')
 
     def listening(self, backlog=64):
         made = self.stack.enter_context(socket.create_server(("127.0.0.1", 0), backlog=backlog))
--- a/wickhinge/cli/trace.py
+++ b/wickhinge/cli/trace.py
@@ -45,7 +45,7 @@
     fields = found.fields
     outcome = " ".join(str(fields[name]) for name in ("end", "reason") if fields.get(name))
     yield f"{fields.get('t', '')} {fields.get('router', '')} {fields.get('event', '')}: {outcome}".rstrip(": ")
-    known = ("tariff", "patience", "unread_ms", "ms", "repeat", "exclusive", "open", "unbegun", "why")
+    known = ("request_class", "timeout_ms", "unread_ms", "ms", "repeat", "exclusive")
     yield "  " + ", ".join(f"{name} {fields[name]}" for name in known if fields.get(name) is not None)
     for step in fields.get("steps", ()):
         more = ", ".join(f"{name} {value}" for name, value in step.items() if name not in ("ms", "step"))
--- a/wickhinge/lab/many/rig.py
+++ b/wickhinge/lab/many/rig.py
@@ -320,7 +320,7 @@
             faults += [
                 f"{one.name}: {line.decode(errors='replace')[:200]}"
                 for line in lines
-                if b'"event":"fault"' in line or line.startswith((b"Traceback", b"Unhandled"))
+                if b'"event":"router_fault"' in line or line.startswith((b"Traceback", b"Unhandled"))
             ][:3]
         return faults
 
--- a/wickhinge/net/control/endpoint_updates.py
+++ b/wickhinge/net/control/endpoint_updates.py
@@ -59,8 +59,8 @@
             endpoint = self._endpoint(record)
             if endpoint is None:
                 self._log(
-                    "bad_record",
-                    cache=f"{record.mark:08x}",
+                    "endpoint_record_invalid",
+                    endpoint=f"{record.mark:08x}",
                     state=record.state,
                     zone=record.zone,
                     kind=record.kind,
@@ -95,9 +95,9 @@
         self._close_unlisted()
         self._attempts.overtaken(_may_still_be_sent)
         self._log(
-            "list",
-            whole=complete,
-            machines=[
+            "endpoints_updated",
+            complete=complete,
+            endpoints=[
                 [f"{endpoint.mark:08x}", endpoint.state, endpoint.zone, endpoint.kind, endpoint.started_at]
                 for endpoint in endpoints
             ],
@@ -109,7 +109,7 @@
         self._attempts.overtaken(
             lambda sent: sent.forward.visit.group != group if key is None else sent.forward.visit.item.key != key
         )
-        self._log("purge", key=None if key is None else f"{key:016x}", group=group, stamp=stamp_ms)
+        self._log("purge_applied", key=None if key is None else f"{key:016x}", group=group, stamp_ms=stamp_ms)
 
     def record_purge(self, key: int | None, group: int, stamp_ms: float, number: int = NO_NUMBER) -> None:
         """Puts a purge in force for what is sent from now on; what waits to be written is the caller's to recall."""
--- a/wickhinge/net/control/endpoint_watch.py
+++ b/wickhinge/net/control/endpoint_watch.py
@@ -236,14 +236,14 @@
             return
         self.connection, self._last_heard_at = connection, self.deadlines.now()
         self._round_trip_s = self._last_heard_at - self._connecting_since
-        self.log("journal_up", last=self.last_number)
+        self.log("endpoint_watch_connected", last_event=self.last_number)
         self.deadlines.after(SILENCE_LIMIT_S, self._check_silence, connection)
 
     def retry(self, reason: str, connect_round: int) -> None:
         """Tries again after a pause, unless another round began meanwhile."""
         if connect_round != self.connect_round or self._is_closed:
             return
-        self.log("journal_lost", why=reason, last=self.last_number)
+        self.log("endpoint_watch_lost", reason=reason, last_event=self.last_number)
         delay_s = RETRY_INTERVAL_S
         if self._addresses is not None:
             self.address, delay_s = self._addresses.record_failure()
--- a/wickhinge/net/control/graceful_shutdown.py
+++ b/wickhinge/net/control/graceful_shutdown.py
@@ -53,7 +53,7 @@
         self.is_draining = True
         self._subsystems = subsystems
         self._clients.drain()
-        self._log("leaving", open=self._requests.open())
+        self._log("shutdown_started", open_requests=self._requests.open())
         now = self._deadlines.now()
         linger_s = LINGER_S if self._readiness.drain() else 0.0
         self._deadlines.at(now + linger_s, self._await_idle, now + self.give_up_after_s)
@@ -62,7 +62,7 @@
         if self._is_busy(give_up_at):
             self._deadlines.after(POLL_INTERVAL_S, self._await_idle, give_up_at)
             return
-        self._log("stop", open=self._requests.open(), taken=self._requests.taken)
+        self._log("shutdown_finished", open_requests=self._requests.open(), accepted_requests=self._requests.taken)
         for subsystem in self._subsystems:
             subsystem.close()
         self._deadlines.after(FLUSH_S, self._end, give_up_at)
--- a/wickhinge/net/control/process_report.py
+++ b/wickhinge/net/control/process_report.py
@@ -60,7 +60,7 @@
             late_ms=round(self._deadlines.take_max_lateness() * 1000, 1),
             deadlines=len(self._deadlines.heap),
             failed_calls=failed_calls.counts,
-            stood_still=self._deadlines.reactor.stalls.report(),
+            event_loop_stalls=self._deadlines.reactor.stalls.report(),
             **self._client_figures(),
             **self._server_figures(),
             **{name: subsystem.figures() for name, subsystem in self._optional.items()},
@@ -98,4 +98,4 @@
         if peak_kb > self._collect_over_kb or gc.get_count()[0] > MAX_NEW_OBJECTS:
             objects = gc.collect()
             self._collect_over_kb = peak_kb + PEAK_STEP_KB
-            self._log("collected", objects=objects)
+            self._log("garbage_collected", objects=objects)
--- a/wickhinge/net/control/readiness.py
+++ b/wickhinge/net/control/readiness.py
@@ -87,7 +87,7 @@
         self._listener.startListening()
         self._has_opened = True
         waited_ms = round((self._deadlines.now() - self._started_at) * 1000)
-        self._log("open", why=reason, waited_ms=waited_ms)
+        self._log("listener_opened", reason=reason, waited_ms=waited_ms)
 
     def has_pending_connection(self) -> bool:
         """Whether a connection waits to be accepted: the system has taken it, so what came on it counts as ours."""
--- a/wickhinge/net/control/router_process.py
+++ b/wickhinge/net/control/router_process.py
@@ -100,7 +100,7 @@
         self.reactor.stalls.log_to(self.log.event)
         self._clock_watch = WallClockWatch(wall(), monotonic())
         self._check_clock()
-        self.log.event("start", listen=":".join(map(str, self.listen_address)), pool=self.pool.limit)
+        self.log.event("router_started", listen=":".join(map(str, self.listen_address)), buffers=self.pool.limit)
 
     def reload(self) -> None:
         """Called on SIGHUP; a faulty file changes nothing.
@@ -115,9 +115,9 @@
             if self.fellows is not None:
                 self.fellows.reload(self._read_options())
         except Malformed as problem:
-            self.log.event("reload_failed", why=str(problem))
+            self.log.event("config_reload_failed", reason=str(problem))
             return
-        self.log.event("reload", journal=f"{address[0]}:{address[1]}")
+        self.log.event("config_reloaded", discovery=f"{address[0]}:{address[1]}")
         self.move_endpoint_watch(address)
         if keys is not None:
             self.changes.use_keys(keys)
@@ -167,7 +167,7 @@
 
     def log_line(self, text: str) -> None:
         """Logs a line of the decisions."""
-        self.log.event("note", text=text)
+        self.log.event("routing_note", text=text)
 
     # The WatchListener of its endpoint watch.
 
@@ -201,19 +201,19 @@
 
     def pause(self) -> None:
         """Called when the buffers are used up: nothing more is read."""
-        self.log.event("full", buffers=self.pool.out)
+        self.log.event("buffers_exhausted", buffers=self.pool.out)
         self.caches.pause()
         self.clients.pause()
 
     def resume(self) -> None:
         """Called when there are buffers again."""
-        self.log.event("room", buffers=self.pool.out)
+        self.log.event("buffers_available", buffers=self.pool.out)
         self.caches.resume()
         self.clients.resume()
 
     def fault(self, where: str) -> None:
         """Logs the exception that is being handled; the loop goes on."""
-        self.log.event("fault", where=where, cause=traceback.format_exc(limit=-6))
+        self.log.event("router_fault", where=where, cause=traceback.format_exc(limit=-6))
 
     # Construction.
 
--- a/wickhinge/net/downstream/client_connections.py
+++ b/wickhinge/net/downstream/client_connections.py
@@ -375,7 +375,9 @@
 
     def lost(self, why: str) -> None:
         if (self.open or self.later) and not self.ended:
-            self.clients.log("client_lost", why=why, open=len(self.open), unbegun=len(self.later))
+            self.clients.log(
+                "client_connection_lost", reason=why, open_requests=len(self.open), queued_requests=len(self.later)
+            )
         self.leave(why)
 
     def leave(self, why: str) -> None:
@@ -508,7 +510,7 @@
         """The first of a kind is told at once, the others are counted: a flood may not cost a line each."""
         if why not in self.faults:
             if len(self.faults) < FAULTS:
-                self.log("client_fault", why=why)
+                self.log("client_fault", reason=why)
             else:
                 why = "others"
         self.faults[why] = self.faults.get(why, 0) + 1
--- a/wickhinge/net/downstream/listener.py
+++ b/wickhinge/net/downstream/listener.py
@@ -113,7 +113,10 @@
             self.starved = 0
             self.admission.refused_by_system()
             self.clients.log(
-                "accept_failed", why=problem.strerror, clients=self.admission.held, allowed=self.admission.allowed
+                "listener_accept_failed",
+                reason=problem.strerror,
+                clients=self.admission.held,
+                allowed=self.admission.allowed,
             )
             self.deadlines.soon(self.make_room)
 
--- a/wickhinge/net/downstream/request_table.py
+++ b/wickhinge/net/downstream/request_table.py
@@ -222,7 +222,7 @@
         for forward in list(door.out.values()) if door is not None else ():
             self.forwards.expire(forward)
         if door is not None and not door.final:
-            self.log("overdue", rid=door.rid.decode(), steps=door.trace.lines())
+            self.log("request_overdue", rid=door.rid.decode(), steps=door.trace.lines())
             door.broken()
 
     def gone(self, door: DownstreamRequest, why: str) -> None:
@@ -265,7 +265,7 @@
             door.reason,
             door.trace,
             request_class=door.request_class.name,
-            patience=round((door.until - door.since) * 1000),
+            timeout_ms=round((door.until - door.since) * 1000),
             repeat=visit.repeat if visit else None,
             part=visit.part if visit else None,
             work=round(visit.work * 1000) if visit else None,
--- a/wickhinge/net/runtime/event_loop_stalls.py
+++ b/wickhinge/net/runtime/event_loop_stalls.py
@@ -40,7 +40,7 @@
         self.total += seconds
         self.longest = max(self.longest, seconds)
         if seconds >= LOGGED and self._log is not None:
-            self._log("stood_still", where=where, ms=round(seconds * 1000))
+            self._log("event_loop_stalled", where=where, duration_ms=round(seconds * 1000))
 
     def report(self) -> dict[str, float]:
         """What there was since the last report; counted anew from here."""
--- a/wickhinge/net/upstream/connection_pools.py
+++ b/wickhinge/net/upstream/connection_pools.py
@@ -269,7 +269,13 @@
         if end is AttemptResult.LOST_WRITTEN and not lost:
             end = AttemptResult.CLOSED_BY_US if self.closing else AttemptResult.CLOSED_IDLE
         if end is not AttemptResult.CLOSED_BY_US:
-            self.caches.log("line_end", cache=self.machine.name, end=end.value, open=len(lost), why=why)
+            self.caches.log(
+                "upstream_connection_lost",
+                server=self.machine.name,
+                result=end.value,
+                open_attempts=len(lost),
+                reason=why,
+            )
         for tag, number in lost.items():
             unwritten = self.up and tag in self.unwritten
             self.caches.ended(number, AttemptResult.LOST_UNWRITTEN if unwritten else end)
