--- a/bench/scale/connections.py
+++ b/bench/scale/connections.py
@@ -10,7 +10,7 @@
 from bench.scale.records import Row, row
 from wickhinge.net.downstream import descriptors
 from wickhinge.net.runtime.buffers import BufferPool
-from wickhinge.net.runtime.log import KEPT, Log
+from wickhinge.net.runtime.log import MAX_QUEUED_LINES, Log
 from wickhinge.net.upstream.connection_pools import LINES, UpstreamConnection
 
 POOL = 1 << 20  # bytes, of a router's pool of buffers
@@ -100,7 +100,7 @@
             held,
             "B",
             "virtual",
-            f"tracemalloc; {KEPT} lines are kept at most",
+            f"tracemalloc; {MAX_QUEUED_LINES} lines are kept at most",
         ),
     ]
 
--- a/tests/net/test_arrivals.py
+++ b/tests/net/test_arrivals.py
@@ -4,7 +4,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from wickhinge.net.runtime.arrivals import LONGEST_WAIT, OVERDUE, SOON, Arrivals
+from wickhinge.net.runtime.arrivals import FRESH_POLL_S, LATE_WAIT_S, MAX_WAIT_S, Arrivals
 
 MOST = 8
 TURNS = st.lists(
@@ -24,7 +24,7 @@
     """One socket for each piece of data, handed out in the order in which it came, and the loop's side of it."""
 
     def __init__(self):
-        self.now, self.coming, self.arrivals, self.read = 100.0, [], Arrivals(100.0), []
+        self.now, self.coming, self.arrivals, self.read = 100.0, [], Arrivals(100.0, MOST), []
 
     def ready(self):
         return sorted(when for when in self.coming if when <= self.now)[:MOST]
@@ -46,7 +46,7 @@
 
     def turn(self, limit, standstill, before, broken):
         """before: a standstill between the look at the clock and the system's answer."""
-        limit = min(limit, LONGEST_WAIT)
+        limit = min(limit, MAX_WAIT_S)
         while True:
             entered = self.now
             asked = limit <= 0.0 or self.arrivals.uncertain(entered)
@@ -55,13 +55,13 @@
                 break
             handed, returned = self.ready(), self.now
             if handed or limit <= 0.0:
-                self.arrivals.polled(entered, returned, len(handed), MOST)
+                self.arrivals.polled(entered, returned, len(handed))
                 self.now += standstill  # between the poll and the read
                 return self.take(handed)
-            if returned - entered <= SOON:
+            if returned - entered <= FRESH_POLL_S:
                 break
         handed = self.wait(limit, standstill, broken)
-        self.arrivals.waited(entered, limit, self.now, len(handed), MOST, asked)
+        self.arrivals.waited(entered, limit, self.now, len(handed), asked=asked)
         self.take(handed)
 
 
@@ -77,7 +77,7 @@
 @given(TURNS)
 def test_nothing_is_taken_for_fresher_than_it_is_by_more_than_a_wait(turns):
     for came, bound, _ in play(turns).read:
-        assert bound <= came + LONGEST_WAIT + OVERDUE + SOON
+        assert bound <= came + MAX_WAIT_S + LATE_WAIT_S + FRESH_POLL_S
 
 
 @given(TURNS)
@@ -95,37 +95,37 @@
         system.turn(0.25, 0.0, 0.0, False)
         system.now += 0.0005
     for came, bound, _ in system.read:
-        assert bound >= came - SOON
+        assert bound >= came - FRESH_POLL_S
 
 
 @pytest.mark.parametrize("standstill", [0.2, 0.5])
 def test_after_a_standstill_within_a_wait_all_may_have_come_at_its_begin(standstill):
-    arrivals = Arrivals(0.0)
-    arrivals.waited(10.0, 0.05, 10.05, 0, MOST, False)
+    arrivals = Arrivals(0.0, MOST)
+    arrivals.waited(10.0, 0.05, 10.05, 0, asked=False)
     arrivals.handled()
-    arrivals.waited(10.06, 0.05, 10.06 + standstill, 3, MOST, False)
+    arrivals.waited(10.06, 0.05, 10.06 + standstill, 3, asked=False)
     assert arrivals.arrived == 10.06
 
 
 def test_what_a_full_poll_leaves_over_is_as_old_as_the_last_poll_that_was_not_full():
-    arrivals = Arrivals(0.0)
-    arrivals.polled(1.0, 1.0, 3, MOST)
+    arrivals = Arrivals(0.0, MOST)
+    arrivals.polled(1.0, 1.0, 3)
     for turn in range(5):
-        arrivals.polled(2.0 + turn, 2.0 + turn, MOST, MOST)
+        arrivals.polled(2.0 + turn, 2.0 + turn, MOST)
         arrivals.handled()
         assert arrivals.arrived == 1.0 == arrivals.settled
 
 
 def test_a_router_is_behind_from_a_standstill_until_all_that_there_was_is_read():
-    arrivals = Arrivals(0.0)
-    arrivals.waited(10.0, 0.05, 10.7, 0, MOST, False)  # broken off, and the system not asked any more
+    arrivals = Arrivals(0.0, MOST)
+    arrivals.waited(10.0, 0.05, 10.7, 0, asked=False)  # broken off, and the system not asked any more
     arrivals.handled()
     assert arrivals.behind
-    arrivals.polled(10.71, 10.71, MOST, MOST)
+    arrivals.polled(10.71, 10.71, MOST)
     arrivals.handled()
     assert arrivals.behind
-    arrivals.polled(10.72, 10.72, 2, MOST)
+    arrivals.polled(10.72, 10.72, 2)
     arrivals.handled()
     assert not arrivals.behind
-    arrivals.polled(10.9, 10.9, MOST, MOST)  # a turn of 0.18 s
+    arrivals.polled(10.9, 10.9, MOST)  # a turn of 0.18 s
     assert arrivals.behind
--- a/tests/net/test_net.py
+++ b/tests/net/test_net.py
@@ -22,7 +22,7 @@
 from wickhinge.net.downstream.client_connections import ClientConnections
 from wickhinge.net.downstream.request_table import DownstreamRequest, RequestTable
 from wickhinge.net.runtime.arrivals import Arrivals
-from wickhinge.net.runtime.buffers import SIZE, Body
+from wickhinge.net.runtime.buffers import BUFFER_BYTES, Body
 from wickhinge.net.runtime.deadlines import Deadlines
 from wickhinge.net.runtime.loop import Reactor
 from wickhinge.net.runtime.slots import Slots
@@ -95,11 +95,11 @@
 
 def test_resp_body_over_several_buffers_goes_back_to_the_pool():
     made, told = pool(limit=3)
-    body = bytes(range(256)) * (SIZE // 256 * 7 // 2)
+    body = bytes(range(256)) * (BUFFER_BYTES // 256 * 7 // 2)
     (items,) = resp.ReplyDecoder(made).feed(resp.pack(b"a", b"OK", b"-", body))
     assert plain(items)[3] == body and made.out == 4 and told == ["stop"]
-    items[3].spend(SIZE + 5)
-    assert b"".join(items[3].views()) == body[SIZE + 5 :] and made.out == 3
+    items[3].spend(BUFFER_BYTES + 5)
+    assert b"".join(items[3].views()) == body[BUFFER_BYTES + 5 :] and made.out == 3
     items[3].release()
     assert made.out == 0 and told == ["stop", "go"] and made.free
 
@@ -122,8 +122,8 @@
 
 def test_body_of_a_visit_is_given_whole_again_for_each_forward():
     made, _ = pool()
-    body = Body(made, b"ab" * SIZE)
-    assert b"".join(body.views()) == b"".join(body.views()) == b"ab" * SIZE and made.out == 2
+    body = Body(made, b"ab" * BUFFER_BYTES)
+    assert b"".join(body.views()) == b"".join(body.views()) == b"ab" * BUFFER_BYTES and made.out == 2
 
 
 def test_half_read_answer_of_a_lost_connection_gives_its_buffers_back():
--- a/wickhinge/common/connector.py
+++ b/wickhinge/common/connector.py
@@ -1,4 +1,4 @@
-"""One try to connect, that leaves nothing behind.
+"""One attempt to connect, that leaves nothing behind.
 
 Twisted's endpoints and connectors point to each other, and through our factory to the protocol, for good: a circle of
 some fifteen objects, 4 KB, a connection, that only the collector frees, which is off in service. Here the links are cut
@@ -14,42 +14,46 @@
 from twisted.python.failure import Failure
 
 
-def nothing() -> None:
-    pass
+def do_nothing() -> None:
+    """Stands in for a method that may still be called."""
 
 
 class ConnectAttempt(ClientFactory):
-    """The protocol's connectionMade tells that it is up; failed(reason) that it never will be, once."""
+    """Connects at once; the protocol's connectionMade is called when the connection is up."""
 
     noisy = False
 
     def __init__(
-        self, reactor: Any, address: tuple[str, int], protocol: Protocol, failed: Callable[[Failure], None]
+        self, reactor: Any, address: tuple[str, int], protocol: Protocol, on_failure: Callable[[Failure], None]
     ) -> None:
-        self.made: Protocol | None = protocol
-        self.failed: Callable[[Failure], None] | None = failed
+        """Parameters as named; on_failure: called once, with the reason, where no connection comes up."""
+        self._protocol: Protocol | None = protocol
+        self._on_failure: Callable[[Failure], None] | None = on_failure
         self.connector = reactor.connectTCP(*address, self, timeout=None)
         self.transport = getattr(self.connector, "transport", None)
 
     def stop(self) -> None:
-        """Given up where it is not up yet: failed is called, with UserError."""
+        """Gives up where it is not up yet: on_failure is called, with UserError."""
         if self.connector is not None and self.connector.state == "connecting":
             self.connector.stopConnecting()
 
-    def buildProtocol(self, addr: Any) -> Protocol | None:
-        made, self.made = self.made, None
-        self.failed = self.connector = self.transport = None
-        return made
+    def buildProtocol(self, addr: Any) -> Protocol | None:  # noqa: ARG002  Twisted's signature
+        """Called by Twisted when the connection is up."""
+        protocol, self._protocol = self._protocol, None
+        self._on_failure = self.connector = self.transport = None
+        return protocol
 
-    def clientConnectionFailed(self, connector: Any, reason: Failure) -> None:
-        failed, self.failed = self.failed, None
+    def clientConnectionFailed(self, connector: Any, reason: Failure) -> None:  # noqa: ARG002  Twisted's signature
+        """Called by Twisted when none came up."""
+        on_failure, self._on_failure = self._on_failure, None
         if self.transport is not None:
             # Its own method, bound, while it was connecting; and the loop may call the second after the first failed.
-            self.transport.doRead = self.transport.doWrite = nothing
-        self.made = self.connector = self.transport = None
-        if failed is not None:
-            failed(reason)
+            self.transport.doRead = self.transport.doWrite = do_nothing
+        self._protocol = self.connector = self.transport = None
+        if on_failure is not None:
+            on_failure(reason)
 
-    def clientConnectionLost(self, connector: Any, reason: Failure) -> None:
+    def clientConnectionLost(self, connector: Any, reason: Failure) -> None:  # noqa: ARG002  Twisted's signature
+        """Called by Twisted at the connection's end."""
         transport, connector.transport = connector.transport, None
         transport.connector = None  # its connectionLost has called us by it and asks for it no more
--- a/wickhinge/common/failed_calls.py
+++ b/wickhinge/common/failed_calls.py
@@ -26,11 +26,12 @@
 from socket import MSG_PEEK
 from typing import Any, TypeVar
 
-PASSING = frozenset({EAGAIN, EINTR, ENOBUFS, ENOMEM})  # nothing has happened; the same call may do the next time
-NO_DESCRIPTOR = frozenset({EMFILE, ENFILE})
+# Nothing has happened; the same call may succeed the next time.
+TRANSIENT_ERRNOS = frozenset({EAGAIN, EINTR, ENOBUFS, ENOMEM})
+NO_DESCRIPTOR_ERRNOS = frozenset({EMFILE, ENFILE})
 # Why a connection cannot be begun here just now, whatever its other end is like.
-OURS = PASSING | NO_DESCRIPTOR | {EACCES, EADDRNOTAVAIL, ENETDOWN, ENETUNREACH, ENOSPC, EPERM}
-TRIES = 4  # of one call in a row
+LOCAL_ERRNOS = TRANSIENT_ERRNOS | NO_DESCRIPTOR_ERRNOS | {EACCES, EADDRNOTAVAIL, ENETDOWN, ENETUNREACH, ENOSPC, EPERM}
+MAX_TRIES = 4  # of one call in a row
 
 Result = TypeVar("Result")
 
@@ -42,6 +43,7 @@
         self.counts: dict[str, int] = {}
 
     def count(self, call: str, error: int | None) -> None:
+        """Counts one failure of a call; error: its errno."""
         name = f"{call} {errorcode.get(error or 0, str(error))}"
         self.counts[name] = self.counts.get(name, 0) + 1
 
@@ -49,32 +51,32 @@
 failed_calls = FailedCalls()  # of this process: the calls of a process are one system's
 
 
-def patiently(name: str, call: Callable[..., Result], *arguments: Any) -> Result | None:
+def call_with_retries(name: str, call: Callable[..., Result], *arguments: Any) -> Result | None:
     """What the call gives; None where it would block, or fails for a moment again and again.
 
     Raises OSError where it fails for good: a connection that is over gives its end or its error each time.
     """
-    for turn in range(TRIES):
+    for turn in range(MAX_TRIES):
         try:
             return call(*arguments)
         except BlockingIOError:
             return None
         except OSError as problem:
             failed_calls.count(name, problem.errno)
-            if turn == TRIES - 1 and problem.errno not in PASSING:
+            if turn == MAX_TRIES - 1 and problem.errno not in TRANSIENT_ERRNOS:
                 raise
     return None
 
 
 def receive(socket: Any, size: int) -> bytes | None:
     """What lies in the socket, b"" for the end of the connection, None for nothing. Raises OSError."""
-    return patiently("recv", socket.recv, size)
+    return call_with_retries("recv", socket.recv, size)
 
 
-def waiting(socket: Any) -> bool | None:
+def has_unread_data(socket: Any) -> bool | None:
     """Whether something lies unread there; False where the other side has ended it, None for nothing."""
     try:
-        peeked = patiently("recv", socket.recv, 1, MSG_PEEK)
+        peeked = call_with_retries("recv", socket.recv, 1, MSG_PEEK)
     except OSError:
         return False
     return None if peeked is None else bool(peeked)
--- a/wickhinge/net/control/router_process.py
+++ b/wickhinge/net/control/router_process.py
@@ -23,7 +23,7 @@
 from wickhinge.net.downstream.client_connections import ClientConnections
 from wickhinge.net.downstream.descriptors import bounds
 from wickhinge.net.downstream.request_table import RequestTable
-from wickhinge.net.runtime.buffers import SIZE, BufferPool
+from wickhinge.net.runtime.buffers import BUFFER_BYTES, BufferPool
 from wickhinge.net.runtime.deadlines import Deadlines
 from wickhinge.net.runtime.log import Log
 from wickhinge.net.upstream.attempts import Attempts
@@ -230,7 +230,7 @@
         limits = config.process_limits(configuration)
         descriptors = bounds(limits.descriptors)
         self.connection_limits = config.connection_limits(configuration)
-        buffers = max((limits.memory_mb - PROGRAM_MB) * 500_000 // SIZE, MIN_BUFFERS)
+        buffers = max((limits.memory_mb - PROGRAM_MB) * 500_000 // BUFFER_BYTES, MIN_BUFFERS)
         self.pool = BufferPool(buffers, self.pause, self.resume)
         self.caches = ConnectionPools(
             self.reactor,
--- a/wickhinge/net/downstream/client_connections.py
+++ b/wickhinge/net/downstream/client_connections.py
@@ -10,7 +10,7 @@
 from twisted.internet.protocol import Factory, Protocol
 from twisted.python.failure import Failure
 
-from wickhinge.common.failed_calls import receive, waiting
+from wickhinge.common.failed_calls import has_unread_data, receive
 from wickhinge.net.downstream import msgpack
 from wickhinge.net.downstream.descriptors import Admission
 from wickhinge.net.downstream.request_table import InvalidRequestError, RequestTable
@@ -333,7 +333,7 @@
 
     def unread(self) -> bool:
         """Whether something of it was not looked at yet: closed now, that request would be lost."""
-        return bool(self.later) or waiting(self.socket) is True
+        return bool(self.later) or has_unread_data(self.socket) is True
 
     def rests(self) -> bool:
         """Whether nothing of it is open here, waits to begin, or waits to be written."""
--- a/wickhinge/net/downstream/listener.py
+++ b/wickhinge/net/downstream/listener.py
@@ -18,7 +18,7 @@
 from twisted.internet.tcp import Port
 from twisted.python.failure import Failure
 
-from wickhinge.common.failed_calls import NO_DESCRIPTOR, failed_calls
+from wickhinge.common.failed_calls import NO_DESCRIPTOR_ERRNOS, failed_calls
 from wickhinge.net.downstream.client_connections import ClientConnections
 from wickhinge.net.runtime.transport import Incoming
 
@@ -108,7 +108,7 @@
         self.leave_waiting()
         self.pause()
         self.deadlines.after(AGAIN, self.resume)
-        self.starved = self.starved + 1 if problem.errno in NO_DESCRIPTOR else 0
+        self.starved = self.starved + 1 if problem.errno in NO_DESCRIPTOR_ERRNOS else 0
         if self.starved >= LASTS:
             self.starved = 0
             self.admission.refused_by_system()
--- a/wickhinge/net/runtime/buffers.py
+++ b/wickhinge/net/runtime/buffers.py
@@ -4,33 +4,40 @@
 
 from collections.abc import Callable
 
-SIZE = 32768  # most bodies are 5 to 40 KB, and a buffer half used counts whole
+BUFFER_BYTES = 32768  # most bodies are 5 to 40 KB, and a buffer half used counts whole
 
 
 class BufferPool:
-    """Over its limit it still gives, so that what is half read can end, but tells its readers to stop."""
+    """Gives buffers beyond its limit too, so that what is half read can end, but tells its readers to stop."""
 
-    def __init__(self, limit: int, stop: Callable[[], None], go: Callable[[], None]) -> None:
-        self.limit, self.stop, self.go = limit, stop, go
+    def __init__(self, limit: int, on_exhausted: Callable[[], None], on_available: Callable[[], None]) -> None:
+        """Parameters as named, and these.
+
+        on_exhausted: called when `limit` buffers are out.
+        on_available: called once a quarter of them is back.
+        """
+        self.limit, self._on_exhausted, self._on_available = limit, on_exhausted, on_available
         self.free: list[bytearray] = []
         self.out = self.peak = 0
-        self.full = False
+        self._is_exhausted = False
 
     def take(self) -> bytearray:
+        """A buffer of BUFFER_BYTES; what it holds is old."""
         self.out += 1
         self.peak = max(self.peak, self.out)
-        if self.out >= self.limit and not self.full:
-            self.full = True
-            self.stop()
-        return self.free.pop() if self.free else bytearray(SIZE)
+        if self.out >= self.limit and not self._is_exhausted:
+            self._is_exhausted = True
+            self._on_exhausted()
+        return self.free.pop() if self.free else bytearray(BUFFER_BYTES)
 
     def give(self, buffer: bytearray) -> None:
+        """Takes a buffer back."""
         self.out -= 1
         if len(self.free) < self.limit:
             self.free.append(buffer)
-        if self.full and self.out <= self.limit * 3 // 4:
-            self.full = False
-            self.go()
+        if self._is_exhausted and self.out <= self.limit * 3 // 4:
+            self._is_exhausted = False
+            self._on_available()
 
 
 class Body:
@@ -45,34 +52,36 @@
             self.add(memoryview(data))
 
     def add(self, data: memoryview) -> None:
+        """Appends a copy of the bytes."""
         while data:
-            start = self.length % SIZE
+            start = self.length % BUFFER_BYTES
             if not start:
                 self.buffers.append(self.pool.take())
-            piece = data[: SIZE - start]
+            piece = data[: BUFFER_BYTES - start]
             self.buffers[-1][start : start + len(piece)] = piece
             self.length += len(piece)
             data = data[len(piece) :]
 
     def views(self) -> list[memoryview]:
-        """What is left, for a write that copies at once: afterwards the buffers are used again."""
+        """What is left, for a write that copies at once, since the buffers are used again afterwards."""
         views, left, start = [], self.length, self.start
         for buffer in self.buffers:
-            end = min(start + left, SIZE)
+            end = min(start + left, BUFFER_BYTES)
             views.append(memoryview(buffer)[start:end])
             left -= end - start
             start = 0
         return views
 
     def spend(self, size: int) -> None:
-        """The first bytes have been written."""
+        """Drops the first `size` bytes, which were written."""
         self.length -= size
         self.start += size
-        while self.buffers and (self.start >= SIZE or not self.length):
+        while self.buffers and (self.start >= BUFFER_BYTES or not self.length):
             self.pool.give(self.buffers.pop(0))
-            self.start -= SIZE
+            self.start -= BUFFER_BYTES
 
     def release(self) -> None:
+        """Gives all buffers back; may be called twice."""
         buffers, self.buffers, self.length = self.buffers, [], 0
         for buffer in buffers:
             self.pool.give(buffer)
--- a/wickhinge/net/runtime/deferred_imports.py
+++ b/wickhinge/net/runtime/deferred_imports.py
@@ -65,11 +65,12 @@
 
 def execute(package: ModuleType, name: str) -> Any:
     """The rest of the package, at the first use of a name that is not there yet."""
-    del package.__getattr__  # type: ignore[attr-defined]
+    del package.__getattr__
     package.__spec__.loader.exec_module(package)  # type: ignore[union-attr]
     return getattr(package, name)
 
 
 def forget_asyncio() -> None:
+    """Takes a half registered package out again."""
     for name in [name for name in sys.modules if name.partition(".")[0] == ASYNCIO]:
         del sys.modules[name]
--- a/wickhinge/net/runtime/event_loop_stalls.py
+++ b/wickhinge/net/runtime/event_loop_stalls.py
@@ -8,12 +8,12 @@
 
 from collections.abc import Callable
 
-NOTED = 0.1  # seconds from which a standstill is counted
-LOGGED = 0.25  # and from which it leaves a line; one that long comes a few times a second at most
+MIN_COUNTED_S = 0.1  # seconds from which a standstill is counted
+MIN_LOGGED_S = 0.25  # and from which it leaves a line; one that long comes a few times a second at most
 
 
 class EventLoopStalls:
-    """Told of each wait of the loop; all times are seconds of the monotonic clock."""
+    """Hears of each wait of the loop; all times are seconds of the monotonic clock."""
 
     def __init__(self) -> None:
         self.longest = self.total = 0.0  # since the last report
@@ -34,21 +34,21 @@
         self._returned = returned
 
     def _note(self, where: str, seconds: float) -> None:
-        if seconds < NOTED:
+        if seconds < MIN_COUNTED_S:
             return
         self.count += 1
         self.total += seconds
         self.longest = max(self.longest, seconds)
-        if seconds >= LOGGED and self._log is not None:
+        if seconds >= MIN_LOGGED_S and self._log is not None:
             self._log("event_loop_stalled", where=where, duration_ms=round(seconds * 1000))
 
-    def report(self) -> dict[str, float]:
+    def report(self) -> dict[str, int]:
         """What there was since the last report; counted anew from here."""
-        told = {
+        figures = {
             "count": self.count,
             "longest_ms": round(self.longest * 1000),
             "total_ms": round(self.total * 1000),
         }
         self.longest = self.total = 0.0
         self.count = 0
-        return told
+        return figures
--- a/wickhinge/net/runtime/loop.py
+++ b/wickhinge/net/runtime/loop.py
@@ -13,14 +13,15 @@
 
 from wickhinge.clocks import monotonic, steady
 from wickhinge.common.failed_calls import failed_calls
-from wickhinge.net.runtime.arrivals import LONGEST_WAIT, SOON, Arrivals
+from wickhinge.net.runtime.arrivals import FRESH_POLL_S, MAX_EVENTS_PER_POLL, MAX_WAIT_S, Arrivals
 from wickhinge.net.runtime.event_loop_stalls import EventLoopStalls
 from wickhinge.net.runtime.transport import Connector
 
-AT_ONCE = 8  # descriptors served before the deadlines have their turn again; the kernel goes on in order
-BEHIND = 0.1  # seconds for which sockets may not have been looked at, before what orders the rest is read first
-CATCH_UP = 64  # polls in a row before the deadlines have their turn, after the process stood still
-AGAIN = 0.01  # seconds until a descriptor is registered again that the system did not take
+READ_FIRST_AFTER_S = (
+    0.1  # seconds for which sockets may not have been looked at, before what orders the rest is read first
+)
+MAX_CATCH_UP_POLLS = 64  # polls in a row before the deadlines have their turn, after the process stood still
+REGISTER_RETRY_S = 0.01  # seconds until a descriptor is registered again that the system did not take
 
 
 class Reactor(EPollReactor):
@@ -29,9 +30,9 @@
     seconds = staticmethod(monotonic)  # Twisted's own is the wall clock, which may be stepped
 
     def __init__(self) -> None:
-        self.unregistered: dict[Any, set[Callable[[Any], None]]] = {}
+        self._unregistered: dict[Any, set[Callable[[Any], None]]] = {}
         self.now: Callable[[], float] = steady
-        super().__init__()
+        super().__init__()  # type: ignore[no-untyped-call]
         self.arrivals = Arrivals(steady())
         self.stalls = EventLoopStalls()
         self._read_first: Callable[[], None] = lambda: None
@@ -40,24 +41,26 @@
         """After the process stood still, `read` is called before anything else is read or written."""
         self._read_first = read
 
-    def connectTCP(
+    def connectTCP(  # type: ignore[override]  # noqa: PLR0913  Twisted's signature
         self, host: str, port: int, factory: Any, timeout: float | None = 30, bindAddress: Any = None
     ) -> Connector:
-        connector = Connector(host, port, factory, timeout, bindAddress, self)
+        """As Twisted's, with connections whose failed calls are tried again."""
+        connector = Connector(host, port, factory, timeout, bindAddress, self)  # type: ignore[arg-type]
         connector.connect()
         return connector
 
     def doPoll(self, timeout: float | None) -> None:
-        events = self.poll(LONGEST_WAIT if timeout is None else min(timeout, LONGEST_WAIT))
-        if self.arrivals.returned - self.arrivals.arrived > BEHIND:
+        """Waits for events and serves them; called by Twisted once a turn."""
+        events = self.poll(MAX_WAIT_S if timeout is None else min(timeout, MAX_WAIT_S))
+        if self.arrivals.returned - self.arrivals.arrived > READ_FIRST_AFTER_S:
             self._read_first()
         named = [(self._selectables.get(descriptor), descriptor, event) for descriptor, event in events]
         for selectable, descriptor, event in named:
             # One that was closed by an event before it may have left its number to another.
             if selectable is not None and self._selectables.get(descriptor) is selectable:
-                self._doReadOrWrite(selectable, descriptor, event)
+                self._doReadOrWrite(selectable, descriptor, event)  # type: ignore[no-untyped-call]
         self.arrivals.handled()
-        if self.unregistered:
+        if self._unregistered:
             self.register_again()
 
     doIteration = doPoll
@@ -70,29 +73,31 @@
             asked = limit <= 0.0 or arrivals.uncertain(entered)
             if not asked:
                 break
-            events = self.ask(0.0) or self.ask(0.0)  # a signal may break one off
+            events = self.poll_once(0.0) or self.poll_once(0.0)  # a signal may break one off
             returned = self.now()
             if events or limit <= 0.0:
-                arrivals.polled(entered, returned, len(events), AT_ONCE)
+                arrivals.polled(entered, returned, len(events))
                 self.stalls.waited(entered, 0.0, returned)
                 return events
-            if returned - entered <= SOON:
+            if returned - entered <= FRESH_POLL_S:
                 break  # else something may have come since it was asked
-        events = self.ask(limit)
+        events = self.poll_once(limit)
         returned = self.now()
-        arrivals.waited(entered, limit, returned, len(events), AT_ONCE, asked)
+        arrivals.waited(entered, limit, returned, len(events), asked=asked)
         self.stalls.waited(entered, limit, returned)
         return events
 
-    def ask(self, limit: float) -> list[tuple[int, int]]:
+    def poll_once(self, limit: float) -> list[tuple[int, int]]:
+        """The events of one poll; none where a signal broke it off."""
         try:
-            return self._poller.poll(limit, AT_ONCE)
+            events: list[tuple[int, int]] = self._poller.poll(limit, MAX_EVENTS_PER_POLL)
+            return events
         except InterruptedError:
             return []
 
     def catch_up(self) -> None:
         """Deadlines that ran out while the process stood still come after what lies in its sockets."""
-        for _ in range(CATCH_UP):
+        for _ in range(MAX_CATCH_UP_POLLS):
             self.doPoll(0.0)
             if not self.arrivals.behind or not self._reads:
                 return
@@ -100,33 +105,40 @@
     # Descriptors that the system does not take at once.
 
     def addReader(self, reader: Any) -> None:
+        """As Twisted's; tried again where the system refuses."""
         self.register(super().addReader, reader)
 
     def addWriter(self, writer: Any) -> None:
+        """As Twisted's; tried again where the system refuses."""
         self.register(super().addWriter, writer)
 
     def register(self, add: Callable[[Any], None], selectable: Any) -> None:
+        """Registers a descriptor by one of Twisted's calls, now or soon."""
         try:
             add(selectable)
         except OSError as problem:
             failed_calls.count("epoll_ctl", problem.errno)
-            self.unregistered.setdefault(selectable, set()).add(add)
-            self.callLater(AGAIN, self.register_again)
+            self._unregistered.setdefault(selectable, set()).add(add)
+            self.callLater(REGISTER_RETRY_S, self.register_again)
 
     def removeReader(self, reader: Any) -> None:
+        """As Twisted's."""
         self.forget(reader, super().addReader)
-        super().removeReader(reader)
+        super().removeReader(reader)  # type: ignore[no-untyped-call]
 
     def removeWriter(self, writer: Any) -> None:
+        """As Twisted's."""
         self.forget(writer, super().addWriter)
-        super().removeWriter(writer)
+        super().removeWriter(writer)  # type: ignore[no-untyped-call]
 
     def forget(self, selectable: Any, add: Callable[[Any], None]) -> None:
-        if self.unregistered and selectable in self.unregistered:
-            self.unregistered[selectable].discard(add)
+        """A descriptor that waits to be registered is not wanted any more."""
+        if self._unregistered and selectable in self._unregistered:
+            self._unregistered[selectable].discard(add)
 
     def register_again(self) -> None:
-        waiting, self.unregistered = self.unregistered, {}
+        """Tries again all that the system refused, but for what was closed meanwhile."""
+        waiting, self._unregistered = self._unregistered, {}
         for selectable, calls in waiting.items():
             for add in calls:
                 if selectable.fileno() != -1:
@@ -136,5 +148,5 @@
 def install() -> Reactor:
     """Makes a Reactor the one that `twisted.internet.reactor` names; to be called before that is imported."""
     reactor = Reactor()
-    installReactor(reactor)
+    installReactor(reactor)  # type: ignore[no-untyped-call]
     return reactor
--- a/wickhinge/net/runtime/transport.py
+++ b/wickhinge/net/runtime/transport.py
@@ -9,13 +9,14 @@
 from twisted.internet.error import ConnectionDone
 from twisted.python.failure import Failure
 
-from wickhinge.common.failed_calls import failed_calls, patiently, receive
+from wickhinge.common.failed_calls import call_with_retries, failed_calls, receive
 
 
-class Enduring:
+class Enduring(tcp.Connection):
     """Mixed into a Twisted connection: a failed call is tried again, at once and then at the next turn of the loop."""
 
     def doRead(self) -> Any:
+        """Called by the loop when there is something to read."""
         try:
             data = receive(self.socket, self.bufferSize)
         except OSError:
@@ -23,15 +24,17 @@
         return None if data is None else self._dataReceived(data)
 
     def writeSomeData(self, data: bytes) -> Any:
+        """Called by Twisted: the bytes taken, or the reason why the connection is over."""
         try:
-            size = patiently("send", self.socket.send, memoryview(data)[: self.SEND_LIMIT])
+            size = call_with_retries("send", self.socket.send, memoryview(data)[: self.SEND_LIMIT])
         except OSError:
             return main.CONNECTION_LOST
         return size or 0
 
     def end_unless_unread(self) -> bool:
-        """Ends the connection, unless something lies unread there, or that cannot be told just now. The look and the
-        end are one step: the process may stand still between any two. Nothing may wait to be written.
+        """Ends the connection, unless something lies unread there, or that cannot be told just now.
+
+        The check and the end are one step: the process may stand still between any two. Nothing may wait to be written.
         """
         socket = self.socket
         try:
@@ -50,7 +53,7 @@
 
     def close_ended(self) -> None:
         """Gives the descriptor of a connection back that has ended, in this call."""
-        self.connectionLost(Failure(ConnectionDone()))
+        self.connectionLost(Failure(ConnectionDone()))  # type: ignore[no-untyped-call]
 
 
 class Outgoing(Enduring, tcp.Client):
@@ -62,5 +65,9 @@
 
 
 class Connector(tcp.Connector):
+    """Twisted's connector for outgoing connections of this module."""
+
     def _makeTransport(self) -> Outgoing:
-        return Outgoing(self.host, self.port, self.bindAddress, self, self.reactor)
+        return Outgoing(  # type: ignore[no-untyped-call]
+            self.host, self.port, self.bindAddress, self, self.reactor
+        )
--- a/wickhinge/net/upstream/attempt_results.py
+++ b/wickhinge/net/upstream/attempt_results.py
@@ -8,7 +8,7 @@
 from twisted.internet import error
 from twisted.python.failure import Failure
 
-from wickhinge.common.failed_calls import OURS
+from wickhinge.common.failed_calls import LOCAL_ERRNOS
 from wickhinge.interface import Outcome
 
 
@@ -87,7 +87,7 @@
     number = getattr(reason.value, "osError", None)
     if number == ECONNRESET or reason.check(error.ConnectionLost):
         return AttemptResult.RESET_NEW
-    if number in OURS:
+    if number in LOCAL_ERRNOS:
         return AttemptResult.NOT_BEGUN
     if number in NO_ROUTE_ERRNOS:
         return AttemptResult.NO_ROUTE
--- a/wickhinge/net/upstream/connection_pools.py
+++ b/wickhinge/net/upstream/connection_pools.py
@@ -11,7 +11,7 @@
 from twisted.python.failure import Failure
 
 from wickhinge.common.connector import ConnectAttempt
-from wickhinge.common.failed_calls import patiently, waiting
+from wickhinge.common.failed_calls import call_with_retries, has_unread_data
 from wickhinge.net.downstream.descriptors import CLOSING
 from wickhinge.net.runtime.buffers import Body, BufferPool
 from wickhinge.net.runtime.deadlines import Deadlines
@@ -113,7 +113,7 @@
                     self.stop(first.tag, self.caches.deadlines.now())
                     continue
             try:
-                size = patiently("send", self.socket.send, data) or 0
+                size = call_with_retries("send", self.socket.send, data) or 0
             except OSError:  # broken: the transport will tell
                 size = 0
             if size < len(data):
@@ -216,7 +216,7 @@
             self.over(AttemptResult.UNREADABLE, "an answer that does not end")
             return
         # Where this router is behind or has stopped reading, the rest lies unread: that is looked at.
-        if now - self.heard < STALL or self.caches.paused or waiting(self.socket):
+        if now - self.heard < STALL or self.caches.paused or has_unread_data(self.socket):
             self.watched = True
             self.caches.deadlines.after(0.5 * STALL, self.watch)
         else:
@@ -224,7 +224,7 @@
 
     def check(self) -> bool:
         """One that its peer has closed or reset already, unread by us so far, would lose what is written."""
-        if waiting(self.socket) is not False:
+        if has_unread_data(self.socket) is not False:
             return True
         self.over(AttemptResult.CLOSED_IDLE, "found closed")
         return False
