--- a/tests/net/test_crossings.py
+++ b/tests/net/test_crossings.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from tests.support.connections import line
+from tests.support.connections import attempts, line
 from tests.support.processes import ROOT, Client
 from tests.support.router_process import SERVED, host
 from tests.support.routing import end, request_class, router, take
@@ -26,7 +26,7 @@
 from wickhinge.net.runtime.arrivals import Arrivals
 from wickhinge.net.upstream import resp
 from wickhinge.net.upstream.attempt_results import AttemptResult
-from wickhinge.net.upstream.attempts import Attempts, SentAttempt
+from wickhinge.net.upstream.attempts import SentAttempt
 from wickhinge.routing.attempt import Attempt
 
 OBJECT = 0xAA
@@ -267,7 +267,10 @@
         self.arrivals = clock.arrivals
         requests = RequestLog(lambda *_, **more: None)
         visits = SimpleNamespace(
-            take=self.take, refuse=lambda door: None, gone=lambda door, why: self.gone.append(door), requests=requests
+            take=self.take,
+            refuse=lambda door: None,
+            gone=lambda door, why: self.gone.append(door),
+            request_log=requests,
         )
         self.clients = ClientConnections(visits, clock, 9, lambda *_, **more: None)
         self.made = ClientConnection(self.clients)
@@ -394,8 +397,8 @@
 @pytest.mark.parametrize("room", [0, 4])
 def test_what_is_not_wholly_written_when_its_visit_is_over_never_becomes_a_request(room):
     made, ends, soon, _ = line(room)
-    forwards = Attempts(made.caches, made.caches.deadlines, 0.25, [].append)
-    made.caches.ended = ends.__setitem__
+    forwards = attempts(made.caches)
+    made.caches.report_to(SimpleNamespace(begin=forwards.begin, answered=forwards.answered, ended=ends.__setitem__))
     door = SimpleNamespace(trace=RequestTrace(0.0, 0.0))
     number = forwards.slots.put(SentAttempt(door, None, SimpleNamespace(mark=1), 0.0, 1.0))
     sent = forwards.slots.get(number)
@@ -448,7 +451,7 @@
 @pytest.mark.parametrize("word, again", [(b"MISS", True), (b"BUSY", False), (b"ERR", False), (b"VOID", False)])
 def test_after_what_answer_a_visit_may_come_again_on_the_same_connection(word, again):
     made, *_ = line()
-    forwards = Attempts(made.caches, made.caches.deadlines, 0.25, [].append)
+    forwards = attempts(made.caches)
     forwards.ended = lambda *_: None
     door = DownstreamRequest(SimpleNamespace(taken=1), None, 1, "a", request_class(), 0.0)
     number = forwards.slots.put(SentAttempt(door, None, None, 0.0, 1.0))
@@ -461,7 +464,7 @@
 def test_what_a_source_holds_is_not_asked_for_where_the_look_missed(held, again):
     """A fill cannot end as a miss, an ask for what is held can: the look's miss, come twice, would be taken for it."""
     made, *_ = line()
-    forwards = Attempts(made.caches, made.caches.deadlines, 0.25, [].append)
+    forwards = attempts(made.caches)
     forwards.ended = lambda *_: None
     door, cache = (
         DownstreamRequest(SimpleNamespace(taken=1), None, 1, "a", request_class(), 0.0),
--- a/tests/net/test_descriptors.py
+++ b/tests/net/test_descriptors.py
@@ -39,7 +39,7 @@
 from wickhinge.net.runtime.deadlines import Deadlines
 from wickhinge.net.runtime.loop import Reactor
 from wickhinge.net.upstream import resp
-from wickhinge.net.upstream.connection_pools import ConnectionPools
+from wickhinge.net.upstream.connection_pools import ConnectionPools, PoolSettings
 
 LIMITS = [256, 512, 640, 672]  # as the bench's days name them
 SMALL = 64  # the least that a configuration may name
@@ -443,8 +443,10 @@
 
 
 def caches_with(most, machines):
-    clock = SimpleNamespace(now=lambda: clock.time, after=lambda *_: None, soon=lambda *_: None, time=100.0)
-    made = ConnectionPools(Connecting(), clock, pool()[0], 0.4, 15.0, 100, most, lambda *_, **more: None, [].append)
+    clock = SimpleNamespace(
+        now=lambda: clock.time, after=lambda *_: None, soon=lambda *_: None, time=100.0, reactor=Connecting()
+    )
+    made = ConnectionPools(clock, pool()[0], PoolSettings(0.4, 15.0, 100, most), lambda *_, **more: None)
     for mark in range(machines):
         made.listed(mark, str(mark), ("127.0.0.1", 1))
     return made, clock
@@ -489,7 +491,7 @@
     with ExitStack() as stack:
         places = [stack.enter_context(socket.create_server(("127.0.0.1", 0))) for _ in range(4)]
         deadlines = Deadlines(reactor, [].append)
-        caches = ConnectionPools(reactor, deadlines, pool()[0], 5.0, 15.0, 100, 3, lambda *_, **more: None, [].append)
+        caches = ConnectionPools(deadlines, pool()[0], PoolSettings(5.0, 15.0, 100, 3), lambda *_, **more: None)
         for mark, place in enumerate(places):
             caches.listed(mark, str(mark), place.getsockname())
 
--- a/tests/net/test_net.py
+++ b/tests/net/test_net.py
@@ -13,7 +13,7 @@
 from twisted.python import log
 from twisted.python.failure import Failure
 
-from tests.support.connections import Wire, line, pool, reading
+from tests.support.connections import Wire, attempts, line, pool, reading
 from tests.support.routing import request_class, router
 from wickhinge.fields import Malformed
 from wickhinge.interface import Outcome
@@ -28,8 +28,8 @@
 from wickhinge.net.runtime.slots import Slots
 from wickhinge.net.upstream import resp
 from wickhinge.net.upstream.attempt_results import OUTCOMES_BY_RESULT, RESULTS_BY_STATUS, AttemptResult, unconnected
-from wickhinge.net.upstream.attempts import NOTES, Attempts, SentAttempt
-from wickhinge.net.upstream.connection_pools import ConnectionPools, UpstreamConnection
+from wickhinge.net.upstream.attempts import NOTES, SentAttempt
+from wickhinge.net.upstream.connection_pools import ConnectionPools, PoolSettings, UpstreamConnection
 
 
 def plain(items):
@@ -386,7 +386,7 @@
 )
 def test_a_word_that_does_not_fit_what_was_asked_is_unreadable(word, told, probe, good):
     made, ended = line()[0].caches, []
-    forwards = Attempts(made, made.deadlines, 0.25, [].append)
+    forwards = attempts(made)
     forwards.ended = lambda number, end, told, body: ended.append(end)
     door = None if probe else DownstreamRequest(SimpleNamespace(taken=1), None, 1, "a", request_class(), 0.0)
     number = forwards.slots.put(SentAttempt(door, None, None, 0.0, 1.0))
@@ -450,7 +450,7 @@
             other.connect_ex(address)
         deadlines = Deadlines(reactor, ended.append)
         caches = ConnectionPools(
-            reactor, deadlines, pool()[0], 5.0, 15.0, 100, 50, lambda *_, **told: ended.append(told), ended.append
+            deadlines, pool()[0], PoolSettings(5.0, 15.0, 100, 50), lambda *_, **told: ended.append(told)
         )
         caches.listed(1, "1", address)
         gc.collect()
@@ -485,14 +485,15 @@
     """The collector is off in service: a circle would stay until the memory limit."""
     clock = SimpleNamespace(now=lambda: 100.0, at=lambda *_: None)
     client = SimpleNamespace(error=lambda call, word, fields: None)
-    visits = RequestTable(None, clock, pool()[0], {"t": request_class()}, lambda *_, **more: None, [].append)
-    visits.router = router(boxes=0, parents=0, direct=False)
-    seen, take = [], visits.router.take
-    visits.router.take = lambda *told: seen.append(weakref.ref(visit := take(*told))) or visit
+    decisions = router(boxes=0, parents=0, direct=False)
+    forwards = SimpleNamespace(decisions=decisions, local_copies=None)
+    visits = RequestTable(forwards, clock, pool()[0], {"t": request_class()}, lambda *_, **more: None, [].append)
+    seen, take = [], decisions.take
+    decisions.take = lambda *told: seen.append(weakref.ref(visit := take(*told))) or visit
     gc.disable()
     try:
         visits.take(client, 1, "t", {"rid": "0" * 16, "budget": "3000", "obj": "0" * 16}, b"", 100.0)
-        visits.router.outside.alarms.clear()
+        decisions.outside.alarms.clear()
         assert visits.answers == {"denied": 1} and seen[0]() is None
     finally:
         gc.enable()
--- a/tests/store/test_store.py
+++ b/tests/store/test_store.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from tests.support.connections import pool, reading
+from tests.support.connections import attempts, pool, reading
 from tests.support.faulty_disk import Disk
 from tests.support.routing import end, request_class, router, take
 from tests.support.store_world import World
@@ -16,7 +16,6 @@
 from wickhinge.net.downstream.request_table import RequestTable
 from wickhinge.net.runtime.buffers import Body
 from wickhinge.net.upstream import resp
-from wickhinge.net.upstream.attempts import Attempts
 from wickhinge.net.upstream.local_copies import LocalCopies
 from wickhinge.store.keep import Copy
 from wickhinge.store.link import Link
@@ -444,17 +443,17 @@
     machine = SimpleNamespace(
         send=lambda tag, number, payload: sent.append((tag, number, forwards.begin(number))) or line
     )
-    caches = SimpleNamespace(machines={mark: machine for mark in [1, 2, 3, 4, 100, 101, 200]})
-    forwards = Attempts(caches, heap, 0.25, faults.append)
-    made = router()
-    visits = RequestTable(forwards, heap, buffers, {"t": request_class()}, lambda *a, **k: None, faults.append)
-    forwards.router = visits.router = made
+    caches = SimpleNamespace(
+        machines={mark: machine for mark in [1, 2, 3, 4, 100, 101, 200]}, deadlines=heap, report_to=lambda owner: None
+    )
+    made, copies = router(), None
     world.clock = heap.clock
     if with_store:
         world.store.now = lambda: heap.clock
-        copies = LocalCopies(world.store, heap, buffers, Link(1e6, 1e6), 0.1, faults.append, OthersTime())
-        made.copies = visits.copies = forwards.copies = copies
+        copies = made.copies = LocalCopies(world.store, heap, buffers, Link(1e6, 1e6), 0.1, faults.append, OthersTime())
         world.store.caught_up(heap.clock, False)
+    forwards = attempts(caches, faults, decisions=made, local_copies=copies)
+    visits = RequestTable(forwards, heap, buffers, {"t": request_class()}, lambda *a, **k: None, faults.append)
     return SimpleNamespace(
         world=world,
         heap=heap,
@@ -513,10 +512,10 @@
     net.world.lanes.go()
     net.heap.run(net.heap.clock)
     assert len(net.sent) == 2 and net.client.had[2] == (2, b"x" * 700, {}) and not net.faults
-    assert not list(net.visits.slots) and not list(net.visits.copies.slots)
+    assert not list(net.visits.slots) and not list(net.visits.local_copies.slots)
     ask(net, cached="00000000000000e1")
     net.heap.run(net.heap.clock)
-    assert net.client.had[3] == (3, b"", {"keep": "1"}) and net.visits.copies.served["told"] == 1
+    assert net.client.had[3] == (3, b"", {"keep": "1"}) and net.visits.local_copies.served["told"] == 1
 
 
 def test_a_read_that_does_not_come_in_time_goes_on_to_a_cache_and_answers_once():
@@ -532,7 +531,7 @@
     net.world.lanes.stalled = set()
     net.world.lanes.go()
     net.heap.run(net.heap.clock + 1.0)
-    assert len(net.client.had) == 3 and not net.faults and net.visits.copies.served["late"] == 1
+    assert len(net.client.had) == 3 and not net.faults and net.visits.local_copies.served["late"] == 1
 
 
 def test_a_client_that_left_while_its_copy_was_read_gets_nothing():
@@ -551,7 +550,7 @@
     net.world.restart(1, lost=False)
     net.world.store.now = lambda: net.heap.clock
     copies = LocalCopies(net.world.store, net.heap, net.pool, Link(1e6, 1e6), 0.1, net.faults.append, OthersTime())
-    net.router.copies = net.visits.copies = net.forwards.copies = copies
+    net.router.copies = net.visits.local_copies = net.forwards.local_copies = copies
     net.world.store.caught_up(net.heap.clock, False)
     ask(net)
     assert told(net)["have"] == "00000000000000e1"
--- a/tests/support/connections.py
+++ b/tests/support/connections.py
@@ -2,10 +2,18 @@
 
 from types import SimpleNamespace
 
+from wickhinge.clocks import OthersTime
 from wickhinge.net.control import endpoint_watch
 from wickhinge.net.runtime.arrivals import Arrivals
 from wickhinge.net.runtime.buffers import BufferPool
-from wickhinge.net.upstream.connection_pools import ConnectionPools, UpstreamConnection
+from wickhinge.net.upstream.attempts import AttemptPorts, Attempts
+from wickhinge.net.upstream.connection_pools import ConnectionPools, PoolSettings, UpstreamConnection
+
+
+def attempts(pools, faults=None, **ports):
+    """Attempts over these pools, with no decisions unless they are given."""
+    ports = {"decisions": None, "others_time": OthersTime(), **ports}
+    return Attempts(pools, pools.deadlines, AttemptPorts(**ports), 0.25, [].append if faults is None else faults.append)
 
 
 def pool(limit=8):
@@ -43,9 +51,14 @@
         soon=lambda call, *told: soon.append((call, told)),
         arrivals=Arrivals(0.0),
     )
-    caches = ConnectionPools(None, clock, pool()[0], 0.4, 15.0, 100, 50, lambda *_, **more: None, [].append)
-    caches.ended = ends.__setitem__
-    caches.answered = lambda number, *_: ends.setdefault(number, "answered") == "answered"
+    caches = ConnectionPools(clock, pool()[0], PoolSettings(0.4, 15.0, 100, 50), lambda *_, **more: None)
+    caches.report_to(
+        SimpleNamespace(
+            begin=lambda number: None,
+            answered=lambda number, *_: ends.setdefault(number, "answered") == "answered",
+            ended=ends.__setitem__,
+        )
+    )
     caches.listed(1, "1", ("127.0.0.1", 1))
     made = UpstreamConnection(caches.machines[1])
     made.machine.lines.append(made)
--- a/wickhinge/net/control/endpoint_updates.py
+++ b/wickhinge/net/control/endpoint_updates.py
@@ -26,7 +26,7 @@
 
 
 class EndpointUpdates:
-    """Where lists and purges go. `membership` and `local_copies` are None where they are off."""
+    """Where lists and purges go; the optional subsystems are those that the attempts have."""
 
     def __init__(
         self,
@@ -34,15 +34,12 @@
         attempts: Attempts,
         names: SettingsNames,
         log: Callable[..., None],
-        *,
-        membership: Any = None,
-        local_copies: Any = None,
     ) -> None:
         self._decisions, self._attempts, self._names, self._log = decisions, attempts, names, log
         self._pools: ConnectionPools = attempts.caches
         self._deadlines: Deadlines = attempts.deadlines
-        self._others_time: OthersTime = attempts.others
-        self._membership, self._local_copies = membership, local_copies
+        self._others_time: OthersTime = attempts.others_time
+        self._membership, self._local_copies = attempts.membership, attempts.local_copies
 
     def apply_known(self, known: KnownEvents) -> None:
         """Applies what the configuration holds; its purges have no numbers."""
--- a/wickhinge/net/control/process_report.py
+++ b/wickhinge/net/control/process_report.py
@@ -75,8 +75,8 @@
             "clients": len(clients.all),
             "client_descriptors": clients.admission.held,
             "answers": requests.answers,
-            "unserved": requests.requests.reasons,
-            "unlogged": requests.requests.unlogged,
+            "unserved": requests.request_log.reasons,
+            "unlogged": requests.request_log.unlogged,
             "closed": clients.closed,
             "faults": clients.take_faults(),
         }
--- a/wickhinge/net/control/router_process.py
+++ b/wickhinge/net/control/router_process.py
@@ -12,7 +12,7 @@
 from typing import Any
 
 from wickhinge import settings
-from wickhinge.clocks import WallClockWatch, monotonic, wall
+from wickhinge.clocks import OthersTime, WallClockWatch, monotonic, wall
 from wickhinge.fields import Malformed
 from wickhinge.net.control import config
 from wickhinge.net.control.endpoint_updates import NO_NUMBER, EndpointUpdates, SettingsNames
@@ -26,8 +26,8 @@
 from wickhinge.net.runtime.buffers import BUFFER_BYTES, BufferPool
 from wickhinge.net.runtime.deadlines import Deadlines
 from wickhinge.net.runtime.log import Log
-from wickhinge.net.upstream.attempts import Attempts
-from wickhinge.net.upstream.connection_pools import ConnectionPools
+from wickhinge.net.upstream.attempts import AttemptPorts, Attempts
+from wickhinge.net.upstream.connection_pools import ConnectionPools, PoolSettings
 
 PROBE_TIMEOUT_S = 0.25  # where the settings name no time limit of health checks
 PROGRAM_MB = 32  # for the program itself; of the rest, half is the buffers' and half for what is read and written
@@ -65,16 +65,11 @@
         self.unusable: OSError | None = None  # why the address could not be had in the end
         self._has_started = False
         self._build_decisions(configuration)
-        self._build_data_path(configuration)
-        self._build_optional(configuration, options)
-        self.updates = EndpointUpdates(
-            self.router,
-            self.forwards,
-            self.names,
-            self.log.event,
-            membership=self.members,
-            local_copies=self.copies,
-        )
+        self._build_connections(configuration)
+        self._build_copies_and_membership(configuration, options)
+        self._build_request_path()
+        self.updates = EndpointUpdates(self.router, self.forwards, self.names, self.log.event)
+        self._build_fleet_clients(options)
         self._build_endpoint_watch(configuration, options)
         self.listen_address = config.listen_address(configuration)
         self.updates.apply_known(config.known_events(configuration))
@@ -224,44 +219,38 @@
         )
         self.seed = config.seed(configuration)
         self.router, self._request_classes = settings.build(decision_settings, self.seed, self)
+        self.others_time = OthersTime()
+        self.others_time.improved = lambda: self.router.fleet.relate(self.deadlines.now())
+        self.router.fleet.instant = self.router.purges.instant = self.others_time.instant
         self._longest_timeout_s = max(request_class.timeout for request_class in self._request_classes.values())
 
-    def _build_data_path(self, configuration: dict[str, Any]) -> None:
+    def _build_connections(self, configuration: dict[str, Any]) -> None:
         limits = config.process_limits(configuration)
         descriptors = bounds(limits.descriptors)
         self.connection_limits = config.connection_limits(configuration)
         buffers = max((limits.memory_mb - PROGRAM_MB) * 500_000 // BUFFER_BYTES, MIN_BUFFERS)
         self.pool = BufferPool(buffers, self.pause, self.resume)
         self.caches = ConnectionPools(
-            self.reactor,
             self.deadlines,
             self.pool,
-            self.connection_limits.connect_timeout_s,
-            self.connection_limits.idle_timeout_s,
-            self.connection_limits.max_streams,
-            descriptors.machines,
+            PoolSettings(*self.connection_limits, descriptors.machines, self.router.cancel),
             self.log.event,
-            self.fault,
         )
-        self.caches.stops = self.router.cancel
-        self.forwards = Attempts(self.caches, self.deadlines, PROBE_TIMEOUT_S, self.fault)
-        self.forwards.informed = self.is_up_to_date
-        self.others = self.forwards.others
-        self.others.improved = lambda: self.router.fleet.relate(self.deadlines.now())
-        self.router.fleet.instant = self.router.purges.instant = self.others.instant
+        self._max_clients = descriptors.clients
+        self._memory_mb = limits.memory_mb
+
+    def _build_request_path(self) -> None:
+        ports = AttemptPorts(self.router, self.others_time, self.is_up_to_date, self.copies, self.members)
+        self.forwards = Attempts(self.caches, self.deadlines, ports, PROBE_TIMEOUT_S, self.fault)
         self.visits = RequestTable(
             self.forwards, self.deadlines, self.pool, self._request_classes, self.log.event, self.fault
         )
-        self.forwards.router = self.visits.router = self.router
-        self.clients = ClientConnections(self.visits, self.deadlines, descriptors.clients, self.log.event)
-        self._memory_mb = limits.memory_mb
+        self.clients = ClientConnections(self.visits, self.deadlines, self._max_clients, self.log.event)
 
-    def _build_optional(self, configuration: dict[str, Any], options: Any) -> None:
+    def _build_copies_and_membership(self, configuration: dict[str, Any], options: Any) -> None:
         """Builds what the options switch on; the others stay None and are not imported."""
         self.copies: Any = None
         self.members: Any = None
-        self.fellows: Any = None
-        self.changes: Any = None
         if options is not None and options.store.mode == "on":
             from wickhinge.net.upstream import local_copies
 
@@ -273,14 +262,18 @@
                 config.link_limits(configuration),
                 self.log.event,
                 self.fault,
-                self.others,
+                self.others_time,
             )
-        self.router.copies = self.visits.copies = self.forwards.copies = self.copies
+        self.router.copies = self.copies
         if options is not None and options.discovery.mode == "on":
             from wickhinge.net.control import membership
 
             self.members = membership.make(options, config.settings(configuration), self)
-        self.forwards.members = self.members
+
+    def _build_fleet_clients(self, options: Any) -> None:
+        """Builds the optional parts that talk to the fleet, and the report on all that is on."""
+        self.fellows: Any = None
+        self.changes: Any = None
         if options is not None and options.peers.mode == "on":
             from wickhinge.net.control import peer_transport
 
--- a/wickhinge/net/downstream/client_connections.py
+++ b/wickhinge/net/downstream/client_connections.py
@@ -168,7 +168,7 @@
                 self.clients.visits.gone(door, "aborted")
             elif first in self.later:
                 self.unqueue(first)
-                self.clients.visits.requests.count("aborted before it began")
+                self.clients.visits.request_log.count("aborted before it began")
         else:
             raise msgpack.MalformedMessageError("a message that is no request and no abort")
 
@@ -181,7 +181,7 @@
             size = sum(len(item) if type(item) is bytes else len(repr(item)) for item in params)
             if self.kept + size > LATER and self.clients.kept + size > LATER_ALL:
                 self.error(call, "Overloaded", {})
-                self.clients.visits.requests.count("refused in a hold")
+                self.clients.visits.request_log.count("refused in a hold")
                 return
         self.later[call] = QueuedRequest(method, params, self.arrival, size)
         self.kept += size
@@ -219,7 +219,7 @@
         except InvalidRequestError as problem:
             self.open.pop(call, None)
             self.clients.bad(str(problem))
-            self.clients.visits.requests.count("unusable")
+            self.clients.visits.request_log.count("unusable")
             self.error(call, "BadRequest", {"why": str(problem)})
             # Against one that asks the same again as soon as it is answered: it waits, nobody else does.
             self.bad += 1
@@ -364,7 +364,7 @@
     def refuse_all(self) -> None:
         for call in list(self.later):
             self.unqueue(call)
-            self.clients.visits.requests.count("connection ended before it began")
+            self.clients.visits.request_log.count("connection ended before it began")
             self.error(call, "Overloaded", {})
         for door in list(self.open.values()):
             if door is not None:
@@ -387,7 +387,7 @@
         self.clients.forget(self)
         for call in list(self.later):
             self.unqueue(call)
-            self.clients.visits.requests.count("connection ended before it began")
+            self.clients.visits.request_log.count("connection ended before it began")
         doors, self.open = self.open, {}
         for door in doors.values():
             if door is not None:
--- a/wickhinge/net/downstream/request_table.py
+++ b/wickhinge/net/downstream/request_table.py
@@ -14,13 +14,15 @@
 from wickhinge.net.upstream.attempts import Attempts
 
 HEX = re.compile(r"[0-9a-f]{16}\Z").match
-MARK = re.compile(r"[0-9A-Za-z_-]{1,64}\Z").match  # nothing that parts fields on the way to a cache
-LEAST, MOST = 1, 2000  # milliseconds of patience, the most for each second of the tariff's own
-BODY = 48_000
-RIDS = 2048
-GROUPS = 255
-SLACK = 0.001  # a forward that may run as long as its visit has no deadline of its own
-LATEST = 0.01  # past a visit's patience: by then the module has answered, or it never will
+IDEMPOTENCY_KEY = re.compile(r"[0-9A-Za-z_-]{1,64}\Z").match  # nothing that parts fields on the way to a server
+MIN_BUDGET_MS = 1
+MAX_BUDGET_MS_PER_S = 2000  # for each second of the request class's own timeout
+MAX_BODY_BYTES = 48_000
+MAX_RIDS = 2048  # in each of the two sets of latest ids
+MAX_GROUP = 255
+MAX_PART = 1 << 31
+SLACK_S = 0.001  # an attempt that may run as long as its request has no deadline of its own
+ANSWERED_WITHIN_S = 0.01  # past a request's timeout: by then the decisions have answered, or they never will
 
 
 class InvalidRequestError(Exception):
@@ -82,7 +84,7 @@
             self.visits.forwards.cancel(number)
 
     def serve_copy(self, copy: Any) -> None:
-        self.visits.copies.read(self, copy)
+        self.visits.local_copies.read(self, copy)
 
     def reject(self, retry_after: float, reason: RejectionReason) -> None:
         fields = {"backoff": str(int(retry_after * 1000))} if retry_after > 0 else {}
@@ -158,10 +160,9 @@
     ) -> None:
         self.forwards, self.deadlines, self.pool, self.request_classes = forwards, deadlines, pool, request_classes
         self.log, self.fault = log, fault
-        self.requests = RequestLog(log)
+        self.request_log = RequestLog(log)
         self.slots = Slots()
-        self.router: Any = None
-        self.copies: Any = None  # of our own, where there are any
+        self.decisions, self.local_copies = forwards.decisions, forwards.local_copies
         self.rids: set[str] = set()  # the latest: an id is new with every visit, also with a repeat
         self.before: set[str] = set()
         self.taken = 0
@@ -172,50 +173,44 @@
     ) -> DownstreamRequest:
         """arrival: when its last byte came, at the earliest; its time counts from then."""
         now = self.deadlines.now()
+        waited = max(now - arrival, 0.0)
         request_class = self.request_classes.get(method)
         if request_class is None:
             raise InvalidRequestError("method names no tariff")
-        rid = digits(fields, "rid")
-        waited = max(now - arrival, 0.0)
-        patience = whole(fields, "budget", LEAST, int(MOST * request_class.timeout)) / 1000.0 - waited
-        part = whole(fields, "block", 0, 1 << 31, 0)
-        group = whole(fields, "family", 0, GROUPS, 0)
-        key = 0 if request_class.pass_through and "obj" not in fields else int(digits(fields, "obj"), 16)
-        if len(body) > BODY:
-            raise InvalidRequestError(f"the body holds over {BODY} bytes")
-        if not MARK(fields.get("token", "-")):
-            raise InvalidRequestError("field token is no mark of up to 64 letters and digits")
-        if rid in self.rids or rid in self.before:
-            raise InvalidRequestError("field rid was used before")
+        rid = hex_field(fields, "rid")
+        request = parse_request(fields, request_class, waited)
+        check_body_and_key(fields, body)
+        self._remember(rid)
         door = DownstreamRequest(self, client, call, rid, request_class, now, waited)
         door.body = Body(self.pool, body) if body else None
-        door.passed = f"queue={method}"
-        if "token" in fields:
-            # By it the origin drops a repeat: a ticketed visit without its mark would have its effect twice.
-            door.passed += f",uniq={fields['token']}"
-        if "obj" in fields:
-            door.passed += f",path={fields['obj']}"
-        if "block" in fields:
-            door.passed += f",blk={fields['block']}"
+        door.passed = forwarded_fields(method, fields)
         if not request_class.pass_through and HEX(fields.get("cached", "")):
             door.cached = fields["cached"]
-        self.rids.add(rid)
-        if len(self.rids) >= RIDS:
-            self.before, self.rids = self.rids, set()
         door.number = self.slots.put(door)
         self.taken += 1
-        door.until = now + patience - SLACK
+        door.until = now + request.timeout - SLACK_S
+        self._route(door, request, now, waited)
+        if not door.final:
+            self.deadlines.at(now + request.timeout + ANSWERED_WITHIN_S, self.overdue, door.number)
+        return door
+
+    def _remember(self, rid: str) -> None:
+        """Raises InvalidRequestError for one of the latest ids; of them at least MAX_RIDS are known."""
+        if rid in self.rids or rid in self.before:
+            raise InvalidRequestError("field rid was used before")
+        self.rids.add(rid)
+        if len(self.rids) >= MAX_RIDS:
+            self.before, self.rids = self.rids, set()
+
+    def _route(self, door: DownstreamRequest, request: Request, now: float, waited: float) -> None:
+        """Hands the request to the decisions; a fault of theirs ends this request alone."""
         try:
-            request = Request(key, part, group, 0.0, patience, "again" in fields)
-            visit = self.router.take(door, request_class, request, now, waited)
+            visit = self.decisions.take(door, door.request_class, request, now, waited)
             if not door.final:  # over already, it would only close the circle that ended() opens
                 door.visit = visit
         except Exception:
             self.fault("visit")
             door.broken()
-        if not door.final:
-            self.deadlines.at(now + patience + LATEST, self.overdue, door.number)
-        return door
 
     def overdue(self, number: int) -> None:
         door = self.slots.get(number)
@@ -258,7 +253,7 @@
         if visit is not None:
             visit.forwards.clear()  # they name the visit: a circle that only the collector would find
         self.answers[door.answer] = self.answers.get(door.answer, 0) + 1
-        self.requests.ended(
+        self.request_log.ended(
             self.deadlines.now(),
             door.rid,
             door.answer,
@@ -273,7 +268,40 @@
         )
 
 
-def digits(fields: dict[str, str], field: str) -> str:
+def parse_request(fields: dict[str, str], request_class: Any, waited: float) -> Request:
+    """What the decisions need to know; waited: seconds of its time that are over. Raises InvalidRequestError."""
+    max_budget_ms = int(MAX_BUDGET_MS_PER_S * request_class.timeout)
+    timeout = whole_field(fields, "budget", MIN_BUDGET_MS, max_budget_ms) / 1000.0 - waited
+    part = whole_field(fields, "block", 0, MAX_PART, 0)
+    group = whole_field(fields, "family", 0, MAX_GROUP, 0)
+    has_no_object = request_class.pass_through and "obj" not in fields
+    key = 0 if has_no_object else int(hex_field(fields, "obj"), 16)
+    return Request(key, part, group, 0.0, timeout, "again" in fields)
+
+
+def check_body_and_key(fields: dict[str, str], body: bytes) -> None:
+    """Raises InvalidRequestError for a body or an idempotency key that no server is to get."""
+    if len(body) > MAX_BODY_BYTES:
+        raise InvalidRequestError(f"the body holds over {MAX_BODY_BYTES} bytes")
+    if not IDEMPOTENCY_KEY(fields.get("token", "-")):
+        raise InvalidRequestError("field token is no mark of up to 64 letters and digits")
+
+
+def forwarded_fields(method: str, fields: dict[str, str]) -> str:
+    """What goes on to the servers unchanged, in their words."""
+    forwarded = f"queue={method}"
+    if "token" in fields:
+        # By it the origin drops a repeat: without its key a request would have its effect twice.
+        forwarded += f",uniq={fields['token']}"
+    if "obj" in fields:
+        forwarded += f",path={fields['obj']}"
+    if "block" in fields:
+        forwarded += f",blk={fields['block']}"
+    return forwarded
+
+
+def hex_field(fields: dict[str, str], field: str) -> str:
+    """A field of 16 hex digits. Raises InvalidRequestError."""
     value = fields.get(field)
     if value is None:
         raise InvalidRequestError(f"field {field} is missing")
@@ -282,7 +310,8 @@
     return value
 
 
-def whole(fields: dict[str, str], field: str, least: int, most: int, default: int | None = None) -> int:
+def whole_field(fields: dict[str, str], field: str, least: int, most: int, default: int | None = None) -> int:
+    """A whole number within bounds; default: where the field is missing. Raises InvalidRequestError."""
     value = fields.get(field)
     if value is None and default is not None:
         return default
--- a/wickhinge/net/upstream/attempts.py
+++ b/wickhinge/net/upstream/attempts.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 from collections.abc import Callable
+from dataclasses import dataclass
 from typing import Any
 
 from wickhinge.clocks import OthersTime
@@ -35,19 +36,40 @@
         self.fills = False  # a miss is filled there: it cannot end as one
 
 
+def always_up_to_date(now: float) -> bool:  # noqa: ARG001  AttemptPorts
+    """Stands in where nobody tells of lists."""
+    return True
+
+
+@dataclass(frozen=True, slots=True)
+class AttemptPorts:
+    """Whom Attempts report to and ask; the optional subsystems are None where they are off."""
+
+    decisions: Any  # the Router of wickhinge.routing
+    others_time: OthersTime
+    is_up_to_date: Callable[[float], bool] = always_up_to_date  # whether all that was told until lately is known
+    local_copies: Any = None
+    membership: Any = None  # says which servers are there while nobody vouches for it
+
+
 class Attempts:
+    """All attempts and health checks under way; the owner of what goes over the connections."""
+
     def __init__(
-        self, caches: ConnectionPools, deadlines: Deadlines, probe_within: float, fault: Callable[[str], None]
+        self,
+        caches: ConnectionPools,
+        deadlines: Deadlines,
+        ports: AttemptPorts,
+        probe_within: float,
+        fault: Callable[[str], None],
     ) -> None:
+        """Parameters as named; probe_within: seconds; fault: called within the handling of an exception."""
         self.caches, self.deadlines, self.probe_within = caches, deadlines, probe_within
         self.fault = fault
         self.slots = Slots()
-        self.router: Any = None
-        self.copies: Any = None  # of our own, where there are any
-        self.others = OthersTime()
-        self.members: Any = None  # who says what is there while nobody vouches for it, where that is on
-        self.informed: Callable[[float], bool] = lambda now: True  # whether all that was told until lately is known
-        caches.answered, caches.ended, caches.begin = self.answered, self.ended, self.begin
+        self.decisions, self.local_copies, self.membership = ports.decisions, ports.local_copies, ports.membership
+        self.others_time, self._is_up_to_date = ports.others_time, ports.is_up_to_date
+        caches.report_to(self)
 
     def send(self, door: Any, parameters: AttemptParameters) -> int:
         forward, cache, source = parameters.attempt, parameters.server, parameters.source
@@ -56,8 +78,8 @@
             fields += f",src=s-{source.mark:08x}"
         if parameters.retention_rank:
             fields += f",keep={parameters.retention_rank}"
-        if self.members is not None and not door.request_class.pass_through:
-            oldest = self.members.oldest(oldest)
+        if self.membership is not None and not door.request_class.pass_through:
+            oldest = self.membership.oldest(oldest)
         if oldest is not None:
             # 0 would lift the limit, and rounding up would widen it.
             fields += f",maxage={max(int(oldest * 1000), 1)}"
@@ -155,7 +177,7 @@
             if now >= sent.until:
                 self.take_back(number, "its time was over before it was written")
                 return None
-            if not self.informed(now):
+            if not self._is_up_to_date(now):
                 self.take_back(number, "decided by an old list")
                 return None
             data = self.request(sent, now)
@@ -226,24 +248,24 @@
             if sent.forward is not None:
                 sent.forward(sent.cache, outcome is Outcome.SUCCEEDED)
                 return
-            self.router.health_checked(sent.cache, outcome, load, now)
+            self.decisions.health_checked(sent.cache, outcome, load, now)
             return
-        if self.members is not None:
-            self.members.ended(sent, outcome)
+        if self.membership is not None:
+            self.membership.ended(sent, outcome)
         door.trace.add(now, Step.ENDED, sent.cache.mark, (end, told))
         if outcome is Outcome.SUCCEEDED:
-            if self.copies is not None and not door.final:
-                self.copies.passed(sent.forward.visit, resp.fields(told), body)
+            if self.local_copies is not None and not door.final:
+                self.local_copies.passed(sent.forward.visit, resp.fields(told), body)
             door.serve(body, False)
         elif body is not None:
             body.release()
         if end in (AttemptResult.SERVED, AttemptResult.SAME) and (made := resp.made(told)) is not None:
-            self.others.seen(made / 1000.0, now)
+            self.others_time.seen(made / 1000.0, now)
         if end is AttemptResult.SAME:
             if type(sent.offered) is str:
                 door.serve(None, True)
             else:
-                self.copies.renewed(sent.offered, resp.fields(told))
+                self.local_copies.renewed(sent.offered, resp.fields(told))
         try:
             place = told.find(b"detail=")
             note = NOTES.get(told[place + 7 : place + 8]) if place >= 0 else None
--- a/wickhinge/net/upstream/connection_pools.py
+++ b/wickhinge/net/upstream/connection_pools.py
@@ -2,8 +2,10 @@
 
 from __future__ import annotations
 
+import typing
 from collections import deque
 from collections.abc import Callable
+from dataclasses import dataclass
 from math import inf
 from typing import Any
 
@@ -58,7 +60,7 @@
 
     def connect(self, address: tuple[str, int]) -> None:
         self.caches.held += 1
-        self.attempt = ConnectAttempt(self.caches.reactor, address, self, self.unconnected)
+        self.attempt = ConnectAttempt(self.caches.deadlines.reactor, address, self, self.unconnected)
         self.caches.deadlines.after(self.caches.connect_within, self.overdue)
 
     def connectionMade(self) -> None:
@@ -106,7 +108,7 @@
             first = self.queue[0]
             data = first.data
             if data is None:
-                data = self.caches.begin(self.open[first.tag])
+                data = self.caches.owner.begin(self.open[first.tag])
                 if not self.queue or self.queue[0] is not first:
                     continue  # taken back meanwhile
                 if data is None:
@@ -155,7 +157,7 @@
             self.unwritten.discard(tag)
         elif not self.down:
             self.leave(tag)
-            if self.caches.stops:
+            if self.caches.can_cancel:
                 self.put(b"", resp.pack(b"STOP", tag))
         self.settle()
 
@@ -188,7 +190,7 @@
             self.unwritten.discard(items[0])
             word = items[1] if len(items) > 1 else b""
             told = items[2] if len(items) > 2 else b"-"
-            fits = self.caches.answered(number, word, told, body)
+            fits = self.caches.owner.answered(number, word, told, body)
             if fits is None:
                 self.open[items[0]] = number
             elif not fits:
@@ -278,7 +280,7 @@
             )
         for tag, number in lost.items():
             unwritten = self.up and tag in self.unwritten
-            self.caches.ended(number, AttemptResult.LOST_UNWRITTEN if unwritten else end)
+            self.caches.owner.ended(number, AttemptResult.LOST_UNWRITTEN if unwritten else end)
 
 
 class ConnectionPool:
@@ -338,33 +340,68 @@
                 line.close()
 
 
+@dataclass(frozen=True, slots=True)
+class PoolSettings:
+    """Limits of all connections to servers together."""
+
+    connect_timeout_s: float
+    idle_timeout_s: float  # of the servers; connections are closed somewhat sooner
+    max_streams: int  # requests at a time on one connection
+    max_connections: int
+    can_cancel: bool = True  # whether a request may be cancelled by word; else its budget tells
+
+
+class AttemptOwner(typing.Protocol):
+    """Who sent what goes over the connections; attempts are known by their numbers."""
+
+    def begin(self, number: int) -> bytes | None:
+        """Called when an attempt's turn to be written comes; None: it is not to be sent any more."""
+
+    def answered(self, number: int, word: bytes, told: bytes, body: Any) -> bool | None:
+        """Called with an answer; False: nothing on that connection can be trusted, None: it is not the answer."""
+
+    def ended(self, number: int, end: AttemptResult) -> None:
+        """Called when the connection ended under an attempt."""
+
+
+class NoAttempts:
+    """Owner of nothing, until there is one."""
+
+    def begin(self, number: int) -> bytes | None:  # noqa: ARG002  AttemptOwner
+        """As AttemptOwner."""
+        return None
+
+    def answered(self, number: int, word: bytes, told: bytes, body: Any) -> bool | None:  # noqa: ARG002  AttemptOwner
+        """As AttemptOwner."""
+        return True
+
+    def ended(self, number: int, end: AttemptResult) -> None:
+        """As AttemptOwner."""
+
+
 class ConnectionPools:
-    """All machines by id. What comes back from them goes to answered, ended and log."""
+    """All servers' pools by id; what becomes of attempts goes to their owner."""
 
     def __init__(
         self,
-        reactor: Any,
         deadlines: Deadlines,
         pool: BufferPool,
-        connect_within: float,
-        idle: float,
-        streams: int,
-        most: int,
+        settings: PoolSettings,
         log: Callable[..., None],
-        fault: Callable[[str], None],
     ) -> None:
-        self.reactor, self.deadlines, self.pool = reactor, deadlines, pool
-        self.connect_within, self.idle, self.streams, self.most = connect_within, EARLY * idle, streams, most
-        self.log, self.fault = log, fault
-        self.stops = True  # whether a request may be given up by word; else its budget tells
+        self.deadlines, self.pool, self.log = deadlines, pool, log
+        self.connect_within, self.idle = settings.connect_timeout_s, EARLY * settings.idle_timeout_s
+        self.streams, self.most, self.can_cancel = settings.max_streams, settings.max_connections, settings.can_cancel
         self.machines: dict[int, ConnectionPool] = {}
         self.held = 0  # descriptors of connections, also of those that come up or are being closed
         self.paused = False
-        self.answered: Callable[..., bool | None] = lambda *_: True
-        self.ended: Callable[..., None] = lambda *_: None
-        self.begin: Callable[[int], bytes | None] = lambda _: None
+        self.owner: AttemptOwner = NoAttempts()
         self.lates = 0
 
+    def report_to(self, owner: AttemptOwner) -> None:
+        """From now on `owner` hears what becomes of what is sent."""
+        self.owner = owner
+
     def listed(self, mark: int, name: str, address: tuple[str, int]) -> None:
         machine = self.machines.get(mark)
         if machine is None:
