--- a/tests/store/test_store.py
+++ b/tests/store/test_store.py
@@ -17,18 +17,19 @@
 from wickhinge.net.runtime.buffers import Body
 from wickhinge.net.upstream import resp
 from wickhinge.net.upstream.local_copies import LocalCopies
-from wickhinge.store.keep import Copy
-from wickhinge.store.link import Link
+from wickhinge.store.bandwidth import LinkBandwidth
+from wickhinge.store.copies import Copy
+from wickhinge.store.writing import CopyOffer
 
 
-def begun(**more):
+def started_world(**more):
     world = World(**more)
     world.start()
     world.lanes.go()
     return world
 
 
-def held(world, key=1, part=0, size=500):
+def stored_copy(world, key=1, part=0, size=500):
     world.offer(key, part, size)
     world.lanes.go()
     copy = world.store.find(key, part, world.clock)
@@ -36,7 +37,7 @@
     return copy
 
 
-def reads(world, copy):
+def read_results(world, copy):
     got = []
     world.store.read(copy, lambda data, memory: got.append(data))
     return got
@@ -45,8 +46,8 @@
 # A purge strikes while ...
 
 
-def test_parts_are_being_written():
-    world = begun()
+def test_purge_when_a_part_is_being_written_removes_it():
+    world = started_world()
     world.offer(1, 0, 500)
     world.purge(1)
     world.lanes.go()
@@ -55,36 +56,36 @@
     assert world.store.find(1, 0, world.clock) is None
 
 
-def test_a_copy_from_before_it_comes_in():
-    world = begun()
+def test_offer_when_created_before_a_purge_is_not_admitted():
+    world = started_world()
     made = world.clock
     world.purge(1)
     world.store.record_request(1, 0), world.store.record_request(1, 0)
-    assert not world.store.wants(1, 0, 0, b"t", made, 500, world.clock)
-    assert world.store.wants(1, 0, 0, b"t", world.clock + 0.01, 500, world.clock)
+    assert not world.store.admit(CopyOffer(1, 0, 0, b"t", made, 500), world.clock)
+    assert world.store.admit(CopyOffer(1, 0, 0, b"t", world.clock + 0.01, 500), world.clock)
 
 
-def test_a_part_is_being_read():
-    world = begun()
-    copy = held(world)
-    got = reads(world, copy)
+def test_purge_when_a_part_is_being_read_makes_the_copy_invalid():
+    world = started_world()
+    copy = stored_copy(world)
+    got = read_results(world, copy)
     world.purge(1)
     world.lanes.go()
     assert got != [None] and not world.store.is_valid(copy, world.clock)
 
 
-def test_a_copy_is_being_renewed():
-    world = begun()
-    copy = held(world)
-    before = copy.made
+def test_revalidation_when_a_purge_is_newer_changes_nothing():
+    world = started_world()
+    copy = stored_copy(world)
+    before = copy.created
     world.purge(1)
-    world.store.renewed(copy, before)  # SAME, but of a copy from before the purge
-    assert not world.store.is_current(copy, world.clock) and copy.made == before
+    world.store.revalidate(copy, before)  # SAME, but of a copy from before the purge
+    assert not world.store.is_current(copy, world.clock) and copy.created == before
 
 
-def test_a_snapshot_is_being_made():
-    world = begun()
-    held(world)
+def test_purge_when_a_snapshot_is_being_written_outlives_a_restart():
+    world = started_world()
+    stored_copy(world)
     world.store.snapshot(world.clock)
     world.purge(1)
     world.lanes.go()
@@ -93,176 +94,182 @@
         assert world.store.find(1, 0, world.clock) is None
 
 
-def test_a_start_still_recovers():
-    world = begun()
-    held(world)
+def test_purge_when_a_start_still_recovers_removes_the_copy():
+    world = started_world()
+    stored_copy(world)
     world.disk = world.disk.restarted(1, False)
     world.start()
     world.purge(1)
     world.lanes.go()
-    assert world.store.find(1, 0, world.clock) is None and not world.store.recovering
+    assert world.store.find(1, 0, world.clock) is None and not world.store.tier.is_recovering
 
 
-def test_segments_are_being_recycled():
-    world = begun()
+def test_purge_when_segments_are_recycled_leaves_no_purged_copy():
+    world = started_world()
     for key in range(20):
         world.offer(key, 0, 3000, group=int(key < 10))
         world.lanes.go()
-    world.store.turn()
+    world.store.maintain()
     world.purge(None, 1)
     for _ in range(5):
         world.lanes.go()
-        world.store.turn()
+        world.store.maintain()
     world.lanes.go()
-    assert {copy.group for parts in world.store.keep.objects.values() for copy in parts.values()} == {0}
-    assert world.store.counted["recycled"] and world.check(world.stamps)
+    assert {copy.group for parts in world.store.tier.admission.objects.values() for copy in parts.values()} == {0}
+    assert world.store.tier.counters.recycled and world.check(world.stamps)
 
 
-def test_a_router_that_is_restarted_all_the_time_still_wins_its_room_back():
-    world = begun()
+def test_disk_space_when_restarted_all_the_time_is_still_recycled():
+    world = started_world()
     for turn in range(60):
         world.offer(turn, 0, 3900)
         world.lanes.go()
         if turn % 4 == 3:
             world.restart(turn, lost=False)
             world.lanes.go()
-    assert world.store.space.total <= world.store.space.room and world.store.keep.count > 8
-    assert max(world.store.keep.objects) > 50
+    assert (
+        world.store.tier.space.total_bytes <= world.store.tier.space.capacity and world.store.tier.admission.count > 8
+    )
+    assert max(world.store.tier.admission.objects) > 50
 
 
 # Readers, bounds, faults.
 
 
-def test_a_copy_being_read_is_not_recycled_under_the_reader():
-    world = begun()
-    copy = held(world, size=3000)
+def test_segment_when_a_copy_is_being_read_is_not_recycled():
+    world = started_world()
+    copy = stored_copy(world, size=3000)
     for key in range(2, 9):
-        held(world, key, size=3900)
-    number, got = copy.place[0], reads(world, copy)
+        stored_copy(world, key, size=3900)
+    number, got = copy.place[0], read_results(world, copy)
     world.lanes.stalled = {"read"}
-    for parts in list(world.store.keep.objects.values()):
+    for parts in list(world.store.tier.admission.objects.values()):
         for one in list(parts.values()):
-            world.store.lose(one)
-    world.store.turn()
+            world.store.tier.remove(one)
+    world.store.maintain()
     world.lanes.go()
-    assert number in world.store.space.segments and world.store.space.segments[number].sealed
+    assert number in world.store.tier.space.segments and world.store.tier.space.segments[number].is_sealed
     world.lanes.stalled = set()
     world.lanes.go()
-    assert got == [world.bodies[1, 0, round(copy.made, 3)]]
-    world.store.turn()
-    assert number not in world.store.space.segments
+    assert got == [world.bodies[1, 0, round(copy.created, 3)]]
+    world.store.maintain()
+    assert number not in world.store.tier.space.segments
 
 
-def test_what_is_over_the_bounds_of_writing_is_not_kept_and_nobody_waits():
-    world = begun()
-    world.store.pace.most = 2000
+def test_offer_when_over_the_write_bounds_is_refused_at_once():
+    world = started_world()
+    world.store.writer.limiter.max_queued_bytes = 2000
     for key in range(4):
         world.offer(key, 0, 900)
-    assert world.store.counted["kept"] == 2 and world.store.counted["refused"] == 2
-    assert world.store.find(0, 0, world.clock) and reads(world, world.store.find(0, 0, world.clock))[0]
+    assert world.store.tier.counters.admitted == 2 and world.store.tier.counters.refused == 2
+    assert world.store.find(0, 0, world.clock) and read_results(world, world.store.find(0, 0, world.clock))[0]
     world.lanes.go()
     world.offer(9, 0, 900)
-    assert world.store.counted["kept"] == 3
+    assert world.store.tier.counters.admitted == 3
 
 
 @pytest.mark.parametrize("fault", [errno.EIO, errno.ENOSPC])
-def test_a_disk_that_fails_is_bypassed_and_tried_again(fault):
-    world = begun(disk=Disk())
+def test_disk_when_it_fails_is_bypassed_and_tried_again(fault):
+    world = started_world(disk=Disk())
     world.disk.stuck = fault
     for key in range(8):
         world.offer(key, 0, 500)
         world.lanes.go()
-    assert world.store.breaker.open and world.store.keep.count == 0 and "store_bypassed" in dict(world.log)
-    assert world.store.counted["refused"] >= 4 and world.store.pace.waiting == 0
+    assert (
+        world.store.tier.breaker.is_open
+        and world.store.tier.admission.count == 0
+        and "store_breaker_opened" in dict(world.log)
+    )
+    assert world.store.tier.counters.refused >= 4 and world.store.writer.limiter.queued_bytes == 0
     world.disk.stuck = None
     world.clock += 5.0
     world.offer(20, 0, 500)
     world.lanes.go()
-    assert not world.store.breaker.open and world.store.find(20, 0, world.clock)
+    assert not world.store.tier.breaker.is_open and world.store.find(20, 0, world.clock)
     assert world.check(world.stamps) == 1
 
 
-def test_purges_that_could_not_be_put_down_are_put_down_in_order_later():
-    world = begun(continues=True)
-    held(world)
+def test_purges_when_the_log_cannot_be_written_are_written_in_order_later():
+    world = started_world(continues=True)
+    stored_copy(world)
     world.disk.stuck = errno.EIO
     world.purge(1, 0, 5)
     world.lanes.go()
     world.purge(2, 0, 6)
     world.lanes.go()
-    assert len(world.store.unlogged) == 2 and world.store.find(1, 0, world.clock) is None
+    assert len(world.store.purging.pending) == 2 and world.store.find(1, 0, world.clock) is None
     world.disk.stuck = None
-    world.store.turn()
+    world.store.maintain()
     world.lanes.go()
-    assert not world.store.unlogged
+    assert not world.store.purging.pending
     world.restart(1, lost=True)
-    assert world.store.purged.number == 6 and world.store.find(1, 0, world.clock) is None
+    assert world.store.last_event_number == 6 and world.store.find(1, 0, world.clock) is None
 
 
-def test_a_storm_of_purges_while_some_are_being_put_down_loses_none(monkeypatch):
-    monkeypatch.setattr("wickhinge.store.store.PENDING", 4)
-    world = begun(continues=True)
+def test_purges_when_more_than_the_bound_are_pending_are_all_in_force(monkeypatch):
+    monkeypatch.setattr("wickhinge.store.purging.MAX_PENDING_PURGES", 4)
+    world = started_world(continues=True)
     for key in range(1, 8):
         world.purge(key, 0, key)
-    assert world.lanes.queue and len(world.store.unlogged) <= 5
+    assert world.lanes.queue and len(world.store.purging.pending) <= 5
     world.lanes.go()
     world.restart(1, lost=True)
-    assert all(world.store.purged.covers(key, group, stamp) for key, group, stamp in world.stamps)
+    assert all(world.store.tier.purges.covers(key, group, stamp) for key, group, stamp in world.stamps)
 
 
-def test_a_slow_disk_is_bypassed():
-    world = begun()
-    copy = held(world)
+def test_disk_when_it_is_slow_is_bypassed():
+    world = started_world()
+    copy = stored_copy(world)
     for _ in range(4):
-        got = reads(world, copy)
+        got = read_results(world, copy)
         world.clock += 2.0
         world.lanes.go()
         world.store.caught_up(world.clock, False)
-    assert got[0] is not None and reads(world, copy) == [None]
+    assert got[0] is not None and read_results(world, copy) == [None]
 
 
-def test_more_reads_than_may_be_out_go_the_ordinary_path():
-    world = begun()
-    copy = held(world)
-    got = [reads(world, copy) for _ in range(17)]
+def test_read_when_too_many_are_under_way_is_refused_at_once():
+    world = started_world()
+    copy = stored_copy(world)
+    got = [read_results(world, copy) for _ in range(17)]
     assert got[16] == [None] and got[:16] == [[]] * 16
 
 
-def test_the_memory_tier_answers_without_the_disk_and_stays_in_its_room():
-    world = begun(memory=4000)
+def test_memory_tier_when_the_disk_stalls_answers_within_its_capacity():
+    world = started_world(memory=4000)
     for key in range(8):
-        held(world, key, size=900)
+        stored_copy(world, key, size=900)
     world.lanes.stalled = {"read"}
-    assert sum(bool(reads(world, world.store.find(key, 0, world.clock))) for key in range(8)) == 4
-    assert world.store.memory.used <= 4000
+    assert sum(bool(read_results(world, world.store.find(key, 0, world.clock))) for key in range(8)) == 4
+    assert world.store.tier.memory.used <= 4000
 
 
 # Age across a start, and while the journal is away.
 
 
-def test_copies_of_an_earlier_start_are_unproven_until_they_are_the_same_or_all_is_caught_up():
+def test_recovered_copy_when_neither_revalidated_nor_caught_up_is_not_current():
     for continues, whole, proven in ((False, True, False), (True, False, False), (True, True, True)):
-        world = begun(continues=continues)
-        assert world.store.is_current(held(world), world.clock)
+        world = started_world(continues=continues)
+        assert world.store.is_current(stored_copy(world), world.clock)
         world.restart(1, lost=False)
         copy = world.store.find(1, 0, world.clock)
         assert copy is not None and not world.store.is_current(copy, world.clock)
         world.store.caught_up(world.clock, whole)
         assert world.store.is_current(copy, world.clock) is proven
-        world.store.renewed(copy, world.clock)
+        world.store.revalidate(copy, world.clock)
         assert world.store.is_current(copy, world.clock)
 
 
 @pytest.mark.parametrize("later, answers", [(0.0, True), (2.9, True), (3.1, False), (-2.0, False)])
-def test_nothing_is_proven_while_purges_may_be_untold_or_the_clock_went_back(later, answers):
-    world = begun()
-    assert world.store.is_current(held(world), world.clock + later) is answers
+def test_copy_when_the_journal_is_quiet_or_the_clock_went_back_is_not_current(later, answers):
+    world = started_world()
+    assert world.store.is_current(stored_copy(world), world.clock + later) is answers
 
 
 # The journal: taken up again at a number of an earlier start.
 
 
-def test_purges_are_told_again_and_lists_are_not():
+def test_journal_when_it_resumes_passes_on_purges_and_no_lists():
     made, told = reading(5)
     made.resume_purges(2)
     up = []
@@ -274,7 +281,7 @@
 
 
 @pytest.mark.parametrize("remembered, first", [(9, None), (0, None), (2, 4)])
-def test_a_count_that_was_begun_anew_or_has_a_gap_proves_nothing(remembered, first):
+def test_journal_when_its_count_restarted_or_has_a_gap_is_not_unbroken(remembered, first):
     made, _ = reading(5)
     up = []
     made.listener.caught_up = lambda: up.append(made.is_unbroken)
@@ -306,7 +313,7 @@
         return self.is_proven
 
     def age(self, copy, now):
-        return now - copy.made
+        return now - copy.created
 
     def is_valid(self, copy, now):
         return self.is_held
@@ -333,7 +340,7 @@
         (0.0, 1.0, {"ends": 0.8}, False),
     ],
 )
-def test_a_fresh_and_proven_copy_answers_if_its_bytes_pass_in_time(fresh, age, more, answers):
+def test_copy_when_fresh_and_current_and_in_time_answers(fresh, age, more, answers):
     made, visit, caller = asked(request_class(freshness_lifetime=fresh), age, **more)
     assert bool(caller.reads) is answers and bool(caller.forwards) is not answers
     assert made.shelf.items[5].k == 1  # a visit raises k, however it is answered
@@ -342,7 +349,7 @@
 
 
 @pytest.mark.parametrize("whole, gone", [(False, False), (True, True)])
-def test_a_copy_that_cannot_be_read_or_was_purged_meanwhile_goes_the_ordinary_path_once(whole, gone):
+def test_request_when_its_copy_is_unreadable_or_purged_is_forwarded_once(whole, gone):
     made, visit, caller = asked(request_class(), 1.0)
     made.copies.is_held = not gone
     assert not visit.copy_read(caller.reads[0], whole, 100.05)
@@ -357,13 +364,13 @@
         request_class(pass_through=True),
     ],
 )
-def test_what_runs_somewhere_is_never_answered_by_a_copy(kind):
+def test_request_when_it_has_effects_is_never_answered_by_a_copy(kind):
     _, visit, caller = asked(kind, 1.0)
     assert not caller.reads and visit.copy is None
 
 
 @pytest.mark.parametrize("age, reads", [(7.0, True), (11.0, False)])
-def test_a_copy_in_its_grace_answers_only_in_place_of_a_denial(age, reads):
+def test_copy_when_in_its_grace_answers_only_in_place_of_a_denial(age, reads):
     _, visit, caller = asked(replace(request_class(freshness_lifetime=5.0), stale_grace=5.0), age)
     assert len(caller.forwards) == 1 and not caller.reads
     visit.give_up(100.1)
@@ -373,7 +380,7 @@
         assert caller.answers == [("denied", 0.5)]
 
 
-def test_an_unproven_copy_is_offered_and_answers_once_it_is_the_same():
+def test_copy_when_not_current_is_offered_and_answers_after_revalidation():
     made, visit, caller = asked(request_class(), 1.0, proven=False)
     assert visit.copy is made.copies.copy and caller.forwards
     before = dict(made.means), visit.item.work
@@ -383,7 +390,7 @@
     assert visit.copy_read(caller.reads[0], True, 100.03) and visit.done
 
 
-def test_the_same_that_cannot_be_read_is_asked_for_whole_at_the_same_cache():
+def test_revalidated_copy_when_unreadable_is_requested_from_the_same_cache():
     made, visit, caller = asked(request_class(), 1.0, proven=False)
     made.copies.is_proven = True
     end(caller, Outcome.NOT_MODIFIED, 100.02)
@@ -436,7 +443,7 @@
 
 
 def wired(with_store=True):
-    world = begun()
+    world = started_world()
     heap, (buffers, _) = Heap(), pool(100)
     faults, sent = [], []
     line = SimpleNamespace(leave=lambda tag: None, unwritten=())
@@ -449,8 +456,10 @@
     made, copies = router(), None
     world.clock = heap.clock
     if with_store:
-        world.store.now = lambda: heap.clock
-        copies = made.copies = LocalCopies(world.store, heap, buffers, Link(1e6, 1e6), 0.1, faults.append, OthersTime())
+        world.read_clock = lambda: heap.clock
+        copies = made.copies = LocalCopies(
+            world.store, heap, buffers, LinkBandwidth(1e6, 1e6), 0.1, faults.append, OthersTime()
+        )
         world.store.caught_up(heap.clock, False)
     forwards = attempts(caches, faults, decisions=made, local_copies=copies)
     visits = RequestTable(forwards, heap, buffers, {"t": request_class()}, lambda *a, **k: None, faults.append)
@@ -487,7 +496,7 @@
 
 
 @pytest.mark.parametrize("cached, have", [("00000000000000e1", "00000000000000e1"), ("zz,src=s-1", None), ("", None)])
-def test_a_clients_tag_goes_on_only_if_it_is_one_and_its_copy_answers_without_bytes(cached, have):
+def test_client_etag_when_well_formed_is_passed_on_and_answers_without_a_body(cached, have):
     net = wired(with_store=False)
     ask(net, cached=cached)
     assert told(net).get("have") == have
@@ -503,10 +512,10 @@
     net.heap.run(net.heap.clock)
 
 
-def test_the_second_wish_is_kept_and_the_third_is_answered_by_the_copy():
+def test_copy_when_requested_twice_is_stored_and_answers_the_third_request():
     net = wired()
     visited(net), visited(net)
-    assert len(net.sent) == 2 and net.world.store.counted["kept"] == 1
+    assert len(net.sent) == 2 and net.world.store.tier.counters.admitted == 1
     ask(net)
     net.heap.run(net.heap.clock)
     net.world.lanes.go()
@@ -518,7 +527,7 @@
     assert net.client.had[3] == (3, b"", {"keep": "1"}) and net.visits.local_copies.served["told"] == 1
 
 
-def test_a_read_that_does_not_come_in_time_goes_on_to_a_cache_and_answers_once():
+def test_read_when_late_is_followed_by_a_forward_and_one_answer():
     net = wired()
     visited(net), visited(net)
     net.world.lanes.stalled = {"read"}
@@ -534,7 +543,7 @@
     assert len(net.client.had) == 3 and not net.faults and net.visits.local_copies.served["late"] == 1
 
 
-def test_a_client_that_left_while_its_copy_was_read_gets_nothing():
+def test_client_when_gone_during_a_read_gets_no_answer():
     net = wired()
     visited(net), visited(net)
     door = ask(net)
@@ -544,12 +553,14 @@
     assert len(net.client.had) == 2 and not list(net.visits.slots)
 
 
-def test_after_a_start_the_copy_is_offered_and_serves_once_the_cache_says_it_is_the_same():
+def test_recovered_copy_when_a_cache_revalidates_it_answers():
     net = wired()
     visited(net), visited(net)
     net.world.restart(1, lost=False)
-    net.world.store.now = lambda: net.heap.clock
-    copies = LocalCopies(net.world.store, net.heap, net.pool, Link(1e6, 1e6), 0.1, net.faults.append, OthersTime())
+    net.world.read_clock = lambda: net.heap.clock
+    copies = LocalCopies(
+        net.world.store, net.heap, net.pool, LinkBandwidth(1e6, 1e6), 0.1, net.faults.append, OthersTime()
+    )
     net.router.copies = net.visits.local_copies = net.forwards.local_copies = copies
     net.world.store.caught_up(net.heap.clock, False)
     ask(net)
@@ -559,4 +570,4 @@
     net.world.lanes.go()
     net.heap.run(net.heap.clock)
     assert net.client.had[2] == (2, b"x" * 700, {}) and not net.faults
-    assert net.world.store.find(5, 0, net.heap.clock).made == 99.9
+    assert net.world.store.find(5, 0, net.heap.clock).created == 99.9
--- a/tests/support/changelog_fleet.py
+++ b/tests/support/changelog_fleet.py
@@ -16,7 +16,7 @@
 from tests.support.processes import PATIENT, ROOT, Process
 from tests.support.router_process import SERVED, Line, Stand
 from wickhinge.changelog.entries import Purge, Setting
-from wickhinge.cli.changelog_client import Client, NotAppended, routers_of
+from wickhinge.cli.changelog_client import Client, NotAppendedError, routers_of
 from wickhinge.options import load
 
 REPLICAS = [f"replica-{number}" for number in range(1, 6)]
@@ -52,7 +52,7 @@
         self.cut, self.noisy = set(), False
         self.passed = Counter()  # datagrams by receiver
         self._stack, self._host, self._links = stack, host, {}
-        self._chance = random.Random(5)
+        self._random_fraction = random.Random(5)
         self._selector = selectors.DefaultSelector()
         self._stopped = threading.Event()
         self._thread = threading.Thread(target=self._run, daemon=True)
@@ -97,10 +97,10 @@
         """Changed in one bit, most of them where the message is, cut short, and of chance alone."""
         for _ in range(FLIPS):
             flipped = bytearray(data)
-            flipped[self._chance.randrange(len(data))] ^= 1 << self._chance.randrange(8)
+            flipped[self._random_fraction.randrange(len(data))] ^= 1 << self._random_fraction.randrange(8)
             yield bytes(flipped)
-        yield data[: self._chance.randrange(len(data))]
-        yield self._chance.randbytes(60)
+        yield data[: self._random_fraction.randrange(len(data))]
+        yield self._random_fraction.randbytes(60)
 
 
 class Fleet:
@@ -192,19 +192,19 @@
 
     # What the test asks.
 
-    def machines(self):
-        return self.client.machines([*REPLICAS, *RELAYS])
+    def servers(self):
+        return self.client.servers([*REPLICAS, *RELAYS])
 
     def leader(self):
         def found():
-            leads = [machine.name for machine in self.machines() if machine.status and machine.status.state == "leader"]
+            leads = [server.name for server in self.servers() if server.status and server.status.state == "leader"]
             return leads[0] if len(leads) == 1 else None
 
         return eventually(found)
 
     def router(self):
         """The row of the router, or None."""
-        return next(iter(routers_of(self.machines())), None)
+        return next(iter(routers_of(self.servers())), None)
 
     def purge(self, key, timeout_s=PATIENT):
         """Returns once the router has it."""
@@ -222,7 +222,7 @@
     def can_append(self, timeout_s):
         try:
             self.client.append(Purge(1, 0, 0), timeout_s)
-        except NotAppended:
+        except NotAppendedError:
             return False
         return True
 
--- a/wickhinge/changelog/replica.py
+++ b/wickhinge/changelog/replica.py
@@ -2,20 +2,23 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable, Sequence
+from collections.abc import Sequence
+from typing import ClassVar
 
 import msgspec
 
 from wickhinge.changelog.ballot import Ballot, Role
-from wickhinge.changelog.codec import MOST_BATCH_ENTRIES, MOST_ENTRIES_BYTES, MOST_RECORD_EXTRA
-from wickhinge.changelog.echo import EchoClock, HeldToken, age_ms, complete_until
+from wickhinge.changelog.codec import MAX_BATCH_ENTRIES, MAX_ENTRIES_BYTES, MAX_RECORD_OVERHEAD_BYTES
+from wickhinge.changelog.confirmations import Confirmations
+from wickhinge.changelog.context import ProcessContext
+from wickhinge.changelog.echo_tokens import EchoTokenClock, ReceivedToken, age_ms, complete_until
 from wickhinge.changelog.effects import Accepted, Committed, Effect, Persist, PersistSnapshot, Send
-from wickhinge.changelog.entries import Change, Entry, Noop, check
+from wickhinge.changelog.entries import Change, Entry, Noop, validate
+from wickhinge.changelog.errors import NotLeaderError, OverloadedError
 from wickhinge.changelog.feed import Feed, SubscriberRow
 from wickhinge.changelog.leadership import Leadership
 from wickhinge.changelog.log import EMPTY_SNAPSHOT, Log, Snapshot
 from wickhinge.changelog.messages import (
-    NEWEST_FORMAT,
     OLDEST_FORMAT,
     Append,
     Appended,
@@ -30,53 +33,54 @@
 from wickhinge.changelog.records import Records
 from wickhinge.changelog.settings import ReplicaSettings
 from wickhinge.changelog.snapshots import SnapshotFetch
-from wickhinge.changelog.stored import NotLeader, Overloaded, Stored
-from wickhinge.changelog.vouches import Vouches
+from wickhinge.changelog.stored import Stored
 
-LEAST_BROADCAST_S = 0.01  # between two rounds for new records; more wait for the next tick
+MIN_BROADCAST_INTERVAL_S = 0.01  # between two rounds for new records; more wait for the next tick
 
 
 class Replica:
-    """`replicas`: the names of all, this one's own among them. `chance` and `session` as for a Follower.
+    """One replica of the group `replicas`: the names of all, this one's own among them.
 
     What a Persist asks for has to be on stable storage before the effects after it are done.
+
+    Attributes:
+        log: The committed entries.
+        records: All entries with their terms, committed or not.
+        epoch: The log's epoch.
+        blank: Without a state in this epoch: votes and waits for a snapshot, and does not stand for election.
     """
 
+    leadership_type: ClassVar[type[Leadership]] = Leadership
+
     def __init__(
-        self,
-        name: str,
-        replicas: Sequence[str],
-        settings: ReplicaSettings,
-        chance: Callable[[], float],
-        session: int,
-        now: float,
-        stored: Stored,
-        newest_format: int = NEWEST_FORMAT,
+        self, context: ProcessContext, replicas: Sequence[str], settings: ReplicaSettings, stored: Stored, now: float
     ) -> None:
-        self._name, self._settings, self._newest = name, settings, newest_format
-        self._peers = tuple(peer for peer in replicas if peer != name)
+        self._context, self._settings = context, settings
+        self._peers = tuple(peer for peer in replicas if peer != context.name)
         self._formats = dict.fromkeys(self._peers, OLDEST_FORMAT)
-        self._tokens = {peer: HeldToken() for peer in self._peers}
-        self._echo = EchoClock(session)
+        self._tokens = {peer: ReceivedToken() for peer in self._peers}
+        self._echo = EchoTokenClock(context.session)
         self._out: list[Effect] = []
-        self._vouches = Vouches()
+        self._confirmations = Confirmations()
         self.log = Log(settings.retain, settings.purge_horizon_s)  # of what is committed
         self.epoch = stored.epoch
-        self._ballot = Ballot(name, len(self._peers) + 1, stored.term, stored.vote, settings.election_s, chance, now)
+        self._ballot = Ballot(context, len(self._peers) + 1, stored, settings.election_timeout_s, now)
         self.blank = stored.snapshot.epoch != stored.epoch
         self._start_records(EMPTY_SNAPSHOT if self.blank else stored.snapshot, now)
         for record in () if self.blank else stored.records:
             self.records.append(record)
-        self._feed = Feed(name, self.log, settings.feed, newest_format, now, self._committed_term)
+        self._feed = Feed(context, self.log, settings.feed, now, self._term_or_zero)
         self._leadership: Leadership | None = None  # while the leader
         self._snapshot_fetch = SnapshotFetch()
 
     @property
     def term(self) -> int:
+        """The election term that this replica is in."""
         return self._ballot.term
 
     @property
     def role(self) -> Role:
+        """What this replica is in its term."""
         return self._ballot.role
 
     @property
@@ -90,28 +94,29 @@
         return self.log.last
 
     def tick(self, now: float) -> list[Effect]:
-        """To be called every TICK_S. Effects: Persist, Send, Committed."""
+        """Does what is due; called every TICK_S. Effects: Persist, Send, Committed."""
         if self._leadership is not None:
             self._lead(self._leadership, now)
         elif self._ballot.is_due(now) and not self.blank:
-            self._campaign(now, probe=True)
+            self._campaign(now, pre_vote=True)
         self._fetch_snapshot(now)
-        self._out += self._feed.tick(now, self.vouched_until())
-        return self._drained()
+        self._out += self._feed.tick(now, self.confirmed_until())
+        return self._take_effects()
+
+    def receive(self, packet: Packet, now: float) -> list[Effect]:
+        """Takes one packet as `codec` decoded it, of a replica or of a relay.
 
-    def heard(self, packet: Packet, now: float) -> list[Effect]:
-        """One packet as `codec` read it, of a replica or of a relay. Effects: Persist, PersistSnapshot, Send,
-        Committed.
+        Effects: Persist, PersistSnapshot, Send, Committed.
         """
         message = packet.message
         if not isinstance(message, RequestVote | Vote | Append | Appended | SnapshotPart):
-            return list(self._feed.heard(packet, now, self.vouched_until()))
+            return list(self._feed.receive(packet, now, self.confirmed_until()))
         if packet.sender not in self._tokens or message.epoch < self.epoch:
             return []
         if message.epoch > self.epoch:
             self._adopt_epoch(message.epoch, now)
         self._formats[packet.sender] = packet.newest
-        self._tokens[packet.sender].hold(packet.token, now)
+        self._tokens[packet.sender].record(packet.token, now)
         if isinstance(message, RequestVote):
             self._on_request_vote(packet.sender, message, now)
         elif isinstance(message, Vote):
@@ -122,39 +127,44 @@
             self._on_appended(packet.sender, message, now)
         else:
             self._on_snapshot_part(packet.sender, message, now)
-        return self._drained()
+        return self._take_effects()
 
     def propose(self, change: Change, now: float) -> list[Effect]:
-        """Effects: Persist, Accepted, Send, and Committed where this replica is alone. Raises NotLeader, Overloaded,
-        entries.InvalidChange.
+        """Appends a change to the leader's log. Effects: Persist, Accepted, Send, and Committed where it is alone.
+
+        Raises:
+            NotLeaderError: This replica does not lead.
+            OverloadedError: Too many proposals wait, or too many settings are in force.
+            InvalidChangeError: No log may hold the change.
         """
         if self._leadership is None:
-            raise NotLeader(self.leader)
-        check(change)
-        if self.records.last - self.commit >= self._settings.most_uncommitted or not self.log.has_room(change):
-            raise Overloaded
+            raise NotLeaderError(self.leader)
+        validate(change)
+        if self.records.last - self.commit >= self._settings.max_uncommitted or not self.log.has_capacity(change):
+            raise OverloadedError
         self._append_own(change)
         self._out.append(Accepted(self.records.last, self.term))
-        self._leadership.behind = True
-        if now - self._leadership.broadcast_at >= LEAST_BROADCAST_S:
+        self._leadership.has_unsent = True
+        if now - self._leadership.broadcast_at >= MIN_BROADCAST_INTERVAL_S:
             self._broadcast(self._leadership, now)
         self._commit_stored(self._leadership, now)
-        return self._drained()
+        return self._take_effects()
 
-    def vouched_until(self) -> float:
-        """All that was stored at a majority before this time, by this clock, is committed here. -inf: nothing known."""
-        return self._vouches.reached(self.commit)
+    def confirmed_until(self) -> float:
+        """The time, by this clock, such that all that a majority had before it is committed here; -inf: none."""
+        return self._confirmations.confirmed_until(self.commit)
 
     def rows(self, now: float) -> list[SubscriberRow]:
+        """The subscribers, for an operator."""
         return self._feed.rows(now)
 
     # Elections.
 
-    def _campaign(self, now: float, probe: bool) -> None:
-        term = self._ballot.stand(probe, now)
-        if not probe:
+    def _campaign(self, now: float, *, pre_vote: bool) -> None:
+        term = self._ballot.campaign(now, pre_vote=pre_vote)
+        if not pre_vote:
             self._persist(self.records.last)
-        request = RequestVote(self.epoch, term, self.records.last, self.records.last_term, probe)
+        request = RequestVote(self.epoch, term, self.records.last, self.records.last_term, pre_vote)
         for peer in self._peers:
             self._send(peer, request, now)
         self._count_votes(now)
@@ -162,36 +172,35 @@
     def _count_votes(self, now: float) -> None:
         if not self._ballot.has_majority:
             return
-        if self.role is Role.PROBER:
-            self._campaign(now, probe=False)
+        if self.role is Role.PRE_CANDIDATE:
+            self._campaign(now, pre_vote=False)
         elif self.role is Role.CANDIDATE:
             self._become_leader(now)
 
     def _on_request_vote(self, sender: str, message: RequestVote, now: float) -> None:
         ballot, records = self._ballot, self.records
-        if message.probe:
-            granted = ballot.would_grant(message, records.last_term, records.last, now)
+        if message.pre_vote:
+            granted = ballot.would_grant_pre_vote(message, records.last_term, records.last, now)
             self._send(sender, Vote(self.epoch, message.term if granted else self.term, granted, True), now)
             return
         if message.term > self.term:
             self._enter_term(message.term, now)
-        granted = ballot.grants(sender, message, records.last_term, records.last)
+        granted = ballot.can_grant(sender, message, records.last_term, records.last)
         if granted:
-            ballot.vote = sender
-            ballot.restart_timer(now)
+            ballot.grant(sender, now)
             self._persist(records.last)
         self._send(sender, Vote(self.epoch, self.term, granted, False), now)
 
     def _on_vote(self, sender: str, message: Vote, now: float) -> None:
-        if message.term > self.term and not (message.granted and message.probe):
+        if message.term > self.term and not (message.granted and message.pre_vote):
             self._enter_term(message.term, now)
         elif message.granted:
-            self._ballot.takes(sender, message.term, message.probe)
+            self._ballot.record_vote(sender, message.term, pre_vote=message.pre_vote)
             self._count_votes(now)
 
     def _enter_term(self, term: int, now: float) -> None:
         self._leadership = None
-        self._ballot.enter(term, now)
+        self._ballot.enter_term(term, now)
         self._persist(self.records.last)
 
     def _follow(self, leader: str, now: float) -> None:
@@ -201,17 +210,17 @@
     # The leader.
 
     def _become_leader(self, now: float) -> None:
-        self._ballot.lead()
+        self._ballot.become_leader()
         self._snapshot_fetch.stop()
-        self._leadership = Leadership(self._peers, self.records.last, now)
+        self._leadership = self.leadership_type(self._peers, self.records.last, now)
         self._append_own(Noop())
         self._broadcast(self._leadership, now)
         self._commit_stored(self._leadership, now)
 
     def _lead(self, leadership: Leadership, now: float) -> None:
-        if self._peers and now - leadership.confirmed_at > 2 * self._settings.election_s:
+        if self._peers and now - leadership.confirmed_at > 2 * self._settings.election_timeout_s:
             self._follow("", now)  # no majority answers
-        elif leadership.behind or now - leadership.broadcast_at >= self._settings.heartbeat_s:
+        elif leadership.has_unsent or now - leadership.broadcast_at >= self._settings.heartbeat_interval_s:
             self._broadcast(leadership, now)
 
     def _append_own(self, change: Change) -> None:
@@ -226,17 +235,17 @@
 
     def _send_append(self, leadership: Leadership, peer: str, now: float) -> None:
         previous = max(leadership.next[peer] - 1, self.records.base)
-        records = self.records.that_fit(previous, MOST_ENTRIES_BYTES, MOST_BATCH_ENTRIES, MOST_RECORD_EXTRA)
-        leadership.sent(peer, previous + len(records))
+        records = self.records.fitting(previous, MAX_ENTRIES_BYTES, MAX_BATCH_ENTRIES, MAX_RECORD_OVERHEAD_BYTES)
+        leadership.record_sent(peer, previous + len(records))
         message = Append(
             self.epoch,
             self.term,
             previous,
-            self.records.term_at(previous),
+            self._term_or_zero(previous),
             records,
             self.commit,
             self.records.base + 1,
-            age_ms(self.vouched_until(), now),
+            age_ms(self.confirmed_until(), now),
             leadership.round,
         )
         self._send(peer, message, now)
@@ -247,15 +256,15 @@
         leadership = self._leadership
         if leadership is None or message.term < self.term:
             return
-        confirmed = leadership.answered(peer, message.round, now)
+        confirmed = leadership.record_answer(peer, message.round, now)
         if confirmed is not None:
-            self._vouches.add(*confirmed)
+            self._confirmations.add(*confirmed)
         if message.success:
-            leadership.accepted(peer, min(message.match, self.records.last))
+            leadership.record_accepted(peer, min(message.match, self.records.last))
             self._commit_stored(leadership, now)
             if leadership.next[peer] <= self.records.last:
                 self._send_append(leadership, peer, now)
-        elif leadership.rejected(peer, message.match):
+        elif leadership.record_rejected(peer, message.match):
             self._send_append(leadership, peer, now)
 
     def _commit_stored(self, leadership: Leadership, now: float) -> None:
@@ -273,21 +282,21 @@
         if message.term > self.term:
             self._enter_term(message.term, now)
         self._follow(packet.sender, now)
-        sent_after = self._echo.sent_after(packet.echo, packet.held_ms)
+        sent_after = self._echo.sent_after(packet.echo, packet.echo_delay_ms)
         until = None if sent_after is None else complete_until(min(sent_after, now), message.age_ms)
         if until is not None:
-            self._vouches.add(until, message.commit)
-        try_next = 0
+            self._confirmations.add(until, message.commit)
+        try_next: int | None = 0
         if not self.blank:
-            try_next = self.records.disagreement(message.previous_number, message.previous_term, self.commit)
+            try_next = self.records.find_conflict(message.previous_number, message.previous_term, self.commit)
         if try_next is not None:
             self._reply(packet.sender, message, False, try_next, now)
             if self.blank or try_next + 1 < message.first:
-                self._snapshot_fetch.want(packet.sender)
+                self._snapshot_fetch.begin(packet.sender)
             return
-        kept, added = self.records.merge(message.records)
+        truncated_after, added = self.records.merge(message.records)
         if added:
-            self._persist(kept, added)
+            self._persist(truncated_after, added)
         end = message.previous_number + len(message.records)
         self._reply(packet.sender, message, True, max(end, self.records.base), now)
         self._advance_commit(min(message.commit, end), now)
@@ -299,7 +308,7 @@
     # Snapshots and epochs.
 
     def _fetch_snapshot(self, now: float) -> None:
-        """A request subscribes, too, as a feed serves subscribers alone."""
+        """Requests parts where that is due; a request subscribes, too, as a feed serves subscribers alone."""
         request = self._snapshot_fetch.request(self.epoch, now)
         if request is not None:
             leader = self._snapshot_fetch.source
@@ -323,15 +332,16 @@
         self.log.load(snapshot, now)
 
     def _adopt_epoch(self, epoch: int, now: float) -> None:
-        """The log was restarted elsewhere: this replica is blank in the new epoch. The new epoch is persisted first, so
-        that a replica that ends meanwhile is not blank in the old one.
+        """Follows a restart of the log elsewhere: this replica is blank in the new epoch.
+
+        The new epoch is persisted first, so that a replica that ends meanwhile is not blank in the old one.
         """
         self.epoch = epoch
         self.blank = True
         self._leadership = None
-        self._ballot.enter(0, now)
+        self._ballot.enter_term(0, now)
         self._start_records(EMPTY_SNAPSHOT, now)
-        self._vouches.forget_pending()
+        self._confirmations.forget_pending()
         self._snapshot_fetch.stop()
         self._persist(0)
         self._out.append(PersistSnapshot(EMPTY_SNAPSHOT, True))
@@ -344,25 +354,26 @@
             self.log.append(entry, now)
         self._out.append(Committed(entries))
         if self.commit - self.records.base > 2 * self._settings.retain:
-            snapshot = msgspec.structs.replace(self.log.snapshot(now), term=self._committed_term(self.commit))
+            snapshot = msgspec.structs.replace(self.log.snapshot(now), term=self._term_or_zero(self.commit))
             self._out.append(PersistSnapshot(snapshot, False))
-            self.records.cut_up_to(self.commit - self._settings.retain)
+            self.records.discard_up_to(self.commit - self._settings.retain)
 
-    def _committed_term(self, number: int) -> int:
+    def _term_or_zero(self, number: int) -> int:
+        """The term of a number that the records reach; 0 where it is not known."""
         return self.records.term_at(number) or 0
 
     # Output.
 
-    def _persist(self, kept: int, records: tuple[Record, ...] = ()) -> None:
-        self._out.append(Persist(self.epoch, self.term, self._ballot.vote, kept, records))
+    def _persist(self, truncate_after: int, records: tuple[Record, ...] = ()) -> None:
+        self._out.append(Persist(self.epoch, self.term, self._ballot.vote, truncate_after, records))
 
     def _send(self, to: str, message: Message, now: float, token: int = 0) -> None:
-        written = min(self._newest, self._formats[to])
-        held = self._tokens[to]
-        self._out.append(
-            Send(to, Packet(self._name, written, self._newest, token, held.token, held.held_ms(now), message))
-        )
+        newest_format = self._context.newest_format
+        written_format = min(newest_format, self._formats[to])
+        echo, delay_ms = self._tokens[to].value, self._tokens[to].delay_ms(now)
+        packet = Packet(self._context.name, written_format, newest_format, token, echo, delay_ms, message)
+        self._out.append(Send(to, packet))
 
-    def _drained(self) -> list[Effect]:
+    def _take_effects(self) -> list[Effect]:
         effects, self._out = self._out, []
         return effects
--- a/wickhinge/peers/status_server.py
+++ b/wickhinge/peers/status_server.py
@@ -35,7 +35,7 @@
         """secret: of this process, drawn at its start; now: seconds of the clock that `receive` goes on with."""
         self._name, self._key, self._secret = name, key, secret
         self._commands: dict[str, Command] = {}
-        self._bucket = TokenBucket(MAX_PARTS_PER_S, now)
+        self._bucket = TokenBucket(MAX_PARTS_PER_S, MAX_PARTS_PER_S, now, tokens=MAX_PARTS_PER_S)
 
     def add_command(self, name: str, command: Command) -> None:
         """command(payload) is called for each request of that name that has a valid cookie."""
