--- a/bench/scale/detector.py
+++ b/bench/scale/detector.py
@@ -5,7 +5,7 @@
 from bench.scale.meter import Meter, memory
 from bench.scale.one_router import OneRouter, introduce, places
 from bench.scale.records import Row, row
-from wickhinge.net.control.peer_transport import VIEW_INTERVAL
+from wickhinge.net.control.peer_transport import VIEW_INTERVAL_S
 from wickhinge.peers.detector import FailureDetector
 from wickhinge.peers.roster import Roster
 from wickhinge.routing.random_source import RandomSource
@@ -36,7 +36,9 @@
         router.run(1.0)
         router.sent = router.bytes_sent = 0
         cpu.append(meter.median(lambda router=router: router.cpu(seconds)))
-        views.append(meter.cpu(lambda router=router: router.detector.view(router.now).summary(), VIEWS) / VIEW_INTERVAL)
+        views.append(
+            meter.cpu(lambda router=router: router.detector.view(router.now).summary(), VIEWS) / VIEW_INTERVAL_S
+        )
         passed = meter.rounds * seconds
         messages.append(router.sent / passed)
         sent.append(router.bytes_sent / passed)
--- a/bench/scale/one_router.py
+++ b/bench/scale/one_router.py
@@ -13,7 +13,7 @@
 from typing import Any
 
 from bench.scale.meter import Watch
-from wickhinge.net.control.peer_transport import TICK, VIEW_INTERVAL
+from wickhinge.net.control.peer_transport import TICK_INTERVAL_S, VIEW_INTERVAL_S
 from wickhinge.peers import wire
 from wickhinge.peers.detector import FailureDetector
 from wickhinge.peers.health import PROBE_PERIOD_S
@@ -102,13 +102,13 @@
 
     def step(self) -> None:
         """One tick of the router, and all datagrams that come of it."""
-        self.now += TICK
+        self.now += TICK_INTERVAL_S
         with self.watch:
             self.detector.tick(self.now)
             for tick in self.ticks:
                 tick(self.now)
             if self.now >= self.view_due:
-                self.view_due = self.now + VIEW_INTERVAL
+                self.view_due = self.now + VIEW_INTERVAL_S
                 self.detector.view(self.now).summary()
         if self.now - self.asked >= PROBE_PERIOD_S:
             self.asked = self.now
--- a/tests/peers/test_view_interval.py
+++ b/tests/peers/test_view_interval.py
@@ -24,7 +24,7 @@
         transport.transport = SimpleNamespace(write=lambda data, address: None)
         transport.tick()
         for _ in range(40):
-            now[0] += peer_transport.TICK
+            now[0] += peer_transport.TICK_INTERVAL_S
             calls.pop()()
     finally:
         peer_transport.clock = real_clock
--- a/wickhinge/net/control/changelog_client.py
+++ b/wickhinge/net/control/changelog_client.py
@@ -1,4 +1,4 @@
-"""The router's side of the change log, between the package that follows it and the router's purges, copies and journal.
+"""The router's side of the change log, between the package that follows it and the router's purges and copies.
 
 Imported only where the settings switch `changelog` on. Stamps of purges are Unix time, as the router's; how old the
 router's knowledge is, is measured by the follower's own clock, which nobody sets, and only durations go from one to the
@@ -7,7 +7,7 @@
 
 from __future__ import annotations
 
-from typing import Any
+from typing import Any, Protocol
 
 import msgspec
 
@@ -19,16 +19,34 @@
 from wickhinge.changelog.settings import FollowSettings
 from wickhinge.changelog.settings_table import JOURNAL, SettingsTable
 from wickhinge.fields import Malformed, endpoint
+from wickhinge.net.control.endpoint_updates import EndpointUpdates
+from wickhinge.net.runtime.deadlines import Deadlines
+from wickhinge.net.runtime.log import Log
 from wickhinge.options import changelog as options_of
 from wickhinge.options.records import Changelog
 
 ANY_ADDRESS = ("0.0.0.0", 0)
 
 
+class ChangelogHost(Protocol):
+    """What a ChangelogClient needs of its router."""
+
+    reactor: Any
+    deadlines: Deadlines
+    log: Log
+    updates: EndpointUpdates
+    router: Any  # the decisions
+    forwards: Any  # the attempts
+    copies: Any  # None where the store is off
+
+    def move_endpoint_watch(self, address: tuple[str, int]) -> None:
+        """The discovery service is elsewhere from now on."""
+
+
 class ChangelogClient:
-    """`options`: the settings of the change log. Raises Malformed with the faulty key."""
+    """Follows the change log; raises Malformed in the constructor with the faulty key."""
 
-    def __init__(self, options: Changelog, name: str, node: Any) -> None:
+    def __init__(self, options: Changelog, name: str, node: ChangelogHost) -> None:
         if len(name.encode()) > options_of.MAX_NAME_BYTES:
             raise Malformed(
                 f"config: field name is over {options_of.MAX_NAME_BYTES} bytes, too long for the change log"
@@ -58,6 +76,7 @@
         self.follower.start()
 
     def close(self) -> None:
+        """Gives the socket back."""
         self.follower.close()
 
     def keys_in(self, options: Changelog) -> list[bytes]:
@@ -68,14 +87,16 @@
         return options_of.read_keys(options)
 
     def use_keys(self, keys: list[bytes]) -> None:
+        """Other keys from now on; the first seals what is sent."""
         self.follower.use_keys(keys)
         self._log("changelog_reload", keys=len(keys))
 
-    def limit(self, now: float) -> float | None:
+    def limit(self, now: float) -> float | None:  # noqa: ARG002  as the purges and the copies call it
         """The greatest age of a copy that may be served, whatever the time of day is."""
         return self.follower.max_copy_age_s(self._options.grace_s)
 
     def figures(self) -> dict[str, Any]:
+        """Its entry in the report."""
         machine, now = self.follower.state_machine, self.follower.clock()
         until = machine.informed_until(now)
         return {
@@ -91,6 +112,7 @@
         }
 
     def apply_entry(self, entry: Entry) -> None:
+        """Called with each entry of the log, in order."""
         change = entry.change
         if isinstance(change, Purge):
             self._node.updates.purge(change.key, change.group, change.stamp_ms, 0)
@@ -118,8 +140,10 @@
         self.settings.replace(snapshot.settings)
 
     def after_tick(self) -> None:
-        """Logs what changed since the last tick. What was decided without a limit, and is not written yet, is decided
-        anew once there is one: it may be written much later.
+        """Logs what changed since the last tick.
+
+        What was decided without a limit, and is not written yet, is decided anew once there is one: it may be written
+        much later.
         """
         source = self.follower.state_machine.source
         if source != self._source:
@@ -136,6 +160,6 @@
         self._log(state, epoch=figures["epoch"], number=figures["number"], age_s=figures["age_s"])
 
 
-def make(options: Changelog, name: str, node: Any) -> ChangelogClient:
+def make(options: Changelog, name: str, node: ChangelogHost) -> ChangelogClient:
     """Raises Malformed with the faulty key."""
     return ChangelogClient(options, name, node)
--- a/wickhinge/net/control/membership.py
+++ b/wickhinge/net/control/membership.py
@@ -5,8 +5,9 @@
 
 from __future__ import annotations
 
+from dataclasses import dataclass
 from types import SimpleNamespace
-from typing import Any
+from typing import Any, Protocol
 
 from wickhinge import settings
 from wickhinge.fields import Malformed, endpoint
@@ -22,41 +23,65 @@
 from wickhinge.membership.stored_list import deployment_fingerprint
 from wickhinge.net.control.config import ListedEndpoint
 from wickhinge.net.control.endpoint_watch import EndpointWatch
+from wickhinge.net.runtime.deadlines import Deadlines
+from wickhinge.net.runtime.log import Log
+from wickhinge.net.upstream.connection_pools import ConnectionPools
 from wickhinge.options import keys
 from wickhinge.routing.random_source import RandomSource
 from wickhinge.store.files import Files
 from wickhinge.store.workers import Lane, Workers
 
-TURN = 0.1
+TICK_INTERVAL_S = 0.1
 FAILED = (Outcome.CONNECT_FAILED, Outcome.TIMED_OUT)
 
 
+@dataclass(frozen=True, slots=True)
+class ListSources:
+    """Where lists come from besides the discovery service."""
+
+    list_file: EndpointListFile | None
+    key: bytes  # under which other routers' lists are sealed
+    static: list[Statement]
+
+
+class MembershipHost(Protocol):
+    """What a MembershipClient needs of its router."""
+
+    reactor: Any
+    deadlines: Deadlines
+    log: Log
+    seed: int
+    names: Any  # of zones and kinds
+    router: Any  # the decisions
+    caches: ConnectionPools
+    forwards: Any  # the attempts
+    copies: Any  # None where the store is off
+    readiness: Any
+
+    def fault(self, where: str) -> None:
+        """Logs the exception that is being handled."""
+
+
 class MembershipClient:
     """The router's MembershipController and its port; files are written by a worker, other routers asked in turn."""
 
-    def __init__(
-        self,
-        node: Any,
-        settings: MembershipSettings,
-        list_file: EndpointListFile | None,
-        options: Any,
-        key: bytes,
-        static: list[Statement],
-    ) -> None:
-        self.node, self.settings, self.list_file, self.static = node, settings, list_file, static
+    def __init__(self, node: MembershipHost, settings: MembershipSettings, options: Any, sources: ListSources) -> None:
+        """Parameters as named; options: the `discovery` options."""
+        self.node, self.settings = node, settings
+        self.list_file, self.key, self.static = sources.list_file, sources.key, sources.static
         self.now, self.after, self.log_event = node.deadlines.now, node.deadlines.after, node.log.event
         self.chance = RandomSource(node.seed ^ 0x5EED)
         self.controller = MembershipController(self, self.chance, settings)
         self.write_interval_s = 60.0 / options.writes_a_minute
-        self.listen, self.key = options.listen, key
-        self.client = ListClient(node.reactor, self.after, key)
+        self.listen = options.listen
+        self.client = ListClient(node.reactor, self.after, self.key)
         self.written_at, self.is_writing, self.closed = 0.0, False, False
         self.exchange_backoff = (
             AddressBackoff([endpoint(one) for one in options.siblings], self.chance, 0.5, options.longest_backoff_s)
             if options.siblings
             else None
         )
-        self.workers = Workers(node.reactor, 1, node.fault) if list_file is not None else None
+        self.workers = Workers(node.reactor, 1, node.fault) if self.list_file is not None else None
         self.backoff: AddressBackoff | None = None
 
     def service_addresses(self, address: tuple[str, int], options: Any) -> AddressBackoff:
@@ -80,17 +105,19 @@
                 watch.resume_list(self.controller.stored.last_event)
 
     def start(self) -> None:
+        """Listens for other routers, where the options say so, and begins to tick."""
         if self.listen:
             host, port = endpoint(self.listen)
             factory = ListServerFactory(
                 self.key, self.now, self.after, lambda: self.controller.replica_answer(self.now()), self.log_event
             )
             self.node.reactor.listenTCP(port, factory, interface=host)
-        self.turn()
+        self.tick()
         if self.exchange_backoff is not None:
             self.after(self.settings.fallback_delay_s, self.ask)
 
-    def turn(self) -> None:
+    def tick(self) -> None:
+        """Called each TICK_INTERVAL_S."""
         if self.closed:
             return
         now = self.now()
@@ -98,11 +125,12 @@
         if self.controller.source not in (ListSource.NONE, ListSource.LIVE):
             self.node.readiness.trusted()
         self.save(now)
-        self.after(TURN, self.turn)
+        self.after(TICK_INTERVAL_S, self.tick)
 
     # The controller's port.
 
     def list_endpoints(self, listings: list[EndpointListing]) -> None:
+        """Puts endpoints of another list than the live one in force."""
         rows = []
         for listing in listings:
             one = listing.statement
@@ -126,11 +154,13 @@
                 machine.leave()
 
     def check_health(self, statement: Statement) -> None:
+        """Begins a health check of an endpoint that nobody vouches for."""
         endpoint_id = statement.endpoint_id
         self.node.caches.listed(endpoint_id, f"{endpoint_id:08x}", statement.address)
         self.node.forwards.probe(SimpleNamespace(mark=endpoint_id), self.probed)
 
     def probed(self, cache: Any, up: bool) -> None:
+        """Called with the result of a health check."""
         self.controller.record_health_check(cache.mark, self.now(), healthy=up)
 
     def recover_purge(self, purge: PurgeRecord) -> None:
@@ -142,6 +172,7 @@
     # What the router tells.
 
     def live(self, complete: bool, endpoints: list[ListedEndpoint]) -> None:
+        """Called with each list of the discovery service."""
         now = self.now()
         statements = [
             Statement(mark, where, EndpointState(state), zone, kind, cell, weight, started, now, ListSource.LIVE)
@@ -155,27 +186,33 @@
         self.backoff.replace_first_address(address)
 
     def caught_up(self, watch: EndpointWatch) -> None:
+        """Called when the discovery service has nothing more to tell."""
         is_continuous = watch.is_unbroken and watch.is_list_resumed
         self.controller.live_caught_up(self.now(), watch.last_number, is_continuous=is_continuous)
         self.backoff.record_success()
 
     def ended(self, sent: Any, outcome: Outcome) -> None:
+        """Called when an attempt ended: an answer proves that the endpoint is there."""
         if sent.door.request_class.idempotency is Idempotency.IDEMPOTENT and (outcome.answered or outcome in FAILED):
             self.controller.record_request(sent.cache.mark, self.now(), answered=outcome.answered)
 
     def purge(self, key: int | None, group: int, stamp: float) -> None:
+        """Called with each purge; stamp: Unix seconds."""
         self.controller.record_purge(PurgeRecord(key, group, stamp), self.now())
 
     def oldest(self, bound: float | None) -> float | None:
+        """The greatest age in seconds of a copy that may answer: the bound, or less where purges may be unknown."""
         ours = self.controller.max_copy_age_s(self.now())
         return bound if ours is None else ours if bound is None else min(ours, bound)
 
     def knows(self, mark: int) -> bool:
+        """Whether connections to the endpoint are to be kept."""
         return self.controller.wants_connection(mark)
 
     # The file and the list exchange.
 
     def save(self, now: float) -> None:
+        """Has the list written, as often as the options allow."""
         if self.list_file is None or self.is_writing or 0.0 <= now - self.written_at < self.write_interval_s:
             return
         fleet = self.node.router.fleet
@@ -186,11 +223,13 @@
         self.workers.run(Lane.WRITE, lambda: self.list_file.write(stored), self.written)
 
     def written(self, _: Any, problem: BaseException | None) -> None:
+        """Called by the worker when the list is written, or could not be."""
         self.is_writing = False
         if problem is not None:
             self.log_event("membership_list_write_failed", reason=str(problem))
 
     def ask(self) -> None:
+        """Asks the next router for its list, unless the live one is there."""
         if self.closed:
             return
         if self.controller.is_live(self.now()):
@@ -199,6 +238,7 @@
         self.client.request(self.exchange_backoff.address, self.now(), self.answered)
 
     def answered(self, answer: ReplicaAnswer | None, reason: str) -> None:
+        """Called with another router's list; None: there was no answer, for the reason."""
         _, delay_s = self.exchange_backoff.record_failure()
         if answer is None:
             self.log_event("membership_exchange_failed", reason=reason)
@@ -209,16 +249,18 @@
             self.after(delay_s, self.ask)
 
     def figures(self) -> dict[str, Any]:
+        """Its entry in the report."""
         return self.controller.figures(self.now())
 
     def close(self) -> None:
+        """Gives threads and files back."""
         self.closed = True
         if self.workers is not None:
             self.workers.close()
             self.list_file.close()
 
 
-def make(options: Any, conf: dict[str, Any], node: Any) -> MembershipClient:
+def make(options: Any, conf: dict[str, Any], node: MembershipHost) -> MembershipClient:
     """Raises Malformed where the key can't be read."""
     found, fleet = options.discovery, node.router.fleet
     key = keys.read("discovery.key_file", found.key_file) if found.key_file else b""
@@ -258,4 +300,4 @@
         quiet_s=options.journal.quiet_s,
         purge_done_s=node.router.purges.done,
     )
-    return MembershipClient(node, membership_settings, list_file, found, key, static)
+    return MembershipClient(node, membership_settings, found, ListSources(list_file, key, static))
--- a/wickhinge/net/control/peer_transport.py
+++ b/wickhinge/net/control/peer_transport.py
@@ -1,4 +1,4 @@
-"""The router's fellows over UDP, between the package that decides who is there and the router's socket and clock.
+"""The router's peers over UDP, between the package that decides who is there and the router's socket and clock.
 
 Imported only where the settings switch `peers` on. One socket at our own address of the roster, datagrams under the
 fleet's key, a tick of a twentieth of a second. Time is the system's clock since its start, which nobody sets and which
@@ -9,7 +9,7 @@
 
 import os
 import time
-from typing import Any
+from typing import Any, Protocol
 
 import msgspec
 from twisted.internet.error import CannotListenError
@@ -17,6 +17,8 @@
 
 from wickhinge.common.sealing import MAX_DATAGRAM_BYTES, DatagramError
 from wickhinge.fields import Malformed
+from wickhinge.net.runtime.deadlines import Deadlines
+from wickhinge.net.runtime.log import Log
 from wickhinge.options import keys
 from wickhinge.peers import wire
 from wickhinge.peers.detector import FailureDetector
@@ -26,23 +28,37 @@
 from wickhinge.peers.status_server import StatusServer
 from wickhinge.routing.random_source import RandomSource
 
-TICK = 0.05
-VIEW_INTERVAL = 0.5  # seconds from one look at the view to the next: a probe's period
-BUSY = 256  # datagrams in a tick that are looked at; the others are counted
-SHOWN = 64  # names in a report
-SPARE = 2  # processes more than names that may run at once, where the settings name no number
+TICK_INTERVAL_S = 0.05
+VIEW_INTERVAL_S = 0.5  # between two checks of the view: a health check's period
+MAX_DATAGRAMS_PER_TICK = 256  # are read; the others are counted
+MAX_REPORTED_NAMES = 64
+SPARE_PROCESSES = 2  # more than names that may run at once, where the settings name no number
 
 
 def clock() -> float:
+    """Seconds since the system started; goes on while the machine sleeps."""
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
+class PeerHost(Protocol):
+    """What a PeerTransport needs of its router."""
+
+    reactor: Any
+    deadlines: Deadlines
+    log: Log
+    router: Any  # the decisions
+    seed: int
+
+    def check_health(self, server: Any) -> None:
+        """Begins a health check."""
+
+
 class PeerTransport(DatagramProtocol):
     """The router's FailureDetector on its socket."""
 
     noisy = False
 
-    def __init__(self, node: Any, roster: Roster, keys: list[bytes], seed: int) -> None:
+    def __init__(self, node: PeerHost, roster: Roster, keys: list[bytes], seed: int) -> None:
         """keys: the first is ours; what comes under the others is read too, while the fleet changes its key."""
         self.node, self.keys, self.closed = node, keys, False
         self.after, self.log = node.deadlines.after, node.log.event
@@ -56,16 +72,18 @@
         self.judge: Any = None  # and `shared.judgements`
         self.counts: Any = None  # and `shared.counts`
         self.secret = os.urandom(32)
-        self.seat(roster.local.name)
+        self.serve_status(roster.local.name)
+
+    def serve_status(self, name: str) -> None:
+        """Answers `wickhinge peers show` under each of the keys."""
+        self.status_servers = [StatusServer(name, key, self.secret, clock()) for key in self.keys]
+        for server in self.status_servers:
+            server.add_command("peers", lambda _: msgspec.json.encode(self.status()))
 
-    def seat(self, name: str) -> None:
-        self.desks = [StatusServer(name, key, self.secret, clock()) for key in self.keys]
-        for one in self.desks:
-            one.add_command("peers", lambda more: msgspec.json.encode(self.shown()))
+    def share(self, division: Any, *, judgements: bool, counts: bool) -> None:
+        """Takes slow starts' limits from the fleet's budgets from now on.
 
-    def share(self, division: Any, judgements: bool, counts: bool) -> None:
-        """Cold machines' limits are asked of the fleet's budgets from now on; judgements: and machines told of;
-        counts: and what is out there.
+        judgements: servers' health is shared, too; counts: and how many requests are in flight.
         """
         from wickhinge.shared import slow_start_quota
         from wickhinge.shared.outlier_detection import OutlierDetector
@@ -98,6 +116,7 @@
         self.tick()
 
     def tick(self) -> None:
+        """Called each TICK_INTERVAL_S."""
         if self.closed:
             return
         self.taken = 0
@@ -110,9 +129,9 @@
         if self.judge is not None:
             self.judge.tick(now, self.node.deadlines.now())
         if now >= self.view_due:
-            self.view_due = now + VIEW_INTERVAL
+            self.view_due = now + VIEW_INTERVAL_S
             self.log_view(now)
-        self.after(TICK, self.tick)
+        self.after(TICK_INTERVAL_S, self.tick)
 
     def log_view(self, now: float) -> None:
         """Tells the log where the view has changed. It goes through the whole roster, so not at each tick."""
@@ -122,18 +141,20 @@
             self.log("peers_view", **seen)
 
     def send(self, item: Message) -> None:
+        """Called by the detector; what the system does not take is counted as lost."""
         try:
             self.transport.write(wire.encode(self.keys[0], item), self.detector.roster.entries[item.to].address)
         except OSError:  # full, or no way there: as lost on the way, which is what all above reckons with
             self.unsent += 1
 
     def datagramReceived(self, datagram: bytes, addr: Any) -> None:
+        """Called by Twisted with each datagram."""
         self.taken += 1
-        if self.taken > BUSY or self.closed:
+        if self.taken > MAX_DATAGRAMS_PER_TICK or self.closed:
             self.left += 1
             return
         if datagram[: len(REQUEST_MAGIC)] == REQUEST_MAGIC:
-            self.asked(datagram, addr)
+            self.answer_status(datagram, addr)
             return
         for key in self.keys:
             try:
@@ -144,10 +165,11 @@
             return
         self.unreadable += 1
 
-    def asked(self, datagram: bytes, addr: Any) -> None:
-        for one in self.desks:
+    def answer_status(self, datagram: bytes, addr: Any) -> None:
+        """Answers a request of `wickhinge peers`."""
+        for server in self.status_servers:
             try:
-                answers = one.receive(datagram, addr, clock())
+                answers = server.receive(datagram, addr, clock())
             except DatagramError:
                 continue
             for answer in answers:
@@ -159,9 +181,10 @@
         self.unreadable += 1
 
     def connectionRefused(self) -> None:
-        pass  # nobody listens there just now
+        """Called by Twisted where nobody listens at a peer's address just now."""
 
     def figures(self) -> dict[str, Any]:
+        """Its entry in the report."""
         now, detector = clock(), self.detector
         view = detector.view(now)
         return {
@@ -178,13 +201,15 @@
             "unreadable": self.unreadable,
             "unsent": self.unsent,
             "left": self.left,
-            "states": {name: entry.state.label for name, entry in sorted(detector.members.items())[:SHOWN]},
+            "states": {
+                name: entry.state.label for name, entry in sorted(detector.members.items())[:MAX_REPORTED_NAMES]
+            },
             **({} if self.limiter is None else {"shared": self.limiter.figures(now)}),
             **({} if self.judge is None else {"judgements": self.judge.figures(now)}),
             **({} if self.counts is None else {"counts": self.counts.figures(now)}),
         }
 
-    def shown(self) -> dict[str, Any]:
+    def status(self) -> dict[str, Any]:
         """For `wickhinge peers show`: the figures, and all fellows one by one."""
         now, detector, told = clock(), self.detector, self.figures()
         told.pop("states")
@@ -210,14 +235,15 @@
         }
 
     def reload(self, options: Any) -> None:
-        """Another roster and other keys from now on; shares move by the roster at once. Raises Malformed, and then
-        nothing has changed.
+        """Another roster and other keys from now on; quotas move by the roster at once.
+
+        Raises Malformed, and then nothing has changed.
         """
-        roster, keys = told_by(options, self.detector.roster.local.name)
+        roster, keys = read_roster_and_keys(options, self.detector.roster.local.name)
         if roster.local.address != self.detector.roster.local.address:
             raise Malformed("peers.roster: our own address changes at a restart only")
         if self.limiter is not None:
-            division = divided(options, roster, self.node.router.fleet.zone)
+            division = quota_division(options, roster, self.node.router.fleet.zone)
             if division != self.limiter.division:
                 raise Malformed(
                     f"shared.names, shared.processes: are {self.limiter.division.names} and "
@@ -225,7 +251,7 @@
                     f"{division.processes}"
                 )
         self.keys = keys
-        self.seat(roster.local.name)
+        self.serve_status(roster.local.name)
         self.detector.reload(roster, clock())
         if self.limiter is not None:
             self.limiter.reload(clock())
@@ -234,11 +260,12 @@
         self.log("peers_roster_reloaded", names=len(roster), roster=f"{roster.version:016x}", keys=len(keys))
 
     def close(self) -> None:
+        """Gives the socket back."""
         self.closed = True
         self.port.stopListening()
 
 
-def told_by(options: Any, name: str) -> tuple[Roster, list[bytes]]:
+def read_roster_and_keys(options: Any, name: str) -> tuple[Roster, list[bytes]]:
     """Raises Malformed with the faulty key."""
     found = options.peers
     try:
@@ -249,7 +276,7 @@
     return roster, [keys.read("peers.key_file", found.key_file), *also]
 
 
-def divided(options: Any, roster: Roster, zone: str) -> Any:
+def quota_division(options: Any, roster: Roster, zone: str) -> Any:
     """The Division. Raises Malformed where the roster's zones are not the platform's."""
     from wickhinge.shared.budgets import Division
 
@@ -260,17 +287,17 @@
             f"{zone!r}: caches' limits are dealt among a zone's routers"
         )
     names = options.shared.names or len(roster)
-    return Division(names, options.shared.processes or names + SPARE)
+    return Division(names, options.shared.processes or names + SPARE_PROCESSES)
 
 
-def make(options: Any, name: str, node: Any) -> PeerTransport:
+def make(options: Any, name: str, node: PeerHost) -> PeerTransport:
     """Raises Malformed with the faulty key."""
-    roster, found = told_by(options, name)
+    roster, found = read_roster_and_keys(options, name)
     made = PeerTransport(node, roster, found, node.seed ^ 0xFE110)
     if options.shared.mode == "on":
         made.share(
-            divided(options, roster, node.router.fleet.zone),
-            options.shared.judgements == "on",
-            options.shared.counts == "on",
+            quota_division(options, roster, node.router.fleet.zone),
+            judgements=options.shared.judgements == "on",
+            counts=options.shared.counts == "on",
         )
     return made
--- a/wickhinge/net/control/start.py
+++ b/wickhinge/net/control/start.py
@@ -62,5 +62,6 @@
 
 
 def address_unusable(problem: OSError) -> int:
+    """Says why on standard error; returns the exit code."""
     sys.stderr.write(f"config: field listen: {problem}\n")
     return UNUSABLE
