--- a/bench/store.py
+++ b/bench/store.py
@@ -321,7 +321,7 @@
                 "store_copies_discarded",
                 "store_disabled",
                 "store_breaker_opened",
-                "fault",
+                "router_fault",
                 "store_recovered_verified",
             )
         }
--- a/tests/peers/test_running_routers.py
+++ b/tests/peers/test_running_routers.py
@@ -139,7 +139,9 @@
     ):
         fleet.change(place, **what)
         fleet.until(
-            lambda place=place, why=why: any(why in event["why"] for event in fleet.events(place, "reload_failed"))
+            lambda place=place, why=why: any(
+                why in event["reason"] for event in fleet.events(place, "config_reload_failed")
+            )
         )
     for place in range(3):
         fleet.write(place, key="other")
--- a/wickhinge/net/control/endpoint_updates.py
+++ b/wickhinge/net/control/endpoint_updates.py
@@ -26,7 +26,7 @@
 
 
 class EndpointUpdates:
-    """Where lists and purges go. `membership` and `local_copies` are None where they are off."""
+    """Where lists and purges go; the optional subsystems are those that the attempts have."""
 
     def __init__(
         self,
@@ -34,15 +34,12 @@
         attempts: Attempts,
         names: SettingsNames,
         log: Callable[..., None],
-        *,
-        membership: Any = None,
-        local_copies: Any = None,
     ) -> None:
         self._decisions, self._attempts, self._names, self._log = decisions, attempts, names, log
         self._pools: ConnectionPools = attempts.caches
         self._deadlines: Deadlines = attempts.deadlines
-        self._others_time: OthersTime = attempts.others
-        self._membership, self._local_copies = membership, local_copies
+        self._others_time: OthersTime = attempts.others_time
+        self._membership, self._local_copies = attempts.membership, attempts.local_copies
 
     def apply_known(self, known: KnownEvents) -> None:
         """Applies what the configuration holds; its purges have no numbers."""
@@ -59,8 +56,8 @@
             endpoint = self._endpoint(record)
             if endpoint is None:
                 self._log(
-                    "bad_record",
-                    cache=f"{record.mark:08x}",
+                    "endpoint_record_invalid",
+                    endpoint=f"{record.mark:08x}",
                     state=record.state,
                     zone=record.zone,
                     kind=record.kind,
@@ -95,9 +92,9 @@
         self._close_unlisted()
         self._attempts.overtaken(_may_still_be_sent)
         self._log(
-            "list",
-            whole=complete,
-            machines=[
+            "endpoints_updated",
+            complete=complete,
+            endpoints=[
                 [f"{endpoint.mark:08x}", endpoint.state, endpoint.zone, endpoint.kind, endpoint.started_at]
                 for endpoint in endpoints
             ],
@@ -107,7 +104,7 @@
         """Puts a purge in force, of a whole group where key is None, also for what waits to be written."""
         self.record_purge(key, group, stamp_ms, number)
         self._attempts.overtaken(lambda sent: not _is_purged(sent, key, group))
-        self._log("purge", key=None if key is None else f"{key:016x}", group=group, stamp=stamp_ms)
+        self._log("purge_applied", key=None if key is None else f"{key:016x}", group=group, stamp_ms=stamp_ms)
 
     def record_purge(self, key: int | None, group: int, stamp_ms: float, number: int = NO_NUMBER) -> None:
         """Puts a purge in force for what is sent from now on; what waits to be written is the caller's to recall."""
