--- a/wickhinge/lab/changelog/world.py
+++ b/wickhinge/lab/changelog/world.py
@@ -1,4 +1,4 @@
-"""Virtual time, clocks, a network that loses and reorders, and the processes on it."""
+"""Virtual time, a network that loses and reorders, and the processes on it."""
 
 from __future__ import annotations
 
@@ -10,25 +10,20 @@
 import msgspec
 
 from wickhinge.changelog.ballot import Role
-from wickhinge.changelog.codec import Codec
 from wickhinge.changelog.context import ProcessContext
 from wickhinge.changelog.echo_tokens import SESSION_BITS
 from wickhinge.changelog.effects import Accepted, Apply, Committed, Effect, Persist, PersistSnapshot, Reset, Send
 from wickhinge.changelog.entries import Change
 from wickhinge.changelog.errors import NotLeaderError, OverloadedError
-from wickhinge.changelog.follower import Follower
-from wickhinge.changelog.log import Log
 from wickhinge.changelog.messages import NEWEST_FORMAT, Packet
-from wickhinge.changelog.relay import Relay
 from wickhinge.changelog.replica import Replica
 from wickhinge.changelog.settings import TICK_S, FollowSettings, RelaySettings, ReplicaSettings
 from wickhinge.changelog.stored import Stored
 from wickhinge.lab.changelog.oracle import GRACE_S, Model, Oracle, Sample
 from wickhinge.lab.changelog.planted_faults import PlantedFault
+from wickhinge.lab.changelog.process import Process
 from wickhinge.lab.changelog.schedule import RELAYS, REPLICAS, Schedule
 
-KEY = b"walk" * 8
-CLOCK_ERROR = 0.05  # of a clock's rate
 IN_REGION_S, BETWEEN_REGIONS_S = 0.002, 0.03  # of latency, without jitter
 PACKETS_PER_ENCODED = 6  # one of so many goes through the codec
 MAX_FAULTS = 5  # after which a walk ends
@@ -39,62 +34,6 @@
 FOLLOW_SETTINGS = FollowSettings()
 
 
-class Clock:
-    """A process's own clock: its rate and its zero are its own."""
-
-    def __init__(self, rand: random.Random) -> None:
-        self._rate = 1 + rand.uniform(-CLOCK_ERROR, CLOCK_ERROR)
-        self._offset = rand.uniform(0, 1e6)
-
-    def at(self, true_s: float) -> float:
-        """What the clock shows at a true time."""
-        return self._offset + true_s * self._rate
-
-    def true(self, local: float) -> float:
-        """The true time at which the clock shows `local`."""
-        return (local - self._offset) / self._rate
-
-
-class Process:
-    """One name of the fleet over all its incarnations. `state_machine` is None while it does not run."""
-
-    def __init__(self, name: str, rand: random.Random, newest_format: int) -> None:
-        self.name, self.newest_format = name, newest_format
-        self.clock = Clock(rand)
-        self.codec = Codec(KEY, name)
-        self.state_machine: Replica | Relay | Follower | None = None
-        self.incarnation = 0
-        self.started_s = 0.0
-        self.paused = False
-        self.queued: list[Packet] = []
-        self.stored = Stored()
-        self.model = Model()
-
-    @property
-    def replica(self) -> Replica:
-        """The state machine of a replica that runs."""
-        assert isinstance(self.state_machine, Replica)
-        return self.state_machine
-
-    @property
-    def relay(self) -> Relay:
-        """The state machine of a relay that runs."""
-        assert isinstance(self.state_machine, Relay)
-        return self.state_machine
-
-    @property
-    def follower(self) -> Follower:
-        """The state machine of a follower that runs."""
-        assert isinstance(self.state_machine, Follower)
-        return self.state_machine
-
-    @property
-    def log(self) -> Log:
-        """The log of a replica or a relay that runs."""
-        assert isinstance(self.state_machine, Replica | Relay)
-        return self.state_machine.log
-
-
 class World:
     """The processes, what passes between them, and true time in seconds."""
 
