--- a/bench/discovery.py
+++ b/bench/discovery.py
@@ -32,8 +32,9 @@
 )
 from wickhinge.lab.play import emulated
 from wickhinge.lab.wheel import Wheel
-from wickhinge.membership.controller import EndpointListing, MembershipController, MembershipSettings
+from wickhinge.membership.controller import MembershipController
 from wickhinge.membership.endpoint_list_file import EndpointListFile
+from wickhinge.membership.port import EndpointListing, MembershipSettings
 from wickhinge.membership.statement_table import EndpointState, ListSource, Statement
 from wickhinge.membership.stored_list import StoredList, deployment_fingerprint, to_record
 from wickhinge.routing.random_source import RandomSource
--- a/bench/planted.py
+++ b/bench/planted.py
@@ -16,7 +16,8 @@
         append = PurgeLog.append
         PurgeLog.append = lambda self, purges: append(self, [purge._replace(key=0, group=0) for purge in purges])
     elif fault in ("trust", "blind"):  # whatever a list names is as good as vouched for
-        from wickhinge.membership.controller import EndpointListing, MembershipController
+        from wickhinge.membership.controller import MembershipController
+        from wickhinge.membership.port import EndpointListing
 
         adopt = MembershipController.adopt
 
--- a/tests/membership/test_controller.py
+++ b/tests/membership/test_controller.py
@@ -4,8 +4,9 @@
 
 from tests.support.statements import statement
 from wickhinge.membership import stored_list
-from wickhinge.membership.controller import MembershipController, MembershipSettings
+from wickhinge.membership.controller import MembershipController
 from wickhinge.membership.list_exchange import ReplicaAnswer
+from wickhinge.membership.port import MembershipSettings
 from wickhinge.membership.recent_purges import PurgeRecord
 from wickhinge.membership.statement_table import (
     ListSource,
--- a/wickhinge/net/control/membership.py
+++ b/wickhinge/net/control/membership.py
@@ -12,11 +12,12 @@
 from wickhinge.fields import Malformed, endpoint
 from wickhinge.interface import Endpoint, Idempotency, Outcome
 from wickhinge.membership.backoff import AddressBackoff
-from wickhinge.membership.controller import EndpointListing, MembershipController, MembershipSettings
+from wickhinge.membership.controller import MembershipController
 from wickhinge.membership.endpoint_list_file import EndpointListFile
 from wickhinge.membership.errors import ListDirectoryError
 from wickhinge.membership.list_exchange import ReplicaAnswer
 from wickhinge.membership.list_exchange_tcp import ListClient, ListServerFactory
+from wickhinge.membership.port import EndpointListing, MembershipSettings
 from wickhinge.membership.recent_purges import PurgeRecord
 from wickhinge.membership.statement_table import EndpointState, ListSource, Statement
 from wickhinge.membership.stored_list import deployment_fingerprint
