--- a/tests/shared/test_outlier_detection.py
+++ b/tests/shared/test_outlier_detection.py
@@ -96,7 +96,7 @@
     assert not any(one.outliers.peer_verdicts.by_server for one in group.routers)
 
 
-def slow(group, places, box=0, rounds=12):
+def observe_slow(group, places, box=0, rounds=12):
     """Those learn by their own answers that a box is slow, and that the others are not."""
     for _ in range(rounds):
         for place in places:
@@ -108,7 +108,7 @@
 
 def test_slow_cache_when_own_answers_are_few_is_slowed_and_not_echoed():
     group = Group()
-    slow(group, (0, 1))
+    observe_slow(group, (0, 1))
     third, fourth = group.routers[2:]
     assert third.box().fit < 0.6 * third.box(1).fit
     assert group.routers[0].outliers.evidence[third.box().mark].health == Health.SLOW
@@ -123,7 +123,7 @@
     third = group.routers[2]
     for turn in range(24):
         third.answers(group.now)
-        slow(group, (0, 1) if turn > 11 else (), rounds=1)
+        observe_slow(group, (0, 1) if turn > 11 else (), rounds=1)
     assert third.box().fit >= 0.9 * third.box(1).fit
 
 
@@ -147,7 +147,7 @@
 def test_verdicts_when_on_many_caches_apply_to_a_third_at_most():
     group = Group(count=5, boxes=6)
     for box in range(3):  # half of them, so that nobody is called sick
-        slow(group, (0, 1, 2), box, 8)
+        observe_slow(group, (0, 1, 2), box, 8)
     last = group.routers[4]
     assert sum(group.now - seen.overridden_at <= VERDICT_MAX_AGE_S for seen in last.outliers.evidence.values()) <= 2
 
--- a/tests/shared/test_quota_lending.py
+++ b/tests/shared/test_quota_lending.py
@@ -65,7 +65,7 @@
 # NameLeases: two lives of a name and what voters forgot, delayed and doubled.
 
 
-def vouched_at_once(seed, count, forgetful=False):
+def both_hold_the_lease(seed, count, forgetful=False):
     """Whether both of two lives of a name ever hold a majority. Each of the others grants to whichever asks it; clocks
     differ, grants arrive late, voters restart and remember nothing.
     """
@@ -100,11 +100,11 @@
 @settings(max_examples=80, deadline=None)
 @given(st.integers(0, 10**6), st.integers(2, 7))
 def test_lease_when_two_incarnations_ask_is_held_by_one_at_most(seed, count):
-    assert not vouched_at_once(seed, count)
+    assert not both_hold_the_lease(seed, count)
 
 
 def test_check_when_granters_do_not_wait_after_a_restart_fails():
-    assert any(vouched_at_once(seed, 4, forgetful=True) for seed in range(60))
+    assert any(both_hold_the_lease(seed, 4, forgetful=True) for seed in range(60))
 
 
 def test_lease_when_alone_is_held_and_of_two_needs_the_others_grant():
@@ -245,7 +245,7 @@
     assert set(detector.identity.answers) <= {"n2"}
 
 
-def used(routers, wants, plants=()):
+def used_share(routers, wants, plants=()):
     fleet = play.Fleet(Schedule(5, routers, 1, (), routers, 20.0, 5.0), plants)
     fleet.wants = wants
     fleet.run()
@@ -254,9 +254,9 @@
 
 
 def test_budget_when_one_router_has_the_demand_goes_there():
-    one = used(5, lambda process, number: 2.0 * (process.place == 0))
-    assert one > 0.8 and used(5, lambda process, number: 2.0) > 0.8
-    assert used(5, lambda process, number: 2.0 * (process.place == 0), (keeps_to_itself,)) < 0.25 * one
+    one = used_share(5, lambda process, number: 2.0 * (process.place == 0))
+    assert one > 0.8 and used_share(5, lambda process, number: 2.0) > 0.8
+    assert used_share(5, lambda process, number: 2.0 * (process.place == 0), (keeps_to_itself,)) < 0.25 * one
 
 
 def test_router_when_cut_off_spends_only_its_floor_after_its_term():
--- a/tests/shared/test_request_tallies.py
+++ b/tests/shared/test_request_tallies.py
@@ -23,7 +23,7 @@
     ]
 
 
-class One:
+class TallyingRouter:
     def __init__(self, place, count=COUNT, boxes=4):
         self.name = f"n{place}"
         self.detector = FailureDetector(Roster(places(count), self.name), RandomSource(place), 0.0, lambda item: None)
@@ -48,12 +48,12 @@
         }
 
 
-def beat(group, now):
+def tick_all(group, now):
     for one in group:
         one.tallies.tick(now)
 
 
-def told(one):
+def told_counts(one):
     return sorted((cache.mark, round(cache.told, 2)) for cache in one.fleet.mine)
 
 
@@ -61,13 +61,13 @@
 @given(st.integers(0, 10**6))
 def test_tallies_when_lost_doubled_or_reordered_converge_to_the_truth(seed):
     rand, now = random.Random(seed), 100.0
-    group = [One(place) for place in range(COUNT)]
+    group = [TallyingRouter(place) for place in range(COUNT)]
     for one in group:
         one.out(*[rand.randrange(6) for _ in range(4)])
     on_way = []
     for turn in range(80):
         now += TALLY_INTERVAL_S
-        beat(group, now)
+        tick_all(group, now)
         for one in group:
             while one.sends:
                 to = next(other for other in group if other.name == one.sends[-1])
@@ -93,7 +93,7 @@
 @given(st.permutations(range(8)), st.lists(st.integers(0, 7), max_size=10))
 def test_merge_when_repeated_in_any_order_has_one_result(order, again):
     tallies = [Tally("n1", 1, 2, 5 + number, 0.0, 7, [number]) for number in range(8)]
-    one, other = One(0), One(0)
+    one, other = TallyingRouter(0), TallyingRouter(0)
     for number in range(8):
         one.tallies.merge(tallies[number], 100.0, from_itself=True)
     for number in [*order, *again]:
@@ -102,7 +102,7 @@
 
 
 def test_fleet_when_nobody_is_heard_guesses_and_when_all_are_does_not():
-    one, alone = One(0), One(0)
+    one, alone = TallyingRouter(0), TallyingRouter(0)
     for each in (one, alone):
         each.out(8, 0, 0, 0)
     one.tallies.tick(101.0)
@@ -121,12 +121,12 @@
         }
         one.tallies.tick(101.0 + (turn + 1) * TALLY_INTERVAL_S)
     one.fleet.count()
-    assert told(one)[:3] == [(mark, 0.0) for mark, _ in told(one)[:3]]
+    assert told_counts(one)[:3] == [(mark, 0.0) for mark, _ in told_counts(one)[:3]]
     assert [round(cache.others) for cache in sorted(one.fleet.mine, key=lambda cache: cache.mark)] == [0, 0, 0, 8]
 
 
 def test_tally_when_old_or_of_another_list_or_incarnation_does_not_count():
-    one = One(0)
+    one = TallyingRouter(0)
     one.tallies.tick(101.0)
     good = Tally("n1", 1, 2, 1, 0.0, one.tallies.list_hash, [1, 1, 1, 1])
     assert one.tallies.merge(good, 101.0, from_itself=True)
@@ -140,7 +140,7 @@
 
 
 def test_tally_when_its_number_rises_too_fast_is_refused_unless_its_own():
-    one = One(0)
+    one = TallyingRouter(0)
     one.tallies.tick(101.0)
     view = one.tallies.list_hash
     one.tallies.merge(Tally("n1", 1, 2, 10, 0.0, view, [1] * 4), 101.0, from_itself=True)
@@ -154,7 +154,7 @@
 
 
 def test_payload_when_built_stays_in_the_zone_and_within_its_bound():
-    group = [One(place, 60, 40) for place in range(60)]
+    group = [TallyingRouter(place, 60, 40) for place in range(60)]
     one = group[0]
     for other in group:
         other.out(*[300] * 40)
@@ -168,7 +168,7 @@
     )
 
 
-def bad(**what):
+def encoded_tally(**what):
     return request_tallies.encoder.encode(
         [
             {
@@ -204,13 +204,13 @@
     ],
 )
 def test_payload_when_malformed_is_refused(what):
-    one = One(0)
+    one = TallyingRouter(0)
     try:
-        data = b"\x91" + bad(**what)
+        data = b"\x91" + encoded_tally(**what)
     except OverflowError:
         data = b"\x91\xc1"
     with pytest.raises(request_tallies.DatagramError):
         request_tallies.decode(data)
     one.tallies.receive("n1", data, 101.0)
     assert one.tallies.unreadable == 1 and not one.tallies.known
-    assert request_tallies.decode(b"\x91" + bad())[0].in_flight == [1]
+    assert request_tallies.decode(b"\x91" + encoded_tally())[0].in_flight == [1]
--- a/tests/shared/test_slow_start_quota.py
+++ b/tests/shared/test_slow_start_quota.py
@@ -36,7 +36,7 @@
     return Roster([RosterEntry(f"n{place}", ("127.0.0.1", place + 1), zone) for place, zone in enumerate(zones)], mine)
 
 
-def colds(share=1.0, processes=4):
+def slow_start_quotas(share=1.0, processes=4):
     """Of a router alone under its name, whose share is what the test says."""
     detector = FailureDetector(roster(["here"]), RandomSource(1), 0.0, lambda item: None)
     limiter = LendingLimiter(detector, Division(1, processes), slow_start_quota.budget_scopes("here"), 0.0)
@@ -45,7 +45,7 @@
     return made
 
 
-def machine(mark=7, weight=10.0):
+def server(mark=7, weight=10.0):
     return SimpleNamespace(mark=mark, weight=weight, credit=-0.3)
 
 
@@ -63,7 +63,7 @@
 
 @pytest.mark.parametrize("work", [0.01, 0.1, 1.0, 3.0])
 def test_server_when_in_slow_start_gets_what_the_formula_says(work):
-    made, cache = colds(), machine()
+    made, cache = slow_start_quotas(), server()
     most = LIMITS.multiple * 0.2 * cache.weight * LIMITS.span
     sent = spend(made, cache, work, 30.0)
     unit = slow_start_quota.PIECES_SHARE * most / 4
@@ -78,10 +78,10 @@
     rand, now, sent = random.Random(seed), 0.0, []
     shares = [1.0 / count] * count
     most = LIMITS.multiple * 0.2 * 10.0 * LIMITS.span
-    caches = [machine() for _ in range(count)]
+    caches = [server() for _ in range(count)]
     routers = []
     for place in range(count):
-        made = colds(processes=count)
+        made = slow_start_quotas(processes=count)
         made.limiter.update_share = lambda budget, now, made=made, place=place: budget.set_share(
             shares[place], made.limiter.lagging_clock
         )
@@ -104,12 +104,12 @@
 
 
 def test_bucket_when_its_server_restarted_is_empty_and_when_idle_is_dropped():
-    made, cache = colds(), machine()
+    made, cache = slow_start_quotas(), server()
     spend(made, cache, 0.1, 3.0)
     assert cache.credit > -0.1
-    later = machine()  # the same mark, of another listing
+    later = server()  # the same mark, of another listing
     assert not made.admits(SlowStartRequest(later, False, LIMITS, 0.2, 0.1), 3.0) and later.credit < 0.0
-    other = machine(8)
+    other = server(8)
     for turn in range(400, 1200):
         made.limiter.tick(turn / 100)
         made.admits(SlowStartRequest(other, False, LIMITS, 0.2, 0.1), turn / 100)
@@ -118,15 +118,15 @@
 
 def test_buckets_when_at_the_bound_are_not_added(monkeypatch):
     monkeypatch.setattr(slow_start_quota, "MAX_SERVERS", 3)
-    made = colds()
+    made = slow_start_quotas()
     for mark in range(5):
-        made.admits(SlowStartRequest(machine(mark), False, LIMITS, 0.2, 0.1), 0.1)
+        made.admits(SlowStartRequest(server(mark), False, LIMITS, 0.2, 0.1), 0.1)
     assert len(made.limiter.budgets[slow_start_quota.CACHES].buckets) == 3
 
 
 def test_server_when_warming_up_gets_more():
-    cool = spend(colds(), machine(), 0.1, 10.0)
-    warm = spend(colds(), machine(), 0.1, 10.0, part=0.6)
+    cool = spend(slow_start_quotas(), server(), 0.1, 10.0)
+    warm = spend(slow_start_quotas(), server(), 0.1, 10.0, part=0.6)
     assert len(warm) > 2.5 * len(cool)
 
 
--- a/wickhinge/shared/budgets.py
+++ b/wickhinge/shared/budgets.py
@@ -3,7 +3,6 @@
 from __future__ import annotations
 
 from dataclasses import dataclass
-from typing import Any
 
 from wickhinge.peers.roster import Roster
 from wickhinge.shared.quota_bucket import Quota, QuotaBucket
@@ -43,7 +42,7 @@
     Attributes:
         zone: As BudgetScope.zone.
         division: Of the routers that spend it.
-        buckets: By server, or the one of None.
+        buckets: By the server's id, or the one of None.
         demand: What was asked for here lately, where most was.
         shortage: What is wanted and not had.
         surplus: What is had and not wanted.
@@ -54,7 +53,7 @@
         self.division = division
         self.loans = Loans()
         self.share = 0.0
-        self.buckets: dict[Any, QuotaBucket] = {}
+        self.buckets: dict[int | None, QuotaBucket] = {}
         if scope.quota is not None:
             self.buckets[None] = QuotaBucket(scope.quota, division.processes, BURST_S, now)
         self.demand = self.shortage = self.surplus = 0.0
--- a/wickhinge/shared/evidence.py
+++ b/wickhinge/shared/evidence.py
@@ -3,8 +3,8 @@
 from __future__ import annotations
 
 from dataclasses import dataclass
-from typing import Any
 
+from wickhinge.shared.ports import Server
 from wickhinge.shared.verdicts import Health
 
 EVALUATION_INTERVAL_S = 0.25
@@ -20,11 +20,11 @@
 class Evidence:
     """Our own evidence on one server. Times are the detector's unless said otherwise."""
 
-    server: Any  # as `decide` has it
+    server: Server
     health: Health = Health.HEALTHY
     amount: float = 0.0  # as Verdict.amount
     observed_at: float = LONG_AGO
-    last_answer_at: float = LONG_AGO  # by `decide`'s time, as it was at the last evaluation
+    last_answer_at: float = LONG_AGO  # by `routing`'s time, as it was at the last evaluation
     answers: float = 0.0  # evaluations that found a new one, half forgotten each OWN_EVIDENCE_MAX_AGE_S
     was_lost: bool = False
     overridden_at: float = LONG_AGO  # since when others' verdict holds; LONG_AGO for none
@@ -41,7 +41,7 @@
             median_pace: The median of what the servers of its tier bear of what they should.
             elapsed: Seconds since the last evaluation.
             now: The detector's time.
-            policy_now: The time by which `decide` counts.
+            policy_now: The time by which `routing` counts.
         """
         server = self.server
         answered_at = now - max(policy_now - server.heard, 0.0)
--- a/wickhinge/shared/lending_peers.py
+++ b/wickhinge/shared/lending_peers.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Collection
 from dataclasses import dataclass, field
-from typing import Any, NamedTuple
+from typing import NamedTuple
 
 from wickhinge.common.log_event import LogEvent
 from wickhinge.peers.detector import FailureDetector
@@ -60,10 +60,9 @@
 
     def keep(self, names: Collection[str]) -> None:
         """Forget all peers but these."""
-        tables: tuple[dict[str, Any], ...] = (self._echoes, self._levels, self._outboxes)
-        for table in tables:
-            for name in set(table) - set(names):
-                del table[name]
+        self._echoes = {name: echo for name, echo in self._echoes.items() if name in names}
+        self._levels = {name: levels for name, levels in self._levels.items() if name in names}
+        self._outboxes = {name: outbox for name, outbox in self._outboxes.items() if name in names}
 
     def spends(self, name: str, zone: str) -> bool:
         """Whether that peer spends the budgets of a zone ("" for all) too."""
--- a/wickhinge/shared/outlier_detection.py
+++ b/wickhinge/shared/outlier_detection.py
@@ -6,7 +6,7 @@
 - Two witnesses at least, more than say the server is well, none of them unhealthy themselves, each verdict
   VERDICT_MAX_AGE_S old at most.
 - UNREACHABLE: the server is ejected here for REST_S at a time while they say so, one failure of our own is enough, and
-  some of us send it a health check at once. Its witnesses go on trying it, as `decide` does with what it lost.
+  some of us send it a health check at once. Its witnesses go on trying it, as `routing` does with what it lost.
 - SLOW: what the server is believed to bear, beside its peers, is lowered to the median of what they say, where we have
   few answers of our own; it drifts back as every such belief does, and own answers move it from then on. Who was told
   says nothing of it himself, so that no verdict feeds on its echo.
@@ -21,9 +21,6 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable
-from typing import Any
-
 from wickhinge.common.log_event import LogEvent, ignore_event
 from wickhinge.common.random_source import shuffle
 from wickhinge.common.sealing import DatagramError
@@ -40,6 +37,7 @@
     Evidence,
 )
 from wickhinge.shared.peer_verdicts import MIN_WITNESSES, Agreement, Observation, PeerVerdicts
+from wickhinge.shared.ports import CheckHealth, Endpoints, Server
 from wickhinge.shared.verdicts import HEALTH_NAMES, Health, Verdict
 
 MAX_EJECTED_SHARE = 1 / 3  # of a location's caches, at most under others' verdict at a time
@@ -52,9 +50,9 @@
 MAX_WITNESSES_LISTED = 16
 
 
-def median_pace(servers: list[Any]) -> float:
+def median_pace(servers: list[Server]) -> float:
     """The median of what servers bear of what they should; 1.0 for none."""
-    return float(sorted(server.fit / server.best for server in servers)[len(servers) // 2]) if servers else 1.0
+    return sorted(server.fit / server.best for server in servers)[len(servers) // 2] if servers else 1.0
 
 
 class OutlierDetector:
@@ -71,15 +69,15 @@
     def __init__(
         self,
         detector: FailureDetector,
-        fleet: Any,
-        check_health: Callable[[Any], None],
+        fleet: Endpoints,
+        check_health: CheckHealth,
         log: LogEvent = ignore_event,
     ) -> None:
         """Begin without evidence.
 
         Args:
             detector: Knows the peers, and carries the payloads.
-            fleet: decide.Fleet.
+            fleet: The endpoint list.
             check_health: Called with a server that is to get a health check at once.
             log: Called with an event and its fields.
         """
@@ -100,7 +98,7 @@
 
         Args:
             now: The detector's time.
-            policy_now: The time by which `decide` counts.
+            policy_now: The time by which `routing` counts.
         """
         elapsed = now - self._evaluated_at
         if 0.0 <= elapsed < EVALUATION_INTERVAL_S:
@@ -156,7 +154,7 @@
             if verdict.server in self.evidence and verdict.age <= VERDICT_MAX_AGE_S:
                 self.peer_verdicts.record(name, verdict, now)
 
-    def figures(self, now: float) -> dict[str, Any]:
+    def figures(self, now: float) -> dict[str, object]:
         """For operators: our own verdicts, and the others'."""
         by_server = sorted(self.peer_verdicts.by_server.items())[:MAX_LISTED]
         return {
@@ -189,7 +187,7 @@
             self._log("server_health", server=f"{own.server.mark:08x}", health=HEALTH_NAMES[own.health])
             self._push(own.server, now)
 
-    def _push(self, server: Any, now: float) -> None:
+    def _push(self, server: Server, now: float) -> None:
         """Tell those whom it concerns at once, in random order, as far as the rate allows."""
         concerned = [name for name in self.detector.members if self._concerns(name, server)]
         for name in shuffle(self.detector.random_source, concerned):
@@ -203,14 +201,14 @@
             return False  # nobody asks
         return self._concerns(to, own.server) and 0.0 <= now - own.observed_at <= VERDICT_MAX_AGE_S
 
-    def _concerns(self, name: str, server: Any) -> bool:
+    def _concerns(self, name: str, server: Server) -> bool:
         """Whether that router may send requests to the server."""
         place = self.detector.roster.entries.get(name)
         return place is not None and (not self._is_cache(server) or place.zone == self.detector.roster.local.zone)
 
-    def _is_cache(self, server: Any) -> bool:
+    def _is_cache(self, server: Server) -> bool:
         """Whether it is a cache of our location, and no parent."""
-        return bool(server.kind != self.fleet.parent_kind)
+        return server.kind != self.fleet.parent_kind
 
     # Unhealthy routers.
 
@@ -289,7 +287,7 @@
             self._check_health(server)
         return True
 
-    def _restart(self, server: Any, observations: list[Observation], now: float, policy_now: float) -> bool:
+    def _restart(self, server: Server, observations: list[Observation], now: float, policy_now: float) -> bool:
         """Count the start by those who saw it: the latest of the starts that two at least agree on."""
         starts = sorted(observation.observed_at - observation.verdict.amount for observation in observations)
         started = policy_now - (now - starts[-MIN_WITNESSES])
--- a/wickhinge/shared/quota_lending.py
+++ b/wickhinge/shared/quota_lending.py
@@ -19,8 +19,6 @@
 
 from __future__ import annotations
 
-from typing import Any
-
 from wickhinge.common.log_event import LogEvent, ignore_event
 from wickhinge.common.sealing import DatagramError
 from wickhinge.peers.detector import FailureDetector
@@ -89,12 +87,14 @@
 
     # Spending.
 
-    def take(self, number: int, amount: float, now: float, key: Any = None) -> bool:
+    def take(self, number: int, amount: float, now: float, key: int | None = None) -> bool:
         """Spend so much of a budget, or nothing where there is less. Counts as demand either way."""
         bucket, lagging_now = self.record_demand(number, amount, now, key)
         return bucket.take(amount, lagging_now)
 
-    def record_demand(self, number: int, amount: float, now: float, key: Any = None) -> tuple[QuotaBucket, float]:
+    def record_demand(
+        self, number: int, amount: float, now: float, key: int | None = None
+    ) -> tuple[QuotaBucket, float]:
         """Count so much as demand. Returns the bucket that it would come from, and the time by which that counts."""
         self.refresh(now)
         bucket = self.budgets[number].buckets[key]
@@ -201,7 +201,7 @@
         self._exchange_leases(name, message, now)
         self._exchange_loans(name, message, now)
 
-    def figures(self, now: float) -> dict[str, Any]:
+    def figures(self, now: float) -> dict[str, object]:
         """For operators: by what this router spends, and until when it holds its name's lease."""
         self.refresh(now)
         return {
--- a/wickhinge/shared/request_tallies.py
+++ b/wickhinge/shared/request_tallies.py
@@ -1,6 +1,6 @@
 """How many requests are in flight at each cache of a location, by all of its routers: counted by each, passed on.
 
-Alone, a router takes the others for as loaded as itself (`Fleet.count`), which is wrong by as much as their loads
+Alone, a router takes the others for as loaded as itself (`Endpoints.count`), which is wrong by as much as their loads
 differ. Here each tells how many requests it has in flight, with a number that rises, and passes on what it knows of its
 zone's others (gossip): of each name the largest (epoch, incarnation, number) counts, in whatever order, however often
 it comes. Merging is a maximum a name, so it ends the same everywhere. A tally counts no more after MAX_AGE_S; whoever
@@ -16,7 +16,6 @@
 
 from dataclasses import dataclass
 from math import isfinite
-from typing import Any
 
 import msgspec
 from xxhash import xxh32_intdigest
@@ -24,6 +23,7 @@
 from wickhinge.common.sealing import DatagramError, decode_body
 from wickhinge.peers.detector import FailureDetector
 from wickhinge.peers.messages import MemberState, MessageKind
+from wickhinge.shared.ports import Endpoints, Server
 
 TALLY_INTERVAL_S = 0.25  # from one tally of our own to the next, each told to one peer of the zone
 MAX_AGE_S = 3.0
@@ -95,8 +95,8 @@
         unreadable: Payloads that could not be read.
     """
 
-    def __init__(self, detector: FailureDetector, fleet: Any, now: float) -> None:
-        """Begin without tallies; `told` of the fleet (a decide.Fleet) and of its caches is set here."""
+    def __init__(self, detector: FailureDetector, fleet: Endpoints, now: float) -> None:
+        """Begin without tallies; `told` of the endpoint list and of its caches is set here."""
         self.detector = detector
         self.fleet = fleet
         self.known: dict[str, KnownTally] = {}
@@ -187,7 +187,7 @@
             if tally.name in peers and tally.age <= MAX_AGE_S:
                 self.merge(tally, now - tally.age, from_itself=tally.name == name)
 
-    def figures(self, now: float) -> dict[str, Any]:
+    def figures(self, now: float) -> dict[str, object]:
         """For operators: how many routers' tallies count."""
         ages = [now - known.counted_at for known in self.known.values()]
         return {
@@ -202,14 +202,14 @@
     def _counts(known: KnownTally, now: float) -> bool:
         return 0.0 <= now - known.counted_at <= MAX_AGE_S
 
-    def _count(self, caches: list[Any]) -> None:
+    def _count(self, caches: list[Server]) -> None:
         marks = [cache.mark for cache in caches]
         if marks != self._marks:
             self._marks, self.list_hash = marks, hash_list(marks)
         self._number += 1
         self._in_flight = [min(len(cache.pending), MAX_REQUESTS) for cache in caches]
 
-    def _update_fleet(self, caches: list[Any]) -> None:
+    def _update_fleet(self, caches: list[Server]) -> None:
         fresh = [known.tally.in_flight for known in self.known.values() if known.tally.list_hash == self.list_hash]
         self.fleet.told = min(len(fresh), self.fleet.routers - 1)
         for index, cache in enumerate(caches):
--- a/wickhinge/shared/slow_start_quota.py
+++ b/wickhinge/shared/slow_start_quota.py
@@ -1,8 +1,8 @@
-"""The router's part of what servers in slow start can bear, by true shares: asked by `decide` for each forward.
+"""The router's part of what servers in slow start can bear, by true shares: asked by `routing` for each forward.
 
 Alone, a router guesses its part from a fixed count of routers, and leaves a third unused against the others' guesses
-(`decide.Cold`). Here the limit of a server in slow start is a budget of the whole fleet, or of the server's zone: each
-such server has a bucket, all of one tier fill by the same share, which moves to where the demand is.
+(`routing.slow_start`). Here the limit of a server in slow start is a budget of the whole fleet, or of the server's
+zone: each such server has a bucket, all of one tier fill by the same share, which moves to where the demand is.
 
 Pieces. Of what a server bears in a window, PIECES_SHARE is set aside for pieces that meet, so many for each process:
 
@@ -12,15 +12,15 @@
 goes on credit where the bucket is full, and its debt is sat out: then what all send in any window is at most amount +
 the sum of (work - piece) over those requests, one a process.
 
-What a bucket holds stands in the server's `credit`, where `decide` charges what it sends.
+What a bucket holds stands in the server's `credit`, where `routing` charges what it sends.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass
-from typing import Any
 
 from wickhinge.shared.budgets import BURST_S, BudgetScope
+from wickhinge.shared.ports import Server, SlowStartLimits
 from wickhinge.shared.quota_bucket import Quota, QuotaBucket
 from wickhinge.shared.quota_lending import LendingLimiter
 
@@ -40,17 +40,17 @@
 class SlowStartRequest:
     """A request that may go to a server in slow start."""
 
-    server: Any  # as `decide` has it
+    server: Server
     is_parent: bool
-    limits: Any  # decide.Cold, with the settings' limit
+    limits: SlowStartLimits
     warm_share: float  # of what the server bears warm
     work: float  # seconds that the request costs
 
 
 class ServerBucket(QuotaBucket):
-    """A server's bucket, with its tokens in the credit that `decide` charges. Starts empty, or with its debt."""
+    """A server's bucket, with its tokens in the credit that `routing` charges. Starts empty, or with its debt."""
 
-    def __init__(self, server: Any, quota: Quota, processes: int, now: float) -> None:
+    def __init__(self, server: Server, quota: Quota, processes: int, now: float) -> None:
         self.server = server
         debt = min(server.credit, 0.0)
         super().__init__(quota, processes, BURST_S, now)
@@ -60,7 +60,7 @@
     @property
     def tokens(self) -> float:
         """The server's credit."""
-        return float(self.server.credit)
+        return self.server.credit
 
     @tokens.setter
     def tokens(self, tokens: float) -> None:
@@ -82,7 +82,7 @@
         self._swept_at = 0.0
 
     def admits(self, request: SlowStartRequest, now: float) -> bool:
-        """Whether a request may go to its server now. What is sent, `decide` takes off the server's credit."""
+        """Whether a request may go to its server now. What is sent, `routing` takes off the server's credit."""
         number = self._first_budget + (PARENTS if request.is_parent else CACHES)
         bucket = self._bucket(number, request, now)
         if bucket is None:
--- a/wickhinge/store/__init__.py
+++ b/wickhinge/store/__init__.py
@@ -1,7 +1,7 @@
 """Copies of the router's own: a memory tier over a tier on disk, for installations whose disk lasts.
 
 Entered by `store.Store`, which net/upstream/local_copies.py makes where the settings say `store.mode: "on"`, and asked
-by `decide` through it. It never decides that a copy answers a request (`decide` does), never waits for a disk in the
+by `routing` through it. It never decides that a copy answers a request (`routing` does), never waits for a disk in the
 reactor's thread, and never uses the network.
 
 - Decisions, without I/O: admission, frequency, segments, write_rate_limiter, circuit_breaker, purges,
--- a/wickhinge/store/maintenance.py
+++ b/wickhinge/store/maintenance.py
@@ -5,7 +5,6 @@
 import time
 from collections.abc import Callable, Iterator
 from contextlib import contextmanager
-from typing import Any
 
 from wickhinge.store.copies import Copy, StoredObject
 from wickhinge.store.errors import DamagedCopyError
@@ -54,7 +53,7 @@
     return live
 
 
-def stat(volume: Volume) -> dict[str, Any]:
+def stat(volume: Volume) -> dict[str, object]:
     """Sizes and counts, for `wickhinge store stat`."""
     copies = live_copies(volume).values()
     now = time.time()
@@ -73,7 +72,7 @@
     }
 
 
-def list_copies(volume: Volume, key: int | None = None) -> Iterator[dict[str, Any]]:
+def list_copies(volume: Volume, key: int | None = None) -> Iterator[dict[str, object]]:
     """A row for each live copy, or for those of one object, for `wickhinge store ls`."""
     for copy in live_copies(volume).values():
         if key in (None, copy.key) and copy.place is not None:
@@ -89,7 +88,7 @@
             }
 
 
-def verify(volume: Volume) -> dict[str, Any]:
+def verify(volume: Volume) -> dict[str, object]:
     """Read every byte that a start would rely on; `damage` names what is not as written."""
     names = volume.names()
     damage = _damaged_purge_logs(volume, names)
@@ -122,7 +121,7 @@
     return sum(volume.purges.covers(copy.key, copy.group, copy.created) for copy in copies)
 
 
-def compact(volume: Volume, on_progress: Callable[[int, int], None] | None = None) -> dict[str, Any]:
+def compact(volume: Volume, on_progress: Callable[[int, int], None] | None = None) -> dict[str, object]:
     """Write the live copies anew and in order, and recycle all else. If killed in the middle it is unfinished.
 
     Args:
--- a/wickhinge/store/store.py
+++ b/wickhinge/store/store.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from dataclasses import asdict
-from typing import Any
+from typing import Protocol
 
 from wickhinge.store.compaction import Compactor
 from wickhinge.store.copies import Copy
@@ -23,7 +23,7 @@
 
 
 class Store:
-    """Copies by object and part: `find` says what there is, `decide` whether it answers, `read` brings its bytes.
+    """Copies by object and part: `find` says what there is, `routing` whether it answers, `read` brings its bytes.
 
     Times are Unix seconds.
 
@@ -141,7 +141,7 @@
         self._compactor.run()
         self.snapshots.run(now)
 
-    def figures(self) -> dict[str, Any]:
+    def figures(self) -> dict[str, object]:
         """Counters and sizes, for the report."""
         tier = self.tier
         return {
@@ -158,7 +158,29 @@
         }
 
 
-def start_store(options: Any, journal: Any, runtime: Runtime) -> Store | None:
+class StoreSettings(Protocol):
+    """The settings under `store`."""
+
+    dir: str
+    size_mb: int
+    segment_mb: int
+    memory_mb: int
+    objects: int
+    waiting_mb: float
+    write_mb_s: float
+    read_within_s: float
+    reads_at_once: int
+    snapshot_s: float
+
+
+class JournalSettings(Protocol):
+    """The settings under `journal`."""
+
+    continues: bool
+    quiet_s: float
+
+
+def start_store(options: StoreSettings, journal: JournalSettings, runtime: Runtime) -> Store | None:
     """The store that the settings describe, started; None, and one log event, where its directory cannot be used.
 
     Args:
--- a/wickhinge/store/volume.py
+++ b/wickhinge/store/volume.py
@@ -170,15 +170,15 @@
                 ]
         for number in sorted(self.segments.initial_sizes, reverse=True):
             start = scan_start(marks, number, self.segments.initial_sizes[number])
-            found: list[StoredObject] = []
+            scanned: list[StoredObject] = []
             for header, place in self.segments.scan(number, start, verify_bodies=True):
                 serial = max(serial, header.serial)
-                found.append(StoredObject(header.key, 0, [_scanned_copy(header, place)]))
-                if len(found) == BATCH_COPIES:
-                    yield found
-                    found = []
-            if found:
-                yield found
+                scanned.append(StoredObject(header.key, 0, [_scanned_copy(header, place)]))
+                if len(scanned) == BATCH_COPIES:
+                    yield scanned
+                    scanned = []
+            if scanned:
+                yield scanned
         on_meta(serial, b"")
 
     # Parts of opening.
