--- a/tests/changelog/test_storage.py
+++ b/tests/changelog/test_storage.py
@@ -159,9 +159,9 @@
         handle = files.open(f"{folder}/{name}", write=True, create=True)
         files.write(handle, data, 0)
         files.sync(handle)
-        files.sync_names(folder)
+        files.sync_directory(folder)
 
-    monkeypatch.setattr(storage, "replace", replace)
+    monkeypatch.setattr(storage, "replace_file", replace)
 
 
 @pytest.mark.parametrize("plant", [no_sync, snapshot_in_place])
--- a/tests/support/faulty_disk.py
+++ b/tests/support/faulty_disk.py
@@ -43,10 +43,10 @@
         if self.stuck:
             raise OSError(self.stuck, "planted")
 
-    def make(self, path):
+    def make_directory(self, path):
         self.call()
 
-    def names(self, path):
+    def list_directory(self, path):
         return [name.rpartition("/")[2] for name in self.nodes]
 
     def open(self, path, write=False, create=False):
@@ -88,7 +88,7 @@
         node = self.handles[handle]
         node.synced, node.pending = bytes(node.data), []
 
-    def sync_names(self, path):
+    def sync_directory(self, path):
         self.call()
         self.durable = copy(self.nodes)
 
--- a/wickhinge/changelog/storage.py
+++ b/wickhinge/changelog/storage.py
@@ -30,7 +30,7 @@
 from wickhinge.changelog.messages import Record
 from wickhinge.changelog.snapshots import decode_snapshot, encode_snapshot
 from wickhinge.changelog.stored import Stored
-from wickhinge.store.files import Files, replace
+from wickhinge.store.files import Files, replace_file
 
 MAGIC = b"WLS1"
 SNAPSHOT, RECORDS, LOCK = "snapshot", "records.", "lock"
@@ -115,11 +115,11 @@
             StorageInUseError: Another process has the directory.
             OSError: The files cannot be written.
         """
-        files.make(directory)
+        files.make_directory(directory)
         lock = take_lock(files, directory)
         storage = cls(files, directory, lock, 0, ReplicaState(stored))
         try:
-            if SNAPSHOT in files.names(directory):
+            if SNAPSHOT in files.list_directory(directory):
                 raise FileExistsError(f"{directory}/{SNAPSHOT}: there is a replica's state already")
             storage._begin_generation()
         except BaseException:
@@ -197,9 +197,9 @@
             block = frame_block(encode_persist(self._state.as_effect()), initial_checksum(generation))
             self._files.write(handle, block, 0)
             self._files.sync(handle)
-            self._files.sync_names(self._directory)
+            self._files.sync_directory(self._directory)
             head = MAGIC + generation.to_bytes(GENERATION_BYTES, "big")
-            replace(self._files, self._directory, SNAPSHOT, head + encode_snapshot(self._state.snapshot))
+            replace_file(self._files, self._directory, SNAPSHOT, head + encode_snapshot(self._state.snapshot))
         except OSError:
             self._files.close(handle)
             raise
@@ -211,13 +211,13 @@
 
     def _remove_other_generations(self) -> None:
         """Files of other generations; one that stays behind is removed with the next generation."""
-        for name in self._files.names(self._directory):
+        for name in self._files.list_directory(self._directory):
             if name.startswith(RECORDS) and name != f"{RECORDS}{self._generation}":
                 with contextlib.suppress(OSError):
                     self._files.remove(f"{self._directory}/{name}")
 
     def _recover(self) -> None:
-        names = self._files.names(self._directory)
+        names = self._files.list_directory(self._directory)
         if SNAPSHOT not in names:
             raise StorageMissingError(self._directory, f"holds no file named {SNAPSHOT}")
         self._generation, snapshot = self._read_snapshot()
--- a/wickhinge/cli/changelog.py
+++ b/wickhinge/cli/changelog.py
@@ -263,10 +263,10 @@
 
     from wickhinge.cli.changelog_client import fetch_backup
     from wickhinge.fields import Malformed
-    from wickhinge.store.files import Files, replace
+    from wickhinge.store.files import Files, replace_file
 
     def write(data: bytes, number: int) -> None:
-        replace(Files(), os.path.dirname(os.path.abspath(file)), os.path.basename(file), data)
+        replace_file(Files(), os.path.dirname(os.path.abspath(file)), os.path.basename(file), data)
         click.echo(f"number {number}, {len(data)} bytes")
 
     settings = read_settings(options)
--- a/wickhinge/membership/endpoint_list_file.py
+++ b/wickhinge/membership/endpoint_list_file.py
@@ -5,7 +5,7 @@
 from wickhinge.membership import stored_list
 from wickhinge.membership.errors import CorruptListError, ListDirectoryError
 from wickhinge.membership.stored_list import StoredList
-from wickhinge.store.files import Files, replace
+from wickhinge.store.files import Files, replace_file
 
 _LOCK_NAME = "lock"
 
@@ -27,7 +27,7 @@
             ListDirectoryError: it can't be used, or another process uses it.
         """
         try:
-            self._files.make(self._path)
+            self._files.make_directory(self._path)
             self._lock = self._files.lock(self._path_of(_LOCK_NAME))
         except OSError as error:
             raise ListDirectoryError(self._path, f"can't be used: {error.strerror or error}") from None
@@ -69,7 +69,7 @@
         """Replaces the older generation; lasting when it returns. May raise OSError."""
         sequence = self._sequence + 1
         name = stored_list.FILE_NAMES[sequence % len(stored_list.FILE_NAMES)]
-        replace(self._files, self._path, name, stored_list.encode(stored, sequence))
+        replace_file(self._files, self._path, name, stored_list.encode(stored, sequence))
         self._sequence = sequence
 
     def close(self) -> None:
--- a/wickhinge/store/files.py
+++ b/wickhinge/store/files.py
@@ -9,11 +9,11 @@
 class Files:
     """The file calls that the router makes. Handles are file descriptors; all calls may raise OSError."""
 
-    def make(self, path: str) -> None:
+    def make_directory(self, path: str) -> None:
         """Make a directory, with its parents, where it is missing."""
         os.makedirs(path, mode=0o750, exist_ok=True)
 
-    def names(self, path: str) -> list[str]:
+    def list_directory(self, path: str) -> list[str]:
         """The names in a directory, in no order."""
         return os.listdir(path)
 
@@ -51,7 +51,7 @@
         """Make a file's bytes durable."""
         os.fsync(handle)
 
-    def sync_names(self, path: str) -> None:
+    def sync_directory(self, path: str) -> None:
         """Make the new, renamed and removed names of a directory durable."""
         handle = os.open(path, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
         try:
@@ -81,7 +81,7 @@
         return handle
 
 
-def replace(files: Files, folder: str, name: str, data: bytes) -> None:
+def replace_file(files: Files, folder: str, name: str, data: bytes) -> None:
     """Replace a small file as a whole: whenever the process ends it is the old or the new one; durable on return."""
     path = f"{folder}/{name}"
     handle = files.open(path + ".new", write=True, create=True)
@@ -91,4 +91,4 @@
     finally:
         files.close(handle)
     files.rename(path + ".new", path)
-    files.sync_names(folder)
+    files.sync_directory(folder)
--- a/wickhinge/store/purge_log.py
+++ b/wickhinge/store/purge_log.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from wickhinge.store.file_format import PURGE_LINE_BYTES, encode_purge_line
-from wickhinge.store.files import Files, replace
+from wickhinge.store.files import Files, replace_file
 from wickhinge.store.purges import EVERY_GROUP, LineKind, Purge, PurgeLine
 
 FILE_NAMES = ("purges-a.wh", "purges-b.wh")
@@ -61,7 +61,7 @@
         self.close_files(ignore_errors=False)
         data = b"".join(encode_purge_line(line) for line in lines)
         for name in FILE_NAMES:
-            replace(self._files, self._directory, name, data)
+            replace_file(self._files, self._directory, name, data)
         self._handles = [self._files.open(f"{self._directory}/{name}", write=True) for name in FILE_NAMES]
         self._line_count = len(lines)
         self.next_sequence += len(lines)
--- a/wickhinge/store/snapshots.py
+++ b/wickhinge/store/snapshots.py
@@ -57,10 +57,10 @@
         finally:
             self._files.close(handle)
         self._files.rename(path + ".new", path)
-        self._files.sync_names(self._directory)
+        self._files.sync_directory(self._directory)
         self.generation = generation
         self.bytes_written += offset
-        for name in sorted(self._files.names(self._directory)):
+        for name in sorted(self._files.list_directory(self._directory)):
             other = generation_of(name)
             if other is not None and other <= generation - GENERATIONS_KEPT:
                 self._files.remove(f"{self._directory}/{name}")
@@ -76,7 +76,7 @@
 
     def read_newest(self, store_id: bytes) -> Snapshot | None:
         """The newest whole snapshot, if there is one."""
-        names = [name for name in sorted(self._files.names(self._directory)) if FILE_NAME.match(name)]
+        names = [name for name in sorted(self._files.list_directory(self._directory)) if FILE_NAME.match(name)]
         for name in reversed(names):
             snapshot = self.read(name, store_id)
             if snapshot is not None:
--- a/wickhinge/store/volume.py
+++ b/wickhinge/store/volume.py
@@ -21,7 +21,7 @@
     decode_purge_lines,
     encode_identity,
 )
-from wickhinge.store.files import Files, replace
+from wickhinge.store.files import Files, replace_file
 from wickhinge.store.purge_log import FILE_NAMES as PURGE_LOG_NAMES
 from wickhinge.store.purge_log import PurgeLog
 from wickhinge.store.purge_log_recovery import recover_purges, scan_start
@@ -95,7 +95,7 @@
         """
         try:
             if write:
-                self.files.make(self.path)
+                self.files.make_directory(self.path)
                 self._lock = self.files.lock(self.path_of("lock"))
                 if self._lock is None:
                     raise UnusableDirectoryError(self.path, "is in use by another process")
@@ -126,7 +126,7 @@
 
     def names(self) -> list[str]:
         """All names in the directory, sorted."""
-        return sorted(self.files.names(self.path))
+        return sorted(self.files.list_directory(self.path))
 
     def read_file(self, name: str) -> bytes:
         """All bytes of a file in the directory."""
@@ -196,7 +196,7 @@
                     self.files.remove(self.path_of(name))
                     self.distrusted = True
             store_id = self._new_store_id()
-            replace(self.files, self.path, IDENTITY_NAME, encode_identity(store_id))
+            replace_file(self.files, self.path, IDENTITY_NAME, encode_identity(store_id))
         self.store_id = self.segments.store_id = store_id
 
     def _load(self, *, write: bool) -> None:
@@ -222,7 +222,7 @@
         for name in names:
             if self._holds_data(name):
                 self.files.remove(self.path_of(name))
-        self.files.sync_names(self.path)
+        self.files.sync_directory(self.path)
 
     @staticmethod
     def _holds_data(name: str) -> bool:
