--- a/tests/net/test_crossings.py
+++ b/tests/net/test_crossings.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from tests.support.connections import line
+from tests.support.connections import attempts, line
 from tests.support.processes import ROOT, Client
 from tests.support.router_process import SERVED, host
 from tests.support.routing import end, request_class, router, take
@@ -26,7 +26,7 @@
 from wickhinge.net.runtime.arrivals import Arrivals
 from wickhinge.net.upstream import resp
 from wickhinge.net.upstream.attempt_results import AttemptResult
-from wickhinge.net.upstream.attempts import Attempts, SentAttempt
+from wickhinge.net.upstream.attempts import SentAttempt
 from wickhinge.routing.attempt import Attempt
 
 OBJECT = 0xAA
@@ -62,7 +62,7 @@
     call = client.ask(budget="6000")
     assert client.ping()
     made.tell(3, endpoint_watch.OBJECT_PURGE.pack(OBJECT, int(time.time() * 1000) - 1))
-    made.router.wait('"event":"purge"')
+    made.router.wait('"event":"purge_applied"')
     asked = late().next()
     assert int(asked.fields["maxage"]) < 2000  # without a purge it is not named: the fresh time of the tariff
     asked.answer("OK", SERVED, b"x")
@@ -81,7 +81,7 @@
         assert client.ping()
     else:
         client.socket.close()
-        made.router.wait('"event":"client_lost"')
+        made.router.wait('"event":"client_connection_lost"')
     connection = late()
     assert other.ping() and other.ping()
     made.router.close()
@@ -267,7 +267,10 @@
         self.arrivals = clock.arrivals
         requests = RequestLog(lambda *_, **more: None)
         visits = SimpleNamespace(
-            take=self.take, refuse=lambda door: None, gone=lambda door, why: self.gone.append(door), requests=requests
+            take=self.take,
+            refuse=lambda door: None,
+            gone=lambda door, why: self.gone.append(door),
+            request_log=requests,
         )
         self.clients = ClientConnections(visits, clock, 9, lambda *_, **more: None)
         self.made = ClientConnection(self.clients)
@@ -394,8 +397,8 @@
 @pytest.mark.parametrize("room", [0, 4])
 def test_what_is_not_wholly_written_when_its_visit_is_over_never_becomes_a_request(room):
     made, ends, soon, _ = line(room)
-    forwards = Attempts(made.caches, made.caches.deadlines, 0.25, [].append)
-    made.caches.ended = ends.__setitem__
+    forwards = attempts(made.caches)
+    made.caches.report_to(SimpleNamespace(begin=forwards.begin, answered=forwards.answered, ended=ends.__setitem__))
     door = SimpleNamespace(trace=RequestTrace(0.0, 0.0))
     number = forwards.slots.put(SentAttempt(door, None, SimpleNamespace(mark=1), 0.0, 1.0))
     sent = forwards.slots.get(number)
@@ -448,7 +451,7 @@
 @pytest.mark.parametrize("word, again", [(b"MISS", True), (b"BUSY", False), (b"ERR", False), (b"VOID", False)])
 def test_after_what_answer_a_visit_may_come_again_on_the_same_connection(word, again):
     made, *_ = line()
-    forwards = Attempts(made.caches, made.caches.deadlines, 0.25, [].append)
+    forwards = attempts(made.caches)
     forwards.ended = lambda *_: None
     door = DownstreamRequest(SimpleNamespace(taken=1), None, 1, "a", request_class(), 0.0)
     number = forwards.slots.put(SentAttempt(door, None, None, 0.0, 1.0))
@@ -461,19 +464,21 @@
 def test_what_a_source_holds_is_not_asked_for_where_the_look_missed(held, again):
     """A fill cannot end as a miss, an ask for what is held can: the look's miss, come twice, would be taken for it."""
     made, *_ = line()
-    forwards = Attempts(made.caches, made.caches.deadlines, 0.25, [].append)
+    forwards = attempts(made.caches)
     forwards.ended = lambda *_: None
     door, cache = (
         DownstreamRequest(SimpleNamespace(taken=1), None, 1, "a", request_class(), 0.0),
-        SimpleNamespace(mark=1),
+        SimpleNamespace(id=1),
     )
     door.until = 200.0
     number = forwards.slots.put(SentAttempt(door, None, cache, 0.0, 1.0))
     forwards.slots.get(number).line, forwards.slots.get(number).tag = made, b"a"
     assert forwards.answered(number, b"MISS", b"-", None)
     made.caches.most = 0  # no other connection may be made, so none takes it
-    forward = Attempt(SimpleNamespace(copy=None), cache, SimpleNamespace(mark=2), held, 0.0)
-    parameters = AttemptParameters(forward, cache, 200.0, SimpleNamespace(mark=2), 1, None, False, held, False)
+    source = SimpleNamespace(id=2)
+    request = SimpleNamespace(local_copy=None, router=SimpleNamespace(endpoints=SimpleNamespace(edge_caches=[])))
+    forward = Attempt(request, cache, source, 0.0, only_if_cached=held)
+    parameters = AttemptParameters(forward, cache, 200.0, source, 1, None, False, held, False)
     forwards.send(door, parameters)
     assert (b"a" in made.open) is again
 
@@ -486,17 +491,17 @@
     visit, caller = take(made)
     end(caller, Outcome.MISS, 100.1)
     end(caller, Outcome.OVERLOADED, 100.2)
-    assert made.outside.probes == []
+    assert made.environment.probes == []
 
 
 @pytest.mark.parametrize("multiple, span", [(0.0, 1.0), (4.0, 0.0)])
 def test_where_no_load_topples_a_cold_machine_none_is_kept_from_it(multiple, span):
     made = router(boxes=1)
-    made.fleet.edge.__init__(multiple, span, 0.2, 10.0)
-    made.fleet.mine[0].started = 99.9
+    made.endpoints.edge.__init__(multiple, span, 0.2, 10.0)
+    made.endpoints.edge_caches[0].started = 99.9
     for number in range(20):
         _, caller = take(made, key=number)
-        assert caller.forwards[0].cache is made.fleet.mine[0]
+        assert caller.forwards[0].server is made.endpoints.edge_caches[0]
 
 
 @pytest.mark.parametrize("field", ["connectTimeoutMs", "connIdleMs", "maxStreams"])
--- a/tests/net/test_net.py
+++ b/tests/net/test_net.py
@@ -13,7 +13,7 @@
 from twisted.python import log
 from twisted.python.failure import Failure
 
-from tests.support.connections import Wire, line, pool, reading
+from tests.support.connections import Wire, attempts, line, pool, reading
 from tests.support.routing import request_class, router
 from wickhinge.fields import Malformed
 from wickhinge.interface import Outcome
@@ -22,14 +22,14 @@
 from wickhinge.net.downstream.client_connections import ClientConnections
 from wickhinge.net.downstream.request_table import DownstreamRequest, RequestTable
 from wickhinge.net.runtime.arrivals import Arrivals
-from wickhinge.net.runtime.buffers import SIZE, Body
+from wickhinge.net.runtime.buffers import BUFFER_BYTES, Body
 from wickhinge.net.runtime.deadlines import Deadlines
 from wickhinge.net.runtime.loop import Reactor
 from wickhinge.net.runtime.slots import Slots
 from wickhinge.net.upstream import resp
 from wickhinge.net.upstream.attempt_results import OUTCOMES_BY_RESULT, RESULTS_BY_STATUS, AttemptResult, unconnected
-from wickhinge.net.upstream.attempts import NOTES, Attempts, SentAttempt
-from wickhinge.net.upstream.connection_pools import ConnectionPools, UpstreamConnection
+from wickhinge.net.upstream.attempts import NOTES, SentAttempt
+from wickhinge.net.upstream.connection_pools import ConnectionPools, PoolSettings, UpstreamConnection
 
 
 def plain(items):
@@ -95,11 +95,11 @@
 
 def test_resp_body_over_several_buffers_goes_back_to_the_pool():
     made, told = pool(limit=3)
-    body = bytes(range(256)) * (SIZE // 256 * 7 // 2)
+    body = bytes(range(256)) * (BUFFER_BYTES // 256 * 7 // 2)
     (items,) = resp.ReplyDecoder(made).feed(resp.pack(b"a", b"OK", b"-", body))
     assert plain(items)[3] == body and made.out == 4 and told == ["stop"]
-    items[3].spend(SIZE + 5)
-    assert b"".join(items[3].views()) == body[SIZE + 5 :] and made.out == 3
+    items[3].spend(BUFFER_BYTES + 5)
+    assert b"".join(items[3].views()) == body[BUFFER_BYTES + 5 :] and made.out == 3
     items[3].release()
     assert made.out == 0 and told == ["stop", "go"] and made.free
 
@@ -122,8 +122,8 @@
 
 def test_body_of_a_visit_is_given_whole_again_for_each_forward():
     made, _ = pool()
-    body = Body(made, b"ab" * SIZE)
-    assert b"".join(body.views()) == b"".join(body.views()) == b"ab" * SIZE and made.out == 2
+    body = Body(made, b"ab" * BUFFER_BYTES)
+    assert b"".join(body.views()) == b"".join(body.views()) == b"ab" * BUFFER_BYTES and made.out == 2
 
 
 def test_half_read_answer_of_a_lost_connection_gives_its_buffers_back():
@@ -386,7 +386,7 @@
 )
 def test_a_word_that_does_not_fit_what_was_asked_is_unreadable(word, told, probe, good):
     made, ended = line()[0].caches, []
-    forwards = Attempts(made, made.deadlines, 0.25, [].append)
+    forwards = attempts(made)
     forwards.ended = lambda number, end, told, body: ended.append(end)
     door = None if probe else DownstreamRequest(SimpleNamespace(taken=1), None, 1, "a", request_class(), 0.0)
     number = forwards.slots.put(SentAttempt(door, None, None, 0.0, 1.0))
@@ -450,7 +450,7 @@
             other.connect_ex(address)
         deadlines = Deadlines(reactor, ended.append)
         caches = ConnectionPools(
-            reactor, deadlines, pool()[0], 5.0, 15.0, 100, 50, lambda *_, **told: ended.append(told), ended.append
+            deadlines, pool()[0], PoolSettings(5.0, 15.0, 100, 50), lambda *_, **told: ended.append(told)
         )
         caches.listed(1, "1", address)
         gc.collect()
@@ -485,14 +485,15 @@
     """The collector is off in service: a circle would stay until the memory limit."""
     clock = SimpleNamespace(now=lambda: 100.0, at=lambda *_: None)
     client = SimpleNamespace(error=lambda call, word, fields: None)
-    visits = RequestTable(None, clock, pool()[0], {"t": request_class()}, lambda *_, **more: None, [].append)
-    visits.router = router(boxes=0, parents=0, direct=False)
-    seen, take = [], visits.router.take
-    visits.router.take = lambda *told: seen.append(weakref.ref(visit := take(*told))) or visit
+    decisions = router(boxes=0, parents=0, direct=False)
+    forwards = SimpleNamespace(decisions=decisions, local_copies=None)
+    visits = RequestTable(forwards, clock, pool()[0], {"t": request_class()}, lambda *_, **more: None, [].append)
+    seen, take = [], decisions.route
+    decisions.route = lambda *told: seen.append(weakref.ref(visit := take(*told))) or visit
     gc.disable()
     try:
         visits.take(client, 1, "t", {"rid": "0" * 16, "budget": "3000", "obj": "0" * 16}, b"", 100.0)
-        visits.router.outside.alarms.clear()
+        decisions.environment.alarms.clear()
         assert visits.answers == {"denied": 1} and seen[0]() is None
     finally:
         gc.enable()
--- a/wickhinge/net/control/router_process.py
+++ b/wickhinge/net/control/router_process.py
@@ -12,7 +12,7 @@
 from typing import Any
 
 from wickhinge import settings
-from wickhinge.clocks import WallClockWatch, monotonic, wall
+from wickhinge.clocks import OthersTime, WallClockWatch, monotonic, wall
 from wickhinge.fields import Malformed
 from wickhinge.net.control import config
 from wickhinge.net.control.endpoint_updates import NO_NUMBER, EndpointUpdates, SettingsNames
@@ -23,11 +23,11 @@
 from wickhinge.net.downstream.client_connections import ClientConnections
 from wickhinge.net.downstream.descriptors import bounds
 from wickhinge.net.downstream.request_table import RequestTable
-from wickhinge.net.runtime.buffers import SIZE, BufferPool
+from wickhinge.net.runtime.buffers import BUFFER_BYTES, BufferPool
 from wickhinge.net.runtime.deadlines import Deadlines
 from wickhinge.net.runtime.log import Log
-from wickhinge.net.upstream.attempts import Attempts
-from wickhinge.net.upstream.connection_pools import ConnectionPools
+from wickhinge.net.upstream.attempts import AttemptPorts, Attempts
+from wickhinge.net.upstream.connection_pools import ConnectionPools, PoolSettings
 
 PROBE_TIMEOUT_S = 0.25  # where the settings name no time limit of health checks
 PROGRAM_MB = 32  # for the program itself; of the rest, half is the buffers' and half for what is read and written
@@ -65,16 +65,11 @@
         self.unusable: OSError | None = None  # why the address could not be had in the end
         self._has_started = False
         self._build_decisions(configuration)
-        self._build_data_path(configuration)
-        self._build_optional(configuration, options)
-        self.updates = EndpointUpdates(
-            self.router,
-            self.forwards,
-            self.names,
-            self.log.event,
-            membership=self.members,
-            local_copies=self.copies,
-        )
+        self._build_connections(configuration)
+        self._build_copies_and_membership(configuration, options)
+        self._build_request_path()
+        self.updates = EndpointUpdates(self.router, self.forwards, self.names, self.log.event)
+        self._build_fleet_clients(options)
         self._build_endpoint_watch(configuration, options)
         self.listen_address = config.listen_address(configuration)
         self.updates.apply_known(config.known_events(configuration))
@@ -86,7 +81,7 @@
             self.readiness, self.clients, self.deadlines, self.log.event, self._longest_timeout_s
         )
         self._has_started = True
-        self.router.start(self.deadlines.now())
+        self.router.start()
         self.reactor.addSystemEventTrigger("before", "shutdown", self.log.flush)
         self.reactor.callWhenRunning(self.readiness.start)
         self.endpoint_watch.start_confirmed()
@@ -100,7 +95,7 @@
         self.reactor.stalls.log_to(self.log.event)
         self._clock_watch = WallClockWatch(wall(), monotonic())
         self._check_clock()
-        self.log.event("start", listen=":".join(map(str, self.listen_address)), pool=self.pool.limit)
+        self.log.event("router_started", listen=":".join(map(str, self.listen_address)), buffers=self.pool.limit)
 
     def reload(self) -> None:
         """Called on SIGHUP; a faulty file changes nothing.
@@ -115,9 +110,9 @@
             if self.fellows is not None:
                 self.fellows.reload(self._read_options())
         except Malformed as problem:
-            self.log.event("reload_failed", why=str(problem))
+            self.log.event("config_reload_failed", reason=str(problem))
             return
-        self.log.event("reload", journal=f"{address[0]}:{address[1]}")
+        self.log.event("config_reloaded", discovery=f"{address[0]}:{address[1]}")
         self.move_endpoint_watch(address)
         if keys is not None:
             self.changes.use_keys(keys)
@@ -159,15 +154,15 @@
 
     def close_idle(self, server: Any) -> None:
         """Closes the idle connections to a server."""
-        if server.mark in self.caches.machines:
-            self.caches.machines[server.mark].hang_up()
+        if server.id in self.caches.machines:
+            self.caches.machines[server.id].hang_up()
 
     def gossip(self, recipient: int, content: bytes) -> None:
         """Does nothing: the decisions of routers on sockets share nothing this way."""
 
     def log_line(self, text: str) -> None:
         """Logs a line of the decisions."""
-        self.log.event("note", text=text)
+        self.log.event("routing_note", text=text)
 
     # The WatchListener of its endpoint watch.
 
@@ -201,19 +196,19 @@
 
     def pause(self) -> None:
         """Called when the buffers are used up: nothing more is read."""
-        self.log.event("full", buffers=self.pool.out)
+        self.log.event("buffers_exhausted", buffers=self.pool.out)
         self.caches.pause()
         self.clients.pause()
 
     def resume(self) -> None:
         """Called when there are buffers again."""
-        self.log.event("room", buffers=self.pool.out)
+        self.log.event("buffers_available", buffers=self.pool.out)
         self.caches.resume()
         self.clients.resume()
 
     def fault(self, where: str) -> None:
         """Logs the exception that is being handled; the loop goes on."""
-        self.log.event("fault", where=where, cause=traceback.format_exc(limit=-6))
+        self.log.event("router_fault", where=where, cause=traceback.format_exc(limit=-6))
 
     # Construction.
 
@@ -223,45 +218,40 @@
             settings.names(decision_settings, "zones"), settings.names(decision_settings, "shapes")
         )
         self.seed = config.seed(configuration)
-        self.router, self._request_classes = settings.build(decision_settings, self.seed, self)
+        self.others_time = OthersTime()
+        self.router, self._request_classes = settings.build(
+            decision_settings, self.seed, self, self.others_time.instant
+        )
+        self.others_time.improved = lambda: self.router.endpoints.clock_improved(self.deadlines.now())
         self._longest_timeout_s = max(request_class.timeout for request_class in self._request_classes.values())
 
-    def _build_data_path(self, configuration: dict[str, Any]) -> None:
+    def _build_connections(self, configuration: dict[str, Any]) -> None:
         limits = config.process_limits(configuration)
         descriptors = bounds(limits.descriptors)
         self.connection_limits = config.connection_limits(configuration)
-        buffers = max((limits.memory_mb - PROGRAM_MB) * 500_000 // SIZE, MIN_BUFFERS)
+        buffers = max((limits.memory_mb - PROGRAM_MB) * 500_000 // BUFFER_BYTES, MIN_BUFFERS)
         self.pool = BufferPool(buffers, self.pause, self.resume)
         self.caches = ConnectionPools(
-            self.reactor,
             self.deadlines,
             self.pool,
-            self.connection_limits.connect_timeout_s,
-            self.connection_limits.idle_timeout_s,
-            self.connection_limits.max_streams,
-            descriptors.machines,
+            PoolSettings(*self.connection_limits, descriptors.machines, self.router.capabilities.cancellation),
             self.log.event,
-            self.fault,
         )
-        self.caches.stops = self.router.cancel
-        self.forwards = Attempts(self.caches, self.deadlines, PROBE_TIMEOUT_S, self.fault)
-        self.forwards.informed = self.is_up_to_date
-        self.others = self.forwards.others
-        self.others.improved = lambda: self.router.fleet.relate(self.deadlines.now())
-        self.router.fleet.instant = self.router.purges.instant = self.others.instant
+        self._max_clients = descriptors.clients
+        self._memory_mb = limits.memory_mb
+
+    def _build_request_path(self) -> None:
+        ports = AttemptPorts(self.router, self.others_time, self.is_up_to_date, self.copies, self.members)
+        self.forwards = Attempts(self.caches, self.deadlines, ports, PROBE_TIMEOUT_S, self.fault)
         self.visits = RequestTable(
             self.forwards, self.deadlines, self.pool, self._request_classes, self.log.event, self.fault
         )
-        self.forwards.router = self.visits.router = self.router
-        self.clients = ClientConnections(self.visits, self.deadlines, descriptors.clients, self.log.event)
-        self._memory_mb = limits.memory_mb
+        self.clients = ClientConnections(self.visits, self.deadlines, self._max_clients, self.log.event)
 
-    def _build_optional(self, configuration: dict[str, Any], options: Any) -> None:
+    def _build_copies_and_membership(self, configuration: dict[str, Any], options: Any) -> None:
         """Builds what the options switch on; the others stay None and are not imported."""
         self.copies: Any = None
         self.members: Any = None
-        self.fellows: Any = None
-        self.changes: Any = None
         if options is not None and options.store.mode == "on":
             from wickhinge.net.upstream import local_copies
 
@@ -273,14 +263,18 @@
                 config.link_limits(configuration),
                 self.log.event,
                 self.fault,
-                self.others,
+                self.others_time,
             )
-        self.router.copies = self.visits.copies = self.forwards.copies = self.copies
+        self.router.local_copies = self.copies
         if options is not None and options.discovery.mode == "on":
             from wickhinge.net.control import membership
 
             self.members = membership.make(options, config.settings(configuration), self)
-        self.forwards.members = self.members
+
+    def _build_fleet_clients(self, options: Any) -> None:
+        """Builds the optional parts that talk to the fleet, and the report on all that is on."""
+        self.fellows: Any = None
+        self.changes: Any = None
         if options is not None and options.peers.mode == "on":
             from wickhinge.net.control import peer_transport
 
--- a/wickhinge/net/downstream/client_connections.py
+++ b/wickhinge/net/downstream/client_connections.py
@@ -10,7 +10,7 @@
 from twisted.internet.protocol import Factory, Protocol
 from twisted.python.failure import Failure
 
-from wickhinge.common.failed_calls import receive, waiting
+from wickhinge.common.failed_calls import has_unread_data, receive
 from wickhinge.net.downstream import msgpack
 from wickhinge.net.downstream.descriptors import Admission
 from wickhinge.net.downstream.request_table import InvalidRequestError, RequestTable
@@ -168,7 +168,7 @@
                 self.clients.visits.gone(door, "aborted")
             elif first in self.later:
                 self.unqueue(first)
-                self.clients.visits.requests.count("aborted before it began")
+                self.clients.visits.request_log.count("aborted before it began")
         else:
             raise msgpack.MalformedMessageError("a message that is no request and no abort")
 
@@ -181,7 +181,7 @@
             size = sum(len(item) if type(item) is bytes else len(repr(item)) for item in params)
             if self.kept + size > LATER and self.clients.kept + size > LATER_ALL:
                 self.error(call, "Overloaded", {})
-                self.clients.visits.requests.count("refused in a hold")
+                self.clients.visits.request_log.count("refused in a hold")
                 return
         self.later[call] = QueuedRequest(method, params, self.arrival, size)
         self.kept += size
@@ -219,7 +219,7 @@
         except InvalidRequestError as problem:
             self.open.pop(call, None)
             self.clients.bad(str(problem))
-            self.clients.visits.requests.count("unusable")
+            self.clients.visits.request_log.count("unusable")
             self.error(call, "BadRequest", {"why": str(problem)})
             # Against one that asks the same again as soon as it is answered: it waits, nobody else does.
             self.bad += 1
@@ -333,7 +333,7 @@
 
     def unread(self) -> bool:
         """Whether something of it was not looked at yet: closed now, that request would be lost."""
-        return bool(self.later) or waiting(self.socket) is True
+        return bool(self.later) or has_unread_data(self.socket) is True
 
     def rests(self) -> bool:
         """Whether nothing of it is open here, waits to begin, or waits to be written."""
@@ -364,7 +364,7 @@
     def refuse_all(self) -> None:
         for call in list(self.later):
             self.unqueue(call)
-            self.clients.visits.requests.count("connection ended before it began")
+            self.clients.visits.request_log.count("connection ended before it began")
             self.error(call, "Overloaded", {})
         for door in list(self.open.values()):
             if door is not None:
@@ -375,7 +375,9 @@
 
     def lost(self, why: str) -> None:
         if (self.open or self.later) and not self.ended:
-            self.clients.log("client_lost", why=why, open=len(self.open), unbegun=len(self.later))
+            self.clients.log(
+                "client_connection_lost", reason=why, open_requests=len(self.open), queued_requests=len(self.later)
+            )
         self.leave(why)
 
     def leave(self, why: str) -> None:
@@ -385,7 +387,7 @@
         self.clients.forget(self)
         for call in list(self.later):
             self.unqueue(call)
-            self.clients.visits.requests.count("connection ended before it began")
+            self.clients.visits.request_log.count("connection ended before it began")
         doors, self.open = self.open, {}
         for door in doors.values():
             if door is not None:
@@ -508,7 +510,7 @@
         """The first of a kind is told at once, the others are counted: a flood may not cost a line each."""
         if why not in self.faults:
             if len(self.faults) < FAULTS:
-                self.log("client_fault", why=why)
+                self.log("client_fault", reason=why)
             else:
                 why = "others"
         self.faults[why] = self.faults.get(why, 0) + 1
--- a/wickhinge/shared/ports.py
+++ b/wickhinge/shared/ports.py
@@ -9,39 +9,39 @@
 class Server(Protocol):
     """A server as `routing` has it. Times are those of `routing`, in seconds."""
 
-    mark: int  # its id
+    id: int
     kind: str
     weight: float
     started: float
-    heard: float  # when it answered last
-    lost: bool
-    strikes: float  # failures that count against it
-    shunned: float  # until when it gets no requests
-    fit: float  # what it is believed to bear
-    best: float  # what it should bear
-    credit: float  # in slow start: seconds of work that may be sent, where routers share its limit
+    last_answer: float  # when it answered last
+    has_failed: bool
+    consecutive_failures: float  # failures that count against it
+    ejected_until: float  # until when it gets no requests
+    concurrency_limit: float  # what it is believed to bear
+    max_concurrency_limit: float  # what it should bear
+    tokens: float  # in slow start: seconds of work that may be sent, where routers share its limit
     pending: Collection[object]  # our requests in flight
-    told: float  # others' requests in flight
+    reported_transfers: float  # others' requests in flight
 
-    def begin(self, now: float) -> None:
+    def reset(self, now: float) -> None:
         """Take in that it started anew."""
 
 
 class Endpoints(Protocol):
     """The endpoint list as `routing` has it."""
 
-    mine: list[Server]  # the caches of our zone
+    edge_caches: list[Server]  # the caches of our zone
     parents: list[Server]
     parent_kind: str | None
     routers: int  # of the location
-    told: int  # other routers whose tallies count
+    reporting_routers: int  # other routers whose tallies count
 
 
 class SlowStartLimits(Protocol):
     """The limits of one tier's slow start."""
 
-    multiple: float  # of a server's weight
-    span: float  # seconds of the window
+    overload_factor: float  # of a server's weight
+    window: float  # seconds of the window
 
 
 CheckHealth = Callable[[Server], None]
