--- a/wickhinge/shared/evidence.py
+++ b/wickhinge/shared/evidence.py
@@ -3,8 +3,8 @@
 from __future__ import annotations
 
 from dataclasses import dataclass
-from typing import Any
 
+from wickhinge.shared.ports import Server
 from wickhinge.shared.verdicts import Health
 
 EVALUATION_INTERVAL_S = 0.25
@@ -20,7 +20,7 @@
 class Evidence:
     """Our own evidence on one server. Times are the detector's unless said otherwise."""
 
-    server: Any  # as `routing` has it
+    server: Server
     health: Health = Health.HEALTHY
     amount: float = 0.0  # as Verdict.amount
     observed_at: float = LONG_AGO
--- a/wickhinge/shared/slow_start_quota.py
+++ b/wickhinge/shared/slow_start_quota.py
@@ -1,8 +1,8 @@
 """The router's part of what servers in slow start can bear, by true shares: asked by `routing` for each attempt.
 
 Alone, a router guesses its part from a fixed count of routers, and leaves a third unused against the others' guesses
-(`routing.SlowStart`). Here the limit of a server in slow start is a budget of the whole fleet, or of its zone: each
-such server has a bucket, all of one tier fill by the same share, which moves to where the demand is.
+(`routing.SlowStart`). Here the limit of a server in slow start is a budget of the whole fleet, or of the server's
+zone: each such server has a bucket, all of one tier fill by the same share, which moves to where the demand is.
 
 Pieces. Of what a server bears in a window, PIECES_SHARE is set aside for pieces that meet, so many for each process:
 
@@ -18,9 +18,9 @@
 from __future__ import annotations
 
 from dataclasses import dataclass
-from typing import Any
 
 from wickhinge.shared.budgets import BURST_S, BudgetScope
+from wickhinge.shared.ports import Server, SlowStartLimits
 from wickhinge.shared.quota_bucket import Quota, QuotaBucket
 from wickhinge.shared.quota_lending import LendingLimiter
 
@@ -40,9 +40,9 @@
 class SlowStartRequest:
     """A request that may go to a server in slow start."""
 
-    server: Any  # as `routing` has it
+    server: Server
     is_parent: bool
-    limits: Any  # routing.SlowStart, with the settings' limit
+    limits: SlowStartLimits
     warm_share: float  # of what the server bears warm
     work: float  # seconds that the request costs
 
@@ -50,7 +50,7 @@
 class ServerBucket(QuotaBucket):
     """A server's bucket, with its tokens in the tokens that `routing` charges. Starts empty, or with its debt."""
 
-    def __init__(self, server: Any, quota: Quota, processes: int, now: float) -> None:
+    def __init__(self, server: Server, quota: Quota, processes: int, now: float) -> None:
         self.server = server
         debt = min(server.tokens, 0.0)
         super().__init__(quota, processes, BURST_S, now)
@@ -60,7 +60,7 @@
     @property
     def tokens(self) -> float:
         """The server's tokens."""
-        return float(self.server.tokens)
+        return self.server.tokens
 
     @tokens.setter
     def tokens(self, tokens: float) -> None:
