--- a/tests/changelog/test_router_changes.py
+++ b/tests/changelog/test_router_changes.py
@@ -32,9 +32,9 @@
         reactor=sockets,
         deadlines=SimpleNamespace(after=sockets.callLater),
         log=SimpleNamespace(event=lambda event, **fields: told.append(event)),
-        router=SimpleNamespace(purges=Purges(6.0)),
-        copies=LocalCopies(store, None, None, None, 0.1, None, SimpleNamespace(earliest=lambda made, now: made)),
-        forwards=SimpleNamespace(overtaken=lambda holds: told.append(holds)),
+        decisions=SimpleNamespace(purges=Purges(6.0)),
+        local_copies=LocalCopies(store, None, None, None, 0.1, None, SimpleNamespace(earliest=lambda made, now: made)),
+        attempts=SimpleNamespace(overtaken=lambda holds: told.append(holds)),
         move_endpoint_watch=lambda address: told.append(address),
         updates=SimpleNamespace(
             purge=lambda *given: told.append(given), record_purge=lambda *given: told.append(given)
@@ -47,14 +47,14 @@
 
 def test_own_copies_when_over_the_limit_are_not_current(changes):
     young, old, unproven = (SimpleNamespace(created=created) for created in (999.0, 990.0, 0.0))
-    is_current = changes.node.copies.is_current
+    is_current = changes.node.local_copies.is_current
     assert [is_current(copy, 1000.0) for copy in (young, old, unproven)] == [True, False, False]
     changes.follower.max_copy_age_s = lambda grace: None
     assert [is_current(copy, 1000.0) for copy in (young, old, unproven)] == [True, True, False]
 
 
 def test_limit_when_the_time_of_day_differs_is_the_same(changes):
-    purges = changes.node.router.purges
+    purges = changes.node.decisions.purges
     assert purges.oldest(1, 0, 0.0) == purges.oldest(1, 0, 2e9) == pytest.approx(0.94 * 6 - 0.001)
 
 
--- a/tests/net/test_crossings.py
+++ b/tests/net/test_crossings.py
@@ -217,7 +217,7 @@
     ended.turn()
     machine = ended.box.accept()[0]
     machine.settimeout(5.0)
-    rid = resp.ReplyDecoder(ended.node.pool).feed(machine.recv(65536))[0][1]
+    rid = resp.ReplyDecoder(ended.node.buffers).feed(machine.recv(65536))[0][1]
     machine.sendall(resp.pack(rid, b"OK", b"-", b"mark"))
     ended.turn()
     assert client.answer(call)[2] is None
--- a/wickhinge/net/control/changelog_client.py
+++ b/wickhinge/net/control/changelog_client.py
@@ -35,9 +35,9 @@
     deadlines: Deadlines
     log: Log
     updates: EndpointUpdates
-    router: Any  # the decisions
-    forwards: Any  # the attempts
-    copies: Any  # None where the store is off
+    decisions: Any  # the Router of wickhinge.routing
+    attempts: Any
+    local_copies: Any  # None where the store is off
 
     def move_endpoint_watch(self, address: tuple[str, int]) -> None:
         """The discovery service is elsewhere from now on."""
@@ -67,9 +67,9 @@
         )
         self._limited = True  # as at the last tick: the age of copies is limited
         self._source = ""
-        node.router.purges.limit = self.limit
-        if node.copies is not None:
-            node.copies.limit_age(self.limit)
+        node.decisions.purges.limit = self.limit
+        if node.local_copies is not None:
+            node.local_copies.limit_age(self.limit)
 
     def start(self) -> None:
         """Raises OSError where `bind` cannot be had."""
@@ -127,7 +127,7 @@
             self._node.updates.record_purge(purge.key, purge.group, purge.stamp_ms, 0)
         keys = {purge.key for purge in snapshot.purges if purge.key is not None}
         groups = {purge.group for purge in snapshot.purges if purge.key is None}
-        self._node.forwards.overtaken(
+        self._node.attempts.overtaken(
             lambda sent: sent.forward.visit.item.key not in keys and sent.forward.visit.group not in groups
         )
         self._log(
@@ -154,7 +154,7 @@
             return
         self._limited = limited
         if limited:
-            self._node.forwards.overtaken(lambda sent: sent.forward.visit.request_class.pass_through)
+            self._node.attempts.overtaken(lambda sent: sent.forward.visit.request_class.pass_through)
         figures = self.figures()
         state = "changelog_uninformed" if limited else "changelog_informed"
         self._log(state, epoch=figures["epoch"], number=figures["number"], age_s=figures["age_s"])
--- a/wickhinge/net/control/membership.py
+++ b/wickhinge/net/control/membership.py
@@ -52,10 +52,10 @@
     log: Log
     seed: int
     names: Any  # of zones and kinds
-    router: Any  # the decisions
-    caches: ConnectionPools
-    forwards: Any  # the attempts
-    copies: Any  # None where the store is off
+    decisions: Any  # the Router of wickhinge.routing
+    pools: ConnectionPools
+    attempts: Any
+    local_copies: Any  # None where the store is off
     readiness: Any
 
     def fault(self, where: str) -> None:
@@ -98,7 +98,7 @@
             for problem in problems:
                 self.log_event("membership_list_unusable", reason=problem)
         self.controller.start(stored, self.static, self.now())
-        fleet = self.node.router.fleet
+        fleet = self.node.decisions.fleet
         if self.controller.stored is not None:
             fleet.edge.usual, fleet.upper.usual = self.controller.stored.usual_loads
             if options.journal.continues:
@@ -134,7 +134,7 @@
         rows = []
         for listing in listings:
             one = listing.statement
-            self.node.caches.listed(one.endpoint_id, f"{one.endpoint_id:08x}", one.address)
+            self.node.pools.listed(one.endpoint_id, f"{one.endpoint_id:08x}", one.address)
             rows.append(
                 Endpoint(
                     one.endpoint_id,
@@ -147,17 +147,17 @@
                     listing.is_trusted,
                 )
             )
-        self.node.router.fleet.listed(rows, False, self.now())
+        self.node.decisions.fleet.listed(rows, False, self.now())
         for listing in listings:
-            machine = self.node.caches.machines.get(listing.statement.endpoint_id)
+            machine = self.node.pools.machines.get(listing.statement.endpoint_id)
             if listing.state is EndpointState.GONE and machine is not None:
                 machine.leave()
 
     def check_health(self, statement: Statement) -> None:
         """Begins a health check of an endpoint that nobody vouches for."""
         endpoint_id = statement.endpoint_id
-        self.node.caches.listed(endpoint_id, f"{endpoint_id:08x}", statement.address)
-        self.node.forwards.probe(SimpleNamespace(mark=endpoint_id), self.probed)
+        self.node.pools.listed(endpoint_id, f"{endpoint_id:08x}", statement.address)
+        self.node.attempts.probe(SimpleNamespace(mark=endpoint_id), self.probed)
 
     def probed(self, cache: Any, up: bool) -> None:
         """Called with the result of a health check."""
@@ -165,9 +165,9 @@
 
     def recover_purge(self, purge: PurgeRecord) -> None:
         """Carries out a purge that was stored, or that another router told."""
-        self.node.router.purges.told(purge.object_key, purge.group, purge.stamp, self.now())
-        if self.node.copies is not None:
-            self.node.copies.store.purge(purge.object_key, purge.group, purge.stamp, 0)
+        self.node.decisions.purges.told(purge.object_key, purge.group, purge.stamp, self.now())
+        if self.node.local_copies is not None:
+            self.node.local_copies.store.purge(purge.object_key, purge.group, purge.stamp, 0)
 
     # What the router tells.
 
@@ -215,7 +215,7 @@
         """Has the list written, as often as the options allow."""
         if self.list_file is None or self.is_writing or 0.0 <= now - self.written_at < self.write_interval_s:
             return
-        fleet = self.node.router.fleet
+        fleet = self.node.decisions.fleet
         stored = self.controller.snapshot(now, (fleet.edge.usual, fleet.upper.usual))
         if stored is None:
             return
@@ -262,7 +262,7 @@
 
 def make(options: Any, conf: dict[str, Any], node: MembershipHost) -> MembershipClient:
     """Raises Malformed where the key can't be read."""
-    found, fleet = options.discovery, node.router.fleet
+    found, fleet = options.discovery, node.decisions.fleet
     key = keys.read("discovery.key_file", found.key_file) if found.key_file else b""
     static = []
     for place, one in enumerate(found.static):
@@ -298,6 +298,6 @@
         hint_age_s=found.hint_after_s,
         max_uninformed_copy_age_s=found.untold_s,
         quiet_s=options.journal.quiet_s,
-        purge_done_s=node.router.purges.done,
+        purge_done_s=node.decisions.purges.done,
     )
     return MembershipClient(node, membership_settings, found, ListSources(list_file, key, static))
--- a/wickhinge/net/control/peer_transport.py
+++ b/wickhinge/net/control/peer_transport.py
@@ -46,7 +46,7 @@
     reactor: Any
     deadlines: Deadlines
     log: Log
-    router: Any  # the decisions
+    decisions: Any  # the Router of wickhinge.routing
     seed: int
 
     def check_health(self, server: Any) -> None:
@@ -94,7 +94,7 @@
         def log(event: str, **told: Any) -> None:
             self.log(f"shared_{event}", **told)
 
-        fleet = self.node.router.fleet
+        fleet = self.node.decisions.fleet
         self.limiter = LendingLimiter(
             self.detector, division, slow_start_quota.budget_scopes(self.detector.roster.local.zone), clock(), log
         )
@@ -243,7 +243,7 @@
         if roster.local.address != self.detector.roster.local.address:
             raise Malformed("peers.roster: our own address changes at a restart only")
         if self.limiter is not None:
-            division = quota_division(options, roster, self.node.router.fleet.zone)
+            division = quota_division(options, roster, self.node.decisions.fleet.zone)
             if division != self.limiter.division:
                 raise Malformed(
                     f"shared.names, shared.processes: are {self.limiter.division.names} and "
@@ -296,7 +296,7 @@
     made = PeerTransport(node, roster, found, node.seed ^ 0xFE110)
     if options.shared.mode == "on":
         made.share(
-            quota_division(options, roster, node.router.fleet.zone),
+            quota_division(options, roster, node.decisions.fleet.zone),
             judgements=options.shared.judgements == "on",
             counts=options.shared.counts == "on",
         )
--- a/wickhinge/net/control/router_process.py
+++ b/wickhinge/net/control/router_process.py
@@ -68,7 +68,7 @@
         self._build_connections(configuration)
         self._build_copies_and_membership(configuration, options)
         self._build_request_path()
-        self.updates = EndpointUpdates(self.router, self.forwards, self.names, self.log.event)
+        self.updates = EndpointUpdates(self.decisions, self.attempts, self.names, self.log.event)
         self._build_fleet_clients(options)
         self._build_endpoint_watch(configuration, options)
         self.listen_address = config.listen_address(configuration)
@@ -81,11 +81,11 @@
             self.readiness, self.clients, self.deadlines, self.log.event, self._longest_timeout_s
         )
         self._has_started = True
-        self.router.start(self.deadlines.now())
+        self.decisions.start(self.deadlines.now())
         self.reactor.addSystemEventTrigger("before", "shutdown", self.log.flush)
         self.reactor.callWhenRunning(self.readiness.start)
         self.endpoint_watch.start_confirmed()
-        for subsystem in (self.members, self.fellows, self.changes):
+        for subsystem in (self.membership, self.peers, self.changelog):
             if subsystem is not None:
                 subsystem.start()
         self.clients.sweep()
@@ -95,7 +95,7 @@
         self.reactor.stalls.log_to(self.log.event)
         self._clock_watch = WallClockWatch(wall(), monotonic())
         self._check_clock()
-        self.log.event("router_started", listen=":".join(map(str, self.listen_address)), buffers=self.pool.limit)
+        self.log.event("router_started", listen=":".join(map(str, self.listen_address)), buffers=self.buffers.limit)
 
     def reload(self) -> None:
         """Called on SIGHUP; a faulty file changes nothing.
@@ -106,24 +106,24 @@
             return
         try:
             address = config.discovery_address(config.read(os.environ))
-            keys = self.changes.keys_in(self._read_options().changelog) if self.changes is not None else None
-            if self.fellows is not None:
-                self.fellows.reload(self._read_options())
+            keys = self.changelog.keys_in(self._read_options().changelog) if self.changelog is not None else None
+            if self.peers is not None:
+                self.peers.reload(self._read_options())
         except Malformed as problem:
             self.log.event("config_reload_failed", reason=str(problem))
             return
         self.log.event("config_reloaded", discovery=f"{address[0]}:{address[1]}")
         self.move_endpoint_watch(address)
         if keys is not None:
-            self.changes.use_keys(keys)
+            self.changelog.use_keys(keys)
 
     def drain(self) -> None:
         """Called on SIGTERM: begins the graceful shutdown."""
-        if self.copies is not None and not self.shutdown.is_draining:
-            self.copies.store.snapshot(self.deadlines.now())
-        optional = [part for part in (self.members, self.fellows, self.changes) if part is not None]
-        stores = [] if self.copies is None else [self.copies.store]
-        self.shutdown.begin([self.endpoint_watch, *optional, *stores, self.caches])
+        if self.local_copies is not None and not self.shutdown.is_draining:
+            self.local_copies.store.snapshot(self.deadlines.now())
+        optional = [part for part in (self.membership, self.peers, self.changelog) if part is not None]
+        stores = [] if self.local_copies is None else [self.local_copies.store]
+        self.shutdown.begin([self.endpoint_watch, *optional, *stores, self.pools])
 
     def address_lost(self, problem: OSError) -> None:
         """Called by its Readiness: another router listens at our address. It is at work, this one is not."""
@@ -132,8 +132,8 @@
 
     def move_endpoint_watch(self, address: tuple[str, int]) -> None:
         """The discovery service is at another address from now on."""
-        if self.members is not None:
-            self.members.moved(address)
+        if self.membership is not None:
+            self.membership.moved(address)
         self.endpoint_watch.move(address)
 
     # The Environment of its decisions.
@@ -144,7 +144,7 @@
 
     def check_health(self, server: Any) -> None:
         """Begins a health check."""
-        self.forwards.probe(server)
+        self.attempts.probe(server)
 
     def watch(self) -> None:
         """Does nothing: the endpoint watch follows the list by itself."""
@@ -154,8 +154,8 @@
 
     def close_idle(self, server: Any) -> None:
         """Closes the idle connections to a server."""
-        if server.mark in self.caches.machines:
-            self.caches.machines[server.mark].hang_up()
+        if server.mark in self.pools.machines:
+            self.pools.machines[server.mark].hang_up()
 
     def gossip(self, recipient: int, content: bytes) -> None:
         """Does nothing: the decisions of routers on sockets share nothing this way."""
@@ -178,11 +178,11 @@
     def caught_up(self) -> None:
         """Called when the discovery service has nothing more to tell."""
         self.readiness.caught_up()
-        if self.copies is not None:
+        if self.local_copies is not None:
             is_complete = self.endpoint_watch.is_unbroken and self._purges_resumed
-            self.copies.store.caught_up(self.deadlines.now(), is_complete)
-        if self.members is not None:
-            self.members.caught_up(self.endpoint_watch)
+            self.local_copies.store.caught_up(self.deadlines.now(), is_complete)
+        if self.membership is not None:
+            self.membership.caught_up(self.endpoint_watch)
 
     # Called by its parts.
 
@@ -196,14 +196,14 @@
 
     def pause(self) -> None:
         """Called when the buffers are used up: nothing more is read."""
-        self.log.event("buffers_exhausted", buffers=self.pool.out)
-        self.caches.pause()
+        self.log.event("buffers_exhausted", buffers=self.buffers.out)
+        self.pools.pause()
         self.clients.pause()
 
     def resume(self) -> None:
         """Called when there are buffers again."""
-        self.log.event("buffers_available", buffers=self.pool.out)
-        self.caches.resume()
+        self.log.event("buffers_available", buffers=self.buffers.out)
+        self.pools.resume()
         self.clients.resume()
 
     def fault(self, where: str) -> None:
@@ -218,10 +218,10 @@
             settings.names(decision_settings, "zones"), settings.names(decision_settings, "shapes")
         )
         self.seed = config.seed(configuration)
-        self.router, self._request_classes = settings.build(decision_settings, self.seed, self)
+        self.decisions, self._request_classes = settings.build(decision_settings, self.seed, self)
         self.others_time = OthersTime()
-        self.others_time.improved = lambda: self.router.fleet.relate(self.deadlines.now())
-        self.router.fleet.instant = self.router.purges.instant = self.others_time.instant
+        self.others_time.improved = lambda: self.decisions.fleet.relate(self.deadlines.now())
+        self.decisions.fleet.instant = self.decisions.purges.instant = self.others_time.instant
         self._longest_timeout_s = max(request_class.timeout for request_class in self._request_classes.values())
 
     def _build_connections(self, configuration: dict[str, Any]) -> None:
@@ -229,63 +229,68 @@
         descriptors = bounds(limits.descriptors)
         self.connection_limits = config.connection_limits(configuration)
         buffers = max((limits.memory_mb - PROGRAM_MB) * 500_000 // BUFFER_BYTES, MIN_BUFFERS)
-        self.pool = BufferPool(buffers, self.pause, self.resume)
-        self.caches = ConnectionPools(
+        self.buffers = BufferPool(buffers, self.pause, self.resume)
+        self.pools = ConnectionPools(
             self.deadlines,
-            self.pool,
-            PoolSettings(*self.connection_limits, descriptors.machines, self.router.cancel),
+            self.buffers,
+            PoolSettings(*self.connection_limits, descriptors.machines, self.decisions.cancel),
             self.log.event,
         )
         self._max_clients = descriptors.clients
         self._memory_mb = limits.memory_mb
 
     def _build_request_path(self) -> None:
-        ports = AttemptPorts(self.router, self.others_time, self.is_up_to_date, self.copies, self.members)
-        self.forwards = Attempts(self.caches, self.deadlines, ports, PROBE_TIMEOUT_S, self.fault)
-        self.visits = RequestTable(
-            self.forwards, self.deadlines, self.pool, self._request_classes, self.log.event, self.fault
+        ports = AttemptPorts(self.decisions, self.others_time, self.is_up_to_date, self.local_copies, self.membership)
+        self.attempts = Attempts(self.pools, self.deadlines, ports, PROBE_TIMEOUT_S, self.fault)
+        self.requests = RequestTable(
+            self.attempts, self.deadlines, self.buffers, self._request_classes, self.log.event, self.fault
         )
-        self.clients = ClientConnections(self.visits, self.deadlines, self._max_clients, self.log.event)
+        self.clients = ClientConnections(self.requests, self.deadlines, self._max_clients, self.log.event)
 
     def _build_copies_and_membership(self, configuration: dict[str, Any], options: Any) -> None:
         """Builds what the options switch on; the others stay None and are not imported."""
-        self.copies: Any = None
-        self.members: Any = None
+        self.local_copies: Any = None
+        self.membership: Any = None
         if options is not None and options.store.mode == "on":
             from wickhinge.net.upstream import local_copies
 
-            self.copies = local_copies.make(
+            self.local_copies = local_copies.make(
                 options,
                 self.reactor,
                 self.deadlines,
-                self.pool,
+                self.buffers,
                 config.link_limits(configuration),
                 self.log.event,
                 self.fault,
                 self.others_time,
             )
-        self.router.copies = self.copies
+        self.decisions.copies = self.local_copies
         if options is not None and options.discovery.mode == "on":
             from wickhinge.net.control import membership
 
-            self.members = membership.make(options, config.settings(configuration), self)
+            self.membership = membership.make(options, config.settings(configuration), self)
 
     def _build_fleet_clients(self, options: Any) -> None:
         """Builds the optional parts that talk to the fleet, and the report on all that is on."""
-        self.fellows: Any = None
-        self.changes: Any = None
+        self.peers: Any = None
+        self.changelog: Any = None
         if options is not None and options.peers.mode == "on":
             from wickhinge.net.control import peer_transport
 
-            self.fellows = peer_transport.make(options, self.name, self)
+            self.peers = peer_transport.make(options, self.name, self)
         if options is not None and options.changelog.mode == "on":
             from wickhinge.net.control import changelog_client
 
-            self.changes = changelog_client.make(options.changelog, self.name, self)
-        optional = {"list": self.members, "peers": self.fellows, "changelog": self.changes, "store": self.copies}
+            self.changelog = changelog_client.make(options.changelog, self.name, self)
+        optional = {
+            "list": self.membership,
+            "peers": self.peers,
+            "changelog": self.changelog,
+            "store": self.local_copies,
+        }
         self._report = ProcessReport(
             self.clients,
-            self.router,
+            self.decisions,
             self.log.event,
             self._memory_mb,
             {name: subsystem for name, subsystem in optional.items() if subsystem is not None},
@@ -293,7 +298,7 @@
 
     def _build_endpoint_watch(self, configuration: dict[str, Any], options: Any) -> None:
         address = config.discovery_address(configuration)
-        addresses = None if self.members is None else self.members.service_addresses(address, options.discovery)
+        addresses = None if self.membership is None else self.membership.service_addresses(address, options.discovery)
         last_number = config.known_events(configuration).last_number
         connect_timeout_s = self.connection_limits.connect_timeout_s
         self.endpoint_watch = EndpointWatch(
@@ -304,11 +309,11 @@
             self.log.event,
         )
         self.reactor.read_first_after_stall(self.endpoint_watch.read_pending)
-        if self.members is not None:
-            self.members.restore(self.endpoint_watch, options)
+        if self.membership is not None:
+            self.membership.restore(self.endpoint_watch, options)
         self._purges_resumed = False  # all purges since the number of the store's purge log are told again
-        if self.copies is not None and options.journal.continues:
-            number = self.copies.store.last_event_number
+        if self.local_copies is not None and options.journal.continues:
+            number = self.local_copies.store.last_event_number
             self.endpoint_watch.resume_purges(number)
             self._purges_resumed = 0 < self.endpoint_watch.last_number <= number
 
