--- a/wickhinge/net/downstream/descriptors.py
+++ b/wickhinge/net/downstream/descriptors.py
@@ -29,8 +29,9 @@
 
 
 class Admission:
-    """Connections of clients, counted until their descriptors are free again: one that was hung up on holds its
-    descriptor for some turns of the loop more.
+    """Connections of clients, counted until their descriptors are free again.
+
+    One that was closed holds its descriptor for some turns of the loop more.
     """
 
     def __init__(self, most: int) -> None:
@@ -43,9 +44,11 @@
         return max(0, min(self.allowed - self.held, ACCEPTED_AT_ONCE))
 
     def accepted(self) -> None:
+        """Called with each connection that was accepted."""
         self.held += 1
 
     def closed(self) -> None:
+        """Called with each descriptor that is free again."""
         self.held -= 1
 
     def drained(self) -> None:
@@ -53,8 +56,9 @@
         self.step = 1
 
     def to_shed(self) -> int:
-        """How many clients to hang up on while connections wait: one, and twice as many each time, as long as more
-        wait.
+        """How many clients to close while connections wait.
+
+        One, and twice as many each time, as long as more wait.
         """
         return max(self.step, self.held - self.allowed + 1)
 
--- a/wickhinge/net/downstream/listener.py
+++ b/wickhinge/net/downstream/listener.py
@@ -58,6 +58,7 @@
         clients.listener = self
 
     def doRead(self) -> None:
+        """Called by the loop when a connection waits."""
         room = self.admission.room()
         if not room:
             self.leave_waiting()
@@ -84,6 +85,7 @@
         self.leave_waiting()
 
     def take(self, connection: socket, address: tuple[str, int]) -> None:
+        """Begins to serve a connection."""
         protocol = self.clients.buildProtocol(self._buildAddr(address))
         self.sessionno += 1
         transport = self.transport(connection, protocol, address, self, self.sessionno, self.reactor)
@@ -128,6 +130,7 @@
             self.admission.shed(self.clients.shed(self.admission.to_shed()))
 
     def freed(self) -> None:
+        """Called when the descriptor of a connection is free again."""
         self.admission.closed()
         self.resume()
 
@@ -141,6 +144,7 @@
         return True
 
     def pause(self) -> None:
+        """Reads no more: what waits stays in the system."""
         self.paused = True
         self.stopReading()
 
--- a/wickhinge/net/downstream/request_log.py
+++ b/wickhinge/net/downstream/request_log.py
@@ -48,9 +48,11 @@
             self.more += 1
 
     def lines(self) -> list[dict[str, Any]]:
+        """The steps as the log has them."""
         return [self.line(*step) for step in self.steps]
 
     def line(self, now: float, step: Step, server: int, detail: Any) -> dict[str, Any]:
+        """One step as the log has it; parameters as of `add`."""
         line: dict[str, Any] = {"ms": milliseconds(now - self.taken), "step": step.value}
         if server:
             line["server"] = f"{server:08x}"
@@ -69,6 +71,7 @@
 
 
 def milliseconds(seconds: float) -> float:
+    """To a tenth."""
     return round(seconds * 1000, 1)
 
 
@@ -79,6 +82,7 @@
         self.rate, self.most, self.tokens, self.filled = rate, most, most, 0.0
 
     def allows(self, now: float) -> bool:
+        """Whether one line more may be written now; counts it."""
         self.tokens = min(self.tokens + (now - self.filled) * self.rate, self.most)
         self.filled = now
         if self.tokens < 1.0:
--- a/wickhinge/net/upstream/attempt_results.py
+++ b/wickhinge/net/upstream/attempt_results.py
@@ -1,4 +1,4 @@
-"""Every way in which a forward, a probe or a connection can end, and the one map to the module's outcomes."""
+"""Every way in which an attempt, a health check or a connection can end, and the one map to the decisions' outcomes."""
 
 from __future__ import annotations
 
@@ -13,6 +13,8 @@
 
 
 class AttemptResult(Enum):
+    """How an attempt, a health check or a connection ended; the value is what the log says."""
+
     SERVED = "served"
     SAME = "same"
     MISS = "miss"
@@ -80,6 +82,7 @@
 
 
 def unconnected(reason: Failure) -> AttemptResult:
+    """Why no connection came up."""
     if reason.check(error.ConnectionRefusedError):
         return AttemptResult.REFUSED
     if reason.check(error.ConnectBindError, error.ConnectingCancelledError) is error.ConnectBindError:
