--- a/tests/net/test_net.py
+++ b/tests/net/test_net.py
@@ -488,12 +488,12 @@
     decisions = router(boxes=0, parents=0, direct=False)
     forwards = SimpleNamespace(decisions=decisions, local_copies=None)
     visits = RequestTable(forwards, clock, pool()[0], {"t": request_class()}, lambda *_, **more: None, [].append)
-    seen, take = [], decisions.take
-    decisions.take = lambda *told: seen.append(weakref.ref(visit := take(*told))) or visit
+    seen, take = [], decisions.route
+    decisions.route = lambda *told: seen.append(weakref.ref(visit := take(*told))) or visit
     gc.disable()
     try:
         visits.take(client, 1, "t", {"rid": "0" * 16, "budget": "3000", "obj": "0" * 16}, b"", 100.0)
-        decisions.outside.alarms.clear()
+        decisions.environment.alarms.clear()
         assert visits.answers == {"denied": 1} and seen[0]() is None
     finally:
         gc.enable()
--- a/wickhinge/net/control/changelog_client.py
+++ b/wickhinge/net/control/changelog_client.py
@@ -67,7 +67,7 @@
         )
         self._limited = True  # as at the last tick: the age of copies is limited
         self._source = ""
-        node.decisions.purges.limit = self.limit
+        node.decisions.purges.limit_age_by(self.limit)
         if node.local_copies is not None:
             node.local_copies.limit_age(self.limit)
 
@@ -128,7 +128,7 @@
         keys = {purge.key for purge in snapshot.purges if purge.key is not None}
         groups = {purge.group for purge in snapshot.purges if purge.key is None}
         self._node.attempts.overtaken(
-            lambda sent: sent.forward.visit.item.key not in keys and sent.forward.visit.group not in groups
+            lambda sent: sent.forward.request.object_count.key not in keys and sent.forward.request.group not in groups
         )
         self._log(
             "changelog_reset",
@@ -154,7 +154,7 @@
             return
         self._limited = limited
         if limited:
-            self._node.attempts.overtaken(lambda sent: sent.forward.visit.request_class.pass_through)
+            self._node.attempts.overtaken(lambda sent: sent.forward.request.request_class.pass_through)
         figures = self.figures()
         state = "changelog_uninformed" if limited else "changelog_informed"
         self._log(state, epoch=figures["epoch"], number=figures["number"], age_s=figures["age_s"])
--- a/wickhinge/net/control/membership.py
+++ b/wickhinge/net/control/membership.py
@@ -98,9 +98,9 @@
             for problem in problems:
                 self.log_event("membership_list_unusable", reason=problem)
         self.controller.start(stored, self.static, self.now())
-        fleet = self.node.decisions.fleet
+        fleet = self.node.decisions.endpoints
         if self.controller.stored is not None:
-            fleet.edge.usual, fleet.upper.usual = self.controller.stored.usual_loads
+            fleet.edge.usual_load, fleet.upper.usual_load = self.controller.stored.usual_loads
             if options.journal.continues:
                 watch.resume_list(self.controller.stored.last_event)
 
@@ -147,7 +147,7 @@
                     listing.is_trusted,
                 )
             )
-        self.node.decisions.fleet.listed(rows, False, self.now())
+        self.node.decisions.endpoints.update(rows, self.now(), complete=False)
         for listing in listings:
             machine = self.node.pools.machines.get(listing.statement.endpoint_id)
             if listing.state is EndpointState.GONE and machine is not None:
@@ -157,15 +157,15 @@
         """Begins a health check of an endpoint that nobody vouches for."""
         endpoint_id = statement.endpoint_id
         self.node.pools.listed(endpoint_id, f"{endpoint_id:08x}", statement.address)
-        self.node.attempts.probe(SimpleNamespace(mark=endpoint_id), self.probed)
+        self.node.attempts.probe(SimpleNamespace(id=endpoint_id), self.probed)
 
     def probed(self, cache: Any, up: bool) -> None:
         """Called with the result of a health check."""
-        self.controller.record_health_check(cache.mark, self.now(), healthy=up)
+        self.controller.record_health_check(cache.id, self.now(), healthy=up)
 
     def recover_purge(self, purge: PurgeRecord) -> None:
         """Carries out a purge that was stored, or that another router told."""
-        self.node.decisions.purges.told(purge.object_key, purge.group, purge.stamp, self.now())
+        self.node.decisions.purges.notify(purge.object_key, purge.group, purge.stamp, self.now())
         if self.node.local_copies is not None:
             self.node.local_copies.store.purge(purge.object_key, purge.group, purge.stamp, 0)
 
@@ -194,7 +194,7 @@
     def ended(self, sent: Any, outcome: Outcome) -> None:
         """Called when an attempt ended: an answer proves that the endpoint is there."""
         if sent.door.request_class.idempotency is Idempotency.IDEMPOTENT and (outcome.answered or outcome in FAILED):
-            self.controller.record_request(sent.cache.mark, self.now(), answered=outcome.answered)
+            self.controller.record_request(sent.cache.id, self.now(), answered=outcome.answered)
 
     def purge(self, key: int | None, group: int, stamp: float) -> None:
         """Called with each purge; stamp: Unix seconds."""
@@ -215,8 +215,8 @@
         """Has the list written, as often as the options allow."""
         if self.list_file is None or self.is_writing or 0.0 <= now - self.written_at < self.write_interval_s:
             return
-        fleet = self.node.decisions.fleet
-        stored = self.controller.snapshot(now, (fleet.edge.usual, fleet.upper.usual))
+        fleet = self.node.decisions.endpoints
+        stored = self.controller.snapshot(now, (fleet.edge.usual_load, fleet.upper.usual_load))
         if stored is None:
             return
         self.is_writing, self.written_at = True, now
@@ -262,7 +262,7 @@
 
 def make(options: Any, conf: dict[str, Any], node: MembershipHost) -> MembershipClient:
     """Raises Malformed where the key can't be read."""
-    found, fleet = options.discovery, node.decisions.fleet
+    found, fleet = options.discovery, node.decisions.endpoints
     key = keys.read("discovery.key_file", found.key_file) if found.key_file else b""
     static = []
     for place, one in enumerate(found.static):
@@ -298,6 +298,6 @@
         hint_age_s=found.hint_after_s,
         max_uninformed_copy_age_s=found.untold_s,
         quiet_s=options.journal.quiet_s,
-        purge_done_s=node.decisions.purges.done,
+        purge_done_s=node.decisions.purges.retention,
     )
     return MembershipClient(node, membership_settings, found, ListSources(list_file, key, static))
--- a/wickhinge/net/control/peer_transport.py
+++ b/wickhinge/net/control/peer_transport.py
@@ -94,7 +94,7 @@
         def log(event: str, **told: Any) -> None:
             self.log(f"shared_{event}", **told)
 
-        fleet = self.node.decisions.fleet
+        fleet = self.node.decisions.endpoints
         self.limiter = LendingLimiter(
             self.detector, division, slow_start_quota.budget_scopes(self.detector.roster.local.zone), clock(), log
         )
@@ -104,7 +104,7 @@
             self.counts = RequestTallies(self.detector, fleet, clock())
         Piggyback(self.detector, [self.limiter, self.judge, self.counts])
         quotas = slow_start_quota.SlowStartQuotas(self.limiter)
-        fleet.dealt = lambda *asked: quotas.admits(slow_start_quota.SlowStartRequest(*asked), clock())
+        fleet.slow_start_quota = lambda *asked: quotas.admits(slow_start_quota.SlowStartRequest(*asked), clock())
 
     def start(self) -> None:
         """Raises OSError where our address of the roster cannot be had: another process has the name here."""
@@ -243,7 +243,7 @@
         if roster.local.address != self.detector.roster.local.address:
             raise Malformed("peers.roster: our own address changes at a restart only")
         if self.limiter is not None:
-            division = quota_division(options, roster, self.node.decisions.fleet.zone)
+            division = quota_division(options, roster, self.node.decisions.endpoints.zone)
             if division != self.limiter.division:
                 raise Malformed(
                     f"shared.names, shared.processes: are {self.limiter.division.names} and "
@@ -296,7 +296,7 @@
     made = PeerTransport(node, roster, found, node.seed ^ 0xFE110)
     if options.shared.mode == "on":
         made.share(
-            quota_division(options, roster, node.decisions.fleet.zone),
+            quota_division(options, roster, node.decisions.endpoints.zone),
             judgements=options.shared.judgements == "on",
             counts=options.shared.counts == "on",
         )
--- a/wickhinge/net/control/router_process.py
+++ b/wickhinge/net/control/router_process.py
@@ -81,7 +81,7 @@
             self.readiness, self.clients, self.deadlines, self.log.event, self._longest_timeout_s
         )
         self._has_started = True
-        self.decisions.start(self.deadlines.now())
+        self.decisions.start()
         self.reactor.addSystemEventTrigger("before", "shutdown", self.log.flush)
         self.reactor.callWhenRunning(self.readiness.start)
         self.endpoint_watch.start_confirmed()
@@ -154,8 +154,8 @@
 
     def close_idle(self, server: Any) -> None:
         """Closes the idle connections to a server."""
-        if server.mark in self.pools.machines:
-            self.pools.machines[server.mark].hang_up()
+        if server.id in self.pools.machines:
+            self.pools.machines[server.id].hang_up()
 
     def gossip(self, recipient: int, content: bytes) -> None:
         """Does nothing: the decisions of routers on sockets share nothing this way."""
@@ -220,8 +220,8 @@
         self.seed = config.seed(configuration)
         self.decisions, self._request_classes = settings.build(decision_settings, self.seed, self)
         self.others_time = OthersTime()
-        self.others_time.improved = lambda: self.decisions.fleet.relate(self.deadlines.now())
-        self.decisions.fleet.instant = self.decisions.purges.instant = self.others_time.instant
+        self.others_time.improved = lambda: self.decisions.endpoints.clock_improved(self.deadlines.now())
+        self.decisions.endpoints.to_local_time = self.decisions.purges.to_local_time = self.others_time.instant
         self._longest_timeout_s = max(request_class.timeout for request_class in self._request_classes.values())
 
     def _build_connections(self, configuration: dict[str, Any]) -> None:
@@ -233,7 +233,7 @@
         self.pools = ConnectionPools(
             self.deadlines,
             self.buffers,
-            PoolSettings(*self.connection_limits, descriptors.machines, self.decisions.cancel),
+            PoolSettings(*self.connection_limits, descriptors.machines, self.decisions.capabilities.cancellation),
             self.log.event,
         )
         self._max_clients = descriptors.clients
@@ -264,7 +264,7 @@
                 self.fault,
                 self.others_time,
             )
-        self.decisions.copies = self.local_copies
+        self.decisions.local_copies = self.local_copies
         if options is not None and options.discovery.mode == "on":
             from wickhinge.net.control import membership
 
