--- a/tests/changelog/test_settings_table.py
+++ b/tests/changelog/test_settings_table.py
@@ -4,7 +4,7 @@
 
 from wickhinge.changelog.entries import Setting
 from wickhinge.changelog.settings_table import SettingsTable, SettingState, check_value
-from wickhinge.fields import Malformed
+from wickhinge.fields import MalformedError
 
 
 @pytest.fixture
@@ -35,5 +35,5 @@
 def test_check_value_when_the_name_is_known_checks_the_value():
     check_value("journal", b"10.0.0.1:7")
     check_value("later", b"anything")
-    with pytest.raises(Malformed, match="is not an address"):
+    with pytest.raises(MalformedError, match="is not an address"):
         check_value("journal", b"10.0.0.1")
--- a/tests/net/test_crossings.py
+++ b/tests/net/test_crossings.py
@@ -16,7 +16,7 @@
 from tests.support.router_process import SERVED, host
 from tests.support.routing import end, request_class, router, take
 from wickhinge.clocks import steady
-from wickhinge.fields import Malformed
+from wickhinge.fields import MalformedError
 from wickhinge.interface import AttemptParameters, Outcome
 from wickhinge.net.control import config, endpoint_watch
 from wickhinge.net.downstream import msgpack
@@ -217,7 +217,7 @@
     ended.turn()
     machine = ended.box.accept()[0]
     machine.settimeout(5.0)
-    rid = resp.ReplyDecoder(ended.node.pool).feed(machine.recv(65536))[0][1]
+    rid = resp.ReplyDecoder(ended.node.buffers).feed(machine.recv(65536))[0][1]
     machine.sendall(resp.pack(rid, b"OK", b"-", b"mark"))
     ended.turn()
     assert client.answer(call)[2] is None
@@ -506,5 +506,5 @@
 
 @pytest.mark.parametrize("field", ["connectTimeoutMs", "connIdleMs", "maxStreams"])
 def test_times_and_streams_of_0_are_faults_that_name_their_key(field):
-    with pytest.raises(Malformed, match=field):
+    with pytest.raises(MalformedError, match=field):
         config.connection_limits({"settings": {"limits": {field: 0}}})
--- a/tests/net/test_net.py
+++ b/tests/net/test_net.py
@@ -15,7 +15,7 @@
 
 from tests.support.connections import Wire, attempts, line, pool, reading
 from tests.support.routing import request_class, router
-from wickhinge.fields import Malformed
+from wickhinge.fields import MalformedError
 from wickhinge.interface import Outcome
 from wickhinge.net.control import config, endpoint_watch
 from wickhinge.net.downstream import msgpack
@@ -409,7 +409,7 @@
 def test_bad_configuration_is_named_by_its_key(tmp_path, change, told):
     conf = {"name": "n3", "listen": "127.0.0.1:5", "seed": "ab", "known": {"pos": 0, "entries": []}}
     (tmp_path / "c").write_text(json.dumps({**conf, **change}))
-    with pytest.raises(Malformed, match=told):
+    with pytest.raises(MalformedError, match=told):
         made = config.read({"RELAY_CONFIG": str(tmp_path / "c"), "RELAY_NAME": "n3"})
         for read in (config.listen_address, config.seed, config.process_limits, config.known_events):
             read(made)
--- a/tests/wirehost/test_wirehost.py
+++ b/tests/wirehost/test_wirehost.py
@@ -3,7 +3,7 @@
 
 import pytest
 
-from wickhinge.fields import Malformed
+from wickhinge.fields import MalformedError
 from wickhinge.wirehost.host import Instance, run
 
 CLASS = {"name": "t", "effect": "pure", "onTimeMs": 600, "aimStretch": 1.6, "hardLimitMs": 5000, "importance": 2}
@@ -144,10 +144,10 @@
     instance.power_on(*START[0], 1.0)
     instance.announce(*START[1], 1.0)
     instance.inbound("Inbound", {**VISIT[1], "expiresInMs": patience}, 1.0)
-    assert bool(instance.doors) is sent
+    assert bool(instance.requests) is sent
     (instance.resolved if event is TIMED else instance.gone)(*event, 1.1)
     instance.resolved(*TIMED, 1.2)
-    assert not instance.doors
+    assert not instance.requests
 
 
 def test_calls_the_module_does_not_make_yet_have_their_actions():
@@ -162,5 +162,5 @@
 
 
 def test_what_is_not_json_ends_the_run_with_a_message():
-    with pytest.raises(Malformed, match="not JSON"):
+    with pytest.raises(MalformedError, match="not JSON"):
         run(io.BytesIO(b"nonsense\n"), io.BytesIO())
--- a/wickhinge/changelog/daemon.py
+++ b/wickhinge/changelog/daemon.py
@@ -17,7 +17,7 @@
 from wickhinge.changelog.replica_endpoint import ReplicaEndpoint
 from wickhinge.changelog.settings import RelaySettings, ReplicaSettings
 from wickhinge.changelog.stored import Storage
-from wickhinge.fields import Malformed
+from wickhinge.fields import MalformedError
 from wickhinge.options import changelog as options_of
 from wickhinge.options.records import Changelog
 
@@ -60,8 +60,8 @@
 class Daemon:
     """One replica, where `storage` is given, or one relay.
 
-    `reload_options` reads the settings anew, for other keys; it raises Malformed. The constructor raises Malformed
-    where a key can't be read.
+    `reload_options` reads the settings anew, for other keys; it raises MalformedError. The constructor raises
+    MalformedError where a key can't be read.
     """
 
     def __init__(
@@ -112,7 +112,7 @@
     def _reload(self) -> None:
         try:
             keys = options_of.read_keys(self._reload_options())
-        except Malformed as fault:
+        except MalformedError as fault:
             self._log("changelog_reload_failed", why=str(fault))
             return
         self.endpoint.use_keys(keys)
--- a/wickhinge/changelog/settings_table.py
+++ b/wickhinge/changelog/settings_table.py
@@ -14,7 +14,7 @@
 
 from wickhinge.changelog.entries import Setting
 from wickhinge.common.log_event import LogEvent
-from wickhinge.fields import Malformed, endpoint
+from wickhinge.fields import MalformedError, endpoint
 
 JOURNAL = "journal"
 
@@ -38,18 +38,18 @@
 
 
 def parse_address(value: bytes) -> tuple[str, int]:
-    """An IPv4 address and a port. Raises Malformed."""
+    """An IPv4 address and a port. Raises MalformedError."""
     address = endpoint(value.decode("utf-8", "replace"))
     if address is None:
-        raise Malformed(f"{value[:60]!r} is not an address as 127.0.0.1:10080")
+        raise MalformedError(f"{value[:60]!r} is not an address as 127.0.0.1:10080")
     return address
 
 
-PARSERS: dict[str, Callable[[bytes], Any]] = {JOURNAL: parse_address}  # raise Malformed
+PARSERS: dict[str, Callable[[bytes], Any]] = {JOURNAL: parse_address}  # raise MalformedError
 
 
 def check_value(name: str, value: bytes) -> None:
-    """Called before a setting is proposed. Raises Malformed for a known name whose value does not fit."""
+    """Called before a setting is proposed. Raises MalformedError for a known name whose value does not fit."""
     if name in PARSERS:
         PARSERS[name](value)
 
@@ -63,7 +63,7 @@
         self.rows: dict[str, SettingRow] = {}
 
     def subscribe(self, name: str, apply: Callable[[Any], None]) -> None:
-        """Has `apply` called with each new value, as parsed; it may raise Malformed to refuse the value."""
+        """Has `apply` called with each new value, as parsed; it may raise MalformedError to refuse the value."""
         self._subscribers[name] = apply
 
     def put(self, setting: Setting) -> SettingRow:
@@ -95,6 +95,6 @@
             return SettingRow(setting.name, setting.value, setting.stamp_ms, SettingState.UNKNOWN)
         try:
             apply(PARSERS[setting.name](setting.value))
-        except Malformed as fault:
+        except MalformedError as fault:
             return SettingRow(setting.name, setting.value, setting.stamp_ms, SettingState.REFUSED, str(fault))
         return SettingRow(setting.name, setting.value, setting.stamp_ms, SettingState.IN_FORCE)
--- a/wickhinge/cli/changelog.py
+++ b/wickhinge/cli/changelog.py
@@ -45,7 +45,7 @@
 def make_client(path: str | None) -> Client:
     """A client by the settings; ends the process where they cannot be used."""
     from wickhinge.cli.changelog_client import Client
-    from wickhinge.fields import Malformed
+    from wickhinge.fields import MalformedError
 
     settings = read_settings(path)
     for key in ("replicas", "relays"):
@@ -53,7 +53,7 @@
             fail(f"changelog.{key}: is empty")
     try:
         return Client(settings)
-    except Malformed as error:
+    except MalformedError as error:
         fail(str(error))
 
 
@@ -68,7 +68,7 @@
 
 def run(name: str, options: str | None, storage: Storage | None) -> NoReturn:
     """Runs a replica or a relay until SIGTERM; exit code 1 where its storage failed."""
-    from wickhinge.fields import Malformed
+    from wickhinge.fields import MalformedError
 
     def reload_options() -> Changelog:
         from wickhinge.options import OptionsError, load
@@ -76,7 +76,7 @@
         try:
             return load(options or os.environ["WICKHINGE_OPTIONS"]).changelog
         except OptionsError as error:
-            raise Malformed(str(error)) from None
+            raise MalformedError(str(error)) from None
 
     from twisted.internet import reactor
 
@@ -92,7 +92,7 @@
 
         runtime = Runtime(reactor, log=write_event)
         code = Daemon(name, read_settings(options), runtime, reload_options, storage).run()
-    except (Malformed, OSError) as error:
+    except (MalformedError, OSError) as error:
         fail(str(error))
     sys.exit(code)
 
@@ -197,11 +197,11 @@
     """Put SETTING in force with VALUE at all routers; returns as append-purge does."""
     from wickhinge.changelog.entries import Setting
     from wickhinge.changelog.settings_table import check_value
-    from wickhinge.fields import Malformed
+    from wickhinge.fields import MalformedError
 
     try:
         check_value(setting, value.encode())
-    except Malformed as error:
+    except MalformedError as error:
         fail(f"append-setting: {setting}: {error}")
     append(options, Setting(setting, value.encode(), 0), timeout_s, as_json)
 
@@ -267,7 +267,7 @@
     from twisted.internet import reactor
 
     from wickhinge.cli.changelog_client import fetch_backup
-    from wickhinge.fields import Malformed
+    from wickhinge.fields import MalformedError
     from wickhinge.store.files import Files, replace_file
 
     def write(data: bytes, number: int) -> None:
@@ -279,7 +279,7 @@
         fail("changelog.relays: is empty")
     try:
         reason = fetch_backup(settings, timeout_s, write, reactor)
-    except (Malformed, OSError) as error:
+    except (MalformedError, OSError) as error:
         fail(str(error))
     if reason:
         fail(reason, WRONG)
--- a/wickhinge/cli/changelog_client.py
+++ b/wickhinge/cli/changelog_client.py
@@ -83,7 +83,7 @@
 
 
 class Client:
-    """Asks the replicas and relays of the settings. Raises Malformed where a key cannot be read."""
+    """Asks the replicas and relays of the settings. Raises MalformedError where a key cannot be read."""
 
     def __init__(self, options: Changelog) -> None:
         self._key = options_of.read_keys(options)[0]
@@ -247,8 +247,8 @@
 def fetch_backup(options: Changelog, timeout_s: float, done: Callable[[bytes, int], None], reactor: Any) -> str:
     """Follows the relays until the complete log is known, then calls done(encoded snapshot, its number).
 
-    Returns why it failed, "" where it did not. Raises Malformed where a key cannot be read, OSError where no socket can
-    be had.
+    Returns why it failed, "" where it did not. Raises MalformedError where a key cannot be read, OSError where no
+    socket can be had.
     """
     consumer = BackupConsumer(options.purge_horizon_s, done, reactor.stop)
     config = EndpointConfig(
--- a/wickhinge/cli/commands.py
+++ b/wickhinge/cli/commands.py
@@ -40,7 +40,7 @@
     import msgspec
 
     from wickhinge import settings
-    from wickhinge.fields import Malformed
+    from wickhinge.fields import MalformedError
     from wickhinge.net.control import config as platform
     from wickhinge.options import OptionsError, load
 
@@ -65,7 +65,7 @@
                 "location": router.endpoints.zone,
                 "tariffs": list(tariffs),
             }
-    except (OptionsError, Malformed) as problem:
+    except (OptionsError, MalformedError) as problem:
         fail(str(problem))
     if as_json:
         print_json(answer)
--- a/wickhinge/cli/peers.py
+++ b/wickhinge/cli/peers.py
@@ -23,7 +23,7 @@
 
 def read_roster(path: str | None) -> tuple[bytes, dict[str, tuple[str, int]]]:
     """The fleet's key, and the routers' addresses by name; ends the process where the settings cannot be used."""
-    from wickhinge.fields import Malformed
+    from wickhinge.fields import MalformedError
     from wickhinge.options import OptionsError, keys, load
     from wickhinge.peers.roster import read_entries
 
@@ -35,7 +35,7 @@
         key = keys.read("peers.key_file", settings.key_file)
         rows: list[Any] = list(settings.roster)  # frozen records, where RosterRow asks for attributes that can be set
         addresses = {peer.name: peer.address for peer in read_entries(rows)}
-    except (OptionsError, Malformed) as problem:
+    except (OptionsError, MalformedError) as problem:
         fail(str(problem))
     if not addresses:
         fail(f"{path}: peers.roster: is empty")
--- a/wickhinge/common/failed_calls.py
+++ b/wickhinge/common/failed_calls.py
@@ -43,7 +43,7 @@
         self.counts: dict[str, int] = {}
 
     def count(self, call: str, error: int | None) -> None:
-        """Counts one failure of a call; error: its errno."""
+        """Notes that a call failed with this errno."""
         name = f"{call} {errorcode.get(error or 0, str(error))}"
         self.counts[name] = self.counts.get(name, 0) + 1
 
--- a/wickhinge/fields.py
+++ b/wickhinge/fields.py
@@ -1,12 +1,20 @@
-"""Checks on decoded fields, for both fronts: read with care, never guessed; milliseconds become seconds."""
+"""Checks on decoded fields, for both fronts: read with care, never guessed; milliseconds become seconds.
+
+Each function takes the name of the message or place for the error's text, the decoded fields and the field's name, and
+raises MalformedError where the field is missing or not of its type.
+"""
 
 from __future__ import annotations
 
 from typing import Any
 
 
-class Malformed(Exception):
-    """Bad input; the text names the message and the field."""
+class MalformedError(Exception):
+    """Bad input; the text names the message and the field.
+
+    Attributes:
+        router: the number of the router that the message was for, where it named one.
+    """
 
     def __init__(self, text: str, router: int | None = None) -> None:
         super().__init__(text)
@@ -14,6 +22,7 @@
 
 
 def number(name: str, fields: dict[str, Any], field: str, default: float | None = None) -> float:
+    """Return a number; `default` where the field is missing."""
     value = fields.get(field)
     if type(value) is float or type(value) is int:
         return value
@@ -23,6 +32,7 @@
 
 
 def integer(name: str, fields: dict[str, Any], field: str, default: int | None = None) -> int:
+    """Return a whole number; `default` where the field is missing."""
     value = fields.get(field)
     if type(value) is int:
         return value
@@ -34,10 +44,12 @@
 
 
 def seconds(name: str, fields: dict[str, Any], field: str, default: float | None = None) -> float:
+    """Return the seconds of a field in milliseconds; `default`, in milliseconds, where it is missing."""
     return number(name, fields, field, default) / 1000.0
 
 
 def text(name: str, fields: dict[str, Any], field: str) -> str:
+    """Return a text."""
     value = fields.get(field)
     if type(value) is str:
         return value
@@ -45,21 +57,24 @@
 
 
 def hexadecimal(name: str, fields: dict[str, Any], field: str, start: str = "") -> int:
+    """Return the value of hex digits, behind the prefix `start`."""
     value = text(name, fields, field)
     try:
         return int(value.removeprefix(start), 16)
     except ValueError:
-        raise Malformed(f"{name}: field {field} is not hex digits") from None
+        raise MalformedError(f"{name}: field {field} is not hex digits") from None
 
 
 def word(name: str, fields: dict[str, Any], field: str, known: Any) -> Any:
+    """Return a text that is among the known ones."""
     value = text(name, fields, field)
     if value not in known:
-        raise Malformed(f"{name}: field {field} holds an unknown word")
+        raise MalformedError(f"{name}: field {field} holds an unknown word")
     return value
 
 
 def flag(name: str, fields: dict[str, Any], field: str, default: bool | None = None) -> bool:
+    """Return true or false; `default` where the field is missing."""
     value = fields.get(field)
     if type(value) is bool:
         return value
@@ -69,6 +84,7 @@
 
 
 def listing(name: str, fields: dict[str, Any], field: str) -> list[Any]:
+    """Return a list."""
     value = fields.get(field)
     if type(value) is list:
         return value
@@ -76,6 +92,7 @@
 
 
 def records(name: str, fields: dict[str, Any], field: str) -> list[dict[str, Any]]:
+    """Return a list of objects."""
     values = listing(name, fields, field)
     if not all(type(value) is dict for value in values):
         raise problem(name, fields, field, "a list of objects")
@@ -83,6 +100,7 @@
 
 
 def record(name: str, fields: dict[str, Any], field: str) -> dict[str, Any]:
+    """Return an object."""
     value = fields.get(field)
     if type(value) is dict:
         return value
@@ -102,7 +120,8 @@
     return host, int(port)
 
 
-def problem(name: str, fields: dict[str, Any], field: str, wanted: str) -> Malformed:
+def problem(name: str, fields: dict[str, Any], field: str, wanted: str) -> MalformedError:
+    """Return the error for a field that is missing or not what was wanted."""
     fault = "is missing" if fields.get(field) is None else f"is not {wanted}"
     router = fields.get("router")
-    return Malformed(f"{name}: field {field} {fault}", router if type(router) is int else None)
+    return MalformedError(f"{name}: field {field} {fault}", router if type(router) is int else None)
--- a/wickhinge/net/control/changelog_client.py
+++ b/wickhinge/net/control/changelog_client.py
@@ -18,7 +18,7 @@
 from wickhinge.changelog.log import Snapshot
 from wickhinge.changelog.settings import FollowSettings
 from wickhinge.changelog.settings_table import JOURNAL, SettingsTable
-from wickhinge.fields import Malformed, endpoint
+from wickhinge.fields import MalformedError, endpoint
 from wickhinge.net.control.endpoint_updates import EndpointUpdates
 from wickhinge.net.runtime.deadlines import Deadlines
 from wickhinge.net.runtime.log import Log
@@ -35,20 +35,20 @@
     deadlines: Deadlines
     log: Log
     updates: EndpointUpdates
-    router: Any  # the decisions
-    forwards: Any  # the attempts
-    copies: Any  # None where the store is off
+    decisions: Any  # the Router of wickhinge.routing
+    attempts: Any
+    local_copies: Any  # None where the store is off
 
     def move_endpoint_watch(self, address: tuple[str, int]) -> None:
         """The discovery service is elsewhere from now on."""
 
 
 class ChangelogClient:
-    """Follows the change log; raises Malformed in the constructor with the faulty key."""
+    """Follows the change log; raises MalformedError in the constructor with the faulty key."""
 
     def __init__(self, options: Changelog, name: str, node: ChangelogHost) -> None:
         if len(name.encode()) > options_of.MAX_NAME_BYTES:
-            raise Malformed(
+            raise MalformedError(
                 f"config: field name is over {options_of.MAX_NAME_BYTES} bytes, too long for the change log"
             )
         self._options, self._node, self._log = options, node, node.log.event
@@ -67,9 +67,9 @@
         )
         self._limited = True  # as at the last tick: the age of copies is limited
         self._source = ""
-        node.router.purges.limit_age_by(self.limit)
-        if node.copies is not None:
-            node.copies.limit_age(self.limit)
+        node.decisions.purges.limit_age_by(self.limit)
+        if node.local_copies is not None:
+            node.local_copies.limit_age(self.limit)
 
     def start(self) -> None:
         """Raises OSError where `bind` cannot be had."""
@@ -80,10 +80,10 @@
         self.follower.close()
 
     def keys_in(self, options: Changelog) -> list[bytes]:
-        """The keys of a file that is read again. Raises Malformed where anything else has changed in it."""
+        """The keys of a file that is read again. Raises MalformedError where anything else has changed in it."""
         for key in ("mode", "relays", "bind", "grace_s", "bound_s", "ingest_s"):
             if getattr(options, key) != getattr(self._options, key):
-                raise Malformed(f"changelog.{key}: changes at a restart only")
+                raise MalformedError(f"changelog.{key}: changes at a restart only")
         return options_of.read_keys(options)
 
     def use_keys(self, keys: list[bytes]) -> None:
@@ -127,7 +127,7 @@
             self._node.updates.record_purge(purge.key, purge.group, purge.stamp_ms, 0)
         keys = {purge.key for purge in snapshot.purges if purge.key is not None}
         groups = {purge.group for purge in snapshot.purges if purge.key is None}
-        self._node.forwards.overtaken(
+        self._node.attempts.overtaken(
             lambda sent: sent.forward.request.object_count.key not in keys and sent.forward.request.group not in groups
         )
         self._log(
@@ -154,12 +154,12 @@
             return
         self._limited = limited
         if limited:
-            self._node.forwards.overtaken(lambda sent: sent.forward.request.request_class.pass_through)
+            self._node.attempts.overtaken(lambda sent: sent.forward.request.request_class.pass_through)
         figures = self.figures()
         state = "changelog_uninformed" if limited else "changelog_informed"
         self._log(state, epoch=figures["epoch"], number=figures["number"], age_s=figures["age_s"])
 
 
 def make(options: Changelog, name: str, node: ChangelogHost) -> ChangelogClient:
-    """Raises Malformed with the faulty key."""
+    """Raises MalformedError with the faulty key."""
     return ChangelogClient(options, name, node)
--- a/wickhinge/net/control/config.py
+++ b/wickhinge/net/control/config.py
@@ -1,6 +1,6 @@
 """The one place where the platform's configuration is read, checked and given defaults.
 
-Every function raises Malformed; its message names the faulty key.
+Every function raises MalformedError; its message names the faulty key.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 import orjson
 
 from wickhinge import fields as checks
-from wickhinge.fields import Malformed
+from wickhinge.fields import MalformedError
 
 CONFIG = "config"
 KNOWN_ENTRIES = "config.known.entries"
@@ -84,20 +84,20 @@
     """The configuration as it stands; RELAY_NAME and RELAY_LISTEN must agree with it where both are given."""
     path = environment.get("RELAY_CONFIG")
     if not path:
-        raise Malformed("RELAY_CONFIG: is not set; it holds the path of the configuration")
+        raise MalformedError("RELAY_CONFIG: is not set; it holds the path of the configuration")
     try:
         with open(path, "rb") as file:
             configuration = orjson.loads(file.read())
     except OSError as problem:
-        raise Malformed(f"RELAY_CONFIG: {path} cannot be read: {problem.strerror}") from None
+        raise MalformedError(f"RELAY_CONFIG: {path} cannot be read: {problem.strerror}") from None
     except orjson.JSONDecodeError as problem:
-        raise Malformed(f"RELAY_CONFIG: {path} is not JSON: {problem}") from None
+        raise MalformedError(f"RELAY_CONFIG: {path} is not JSON: {problem}") from None
     if not isinstance(configuration, dict):
-        raise Malformed(f"RELAY_CONFIG: {path} holds no object")
+        raise MalformedError(f"RELAY_CONFIG: {path} holds no object")
     for variable, field in (("RELAY_NAME", "name"), ("RELAY_LISTEN", "listen")):
         value = environment.get(variable)
         if value and configuration.setdefault(field, value) != value:
-            raise Malformed(f"{CONFIG}: field {field} contradicts {variable}")
+            raise MalformedError(f"{CONFIG}: field {field} contradicts {variable}")
     return configuration
 
 
@@ -125,13 +125,13 @@
     """The limits of memory and descriptors."""
     entry = configuration.get("limits", {})
     if not isinstance(entry, dict):
-        raise Malformed(f"{CONFIG}: field limits is not an object")
+        raise MalformedError(f"{CONFIG}: field limits is not an object")
     memory_mb = checks.integer("config.limits", entry, "memory_mb", DEFAULT_MEMORY_MB)
     descriptors = checks.integer("config.limits", entry, "sockets", DEFAULT_DESCRIPTORS)
     if memory_mb < MIN_MEMORY_MB:
-        raise Malformed(f"config.limits: field memory_mb is under {MIN_MEMORY_MB}")
+        raise MalformedError(f"config.limits: field memory_mb is under {MIN_MEMORY_MB}")
     if descriptors < MIN_DESCRIPTORS:
-        raise Malformed(f"config.limits: field sockets is under {MIN_DESCRIPTORS}")
+        raise MalformedError(f"config.limits: field sockets is under {MIN_DESCRIPTORS}")
     return ProcessLimits(memory_mb, descriptors)
 
 
@@ -146,7 +146,7 @@
     )
     for field, value in zip(("connectTimeoutMs", "connIdleMs", "maxStreams"), limits, strict=True):
         if value <= 0:
-            raise Malformed(f"{where}: field {field} is not above 0")
+            raise MalformedError(f"{where}: field {field} is not above 0")
     return limits
 
 
@@ -173,7 +173,7 @@
 def _address(where: str, fields: dict[str, Any], field: str) -> Address:
     address = checks.endpoint(checks.text(where, fields, field))
     if address is None:
-        raise Malformed(f"{where}: field {field} is not an address as 127.0.0.1:10080")
+        raise MalformedError(f"{where}: field {field} is not an address as 127.0.0.1:10080")
     return address
 
 
--- a/wickhinge/net/control/peer_transport.py
+++ b/wickhinge/net/control/peer_transport.py
@@ -16,7 +16,7 @@
 from twisted.internet.protocol import DatagramProtocol
 
 from wickhinge.common.sealing import MAX_DATAGRAM_BYTES, DatagramError
-from wickhinge.fields import Malformed
+from wickhinge.fields import MalformedError
 from wickhinge.net.runtime.deadlines import Deadlines
 from wickhinge.net.runtime.log import Log
 from wickhinge.options import keys
@@ -46,7 +46,7 @@
     reactor: Any
     deadlines: Deadlines
     log: Log
-    router: Any  # the decisions
+    decisions: Any  # the Router of wickhinge.routing
     seed: int
 
     def check_health(self, server: Any) -> None:
@@ -94,7 +94,7 @@
         def log(event: str, **told: Any) -> None:
             self.log(f"shared_{event}", **told)
 
-        fleet = self.node.router.endpoints
+        fleet = self.node.decisions.endpoints
         self.limiter = LendingLimiter(
             self.detector, division, slow_start_quota.budget_scopes(self.detector.roster.local.zone), clock(), log
         )
@@ -237,15 +237,15 @@
     def reload(self, options: Any) -> None:
         """Another roster and other keys from now on; quotas move by the roster at once.
 
-        Raises Malformed, and then nothing has changed.
+        Raises MalformedError, and then nothing has changed.
         """
         roster, keys = read_roster_and_keys(options, self.detector.roster.local.name)
         if roster.local.address != self.detector.roster.local.address:
-            raise Malformed("peers.roster: our own address changes at a restart only")
+            raise MalformedError("peers.roster: our own address changes at a restart only")
         if self.limiter is not None:
-            division = quota_division(options, roster, self.node.router.endpoints.zone)
+            division = quota_division(options, roster, self.node.decisions.endpoints.zone)
             if division != self.limiter.division:
-                raise Malformed(
+                raise MalformedError(
                     f"shared.names, shared.processes: are {self.limiter.division.names} and "
                     f"{self.limiter.division.processes} until a restart, not {division.names} and "
                     f"{division.processes}"
@@ -266,23 +266,23 @@
 
 
 def read_roster_and_keys(options: Any, name: str) -> tuple[Roster, list[bytes]]:
-    """Raises Malformed with the faulty key."""
+    """Raises MalformedError with the faulty key."""
     found = options.peers
     try:
         roster = Roster(read_entries(found.roster), name)
     except RosterError as problem:
-        raise Malformed(f"peers.roster: {problem}") from None
+        raise MalformedError(f"peers.roster: {problem}") from None
     also = [keys.read("peers.also_key_file", found.also_key_file)] if found.also_key_file else []
     return roster, [keys.read("peers.key_file", found.key_file), *also]
 
 
 def quota_division(options: Any, roster: Roster, zone: str) -> Any:
-    """The Division. Raises Malformed where the roster's zones are not the platform's."""
+    """The Division. Raises MalformedError where the roster's zones are not the platform's."""
     from wickhinge.shared.budgets import Division
 
     mine = roster.local
     if mine.zone != zone and any(one.zone for one in roster.entries.values()):
-        raise Malformed(
+        raise MalformedError(
             f"peers.roster: {mine.name} stands in zone {mine.zone!r}, the platform's settings say "
             f"{zone!r}: caches' limits are dealt among a zone's routers"
         )
@@ -291,12 +291,12 @@
 
 
 def make(options: Any, name: str, node: PeerHost) -> PeerTransport:
-    """Raises Malformed with the faulty key."""
+    """Raises MalformedError with the faulty key."""
     roster, found = read_roster_and_keys(options, name)
     made = PeerTransport(node, roster, found, node.seed ^ 0xFE110)
     if options.shared.mode == "on":
         made.share(
-            quota_division(options, roster, node.router.endpoints.zone),
+            quota_division(options, roster, node.decisions.endpoints.zone),
             judgements=options.shared.judgements == "on",
             counts=options.shared.counts == "on",
         )
--- a/wickhinge/net/control/start.py
+++ b/wickhinge/net/control/start.py
@@ -8,7 +8,7 @@
 import sys
 from typing import Any
 
-from wickhinge.fields import Malformed
+from wickhinge.fields import MalformedError
 from wickhinge.net.runtime import deferred_imports
 
 UNUSABLE = 2  # exit code: settings, options or the address cannot be used
@@ -38,7 +38,7 @@
             read_options=lambda: read_options(path) if path else None,
         )
         router.start()
-    except Malformed as problem:
+    except MalformedError as problem:
         sys.stderr.write(f"{problem}\n")
         return UNUSABLE
     except OSError as problem:
@@ -52,13 +52,13 @@
 
 
 def read_options(path: str) -> Any:
-    """Our own settings as the file has them now. Raises Malformed with the faulty key."""
+    """Our own settings as the file has them now. Raises MalformedError with the faulty key."""
     from wickhinge.options import OptionsError, load
 
     try:
         return load(path)
     except OptionsError as problem:
-        raise Malformed(str(problem)) from None
+        raise MalformedError(str(problem)) from None
 
 
 def address_unusable(problem: OSError) -> int:
--- a/wickhinge/options/changelog.py
+++ b/wickhinge/options/changelog.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Iterable, Iterator
 
-from wickhinge.fields import Malformed, endpoint
+from wickhinge.fields import MalformedError, endpoint
 from wickhinge.options import keys
 from wickhinge.options.errors import SettingFault
 from wickhinge.options.records import Changelog, ChangelogServer
@@ -69,8 +69,8 @@
 
 
 def read_keys(options: Changelog) -> list[bytes]:
-    """The fleet's keys, of which the first one seals. Raises Malformed with the faulty setting."""
+    """The fleet's keys, of which the first one seals. Raises MalformedError with the faulty setting."""
     if not options.key_file:
-        raise Malformed("changelog.key_file: is missing")
+        raise MalformedError("changelog.key_file: is missing")
     also = [keys.read("changelog.also_key_file", options.also_key_file)] if options.also_key_file else []
     return [keys.read("changelog.key_file", options.key_file), *also]
--- a/wickhinge/peers/roster.py
+++ b/wickhinge/peers/roster.py
@@ -7,7 +7,7 @@
 from hashlib import blake2b
 from typing import Protocol, TypeVar
 
-from wickhinge.fields import Malformed, endpoint
+from wickhinge.fields import MalformedError, endpoint
 
 MAX_NAME_LENGTH = 64
 
@@ -39,13 +39,13 @@
     """The entries of the settings' peers.roster.
 
     Raises:
-        Malformed: an address is none; it names the faulty key.
+        MalformedError: an address is none; it names the faulty key.
     """
     entries = []
     for index, row in enumerate(rows):
         address = endpoint(row.address)
         if address is None:
-            raise Malformed(f"peers.roster[{index}].address: of {row.name} is not an address as 127.0.0.1:7071")
+            raise MalformedError(f"peers.roster[{index}].address: of {row.name} is not an address as 127.0.0.1:7071")
         entries.append(RosterEntry(row.name, address, row.zone))
     return entries
 
--- a/wickhinge/settings.py
+++ b/wickhinge/settings.py
@@ -1,11 +1,14 @@
-"""The settings, turned into the parts of the decision module. Unknown keys are disregarded."""
+"""The settings, checked and turned into a router and its request classes. Unknown keys are disregarded.
+
+Used by both fronts. The keys are the users' page's; docs/architecture.md has the table of terms.
+"""
 
 from __future__ import annotations
 
 from typing import Any
 
 from wickhinge.fields import (
-    Malformed,
+    MalformedError,
     flag,
     integer,
     listing,
@@ -24,61 +27,89 @@
 from wickhinge.routing.router import Router, RouterSettings
 from wickhinge.routing.slow_start import SlowStart
 
-EFFECTS = {
+Fields = dict[str, Any]
+
+IDEMPOTENCY = {
     "pure": Idempotency.IDEMPOTENT,
     "token": Idempotency.IDEMPOTENCY_KEY,
     "side_effect": Idempotency.NOT_IDEMPOTENT,
 }
+DEDUPLICATION_GROUPS = ("all", "zone", "cell")
+MS_PER_S = 1000.0
+# Where a field stands, for the messages.
+ROOT, CLASSES, RULES, LIMITS, STATS = "conf", "conf.classes", "conf.rules", "conf.limits", "conf.stats"
+FAMILY, ZONE_ROUTERS = "conf.familyInfo", "conf.familyInfo.zoneBalancers"
 
 
-def spread(family: dict[str, Any], field: str, count: int) -> list[Any]:
-    values = listing("conf.familyInfo", family, field)
-    if len(values) != count:
-        raise Malformed(f"conf.familyInfo: field {field} does not hold one value for each")
+def names(conf: Fields, field: str) -> list[str]:
+    """Return a list of names.
+
+    Raises:
+        MalformedError: the field is missing or holds anything else; the text names it.
+    """
+    values = listing(ROOT, conf, field)
+    if not all(type(value) is str for value in values):
+        raise MalformedError(f"conf: field {field} is not a list of texts")
     return values
 
 
-def names(conf: dict[str, Any], field: str) -> list[str]:
-    values = listing("conf", conf, field)
-    if not all(type(value) is str for value in values):
-        raise Malformed(f"conf: field {field} is not a list of texts")
+def request_classes(conf: Fields) -> dict[str, RequestClass]:
+    """Return the request classes by name.
+
+    Raises:
+        MalformedError: a field is missing or not of its type; the text names it.
+    """
+    family, entries = record(ROOT, conf, "familyInfo"), records(ROOT, conf, "classes")
+    columns = {field: _column(family, field, len(entries)) for field in _COLUMNS}
+    classes = {}
+    for index, entry in enumerate(entries):
+        request_class = _request_class(entry, {field: values[index] for field, values in columns.items()})
+        classes[request_class.name] = request_class
+    return classes
+
+
+_COLUMNS = ("maxAgeMs", "staleForMs", "worthWhenOld", "multiPart", "passOn")  # of familyInfo: a value for each class
+
+
+def _column(family: Fields, field: str, count: int) -> list[Any]:
+    values = listing(FAMILY, family, field)
+    if len(values) != count:
+        raise MalformedError(f"conf.familyInfo: field {field} does not hold one value for each")
     return values
 
 
-def request_classes(conf: dict[str, Any]) -> dict[str, RequestClass]:
-    family, classes = record("conf", conf, "familyInfo"), records("conf", conf, "classes")
-    count = len(classes)
-    fresh, grace = spread(family, "maxAgeMs", count), spread(family, "staleForMs", count)
-    stale, parts = spread(family, "worthWhenOld", count), spread(family, "multiPart", count)
-    passes = spread(family, "passOn", count)
-    result = {}
-    for place, entry in enumerate(classes):
-        where = "conf.classes"
-        name = text(where, entry, "name")
-        effect = EFFECTS[word(where, entry, "effect", EFFECTS)]
-        result[name] = RequestClass(
-            name=name,
-            latency_objective=seconds(where, entry, "onTimeMs"),
-            objective_stretch=number(where, entry, "aimStretch", 0.0),
-            timeout=seconds(where, entry, "hardLimitMs"),
-            priority_weight=number(where, entry, "importance"),
-            late_value=number(where, entry, "lateValue", 0.0),
-            idempotency=effect,
-            deduplication_group=word(where, entry, "group", ("all", "zone", "cell"))
-            if effect is Idempotency.IDEMPOTENCY_KEY
-            else "all",
-            deduplication_window=seconds(where, entry, "windowMs") if effect is Idempotency.IDEMPOTENCY_KEY else 0.0,
-            freshness_lifetime=fresh[place] / 1000.0,
-            stale_grace=grace[place] / 1000.0,
-            stale_value=stale[place],
-            multipart=bool(parts[place]),
-            pass_through=bool(passes[place]),
-        )
-    return result
+def _request_class(entry: Fields, of_family: Fields) -> RequestClass:
+    name = text(CLASSES, entry, "name")
+    idempotency = IDEMPOTENCY[word(CLASSES, entry, "effect", IDEMPOTENCY)]
+    group, window = "all", 0.0
+    objective = seconds(CLASSES, entry, "onTimeMs")
+    stretch = number(CLASSES, entry, "aimStretch", 0.0)
+    timeout = seconds(CLASSES, entry, "hardLimitMs")
+    weight = number(CLASSES, entry, "importance")
+    late_value = number(CLASSES, entry, "lateValue", 0.0)
+    if idempotency is Idempotency.IDEMPOTENCY_KEY:
+        group = word(CLASSES, entry, "group", DEDUPLICATION_GROUPS)
+        window = seconds(CLASSES, entry, "windowMs")
+    return RequestClass(
+        name=name,
+        latency_objective=objective,
+        objective_stretch=stretch,
+        timeout=timeout,
+        priority_weight=weight,
+        late_value=late_value,
+        idempotency=idempotency,
+        deduplication_group=group,
+        deduplication_window=window,
+        freshness_lifetime=of_family["maxAgeMs"] / MS_PER_S,
+        stale_grace=of_family["staleForMs"] / MS_PER_S,
+        stale_value=of_family["worthWhenOld"],
+        multipart=bool(of_family["multiPart"]),
+        pass_through=bool(of_family["passOn"]),
+    )
 
 
 def build(
-    conf: dict[str, Any], seed: int, environment: Environment, to_local_time: ToLocalTime = same_clock
+    conf: Fields, seed: int, environment: Environment, to_local_time: ToLocalTime = same_clock
 ) -> tuple[Router, dict[str, RequestClass]]:
     """Return the router and the request classes, by name.
 
@@ -89,61 +120,73 @@
         to_local_time: others' times by our clock.
 
     Raises:
-        Malformed: a field is missing or not of its type; the text names it.
+        MalformedError: a field is missing or not of its type; the text names it.
     """
-    family, rules = record("conf", conf, "familyInfo"), record("conf", conf, "rules")
-    limits, stats = record("conf", conf, "limits"), record("conf", conf, "stats")
-    shapes, zones = listing("conf", conf, "shapes"), listing("conf", conf, "zones")
-    info = "conf.familyInfo"
-
-    def shape(field: str) -> str | None:
-        place = integer(info, family, field)
-        if place >= len(shapes):
-            raise Malformed(f"{info}: field {field} names no machine kind")
-        return shapes[place] if place >= 0 else None
-
-    zone, routers = text("conf", conf, "locality"), spread(family, "zoneBalancers", len(zones))
+    family, rules = record(ROOT, conf, "familyInfo"), record(ROOT, conf, "rules")
+    limits, stats = record(ROOT, conf, "limits"), record(ROOT, conf, "stats")
+    topology = _topology(conf, family)
+    edge, upper = _edge_slow_start(rules), _parents_slow_start(family, rules)
+    endpoints = Endpoints(RandomSource(seed), topology, edge, upper, to_local_time)
+    settings = _router_settings(conf, family, rules, limits, stats)
+    purges = Purges(seconds(FAMILY, family, "goneEverywhereMs"), to_local_time)
+    router = Router(environment, endpoints, ObjectCounts(endpoints.routers), purges, settings)
+    return router, request_classes(conf)
+
+
+def _topology(conf: Fields, family: Fields) -> Topology:
+    kinds, zones = listing(ROOT, conf, "shapes"), listing(ROOT, conf, "zones")
+    zone, routers = text(ROOT, conf, "locality"), _column(family, "zoneBalancers", len(zones))
     if zone not in zones:
-        raise Malformed("conf: field locality names no zone")
-    edge = SlowStart(
-        number("conf.rules", rules, "fallMultiple"),
-        seconds("conf.rules", rules, "fallMs"),
-        number("conf.rules", rules, "coldFrom"),
-        seconds("conf.rules", rules, "coldMs"),
-    )
-    upper = SlowStart(
-        number(info, family, "upperFallMultiple"),
-        seconds("conf.rules", rules, "fallMs"),
-        number(info, family, "parentFloor"),
-        seconds(info, family, "parentWarmsInMs"),
-    )
-    topology = Topology(
+        raise MalformedError("conf: field locality names no zone")
+    return Topology(
         zone=zone,
-        routers=integer("conf.familyInfo.zoneBalancers", dict(zip(zones, routers, strict=True)), zone),
-        parent_kind=shape("shieldKind"),
-        origin_kind=shape("sourceKind"),
-        has_weights=text("conf", conf, "weights") != "off",
+        routers=integer(ZONE_ROUTERS, dict(zip(zones, routers, strict=True)), zone),
+        parent_kind=_kind(family, "shieldKind", kinds),
+        origin_kind=_kind(family, "sourceKind", kinds),
+        has_weights=text(ROOT, conf, "weights") != "off",
     )
-    endpoints = Endpoints(RandomSource(seed), topology, edge, upper, to_local_time)
-    max_retry_after = (
-        seconds("conf.limits", limits, "maxRetryAfterMs") if flag("conf.limits", limits, "retryAfter") else 0.0
+
+
+def _kind(family: Fields, field: str, kinds: list[Any]) -> str | None:
+    """Return the kind of servers that a field refers to by place; None where there is no such tier."""
+    place = integer(FAMILY, family, field)
+    if place >= len(kinds):
+        raise MalformedError(f"{FAMILY}: field {field} names no machine kind")
+    return kinds[place] if place >= 0 else None
+
+
+def _edge_slow_start(rules: Fields) -> SlowStart:
+    return SlowStart(
+        overload_factor=number(RULES, rules, "fallMultiple"),
+        window=seconds(RULES, rules, "fallMs"),
+        initial_capacity=number(RULES, rules, "coldFrom"),
+        duration=seconds(RULES, rules, "coldMs"),
     )
-    capabilities = Capabilities(
-        collapse_fills=flag(info, family, "joins"),
-        direct_to_source=flag(info, family, "passThroughOk"),
-        hedging=flag("conf.limits", limits, "mayDuplicate"),
-        cancellation=flag("conf.limits", limits, "cancel"),
-        health_checks=flag("conf.limits", limits, "probes"),
-        load_reports=text("conf.stats", stats, "how") == "on_probe",
-        polls_endpoints=text("conf", conf, "discovery") == "ask",
+
+
+def _parents_slow_start(family: Fields, rules: Fields) -> SlowStart:
+    return SlowStart(
+        overload_factor=number(FAMILY, family, "upperFallMultiple"),
+        window=seconds(RULES, rules, "fallMs"),
+        initial_capacity=number(FAMILY, family, "parentFloor"),
+        duration=seconds(FAMILY, family, "parentWarmsInMs"),
     )
-    router_settings = RouterSettings(
-        capabilities=capabilities,
-        flow=number(info, family, "oneFlowKbPerS"),
-        max_attempts=integer("conf.limits", limits, "mostTries"),
-        max_list_age=seconds("conf.rules", rules, "mustAskInMs", 0.0),
-        max_retry_after=max_retry_after,
+
+
+def _router_settings(conf: Fields, family: Fields, rules: Fields, limits: Fields, stats: Fields) -> RouterSettings:
+    tells_retry_after = flag(LIMITS, limits, "retryAfter")
+    return RouterSettings(
+        capabilities=Capabilities(
+            collapse_fills=flag(FAMILY, family, "joins"),
+            direct_to_source=flag(FAMILY, family, "passThroughOk"),
+            hedging=flag(LIMITS, limits, "mayDuplicate"),
+            cancellation=flag(LIMITS, limits, "cancel"),
+            health_checks=flag(LIMITS, limits, "probes"),
+            load_reports=text(STATS, stats, "how") == "on_probe",
+            polls_endpoints=text(ROOT, conf, "discovery") == "ask",
+        ),
+        flow=number(FAMILY, family, "oneFlowKbPerS"),
+        max_attempts=integer(LIMITS, limits, "mostTries"),
+        max_list_age=seconds(RULES, rules, "mustAskInMs", 0.0),
+        max_retry_after=seconds(LIMITS, limits, "maxRetryAfterMs") if tells_retry_after else 0.0,
     )
-    purges = Purges(seconds(info, family, "goneEverywhereMs"), to_local_time)
-    router = Router(environment, endpoints, ObjectCounts(endpoints.routers), purges, router_settings)
-    return router, request_classes(conf)
--- a/wickhinge/wirehost/__main__.py
+++ b/wickhinge/wirehost/__main__.py
@@ -2,11 +2,11 @@
 
 import sys
 
-from wickhinge.fields import Malformed
+from wickhinge.fields import MalformedError
 from wickhinge.wirehost.host import run
 
 try:
     run(sys.stdin.buffer, sys.stdout.buffer)
-except Malformed as problem:
+except MalformedError as problem:
     sys.stderr.write(f"{problem}\n")
     sys.exit(1)
--- a/wickhinge/wirehost/host.py
+++ b/wickhinge/wirehost/host.py
@@ -7,8 +7,10 @@
 from typing import Any, BinaryIO
 
 from wickhinge import fields as checks
-from wickhinge.fields import Malformed
+from wickhinge.fields import MalformedError
 from wickhinge.interface import AttemptParameters, CacheStatus, Completion, Endpoint, Outcome, RejectionReason, Request
+from wickhinge.routing.attempt import Attempt
+from wickhinge.routing.routed_request import RoutedRequest
 from wickhinge.settings import build
 from wickhinge.wirehost import codec
 
@@ -25,21 +27,22 @@
 }
 STATES = {"U": "ready", "L": "draining", "D": "gone"}
 LISTS = {"incr": False, "total": True, "warm_copy": True}
-NOTES = {note.value: note for note in CacheStatus}
+CACHE_STATUSES = {status.value: status for status in CacheStatus}
 
 
-class Door:
-    """The caller of one visit: its ref, and its forwards by their number."""
+class WireRequest:
+    """The RequestTransport of one request: its ref on the wire, and its attempts by their number."""
 
-    __slots__ = ("host", "ref", "forwards", "visit")
+    __slots__ = ("host", "ref", "attempts", "routed")
 
     def __init__(self, host: Instance, ref: str) -> None:
         self.host, self.ref = host, ref
-        self.forwards: list[Any] = []
-        self.visit: Any = None
+        self.attempts: list[Attempt] = []
+        self.routed: RoutedRequest | None = None
 
     def forward(self, parameters: AttemptParameters) -> None:
-        self.forwards.append(parameters.attempt)
+        """Send an attempt, straight or through a cache."""
+        self.attempts.append(parameters.attempt)
         fields = {"ref": self.ref, "cache": parameters.server.id, "tryForMs": parameters.timeout * 1000.0}
         if parameters.source is None:
             self.host.act("Try", fields)
@@ -51,20 +54,23 @@
         self.host.act("PullVia", fields)
 
     def cancel(self, attempt: Any) -> None:
-        self.host.act("Abandon", {"ref": self.ref, "sendNo": self.forwards.index(attempt)})
+        """Stop waiting for an attempt."""
+        self.host.act("Abandon", {"ref": self.ref, "sendNo": self.attempts.index(attempt)})
 
     def reject(self, retry_after: float, reason: RejectionReason) -> None:
+        """Answer that a retry is harmless."""
         self.host.act("Refuse", {"ref": self.ref, "waitMs": retry_after * 1000.0})
         self.close()
 
     def fail(self, reason: RejectionReason) -> None:
+        """Answer without any promise."""
         self.host.act("DropRequest", {"ref": self.ref})
         self.close()
 
     def close(self) -> None:
-        """The visit is over: nothing will name it once no forward is out."""
-        if not any(forward.is_pending for forward in self.forwards):
-            self.host.doors.pop(self.ref, None)
+        """The request is over: nothing will name it once no attempt is pending."""
+        if not any(attempt.is_pending for attempt in self.attempts):
+            self.host.requests.pop(self.ref, None)
 
 
 class Instance:
@@ -72,56 +78,66 @@
 
     def __init__(self, number: int, replies: list[bytes]) -> None:
         self.number, self.replies = number, replies
-        self.doors: dict[str, Door] = {}
-        self.alarms: dict[int, Callable[[float], None]] = {}
-        self.alarm = 0
+        self.requests: dict[str, WireRequest] = {}
+        self.timers: dict[int, Callable[[float], None]] = {}
+        self.last_timer = 0
         self.router: Any = None
         self.request_classes: dict[str, Any] = {}
 
     def act(self, name: str, fields: dict[str, Any]) -> None:
+        """Add an action to the batch's replies."""
         fields["router"] = self.number
         self.replies.append(codec.line(name, fields))
 
     # Environment.
 
     def call_later(self, delay: float, call: Callable[[float], None]) -> None:
-        self.alarm += 1
-        self.alarms[self.alarm] = call
-        self.act("WakeMe", {"delayMs": max(delay, 0.0) * 1000.0, "handle": self.alarm})
+        """Ask for a wake-up."""
+        self.last_timer += 1
+        self.timers[self.last_timer] = call
+        self.act("WakeMe", {"delayMs": max(delay, 0.0) * 1000.0, "handle": self.last_timer})
 
     def check_health(self, server: Any) -> None:
+        """Ask for a health check."""
         self.act("Poll", {"cache": server.id})
 
     def watch(self) -> None:
+        """Subscribe to the endpoint list."""
         self.act("Follow", {"want": True})
 
     def fetch_endpoints(self) -> None:
+        """Ask for the whole endpoint list."""
         self.act("ReadList", {})
 
     def close_idle(self, server: Any) -> None:
+        """Close idle connections to a server."""
         self.act("HangUp", {"cache": server.id})
 
     def gossip(self, recipient: int, content: bytes) -> None:
+        """Send to other routers."""
         self.act("Say", {"to": recipient, "content": b64encode(content).decode()})
 
     def log_line(self, text: str) -> None:
+        """Write a line to the log."""
         self.act("NoteDown", {"line": text})
 
     # Events.
 
     def power_on(self, name: str, fields: dict[str, Any], now: float) -> None:
+        """The router starts with these settings."""
         seed, conf = checks.integer(name, fields, "initSeed"), checks.record(name, fields, "conf")
         self.router, self.request_classes = build(conf, seed, self)
         self.router.start()
 
     def announce(self, name: str, fields: dict[str, Any], now: float) -> None:
+        """An endpoint list, or the loss of the subscription."""
         kind = checks.word(name, fields, "kind", ("lost", *LISTS))
         if kind == "lost":
             self.router.watch_lost()
             return
-        listings = []
+        endpoints = []
         for entry in checks.records(name, fields, "hosts"):
-            listings.append(
+            endpoints.append(
                 Endpoint(
                     checks.integer(name, entry, "cache"),
                     checks.text(name, entry, "campus"),
@@ -132,13 +148,14 @@
                     checks.seconds(name, entry, "readyAtMs", 0.0) or None,
                 )
             )
-        self.router.endpoints.update(listings, now, complete=LISTS[kind])
+        self.router.endpoints.update(endpoints, now, complete=LISTS[kind])
 
     def inbound(self, name: str, fields: dict[str, Any], now: float) -> None:
+        """A request."""
         request_class = self.request_classes.get(checks.text(name, fields, "kind"))
         if request_class is None:
-            raise Malformed(f"{name}: field kind names no class of the settings", self.number)
-        door = self.doors[checks.text(name, fields, "ref")] = Door(self, fields["ref"])
+            raise MalformedError(f"{name}: field kind names no class of the settings", self.number)
+        wire_request = self.requests[checks.text(name, fields, "ref")] = WireRequest(self, fields["ref"])
         content = fields.get("contentId")
         request = Request(
             0 if content is None else checks.hexadecimal(name, fields, "contentId"),
@@ -148,62 +165,69 @@
             checks.seconds(name, fields, "expiresInMs"),
             checks.flag(name, fields, "repeat", False),
         )
-        door.visit = self.router.route(door, request_class, request, now)
+        wire_request.routed = self.router.route(wire_request, request_class, request, now)
 
     def resolved(self, name: str, fields: dict[str, Any], now: float) -> None:
-        forward, outcome = self.sent(name, fields), self.outcome(name, fields)
-        took, closed = checks.seconds(name, fields, "timeTakenMs"), checks.flag(name, fields, "doneFlag")
-        if forward is None:
+        """An attempt has ended."""
+        attempt, outcome = self.attempt(name, fields), self.outcome(name, fields)
+        duration, is_answered = checks.seconds(name, fields, "timeTakenMs"), checks.flag(name, fields, "doneFlag")
+        if attempt is None:
             return
-        note = NOTES.get(checks.integer(name, fields, "detail", 0))
+        status = CACHE_STATUSES.get(checks.integer(name, fields, "detail", 0))
         load = None if fields.get("report") is None else checks.record(name, fields, "report")
-        completion = Completion(outcome, took, closed, note, load)
-        forward.request.attempt_ended(forward, completion, now)
-        if forward.request.is_finished:
-            forward.request.transport.close()
+        attempt.request.attempt_ended(attempt, Completion(outcome, duration, is_answered, status, load), now)
+        if attempt.request.is_finished:
+            attempt.request.transport.close()
 
     def ack_first(self, name: str, fields: dict[str, Any], now: float) -> None:
-        forward = self.sent(name, fields)
-        if forward is not None:
-            forward.request.answer_began(forward, now)
-
-    def sent(self, name: str, fields: dict[str, Any]) -> Any:
-        """The forward that the message names, None where its visit is long over."""
-        door = self.doors.get(checks.text(name, fields, "ref"))
+        """An attempt's answer has begun."""
+        attempt = self.attempt(name, fields)
+        if attempt is not None:
+            attempt.request.answer_began(attempt, now)
+
+    def attempt(self, name: str, fields: dict[str, Any]) -> Any:
+        """Return the attempt that the message names, None where its request is long over."""
+        request = self.requests.get(checks.text(name, fields, "ref"))
         number = checks.integer(name, fields, "sendNo")
-        return door.forwards[number] if door is not None and 0 <= number < len(door.forwards) else None
+        return request.attempts[number] if request is not None and 0 <= number < len(request.attempts) else None
 
     def outcome(self, name: str, fields: dict[str, Any]) -> Outcome:
+        """Return the outcome that a message names."""
         code = checks.integer(name, fields, "disposition")
         if code not in OUTCOMES:
-            raise Malformed(f"{name}: field disposition holds an unknown code", self.number)
+            raise MalformedError(f"{name}: field disposition holds an unknown code", self.number)
         return OUTCOMES[code]
 
     def gone(self, name: str, fields: dict[str, Any], now: float) -> None:
-        door = self.doors.get(checks.text(name, fields, "ref"))
-        if door is not None and door.visit is not None:
-            door.visit.finish()
-            door.close()
+        """The client has gone."""
+        request = self.requests.get(checks.text(name, fields, "ref"))
+        if request is not None and request.routed is not None:
+            request.routed.finish()
+            request.close()
 
     def check_result(self, name: str, fields: dict[str, Any], now: float) -> None:
-        cache = self.router.endpoints.servers.get(checks.integer(name, fields, "cache"))
+        """A health check has ended."""
+        server = self.router.endpoints.servers.get(checks.integer(name, fields, "cache"))
         outcome = self.outcome(name, fields)
         load = {} if fields.get("report") is None else checks.record(name, fields, "report")
-        if cache is not None:
-            self.router.health_checked(cache, outcome, load, now)
+        if server is not None:
+            self.router.health_checked(server, outcome, load, now)
 
     def expired_now(self, name: str, fields: dict[str, Any], now: float) -> None:
+        """A purge."""
         key = None if fields.get("contentId") is None else checks.hexadecimal(name, fields, "contentId")
-        made = now - checks.seconds(name, fields, "howOldMs")
-        self.router.purges.notify(key, checks.integer(name, fields, "setNo", 0), made, now)
+        created = now - checks.seconds(name, fields, "howOldMs")
+        self.router.purges.notify(key, checks.integer(name, fields, "setNo", 0), created, now)
 
     def ring(self, name: str, fields: dict[str, Any], now: float) -> None:
-        call = self.alarms.pop(checks.integer(name, fields, "handle"), None)
+        """A wake-up that was asked for."""
+        call = self.timers.pop(checks.integer(name, fields, "handle"), None)
         if call is not None:
             call(now)
 
     def from_peer(self, name: str, fields: dict[str, Any], now: float) -> None:
-        checks.text(name, fields, "content")  # routers share nothing
+        """A message of another router; routers share nothing, so it is checked alone."""
+        checks.text(name, fields, "content")
 
 
 EVENTS = {
@@ -221,11 +245,14 @@
 
 
 class Host:
+    """All routers of one process, by number."""
+
     def __init__(self) -> None:
         self.instances: dict[int, Instance] = {}
         self.replies: list[bytes] = []
 
     def event(self, name: str, fields: dict[str, Any], now: float) -> None:
+        """Take one message of a batch."""
         number = checks.integer(name, fields, "router")
         if name == "Kill":
             self.instances.pop(number, None)
@@ -233,13 +260,13 @@
         if name == "PowerOn":
             self.instances[number] = Instance(number, self.replies)
         elif name not in EVENTS:
-            raise Malformed(f"{name}: unknown message", number)
+            raise MalformedError(f"{name}: unknown message", number)
         instance = self.instances.get(number)
         if instance is None:
-            raise Malformed(f"{name}: field router names no running instance", number)
+            raise MalformedError(f"{name}: field router names no running instance", number)
         try:
             EVENTS[name](instance, name, fields, now)
-        except Malformed as problem:
+        except MalformedError as problem:
             problem.router = number
             if instance.router is None:
                 del self.instances[number]
@@ -261,10 +288,10 @@
                 sink.flush()
                 host.replies.clear()
             elif now is None:
-                raise Malformed(f"{name}: comes before any Batch")
+                raise MalformedError(f"{name}: comes before any Batch")
             else:
                 host.event(name, fields, now)
-        except Malformed as problem:
+        except MalformedError as problem:
             if problem.router is None:
                 raise
             host.replies.append(codec.line("Broken", {"router": problem.router, "line": str(problem)}))
