--- a/tests/net/test_client_gone.py
+++ b/tests/net/test_client_gone.py
@@ -87,7 +87,7 @@
     late, client, other = made.shut(0), made.client(), made.client()
     call = client.ask()
     assert client.ping() and other.ping()
-    with made.stopped():
+    with made.stopped_while_connecting(0):
         late()
         leave(client, call, way)
         time.sleep(LATE)
--- a/tests/net/test_crossings.py
+++ b/tests/net/test_crossings.py
@@ -21,12 +21,12 @@
 from wickhinge.net.control import config, endpoint_watch
 from wickhinge.net.downstream import msgpack
 from wickhinge.net.downstream.client_connections import HOLD, LATER_ALL, OPEN, READ, ClientConnection, ClientConnections
-from wickhinge.net.downstream.request_log import RequestLog, RequestTrace
 from wickhinge.net.downstream.request_table import DownstreamRequest
 from wickhinge.net.runtime.arrivals import Arrivals
 from wickhinge.net.upstream import resp
 from wickhinge.net.upstream.attempt_results import AttemptResult
 from wickhinge.net.upstream.attempts import SentAttempt
+from wickhinge.net.upstream.request_log import RequestLog, RequestTrace
 from wickhinge.routing.attempt import Attempt
 
 OBJECT = 0xAA
--- a/tests/net/test_request_log.py
+++ b/tests/net/test_request_log.py
@@ -10,9 +10,9 @@
 
 from wickhinge.cli import main
 from wickhinge.clocks import WallClockWatch
-from wickhinge.net.downstream.request_log import LINES_AT_ONCE, SAMPLED, STEPS, RequestLog, RequestTrace, Step
 from wickhinge.net.runtime.event_loop_stalls import EventLoopStalls
 from wickhinge.net.upstream.attempt_results import AttemptResult
+from wickhinge.net.upstream.request_log import LINES_AT_ONCE, SAMPLED, STEPS, RequestLog, RequestTrace, Step
 
 RID = b"9b1f03aa5c7e2d41"
 
--- a/tests/net/test_start.py
+++ b/tests/net/test_start.py
@@ -37,7 +37,6 @@
                 ".descriptors",
                 ".listener",
                 ".msgpack",
-                ".request_log",
                 ".request_table",
             ),
             "net.runtime": (
@@ -67,7 +66,7 @@
                 ".slow_start",
                 ".zone_link",
             ),
-            "net.upstream": ("", ".attempt_results", ".attempts", ".connection_pools", ".resp"),
+            "net.upstream": ("", ".attempt_results", ".attempts", ".connection_pools", ".request_log", ".resp"),
         }.items()
         for name in names
     ),
--- a/tests/support/router_process.py
+++ b/tests/support/router_process.py
@@ -4,7 +4,9 @@
 import os
 import signal
 import socket
-from contextlib import ExitStack, contextmanager
+import time
+from contextlib import ExitStack, contextmanager, suppress
+from pathlib import Path
 
 from tests.support.processes import PATIENT, ROOT, Client, Process, free
 from wickhinge.net.control import endpoint_watch
@@ -86,6 +88,23 @@
         return [items[0] for items in self.stream.feed(data)]
 
 
+SYN_SENT = "02"  # a connection's state in /proc/net/tcp
+
+
+def is_connecting(pid, port):
+    """Whether the process has a connection to that local port which is not up yet."""
+    inodes = set()
+    for descriptor in Path(f"/proc/{pid}/fd").iterdir():
+        with suppress(OSError):
+            inodes.add(os.readlink(descriptor))
+    for row in Path("/proc/net/tcp").read_text().splitlines()[1:]:
+        fields = row.split()
+        is_ours = f"socket:[{fields[9]}]" in inodes
+        if is_ours and fields[3] == SYN_SENT and fields[2].endswith(f":{port:04X}"):
+            return True
+    return False
+
+
 class Stand:
     def __init__(
         self,
@@ -171,6 +190,21 @@
         yield
         os.kill(pid, signal.SIGCONT)
 
+    @contextmanager
+    def stopped_while_connecting(self, place):
+        """As `stopped`, at a moment when a connection of the router's to this machine is on its way.
+
+        The router gives an attempt to connect up and begins another; stopped between the two it would begin none.
+        """
+        end = time.monotonic() + PATIENT
+        while time.monotonic() < end:
+            with self.stopped():
+                if is_connecting(self.router.child.pid, self.places[place].getsockname()[1]):
+                    yield
+                    return
+            time.sleep(0.02)
+        raise AssertionError("the router does not connect")
+
     def attempts(self):
         """End the router; how many attempts came to all machines and were not taken by the test before."""
         self.router.close()
--- a/wickhinge/net/downstream/msgpack.py
+++ b/wickhinge/net/downstream/msgpack.py
@@ -41,7 +41,7 @@
     """Not MessagePack, or over a bound; the text names the fault."""
 
 
-class Short(Exception):
+class IncompleteMessageError(Exception):
     """The message has not come whole yet."""
 
 
@@ -56,7 +56,7 @@
         if size > self.limit:
             raise MalformedMessageError(f"a value of {size} bytes")
         if start + size > self.end:
-            raise Short
+            raise IncompleteMessageError
         self.place = start + size
         return start
 
@@ -66,7 +66,7 @@
     def value(self, depth: int = 0) -> Any:
         start = self.place
         if start >= self.end:
-            raise Short
+            raise IncompleteMessageError
         code = self.data[start]
         self.place = start + 1
         if 0xA0 <= code < 0xC0:
@@ -142,7 +142,7 @@
             while whole < len(data):
                 messages.append(reader.value())
                 whole = reader.place
-        except Short:
+        except IncompleteMessageError:
             if len(data) - whole > self.limit:
                 raise MalformedMessageError(f"a message of over {self.limit} bytes") from None
         self.rest = data[whole:]
--- a/wickhinge/net/downstream/request_table.py
+++ b/wickhinge/net/downstream/request_table.py
@@ -7,11 +7,11 @@
 from typing import Any
 
 from wickhinge.interface import AttemptParameters, Idempotency, RejectionReason, Request
-from wickhinge.net.downstream.request_log import SERVED, RequestLog, RequestTrace, Step
 from wickhinge.net.runtime.buffers import Body, BufferPool
 from wickhinge.net.runtime.deadlines import Deadlines
 from wickhinge.net.runtime.slots import Slots
 from wickhinge.net.upstream.attempts import Attempts
+from wickhinge.net.upstream.request_log import SERVED, RequestLog, RequestTrace, Step
 
 HEX = re.compile(r"[0-9a-f]{16}\Z").match
 IDEMPOTENCY_KEY = re.compile(r"[0-9A-Za-z_-]{1,64}\Z").match  # nothing that parts fields on the way to a server
--- a/wickhinge/net/upstream/attempts.py
+++ b/wickhinge/net/upstream/attempts.py
@@ -8,12 +8,12 @@
 
 from wickhinge.clocks import OthersTime
 from wickhinge.interface import AttemptParameters, CacheStatus, Completion, Outcome
-from wickhinge.net.downstream.request_log import Step
 from wickhinge.net.runtime.deadlines import Deadlines
 from wickhinge.net.runtime.slots import Slots
 from wickhinge.net.upstream import resp
 from wickhinge.net.upstream.attempt_results import OUTCOMES_BY_RESULT, RESULTS_BY_STATUS, AttemptResult
 from wickhinge.net.upstream.connection_pools import ConnectionPools
+from wickhinge.net.upstream.request_log import Step
 
 PROBED = (AttemptResult.UP, AttemptResult.DOWN)
 PROMPT = 0.005  # seconds from a look at client, time and list to the write: past it they are looked at again
