--- a/tests/net/test_request_log.py
+++ b/tests/net/test_request_log.py
@@ -116,3 +116,9 @@
     time.sleep(0.7)
     os.kill(pid, signal.SIGCONT)
     assert json.loads(made.router.wait("event_loop_stalled"))["duration_ms"] >= 400
+
+
+def test_trace_when_a_log_is_older_than_the_renamed_fields_prints_them_too(tmp_path):
+    (tmp_path / "log").write_text(json.dumps({"event": "request", "rid": "00a1", "tariff": "pages", "patience": 3000}))
+    told = CliRunner().invoke(main, ["trace", "00a1", str(tmp_path / "log")])
+    assert told.exit_code == 0 and "tariff pages, patience 3000" in told.output
--- a/wickhinge/cli/trace.py
+++ b/wickhinge/cli/trace.py
@@ -41,13 +41,19 @@
                 yield LogLine(str(path), number, fields)
 
 
+# Of a request; the second row is of logs written by 0.2.0 before its events were renamed.
+DETAILS = (
+    *("request_class", "timeout_ms", "unread_ms", "ms", "repeat", "exclusive"),
+    *("tariff", "patience", "open", "unbegun", "why"),
+)
+
+
 def describe(line: LogLine) -> Iterator[str]:
     """What happened, a step a line, with milliseconds since the request was taken."""
     fields = line.fields
     outcome = " ".join(str(fields[name]) for name in ("end", "reason") if fields.get(name))
     yield f"{fields.get('t', '')} {fields.get('router', '')} {fields.get('event', '')}: {outcome}".rstrip(": ")
-    known = ("request_class", "timeout_ms", "unread_ms", "ms", "repeat", "exclusive")
-    yield "  " + ", ".join(f"{name} {fields[name]}" for name in known if fields.get(name) is not None)
+    yield "  " + ", ".join(f"{name} {fields[name]}" for name in DETAILS if fields.get(name) is not None)
     for step in fields.get("steps", ()):
         more = ", ".join(f"{name} {value}" for name, value in step.items() if name not in ("ms", "step"))
         yield f"  {step['ms']:>9.1f} ms  {step['step']:<13} {more}"
