--- a/setup.py
+++ b/setup.py
@@ -10,6 +10,7 @@
 from setuptools import Extension, setup
 
 COLD = {
+    "wickhinge/common/connector.py",
     "wickhinge/net/control/changelog_client.py",
     "wickhinge/net/control/config.py",
     "wickhinge/net/control/endpoint_updates.py",
@@ -21,7 +22,6 @@
     "wickhinge/net/control/start.py",
     "wickhinge/net/runtime/deferred_imports.py",
     "wickhinge/net/upstream/local_copies.py",
-    "wickhinge/routing/attempt.py",
     "wickhinge/routing/origin_pacing.py",
     "wickhinge/routing/random_source.py",
     "wickhinge/routing/zone_link.py",
--- a/wickhinge/interface.py
+++ b/wickhinge/interface.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 from enum import Enum
-from typing import TYPE_CHECKING, Protocol
+from typing import TYPE_CHECKING, NamedTuple, Protocol
 
 if TYPE_CHECKING:
     from wickhinge.routing.attempt import Attempt
@@ -135,8 +135,7 @@
     is_retry: bool = False  # marked by the client as one
 
 
-@dataclass(frozen=True, slots=True)
-class AttemptParameters:
+class AttemptParameters(NamedTuple):
     """One attempt to be sent, and what the server is asked to do with it."""
 
     attempt: Attempt  # handed back when the attempt ends
@@ -150,8 +149,7 @@
     revalidate: bool  # the cache may renew a stale copy
 
 
-@dataclass(frozen=True, slots=True)
-class Completion:
+class Completion(NamedTuple):
     """How an attempt ended."""
 
     outcome: Outcome
