--- a/bench/scale/judgements.py
+++ b/bench/scale/judgements.py
@@ -15,7 +15,7 @@
 from wickhinge.shared import evidence, outlier_detection, request_tallies, verdicts
 
 WITNESSES = 30  # of the zone, who tell of a machine
-TALLIES = request_tallies.MAX_RELAYED + 1  # a datagram
+TALLIES = request_tallies.MAX_RELAYED_TALLIES + 1  # a datagram
 DATAGRAMS_HEARD = 4.0  # a second, of the failure detector
 FLEET_ZONE = "z00"
 
@@ -85,7 +85,7 @@
 
 def tallies(mates: int, caches: int, number: int) -> list[request_tallies.Tally]:
     """Of all mates, so many beats after the start."""
-    view = request_tallies.hash_list([mark + 1 for mark in range(caches)])
+    view = request_tallies.hash_server_ids([mark + 1 for mark in range(caches)])
     return [
         request_tallies.Tally(f"mate-{mate:04}", 1, mate + 1, number, 0.1, view, [3] * caches) for mate in range(mates)
     ]
@@ -96,7 +96,7 @@
     one = request_tallies.RequestTallies(stub_detector(mates), fleet(caches, mates + 1), 0.0)
     one.tick(request_tallies.TALLY_INTERVAL_S)
     for tally in tallies(mates, caches, 1):
-        one.merge(tally, request_tallies.TALLY_INTERVAL_S, from_itself=True)
+        one.merge(tally, request_tallies.TALLY_INTERVAL_S, is_firsthand=True)
     return one
 
 
@@ -108,7 +108,7 @@
         now = beat * request_tallies.TALLY_INTERVAL_S
         fresh = tallies(mates, caches, beat)
         for tally in fresh:  # kept fresh outside of the measure
-            one.merge(tally, now, from_itself=True)
+            one.merge(tally, now, is_firsthand=True)
         rider = request_tallies.encoder.encode(fresh[:TALLIES])
         with watch:
             one.tick(now)
--- a/bench/scale/leases.py
+++ b/bench/scale/leases.py
@@ -7,7 +7,7 @@
 from bench.scale.meter import Meter, memory
 from bench.scale.records import Row, row
 from wickhinge.peers.health import PROBE_PERIOD_S
-from wickhinge.shared.name_lease import MAX_CLOCK_DRIFT, NameLeases, lease_term
+from wickhinge.shared.name_lease import MAX_CLOCK_DRIFT, NameLeases, lease_term_s
 
 LATE = 1e6  # seconds that the voters have been there already
 LOOK = 20  # times a second that a router asks for the end of its lease: once a tick
@@ -65,7 +65,7 @@
 
 def rows(meter: Meter) -> list[Row]:
     sizes = meter.sizes(10, 50, 200, 400, 800, 1600)
-    longest = [lease_term(size) for size in sizes]
+    longest = [lease_term_s(size) for size in sizes]
     new = [first(size, meter.seed) for size in sizes]
     again = [restarted(size, meter.seed) for size in sizes]
     joint = [after_joint_start(size, meter.seed) for size in sizes]
--- a/bench/scale/lending.py
+++ b/bench/scale/lending.py
@@ -11,8 +11,8 @@
 from wickhinge.lab.many.play import BUDGETS
 from wickhinge.peers.detector import FailureDetector
 from wickhinge.shared import slow_start_quota
-from wickhinge.shared.budgets import BURST_S, Division
-from wickhinge.shared.name_lease import lease_term
+from wickhinge.shared.budgets import BURST_S, BudgetDivision
+from wickhinge.shared.name_lease import lease_term_s
 from wickhinge.shared.quota_bucket import Quota, QuotaBucket
 from wickhinge.shared.quota_lending import LendingLimiter
 
@@ -20,8 +20,8 @@
 LONG_AGO = -1e6
 
 
-def division(routers: int) -> Division:
-    return Division(routers, routers + SPARE)
+def division(routers: int) -> BudgetDivision:
+    return BudgetDivision(routers, routers + SPARE)
 
 
 def attach(routers: int) -> Callable[[FailureDetector, float], list[Callable[[float], None]]]:
@@ -39,7 +39,11 @@
         limiter = LendingLimiter(
             detector, division(routers), slow_start_quota.budget_scopes(detector.roster.local.zone), now
         )
-        limiter.leases.routers, limiter.leases.term, limiter.leases.started_at = routers, lease_term(routers), LONG_AGO
+        limiter.leases.roster_size, limiter.leases.term_s, limiter.leases.started_at = (
+            routers,
+            lease_term_s(routers),
+            LONG_AGO,
+        )
 
     return to_peer
 
--- a/bench/scale/spread.py
+++ b/bench/scale/spread.py
@@ -12,10 +12,10 @@
 from wickhinge.interface import Endpoint
 from wickhinge.peers.messages import MemberState
 from wickhinge.shared import evidence, outlier_detection
-from wickhinge.shared.request_tallies import MAX_AGE_S, TALLY_INTERVAL_S, RequestTallies
+from wickhinge.shared.request_tallies import TALLY_INTERVAL_S, TALLY_MAX_AGE_S, RequestTallies
 
 CACHES = 14  # of a zone
-PLAYED = 12.0  # seconds, of which those after MAX_AGE_S count
+PLAYED = 12.0  # seconds, of which those after TALLY_MAX_AGE_S count
 DETECTOR_DATAGRAMS = 4  # a second, to routers of the whole roster in turn
 PARENT = 0x700
 
@@ -53,14 +53,14 @@
         self.counts[to].receive(sender, self.counts[sender].payload(to), self.now)
 
     def run(self) -> float:
-        """The mean share of the zone's others of whom a tally counts, after MAX_AGE_S."""
+        """The mean share of the zone's others of whom a tally counts, after TALLY_MAX_AGE_S."""
         shares = []
         while self.now < PLAYED:
             self.now += TALLY_INTERVAL_S
             for one in self.counts.values():
                 one.tick(self.now)
-            if self.now > MAX_AGE_S:
-                shares += [len(one.known) / (len(self.counts) - 1) for one in self.counts.values()]
+            if self.now > TALLY_MAX_AGE_S:
+                shares += [len(one.latest_tallies) / (len(self.counts) - 1) for one in self.counts.values()]
         return sum(shares) / len(shares)
 
 
@@ -98,7 +98,7 @@
             known,
             "share",
             "virtual",
-            f"of the zone's others, of whom a tally of {MAX_AGE_S:g} s at most is known; nothing lost",
+            f"of the zone's others, of whom a tally of {TALLY_MAX_AGE_S:g} s at most is known; nothing lost",
         ),
         row(
             "judgements_heard",
--- a/tests/shared/test_payload_bytes.py
+++ b/tests/shared/test_payload_bytes.py
@@ -45,4 +45,4 @@
     tallies = [Tally("r1", 3, 5, 70, 0.0, 1 << 31, [0, 1, 300])]
     assert request_tallies.encoder.encode(tallies) == TALLIES
     assert request_tallies.decode(TALLIES) == tallies
-    assert request_tallies.hash_list([1, 2, 1 << 31]) == 0xF77C57
+    assert request_tallies.hash_server_ids([1, 2, 1 << 31]) == 0xF77C57
--- a/tests/shared/test_quota_lending.py
+++ b/tests/shared/test_quota_lending.py
@@ -16,7 +16,7 @@
 from wickhinge.routing.random_source import RandomSource
 from wickhinge.shared import lending_payload
 from wickhinge.shared.lending_payload import LendingMessage
-from wickhinge.shared.name_lease import MAX_CLOCK_DRIFT, NameLeases, lease_term
+from wickhinge.shared.name_lease import MAX_CLOCK_DRIFT, NameLeases, lease_term_s
 from wickhinge.shared.quota_bucket import Quota, QuotaBucket
 from wickhinge.shared.quota_loans import LOAN_S, BorrowerKey, Loans
 
@@ -76,7 +76,7 @@
         voter.vouch = NameLeases(count, 0.0)
     for one in lives:
         one.vouch = NameLeases(count, 0.0)
-    on_way, now, long = [], 0.0, lease_term(count)
+    on_way, now, long = [], 0.0, lease_term_s(count)
     for _ in range(900):
         now += rand.expovariate(12.0)
         for word in [word for word in on_way if word[0] <= now]:
@@ -112,8 +112,8 @@
     two = NameLeases(2, 0.0)
     assert two.held_until(5.0) == 0.0
     two.receive("n1", 5.0, 5.1)
-    assert two.held_until(5.1) == pytest.approx(5.0 + lease_term(2) * (1 - MAX_CLOCK_DRIFT))
-    assert not two.grant("n1", 9, 1.0) and two.grant("n1", 9, 1.0 + 2 * lease_term(2))
+    assert two.held_until(5.1) == pytest.approx(5.0 + lease_term_s(2) * (1 - MAX_CLOCK_DRIFT))
+    assert not two.grant("n1", 9, 1.0) and two.grant("n1", 9, 1.0 + 2 * lease_term_s(2))
     two.clear_received()
     assert two.held_until(5.1) == 0.0
 
--- a/tests/shared/test_request_tallies.py
+++ b/tests/shared/test_request_tallies.py
@@ -12,7 +12,7 @@
 from wickhinge.peers.roster import Roster, RosterEntry
 from wickhinge.routing.random_source import RandomSource
 from wickhinge.shared import request_tallies
-from wickhinge.shared.request_tallies import MAX_AGE_S, TALLY_INTERVAL_S, RequestTallies, Tally
+from wickhinge.shared.request_tallies import TALLY_INTERVAL_S, TALLY_MAX_AGE_S, RequestTallies, Tally
 
 COUNT = 5
 
@@ -44,7 +44,7 @@
     def table(self):
         return {
             name: (known.tally.epoch, known.tally.incarnation, known.tally.number, known.tally.in_flight)
-            for name, known in self.tallies.known.items()
+            for name, known in self.tallies.latest_tallies.items()
         }
 
 
@@ -95,9 +95,9 @@
     tallies = [Tally("n1", 1, 2, 5 + number, 0.0, 7, [number]) for number in range(8)]
     one, other = TallyingRouter(0), TallyingRouter(0)
     for number in range(8):
-        one.tallies.merge(tallies[number], 100.0, from_itself=True)
+        one.tallies.merge(tallies[number], 100.0, is_firsthand=True)
     for number in [*order, *again]:
-        other.tallies.merge(tallies[number], 100.0, from_itself=True)
+        other.tallies.merge(tallies[number], 100.0, is_firsthand=True)
     assert one.table() == other.table() == {"n1": (1, 2, 12, [7])}
 
 
@@ -114,12 +114,12 @@
     assert all(cache.other_transfers > 0.0 for cache in alone.endpoints.edge_caches)
     for number in range(1, COUNT):
         one.tallies.merge(
-            Tally(f"n{number}", 1, number + 1, 1, 0.0, one.tallies.list_hash, [0, 0, 0, 2]), 101.0, from_itself=True
+            Tally(f"n{number}", 1, number + 1, 1, 0.0, one.tallies.list_hash, [0, 0, 0, 2]), 101.0, is_firsthand=True
         )
     for turn in range(40):
-        one.tallies.known = {
+        one.tallies.latest_tallies = {
             name: request_tallies.KnownTally(known.tally, 101.0 + turn * TALLY_INTERVAL_S)
-            for name, known in one.tallies.known.items()
+            for name, known in one.tallies.latest_tallies.items()
         }
         one.tallies.tick(101.0 + (turn + 1) * TALLY_INTERVAL_S)
     one.endpoints.estimate_other_transfers()
@@ -133,19 +133,19 @@
     one = TallyingRouter(0)
     one.tallies.tick(101.0)
     good = Tally("n1", 1, 2, 1, 0.0, one.tallies.list_hash, [1, 1, 1, 1])
-    assert one.tallies.merge(good, 101.0, from_itself=True)
-    assert not one.tallies.merge(Tally("n2", 2, 3, 1, 0.0, one.tallies.list_hash, [9] * 4), 101.0, from_itself=True)
-    assert not one.tallies.merge(Tally("n2", 1, 4, 1, 0.0, one.tallies.list_hash, [9] * 4), 101.0, from_itself=False)
-    one.tallies.merge(Tally("n3", 1, 4, 1, 0.0, 12345, [9] * 4), 101.0, from_itself=True)
+    assert one.tallies.merge(good, 101.0, is_firsthand=True)
+    assert not one.tallies.merge(Tally("n2", 2, 3, 1, 0.0, one.tallies.list_hash, [9] * 4), 101.0, is_firsthand=True)
+    assert not one.tallies.merge(Tally("n2", 1, 4, 1, 0.0, one.tallies.list_hash, [9] * 4), 101.0, is_firsthand=False)
+    one.tallies.merge(Tally("n3", 1, 4, 1, 0.0, 12345, [9] * 4), 101.0, is_firsthand=True)
     one.tallies.tick(101.0 + TALLY_INTERVAL_S)
     assert one.endpoints.reporting_routers == 1 and all(
         cache.reported_transfers <= 1.0 for cache in one.endpoints.edge_caches
     )
-    one.tallies.tick(101.0 + MAX_AGE_S + 1.0)
+    one.tallies.tick(101.0 + TALLY_MAX_AGE_S + 1.0)
     assert (
         one.endpoints.reporting_routers == 0
         and all(cache.reported_transfers == 0.0 for cache in one.endpoints.edge_caches)
-        and not one.tallies.known
+        and not one.tallies.latest_tallies
     )
 
 
@@ -153,14 +153,14 @@
     one = TallyingRouter(0)
     one.tallies.tick(101.0)
     view = one.tallies.list_hash
-    one.tallies.merge(Tally("n1", 1, 2, 10, 0.0, view, [1] * 4), 101.0, from_itself=True)
-    assert not one.tallies.merge(Tally("n1", 1, 2, 1 << 60, 0.0, view, [9] * 4), 101.0, from_itself=False)
+    one.tallies.merge(Tally("n1", 1, 2, 10, 0.0, view, [1] * 4), 101.0, is_firsthand=True)
+    assert not one.tallies.merge(Tally("n1", 1, 2, 1 << 60, 0.0, view, [9] * 4), 101.0, is_firsthand=False)
     assert one.tallies.refused == 1
-    assert one.tallies.merge(Tally("n1", 1, 2, 12, 0.0, view, [2] * 4), 101.2, from_itself=False)
+    assert one.tallies.merge(Tally("n1", 1, 2, 12, 0.0, view, [2] * 4), 101.2, is_firsthand=False)
     # A liar was first: the name itself is believed all the same.
-    one.tallies.merge(Tally("n2", 1, 3, 1 << 60, 0.0, view, [9] * 4), 101.0, from_itself=False)
-    assert one.tallies.merge(Tally("n2", 1, 3, 4, 0.0, view, [0] * 4), 101.1, from_itself=True)
-    assert one.tallies.known["n2"].tally.in_flight == [0] * 4
+    one.tallies.merge(Tally("n2", 1, 3, 1 << 60, 0.0, view, [9] * 4), 101.0, is_firsthand=False)
+    assert one.tallies.merge(Tally("n2", 1, 3, 4, 0.0, view, [0] * 4), 101.1, is_firsthand=True)
+    assert one.tallies.latest_tallies["n2"].tally.in_flight == [0] * 4
 
 
 def test_payload_when_built_stays_in_the_zone_and_within_its_bound():
@@ -171,7 +171,7 @@
         other.tallies.tick(101.0)
     for other in group[1:]:
         one.tallies.receive(other.name, other.tallies.payload("n0"), 101.0)
-    assert one.tallies.payload("far") == b"" and len(one.tallies.known) == 59
+    assert one.tallies.payload("far") == b"" and len(one.tallies.latest_tallies) == 59
     assert (
         len(one.tallies.payload("n1")) <= request_tallies.MAX_PAYLOAD_BYTES
         and len(request_tallies.decode(one.tallies.payload("n1"))) >= 2
@@ -222,5 +222,5 @@
     with pytest.raises(request_tallies.DatagramError):
         request_tallies.decode(data)
     one.tallies.receive("n1", data, 101.0)
-    assert one.tallies.unreadable == 1 and not one.tallies.known
+    assert one.tallies.unreadable == 1 and not one.tallies.latest_tallies
     assert request_tallies.decode(b"\x91" + encoded_tally())[0].in_flight == [1]
--- a/tests/shared/test_slow_start_quota.py
+++ b/tests/shared/test_slow_start_quota.py
@@ -23,7 +23,7 @@
 from wickhinge.routing.random_source import RandomSource
 from wickhinge.routing.slow_start import SlowStart
 from wickhinge.shared import slow_start_quota
-from wickhinge.shared.budgets import BURST_S, Division
+from wickhinge.shared.budgets import BURST_S, BudgetDivision
 from wickhinge.shared.name_lease import MAX_CLOCK_DRIFT
 from wickhinge.shared.quota_lending import FLOOR_SHARE, LendingLimiter
 from wickhinge.shared.slow_start_quota import SlowStartQuotas, SlowStartRequest
@@ -39,7 +39,7 @@
 def slow_start_quotas(share=1.0, processes=4):
     """Of a router alone under its name, whose share is what the test says."""
     detector = FailureDetector(roster(["here"]), RandomSource(1), 0.0, lambda item: None)
-    limiter = LendingLimiter(detector, Division(1, processes), slow_start_quota.budget_scopes("here"), 0.0)
+    limiter = LendingLimiter(detector, BudgetDivision(1, processes), slow_start_quota.budget_scopes("here"), 0.0)
     made = SlowStartQuotas(limiter)
     limiter.update_share = lambda budget, now: budget.set_share(share, limiter.lagging_clock)
     return made
@@ -66,9 +66,11 @@
     made, cache = slow_start_quotas(), server()
     most = LIMITS.overload_factor * 0.2 * cache.weight * LIMITS.window
     sent = spend(made, cache, work, 30.0)
-    unit = slow_start_quota.PIECES_SHARE * most / 4
+    unit = slow_start_quota.PIECES_SHARE_OF_LIMIT * most / 4
     assert judges.peak(sent, most + max(work - unit, 0.0), LIMITS.window) <= 1.0
-    wanted = (1 - slow_start_quota.PIECES_SHARE) * most / (LIMITS.window + BURST_S) / (1 + MAX_CLOCK_DRIFT) * 29.0
+    wanted = (
+        (1 - slow_start_quota.PIECES_SHARE_OF_LIMIT) * most / (LIMITS.window + BURST_S) / (1 + MAX_CLOCK_DRIFT) * 29.0
+    )
     assert sum(one[2] for one in sent) >= 0.95 * wanted - work
 
 
@@ -99,7 +101,7 @@
         while routers[place].admits(SlowStartRequest(caches[place], False, LIMITS, 0.2, work), now):
             caches[place].tokens -= work
             sent.append((now, "", work))
-    over = count * max(work - slow_start_quota.PIECES_SHARE * most / count, 0.0)
+    over = count * max(work - slow_start_quota.PIECES_SHARE_OF_LIMIT * most / count, 0.0)
     assert not sent or judges.peak(sent, most + over, LIMITS.window) <= 1.0
 
 
@@ -143,20 +145,20 @@
 def test_shares_when_rosters_differ_add_up_to_one_at_most(zones, spare, old, twins):
     """Routers below `old` still have the roster that ended there."""
     names = len(zones) + spare
-    division = Division(names, names + twins)
+    division = BudgetDivision(names, names + twins)
     for zone in set(zones):
         total = 0.0
         for place, one in enumerate(zones):
             if one == zone:
                 seen = zones[: max(old, 1)] if place < old else zones
                 mine = division.within(roster(seen, f"n{place}"), zone)
-                total += (1 - FLOOR_SHARE) / mine.names + FLOOR_SHARE / mine.processes
+                total += (1 - FLOOR_SHARE) / mine.max_names + FLOOR_SHARE / mine.max_processes
         assert total <= 1.0 + 1e-9
 
 
 def test_limiter_when_the_division_is_smaller_than_the_roster_raises():
     detector = FailureDetector(roster(["a", "a"]), RandomSource(1), 0.0, lambda item: None)
-    for division in (Division(1, 4), Division(3, 2)):
+    for division in (BudgetDivision(1, 4), BudgetDivision(3, 2)):
         with pytest.raises(ValueError, match="2 names"):
             LendingLimiter(detector, division, [], 0.0)
 
--- a/wickhinge/lab/many/play.py
+++ b/wickhinge/lab/many/play.py
@@ -19,7 +19,7 @@
 from wickhinge.routing.random_source import RandomSource
 from wickhinge.routing.slow_start import SlowStart
 from wickhinge.shared import slow_start_quota
-from wickhinge.shared.budgets import BudgetScope, Division
+from wickhinge.shared.budgets import BudgetDivision, BudgetScope
 from wickhinge.shared.quota_bucket import Quota
 from wickhinge.shared.quota_lending import LendingLimiter
 
@@ -50,7 +50,7 @@
         )
         self.limiter = LendingLimiter(
             self.detector,
-            Division(len(fleet.names), fleet.schedule.places),
+            BudgetDivision(len(fleet.names), fleet.schedule.places),
             [
                 *(BudgetScope(quota=Quota(*budget)) for budget in BUDGETS),
                 *slow_start_quota.budget_scopes(f"z{place % fleet.schedule.zones}"),
@@ -173,7 +173,7 @@
         self.needs = [[self.random.choice((0.0, 0.1, 0.5, 1.3)) for _ in BUDGETS] for _ in self.names]
         self.sent: dict[int, list[tuple[float, str, float]]] = defaultdict(list)  # to cold machines, by their marks
         self.work = (
-            slow_start_quota.PIECES_SHARE
+            slow_start_quota.PIECES_SHARE_OF_LIMIT
             * COLD.initial_capacity
             * COLD.overload_factor
             * COLD.window
--- a/wickhinge/net/control/peer_transport.py
+++ b/wickhinge/net/control/peer_transport.py
@@ -204,9 +204,9 @@
             "states": {
                 name: entry.state.label for name, entry in sorted(detector.members.items())[:MAX_REPORTED_NAMES]
             },
-            **({} if self.limiter is None else {"shared": self.limiter.figures(now)}),
-            **({} if self.judge is None else {"judgements": self.judge.figures(now)}),
-            **({} if self.counts is None else {"counts": self.counts.figures(now)}),
+            **({} if self.limiter is None else {"shared": self.limiter.report_fields(now)}),
+            **({} if self.judge is None else {"judgements": self.judge.report_fields(now)}),
+            **({} if self.counts is None else {"counts": self.counts.report_fields(now)}),
         }
 
     def status(self) -> dict[str, Any]:
@@ -246,9 +246,9 @@
             division = quota_division(options, roster, self.node.decisions.endpoints.zone)
             if division != self.limiter.division:
                 raise MalformedError(
-                    f"shared.names, shared.processes: are {self.limiter.division.names} and "
-                    f"{self.limiter.division.processes} until a restart, not {division.names} and "
-                    f"{division.processes}"
+                    f"shared.names, shared.processes: are {self.limiter.division.max_names} and "
+                    f"{self.limiter.division.max_processes} until a restart, not {division.max_names} and "
+                    f"{division.max_processes}"
                 )
         self.keys = keys
         self.serve_status(roster.local.name)
@@ -277,8 +277,8 @@
 
 
 def quota_division(options: Any, roster: Roster, zone: str) -> Any:
-    """The Division. Raises MalformedError where the roster's zones are not the platform's."""
-    from wickhinge.shared.budgets import Division
+    """The BudgetDivision. Raises MalformedError where the roster's zones are not the platform's."""
+    from wickhinge.shared.budgets import BudgetDivision
 
     mine = roster.local
     if mine.zone != zone and any(one.zone for one in roster.entries.values()):
@@ -287,7 +287,7 @@
             f"{zone!r}: caches' limits are dealt among a zone's routers"
         )
     names = options.shared.names or len(roster)
-    return Division(names, options.shared.processes or names + SPARE_PROCESSES)
+    return BudgetDivision(names, options.shared.processes or names + SPARE_PROCESSES)
 
 
 def make(options: Any, name: str, node: PeerHost) -> PeerTransport:
--- a/wickhinge/shared/budgets.py
+++ b/wickhinge/shared/budgets.py
@@ -14,18 +14,18 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Division:
+class BudgetDivision:
     """By what numbers shares are divided, the same for the whole fleet."""
 
-    names: int  # of all rosters in use together, at most
-    processes: int  # that run at once, at most: names, and those started twice or not ended yet
+    max_names: int  # of all rosters in use together, at most
+    max_processes: int  # that run at once, at most: names, and those started twice or not ended yet
 
-    def within(self, roster: Roster, zone: str) -> Division:
+    def within(self, roster: Roster, zone: str) -> BudgetDivision:
         """The numbers of one zone's routers: names that the roster does not hold yet may all come to be there."""
         if not zone:
             return self
-        names = sum(place.zone == zone for place in roster.entries.values()) + self.names - len(roster)
-        return Division(names, names + self.processes - self.names)
+        names = sum(place.zone == zone for place in roster.entries.values()) + self.max_names - len(roster)
+        return BudgetDivision(names, names + self.max_processes - self.max_names)
 
 
 @dataclass(frozen=True, slots=True)
@@ -48,14 +48,14 @@
         surplus: What is had and not wanted.
     """
 
-    def __init__(self, scope: BudgetScope, division: Division, now: float) -> None:
+    def __init__(self, scope: BudgetScope, division: BudgetDivision, now: float) -> None:
         self.zone = scope.zone
         self.division = division
         self.loans = Loans()
         self.share = 0.0
         self.buckets: dict[int | None, QuotaBucket] = {}
         if scope.quota is not None:
-            self.buckets[None] = QuotaBucket(scope.quota, division.processes, BURST_S, now)
+            self.buckets[None] = QuotaBucket(scope.quota, division.max_processes, BURST_S, now)
         self.demand = self.shortage = self.surplus = 0.0
 
     def set_share(self, share: float, now: float) -> None:
--- a/wickhinge/shared/lending_peers.py
+++ b/wickhinge/shared/lending_peers.py
@@ -9,7 +9,7 @@
 from wickhinge.common.log_event import LogEvent
 from wickhinge.peers.detector import FailureDetector
 from wickhinge.peers.messages import MessageKind
-from wickhinge.shared.budgets import Division
+from wickhinge.shared.budgets import BudgetDivision
 from wickhinge.shared.lending_payload import Level, LoanAmount, LoanReturn
 
 LEVEL_MAX_AGE_S = 5.0  # for which a peer's levels count
@@ -44,7 +44,7 @@
     Messages are sent at once, since loans are short.
     """
 
-    def __init__(self, detector: FailureDetector, division: Division, log: LogEvent) -> None:
+    def __init__(self, detector: FailureDetector, division: BudgetDivision, log: LogEvent) -> None:
         self._detector = detector
         self._division = division
         self._log = log
@@ -71,7 +71,7 @@
 
     def divides_alike(self, name: str, division: tuple[int, int]) -> bool:
         """Whether a peer divides by our numbers; else nothing of its shares and ours fits together."""
-        if division == (self._division.names, self._division.processes):
+        if division == (self._division.max_names, self._division.max_processes):
             self._mismatched.discard(name)
             return True
         if name not in self._mismatched:
--- a/wickhinge/shared/name_lease.py
+++ b/wickhinge/shared/name_lease.py
@@ -20,7 +20,7 @@
 PERIODS_PER_ROUTER = 0.5  # that it takes to hear a majority, by one health check a PROBE_PERIOD_S
 
 
-def lease_term(routers: int) -> float:
+def lease_term_s(routers: int) -> float:
     """Seconds of a granted term.
 
     Work a second is the same at any size, so a larger fleet takes longer to hear a majority: half as many periods as
@@ -33,23 +33,23 @@
     """Both sides: what others grant to our incarnation, and what we grant to theirs.
 
     Attributes:
-        routers: On the roster.
-        term: Seconds that a grant lasts.
+        roster_size: On the roster.
+        term_s: Seconds that a grant lasts.
         started_at: When this process came up: its predecessor's grants are unknown to it.
     """
 
     def __init__(self, routers: int, now: float) -> None:
-        self.routers = routers
+        self.roster_size = routers
         self.started_at = now
-        self.term = lease_term(routers)
+        self.term_s = lease_term_s(routers)
         self._received: dict[str, float] = {}  # granter: until when, by our clock
         self._granted: dict[str, tuple[int, float]] = {}  # name: its incarnation, and until when by our clock
 
     def resize(self, routers: int, names: set[str], now: float) -> None:
         """Take another roster. What was granted stands for as long as it was granted, also to names that have left."""
-        if lease_term(routers) > self.term:
+        if lease_term_s(routers) > self.term_s:
             self.started_at = now  # what others granted by the longer term is not known to have ended any sooner
-        self.routers, self.term = routers, lease_term(routers)
+        self.roster_size, self.term_s = routers, lease_term_s(routers)
         self._received = {name: until for name, until in self._received.items() if name in names}
 
     def clear_received(self) -> None:
@@ -58,26 +58,26 @@
 
     def grant(self, name: str, incarnation: int, now: float) -> bool:
         """Grant a term from now on; False where another incarnation may still hold the lease."""
-        if now - self.started_at <= self.term * (1 + MAX_CLOCK_DRIFT) and self.routers > 1:
+        if now - self.started_at <= self.term_s * (1 + MAX_CLOCK_DRIFT) and self.roster_size > 1:
             return False
         granted = self._granted.get(name)
         if granted is not None and granted[0] != incarnation and now <= granted[1]:
             return False
-        self._granted[name] = incarnation, now + self.term * (1 + MAX_CLOCK_DRIFT)
-        if len(self._granted) > 2 * self.routers:  # names that left
+        self._granted[name] = incarnation, now + self.term_s * (1 + MAX_CLOCK_DRIFT)
+        if len(self._granted) > 2 * self.roster_size:  # names that left
             self._granted = {other: granted for other, granted in self._granted.items() if now <= granted[1]}
         return True
 
     def receive(self, granter: str, asked_at: float, now: float) -> None:
         """Take in a grant that was asked for at that time."""
-        until = asked_at + self.term * (1 - MAX_CLOCK_DRIFT)
+        until = asked_at + self.term_s * (1 - MAX_CLOCK_DRIFT)
         if until > max(now, self._received.get(granter, 0.0)):
             self._received[granter] = until
 
     def held_until(self, now: float) -> float:
         """Until when a majority of the others has granted us the lease; a time past where none has."""
-        if self.routers == 1:
-            return now + self.term
-        majority = (self.routers - 1) // 2 + 1
+        if self.roster_size == 1:
+            return now + self.term_s
+        majority = (self.roster_size - 1) // 2 + 1
         ends = sorted(self._received.values(), reverse=True)
         return ends[majority - 1] if len(ends) >= majority else 0.0
--- a/wickhinge/shared/outlier_detection.py
+++ b/wickhinge/shared/outlier_detection.py
@@ -160,7 +160,7 @@
             if verdict.server in self.evidence and verdict.age <= VERDICT_MAX_AGE_S:
                 self.peer_verdicts.record(name, verdict, now)
 
-    def figures(self, now: float) -> dict[str, object]:
+    def report_fields(self, now: float) -> dict[str, object]:
         """For operators: our own verdicts, and the others'."""
         by_server = sorted(self.peer_verdicts.by_server.items())[:MAX_LISTED]
         return {
--- a/wickhinge/shared/quota_lending.py
+++ b/wickhinge/shared/quota_lending.py
@@ -24,7 +24,7 @@
 from wickhinge.peers.detector import FailureDetector
 from wickhinge.peers.messages import MessageKind
 from wickhinge.shared import lending_payload
-from wickhinge.shared.budgets import Budget, BudgetScope, Division
+from wickhinge.shared.budgets import Budget, BudgetDivision, BudgetScope
 from wickhinge.shared.lending_payload import LendingMessage, Level, LoanAmount, LoanReturn
 from wickhinge.shared.lending_peers import Echo, LendingPeers
 from wickhinge.shared.name_lease import MAX_CLOCK_DRIFT, NameLeases
@@ -56,7 +56,7 @@
     def __init__(
         self,
         detector: FailureDetector,
-        division: Division,
+        division: BudgetDivision,
         scopes: list[BudgetScope],
         now: float,
         log: LogEvent = ignore_event,
@@ -66,10 +66,10 @@
         Raises:
             ValueError: The roster has more names than the division counts.
         """
-        if not len(detector.roster) <= division.names <= division.processes:
+        if not len(detector.roster) <= division.max_names <= division.max_processes:
             raise ValueError(
-                f"{len(detector.roster)} names on the roster, divided among {division.names} names and "
-                f"{division.processes} processes"
+                f"{len(detector.roster)} names on the roster, divided among {division.max_names} names and "
+                f"{division.max_processes} processes"
             )
         self.division = division
         self.lagging_clock = 0.0
@@ -140,7 +140,7 @@
     def update_share(self, budget: Budget, now: float) -> None:
         """Update the share to what holds now; called before anything is spent, lent or said by it."""
         own = max(self._home_share(budget, now) - budget.loans.total_lent(self.lagging_clock), 0.0)
-        share = FLOOR_SHARE / budget.division.processes + own + budget.loans.total_borrowed(now)
+        share = FLOOR_SHARE / budget.division.max_processes + own + budget.loans.total_borrowed(now)
         budget.set_share(share, self.lagging_clock)
         budget.update_levels(own)
 
@@ -177,7 +177,7 @@
         echo, outbox = self._peers.take_echo(to), self._peers.take_outbox(to)
         limit = lending_payload.MAX_ITEMS
         message = LendingMessage(
-            (self.division.names, self.division.processes),
+            (self.division.max_names, self.division.max_processes),
             self._ticked_at,
             echo.clock,
             echo.lease_granted,
@@ -201,13 +201,13 @@
         self._exchange_leases(name, message, now)
         self._exchange_loans(name, message, now)
 
-    def figures(self, now: float) -> dict[str, object]:
+    def report_fields(self, now: float) -> dict[str, object]:
         """For operators: by what this router spends, and until when it holds its name's lease."""
         self.refresh(now)
         return {
             "vouched_s": round(max(self.lease_until - now, 0.0), 1),
-            "names": self.division.names,
-            "processes": self.division.processes,
+            "names": self.division.max_names,
+            "processes": self.division.max_processes,
             "differ": self._peers.mismatched_count,
             "budgets": [
                 {
@@ -235,7 +235,7 @@
         if now >= self.lease_until:
             return 0.0
         is_alone = len(self._detector.roster) == 1
-        return (1 - FLOOR_SHARE) / (budget.division.processes if is_alone else budget.division.names)
+        return (1 - FLOOR_SHARE) / (budget.division.max_processes if is_alone else budget.division.max_names)
 
     # Loans.
 
--- a/wickhinge/shared/request_tallies.py
+++ b/wickhinge/shared/request_tallies.py
@@ -3,8 +3,8 @@
 Alone, a router takes the others for as loaded as itself (`Endpoints.count`), which is wrong by as much as their loads
 differ. Here each tells how many requests it has in flight, with a number that rises, and passes on what it knows of its
 zone's others (gossip): of each name the largest (epoch, incarnation, number) counts, in whatever order, however often
-it comes. Merging is a maximum a name, so it ends the same everywhere. A tally counts no more after MAX_AGE_S; whoever
-is not heard of is guessed as before, so without tallies everything is as it is alone.
+it comes. Merging is a maximum a name, so it ends the same everywhere. A tally counts no more after TALLY_MAX_AGE_S;
+whoever is not heard of is guessed as before, so without tallies everything is as it is alone.
 
 What a name says itself goes before what is said of it. What is passed on counts only of the incarnation that this
 router believes, and its number may have risen only as fast as numbers do.
@@ -26,8 +26,8 @@
 from wickhinge.shared.ports import Endpoints, Server
 
 TALLY_INTERVAL_S = 0.25  # from one tally of our own to the next, each told to one peer of the zone
-MAX_AGE_S = 3.0
-MAX_RELAYED = 4  # tallies of others in a datagram, those passed on least first
+TALLY_MAX_AGE_S = 3.0
+MAX_RELAYED_TALLIES = 4  # tallies of others in a datagram, those passed on least first
 MAX_PAYLOAD_BYTES = 420
 MAX_REQUESTS = 10_000  # in flight at one server, by one router
 MAX_SERVERS = 256
@@ -59,8 +59,8 @@
         DatagramError: They are none, or have numbers that no router sends.
     """
     tallies: list[Tally] = decode_body(decoder, data)
-    if len(tallies) > MAX_RELAYED + 1:
-        raise DatagramError(f"expected at most {MAX_RELAYED + 1} tallies")
+    if len(tallies) > MAX_RELAYED_TALLIES + 1:
+        raise DatagramError(f"expected at most {MAX_RELAYED_TALLIES + 1} tallies")
     for tally in tallies:
         if len(tally.in_flight) > MAX_SERVERS or not all(0 <= count <= MAX_REQUESTS for count in tally.in_flight):
             raise DatagramError(f"expected at most {MAX_SERVERS} counts from 0 to {MAX_REQUESTS}")
@@ -71,7 +71,7 @@
     return tallies
 
 
-def hash_list(marks: list[int]) -> int:
+def hash_server_ids(marks: list[int]) -> int:
     """The same number for the same servers, 32 bits."""
     return xxh32_intdigest(b"".join(mark.to_bytes(4) for mark in marks))
 
@@ -89,7 +89,7 @@
     """Exchanges tallies with the zone's other routers.
 
     Attributes:
-        known: The latest tally of each other router.
+        latest_tallies: The latest tally of each other router.
         list_hash: Of our own list of caches.
         refused: Tallies whose number rose too fast.
         unreadable: Payloads that could not be read.
@@ -99,7 +99,7 @@
         """Begin without tallies; the reports in the endpoint list and its caches are set here."""
         self.detector = detector
         self.endpoints = endpoints
-        self.known: dict[str, KnownTally] = {}
+        self.latest_tallies: dict[str, KnownTally] = {}
         self.list_hash = 0
         self.refused = 0
         self.unreadable = 0
@@ -121,29 +121,31 @@
         caches = sorted(self.endpoints.edge_caches, key=lambda cache: cache.id)[:MAX_SERVERS]
         self._count(caches)
         peers = self.zone_peers()
-        for name in [name for name, known in self.known.items() if not self._counts(known, now) or name not in peers]:
-            del self.known[name]
+        for name in [
+            name for name, known in self.latest_tallies.items() if not self._counts(known, now) or name not in peers
+        ]:
+            del self.latest_tallies[name]
         self._update_endpoints(caches)
         self._tell_one(peers, now)
 
-    def merge(self, tally: Tally, counted_at: float, *, from_itself: bool) -> bool:
-        """Take in a tally; False where it is not the latest of its name. from_itself: told by that very name."""
+    def merge(self, tally: Tally, counted_at: float, *, is_firsthand: bool) -> bool:
+        """Take in a tally; False where it is not the latest of its name. is_firsthand: told by that very name."""
         entry = self.detector.members.get(tally.name)
         if entry is None or (tally.epoch, tally.incarnation) != (entry.epoch, entry.incarnation):
             return False
-        known = self.known.get(tally.name)
+        known = self.latest_tallies.get(tally.name)
         if known is not None and (known.tally.epoch, known.tally.incarnation) == (tally.epoch, tally.incarnation):
             step = tally.number - known.tally.number
-            most_in_flight = MAX_NUMBER_SPEEDUP * MAX_AGE_S / TALLY_INTERVAL_S + NUMBERS_AHEAD
+            most_in_flight = MAX_NUMBER_SPEEDUP * TALLY_MAX_AGE_S / TALLY_INTERVAL_S + NUMBERS_AHEAD
             elapsed = max(counted_at - known.counted_at, 0.0)
-            if from_itself and -step > most_in_flight:
+            if is_firsthand and -step > most_in_flight:
                 pass  # none of its datagrams is so late: what we were told before was not its own
             elif step <= 0:
                 return False
-            elif not from_itself and step > MAX_NUMBER_SPEEDUP * elapsed / TALLY_INTERVAL_S + NUMBERS_AHEAD:
+            elif not is_firsthand and step > MAX_NUMBER_SPEEDUP * elapsed / TALLY_INTERVAL_S + NUMBERS_AHEAD:
                 self.refused += 1
                 return False
-        self.known[tally.name] = KnownTally(tally, counted_at)
+        self.latest_tallies[tally.name] = KnownTally(tally, counted_at)
         return True
 
     def payload(self, to: str) -> bytes:
@@ -163,8 +165,8 @@
             self._in_flight,
         )
         tallies, size = [own], len(encoder.encode([own]))
-        candidates = sorted(self.known.values(), key=lambda known: (known.relayed, known.tally.name))
-        for known in candidates[:MAX_RELAYED]:
+        candidates = sorted(self.latest_tallies.values(), key=lambda known: (known.relayed, known.tally.name))
+        for known in candidates[:MAX_RELAYED_TALLIES]:
             if known.tally.name == to:
                 continue
             tally = msgspec.structs.replace(known.tally, age=round(max(now - known.counted_at, 0.0), 2))
@@ -184,14 +186,14 @@
             return
         peers = set(self.zone_peers())
         for tally in tallies:
-            if tally.name in peers and tally.age <= MAX_AGE_S:
-                self.merge(tally, now - tally.age, from_itself=tally.name == name)
+            if tally.name in peers and tally.age <= TALLY_MAX_AGE_S:
+                self.merge(tally, now - tally.age, is_firsthand=tally.name == name)
 
-    def figures(self, now: float) -> dict[str, object]:
+    def report_fields(self, now: float) -> dict[str, object]:
         """For operators: how many routers' tallies count."""
-        ages = [now - known.counted_at for known in self.known.values()]
+        ages = [now - known.counted_at for known in self.latest_tallies.values()]
         return {
-            "heard": sum(known.tally.list_hash == self.list_hash for known in self.known.values()),
+            "heard": sum(known.tally.list_hash == self.list_hash for known in self.latest_tallies.values()),
             "of": len(self.zone_peers()),
             "oldest_s": round(max(ages, default=0.0), 2),
             "refused": self.refused,
@@ -200,17 +202,19 @@
 
     @staticmethod
     def _counts(known: KnownTally, now: float) -> bool:
-        return 0.0 <= now - known.counted_at <= MAX_AGE_S
+        return 0.0 <= now - known.counted_at <= TALLY_MAX_AGE_S
 
     def _count(self, caches: list[Server]) -> None:
         marks = [cache.id for cache in caches]
         if marks != self._marks:
-            self._marks, self.list_hash = marks, hash_list(marks)
+            self._marks, self.list_hash = marks, hash_server_ids(marks)
         self._number += 1
         self._in_flight = [min(len(cache.pending), MAX_REQUESTS) for cache in caches]
 
     def _update_endpoints(self, caches: list[Server]) -> None:
-        fresh = [known.tally.in_flight for known in self.known.values() if known.tally.list_hash == self.list_hash]
+        fresh = [
+            known.tally.in_flight for known in self.latest_tallies.values() if known.tally.list_hash == self.list_hash
+        ]
         self.endpoints.reporting_routers = min(len(fresh), self.endpoints.routers - 1)
         for index, cache in enumerate(caches):
             total = sum(in_flight[index] for in_flight in fresh)
--- a/wickhinge/shared/slow_start_quota.py
+++ b/wickhinge/shared/slow_start_quota.py
@@ -4,9 +4,10 @@
 (`routing.SlowStart`). Here the limit of a server in slow start is a budget of the whole fleet, or of the server's
 zone: each such server has a bucket, all of one tier fill by the same share, which moves to where the demand is.
 
-Pieces. Of what a server bears in a window, PIECES_SHARE is set aside for pieces that meet, so many for each process:
+Pieces. Of what a server bears in a window, PIECES_SHARE_OF_LIMIT is set aside for pieces that meet, so many for each
+process:
 
-    piece = PIECES_SHARE * amount / processes
+    piece = PIECES_SHARE_OF_LIMIT * amount / processes
 
 A request goes where the bucket holds its work. One larger than the bucket ever holds (many routers, a small server)
 goes on credit where the bucket is full, and its debt is sat out: then what all send in any window is at most amount +
@@ -24,7 +25,7 @@
 from wickhinge.shared.quota_bucket import Quota, QuotaBucket
 from wickhinge.shared.quota_lending import LendingLimiter
 
-PIECES_SHARE = 0.02
+PIECES_SHARE_OF_LIMIT = 0.02
 CACHES, PARENTS = 0, 1  # budgets of the limiter, in this order
 IDLE_S = 5.0  # by the limiter's clock without a request, after which a server's bucket is given up
 SWEEP_INTERVAL_S = 1.0
@@ -103,12 +104,12 @@
             return None
         if isinstance(present, ServerBucket) and present.server is server and present.quota.window_s == window_s:
             if amount != present.quota.amount:  # it warms up
-                piece = PIECES_SHARE * amount / budget.division.processes
+                piece = PIECES_SHARE_OF_LIMIT * amount / budget.division.max_processes
                 present.set_quota(Quota(amount, window_s, piece), self.limiter.lagging_clock)
             return present
         self.limiter.refresh(now)
-        processes = budget.division.processes
-        quota = Quota(amount, window_s, PIECES_SHARE * amount / processes)
+        processes = budget.division.max_processes
+        quota = Quota(amount, window_s, PIECES_SHARE_OF_LIMIT * amount / processes)
         bucket = ServerBucket(server, quota, processes, self.limiter.lagging_clock)
         budget.buckets[server.id] = bucket
         bucket.set_share(budget.share, self.limiter.lagging_clock)
