--- a/bench/fleet.py
+++ b/bench/fleet.py
@@ -240,7 +240,7 @@
                 self.transport.write(resp.pack(items[1], b"UP", b"use=util:0.1;x1:0.2", b""))
 
     def asked(self, tag: bytes, told: bytes, body_in: bytes) -> None:
-        fields, world = resp.fields(told), self.world
+        fields, world = resp.parse_fields(told), self.world
         world.heard(self.place, fields, body_in)
         key, part = int(fields.get("path", "0"), 16), int(fields.get("blk", "0"))
         held = self.kind == "origin" or (key, part) in self.kept
--- a/bench/scale/connections.py
+++ b/bench/scale/connections.py
@@ -11,7 +11,7 @@
 from wickhinge.net.downstream import descriptors
 from wickhinge.net.runtime.buffers import BufferPool
 from wickhinge.net.runtime.log import MAX_QUEUED_LINES, Log
-from wickhinge.net.upstream.connection_pools import LINES, UpstreamConnection
+from wickhinge.net.upstream.connection_pools import MAX_CONNECTIONS_PER_SERVER, UpstreamConnection
 
 POOL = 1 << 20  # bytes, of a router's pool of buffers
 LINE_OF_LOG = {"machine": "s-00c41f7a", "verdict": "lost", "witnesses": 3}
@@ -20,21 +20,21 @@
 def lines(caches: int) -> list[Any]:
     """As many connections as a router may hold to so many caches, without their sockets."""
     owner = SimpleNamespace(
-        pool=BufferPool(POOL, lambda: None, lambda: None), deadlines=SimpleNamespace(now=lambda: 0.0)
+        buffer_pool=BufferPool(POOL, lambda: None, lambda: None), deadlines=SimpleNamespace(now=lambda: 0.0)
     )
-    machine = SimpleNamespace(caches=owner)
-    return [UpstreamConnection(machine) for _ in range(LINES * caches)]
+    machine = SimpleNamespace(pools=owner)
+    return [UpstreamConnection(machine) for _ in range(MAX_CONNECTIONS_PER_SERVER * caches)]
 
 
 def descriptors_needed(caches: int) -> float:
     """The limit of descriptors at which each cache may have all of its connections."""
-    return descriptors.SHARE_OF_MACHINES * LINES * caches
+    return descriptors.SHARE_OF_MACHINES * MAX_CONNECTIONS_PER_SERVER * caches
 
 
 def connections(meter: Meter) -> list[Row]:
     caches = meter.sizes(5, 14, 60, 200, 710)
     held = [memory(lambda size=size: lines(size)) for size in caches]
-    state = [float(LINES * size) for size in caches]
+    state = [float(MAX_CONNECTIONS_PER_SERVER * size) for size in caches]
     needed = [float(descriptors_needed(size)) for size in caches]
     return [
         row("connections", "router", "memory", "caches of a zone", caches, held, "B", "virtual", "tracemalloc of Line"),
@@ -47,7 +47,7 @@
             state,
             "connections",
             "computed",
-            f"at most {LINES} a cache",
+            f"at most {MAX_CONNECTIONS_PER_SERVER} a cache",
         ),
         row(
             "descriptors",
--- a/bench/soak/planted.py
+++ b/bench/soak/planted.py
@@ -61,23 +61,23 @@
 
 def forgotten_reload() -> None:
     """Reloads are noted and never done."""
-    from wickhinge.common.owed_reload import OwedReload
+    from wickhinge.common.config_reload import ConfigReload
 
-    OwedReload.request = lambda self, number: None
+    ConfigReload.request = lambda self, number: None
 
 
 def deaf_to_the_last_reload() -> None:
     """A reload that follows another is taken for the same one."""
-    from wickhinge.common.owed_reload import OwedReload
+    from wickhinge.common.config_reload import ConfigReload
 
-    request, last = OwedReload.request, [0.0]
+    request, last = ConfigReload.request, [0.0]
 
     def deaf(self, number):
         now, last[0] = last[0], time.monotonic()
         if last[0] - now > 0.5:
             request(self, number)
 
-    OwedReload.request = deaf
+    ConfigReload.request = deaf
 
 
 def attempt_after_the_end() -> None:
--- a/bench/soak/stand_ins.py
+++ b/bench/soak/stand_ins.py
@@ -185,7 +185,7 @@
 
     def asked(self, tag: bytes, told: bytes, body_in: bytes) -> None:
         """A request has come whole."""
-        fields, world = resp.fields(told), self.world
+        fields, world = resp.parse_fields(told), self.world
         attempt = Attempt(tag.decode(), self.server, time.monotonic(), fields)
         world.record.attempts.append(attempt)
         how = world.behaviour(self.server)
--- a/setup.py
+++ b/setup.py
@@ -11,7 +11,7 @@
 
 COLD = {
     "wickhinge/common/connector.py",
-    "wickhinge/common/owed_reload.py",
+    "wickhinge/common/config_reload.py",
     "wickhinge/common/process_signals.py",
     "wickhinge/common/start_attempts.py",
     "wickhinge/net/control/changelog_client.py",
--- a/tests/changelog/test_router_changes.py
+++ b/tests/changelog/test_router_changes.py
@@ -34,7 +34,7 @@
         log=SimpleNamespace(event=lambda event, **fields: told.append(event)),
         decisions=SimpleNamespace(purges=Purges(6.0)),
         local_copies=LocalCopies(store, None, None, None, 0.1, None, SimpleNamespace(earliest=lambda made, now: made)),
-        attempts=SimpleNamespace(overtaken=lambda holds: told.append(holds)),
+        attempts=SimpleNamespace(recall_unwritten=lambda holds: told.append(holds)),
         move_endpoint_watch=lambda address: told.append(address),
         updates=SimpleNamespace(
             purge=lambda *given: told.append(given), record_purge=lambda *given: told.append(given)
--- a/tests/common/test_owed_reload.py
+++ b/tests/common/test_config_reload.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from wickhinge.common.owed_reload import MAX_RETRY_DELAY_S, OwedReload
+from wickhinge.common.config_reload import MAX_RETRY_DELAY_S, ConfigReload
 from wickhinge.fields import MalformedError, UnreadableFileError
 
 
@@ -10,7 +10,7 @@
     def __init__(self, in_force=0):
         self.now, self.calls, self.events, self.tries = 0.0, [], [], []
         self.outcomes = []  # errors to raise, None for success; past the last: success
-        self.owed = OwedReload(self.reload, self.later, self.log, in_force)
+        self.owed = ConfigReload(self.reload, self.later, self.log, in_force)
 
     def later(self, delay, call, *arguments):
         self.calls.append((self.now + delay, len(self.tries), call, arguments))
--- a/tests/common/test_start_attempts.py
+++ b/tests/common/test_start_attempts.py
@@ -101,30 +101,30 @@
 
 
 def test_a_shutdown_was_requested_after_the_last_turn_that_began_before_its_signal_was_handled(signals):
-    signals.turn_begins(10.0)
-    signals.turn_begins(11.0)
+    signals.record_turn_start(10.0)
+    signals.record_turn_start(11.0)
     os.kill(os.getpid(), signal.SIGTERM)
-    signals.turn_begins(12.0)
+    signals.record_turn_start(12.0)
     os.kill(os.getpid(), signal.SIGTERM)
-    assert signals.shutdown_requested_after == 11.0
+    assert signals.shutdown_not_requested_before == 11.0
 
 
 def test_a_signal_that_is_handled_as_a_turn_begins_may_have_come_before_it(signals):
-    signals.turn_begins(10.0)
+    signals.record_turn_start(10.0)
     signal.pthread_sigmask(signal.SIG_BLOCK, [signal.SIGTERM])
     try:
         os.kill(os.getpid(), signal.SIGTERM)
         now = 11.0  # read while the signal lies
     finally:
         signal.pthread_sigmask(signal.SIG_UNBLOCK, [signal.SIGTERM])
-    signals.turn_begins(now)
-    assert signals.shutdown_requested_after == 10.0
+    signals.record_turn_start(now)
+    assert signals.shutdown_not_requested_before == 10.0
 
 
 def test_a_shutdown_that_was_requested_before_the_first_turn_has_no_earliest_time(signals):
     os.kill(os.getpid(), signal.SIGTERM)
-    signals.turn_begins(10.0)
-    assert signals.shutdown_requested and signals.shutdown_requested_after is None
+    signals.record_turn_start(10.0)
+    assert signals.shutdown_requested and signals.shutdown_not_requested_before is None
 
 
 def test_signals_are_noted_and_delivered_once_a_turn_until_they_are_ignored(signals):
--- a/tests/net/test_crossings.py
+++ b/tests/net/test_crossings.py
@@ -404,15 +404,23 @@
 @pytest.mark.parametrize("room", [0, 4])
 def test_what_is_not_wholly_written_when_its_visit_is_over_never_becomes_a_request(room):
     made, ends, soon, _ = line(room)
-    forwards = attempts(made.caches)
-    made.caches.report_to(SimpleNamespace(begin=forwards.begin, answered=forwards.answered, ended=ends.__setitem__))
+    forwards = attempts(made.pools)
+    made.pools.set_owner(
+        SimpleNamespace(
+            build_frame=forwards.build_frame,
+            response_received=forwards.response_received,
+            attempt_ended=ends.__setitem__,
+        )
+    )
     door = SimpleNamespace(trace=RequestTrace(0.0, 0.0))
     number = forwards.slots.put(SentAttempt(door, None, SimpleNamespace(mark=1), 0.0, 1.0))
     sent = forwards.slots.get(number)
-    sent.line, sent.tag = made, b"a"
+    sent.connection, sent.tag = made, b"a"
     made.send(b"a", number, resp.pack(b"REQ", b"a", b"-", b""))
     forwards.recall(number)
-    assert (not made.queue) is (room == 0)  # begun, it may go on after a drain was told: its first byte went before
+    assert (not made.write_queue) is (
+        room == 0
+    )  # begun, it may go on after a drain was told: its first byte went before
     forwards.recall(number, True)
     made.socket.room = 1 << 20
     made.resumeProducing()
@@ -424,7 +432,7 @@
     made, ends, _, _ = line(0)
     made.send(b"a", 1, b"x")
     made.dataReceived(resp.pack(b"a", b"BUSY", b"-", b""))
-    assert ends == {} and made.open == {b"a": 1} and made.queue
+    assert ends == {} and made.pending == {b"a": 1} and made.write_queue
 
 
 def test_an_answer_that_trickles_on_after_its_visit_holds_no_other_up_for_long():
@@ -434,60 +442,60 @@
     made.dataReceived(resp.pack(b"a", b"OK", b"-", b"x" * 500)[:-99])
     for turn in range(12):
         if turn == 4:
-            made.stop(b"a", 100.0)
-        call, told = next(item for item in soon if item[0] == made.watch)
+            made.cancel(b"a", 100.0)
+        call, told = next(item for item in soon if item[0] == made.check_progress)
         soon.clear()
         now[0] += 0.2
         made.dataReceived(b"x")
         call(*told)
         if turn == 3:
-            assert not made.doubted and ends == {}  # slow, but somebody waits for it
-        if made.down:
+            assert not made.is_suspect and ends == {}  # slow, but somebody waits for it
+        if made.has_ended:
             break
-    assert ends == {2: AttemptResult.UNREADABLE} and 9 <= turn <= 10 and made.caches.pool.out == 0
+    assert ends == {2: AttemptResult.UNREADABLE} and 9 <= turn <= 10 and made.pools.buffer_pool.out == 0
 
 
 def test_an_id_is_not_used_again_where_a_late_answer_came_for_it():
     made, *_ = line()
     made.send(b"a", 1, b"x")
-    made.stop(b"a", 100.0)
+    made.cancel(b"a", 100.0)
     made.dataReceived(resp.pack(b"a", b"OK", b"-", b""))  # and once more, some milliseconds later
-    assert b"a" in made.left
+    assert b"a" in made.used_tags
 
 
 @pytest.mark.parametrize("word, again", [(b"MISS", True), (b"BUSY", False), (b"ERR", False), (b"VOID", False)])
 def test_after_what_answer_a_visit_may_come_again_on_the_same_connection(word, again):
     made, *_ = line()
-    forwards = attempts(made.caches)
-    forwards.ended = lambda *_: None
+    forwards = attempts(made.pools)
+    forwards.attempt_ended = lambda *_: None
     door = DownstreamRequest(SimpleNamespace(taken=1), None, 1, "a", request_class(), 0.0)
     number = forwards.slots.put(SentAttempt(door, None, None, 0.0, 1.0))
-    forwards.slots.get(number).line, forwards.slots.get(number).tag = made, b"a"
-    assert forwards.answered(number, word, b"-", None)
-    assert (b"a" not in made.left) is again
+    forwards.slots.get(number).connection, forwards.slots.get(number).tag = made, b"a"
+    assert forwards.response_received(number, word, b"-", None)
+    assert (b"a" not in made.used_tags) is again
 
 
 @pytest.mark.parametrize("held, again", [(False, True), (True, False)])
 def test_what_a_source_holds_is_not_asked_for_where_the_look_missed(held, again):
     """A fill cannot end as a miss, an ask for what is held can: the look's miss, come twice, would be taken for it."""
     made, *_ = line()
-    forwards = attempts(made.caches)
-    forwards.ended = lambda *_: None
+    forwards = attempts(made.pools)
+    forwards.attempt_ended = lambda *_: None
     door, cache = (
         DownstreamRequest(SimpleNamespace(taken=1), None, 1, "a", request_class(), 0.0),
         SimpleNamespace(id=1),
     )
     door.until = 200.0
     number = forwards.slots.put(SentAttempt(door, None, cache, 0.0, 1.0))
-    forwards.slots.get(number).line, forwards.slots.get(number).tag = made, b"a"
-    assert forwards.answered(number, b"MISS", b"-", None)
-    made.caches.most = 0  # no other connection may be made, so none takes it
+    forwards.slots.get(number).connection, forwards.slots.get(number).tag = made, b"a"
+    assert forwards.response_received(number, b"MISS", b"-", None)
+    made.pools.max_connections = 0  # no other connection may be made, so none takes it
     source = SimpleNamespace(id=2)
     request = SimpleNamespace(local_copy=None, router=SimpleNamespace(endpoints=SimpleNamespace(edge_caches=[])))
     forward = Attempt(request, cache, source, 0.0, only_if_cached=held)
     parameters = AttemptParameters(forward, cache, 200.0, source, 1, None, False, held, False)
     forwards.send(door, parameters)
-    assert (b"a" in made.open) is again
+    assert (b"a" in made.pending) is again
 
 
 # Settings in which something is not allowed, or 0.
--- a/tests/net/test_descriptors.py
+++ b/tests/net/test_descriptors.py
@@ -448,18 +448,18 @@
     )
     made = ConnectionPools(clock, pool()[0], PoolSettings(0.4, 15.0, 100, most), lambda *_, **more: None)
     for mark in range(machines):
-        made.listed(mark, str(mark), ("127.0.0.1", 1))
+        made.add_or_move(mark, str(mark), ("127.0.0.1", 1))
     return made, clock
 
 
 def connected(caches, clock, mark):
     """A connection to a machine that is up, with nothing open."""
     clock.time += 1.0
-    line = caches.machines[mark].send(b"a", mark, b"")
+    line = caches.pools_by_id[mark].send(b"a", mark, b"")
     line.transport = Wire()
     line.transport.getHandle = lambda: line.transport
     line.connectionMade()
-    line.open.clear()
+    line.pending.clear()
     return line
 
 
@@ -467,13 +467,13 @@
     """Before, the attempt and the probe had no descriptor as long as other machines' connections rested."""
     caches, clock = caches_with(3, machines=4)
     lines = [connected(caches, clock, mark) for mark in range(3)]
-    lines[0].open[b"b"] = 9  # in use
-    attempt = caches.machines[3].send(b"c", 10, b"")
-    assert attempt is not None and caches.machines[3].lines == [attempt]
-    assert [line.closing for line in lines] == [False, True, False]
-    assert caches.held == 4  # the one that goes is not closed yet
+    lines[0].pending[b"b"] = 9  # in use
+    attempt = caches.pools_by_id[3].send(b"c", 10, b"")
+    assert attempt is not None and caches.pools_by_id[3].connections == [attempt]
+    assert [line.is_closing for line in lines] == [False, True, False]
+    assert caches.open_descriptors == 4  # the one that goes is not closed yet
     lines[1].connectionLost(SimpleNamespace(getErrorMessage=str))
-    assert caches.held == 3
+    assert caches.open_descriptors == 3
 
 
 def test_a_line_whose_peer_takes_nothing_gives_its_descriptor_back():
@@ -481,7 +481,7 @@
     caches, clock = caches_with(3, machines=1)
     line = connected(caches, clock, 0)
     line.transport.room = 0
-    line.put(b"", b"STOP")
+    line.enqueue(b"", b"STOP")
     line.close()
     assert "abortConnection" in line.transport.calls and "loseConnection" not in line.transport.calls
 
@@ -493,7 +493,7 @@
         deadlines = Deadlines(reactor, [].append)
         caches = ConnectionPools(deadlines, pool()[0], PoolSettings(5.0, 15.0, 100, 3), lambda *_, **more: None)
         for mark, place in enumerate(places):
-            caches.listed(mark, str(mark), place.getsockname())
+            caches.add_or_move(mark, str(mark), place.getsockname())
 
         def until(told):
             end = time.monotonic() + PATIENT
@@ -503,17 +503,17 @@
 
         def exchange(mark):
             """A request and its answer on a new connection, as the machine has it."""
-            line = caches.machines[mark].send(b"%d" % mark, mark, resp.pack(b"REQ", b"%d" % mark, b"-", b""))
-            until(lambda: line.up)
+            line = caches.pools_by_id[mark].send(b"%d" % mark, mark, resp.pack(b"REQ", b"%d" % mark, b"-", b""))
+            until(lambda: line.is_up)
             made = stack.enter_context(places[mark].accept()[0])
             made.settimeout(PATIENT)
             assert b"REQ" in made.recv(4096)
             made.sendall(resp.pack(b"%d" % mark, b"OK", b"-", b""))
-            until(lambda: not line.open)
+            until(lambda: not line.pending)
             return made
 
         peers = [exchange(mark) for mark in range(4)]
-        until(lambda: caches.held == 3)
+        until(lambda: caches.open_descriptors == 3)
         assert peers[0].recv(1) == b""  # the first was closed
         for peer in peers[1:]:
             peer.setblocking(False)
@@ -525,9 +525,9 @@
     caches, clock = caches_with(3, machines=20)
     for mark in range(3):
         connected(caches, clock, mark)
-    attempts = [caches.machines[mark].send(b"c", mark, b"") for mark in range(3, 20)]
+    attempts = [caches.pools_by_id[mark].send(b"c", mark, b"") for mark in range(3, 20)]
     assert sum(attempt is not None for attempt in attempts) == 3  # none of those in use goes for another
-    assert caches.held == 6 <= caches.most + CLOSING
-    caches.held = caches.most + CLOSING
-    caches.machines[3].lines.clear()
-    assert caches.machines[3].send(b"d", 30, b"") is None
+    assert caches.open_descriptors == 6 <= caches.max_connections + CLOSING
+    caches.open_descriptors = caches.max_connections + CLOSING
+    caches.pools_by_id[3].connections.clear()
+    assert caches.pools_by_id[3].send(b"d", 30, b"") is None
--- a/tests/net/test_net.py
+++ b/tests/net/test_net.py
@@ -27,8 +27,13 @@
 from wickhinge.net.runtime.loop import Reactor
 from wickhinge.net.runtime.slots import Slots
 from wickhinge.net.upstream import resp
-from wickhinge.net.upstream.attempt_results import OUTCOMES_BY_RESULT, RESULTS_BY_STATUS, AttemptResult, unconnected
-from wickhinge.net.upstream.attempts import NOTES, SentAttempt
+from wickhinge.net.upstream.attempt_results import (
+    OUTCOMES_BY_RESULT,
+    RESULTS_BY_STATUS,
+    AttemptResult,
+    connect_failure_result,
+)
+from wickhinge.net.upstream.attempts import CACHE_STATUS_BY_CODE, SentAttempt
 from wickhinge.net.upstream.connection_pools import ConnectionPools, PoolSettings, UpstreamConnection
 
 
@@ -143,8 +148,8 @@
     ],
 )
 def test_fields_of_answers(data, fields):
-    assert resp.fields(data) == fields
-    assert resp.loads(fields.get("use", "")) == ({"x1": 0.5} if "use" in fields else {})
+    assert resp.parse_fields(data) == fields
+    assert resp.parse_load_report(fields.get("use", "")) == ({"x1": 0.5} if "use" in fields else {})
 
 
 def frame(number, kind, payload=b""):
@@ -220,33 +225,33 @@
     }
     assert never == {
         AttemptResult.REFUSED,
-        AttemptResult.NO_CONNECT,
-        AttemptResult.RESET_NEW,
+        AttemptResult.CONNECT_FAILED,
+        AttemptResult.RESET_WHILE_CONNECTING,
         AttemptResult.NO_DESCRIPTOR,
-        AttemptResult.NOT_BEGUN,
+        AttemptResult.CONNECT_NOT_STARTED,
         AttemptResult.NO_ROUTE,
         AttemptResult.LOST_UNWRITTEN,
         AttemptResult.RECALLED,
         AttemptResult.BUSY,
         AttemptResult.MISS,
-        AttemptResult.VOID,
+        AttemptResult.SUPERSEDED,
     }
-    assert b"".join(NOTES) == b"hfojsrblnx"
+    assert b"".join(CACHE_STATUS_BY_CODE) == b"hfojsrblnx"
 
 
 @pytest.mark.parametrize(
     "reason, end",
     [
         (error.ConnectionRefusedError(), AttemptResult.REFUSED),
-        (error.TimeoutError(), AttemptResult.NO_CONNECT),
-        (error.ConnectingCancelledError(None), AttemptResult.NO_CONNECT),
+        (error.TimeoutError(), AttemptResult.CONNECT_FAILED),
+        (error.ConnectingCancelledError(None), AttemptResult.CONNECT_FAILED),
         (error.ConnectBindError(), AttemptResult.NO_DESCRIPTOR),
-        (error.NoRouteError(), AttemptResult.NO_CONNECT),
-        (error.ConnectError(osError=104), AttemptResult.RESET_NEW),
+        (error.NoRouteError(), AttemptResult.CONNECT_FAILED),
+        (error.ConnectError(osError=104), AttemptResult.RESET_WHILE_CONNECTING),
     ],
 )
 def test_why_no_connection_came_up(reason, end):
-    assert unconnected(Failure(reason)) is end
+    assert connect_failure_result(Failure(reason)) is end
 
 
 class Clock:
@@ -283,7 +288,7 @@
     made, ends, soon, _ = line(room)
     made.send(b"a", 1, resp.pack(b"REQ"))
     made.send(b"b", 2, resp.pack(b"REQ"))
-    made.stop(b"a", 100.0)
+    made.cancel(b"a", 100.0)
     made.socket.room = 1 << 20
     made.resumeProducing()
     made.resumeProducing()
@@ -293,7 +298,7 @@
         call(*told)
         assert ends == {2: AttemptResult.LOST_UNWRITTEN} and "abortConnection" in made.socket.calls
     else:
-        assert made.socket.data == resp.pack(b"REQ") and not made.unwritten
+        assert made.socket.data == resp.pack(b"REQ") and not made.unwritten_tags
 
 
 @pytest.mark.parametrize(
@@ -335,16 +340,16 @@
 def test_a_machine_silent_on_one_connection_is_not_asked_on_its_others(heard, doubted):
     """Each would have to be found silent by itself, by visits that run out of time."""
     made, _, _, now = line()
-    other = UpstreamConnection(made.machine)
-    made.machine.lines.append(other)
-    other.up, other.transport, other.socket = True, Wire(), Wire()
+    other = UpstreamConnection(made.pool)
+    made.pool.connections.append(other)
+    other.is_up, other.transport, other.socket = True, Wire(), Wire()
     other.send(b"b", 2, b"x")
     now[0] += 0.1
     made.send(b"a", 1, b"x")
-    other.heard += heard
+    other.last_received_at += heard
     now[0] += 0.5
-    made.stop(b"a", 100.1)
-    assert made.doubted and other.doubted is doubted
+    made.cancel(b"a", 100.1)
+    assert made.is_suspect and other.is_suspect is doubted
 
 
 def test_an_answer_that_stops_short_ends_its_connection():
@@ -359,16 +364,16 @@
     assert ends == {}
     del made.socket.recv
     call(*told)
-    assert ends == {1: AttemptResult.UNREADABLE, 2: AttemptResult.UNREADABLE} and made.caches.pool.out == 0
+    assert ends == {1: AttemptResult.UNREADABLE, 2: AttemptResult.UNREADABLE} and made.pools.buffer_pool.out == 0
 
 
 def test_a_machine_gone_is_forgotten_when_nothing_is_out_there():
     made, *_ = line()
     made.send(b"a", 1, b"x")
-    made.machine.leave()
-    assert made.caches.machines
+    made.pool.retire()
+    assert made.pools.pools_by_id
     made.dataReceived(resp.pack(b"a", b"OK", b"-", b""))
-    assert not made.caches.machines
+    assert not made.pools.pools_by_id
 
 
 @pytest.mark.parametrize(
@@ -385,12 +390,12 @@
     ],
 )
 def test_a_word_that_does_not_fit_what_was_asked_is_unreadable(word, told, probe, good):
-    made, ended = line()[0].caches, []
+    made, ended = line()[0].pools, []
     forwards = attempts(made)
-    forwards.ended = lambda number, end, told, body: ended.append(end)
+    forwards.attempt_ended = lambda number, end, told, body: ended.append(end)
     door = None if probe else DownstreamRequest(SimpleNamespace(taken=1), None, 1, "a", request_class(), 0.0)
     number = forwards.slots.put(SentAttempt(door, None, None, 0.0, 1.0))
-    assert forwards.answered(number, word, told, Body(made.pool, b"x")) is good
+    assert forwards.response_received(number, word, told, Body(made.buffer_pool, b"x")) is good
     assert (ended == [AttemptResult.UNREADABLE]) is not good
 
 
@@ -452,27 +457,27 @@
         caches = ConnectionPools(
             deadlines, pool()[0], PoolSettings(5.0, 15.0, 100, 50), lambda *_, **told: ended.append(told)
         )
-        caches.listed(1, "1", address)
+        caches.add_or_move(1, "1", address)
         gc.collect()
         gc.disable()
         try:
-            made = UpstreamConnection(caches.machines[1])
-            made.machine.lines.append(made)
+            made = UpstreamConnection(caches.pools_by_id[1])
+            made.pool.connections.append(made)
             made.connect(address)
             seen = weakref.ref(made)
             if how == "given up":
                 for _ in range(5):
                     reactor.iterate(0.01)
-                made.overdue()
+                made.connect_timed_out()
             elif how != "refused":
-                while not made.up:
+                while not made.is_up:
                     reactor.iterate(0.01)
                 there = place.accept()[0]
                 made.close() if how == "closed by us" else there.close()
             end = time.monotonic() + 5.0
-            while not made.down and time.monotonic() < end:
+            while not made.has_ended and time.monotonic() < end:
                 reactor.iterate(0.01)
-            assert made.down and len(caches.machines[1].lines) == 0 == caches.held
+            assert made.has_ended and len(caches.pools_by_id[1].connections) == 0 == caches.open_descriptors
             del made
             reactor.iterate(0.0)  # what a turn of the loop still named
             deadlines.heap.clear()
--- a/tests/net/test_request_log.py
+++ b/tests/net/test_request_log.py
@@ -12,7 +12,14 @@
 from wickhinge.clocks import WallClockWatch
 from wickhinge.net.runtime.event_loop_stalls import EventLoopStalls
 from wickhinge.net.upstream.attempt_results import AttemptResult
-from wickhinge.net.upstream.request_log import LINES_AT_ONCE, SAMPLED, STEPS, RequestLog, RequestTrace, Step
+from wickhinge.net.upstream.request_log import (
+    MAX_BURST_LINES,
+    MAX_STEPS,
+    SERVED_SAMPLE_INTERVAL,
+    RequestLog,
+    RequestTrace,
+    Step,
+)
 
 RID = b"9b1f03aa5c7e2d41"
 
@@ -23,7 +30,7 @@
 
 
 def ended(log, end="denied", reason="late", now=1.0, trace=None):
-    log.ended(now, RID, end, reason, trace or RequestTrace(0.0, 0.0))
+    log.log_end(now, RID, end, reason, trace or RequestTrace(0.0, 0.0))
 
 
 def test_each_end_is_counted_and_a_flood_leaves_a_bounded_number_of_lines():
@@ -31,25 +38,25 @@
     log = RequestLog(lines)
     for _ in range(200):
         ended(log)
-    assert len(lines) == LINES_AT_ONCE and log.unlogged == 200 - LINES_AT_ONCE
-    assert log.reasons == {"late": 200}
+    assert len(lines) == MAX_BURST_LINES and log.unlogged_count == 200 - MAX_BURST_LINES
+    assert log.unserved_by_reason == {"late": 200}
     ended(log, now=1.5)
-    assert len(lines) == LINES_AT_ONCE + 1
+    assert len(lines) == MAX_BURST_LINES + 1
 
 
 def test_of_what_is_served_a_sample_is_logged_and_nothing_counted():
     lines = Lines()
     log = RequestLog(lines)
-    for _ in range(3 * SAMPLED):
+    for _ in range(3 * SERVED_SAMPLE_INTERVAL):
         ended(log, "honoured", "")
-    assert len(lines) == 3 and log.reasons == {}
+    assert len(lines) == 3 and log.unserved_by_reason == {}
 
 
 def test_steps_tell_server_source_budget_and_end():
     lines = Lines()
     trace = RequestTrace(10.0, 0.05)
     trace.add(10.001, Step.SENT, 0xA1, (2949, 0xB2))
-    trace.add(10.3, Step.ENDED, 0xA1, (AttemptResult.ERR, b"detail=s,ttfb=12"))
+    trace.add(10.3, Step.ENDED, 0xA1, (AttemptResult.ERROR, b"detail=s,ttfb=12"))
     trace.add(10.4, Step.CLIENT_LEFT, 0, "aborted")
     ended(RequestLog(lines), now=10.5, trace=trace)
     assert lines[0]["unread_ms"] == 50.0 and lines[0]["ms"] == 500.0
@@ -62,9 +69,9 @@
 
 def test_the_steps_of_one_request_are_bounded():
     trace = RequestTrace(0.0, 0.0)
-    for _ in range(STEPS + 5):
+    for _ in range(MAX_STEPS + 5):
         trace.add(0.0, Step.SENT, 1, (1, 0))
-    assert len(trace.lines()) == STEPS and trace.more == 5
+    assert len(trace.log_steps()) == MAX_STEPS and trace.dropped_steps == 5
 
 
 @pytest.mark.parametrize("by", [-3600.0, -3.0, 3.0])
--- a/tests/net/test_start.py
+++ b/tests/net/test_start.py
@@ -19,7 +19,7 @@
     *(
         f"wickhinge.{package}{name}"
         for package, names in {
-            "common": ("", ".connector", ".failed_calls", ".owed_reload", ".process_signals", ".start_attempts"),
+            "common": ("", ".connector", ".failed_calls", ".config_reload", ".process_signals", ".start_attempts"),
             "net.control": (
                 "",
                 ".config",
--- a/tests/store/test_store.py
+++ b/tests/store/test_store.py
@@ -446,12 +446,14 @@
     world = started_world()
     heap, (buffers, _) = Heap(), pool(100)
     faults, sent = [], []
-    line = SimpleNamespace(leave=lambda tag: None, unwritten=())
+    line = SimpleNamespace(block_tag=lambda tag: None, unwritten_tags=())
     machine = SimpleNamespace(
-        send=lambda tag, number, payload: sent.append((tag, number, forwards.begin(number))) or line
+        send=lambda tag, number, payload: sent.append((tag, number, forwards.build_frame(number))) or line
     )
     caches = SimpleNamespace(
-        machines={mark: machine for mark in [1, 2, 3, 4, 100, 101, 200]}, deadlines=heap, report_to=lambda owner: None
+        pools_by_id={mark: machine for mark in [1, 2, 3, 4, 100, 101, 200]},
+        deadlines=heap,
+        set_owner=lambda owner: None,
     )
     made, copies = router(), None
     world.clock = heap.clock
@@ -487,12 +489,12 @@
 def told(net):
     """The fields of what was sent last."""
     (items,) = resp.ReplyDecoder(pool()[0]).feed(net.sent[-1][2])
-    return resp.fields(items[2])
+    return resp.parse_fields(items[2])
 
 
 def served(net, word=b"OK", body=b"x" * 700, made=99_000):
     number = net.sent[-1][1]
-    net.forwards.answered(number, word, b"etag=00000000000000e1,made=%d" % made, Body(net.pool, body))
+    net.forwards.response_received(number, word, b"etag=00000000000000e1,made=%d" % made, Body(net.pool, body))
 
 
 @pytest.mark.parametrize("cached, have", [("00000000000000e1", "00000000000000e1"), ("zz,src=s-1", None), ("", None)])
@@ -500,7 +502,7 @@
     net = wired(with_store=False)
     ask(net, cached=cached)
     assert told(net).get("have") == have
-    assert net.forwards.answered(net.sent[-1][1], b"SAME", b"etag=e,made=9", None) is (have is not None)
+    assert net.forwards.response_received(net.sent[-1][1], b"SAME", b"etag=e,made=9", None) is (have is not None)
     if have:
         assert net.client.had == [(0, b"", {"keep": "1"})] and net.visits.slots.free
 
@@ -524,7 +526,7 @@
     assert not list(net.visits.slots) and not list(net.visits.local_copies.slots)
     ask(net, cached="00000000000000e1")
     net.heap.run(net.heap.clock)
-    assert net.client.had[3] == (3, b"", {"keep": "1"}) and net.visits.local_copies.served["told"] == 1
+    assert net.client.had[3] == (3, b"", {"keep": "1"}) and net.visits.local_copies.served_counts["told"] == 1
 
 
 def test_read_when_late_is_followed_by_a_forward_and_one_answer():
@@ -540,7 +542,7 @@
     net.world.lanes.stalled = set()
     net.world.lanes.go()
     net.heap.run(net.heap.clock + 1.0)
-    assert len(net.client.had) == 3 and not net.faults and net.visits.local_copies.served["late"] == 1
+    assert len(net.client.had) == 3 and not net.faults and net.visits.local_copies.served_counts["late"] == 1
 
 
 def test_client_when_gone_during_a_read_gets_no_answer():
--- a/tests/support/connections.py
+++ b/tests/support/connections.py
@@ -52,18 +52,18 @@
         arrivals=Arrivals(0.0),
     )
     caches = ConnectionPools(clock, pool()[0], PoolSettings(0.4, 15.0, 100, 50), lambda *_, **more: None)
-    caches.report_to(
+    caches.set_owner(
         SimpleNamespace(
-            begin=lambda number: None,
-            answered=lambda number, *_: ends.setdefault(number, "answered") == "answered",
-            ended=ends.__setitem__,
+            build_frame=lambda number: None,
+            response_received=lambda number, *_: ends.setdefault(number, "answered") == "answered",
+            attempt_ended=ends.__setitem__,
         )
     )
-    caches.listed(1, "1", ("127.0.0.1", 1))
-    made = UpstreamConnection(caches.machines[1])
-    made.machine.lines.append(made)
+    caches.add_or_move(1, "1", ("127.0.0.1", 1))
+    made = UpstreamConnection(caches.pools_by_id[1])
+    made.pool.connections.append(made)
     made.transport = made.socket = Wire(room)
-    made.up = True
+    made.is_up = True
     return made, ends, soon, now
 
 
--- a/tests/support/router_process.py
+++ b/tests/support/router_process.py
@@ -38,7 +38,7 @@
     """A request as it came to a machine, and the connection that it came on."""
 
     def __init__(self, line, id_, fields, body):
-        self.line, self.id, self.fields, self.body = line, id_, resp.fields(fields), body
+        self.line, self.id, self.fields, self.body = line, id_, resp.parse_fields(fields), body
 
     def answer(self, word, told="-", body=b""):
         self.line.socket.sendall(resp.pack(self.id, word.encode(), told.encode(), body))
--- a/wickhinge/changelog/daemon.py
+++ b/wickhinge/changelog/daemon.py
@@ -16,7 +16,7 @@
 from wickhinge.changelog.replica_endpoint import ReplicaEndpoint
 from wickhinge.changelog.settings import RelaySettings, ReplicaSettings
 from wickhinge.changelog.stored import Storage
-from wickhinge.common.owed_reload import OwedReload, ReloadEvents
+from wickhinge.common.config_reload import ConfigReload, ReloadEvents
 from wickhinge.common.process_signals import received_signals
 from wickhinge.common.start_attempts import StartAttempts
 from wickhinge.options import changelog as options_of
@@ -86,7 +86,7 @@
         else:
             self.endpoint = replica_endpoint(name, options, runtime, storage, self._on_storage_failure)
         self._administration = Administration(self.endpoint, options_of.read_keys(options), options.ingest_s)
-        self._reloads = OwedReload(self._reload, self._reactor.callLater, self._log, events=RELOAD_EVENTS)
+        self._reloads = ConfigReload(self._reload, self._reactor.callLater, self._log, events=RELOAD_EVENTS)
 
     def run(self) -> int:
         """Runs until SIGTERM or SIGINT; returns the process's exit code.
--- a/wickhinge/common/owed_reload.py
+++ b/wickhinge/common/config_reload.py
@@ -39,7 +39,7 @@
     owed: bool
 
 
-class OwedReload:
+class ConfigReload:
     """Puts the configuration in force that the newest request asks for."""
 
     def __init__(
--- a/wickhinge/common/process_signals.py
+++ b/wickhinge/common/process_signals.py
@@ -2,7 +2,7 @@
 
 A handler only notes the request and wakes the event loop; the loop compares what is wanted with what is done. Until
 there is a loop, the start looks at the notes itself. A signal that comes while the process stands still is handled when
-it goes on; `turn_begins` bounds how long it may have lain. Once the loop has ended the signals are ignored: the
+it goes on; `record_turn_start` bounds how long it may have lain. Once the loop has ended the signals are ignored: the
 interpreter gives the system's default back to handlers of its own while it is torn down, but leaves ignored signals
 ignored.
 """
@@ -31,7 +31,7 @@
     def __init__(self) -> None:
         self.reload_number = 0  # SIGHUP received since the first line
         self.shutdown_requested = False
-        self.shutdown_requested_after: float | None = None  # by the steady clock; None: no turn had begun
+        self.shutdown_not_requested_before: float | None = None  # by the steady clock; None: no turn had begun
         self._last_turn_at: float | None = None
         self._loop: WakeableLoop | None = None
         self._on_request: Callable[[], None] | None = None
@@ -52,7 +52,7 @@
         signal.set_wakeup_fd(wake_descriptor, warn_on_full_buffer=False)
         self._call_soon()
 
-    def turn_begins(self, now: float) -> None:
+    def record_turn_start(self, now: float) -> None:
         """To be called on each turn of the loop with a time read just before: what is handled later came after that.
 
         The interpreter runs the handlers of all signals that came before as this function begins, for which this module
@@ -71,7 +71,7 @@
         if number in RELOAD_SIGNALS:
             self.reload_number += 1
         elif not self.shutdown_requested:
-            self.shutdown_requested, self.shutdown_requested_after = True, self._last_turn_at
+            self.shutdown_requested, self.shutdown_not_requested_before = True, self._last_turn_at
         self._call_soon()
 
     def _call_soon(self) -> None:
--- a/wickhinge/lab/many/stands.py
+++ b/wickhinge/lab/many/stands.py
@@ -109,7 +109,7 @@
             if told[0] == b"REQ":
                 now = self.stands.rig.now
                 self.stands.sent[self.mark].append((now, "", WORK))
-                place = int(resp.fields(told[2]).get("path", "0"), 16) >> 20  # as clients number their objects
+                place = int(resp.parse_fields(told[2]).get("path", "0"), 16) >> 20  # as clients number their objects
                 work = self.stands.scene.work(self.number, place, now) if self.number >= 0 else WORK
                 note = f"etag=1,made={int(time.time() * 1000)},detail=h,ttfb=1".encode()
                 self.stands.rig.at(now + work, link.send, resp.pack(told[1], b"OK", note, b"x" * 64))
--- a/wickhinge/net/control/changelog_client.py
+++ b/wickhinge/net/control/changelog_client.py
@@ -127,8 +127,8 @@
             self._node.updates.record_purge(purge.key, purge.group, purge.stamp_ms, 0)
         keys = {purge.key for purge in snapshot.purges if purge.key is not None}
         groups = {purge.group for purge in snapshot.purges if purge.key is None}
-        self._node.attempts.overtaken(
-            lambda sent: sent.forward.request.object_count.key not in keys and sent.forward.request.group not in groups
+        self._node.attempts.recall_unwritten(
+            lambda sent: sent.attempt.request.object_count.key not in keys and sent.attempt.request.group not in groups
         )
         self._log(
             "changelog_reset",
@@ -154,7 +154,7 @@
             return
         self._limited = limited
         if limited:
-            self._node.attempts.overtaken(lambda sent: sent.forward.request.request_class.pass_through)
+            self._node.attempts.recall_unwritten(lambda sent: sent.attempt.request.request_class.pass_through)
         figures = self.figures()
         state = "changelog_uninformed" if limited else "changelog_informed"
         self._log(state, epoch=figures["epoch"], number=figures["number"], age_s=figures["age_s"])
--- a/wickhinge/net/control/endpoint_updates.py
+++ b/wickhinge/net/control/endpoint_updates.py
@@ -36,7 +36,7 @@
         log: Callable[..., None],
     ) -> None:
         self._decisions, self._attempts, self._names, self._log = decisions, attempts, names, log
-        self._pools: ConnectionPools = attempts.caches
+        self._pools: ConnectionPools = attempts.pools
         self._deadlines: Deadlines = attempts.deadlines
         self._others_time: OthersTime = attempts.others_time
         self._membership, self._local_copies = attempts.membership, attempts.local_copies
@@ -74,7 +74,7 @@
                 self._others_time.vouched(endpoint.started_at, now)
         listings = []
         for endpoint in endpoints:
-            self._pools.listed(endpoint.mark, f"{endpoint.mark:08x}", endpoint.address)
+            self._pools.add_or_move(endpoint.mark, f"{endpoint.mark:08x}", endpoint.address)
             listings.append(
                 Endpoint(
                     endpoint.mark,
@@ -90,7 +90,7 @@
         if self._membership is not None:
             self._membership.live(complete, endpoints)
         self._close_unlisted()
-        self._attempts.overtaken(_may_still_be_sent)
+        self._attempts.recall_unwritten(_may_still_be_sent)
         self._log(
             "endpoints_updated",
             complete=complete,
@@ -103,7 +103,7 @@
     def purge(self, key: int | None, group: int, stamp_ms: float, number: int = NO_NUMBER) -> None:
         """Puts a purge in force, of a whole group where key is None, also for what waits to be written."""
         self.record_purge(key, group, stamp_ms, number)
-        self._attempts.overtaken(lambda sent: not _is_purged(sent, key, group))
+        self._attempts.recall_unwritten(lambda sent: not _is_purged(sent, key, group))
         self._log("purge_applied", key=None if key is None else f"{key:016x}", group=group, stamp_ms=stamp_ms)
 
     def record_purge(self, key: int | None, group: int, stamp_ms: float, number: int = NO_NUMBER) -> None:
@@ -133,16 +133,16 @@
         )
 
     def _close_unlisted(self) -> None:
-        for mark, pool in list(self._pools.machines.items()):
+        for mark, pool in list(self._pools.pools_by_id.items()):
             is_member = self._membership is not None and self._membership.knows(mark)
             if mark not in self._decisions.endpoints.servers and not is_member:
-                pool.leave()
+                pool.retire()
 
 
 def _is_purged(sent: SentAttempt, key: int | None, group: int) -> bool:
-    request = sent.forward.request
+    request = sent.attempt.request
     return bool(request.group == group if key is None else request.object_count.key == key)
 
 
 def _may_still_be_sent(sent: SentAttempt) -> bool:
-    return bool(sent.cache.state == "ready" == sent.forward.source.state)
+    return bool(sent.server.state == "ready" == sent.attempt.source.state)
--- a/wickhinge/net/control/membership.py
+++ b/wickhinge/net/control/membership.py
@@ -143,7 +143,7 @@
         rows = []
         for listing in listings:
             one = listing.statement
-            self.node.pools.listed(one.endpoint_id, f"{one.endpoint_id:08x}", one.address)
+            self.node.pools.add_or_move(one.endpoint_id, f"{one.endpoint_id:08x}", one.address)
             rows.append(
                 Endpoint(
                     one.endpoint_id,
@@ -158,14 +158,14 @@
             )
         self.node.decisions.endpoints.update(rows, self.now(), complete=False)
         for listing in listings:
-            machine = self.node.pools.machines.get(listing.statement.endpoint_id)
+            machine = self.node.pools.pools_by_id.get(listing.statement.endpoint_id)
             if listing.state is EndpointState.GONE and machine is not None:
-                machine.leave()
+                machine.retire()
 
     def check_health(self, statement: Statement) -> None:
         """Begins a health check of an endpoint that nobody vouches for."""
         endpoint_id = statement.endpoint_id
-        self.node.pools.listed(endpoint_id, f"{endpoint_id:08x}", statement.address)
+        self.node.pools.add_or_move(endpoint_id, f"{endpoint_id:08x}", statement.address)
         self.node.attempts.probe(SimpleNamespace(id=endpoint_id), self.probed)
 
     def probed(self, cache: Any, up: bool) -> None:
@@ -202,8 +202,10 @@
 
     def ended(self, sent: Any, outcome: Outcome) -> None:
         """Called when an attempt ended: an answer proves that the endpoint is there."""
-        if sent.door.request_class.idempotency is Idempotency.IDEMPOTENT and (outcome.answered or outcome in FAILED):
-            self.controller.record_request(sent.cache.id, self.now(), answered=outcome.answered)
+        if sent.downstream_request.request_class.idempotency is Idempotency.IDEMPOTENT and (
+            outcome.answered or outcome in FAILED
+        ):
+            self.controller.record_request(sent.server.id, self.now(), answered=outcome.answered)
 
     def purge(self, key: int | None, group: int, stamp: float) -> None:
         """Called with each purge; stamp: Unix seconds."""
--- a/wickhinge/net/control/process_report.py
+++ b/wickhinge/net/control/process_report.py
@@ -41,7 +41,7 @@
         self._clients, self._decisions, self._log, self._optional = clients, decisions, log, optional
         self._requests = clients.visits
         self._attempts = self._requests.forwards
-        self._pools = self._attempts.caches
+        self._pools = self._attempts.pools
         self._deadlines: Deadlines = clients.deadlines
         self._loop: Any = self._deadlines.reactor  # the loop's own Reactor
         self._collect_over_kb = int(memory_mb * 1000 * COLLECT_OVER_SHARE)
@@ -76,8 +76,8 @@
             "clients": len(clients.all),
             "client_descriptors": clients.admission.held,
             "answers": requests.answers,
-            "unserved": requests.request_log.reasons,
-            "unlogged": requests.request_log.unlogged,
+            "unserved": requests.request_log.unserved_by_reason,
+            "unlogged": requests.request_log.unlogged_count,
             "closed": clients.closed,
             "faults": clients.take_faults(),
         }
@@ -85,12 +85,12 @@
     def _server_figures(self) -> dict[str, Any]:
         pools = self._pools
         return {
-            "lines": sum(len(pool.lines) for pool in pools.machines.values()),
-            "line_descriptors": pools.held,
-            "buffers": pools.pool.peak,
-            "late_answers": pools.lates,
+            "lines": sum(len(pool.connections) for pool in pools.pools_by_id.values()),
+            "line_descriptors": pools.open_descriptors,
+            "buffers": pools.buffer_pool.peak,
+            "late_answers": pools.late_responses,
             "known": len(self._decisions.endpoints.servers),
-            "machines": len(pools.machines),
+            "machines": len(pools.pools_by_id),
             "objects": len(self._decisions.object_counts.entries),
         }
 
--- a/wickhinge/net/control/router_process.py
+++ b/wickhinge/net/control/router_process.py
@@ -14,7 +14,7 @@
 
 from wickhinge import settings
 from wickhinge.clocks import OthersTime, WallClockWatch, monotonic, wall
-from wickhinge.common.owed_reload import OwedReload
+from wickhinge.common.config_reload import ConfigReload
 from wickhinge.common.start_attempts import StartFailedError
 from wickhinge.net.control import config
 from wickhinge.net.control.endpoint_updates import NO_NUMBER, EndpointUpdates, SettingsNames
@@ -156,8 +156,8 @@
 
     def close_idle(self, server: Any) -> None:
         """Closes the idle connections to a server."""
-        if server.id in self.pools.machines:
-            self.pools.machines[server.id].hang_up()
+        if server.id in self.pools.pools_by_id:
+            self.pools.pools_by_id[server.id].close_idle()
 
     def gossip(self, recipient: int, content: bytes) -> None:
         """Does nothing: the decisions of routers on sockets share nothing this way."""
@@ -253,7 +253,7 @@
         self._build_copies_and_membership(configuration, options)
         self._build_request_path()
         self.updates = EndpointUpdates(self.decisions, self.attempts, self.names, self.log.event)
-        self.reloads = OwedReload(self._reload_files, self.deadlines.after, self.log.event, answered_reloads)
+        self.reloads = ConfigReload(self._reload_files, self.deadlines.after, self.log.event, answered_reloads)
         self._build_fleet_clients(options)
         self._build_endpoint_watch(configuration, options)
         self.listen_address = config.listen_address(configuration)
@@ -301,7 +301,7 @@
         if options is not None and options.store.mode == "on":
             from wickhinge.net.upstream import local_copies
 
-            self.local_copies = local_copies.make(
+            self.local_copies = local_copies.start_local_copies(
                 options,
                 self.reactor,
                 self.deadlines,
--- a/wickhinge/net/control/start.py
+++ b/wickhinge/net/control/start.py
@@ -61,11 +61,11 @@
 
     def heed_signals() -> None:
         if received_signals.shutdown_requested:
-            router.drain(received_signals.shutdown_requested_after)
+            router.drain(received_signals.shutdown_not_requested_before)
         else:
             router.reload(received_signals.reload_number)
 
-    reactor.call_before_polls(received_signals.turn_begins)
+    reactor.call_before_polls(received_signals.record_turn_start)
     received_signals.deliver_to(reactor, reactor.wake_descriptor, heed_signals)
     reactor.run(installSignalHandlers=False)
     if router.start_failure is not None:
--- a/wickhinge/net/downstream/client_connection.py
+++ b/wickhinge/net/downstream/client_connection.py
@@ -206,7 +206,7 @@
                 self.clients.visits.gone(door, "aborted")
             elif first in self.later:
                 self.unqueue(first)
-                self.clients.visits.request_log.count("aborted before it began")
+                self.clients.visits.request_log.count_unserved("aborted before it began")
         else:
             raise msgpack.MalformedMessageError("a message that is no request and no abort")
 
@@ -219,7 +219,7 @@
             size = sum(len(item) if type(item) is bytes else len(repr(item)) for item in params)
             if self.kept + size > MAX_QUEUED_BYTES and self.clients.kept + size > MAX_QUEUED_BYTES_OF_ALL:
                 self.error(call, "Overloaded", {})
-                self.clients.visits.request_log.count("refused in a hold")
+                self.clients.visits.request_log.count_unserved("refused in a hold")
                 return
         self.later[call] = QueuedRequest(method, params, self.arrival, size)
         self.kept += size
@@ -260,7 +260,7 @@
         except InvalidRequestError as problem:
             self.open.pop(call, None)
             self.clients.bad(str(problem))
-            self.clients.visits.request_log.count("unusable")
+            self.clients.visits.request_log.count_unserved("unusable")
             self.error(call, "BadRequest", {"why": str(problem)})
             # Against one that asks the same again as soon as it is answered: it waits, nobody else does.
             self.bad += 1
@@ -413,7 +413,7 @@
         """Answer all that has begun or waits to begin."""
         for call in list(self.later):
             self.unqueue(call)
-            self.clients.visits.request_log.count("connection ended before it began")
+            self.clients.visits.request_log.count_unserved("connection ended before it began")
             self.error(call, "Overloaded", {})
         for door in list(self.open.values()):
             if door is not None:
@@ -439,7 +439,7 @@
         self.clients.forget(self)
         for call in list(self.later):
             self.unqueue(call)
-            self.clients.visits.request_log.count("connection ended before it began")
+            self.clients.visits.request_log.count_unserved("connection ended before it began")
         doors, self.open = self.open, {}
         for door in doors.values():
             if door is not None:
--- a/wickhinge/net/downstream/request_table.py
+++ b/wickhinge/net/downstream/request_table.py
@@ -11,7 +11,7 @@
 from wickhinge.net.runtime.deadlines import Deadlines
 from wickhinge.net.runtime.slots import Slots
 from wickhinge.net.upstream.attempts import Attempts
-from wickhinge.net.upstream.request_log import SERVED, RequestLog, RequestTrace, Step
+from wickhinge.net.upstream.request_log import SERVED_RESULT, RequestLog, RequestTrace, Step
 
 HEX = re.compile(r"[0-9a-f]{16}\Z").match
 IDEMPOTENCY_KEY = re.compile(r"[0-9A-Za-z_-]{1,64}\Z").match  # nothing that parts fields on the way to a server
@@ -101,7 +101,7 @@
                 body.release()
             return
         fields = {"keep": "1"} if same else {}
-        self.end(SERVED, "", lambda client: client.serve(self.call, body, fields))
+        self.end(SERVED_RESULT, "", lambda client: client.serve(self.call, body, fields))
 
     def broken(self) -> None:
         """A fault of ours: nothing is known of what ran, so nothing is promised."""
@@ -217,7 +217,7 @@
         for forward in list(door.out.values()) if door is not None else ():
             self.forwards.expire(forward)
         if door is not None and not door.final:
-            self.log("request_overdue", rid=door.rid.decode(), steps=door.trace.lines())
+            self.log("request_overdue", rid=door.rid.decode(), steps=door.trace.log_steps())
             door.broken()
 
     def gone(self, door: DownstreamRequest, why: str) -> None:
@@ -255,7 +255,7 @@
         if visit is not None:
             visit.attempts.clear()  # they name the visit: a circle that only the collector would find
         self.answers[door.answer] = self.answers.get(door.answer, 0) + 1
-        self.request_log.ended(
+        self.request_log.log_end(
             self.deadlines.now(),
             door.rid,
             door.answer,
--- a/wickhinge/net/upstream/local_copies.py
+++ b/wickhinge/net/upstream/local_copies.py
@@ -39,7 +39,7 @@
         self.is_valid = store.is_valid
         self._age_limit: Callable[[float], float | None] = lambda now: None
         self.slots = Slots()
-        self.served = {"memory": 0, "disk": 0, "told": 0, "late": 0}
+        self.served_counts = {"memory": 0, "disk": 0, "told": 0, "late": 0}
 
     def limit_age(self, limit: Callable[[float], float | None]) -> None:
         """From now on no copy is current that is older than limit(now) seconds; None: of any age."""
@@ -78,11 +78,11 @@
         door, copy = entry
         if door.final:
             return
-        self.served["late"] += how == "late"
+        self.served_counts["late"] += how == "late"
         now = self.deadlines.now()
         try:
             if door.visit.copy_read(copy, now, is_complete=data is not None):
-                self.served[how] += 1
+                self.served_counts[how] += 1
                 self.link.record_transfer(int(copy.size * TOLD) if data is True else copy.size, now)
                 door.serve(None if data is True else Body(self.pool, data), data is True)
         except Exception:
@@ -91,7 +91,7 @@
 
     # Copies out of answers.
 
-    def passed(self, visit: Any, told: dict[str, str], body: Any) -> None:
+    def store_response(self, visit: Any, told: dict[str, str], body: Any) -> None:
         """A cache's answer is about to go to its client; kept if the tier wants it."""
         request_class = visit.request_class
         made = told.get("made", "")
@@ -108,17 +108,17 @@
         if self.store.admit(offer, now):
             self.store.write(offer, b"".join(body.views()))
 
-    def renewed(self, copy: Any, told: dict[str, str]) -> None:
+    def revalidated(self, copy: Any, told: dict[str, str]) -> None:
         """A cache answered that ours is the one."""
         made = told.get("made", "")
         if made.isdigit() and len(made) <= 16:
             self.store.revalidate(copy, int(made) / 1000.0)
 
     def figures(self) -> dict[str, Any]:
-        return {**self.store.figures(), "served": self.served}
+        return {**self.store.figures(), "served": self.served_counts}
 
 
-def make(
+def start_local_copies(
     options: Any,
     reactor: Any,
     deadlines: Deadlines,
--- a/wickhinge/net/upstream/request_log.py
+++ b/wickhinge/net/upstream/request_log.py
@@ -1,7 +1,7 @@
 """What became of each request: its steps with their times, why it ended, and a bounded number of log lines a second.
 
 A request that ends without an answer from a server leaves one line with all its steps, as far as the bound allows; of
-those that are served, one in `SAMPLED` does. Every end is counted by its reason, logged or not.
+those that are served, one in `SERVED_SAMPLE_INTERVAL` does. Every end is counted by its reason, logged or not.
 """
 
 from __future__ import annotations
@@ -12,11 +12,11 @@
 
 from wickhinge.net.upstream import resp
 
-SAMPLED = 32  # one served request of so many leaves its steps in the log
-LINES_A_SECOND = 20.0  # of requests that were not served
-LINES_AT_ONCE = 40.0
-STEPS = 40  # kept of one request; what comes after is counted
-SERVED = "honoured"
+SERVED_SAMPLE_INTERVAL = 32  # one served request of so many leaves its steps in the log
+MAX_LINES_PER_S = 20.0  # of requests that were not served
+MAX_BURST_LINES = 40.0
+MAX_STEPS = 40  # kept of one request; what comes after is counted
+SERVED_RESULT = "honoured"
 
 
 class Step(Enum):
@@ -32,28 +32,28 @@
 class RequestTrace:
     """The steps of one request. Times are seconds of the router's monotonic clock."""
 
-    __slots__ = ("taken", "unread", "steps", "more")
+    __slots__ = ("received_at", "unread_s", "steps", "dropped_steps")
 
     def __init__(self, taken: float, unread: float) -> None:
         """unread: seconds for which it lay unread before it was taken, as far as the router can tell."""
-        self.taken, self.unread = taken, unread
+        self.received_at, self.unread_s = taken, unread
         self.steps: list[tuple[float, Step, int, Any]] = []
-        self.more = 0
+        self.dropped_steps = 0
 
     def add(self, now: float, step: Step, server: int, detail: Any = None) -> None:
         """server: its id; detail: milliseconds of budget for SENT, (end, told) for ENDED, why for the others."""
-        if len(self.steps) < STEPS:
+        if len(self.steps) < MAX_STEPS:
             self.steps.append((now, step, server, detail))
         else:
-            self.more += 1
+            self.dropped_steps += 1
 
-    def lines(self) -> list[dict[str, Any]]:
+    def log_steps(self) -> list[dict[str, Any]]:
         """The steps as the log has them."""
         return [self.line(*step) for step in self.steps]
 
     def line(self, now: float, step: Step, server: int, detail: Any) -> dict[str, Any]:
         """One step as the log has it; parameters as of `add`."""
-        line: dict[str, Any] = {"ms": milliseconds(now - self.taken), "step": step.value}
+        line: dict[str, Any] = {"ms": milliseconds(now - self.received_at), "step": step.value}
         if server:
             line["server"] = f"{server:08x}"
         if step is Step.SENT:
@@ -62,7 +62,7 @@
                 line["source"] = f"{source:08x}"
         elif step is Step.ENDED:
             end, told = detail
-            fields = resp.fields(told)
+            fields = resp.parse_fields(told)
             line["end"] = end.value
             line |= {name: fields[name] for name in ("detail", "ttfb") if name in fields}
         elif detail:
@@ -96,33 +96,33 @@
 
     def __init__(self, log: Callable[..., None]) -> None:
         self.log = log
-        self.bound = RateLimit(LINES_A_SECOND, LINES_AT_ONCE)
-        self.reasons: dict[str, int] = {}  # since the start, of requests that were not served
-        self.served = self.unlogged = 0
+        self.bound = RateLimit(MAX_LINES_PER_S, MAX_BURST_LINES)
+        self.unserved_by_reason: dict[str, int] = {}  # since the start, of requests that were not served
+        self.served = self.unlogged_count = 0
 
-    def count(self, reason: str) -> None:
+    def count_unserved(self, reason: str) -> None:
         """An end without an answer from a server."""
-        self.reasons[reason] = self.reasons.get(reason, 0) + 1
+        self.unserved_by_reason[reason] = self.unserved_by_reason.get(reason, 0) + 1
 
-    def ended(self, now: float, rid: bytes, end: str, reason: str, trace: RequestTrace, **more: Any) -> None:
+    def log_end(self, now: float, rid: bytes, end: str, reason: str, trace: RequestTrace, **more: Any) -> None:
         """A request is over and nothing of it is out. reason: empty for one that was served."""
-        if end == SERVED:
+        if end == SERVED_RESULT:
             self.served += 1
-            if self.served % SAMPLED != 1:
+            if self.served % SERVED_SAMPLE_INTERVAL != 1:
                 return
         else:
-            self.count(reason or end)
+            self.count_unserved(reason or end)
             if not self.bound.allows(now):
-                self.unlogged += 1
+                self.unlogged_count += 1
                 return
         self.log(
             "request",
             rid=rid.decode(),
             end=end,
             **({"reason": reason} if reason else {}),
-            ms=milliseconds(now - trace.taken),
-            unread_ms=milliseconds(trace.unread),
-            steps=trace.lines(),
-            **({"more_steps": trace.more} if trace.more else {}),
+            ms=milliseconds(now - trace.received_at),
+            unread_ms=milliseconds(trace.unread_s),
+            steps=trace.log_steps(),
+            **({"more_steps": trace.dropped_steps} if trace.dropped_steps else {}),
             **more,
         )
--- a/wickhinge/net/upstream/resp.py
+++ b/wickhinge/net/upstream/resp.py
@@ -34,7 +34,7 @@
         self.size = -1  # of the item under way; -1: its line comes first
         self.body: Body | None = None
 
-    def busy(self) -> bool:
+    def is_mid_array(self) -> bool:
         """An array has begun and is not whole."""
         return bool(self.left or self.rest)
 
@@ -114,19 +114,19 @@
     return b"*%d\r\n" % len(items) + b"".join(b"$%d\r\n%b\r\n" % (len(item), item) for item in items)
 
 
-def fields(data: bytes) -> dict[str, str]:
+def parse_fields(data: bytes) -> dict[str, str]:
     text = data.decode("ascii", "replace")
     return {} if text == "-" else dict(pair.partition("=")[::2] for pair in text.split(",") if pair)
 
 
-def made(data: bytes) -> int | None:
+def parse_made_ms(data: bytes) -> int | None:
     """The Unix millisecond at which the origin gave a copy out, out of an answer's fields; None where none stands."""
     place = data.find(b"made=")
     digits = data[place + 5 : place + 5 + MADE].partition(b",")[0] if place >= 0 else b""
     return int(digits) if digits.isdigit() and len(digits) < MADE else None
 
 
-def loads(text: str) -> dict[str, float]:
+def parse_load_report(text: str) -> dict[str, float]:
     """A load report, name:value joined by ;. What is no number is left out."""
     report = {}
     for pair in text.split(";"):
