--- a/bench/cold_sum.py
+++ b/bench/cold_sum.py
@@ -277,7 +277,7 @@
     def check_health(self, server: Server) -> None:
         pass
 
-    def watch(self) -> None:
+    def watch_endpoints(self) -> None:
         pass
 
 
@@ -338,7 +338,9 @@
         chance = RandomSource(self.random.getrandbits(60))
         topology = Topology("here", self.processes, "parent", "origin", has_weights=True)
         endpoints = Endpoints(chance, topology, SlowStart(*tier), SlowStart(*tier))
-        settings = RouterSettings(ALLOWED, flow=1000.0, max_attempts=6, max_list_age=0.0, max_retry_after=0.5)
+        settings = RouterSettings(
+            ALLOWED, transfer_kb_per_s=1000.0, max_attempts=6, max_list_age=0.0, max_retry_after=0.5
+        )
         made = Router(self.worlds[place], endpoints, ObjectCounts(self.processes), Purges(6.0), settings)
         if self.bucket:
             endpoints.admits = self.bucket.room
--- a/bench/discovery.py
+++ b/bench/discovery.py
@@ -367,7 +367,7 @@
             watch=lambda: None,
         )
         made = emulated(outside, chance, "here", routers, (self.MULTIPLE, self.SPAN, self.FLOOR, self.WARM))
-        made.mean_works["clips"] = 0.1
+        made.mean_work_by_class["clips"] = 0.1
 
         port = HerdPort(self, made)
         settings = MembershipSettings(
--- a/bench/scale/deciding.py
+++ b/bench/scale/deciding.py
@@ -62,7 +62,7 @@
     """Probes a second of one router, CPU seconds a second of its rounds."""
     outside, watch = Outside(), Watch()
     allowed = Capabilities(True, True, True, True, True, True, False)
-    settings = RouterSettings(allowed, flow=1e5, max_attempts=3, max_list_age=1.0, max_retry_after=3.0)
+    settings = RouterSettings(allowed, transfer_kb_per_s=1e5, max_attempts=3, max_list_age=1.0, max_retry_after=3.0)
     router = Router(outside, fleet(caches, routers), ObjectCounts(), Purges(3.0), settings)
     rounds = ROUND_INTERVAL_SS * max(routers // 4, 1)  # each probes the less, the more routers there are
     with watch:
--- a/bench/scale/watching.py
+++ b/bench/scale/watching.py
@@ -29,7 +29,7 @@
     purges, clock = Purges(DONE_WITHIN), SimpleNamespace(now=lambda: 0.0, after=lambda *told: None)
     listener = SimpleNamespace(
         endpoints_changed=lambda records, *, complete: None,
-        purged=lambda key, group, stamp: purges.notify(key, group, stamp / 1000, stamp / 1000),
+        purged=lambda key, group, stamp: purges.record_purge(key, group, stamp / 1000, stamp / 1000),
         caught_up=lambda: None,
     )
     settings = endpoint_watch.WatchSettings((HOST, 1), 0, 1.0)
@@ -147,7 +147,7 @@
 def cpu_of_purge(count: int, meter: Meter) -> float:
     """CPU seconds of one purge more, where so many are held."""
     purges = held_for_a_while(count)
-    return meter.cpu(lambda: purges.notify(1, 0, 1.0, 1.0), 20)
+    return meter.cpu(lambda: purges.record_purge(1, 0, 1.0, 1.0), 20)
 
 
 def lasting(count: int) -> PurgeTable:
--- a/bench/soak/planted.py
+++ b/bench/soak/planted.py
@@ -100,7 +100,7 @@
     """What may not be repeated is taken for what may."""
     from wickhinge import interface, settings
 
-    build = settings.build
+    build = settings.build_router
 
     def all_idempotent(*arguments):
         decisions, classes = build(*arguments)
@@ -108,7 +108,7 @@
             object.__setattr__(request_class, "idempotency", interface.Idempotency.IDEMPOTENT)  # it is frozen
         return decisions, classes
 
-    settings.build = all_idempotent
+    settings.build_router = all_idempotent
 
 
 def whole_budget() -> None:
@@ -144,7 +144,7 @@
     """Purges are read and forgotten."""
     from wickhinge.routing.purges import Purges
 
-    Purges.notify = lambda self, key, group, stamp, now: None
+    Purges.record_purge = lambda self, key, group, stamp, now: None
 
 
 def cold_ignored() -> None:
--- a/tests/changelog/test_router_changes.py
+++ b/tests/changelog/test_router_changes.py
@@ -33,7 +33,9 @@
         deadlines=SimpleNamespace(after=sockets.callLater),
         log=SimpleNamespace(event=lambda event, **fields: told.append(event)),
         decisions=SimpleNamespace(purges=Purges(6.0)),
-        local_copies=LocalCopies(store, None, None, None, 0.1, None, SimpleNamespace(earliest=lambda made, now: made)),
+        local_copies=LocalCopies(
+            store, None, None, None, 0.1, None, SimpleNamespace(earliest_local_time=lambda made, now: made)
+        ),
         attempts=SimpleNamespace(overtaken=lambda holds: told.append(holds)),
         move_endpoint_watch=lambda address: told.append(address),
         updates=SimpleNamespace(
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -25,13 +25,13 @@
 
 
 @pytest.fixture
-def faulty(stand, shim_library, tmp_path):
+def faulty_stand(stand, shim_library, tmp_path):
     """A stand whose router's wall clock can be stepped and whose system calls can be made to fail."""
 
-    def build(*told, before=lambda shim: None, **more):
+    def build(*told, prepare=lambda shim: None, **more):
         """before: what is done to the shim before the router is started."""
         made = shim.Shim(shim_library, tmp_path / "shim.page", files=tmp_path)
-        before(made)
+        prepare(made)
         return stand(*told, environment=made.environment, **more), made
 
     return build
--- a/tests/net/test_clock_steps.py
+++ b/tests/net/test_clock_steps.py
@@ -63,8 +63,8 @@
 
 
 @pytest.mark.parametrize("step", STEPS)
-def test_requests_that_are_out_are_given_up_on_in_their_time(faulty, step):
-    made, shim = faulty()
+def test_requests_that_are_out_are_given_up_on_in_their_time(faulty_stand, step):
+    made, shim = faulty_stand()
     client = made.client()
     calls = ask_together(client)
     time.sleep(0.1)
@@ -76,8 +76,8 @@
 
 
 @pytest.mark.parametrize("step", STEPS)
-def test_requests_after_a_step_are_served_and_the_program_ends(faulty, served, step):
-    made, shim = faulty()
+def test_requests_after_a_step_are_served_and_the_program_ends(faulty_stand, served, step):
+    made, shim = faulty_stand()
     served(made)
     client, other = made.client(), made.client()
     assert answers(client, ask_together(client)) < BUDGET
--- a/tests/net/test_clock_wrong_at_start.py
+++ b/tests/net/test_clock_wrong_at_start.py
@@ -37,11 +37,11 @@
 
 @pytest.mark.parametrize("off", OFF)
 @pytest.mark.parametrize("told_by", ["service", "configuration"])
-def test_no_copy_older_than_a_purge_is_asked_for(faulty, told_by, off):
+def test_no_copy_older_than_a_purge_is_asked_for(faulty_stand, told_by, off):
     """The configuration's was told a second before the start."""
     stamp = unix_ms() - 1000
     known = [{"pos": 1, "expire": {"name": f"{KEY:016x}", "stamp": stamp}}] if told_by == "configuration" else []
-    made, _ = faulty(before=lambda shim: shim.step_wall_clock(off), known=known)
+    made, _ = faulty_stand(prepare=lambda shim: shim.step_wall_clock(off), known=known)
     client = made.client()
     if told_by == "service":
         stamp = purge(made)
@@ -58,10 +58,10 @@
 
 
 @pytest.mark.parametrize("off", OFF)
-def test_a_purge_is_over_when_it_is_done_everywhere(faulty, off):
+def test_a_purge_is_over_when_it_is_done_everywhere(faulty_stand, off):
     """Once answers have shown what time it is, at the latest."""
-    made, _ = faulty(
-        before=lambda shim: shim.step_wall_clock(off),
+    made, _ = faulty_stand(
+        prepare=lambda shim: shim.step_wall_clock(off),
         change=lambda conf: conf["familyInfo"].update(goneEverywhereMs=500),
     )
     client = made.client()
@@ -94,12 +94,12 @@
 
 @pytest.mark.parametrize("off", OFF)
 @pytest.mark.parametrize("age", [0.5, 60.0])
-def test_a_server_is_as_cold_as_it_is(faulty, age, off):
+def test_a_server_is_as_cold_as_it_is(faulty_stand, age, off):
     """Whatever goes to one that started just now is a fill, since a look would miss, and only as its share allows. One
     that started long ago is looked at as ever, once an answer has shown what time it is; to a clock that is behind, the
     service has to: an answer's time may be spoilt.
     """
-    made, _ = faulty(before=lambda shim: shim.step_wall_clock(off))
+    made, _ = faulty_stand(prepare=lambda shim: shim.step_wall_clock(off))
     made.tell(endpoint_watch.FrameKind.ALL_ENDPOINTS, records(made.places, unix_ms() - int(age * 1000)))
     made.router.wait('"event":"endpoints_updated"')
     client = made.client()
--- a/tests/net/test_crossings.py
+++ b/tests/net/test_crossings.py
@@ -14,8 +14,8 @@
 from tests.support.connections import attempts, line
 from tests.support.processes import ROOT, Client
 from tests.support.router_process import SERVED, host
-from tests.support.routing import end, request_class, router, take
-from wickhinge.clocks import steady
+from tests.support.routing import end_attempt, make_request_class, make_router, route_request
+from wickhinge.clocks import steady_time
 from wickhinge.fields import MalformedError
 from wickhinge.interface import AttemptParameters, Outcome
 from wickhinge.net.control import config, endpoint_watch
@@ -187,7 +187,7 @@
         self.node.readiness.open("test")
 
     def clock(self):
-        return steady() + self.ahead
+        return steady_time() + self.ahead
 
     def turn(self, count=5):
         for _ in range(count):
@@ -460,7 +460,7 @@
     made, *_ = line()
     forwards = attempts(made.caches)
     forwards.ended = lambda *_: None
-    door = DownstreamRequest(SimpleNamespace(taken=1), None, 1, "a", request_class(), 0.0)
+    door = DownstreamRequest(SimpleNamespace(taken=1), None, 1, "a", make_request_class(), 0.0)
     number = forwards.slots.put(SentAttempt(door, None, None, 0.0, 1.0))
     forwards.slots.get(number).line, forwards.slots.get(number).tag = made, b"a"
     assert forwards.answered(number, word, b"-", None)
@@ -474,7 +474,7 @@
     forwards = attempts(made.caches)
     forwards.ended = lambda *_: None
     door, cache = (
-        DownstreamRequest(SimpleNamespace(taken=1), None, 1, "a", request_class(), 0.0),
+        DownstreamRequest(SimpleNamespace(taken=1), None, 1, "a", make_request_class(), 0.0),
         SimpleNamespace(id=1),
     )
     door.until = 200.0
@@ -494,20 +494,20 @@
 
 
 def test_where_probes_are_not_allowed_a_source_that_refused_is_not_asked_either():
-    made = router(probes=False)
-    visit, caller = take(made)
-    end(caller, Outcome.MISS, 100.1)
-    end(caller, Outcome.OVERLOADED, 100.2)
-    assert made.environment.probes == []
+    made = make_router(health_checks=False)
+    visit, caller = route_request(made)
+    end_attempt(caller, Outcome.MISS, 100.1)
+    end_attempt(caller, Outcome.OVERLOADED, 100.2)
+    assert made.environment.health_checked == []
 
 
 @pytest.mark.parametrize("multiple, span", [(0.0, 1.0), (4.0, 0.0)])
 def test_where_no_load_topples_a_cold_machine_none_is_kept_from_it(multiple, span):
-    made = router(boxes=1)
-    made.endpoints.edge.__init__(multiple, span, 0.2, 10.0)
+    made = make_router(caches=1)
+    made.endpoints.cache_slow_start.__init__(multiple, span, 0.2, 10.0)
     made.endpoints.edge_caches[0].started = 99.9
     for number in range(20):
-        _, caller = take(made, key=number)
+        _, caller = route_request(made, key=number)
         assert caller.forwards[0].server is made.endpoints.edge_caches[0]
 
 
--- a/tests/net/test_failing_calls.py
+++ b/tests/net/test_failing_calls.py
@@ -64,8 +64,8 @@
 
 
 @pytest.mark.parametrize("error", ACCEPT_ERRORS)
-def test_a_failed_accept_hangs_up_on_nobody(faulty, error):
-    made, shim = faulty()
+def test_a_failed_accept_hangs_up_on_nobody(faulty_stand, error):
+    made, shim = faulty_stand()
     resting = [made.client() for _ in range(12)]
     for client in resting:
         assert client.ping()
@@ -82,9 +82,9 @@
 MAX_BLOCKS = 100  # some 25 bring that many
 
 
-def test_one_failed_accept_in_five_leaves_half_of_the_requests(faulty, serving):
+def test_one_failed_accept_in_five_leaves_half_of_the_requests(faulty_stand, serving):
     """An accept that failed held the listener up and had clients at rest hung up on."""
-    made, shim = faulty()
+    made, shim = faulty_stand()
     serving(made)
     resting = [made.client() for _ in range(20)]
     for client in resting:
@@ -114,8 +114,8 @@
 
 @pytest.mark.parametrize("call", [Call.CLIENT_READ, Call.CLIENT_PEEK, Call.CLIENT_SEND])
 @pytest.mark.parametrize("error", [errno.ENOMEM, errno.ENOBUFS, errno.EINTR, errno.EAGAIN])
-def test_a_failed_call_on_a_client_s_connection_loses_no_request(faulty, serving, call, error):
-    made, shim = faulty()
+def test_a_failed_call_on_a_client_s_connection_loses_no_request(faulty_stand, serving, call, error):
+    made, shim = faulty_stand()
     serving(made)
     clients = [made.client() for _ in range(8)]
     shim.fail(call, ONE_IN_FIVE, error)
@@ -129,9 +129,9 @@
 @pytest.mark.parametrize(
     "call", [Call.SERVER_READ, Call.SERVER_PEEK, Call.SERVER_SEND, Call.SHORT_SEND, Call.SHORT_READ]
 )
-def test_a_failed_call_on_a_machine_s_connection_fails_no_request(faulty, serving, call):
+def test_a_failed_call_on_a_machine_s_connection_fails_no_request(faulty_stand, serving, call):
     """Results are exclusive: what may have run is not sent again, so that a cut connection shows as a failure."""
-    made, shim = faulty(change=lambda conf: conf["classes"][1].update(onTimeMs=2900))
+    made, shim = faulty_stand(change=lambda conf: conf["classes"][1].update(onTimeMs=2900))
     serving(made)
     client = made.client()
     shim.fail(call, ONE_IN_FIVE)
@@ -142,8 +142,8 @@
     assert shim.failed(call) > 5
 
 
-def test_a_broken_list_watch_is_made_anew(faulty):
-    made, shim = faulty()
+def test_a_broken_list_watch_is_made_anew(faulty_stand):
+    made, shim = faulty_stand()
     shim.fail_next(Call.BREAK, 1, errno.ETIMEDOUT)
     made.tell(0)
     anew = made.take(made.service)
@@ -151,9 +151,9 @@
 
 
 @pytest.mark.parametrize("call", [Call.SOCKET, Call.CONNECT, Call.REGISTER])
-def test_a_local_failure_to_connect_costs_one_try(faulty, serving, call):
+def test_a_local_failure_to_connect_costs_one_try(faulty_stand, serving, call):
     """The machine is not blamed: the next request goes to it, and it is not taken for cold."""
-    made, shim = faulty()
+    made, shim = faulty_stand()
     served = serving(made)
     shim.fail_next(call, 2)
     client = made.client()
@@ -163,8 +163,8 @@
     assert served.count > 0
 
 
-def test_a_descriptor_that_the_loop_does_not_take_at_once_is_served(faulty, serving):
-    made, shim = faulty()
+def test_a_descriptor_that_the_loop_does_not_take_at_once_is_served(faulty_stand, serving):
+    made, shim = faulty_stand()
     serving(made)
     for _ in range(5):
         shim.fail_next(Call.REGISTER)
@@ -173,9 +173,9 @@
         assert shim.failed(Call.REGISTER)
 
 
-def test_requests_in_half_open_connections_of_a_router_that_ends_are_answered(faulty):
+def test_requests_in_half_open_connections_of_a_router_that_ends_are_answered(faulty_stand):
     """Accepts fail now and then while it ends; nothing that was accepted by the system is left unread."""
-    made, shim = faulty()
+    made, shim = faulty_stand()
     shim.fail(Call.ACCEPT, ONE_IN_FIVE)
     shim.fail(Call.CLIENT_READ, ONE_IN_FIVE)
     shim.fail(Call.CLIENT_PEEK, ONE_IN_FIVE)
@@ -200,8 +200,8 @@
     assert shim.failed(call)
 
 
-def test_a_reload_goes_on_after_a_failed_open(faulty):
-    made, shim = faulty()
+def test_a_reload_goes_on_after_a_failed_open(faulty_stand):
+    made, shim = faulty_stand()
     other = made.listening()
     path = made.folder / "config.json"
     text = path.read_text().replace(*("{}:{}".format(*place.getsockname()) for place in (made.service, other)))
@@ -212,9 +212,9 @@
     assert int.from_bytes(moved.recv(8)) == made.number
 
 
-def test_a_reload_goes_on_when_the_file_was_half_written(faulty):
+def test_a_reload_goes_on_when_the_file_was_half_written(faulty_stand):
     """Whoever writes it in place is read in the middle; the signal comes once."""
-    made, _ = faulty()
+    made, _ = faulty_stand()
     other = made.listening()
     path = made.folder / "config.json"
     text = path.read_text().replace(*("{}:{}".format(*place.getsockname()) for place in (made.service, other)))
--- a/tests/net/test_net.py
+++ b/tests/net/test_net.py
@@ -14,7 +14,7 @@
 from twisted.python.failure import Failure
 
 from tests.support.connections import Wire, attempts, line, pool, reading
-from tests.support.routing import request_class, router
+from tests.support.routing import make_request_class, make_router
 from wickhinge.fields import MalformedError
 from wickhinge.interface import Outcome
 from wickhinge.net.control import config, endpoint_watch
@@ -388,7 +388,7 @@
     made, ended = line()[0].caches, []
     forwards = attempts(made)
     forwards.ended = lambda number, end, told, body: ended.append(end)
-    door = None if probe else DownstreamRequest(SimpleNamespace(taken=1), None, 1, "a", request_class(), 0.0)
+    door = None if probe else DownstreamRequest(SimpleNamespace(taken=1), None, 1, "a", make_request_class(), 0.0)
     number = forwards.slots.put(SentAttempt(door, None, None, 0.0, 1.0))
     assert forwards.answered(number, word, told, Body(made.pool, b"x")) is good
     assert (ended == [AttemptResult.UNREADABLE]) is not good
@@ -485,15 +485,15 @@
     """The collector is off in service: a circle would stay until the memory limit."""
     clock = SimpleNamespace(now=lambda: 100.0, at=lambda *_: None)
     client = SimpleNamespace(error=lambda call, word, fields: None)
-    decisions = router(boxes=0, parents=0, direct=False)
+    decisions = make_router(caches=0, parents=0, direct_to_source=False)
     forwards = SimpleNamespace(decisions=decisions, local_copies=None)
-    visits = RequestTable(forwards, clock, pool()[0], {"t": request_class()}, lambda *_, **more: None, [].append)
+    visits = RequestTable(forwards, clock, pool()[0], {"t": make_request_class()}, lambda *_, **more: None, [].append)
     seen, take = [], decisions.route
     decisions.route = lambda *told: seen.append(weakref.ref(visit := take(*told))) or visit
     gc.disable()
     try:
         visits.take(client, 1, "t", {"rid": "0" * 16, "budget": "3000", "obj": "0" * 16}, b"", 100.0)
-        decisions.environment.alarms.clear()
+        decisions.environment.timers.clear()
         assert visits.answers == {"denied": 1} and seen[0]() is None
     finally:
         gc.enable()
--- a/tests/net/test_request_log.py
+++ b/tests/net/test_request_log.py
@@ -70,9 +70,9 @@
 @pytest.mark.parametrize("by", [-3600.0, -3.0, 3.0])
 def test_a_step_of_the_wall_clock_is_found_once_and_drift_is_none(by):
     watch = WallClockWatch(1e9, 50.0)
-    assert watch.step(1e9 + 0.501, 50.5) == 0.0
-    assert watch.step(1e9 + 1.0 + by, 51.0) == pytest.approx(by, abs=0.01)
-    assert watch.step(1e9 + 1.5 + by, 51.5) == 0.0
+    assert watch.detect_step(1e9 + 0.501, 50.5) == 0.0
+    assert watch.detect_step(1e9 + 1.0 + by, 51.0) == pytest.approx(by, abs=0.01)
+    assert watch.detect_step(1e9 + 1.5 + by, 51.5) == 0.0
 
 
 def test_standstills_are_found_in_waits_and_in_turns_and_counted_anew_after_a_report():
@@ -105,8 +105,8 @@
     assert CliRunner().invoke(main, ["trace", "0" * 16, str(log)]).exit_code == 1
 
 
-def test_a_router_tells_that_it_stood_still_and_that_its_wall_clock_was_stepped(faulty):
-    made, shim = faulty()
+def test_a_router_tells_that_it_stood_still_and_that_its_wall_clock_was_stepped(faulty_stand):
+    made, shim = faulty_stand()
     shim.step_wall_clock(-2.0)
     assert -2.1 < json.loads(made.router.wait("wall_clock_stepped"))["by_s"] < -1.9
     pid = made.router.child.pid
--- a/tests/net/test_stalls.py
+++ b/tests/net/test_stalls.py
@@ -247,13 +247,13 @@
 
 
 @pytest.mark.parametrize("pause", [0.3, 0.6])
-def test_the_deadline_passed_on_counts_a_stop_though_reads_are_short(faulty, pause):
+def test_the_deadline_passed_on_counts_a_stop_though_reads_are_short(faulty_stand, pause):
     """Found by the soak, seed 4: a read that gave less than it might was taken for all that there was.
 
     What lay behind it in the socket was read a turn later and taken for fresh: of eleven requests that had lain there
     for 0.2 s and more, the log had `unread_ms` of 265 for four and of 3 for the others (recv(2) may give less).
     """
-    made, shim = faulty()
+    made, shim = faulty_stand()
     client = made.client()
     line = warmed(made, client)
     shim.fail(Call.SHORT_READ, 1.0)
@@ -272,13 +272,13 @@
 
 
 @pytest.mark.parametrize("failures", [1, 4])
-def test_the_deadline_passed_on_counts_a_stop_though_the_first_read_fails(faulty, failures):
+def test_the_deadline_passed_on_counts_a_stop_though_the_first_read_fails(faulty_stand, failures):
     """Found by the soak, seed 1: what a poll has handed out was taken for read, though the read had failed.
 
     A read that fails for a moment leaves the request where it lies. It was read a turn later and taken for fresh:
     1.489 s were passed on with 1.300 s left, after a stop of 0.4 s.
     """
-    made, shim = faulty()
+    made, shim = faulty_stand()
     client = made.client()
     line = warmed(made, client)
     with made.stopped():
--- a/tests/routing/test_slow_start_unmeasured.py
+++ b/tests/routing/test_slow_start_unmeasured.py
@@ -1,6 +1,6 @@
 """A failed server is tried again though nothing is known of what a warm one takes."""
 
-from tests.support.routing import end, router, take
+from tests.support.routing import end_attempt, make_router, route_request
 from wickhinge.interface import Outcome
 from wickhinge.routing.slow_start import ROUND_INTERVAL_S
 
@@ -11,19 +11,21 @@
 
 def attempts_after_a_start_while_all_are_down(routers, boxes=2):
     """The times of attempts, caches being down at first; nobody tells weights and there are no health checks."""
-    made = router(boxes=boxes, parents=0, weighed=False, probes=False, direct=False, routers=routers)
+    made = make_router(
+        caches=boxes, parents=0, has_weights=False, health_checks=False, direct_to_source=False, routers=routers
+    )
     times, next_round = [], START
     for number in range(int((DOWN_S + UP_S) / INTERVAL_S)):
         now = START + number * INTERVAL_S
         if now >= next_round:
             made.round(now)
             next_round += ROUND_INTERVAL_S
-        visit, caller = take(made, key=number, size=0.0, now=now)
+        visit, caller = route_request(made, key=number, size_kb=0.0, now=now)
         times += [now] * len(caller.forwards)
         is_down = now < START + DOWN_S
-        while visit.pending():
-            end(caller, Outcome.CONNECT_FAILED if is_down else Outcome.SUCCEEDED, now + 0.01)
-            times += [now] * (len(visit.pending()))
+        while visit.pending_attempts():
+            end_attempt(caller, Outcome.CONNECT_FAILED if is_down else Outcome.SUCCEEDED, now + 0.01)
+            times += [now] * (len(visit.pending_attempts()))
     return times
 
 
--- a/tests/shared/test_outlier_detection.py
+++ b/tests/shared/test_outlier_detection.py
@@ -27,7 +27,7 @@
         self.detector = FailureDetector(Roster(places, self.name), RandomSource(place), 0.0, lambda item: None)
         self.sends, self.looks = [], []
         self.detector.send = lambda name, kind, serial, now: self.sends.append((now, name))
-        self.policy = helpers.router(boxes=boxes, routers=3, seed=place)
+        self.policy = helpers.make_router(caches=boxes, routers=3, seed=place)
         self.outliers = OutlierDetector(self.detector, self.policy.endpoints, self.looks.append, group.log)
 
     def box(self, number=0):
--- a/tests/shared/test_request_tallies.py
+++ b/tests/shared/test_request_tallies.py
@@ -34,12 +34,12 @@
                 entry.epoch, entry.incarnation, entry.state = 1, other + 1, MemberState.ALIVE
         self.sends = []
         self.detector.send = lambda name, kind, serial, now: self.sends.append(name)
-        self.endpoints = helpers.router(boxes=boxes, routers=count, seed=place).endpoints
+        self.endpoints = helpers.make_router(caches=boxes, routers=count, seed=place).endpoints
         self.tallies = RequestTallies(self.detector, self.endpoints, 100.0)
 
     def out(self, *numbers):
         for cache, number in zip(sorted(self.endpoints.edge_caches, key=lambda one: one.id), numbers, strict=True):
-            cache.pending = {object() for _ in range(number)}
+            cache.pending_attempts = {object() for _ in range(number)}
 
     def table(self):
         return {
@@ -82,7 +82,7 @@
         assert one.endpoints.reporting_routers == COUNT - 1
         for place, cache in enumerate(sorted(one.endpoints.edge_caches, key=lambda cache: cache.id)):
             truth = sum(
-                len(sorted(other.endpoints.edge_caches, key=lambda one: one.id)[place].pending)
+                len(sorted(other.endpoints.edge_caches, key=lambda one: one.id)[place].pending_attempts)
                 for other in group
                 if other is not one
             )
--- a/tests/shared/test_slow_start_quota.py
+++ b/tests/shared/test_slow_start_quota.py
@@ -206,7 +206,7 @@
 
 
 def test_decision_when_the_quota_admits_sends_and_charges_the_cache():
-    made = helpers.router(boxes=1)
+    made = helpers.make_router(caches=1)
     cache = made.endpoints.edge_caches[0]
     cache.started, cache.tokens, asked = 99.0, 5.0, []
 
@@ -215,24 +215,26 @@
         return len(asked) > 1
 
     made.endpoints.slow_start_quota = dealt
-    _, caller = helpers.take(made)
+    _, caller = helpers.route_request(made)
     assert cache not in [sent.server for sent in caller.forwards]
-    _, caller = helpers.take(made)
+    _, caller = helpers.route_request(made)
     assert caller.forwards[0].server is cache
     told, upper, limits, part, work = asked[0]
-    assert (told, upper, limits) == (cache, False, made.endpoints.edge) and 0.2 < part < 0.3
-    assert work == pytest.approx(made.mean_work(helpers.request_class())) and cache.tokens == pytest.approx(5.0 - work)
-    helpers.end(caller, Outcome.SUCCEEDED, 100.1, closed=True)
+    assert (told, upper, limits) == (cache, False, made.endpoints.cache_slow_start) and 0.2 < part < 0.3
+    assert work == pytest.approx(made.mean_work(helpers.make_request_class())) and cache.tokens == pytest.approx(
+        5.0 - work
+    )
+    helpers.end_attempt(caller, Outcome.SUCCEEDED, 100.1, is_answered=True)
 
 
 def test_decision_when_servers_are_warm_or_unweighted_does_not_ask_the_quota():
     for weighed, started in ((True, -1e9), (False, 99.0)):
-        made = helpers.router(boxes=1, weighed=weighed)
+        made = helpers.make_router(caches=1, has_weights=weighed)
         made.endpoints.edge_caches[0].started = started
         made.endpoints.slow_start_quota = lambda *words: pytest.fail("asked")
-        made.endpoints.edge.usual_load = 10.0
+        made.endpoints.cache_slow_start.usual_load = 10.0
         made.endpoints.edge_caches[0].tokens = 1.0
-        _, caller = helpers.take(made)
+        _, caller = helpers.route_request(made)
         assert caller.forwards
 
 
--- a/tests/store/test_store.py
+++ b/tests/store/test_store.py
@@ -9,9 +9,9 @@
 
 from tests.support.connections import attempts, pool, reading
 from tests.support.faulty_disk import Disk
-from tests.support.routing import end, request_class, router, take
+from tests.support.routing import end_attempt, make_request_class, make_router, route_request
 from tests.support.store_world import World
-from wickhinge.clocks import OthersTime
+from wickhinge.clocks import RemoteClock
 from wickhinge.interface import Idempotency, Outcome
 from wickhinge.net.downstream.request_table import RequestTable
 from wickhinge.net.runtime.buffers import Body
@@ -323,9 +323,9 @@
 
 
 def asked(kind, age, now=100.0, **more):
-    made = router()
+    made = make_router()
     made.local_copies = PreparedCopies(Copy(5, 0, 3, b"t", now - age, 100, 1), **more)
-    visit, caller = take(made, kind, now=now)
+    visit, caller = route_request(made, kind, now=now)
     return made, visit, caller
 
 
@@ -341,62 +341,70 @@
     ],
 )
 def test_copy_when_fresh_and_current_and_in_time_answers(fresh, age, more, answers):
-    made, visit, caller = asked(request_class(freshness_lifetime=fresh), age, **more)
-    assert bool(caller.reads) is answers and bool(caller.forwards) is not answers
+    made, visit, caller = asked(make_request_class(freshness_lifetime=fresh), age, **more)
+    assert bool(caller.served_copies) is answers and bool(caller.forwards) is not answers
     assert made.object_counts.entries[5].leading_parts == 1  # a visit raises k, however it is answered
     if answers:
-        assert visit.copy_read(caller.reads[0], 100.01, is_complete=True) and visit.is_finished and caller.answers == []
+        assert (
+            visit.copy_read(caller.served_copies[0], 100.01, is_complete=True)
+            and visit.is_finished
+            and caller.answers == []
+        )
 
 
 @pytest.mark.parametrize("whole, gone", [(False, False), (True, True)])
 def test_request_when_its_copy_is_unreadable_or_purged_is_forwarded_once(whole, gone):
-    made, visit, caller = asked(request_class(), 1.0)
+    made, visit, caller = asked(make_request_class(), 1.0)
     made.local_copies.is_held = not gone
-    assert not visit.copy_read(caller.reads[0], 100.05, is_complete=whole)
-    assert len(caller.forwards) == 1 and visit.local_copy is None and len(caller.reads) == 1
+    assert not visit.copy_read(caller.served_copies[0], 100.05, is_complete=whole)
+    assert len(caller.forwards) == 1 and visit.local_copy is None and len(caller.served_copies) == 1
 
 
 @pytest.mark.parametrize(
     "kind",
     [
-        request_class(Idempotency.NOT_IDEMPOTENT),
-        request_class(Idempotency.IDEMPOTENCY_KEY),
-        request_class(pass_through=True),
+        make_request_class(Idempotency.NOT_IDEMPOTENT),
+        make_request_class(Idempotency.IDEMPOTENCY_KEY),
+        make_request_class(pass_through=True),
     ],
 )
 def test_request_when_it_has_effects_is_never_answered_by_a_copy(kind):
     _, visit, caller = asked(kind, 1.0)
-    assert not caller.reads and visit.local_copy is None
+    assert not caller.served_copies and visit.local_copy is None
 
 
 @pytest.mark.parametrize("age, reads", [(7.0, True), (11.0, False)])
 def test_copy_when_in_its_grace_answers_only_in_place_of_a_denial(age, reads):
-    _, visit, caller = asked(replace(request_class(freshness_lifetime=5.0), stale_grace=5.0), age)
-    assert len(caller.forwards) == 1 and not caller.reads
+    _, visit, caller = asked(replace(make_request_class(freshness_lifetime=5.0), stale_grace=5.0), age)
+    assert len(caller.forwards) == 1 and not caller.served_copies
     visit.give_up(100.1)
-    assert bool(caller.reads) is reads and bool(caller.answers) is not reads
+    assert bool(caller.served_copies) is reads and bool(caller.answers) is not reads
     if reads:
-        assert not visit.copy_read(caller.reads[0], 104.99, is_complete=False)
-        assert caller.answers == [("denied", 0.5)]
+        assert not visit.copy_read(caller.served_copies[0], 104.99, is_complete=False)
+        assert caller.answers == [("rejected", 0.5)]
 
 
 def test_copy_when_not_current_is_offered_and_answers_after_revalidation():
-    made, visit, caller = asked(request_class(), 1.0, proven=False)
+    made, visit, caller = asked(make_request_class(), 1.0, proven=False)
     assert visit.local_copy is made.local_copies.copy and caller.forwards
-    before = dict(made.mean_works), visit.object_count.work
+    before = dict(made.mean_work_by_class), visit.object_count.work
     made.local_copies.is_proven = True
-    end(caller, Outcome.NOT_MODIFIED, 100.02)
-    assert caller.reads and not visit.is_finished and (dict(made.mean_works), visit.object_count.work) == before
-    assert visit.copy_read(caller.reads[0], 100.03, is_complete=True) and visit.is_finished
+    end_attempt(caller, Outcome.NOT_MODIFIED, 100.02)
+    assert (
+        caller.served_copies
+        and not visit.is_finished
+        and (dict(made.mean_work_by_class), visit.object_count.work) == before
+    )
+    assert visit.copy_read(caller.served_copies[0], 100.03, is_complete=True) and visit.is_finished
 
 
 def test_revalidated_copy_when_unreadable_is_requested_from_the_same_cache():
-    made, visit, caller = asked(request_class(), 1.0, proven=False)
+    made, visit, caller = asked(make_request_class(), 1.0, proven=False)
     made.local_copies.is_proven = True
-    end(caller, Outcome.NOT_MODIFIED, 100.02)
-    assert not visit.copy_read(caller.reads[0], 100.03, is_complete=False)
+    end_attempt(caller, Outcome.NOT_MODIFIED, 100.02)
+    assert not visit.copy_read(caller.served_copies[0], 100.03, is_complete=False)
     assert len(caller.forwards) == 2 and caller.forwards[1].server is caller.forwards[0].server
-    end(caller, Outcome.SUCCEEDED, 100.04, closed=True)
+    end_attempt(caller, Outcome.SUCCEEDED, 100.04, is_answered=True)
     assert visit.is_finished
 
 
@@ -453,16 +461,16 @@
     caches = SimpleNamespace(
         machines={mark: machine for mark in [1, 2, 3, 4, 100, 101, 200]}, deadlines=heap, report_to=lambda owner: None
     )
-    made, copies = router(), None
+    made, copies = make_router(), None
     world.clock = heap.clock
     if with_store:
         world.read_clock = lambda: heap.clock
         copies = made.local_copies = LocalCopies(
-            world.store, heap, buffers, LinkBandwidth(1e6, 1e6), 0.1, faults.append, OthersTime()
+            world.store, heap, buffers, LinkBandwidth(1e6, 1e6), 0.1, faults.append, RemoteClock()
         )
         world.store.caught_up(heap.clock, False)
     forwards = attempts(caches, faults, decisions=made, local_copies=copies)
-    visits = RequestTable(forwards, heap, buffers, {"t": request_class()}, lambda *a, **k: None, faults.append)
+    visits = RequestTable(forwards, heap, buffers, {"t": make_request_class()}, lambda *a, **k: None, faults.append)
     return SimpleNamespace(
         world=world,
         heap=heap,
@@ -559,7 +567,7 @@
     net.world.restart(1, lost=False)
     net.world.read_clock = lambda: net.heap.clock
     copies = LocalCopies(
-        net.world.store, net.heap, net.pool, LinkBandwidth(1e6, 1e6), 0.1, net.faults.append, OthersTime()
+        net.world.store, net.heap, net.pool, LinkBandwidth(1e6, 1e6), 0.1, net.faults.append, RemoteClock()
     )
     net.router.local_copies = net.visits.local_copies = net.forwards.local_copies = copies
     net.world.store.caught_up(net.heap.clock, False)
--- a/tests/support/connections.py
+++ b/tests/support/connections.py
@@ -2,7 +2,7 @@
 
 from types import SimpleNamespace
 
-from wickhinge.clocks import OthersTime
+from wickhinge.clocks import RemoteClock
 from wickhinge.net.control import endpoint_watch
 from wickhinge.net.runtime.arrivals import Arrivals
 from wickhinge.net.runtime.buffers import BufferPool
@@ -12,7 +12,7 @@
 
 def attempts(pools, faults=None, **ports):
     """Attempts over these pools, with no decisions unless they are given."""
-    ports = {"decisions": None, "others_time": OthersTime(), **ports}
+    ports = {"decisions": None, "others_time": RemoteClock(), **ports}
     return Attempts(pools, pools.deadlines, AttemptPorts(**ports), 0.25, [].append if faults is None else faults.append)
 
 
--- a/wickhinge/changelog/settings_table.py
+++ b/wickhinge/changelog/settings_table.py
@@ -14,7 +14,7 @@
 
 from wickhinge.changelog.entries import Setting
 from wickhinge.common.log_event import LogEvent
-from wickhinge.fields import MalformedError, endpoint
+from wickhinge.fields import MalformedError, parse_host_port
 
 JOURNAL = "journal"
 
@@ -39,7 +39,7 @@
 
 def parse_address(value: bytes) -> tuple[str, int]:
     """An IPv4 address and a port. Raises MalformedError."""
-    address = endpoint(value.decode("utf-8", "replace"))
+    address = parse_host_port(value.decode("utf-8", "replace"))
     if address is None:
         raise MalformedError(f"{value[:60]!r} is not an address as 127.0.0.1:10080")
     return address
--- a/wickhinge/cli/commands.py
+++ b/wickhinge/cli/commands.py
@@ -52,7 +52,7 @@
         if config:
             conf = platform.read({"RELAY_CONFIG": config})
             nothing_outside = cast(Any, None)  # the router that is built decides nothing
-            router, tariffs = settings.build(platform.settings(conf), platform.seed(conf), nothing_outside)
+            router, tariffs = settings.build_router(platform.settings(conf), platform.seed(conf), nothing_outside)
             platform.process_limits(conf)
             platform.connection_limits(conf)
             platform.known_events(conf)
--- a/wickhinge/clocks.py
+++ b/wickhinge/clocks.py
@@ -4,7 +4,7 @@
 may be stepped at any time, either way, and may be wrong from the start; it is read once, when this module is imported,
 so that the steady clock counts in Unix seconds, and later only to tell staff of its steps.
 
-Messages and files name times of day, as others' clocks have them. `OthersTime` turns those into times of the steady
+Messages and files name times of day, as others' clocks have them. `RemoteClock` turns those into times of the steady
 clock: see there for what holds when our own wall clock was wrong.
 """
 
@@ -14,14 +14,14 @@
 from collections.abc import Callable
 
 monotonic: Callable[[], float] = time.monotonic  # seconds from an arbitrary start, never stepped
-wall: Callable[[], float] = time.time  # Unix seconds by the system's clock, as it stands now
+wall_time: Callable[[], float] = time.time  # Unix seconds by the system's clock, as it stands now
 
-_OFFSET = wall() - monotonic()
+_OFFSET = wall_time() - monotonic()
 IMPROVED = 0.1  # seconds by which the estimate of others' time has to have become better before anybody is told
 STEPPED = 0.05  # seconds that the clocks may drift apart between two looks before it counts as a step
 
 
-def steady() -> float:
+def steady_time() -> float:
     """Seconds of a clock that runs on whatever the wall clock does; Unix time, if that was right at the start."""
     return monotonic() + _OFFSET
 
@@ -32,7 +32,7 @@
     def __init__(self, wall_now: float, monotonic_now: float) -> None:
         self._offset = wall_now - monotonic_now
 
-    def step(self, wall_now: float, monotonic_now: float) -> float:
+    def detect_step(self, wall_now: float, monotonic_now: float) -> float:
         """Seconds by which the wall clock was stepped since the last look; 0.0 where it was not."""
         offset = wall_now - monotonic_now
         stepped = offset - self._offset
@@ -40,7 +40,7 @@
         return stepped if abs(stepped) >= STEPPED else 0.0
 
 
-class OthersTime:
+class RemoteClock:
     """Times of day that others name, as times of the steady clock.
 
     A time that somebody names has passed for him, so each one is a lower bound of the time of day at which it comes in,
@@ -54,26 +54,26 @@
     def __init__(self) -> None:
         self._ceiling = 0.0  # others' time less ours, at most: ours is right, or the service's times are later
         self._bound: float | None = None  # the best lower bound of it; None: nobody has named a time yet
-        self.improved: Callable[[], None] = lambda: None  # told when earlier answers of `instant` may be too late
+        self.on_improved: Callable[[], None] = lambda: None  # told when earlier answers of `instant` may be too late
 
-    def vouched(self, unix: float, now: float) -> None:
+    def observe_trusted(self, unix: float, now: float) -> None:
         """The discovery service, or the change log, named this time."""
         self._ceiling = max(self._ceiling, unix - now)
-        self.seen(unix, now)
+        self.observe(unix, now)
 
-    def seen(self, unix: float, now: float) -> None:
+    def observe(self, unix: float, now: float) -> None:
         """A server named this time in an answer."""
         bound = min(unix - now, self._ceiling)
         if self._bound is None or bound > self._bound:
             tell = self._bound is not None and bound >= self._bound + IMPROVED
             self._bound = bound
             if tell:
-                self.improved()
+                self.on_improved()
 
-    def instant(self, unix: float, now: float) -> float:
+    def to_local_time(self, unix: float, now: float) -> float:
         """When that was by the steady clock: not before it was, and not after now."""
         return min(unix - (0.0 if self._bound is None else self._bound), now)
 
-    def earliest(self, unix: float, now: float) -> float:
+    def earliest_local_time(self, unix: float, now: float) -> float:
         """When that was by the steady clock, at the earliest: for what must not be taken for younger than it is."""
         return min(unix - max(self._bound or 0.0, self._ceiling), now)
--- a/wickhinge/fields.py
+++ b/wickhinge/fields.py
@@ -32,7 +32,7 @@
         return value
     if value is None and default is not None:
         return default
-    raise problem(name, fields, field, "a number")
+    raise field_error(name, fields, field, "a number")
 
 
 def integer(name: str, fields: dict[str, Any], field: str, default: int | None = None) -> int:
@@ -44,7 +44,7 @@
         return default
     if type(value) is float and value.is_integer():
         return int(value)
-    raise problem(name, fields, field, "a whole number")
+    raise field_error(name, fields, field, "a whole number")
 
 
 def seconds(name: str, fields: dict[str, Any], field: str, default: float | None = None) -> float:
@@ -57,7 +57,7 @@
     value = fields.get(field)
     if type(value) is str:
         return value
-    raise problem(name, fields, field, "a text")
+    raise field_error(name, fields, field, "a text")
 
 
 def hexadecimal(name: str, fields: dict[str, Any], field: str, start: str = "") -> int:
@@ -69,7 +69,7 @@
         raise MalformedError(f"{name}: field {field} is not hex digits") from None
 
 
-def word(name: str, fields: dict[str, Any], field: str, known: Any) -> Any:
+def choice(name: str, fields: dict[str, Any], field: str, known: Any) -> Any:
     """Return a text that is among the known ones."""
     value = text(name, fields, field)
     if value not in known:
@@ -77,41 +77,41 @@
     return value
 
 
-def flag(name: str, fields: dict[str, Any], field: str, default: bool | None = None) -> bool:
+def boolean(name: str, fields: dict[str, Any], field: str, default: bool | None = None) -> bool:
     """Return true or false; `default` where the field is missing."""
     value = fields.get(field)
     if type(value) is bool:
         return value
     if value is None and default is not None:
         return default
-    raise problem(name, fields, field, "true or false")
+    raise field_error(name, fields, field, "true or false")
 
 
-def listing(name: str, fields: dict[str, Any], field: str) -> list[Any]:
+def array(name: str, fields: dict[str, Any], field: str) -> list[Any]:
     """Return a list."""
     value = fields.get(field)
     if type(value) is list:
         return value
-    raise problem(name, fields, field, "a list")
+    raise field_error(name, fields, field, "a list")
 
 
-def records(name: str, fields: dict[str, Any], field: str) -> list[dict[str, Any]]:
+def mappings(name: str, fields: dict[str, Any], field: str) -> list[dict[str, Any]]:
     """Return a list of objects."""
-    values = listing(name, fields, field)
+    values = array(name, fields, field)
     if not all(type(value) is dict for value in values):
-        raise problem(name, fields, field, "a list of objects")
+        raise field_error(name, fields, field, "a list of objects")
     return values
 
 
-def record(name: str, fields: dict[str, Any], field: str) -> dict[str, Any]:
+def mapping(name: str, fields: dict[str, Any], field: str) -> dict[str, Any]:
     """Return an object."""
     value = fields.get(field)
     if type(value) is dict:
         return value
-    raise problem(name, fields, field, "an object")
+    raise field_error(name, fields, field, "an object")
 
 
-def endpoint(text: str) -> tuple[str, int] | None:
+def parse_host_port(text: str) -> tuple[str, int] | None:
     """An IPv4 address and a port, as 127.0.0.1:10080; None for anything else."""
     host, _, port = text.rpartition(":")
     octets = host.split(".")
@@ -124,7 +124,7 @@
     return host, int(port)
 
 
-def problem(name: str, fields: dict[str, Any], field: str, wanted: str) -> MalformedError:
+def field_error(name: str, fields: dict[str, Any], field: str, wanted: str) -> MalformedError:
     """Return the error for a field that is missing or not what was wanted."""
     fault = "is missing" if fields.get(field) is None else f"is not {wanted}"
     router = fields.get("router")
--- a/wickhinge/interface.py
+++ b/wickhinge/interface.py
@@ -1,7 +1,7 @@
 """What the routing decisions call out on, and the plain types that both sides share.
 
 A front (the simulator adapter or the network router) implements RequestTransport and Environment, builds a router by
-`wickhinge.settings.build` and calls it. Times are seconds with fractions. Nothing here decides anything.
+`wickhinge.settings.build_router` and calls it. Times are seconds with fractions. Nothing here decides anything.
 """
 
 from __future__ import annotations
@@ -40,7 +40,7 @@
     MISS = "miss"
 
     @property
-    def answered(self) -> bool:
+    def is_answer(self) -> bool:
         """Whether the server sent an answer."""
         return self in ANSWERED
 
@@ -218,7 +218,7 @@
     def check_health(self, server: Server) -> None:
         """Ask a server for its load; the answer is a call of Router.health_checked."""
 
-    def watch(self) -> None:
+    def watch_endpoints(self) -> None:
         """Subscribe to changes of the endpoint list."""
 
     def fetch_endpoints(self) -> None:
--- a/wickhinge/lab/play.py
+++ b/wickhinge/lab/play.py
@@ -52,7 +52,9 @@
         load_reports=False,
         polls_endpoints=False,
     )
-    settings = RouterSettings(capabilities, flow=1000.0, max_attempts=6, max_list_age=0.0, max_retry_after=0.5)
+    settings = RouterSettings(
+        capabilities, transfer_kb_per_s=1000.0, max_attempts=6, max_list_age=0.0, max_retry_after=0.5
+    )
     return Router(outside, endpoints, ObjectCounts(endpoints.routers), Purges(6.0), settings)
 
 
@@ -246,7 +248,9 @@
         if policy == "random":
             fleet.in_order = lambda caches, salt, now: self.random.sample(caches, len(caches))
         elif policy == "least_loaded":
-            fleet.in_order = lambda caches, salt, now: sorted(caches, key=lambda cache: (len(cache.pending), cache.id))
+            fleet.in_order = lambda caches, salt, now: sorted(
+                caches, key=lambda cache: (len(cache.pending_attempts), cache.id)
+            )
         elif policy == "keep_all":
             made.object_counts.retention_rank = lambda item, part, work: 1
         elif policy == "keep_none":
@@ -392,7 +396,7 @@
                 self.wheel.after(5.0 * self.random.random(), lambda machine=machine: machine.held.purge(key))
 
     def told_purge(self, number: int, key: int, stamp: float) -> None:
-        self.routers[number].purges.notify(key, 0, stamp, self.wheel.now)
+        self.routers[number].purges.record_purge(key, 0, stamp, self.wheel.now)
 
     def tell(self, marks: list[int]) -> None:
         delay = max(self.listing_lost - self.wheel.now, 0.0) + self.scenario.list_s
--- a/wickhinge/net/control/changelog_client.py
+++ b/wickhinge/net/control/changelog_client.py
@@ -18,7 +18,7 @@
 from wickhinge.changelog.log import Snapshot
 from wickhinge.changelog.settings import FollowSettings
 from wickhinge.changelog.settings_table import JOURNAL, SettingsTable
-from wickhinge.fields import MalformedError, endpoint
+from wickhinge.fields import MalformedError, parse_host_port
 from wickhinge.net.control.endpoint_updates import EndpointUpdates
 from wickhinge.net.runtime.deadlines import Deadlines
 from wickhinge.net.runtime.log import Log
@@ -57,7 +57,7 @@
         self.follower = FollowerEndpoint(
             EndpointConfig(
                 name,
-                endpoint(options.bind) or ANY_ADDRESS,
+                parse_host_port(options.bind) or ANY_ADDRESS,
                 options_of.addresses(options.relays),
                 options_of.read_keys(options),
             ),
@@ -67,7 +67,7 @@
         )
         self._limited = True  # as at the last tick: the age of copies is limited
         self._source = ""
-        node.decisions.purges.limit_age_by(self.limit)
+        node.decisions.purges.set_age_limit(self.limit)
         if node.local_copies is not None:
             node.local_copies.limit_age(self.limit)
 
--- a/wickhinge/net/control/config.py
+++ b/wickhinge/net/control/config.py
@@ -138,7 +138,7 @@
 
 def connection_limits(configuration: dict[str, Any]) -> ConnectionLimits:
     """The limits of connections to servers; each is above 0."""
-    entry = checks.record("config.settings", settings(configuration), "limits")
+    entry = checks.mapping("config.settings", settings(configuration), "limits")
     where = "config.settings.limits"
     limits = ConnectionLimits(
         checks.seconds(where, entry, "connectTimeoutMs", 400.0),
@@ -161,18 +161,18 @@
 
 def settings(configuration: dict[str, Any]) -> dict[str, Any]:
     """The settings of the decisions, for `wickhinge.settings`."""
-    return checks.record(CONFIG, configuration, "settings")
+    return checks.mapping(CONFIG, configuration, "settings")
 
 
 def known_events(configuration: dict[str, Any]) -> KnownEvents:
     """What the discovery service had told when the configuration was written."""
-    entry = checks.record(CONFIG, configuration, "known")
-    events = [_event(item) for item in checks.records("config.known", entry, "entries")]
+    entry = checks.mapping(CONFIG, configuration, "known")
+    events = [_event(item) for item in checks.mappings("config.known", entry, "entries")]
     return KnownEvents(checks.integer("config.known", entry, "pos"), events)
 
 
 def _address(where: str, fields: dict[str, Any], field: str) -> Address:
-    address = checks.endpoint(checks.text(where, fields, field))
+    address = checks.parse_host_port(checks.text(where, fields, field))
     if address is None:
         raise MalformedError(f"{where}: field {field} is not an address as 127.0.0.1:10080")
     return address
@@ -181,11 +181,11 @@
 def _event(item: dict[str, Any]) -> KnownEndpoints | KnownPurge:
     if "hosts" in item:
         where = f"{KNOWN_ENTRIES}.hosts"
-        hosts = checks.record(KNOWN_ENTRIES, item, "hosts")
-        entries = checks.records(where, hosts, "hosts")
-        return KnownEndpoints(checks.flag(where, hosts, "whole"), [_endpoint(entry) for entry in entries])
+        hosts = checks.mapping(KNOWN_ENTRIES, item, "hosts")
+        entries = checks.mappings(where, hosts, "hosts")
+        return KnownEndpoints(checks.boolean(where, hosts, "whole"), [_endpoint(entry) for entry in entries])
     where = f"{KNOWN_ENTRIES}.expire"
-    purge = checks.record(KNOWN_ENTRIES, item, "expire")
+    purge = checks.mapping(KNOWN_ENTRIES, item, "expire")
     key = checks.hexadecimal(where, purge, "name") if "name" in purge else None
     group = checks.integer(where, purge, "set", 0 if key is not None else None)
     return KnownPurge(key, group, checks.number(where, purge, "stamp"))
@@ -196,7 +196,7 @@
     return ListedEndpoint(
         checks.hexadecimal(where, entry, "host", "s-"),
         _address(where, entry, "dial"),
-        checks.word(where, entry, "health", ENDPOINT_STATES),
+        checks.choice(where, entry, "health", ENDPOINT_STATES),
         checks.text(where, entry, "site"),
         checks.text(where, entry, "class"),
         checks.integer(where, entry, "block", 0),
--- a/wickhinge/net/control/endpoint_updates.py
+++ b/wickhinge/net/control/endpoint_updates.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from wickhinge.clocks import OthersTime
+from wickhinge.clocks import RemoteClock
 from wickhinge.interface import Endpoint
 from wickhinge.net.control.config import ENDPOINT_STATES, KnownEndpoints, KnownEvents, ListedEndpoint
 from wickhinge.net.control.endpoint_watch import EndpointRecord
@@ -38,7 +38,7 @@
         self._decisions, self._attempts, self._names, self._log = decisions, attempts, names, log
         self._pools: ConnectionPools = attempts.caches
         self._deadlines: Deadlines = attempts.deadlines
-        self._others_time: OthersTime = attempts.others_time
+        self._others_time: RemoteClock = attempts.others_time
         self._membership, self._local_copies = attempts.membership, attempts.local_copies
 
     def apply_known(self, known: KnownEvents) -> None:
@@ -71,7 +71,7 @@
         now = self._deadlines.now()
         for endpoint in endpoints:
             if endpoint.started_at is not None:
-                self._others_time.vouched(endpoint.started_at, now)
+                self._others_time.observe_trusted(endpoint.started_at, now)
         listings = []
         for endpoint in endpoints:
             self._pools.listed(endpoint.mark, f"{endpoint.mark:08x}", endpoint.address)
@@ -109,8 +109,8 @@
     def record_purge(self, key: int | None, group: int, stamp_ms: float, number: int = NO_NUMBER) -> None:
         """Puts a purge in force for what is sent from now on; what waits to be written is the caller's to recall."""
         now, stamp_s = self._deadlines.now(), stamp_ms / 1000.0
-        self._others_time.vouched(stamp_s, now)
-        self._decisions.purges.notify(key, group, stamp_s, now)
+        self._others_time.observe_trusted(stamp_s, now)
+        self._decisions.purges.record_purge(key, group, stamp_s, now)
         if self._local_copies is not None:
             self._local_copies.store.purge(key, group, stamp_s, number)
         if self._membership is not None:
--- a/wickhinge/net/control/membership.py
+++ b/wickhinge/net/control/membership.py
@@ -12,7 +12,7 @@
 from twisted.internet.error import CannotListenError
 
 from wickhinge import settings
-from wickhinge.fields import MalformedError, endpoint
+from wickhinge.fields import MalformedError, parse_host_port
 from wickhinge.interface import Endpoint, Idempotency, Outcome
 from wickhinge.membership.backoff import AddressBackoff
 from wickhinge.membership.controller import MembershipController
@@ -80,7 +80,9 @@
         self.client = ListClient(node.reactor, self.after, self.key)
         self.written_at, self.is_writing, self.closed = 0.0, False, False
         self.exchange_backoff = (
-            AddressBackoff([endpoint(one) for one in options.siblings], self.chance, 0.5, options.longest_backoff_s)
+            AddressBackoff(
+                [parse_host_port(one) for one in options.siblings], self.chance, 0.5, options.longest_backoff_s
+            )
             if options.siblings
             else None
         )
@@ -89,7 +91,7 @@
 
     def service_addresses(self, address: tuple[str, int], options: Any) -> AddressBackoff:
         """The discovery service's addresses: the configuration's, and those of the `discovery` options."""
-        addresses = [address, *(endpoint(further) for further in options.addresses)]
+        addresses = [address, *(parse_host_port(further) for further in options.addresses)]
         self.backoff = AddressBackoff(addresses, self.chance, options.backoff_s, options.longest_backoff_s)
         return self.backoff
 
@@ -103,7 +105,7 @@
         self.controller.start(stored, self.static, self.now())
         fleet = self.node.decisions.endpoints
         if self.controller.stored is not None:
-            fleet.edge.usual_load, fleet.upper.usual_load = self.controller.stored.usual_loads
+            fleet.cache_slow_start.usual_load, fleet.parent_slow_start.usual_load = self.controller.stored.usual_loads
             if options.journal.continues:
                 watch.resume_list(self.controller.stored.last_event)
 
@@ -113,7 +115,7 @@
         Raises OSError where the address cannot be had; then nothing has begun.
         """
         if self.listen:
-            host, port = endpoint(self.listen)
+            host, port = parse_host_port(self.listen)
             factory = ListServerFactory(
                 self.key, self.now, self.after, lambda: self.controller.replica_answer(self.now()), self.log_event
             )
@@ -174,7 +176,7 @@
 
     def recover_purge(self, purge: PurgeRecord) -> None:
         """Carries out a purge that was stored, or that another router told."""
-        self.node.decisions.purges.notify(purge.object_key, purge.group, purge.stamp, self.now())
+        self.node.decisions.purges.record_purge(purge.object_key, purge.group, purge.stamp, self.now())
         if self.node.local_copies is not None:
             self.node.local_copies.store.purge(purge.object_key, purge.group, purge.stamp, 0)
 
@@ -202,8 +204,8 @@
 
     def ended(self, sent: Any, outcome: Outcome) -> None:
         """Called when an attempt ended: an answer proves that the endpoint is there."""
-        if sent.door.request_class.idempotency is Idempotency.IDEMPOTENT and (outcome.answered or outcome in FAILED):
-            self.controller.record_request(sent.cache.id, self.now(), answered=outcome.answered)
+        if sent.door.request_class.idempotency is Idempotency.IDEMPOTENT and (outcome.is_answer or outcome in FAILED):
+            self.controller.record_request(sent.cache.id, self.now(), answered=outcome.is_answer)
 
     def purge(self, key: int | None, group: int, stamp: float) -> None:
         """Called with each purge; stamp: Unix seconds."""
@@ -225,7 +227,7 @@
         if self.list_file is None or self.is_writing or 0.0 <= now - self.written_at < self.write_interval_s:
             return
         fleet = self.node.decisions.endpoints
-        stored = self.controller.snapshot(now, (fleet.edge.usual_load, fleet.upper.usual_load))
+        stored = self.controller.snapshot(now, (fleet.cache_slow_start.usual_load, fleet.parent_slow_start.usual_load))
         if stored is None:
             return
         self.is_writing, self.written_at = True, now
@@ -280,7 +282,7 @@
         static.append(
             Statement(
                 int(one.id[2:], 16),
-                endpoint(one.dial),
+                parse_host_port(one.dial),
                 EndpointState.READY,
                 one.zone,
                 one.kind,
--- a/wickhinge/net/control/router_process.py
+++ b/wickhinge/net/control/router_process.py
@@ -13,7 +13,7 @@
 from typing import Any, NamedTuple
 
 from wickhinge import settings
-from wickhinge.clocks import OthersTime, WallClockWatch, monotonic, wall
+from wickhinge.clocks import RemoteClock, WallClockWatch, monotonic, wall_time
 from wickhinge.common.owed_reload import OwedReload
 from wickhinge.common.start_attempts import StartFailedError
 from wickhinge.net.control import config
@@ -106,7 +106,7 @@
         gc.disable()
         self._report.start()
         self.reactor.stalls.log_to(self.log.event)
-        self._clock_watch = WallClockWatch(wall(), monotonic())
+        self._clock_watch = WallClockWatch(wall_time(), monotonic())
         self._check_clock()
         self.log.event("router_started", listen=":".join(map(str, self.listen_address)), buffers=self.buffers.limit)
 
@@ -148,7 +148,7 @@
         """Begins a health check."""
         self.attempts.probe(server)
 
-    def watch(self) -> None:
+    def watch_endpoints(self) -> None:
         """Does nothing: the endpoint watch follows the list by itself."""
 
     def fetch_endpoints(self) -> None:
@@ -262,14 +262,14 @@
     def _build_decisions(self, configuration: dict[str, Any]) -> None:
         decision_settings = config.settings(configuration)
         self.names = SettingsNames(
-            settings.names(decision_settings, "zones"), settings.names(decision_settings, "shapes")
+            settings.string_list(decision_settings, "zones"), settings.string_list(decision_settings, "shapes")
         )
         self.seed = config.seed(configuration)
-        self.others_time = OthersTime()
-        self.decisions, self._request_classes = settings.build(
-            decision_settings, self.seed, self, self.others_time.instant
+        self.others_time = RemoteClock()
+        self.decisions, self._request_classes = settings.build_router(
+            decision_settings, self.seed, self, self.others_time.to_local_time
         )
-        self.others_time.improved = lambda: self.decisions.endpoints.clock_improved(self.deadlines.now())
+        self.others_time.on_improved = lambda: self.decisions.endpoints.clock_improved(self.deadlines.now())
         self._longest_timeout_s = max(request_class.timeout for request_class in self._request_classes.values())
 
     def _build_connections(self, configuration: dict[str, Any]) -> None:
@@ -367,7 +367,7 @@
 
     def _check_clock(self) -> None:
         """Nothing is decided by the wall clock's steps; they are logged."""
-        step_s = self._clock_watch.step(wall(), monotonic())
+        step_s = self._clock_watch.detect_step(wall_time(), monotonic())
         if step_s:
             self.log.event("wall_clock_stepped", by_s=round(step_s, 3))
         self.deadlines.after(CLOCK_CHECK_INTERVAL_S, self._check_clock)
--- a/wickhinge/net/runtime/deadlines.py
+++ b/wickhinge/net/runtime/deadlines.py
@@ -7,7 +7,7 @@
 from math import inf
 from typing import Any, Protocol
 
-from wickhinge.clocks import steady
+from wickhinge.clocks import steady_time
 from wickhinge.net.runtime.arrivals import STALL_S, Arrivals
 
 MIN_TICK_S = 0.002  # seconds; the kernel's timer counts in milliseconds
@@ -46,7 +46,7 @@
     @staticmethod
     def now() -> float:
         """Seconds of the steady clock."""
-        return steady()
+        return steady_time()
 
     def at(self, when: float, call: Callable[..., None], *args: Any) -> None:
         """Calls at a time of the steady clock; cannot be cancelled."""
--- a/wickhinge/net/runtime/loop.py
+++ b/wickhinge/net/runtime/loop.py
@@ -11,7 +11,7 @@
 from twisted.internet.epollreactor import EPollReactor
 from twisted.internet.main import installReactor
 
-from wickhinge.clocks import monotonic, steady
+from wickhinge.clocks import monotonic, steady_time
 from wickhinge.common.failed_calls import failed_calls
 from wickhinge.net.runtime.arrivals import FRESH_POLL_S, MAX_EVENTS_PER_POLL, MAX_WAIT_S, Arrivals
 from wickhinge.net.runtime.event_loop_stalls import EventLoopStalls
@@ -31,9 +31,9 @@
 
     def __init__(self) -> None:
         self._unregistered: dict[Any, set[Callable[[Any], None]]] = {}
-        self.now: Callable[[], float] = steady
+        self.now: Callable[[], float] = steady_time
         super().__init__()  # type: ignore[no-untyped-call]
-        self.arrivals = Arrivals(steady())
+        self.arrivals = Arrivals(steady_time())
         self.stalls = EventLoopStalls()
         self._read_first: Callable[[], None] = lambda: None
         self._before_polls: Callable[[float], None] = lambda _now: None
--- a/wickhinge/net/upstream/attempts.py
+++ b/wickhinge/net/upstream/attempts.py
@@ -7,7 +7,7 @@
 from math import inf
 from typing import Any
 
-from wickhinge.clocks import OthersTime
+from wickhinge.clocks import RemoteClock
 from wickhinge.interface import AttemptParameters, CacheStatus, Completion, Outcome
 from wickhinge.net.runtime.deadlines import Deadlines
 from wickhinge.net.runtime.slots import Slots
@@ -60,7 +60,7 @@
     """Whom Attempts report to and ask; the optional subsystems are None where they are off."""
 
     decisions: Any  # the Router of wickhinge.routing
-    others_time: OthersTime
+    others_time: RemoteClock
     is_up_to_date: Callable[[float], bool] = always_up_to_date  # whether all that was told until lately is known
     local_copies: Any = None
     membership: Any = None  # says which servers are there while nobody vouches for it
@@ -279,7 +279,7 @@
         elif body is not None:
             body.release()
         if end in (AttemptResult.SERVED, AttemptResult.SAME) and (made := resp.made(told)) is not None:
-            self.others_time.seen(made / 1000.0, now)
+            self.others_time.observe(made / 1000.0, now)
         if end is AttemptResult.SAME:
             if type(sent.offered) is str:
                 door.serve(None, True)
--- a/wickhinge/net/upstream/local_copies.py
+++ b/wickhinge/net/upstream/local_copies.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from wickhinge.clocks import OthersTime
+from wickhinge.clocks import RemoteClock
 from wickhinge.interface import Idempotency
 from wickhinge.net.runtime.buffers import Body, BufferPool
 from wickhinge.net.runtime.deadlines import Deadlines
@@ -31,7 +31,7 @@
         link: LinkBandwidth,
         within: float,
         fault: Callable[[str], None],
-        others: OthersTime,
+        others: RemoteClock,
     ) -> None:
         self.store, self.deadlines, self.pool, self.link, self.within = store, deadlines, pool, link, within
         self.fault, self.others = fault, others
@@ -53,7 +53,7 @@
         return limit is None or self.age(copy, now) <= limit
 
     def age(self, copy: Any, now: float) -> float:
-        return now - self.others.earliest(copy.created, now)
+        return now - self.others.earliest_local_time(copy.created, now)
 
     def transfer_end(self, copy: Any, now: float) -> float:
         return self.link.transfer_end(copy.size, now)
@@ -126,7 +126,7 @@
     link: tuple[float, float],
     log: Callable[..., None],
     fault: Callable[[str], None],
-    others: OthersTime,
+    others: RemoteClock,
 ) -> LocalCopies | None:
     workers = Workers(reactor, min(options.store.reads_at_once, MAX_READ_THREADS), fault)
     store = start_store(options.store, options.journal, Runtime(workers, deadlines.now, deadlines.after, log))
--- a/wickhinge/options/changelog.py
+++ b/wickhinge/options/changelog.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Iterable, Iterator
 
-from wickhinge.fields import MalformedError, endpoint
+from wickhinge.fields import MalformedError, parse_host_port
 from wickhinge.options import keys
 from wickhinge.options.errors import SettingFault
 from wickhinge.options.records import Changelog, ChangelogServer
@@ -28,7 +28,7 @@
     shared_names = {server.name for server in options.relays} & {server.name for server in options.replicas}
     if shared_names:
         yield SettingFault("relays", f"{min(shared_names)} is a replica's name, too")
-    if options.bind and endpoint(options.bind) is None:
+    if options.bind and parse_host_port(options.bind) is None:
         yield SettingFault("bind", f"{options.bind!r} is not an address as 127.0.0.1:7081")
     if len(options.replicas) > MAX_REPLICAS:
         yield SettingFault("replicas", f"are {len(options.replicas)}, over {MAX_REPLICAS}")
@@ -40,7 +40,7 @@
     """Of a list of relays or replicas."""
     names: set[str] = set()
     for place, server in enumerate(servers):
-        if endpoint(server.address) is None:
+        if parse_host_port(server.address) is None:
             reason = f"{server.address!r} is not an address as 10.0.0.4:7081"
             yield SettingFault(f"{key}[{place}].address", reason)
         if len(server.name.encode()) > MAX_NAME_BYTES:
@@ -64,7 +64,7 @@
 
 def addresses(servers: Iterable[ChangelogServer]) -> dict[str, Address]:
     """The servers' addresses by name, in their order."""
-    parsed = {server.name: endpoint(server.address) for server in servers}
+    parsed = {server.name: parse_host_port(server.address) for server in servers}
     return {name: address for name, address in parsed.items() if address is not None}
 
 
--- a/wickhinge/options/validate.py
+++ b/wickhinge/options/validate.py
@@ -5,7 +5,7 @@
 import re
 from collections.abc import Iterator
 
-from wickhinge.fields import endpoint
+from wickhinge.fields import parse_host_port
 from wickhinge.options import changelog
 from wickhinge.options.errors import SettingFault
 from wickhinge.options.records import Discovery, Options, Shared, Store
@@ -48,7 +48,7 @@
     }
     for key, values in addresses.items():
         for place, value in enumerate(values):
-            if endpoint(value) is None:
+            if parse_host_port(value) is None:
                 yield SettingFault(f"discovery.{key}[{place}]", f"{value!r} is not an address as 127.0.0.1:10080")
     for place, server in enumerate(discovery.static):
         if not is_server_id(server.id):
--- a/wickhinge/peers/roster.py
+++ b/wickhinge/peers/roster.py
@@ -7,7 +7,7 @@
 from hashlib import blake2b
 from typing import Protocol, TypeVar
 
-from wickhinge.fields import MalformedError, endpoint
+from wickhinge.fields import MalformedError, parse_host_port
 
 MAX_NAME_LENGTH = 64
 
@@ -43,7 +43,7 @@
     """
     entries = []
     for index, row in enumerate(rows):
-        address = endpoint(row.address)
+        address = parse_host_port(row.address)
         if address is None:
             raise MalformedError(f"peers.roster[{index}].address: of {row.name} is not an address as 127.0.0.1:7071")
         entries.append(RosterEntry(row.name, address, row.zone))
--- a/wickhinge/routing/endpoints.py
+++ b/wickhinge/routing/endpoints.py
@@ -53,7 +53,7 @@
         self.random_source, self.zone, self.routers = random_source, topology.zone, max(topology.routers, 1)
         self.has_weights = topology.has_weights
         self.parent_kind, self.origin_kind = topology.parent_kind, topology.origin_kind
-        self.edge, self.upper = edge, upper
+        self.cache_slow_start, self.parent_slow_start = edge, upper
         self.to_local_time = to_local_time
         self.servers: dict[int, Server] = {}
         self.edge_caches: list[Server] = []  # of this zone
@@ -87,7 +87,7 @@
         self.servers[server.id] = server
         server.state, server.weight = endpoint.state, endpoint.weight or 1.0
         server.is_verified = endpoint.is_verified
-        server.has_failed |= not endpoint.is_verified and server.last_answer == now  # one request at a time
+        server.has_failed |= not endpoint.is_verified and server.last_answer_at == now  # one request at a time
         if self.has_weights:
             server.max_concurrency_limit = max(server.weight, MIN_CONCURRENCY_LIMIT)
         started = NEVER if endpoint.started is None else self.to_local_time(endpoint.started, now)
@@ -117,7 +117,7 @@
         """
 
         def score(server: Server) -> tuple[float, int]:
-            warmth = self.edge.capacity_share(server, now) if server.zone == self.zone else 1.0
+            warmth = self.cache_slow_start.capacity_share(server, now) if server.zone == self.zone else 1.0
             draw = ((mix(object_hash, server.hash_seed) >> 11) + 0.5) / (1 << HASH_BITS)
             return server.weight * warmth / log(draw), server.id
 
@@ -128,7 +128,7 @@
 
         Pooled over the caches: where a hundred share a load, one's own count is chance.
         """
-        pending = sum(len(server.pending) for server in self.edge_caches)
+        pending = sum(len(server.pending_attempts) for server in self.edge_caches)
         self.mean_pending += PENDING_GAIN * (pending - self.mean_pending)
         unknown_routers = self.routers - 1 - self.reporting_routers
         for server in self.edge_caches:
@@ -138,7 +138,7 @@
     def admits(self, server: Server, request: RoutedRequest, now: float) -> bool:
         """Return whether the server's slow start, if it is in one, has capacity for the request."""
         is_parent = server.kind == self.parent_kind
-        slow_start = self.upper if is_parent else self.edge
+        slow_start = self.parent_slow_start if is_parent else self.cache_slow_start
         if server is self.origin or not slow_start.is_limited:
             return True
         capacity_share = slow_start.capacity_share(server, now)
--- a/wickhinge/routing/purges.py
+++ b/wickhinge/routing/purges.py
@@ -28,11 +28,11 @@
         self.groups: dict[int, float] = {}
         self.age_limit: Callable[[float], float | None] | None = None
 
-    def limit_age_by(self, age_limit: Callable[[float], float | None]) -> None:
+    def set_age_limit(self, age_limit: Callable[[float], float | None]) -> None:
         """Bound every copy's age by a function of the time, where purges may be missing here."""
         self.age_limit = age_limit
 
-    def notify(self, key: int | None, group: int, created: float, now: float) -> None:
+    def record_purge(self, key: int | None, group: int, created: float, now: float) -> None:
         """Take a purge of an object, or of a group where `key` is None; `created` by the clock of who named it."""
         table, name = (self.groups, group) if key is None else (self.objects, key)
         table[name] = max(created, table.get(name, created))
--- a/wickhinge/routing/routed_request.py
+++ b/wickhinge/routing/routed_request.py
@@ -48,7 +48,7 @@
         self.part, self.group, self.is_retry = request.part, request.group, request.is_retry
         self.part_hash = mix(request.part, mix(self.object_count.key))
         self.is_size_told = request.size_kb > 0.0
-        known_work = request.size_kb / router.flow if self.is_size_told else self.object_count.work
+        known_work = request.size_kb / router.transfer_kb_per_s if self.is_size_told else self.object_count.work
         self.is_work_known = bool(known_work)  # else it is the mean of its class
         self.work = known_work or router.mean_work(request_class)  # seconds of transfer
         self.deadline = now + request.timeout
@@ -67,7 +67,7 @@
 
     # What may be sent where.
 
-    def pending(self) -> list[Attempt]:
+    def pending_attempts(self) -> list[Attempt]:
         """Return the attempts in progress."""
         return [attempt for attempt in self.attempts if attempt.is_pending]
 
@@ -79,7 +79,7 @@
         """Return whether another attempt is allowed; what may have run is repeated only where a repeat is dropped."""
         if len(self.attempts) >= self.router.max_attempts or not self._trusts(server):
             return False
-        if self.pending() and not self.router.capabilities.hedging:
+        if self.pending_attempts() and not self.router.capabilities.hedging:
             return False
         earlier = self.may_have_run()
         idempotency = self.request_class.idempotency
@@ -195,7 +195,7 @@
     def try_edge_cache(self, now: float) -> None:
         """Ask the cache on the part's hash, or the next where that one fails or would be late."""
         # Late anywhere: overload is shed without a choice.
-        if not self.pending() and self._is_untimely(0.0, now):
+        if not self.pending_attempts() and self._is_untimely(0.0, now):
             self.give_up(now, RejectionReason.TOO_LATE)
             return
         cache = self._choose_edge_cache(now)
@@ -231,7 +231,7 @@
     def _try_source_directly(self, now: float) -> None:
         """No cache of the zone is usable: ask a parent, past the caches' link."""
         router, source = self.router, None
-        if router.capabilities.direct_to_source and not self.pending():
+        if router.capabilities.direct_to_source and not self.pending_attempts():
             source = router.choose_source(self, now)
         if source is not None and self.is_late(router.link_utilization(), now + source.fill_delay(self)):
             source = None
@@ -240,13 +240,13 @@
     def _send_or_give_up(self, server: Server | None, source: Server | None, now: float) -> None:
         if server is not None and self.may_send(server, now):
             self.send(server, source or server, now)
-        elif not self.pending():
+        elif not self.pending_attempts():
             self.give_up(now, RejectionReason.NO_SERVER)
 
     def fill(self, cache: Server, now: float) -> None:
         """Fill the miss at the cache from the object's parent, or wait for capacity."""
         router, self.missed_at = self.router, cache
-        if self.is_finished or any(attempt.source is not attempt.server for attempt in self.pending()):
+        if self.is_finished or any(attempt.source is not attempt.server for attempt in self.pending_attempts()):
             return
         # An empty cache evicts nothing by keeping all, and its later parts need not cross the link again.
         is_empty = now - cache.started < EMPTY_TIME_S
@@ -340,10 +340,10 @@
 
     def check_overdue(self, attempt: Attempt, now: float) -> None:
         """Find servers that take work and answer nothing: the cache or the source, silent to all since the attempt."""
-        silent = attempt.server if attempt.server.last_answer < attempt.sent else attempt.source
-        if not attempt.is_pending or self.is_finished or silent.last_answer >= attempt.sent:
+        silent = attempt.server if attempt.server.last_answer_at < attempt.sent else attempt.source
+        if not attempt.is_pending or self.is_finished or silent.last_answer_at >= attempt.sent:
             return
-        if len(silent.pending) + len(silent.pending_fills) < 2:  # alone in progress there, it may only be slow
+        if len(silent.pending_attempts) + len(silent.pending_fills) < 2:  # alone in progress there, it may only be slow
             self.router.environment.call_later(0.3, lambda then: self.check_overdue(attempt, then))
             return
         if silent is attempt.server or attempt.only_if_cached or not self.router.origin_pacing.interval:
@@ -375,7 +375,7 @@
             return
         if outcome is Outcome.MISS and is_cacheable and not is_fill:
             self._missed(attempt.server, now)
-        elif not self.pending():
+        elif not self.pending_attempts():
             self._retry(attempt, outcome, now, is_cacheable=is_cacheable)
 
     def _observe_work(self, duration: float, now: float, *, is_fill: bool) -> None:
@@ -429,7 +429,7 @@
         if self.is_finished:
             return
         self.is_finished = True
-        for attempt in self.pending() if self.router.capabilities.cancellation else ():
+        for attempt in self.pending_attempts() if self.router.capabilities.cancellation else ():
             self.transport.cancel(attempt)
 
     def give_up(self, now: float, reason: RejectionReason = RejectionReason.DEADLINE_EXCEEDED) -> None:
--- a/wickhinge/routing/router.py
+++ b/wickhinge/routing/router.py
@@ -47,14 +47,14 @@
     """What the settings state for the whole router."""
 
     capabilities: Capabilities
-    flow: float  # KB a second of one transfer alone
+    transfer_kb_per_s: float  # KB a second of one transfer alone
     max_attempts: int  # of a request
     max_list_age: float  # seconds within which the endpoint list has to be polled; 0: no limit
     max_retry_after: float  # seconds
 
 
 class Router:
-    """All state of one instance's decisions; made by `wickhinge.settings.build`."""
+    """All state of one instance's decisions; made by `wickhinge.settings.build_router`."""
 
     def __init__(
         self,
@@ -67,11 +67,11 @@
         self.environment, self.endpoints = environment, endpoints
         self.object_counts, self.purges = object_counts, purges
         self.random_source = endpoints.random_source
-        self.capabilities, self.flow = settings.capabilities, settings.flow
+        self.capabilities, self.transfer_kb_per_s = settings.capabilities, settings.transfer_kb_per_s
         self.max_attempts, self.max_retry_after = settings.max_attempts, settings.max_retry_after
         self.poll_interval = settings.max_list_age / POLLS_PER_MAX_AGE or DEFAULT_POLL_INTERVAL_S
         self.local_copies: LocalCopies | None = None
-        self.mean_works: dict[str, float] = {}  # seconds of transfer, by request class
+        self.mean_work_by_class: dict[str, float] = {}  # seconds of transfer, by request class
         self._work_evidence: dict[str, WorkEvidence] = {}  # by request class
         self.waiting: list[RoutedRequest] = []  # for capacity
         self.gain = SAMPLE_GAIN * min(endpoints.routers, MAX_GAIN_ROUTERS)  # larger where few are seen
@@ -81,14 +81,14 @@
     def start(self) -> None:
         """Begin to watch the endpoint list, and the rounds."""
         if self.capabilities.polls_endpoints:
-            self.environment.watch()
+            self.environment.watch_endpoints()
         spread = MAX_FIRST_ROUND_DELAY_S - MIN_FIRST_ROUND_DELAY_S
         self.environment.call_later(MIN_FIRST_ROUND_DELAY_S + spread * self.random_source.draw(), self.round)
 
     def watch_lost(self) -> None:
         """Called when a poll of the endpoint list failed: poll again soon."""
         delay = self.poll_interval * (0.5 + self.random_source.draw())
-        self.environment.call_later(delay, lambda _: self.environment.watch())
+        self.environment.call_later(delay, lambda _: self.environment.watch_endpoints())
 
     # Requests.
 
@@ -127,7 +127,7 @@
 
     def mean_work(self, request_class: RequestClass) -> float:
         """Return a class's mean seconds of transfer, as learned."""
-        return self.mean_works.get(request_class.name, INITIAL_WORK_SHARE * request_class.latency_objective)
+        return self.mean_work_by_class.get(request_class.name, INITIAL_WORK_SHARE * request_class.latency_objective)
 
     def work_evidence(self, request_class: RequestClass) -> WorkEvidence:
         """Return what answers have told of a class's work."""
@@ -136,7 +136,9 @@
     def learn_work(self, routed: RoutedRequest, duration: float, now: float) -> None:
         """Learn from a transfer out of a cache of the zone."""
         request_class, count = routed.request_class, routed.object_count
-        self.mean_works[request_class.name] = self.mean_work(request_class) * (1 - WORK_GAIN) + duration * WORK_GAIN
+        self.mean_work_by_class[request_class.name] = (
+            self.mean_work(request_class) * (1 - WORK_GAIN) + duration * WORK_GAIN
+        )
         # All parts are about as large, and load only adds: the shortest time seen is nearest to the work.
         work = min(count.work or duration, duration)
         count.work, count.work_learned_at = work + (duration - work) * PART_WORK_GAIN, now
@@ -147,7 +149,7 @@
         """Count an attempt at its server and source."""
         self.zone_link.fills += attempt.uses_zone_link
         work = self.mean_work(attempt.request.request_class)
-        attempt.server.pending.add(attempt)
+        attempt.server.pending_attempts.add(attempt)
         attempt.server.charge(work)
         if attempt.source is not attempt.server:
             attempt.source.pending_fills.add(attempt)
@@ -156,7 +158,7 @@
     def attempt_ends(self, attempt: Attempt, completion: Completion) -> None:
         """Take an attempt off its server and source, and the load that was reported beside its answer."""
         attempt.is_pending, attempt.outcome = False, completion.outcome
-        attempt.server.pending.discard(attempt)
+        attempt.server.pending_attempts.discard(attempt)
         attempt.source.pending_fills.discard(attempt)
         self.zone_link.fills -= attempt.uses_zone_link
         if completion.load and attempt.server in self.endpoints.edge_caches:
@@ -165,9 +167,9 @@
     def observe_answer(self, attempt: Attempt, outcome: Outcome, now: float) -> None:
         """Judge the server that an attempt went to."""
         server = attempt.server
-        if outcome.answered:
+        if outcome.is_answer:
             server.record_answer(now)
-        elif outcome not in NO_EVIDENCE and server.last_answer < attempt.sent:
+        elif outcome not in NO_EVIDENCE and server.last_answer_at < attempt.sent:
             server.record_failure(now, outcome)
 
     def link_utilization(self) -> float:
@@ -268,8 +270,8 @@
         if self.capabilities.health_checks and self.capabilities.load_reports:
             self._check_health_of_caches()
         self.environment.call_later(ROUND_INTERVAL_S, self.round)
-        self.endpoints.edge.observe_load(self.endpoints.edge_caches, now)
-        self.endpoints.upper.observe_load(self.endpoints.parents, now)
+        self.endpoints.cache_slow_start.observe_load(self.endpoints.edge_caches, now)
+        self.endpoints.parent_slow_start.observe_load(self.endpoints.parents, now)
         if self.endpoints.origin:
             self.endpoints.origin.decay()
         self.serve_waiting(now)
--- a/wickhinge/routing/server.py
+++ b/wickhinge/routing/server.py
@@ -41,10 +41,10 @@
     def reset(self, now: float) -> None:
         """Forget what was learned of the server's last process: nothing of it holds for the new one."""
         self.take_initial_debt(now)
-        self.pending: set[Attempt] = set()  # attempts sent to it
+        self.pending_attempts: set[Attempt] = set()  # attempts sent to it
         self.pending_fills: set[Attempt] = set()  # fills from it
         self.sent_work = 0.0
-        self.last_answer, self.consecutive_failures, self.has_failed = now, 0.0, False
+        self.last_answer_at, self.consecutive_failures, self.has_failed = now, 0.0, False
         self.ejected_until, self.last_health_check = 0.0, 0.0
         self.concurrency_limit = self.max_concurrency_limit = INITIAL_CONCURRENCY
         # As a source, by request class: what fills take beyond their own time, over that time; and those of what it
@@ -64,7 +64,7 @@
 
     def transfers(self) -> float:
         """Return the transfers in progress if one more comes; others' as this router's usual."""
-        return len(self.pending) + 1 + self.other_transfers
+        return len(self.pending_attempts) + 1 + self.other_transfers
 
     def utilization(self) -> float:
         """Return how full it is if one more comes; past 1 a transfer takes so many times longer than alone."""
@@ -97,7 +97,7 @@
 
     def is_available(self, now: float) -> bool:
         """Return whether it may be sent to; one that failed lately gets one request at a time."""
-        is_busy = self.pending or self.pending_fills
+        is_busy = self.pending_attempts or self.pending_fills
         return self.state == "ready" and now >= self.ejected_until and not (self.has_failed and is_busy)
 
     def record_failure(self, now: float, outcome: Outcome = Outcome.TIMED_OUT) -> None:
@@ -114,4 +114,4 @@
         if self.has_failed:
             self.reset(now)
             self.started, self.listed_start = now, None
-        self.last_answer, self.consecutive_failures = now, 0.0
+        self.last_answer_at, self.consecutive_failures = now, 0.0
--- a/wickhinge/settings.py
+++ b/wickhinge/settings.py
@@ -9,15 +9,15 @@
 
 from wickhinge.fields import (
     MalformedError,
-    flag,
+    array,
+    boolean,
+    choice,
     integer,
-    listing,
+    mapping,
+    mappings,
     number,
-    record,
-    records,
     seconds,
     text,
-    word,
 )
 from wickhinge.interface import Capabilities, Environment, Idempotency, RequestClass
 from wickhinge.routing.endpoints import Endpoints, Topology
@@ -41,13 +41,13 @@
 FAMILY, ZONE_ROUTERS = "conf.familyInfo", "conf.familyInfo.zoneBalancers"
 
 
-def names(conf: Fields, field: str) -> list[str]:
+def string_list(conf: Fields, field: str) -> list[str]:
     """Return a list of names.
 
     Raises:
         MalformedError: the field is missing or holds anything else; the text names it.
     """
-    values = listing(ROOT, conf, field)
+    values = array(ROOT, conf, field)
     if not all(type(value) is str for value in values):
         raise MalformedError(f"conf: field {field} is not a list of texts")
     return values
@@ -59,7 +59,7 @@
     Raises:
         MalformedError: a field is missing or not of its type; the text names it.
     """
-    family, entries = record(ROOT, conf, "familyInfo"), records(ROOT, conf, "classes")
+    family, entries = mapping(ROOT, conf, "familyInfo"), mappings(ROOT, conf, "classes")
     columns = {field: _column(family, field, len(entries)) for field in _COLUMNS}
     classes = {}
     for index, entry in enumerate(entries):
@@ -72,7 +72,7 @@
 
 
 def _column(family: Fields, field: str, count: int) -> list[Any]:
-    values = listing(FAMILY, family, field)
+    values = array(FAMILY, family, field)
     if len(values) != count:
         raise MalformedError(f"conf.familyInfo: field {field} does not hold one value for each")
     return values
@@ -80,7 +80,7 @@
 
 def _request_class(entry: Fields, of_family: Fields) -> RequestClass:
     name = text(CLASSES, entry, "name")
-    idempotency = IDEMPOTENCY[word(CLASSES, entry, "effect", IDEMPOTENCY)]
+    idempotency = IDEMPOTENCY[choice(CLASSES, entry, "effect", IDEMPOTENCY)]
     group, window = "all", 0.0
     objective = seconds(CLASSES, entry, "onTimeMs")
     stretch = number(CLASSES, entry, "aimStretch", 0.0)
@@ -88,7 +88,7 @@
     weight = number(CLASSES, entry, "importance")
     late_value = number(CLASSES, entry, "lateValue", 0.0)
     if idempotency is Idempotency.IDEMPOTENCY_KEY:
-        group = word(CLASSES, entry, "group", DEDUPLICATION_GROUPS)
+        group = choice(CLASSES, entry, "group", DEDUPLICATION_GROUPS)
         window = seconds(CLASSES, entry, "windowMs")
     return RequestClass(
         name=name,
@@ -108,7 +108,7 @@
     )
 
 
-def build(
+def build_router(
     conf: Fields, seed: int, environment: Environment, to_local_time: ToLocalTime = same_clock
 ) -> tuple[Router, dict[str, RequestClass]]:
     """Return the router and the request classes, by name.
@@ -122,8 +122,8 @@
     Raises:
         MalformedError: a field is missing or not of its type; the text names it.
     """
-    family, rules = record(ROOT, conf, "familyInfo"), record(ROOT, conf, "rules")
-    limits, stats = record(ROOT, conf, "limits"), record(ROOT, conf, "stats")
+    family, rules = mapping(ROOT, conf, "familyInfo"), mapping(ROOT, conf, "rules")
+    limits, stats = mapping(ROOT, conf, "limits"), mapping(ROOT, conf, "stats")
     topology = _topology(conf, family)
     edge, upper = _edge_slow_start(rules), _parents_slow_start(family, rules)
     endpoints = Endpoints(RandomSource(seed), topology, edge, upper, to_local_time)
@@ -134,7 +134,7 @@
 
 
 def _topology(conf: Fields, family: Fields) -> Topology:
-    kinds, zones = listing(ROOT, conf, "shapes"), listing(ROOT, conf, "zones")
+    kinds, zones = array(ROOT, conf, "shapes"), array(ROOT, conf, "zones")
     zone, routers = text(ROOT, conf, "locality"), _column(family, "zoneBalancers", len(zones))
     if zone not in zones:
         raise MalformedError("conf: field locality names no zone")
@@ -174,18 +174,18 @@
 
 
 def _router_settings(conf: Fields, family: Fields, rules: Fields, limits: Fields, stats: Fields) -> RouterSettings:
-    tells_retry_after = flag(LIMITS, limits, "retryAfter")
+    tells_retry_after = boolean(LIMITS, limits, "retryAfter")
     return RouterSettings(
         capabilities=Capabilities(
-            collapse_fills=flag(FAMILY, family, "joins"),
-            direct_to_source=flag(FAMILY, family, "passThroughOk"),
-            hedging=flag(LIMITS, limits, "mayDuplicate"),
-            cancellation=flag(LIMITS, limits, "cancel"),
-            health_checks=flag(LIMITS, limits, "probes"),
+            collapse_fills=boolean(FAMILY, family, "joins"),
+            direct_to_source=boolean(FAMILY, family, "passThroughOk"),
+            hedging=boolean(LIMITS, limits, "mayDuplicate"),
+            cancellation=boolean(LIMITS, limits, "cancel"),
+            health_checks=boolean(LIMITS, limits, "probes"),
             load_reports=text(STATS, stats, "how") == "on_probe",
             polls_endpoints=text(ROOT, conf, "discovery") == "ask",
         ),
-        flow=number(FAMILY, family, "oneFlowKbPerS"),
+        transfer_kb_per_s=number(FAMILY, family, "oneFlowKbPerS"),
         max_attempts=integer(LIMITS, limits, "mostTries"),
         max_list_age=seconds(RULES, rules, "mustAskInMs", 0.0),
         max_retry_after=seconds(LIMITS, limits, "maxRetryAfterMs") if tells_retry_after else 0.0,
--- a/wickhinge/shared/evidence.py
+++ b/wickhinge/shared/evidence.py
@@ -44,11 +44,11 @@
             policy_now: The time by which `routing` counts.
         """
         server = self.server
-        answered_at = now - max(policy_now - server.last_answer, 0.0)
+        answered_at = now - max(policy_now - server.last_answer_at, 0.0)
         self.answers = self.answers * 0.5 ** (elapsed / OWN_EVIDENCE_MAX_AGE_S) + (
-            server.last_answer > self.last_answer_at
+            server.last_answer_at > self.last_answer_at
         )
-        self.last_answer_at = server.last_answer
+        self.last_answer_at = server.last_answer_at
         since_start = policy_now - server.started
         pace = server.concurrency_limit / server.max_concurrency_limit
         is_slow = server.concurrency_limit < SLOW_BELOW * median_pace * server.max_concurrency_limit
@@ -64,7 +64,7 @@
             self.health, self.observed_at = Health.HEALTHY, answered_at if answered else LONG_AGO
         elif self.answers >= MIN_ANSWERS_TO_JUDGE and is_slow:
             self._set(Health.SLOW, pace / median_pace, now)
-        elif policy_now - server.last_answer <= OWN_EVIDENCE_MAX_AGE_S:
+        elif policy_now - server.last_answer_at <= OWN_EVIDENCE_MAX_AGE_S:
             self._set(Health.HEALTHY, 0.0, answered_at)
         elif now - self.observed_at > VERDICT_MAX_AGE_S:
             self.health, self.amount = Health.HEALTHY, 0.0
--- a/wickhinge/shared/outlier_detection.py
+++ b/wickhinge/shared/outlier_detection.py
@@ -114,7 +114,7 @@
         paces = {True: median_pace(self.endpoints.edge_caches), False: median_pace(self.endpoints.parents)}
         for mark, server in servers.items():
             own = self.evidence.setdefault(
-                mark, Evidence(server, last_answer_at=server.last_answer, was_lost=server.has_failed)
+                mark, Evidence(server, last_answer_at=server.last_answer_at, was_lost=server.has_failed)
             )
             self._update_evidence(own, paces[self._is_cache(server)], elapsed, now, policy_now)
         self.peer_verdicts.expire(servers, now)
--- a/wickhinge/shared/ports.py
+++ b/wickhinge/shared/ports.py
@@ -13,14 +13,14 @@
     kind: str
     weight: float
     started: float
-    last_answer: float  # when it answered last
+    last_answer_at: float  # when it answered last
     has_failed: bool
     consecutive_failures: float  # failures that count against it
     ejected_until: float  # until when it gets no requests
     concurrency_limit: float  # what it is believed to bear
     max_concurrency_limit: float  # what it should bear
     tokens: float  # in slow start: seconds of work that may be sent, where routers share its limit
-    pending: Collection[object]  # our requests in flight
+    pending_attempts: Collection[object]  # our requests in flight
     reported_transfers: float  # others' requests in flight
 
     def reset(self, now: float) -> None:
--- a/wickhinge/shared/request_tallies.py
+++ b/wickhinge/shared/request_tallies.py
@@ -207,7 +207,7 @@
         if marks != self._marks:
             self._marks, self.list_hash = marks, hash_list(marks)
         self._number += 1
-        self._in_flight = [min(len(cache.pending), MAX_REQUESTS) for cache in caches]
+        self._in_flight = [min(len(cache.pending_attempts), MAX_REQUESTS) for cache in caches]
 
     def _update_endpoints(self, caches: list[Server]) -> None:
         fresh = [known.tally.in_flight for known in self.known.values() if known.tally.list_hash == self.list_hash]
--- a/wickhinge/wirehost/host.py
+++ b/wickhinge/wirehost/host.py
@@ -11,7 +11,7 @@
 from wickhinge.interface import AttemptParameters, CacheStatus, Completion, Endpoint, Outcome, RejectionReason, Request
 from wickhinge.routing.attempt import Attempt
 from wickhinge.routing.routed_request import RoutedRequest
-from wickhinge.settings import build
+from wickhinge.settings import build_router
 from wickhinge.wirehost import codec
 
 OUTCOMES = {
@@ -101,7 +101,7 @@
         """Ask for a health check."""
         self.act("Poll", {"cache": server.id})
 
-    def watch(self) -> None:
+    def watch_endpoints(self) -> None:
         """Subscribe to the endpoint list."""
         self.act("Follow", {"want": True})
 
@@ -125,25 +125,25 @@
 
     def power_on(self, name: str, fields: dict[str, Any], now: float) -> None:
         """The router starts with these settings."""
-        seed, conf = checks.integer(name, fields, "initSeed"), checks.record(name, fields, "conf")
-        self.router, self.request_classes = build(conf, seed, self)
+        seed, conf = checks.integer(name, fields, "initSeed"), checks.mapping(name, fields, "conf")
+        self.router, self.request_classes = build_router(conf, seed, self)
         self.router.start()
 
     def announce(self, name: str, fields: dict[str, Any], now: float) -> None:
         """An endpoint list, or the loss of the subscription."""
-        kind = checks.word(name, fields, "kind", ("lost", *LISTS))
+        kind = checks.choice(name, fields, "kind", ("lost", *LISTS))
         if kind == "lost":
             self.router.watch_lost()
             return
         endpoints = []
-        for entry in checks.records(name, fields, "hosts"):
+        for entry in checks.mappings(name, fields, "hosts"):
             endpoints.append(
                 Endpoint(
                     checks.integer(name, entry, "cache"),
                     checks.text(name, entry, "campus"),
                     checks.text(name, entry, "familyType"),
                     checks.integer(name, entry, "cluster", 0),
-                    STATES[checks.word(name, entry, "availability", STATES)],
+                    STATES[checks.choice(name, entry, "availability", STATES)],
                     checks.number(name, entry, "share", 1.0),
                     checks.seconds(name, entry, "readyAtMs", 0.0) or None,
                 )
@@ -163,18 +163,18 @@
             checks.integer(name, fields, "batchId", 0),
             checks.number(name, fields, "lengthKb", 0.0),
             checks.seconds(name, fields, "expiresInMs"),
-            checks.flag(name, fields, "repeat", False),
+            checks.boolean(name, fields, "repeat", False),
         )
         wire_request.routed = self.router.route(wire_request, request_class, request, now)
 
     def resolved(self, name: str, fields: dict[str, Any], now: float) -> None:
         """An attempt has ended."""
         attempt, outcome = self.attempt(name, fields), self.outcome(name, fields)
-        duration, is_answered = checks.seconds(name, fields, "timeTakenMs"), checks.flag(name, fields, "doneFlag")
+        duration, is_answered = checks.seconds(name, fields, "timeTakenMs"), checks.boolean(name, fields, "doneFlag")
         if attempt is None:
             return
         status = CACHE_STATUSES.get(checks.integer(name, fields, "detail", 0))
-        load = None if fields.get("report") is None else checks.record(name, fields, "report")
+        load = None if fields.get("report") is None else checks.mapping(name, fields, "report")
         attempt.request.attempt_ended(attempt, Completion(outcome, duration, is_answered, status, load), now)
         if attempt.request.is_finished:
             attempt.request.transport.close()
@@ -209,7 +209,7 @@
         """A health check has ended."""
         server = self.router.endpoints.servers.get(checks.integer(name, fields, "cache"))
         outcome = self.outcome(name, fields)
-        load = {} if fields.get("report") is None else checks.record(name, fields, "report")
+        load = {} if fields.get("report") is None else checks.mapping(name, fields, "report")
         if server is not None:
             self.router.health_checked(server, outcome, load, now)
 
@@ -217,7 +217,7 @@
         """A purge."""
         key = None if fields.get("contentId") is None else checks.hexadecimal(name, fields, "contentId")
         created = now - checks.seconds(name, fields, "howOldMs")
-        self.router.purges.notify(key, checks.integer(name, fields, "setNo", 0), created, now)
+        self.router.purges.record_purge(key, checks.integer(name, fields, "setNo", 0), created, now)
 
     def ring(self, name: str, fields: dict[str, Any], now: float) -> None:
         """A wake-up that was asked for."""
