--- a/wickhinge/shared/request_tallies.py
+++ b/wickhinge/shared/request_tallies.py
@@ -209,7 +209,7 @@
         if marks != self._marks:
             self._marks, self.list_hash = marks, hash_server_ids(marks)
         self._number += 1
-        self._in_flight = [min(len(cache.pending), MAX_REQUESTS) for cache in caches]
+        self._in_flight = [min(len(cache.pending_attempts), MAX_REQUESTS) for cache in caches]
 
     def _update_endpoints(self, caches: list[Server]) -> None:
         fresh = [
