--- a/bench/scale/fleet_flat.py
+++ b/bench/scale/fleet_flat.py
@@ -65,23 +65,23 @@
             self.connect_round += 1
             self.deadlines.after(CONNECT_WITHIN_S, self.retry, "no answer", self.connect_round)
 
-    def connected(self, connection: WatchConnection) -> None:
-        super().connected(connection)
+    def handle_connected(self, connection: WatchConnection) -> None:
+        super().handle_connected(connection)
         self.connections += 1
 
-    def drop(self, connection: WatchConnection, reason: str) -> None:
+    def drop_connection(self, connection: WatchConnection, reason: str) -> None:
         self._count_ended(connection)
-        super().drop(connection, reason)
+        super().drop_connection(connection, reason)
 
-    def read(self, connection: WatchConnection, data: bytes) -> None:
+    def receive_data(self, connection: WatchConnection, data: bytes) -> None:
         if self.cut():
             connection.transport.pauseProducing()
             return
-        super().read(connection, data)
+        super().receive_data(connection, data)
 
-    def take_frame(self, number: int, kind: int, payload: bytes) -> None:
+    def apply_frame(self, number: int, kind: int, payload: bytes) -> None:
         self.frames += 1
-        super().take_frame(number, kind, payload)
+        super().apply_frame(number, kind, payload)
 
     def bytes_so_far(self) -> int:
         return self._former_bytes + (0 if self.connection is None else self._bytes_of(self.connection))
@@ -104,7 +104,7 @@
         self.watch: CutWatch | None = None  # known once it is made
 
     def endpoints_changed(self, records: list[EndpointRecord], *, complete: bool) -> None:
-        self._applied(-records[0].mark)
+        self._applied(-records[0].endpoint_id)
 
     def purged(self, key: int | None, group: int, stamp_ms: int) -> None:
         self._applied(key)
--- a/bench/scale/watching.py
+++ b/bench/scale/watching.py
@@ -46,7 +46,7 @@
     frames = [frame(number + 1) for number in range(purges)]
     with watch:
         for data in frames:
-            one.read(reading, data)
+            one.receive_data(reading, data)
     return watch.spent
 
 
--- a/bench/soak/planted.py
+++ b/bench/soak/planted.py
@@ -204,8 +204,8 @@
     """The shutdown gives up a second before the end of the last requests."""
     from wickhinge.net.control import graceful_shutdown
 
-    graceful_shutdown.GIVE_UP_AFTER_S = -0.4
-    graceful_shutdown.LAST_ANSWER_S = -0.4
+    graceful_shutdown.GIVE_UP_AFTER_DEADLINE_S = -0.4
+    graceful_shutdown.LAST_ANSWER_AFTER_DEADLINE_S = -0.4
 
 
 def closed_listener() -> None:
--- a/tests/common/test_owed_reload.py
+++ b/tests/common/test_owed_reload.py
@@ -48,7 +48,7 @@
     assert delays[:6] == sorted(delays[:6]) and delays[0] < 0.1 and delays[-1] == pytest.approx(MAX_RETRY_DELAY_S)
     assert world.names() == ["config_reload_requested", "config_reload_failed", "config_reloaded"]
     assert world.events[1][1]["will_retry"] is True and world.events[2][1]["tries"] == 13
-    assert world.owed.figures() == {"requested": 1, "done": 1, "failed": 0, "owed": False}
+    assert world.owed.report_fields() == {"requested": 1, "done": 1, "failed": 0, "owed": False}
 
 
 def test_what_is_wrong_for_good_waits_for_the_next_request():
@@ -57,10 +57,10 @@
     world.owed.request(1)
     world.run(60.0)
     assert len(world.tries) == 1 and world.events[-1][1]["will_retry"] is False
-    assert world.owed.figures() == {"requested": 1, "done": 0, "failed": 1, "owed": False}
+    assert world.owed.report_fields() == {"requested": 1, "done": 0, "failed": 1, "owed": False}
     world.owed.request(2)
     world.run(61.0)
-    assert world.owed.figures() == {"requested": 2, "done": 2, "failed": 1, "owed": False}
+    assert world.owed.report_fields() == {"requested": 2, "done": 2, "failed": 1, "owed": False}
 
 
 def test_a_newer_request_replaces_an_older_one_and_begins_with_short_delays():
@@ -73,7 +73,7 @@
     world.run(3.2)
     assert world.tries[tries] == 3.0 and len(world.tries) >= tries + 2
     world.run(60.0)
-    assert world.names().count("config_reloaded") == 1 and world.owed.figures()["done"] == 3
+    assert world.names().count("config_reloaded") == 1 and world.owed.report_fields()["done"] == 3
     assert len(world.tries) == 9  # the older one's timer found nothing to do
 
 
@@ -85,7 +85,7 @@
     world.owed.request(5)
     world.owed.request(5)
     world.run(2.0)
-    assert len(world.tries) == 1 and world.owed.figures()["requested"] == 1
+    assert len(world.tries) == 1 and world.owed.report_fields()["requested"] == 1
 
 
 def test_the_shutdown_drops_what_is_owed_and_takes_nothing_more():
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -3,7 +3,7 @@
 import pytest
 
 from bench.faults import shim
-from tests.support.router_process import Stand
+from tests.support.router_process import RouterHarness
 
 
 @pytest.fixture
@@ -11,7 +11,7 @@
     made = []
 
     def build(*told, **more):
-        made.append(Stand(tmp_path, *told, **more))
+        made.append(RouterHarness(tmp_path, *told, **more))
         return made[0]
 
     yield build
--- a/tests/membership/test_journal_resumed.py
+++ b/tests/membership/test_journal_resumed.py
@@ -14,10 +14,10 @@
     watch.resume_list(7)
     for number, kind in frames:
         if last:
-            watch.take_frame(number, kind, b"")
+            watch.apply_frame(number, kind, b"")
         else:
             with pytest.raises(MalformedFrameError):
-                watch.take_frame(number, kind, b"")
+                watch.apply_frame(number, kind, b"")
     assert (
         watch.last_number == last
         and watch.is_unbroken is bool(last)
--- a/tests/net/test_client_gone.py
+++ b/tests/net/test_client_gone.py
@@ -13,7 +13,7 @@
 
 from tests.support.clients import patient, warmed
 from tests.support.processes import PATIENT
-from tests.support.router_process import SERVED
+from tests.support.router_process import OK_FIELDS
 from wickhinge.net.downstream import msgpack
 
 LATE = 0.15  # seconds; past the 0.1 in which an attempt may still begin
@@ -59,12 +59,12 @@
     made = stand()
     client, other = made.client(), made.client()
     warmed(made, other)
-    with made.stopped():
+    with made.suspended():
         call = client.ask()
         leave(client, call, way)
         time.sleep(LATE)
     assert other.ping() and other.ping()
-    assert made.attempts() == 0
+    assert made.close_and_count_attempts() == 0
 
 
 @pytest.mark.parametrize("way", EVERY_WAY)
@@ -72,27 +72,27 @@
     made = stand()
     client, other = made.client(), made.client()
     call = client.ask()
-    asked = made.line(0).next()
-    with made.stopped():
+    asked = made.accept_connection(0).next_request()
+    with made.suspended():
         asked.answer("MISS")
         leave(client, call, way)
         time.sleep(LATE)
     assert other.ping() and other.ping()
-    assert made.attempts() == 0
+    assert made.close_and_count_attempts() == 0
 
 
 @pytest.mark.parametrize("way", EVERY_WAY)
 def test_what_waits_for_its_connection_is_not_sent_where_that_comes_up_before_the_end_is_read(stand, way):
     made = stand(change=patient)
-    late, client, other = made.shut(0), made.client(), made.client()
+    late, client, other = made.stop_accepting(0), made.client(), made.client()
     call = client.ask()
     assert client.ping() and other.ping()
-    with made.stopped_while_connecting(0):
+    with made.suspended_while_connecting(0):
         late()
         leave(client, call, way)
         time.sleep(LATE)
     assert other.ping() and other.ping()
-    assert made.attempts() == 0
+    assert made.close_and_count_attempts() == 0
 
 
 @pytest.mark.parametrize("way", EVERY_WAY)
@@ -104,7 +104,7 @@
     wait_for_room(made, client, waits)
     call = client.calls
     assert others[0].ping()
-    with made.stopped():
+    with made.suspended():
         for other in others:
             other.calls += 1
             other.socket.sendall(msgpack.pack([0, other.calls, "ping", [{}]]))
@@ -113,7 +113,7 @@
     for other in others:
         assert other.answer(other.calls)[2] is None
     assert others[0].ping()
-    assert made.attempts() == 0
+    assert made.close_and_count_attempts() == 0
 
 
 def waiting_stand(stand, waits):
@@ -130,7 +130,7 @@
     """A request that waits in the router: for a pause before its retry, after a refused fill, for a cold parent."""
     if waits == "cold":
         client.ask(block="1")
-        spend_room(client, made.line(0))
+        spend_room(client, made.accept_connection(0))
         return
     # Where it was refused, no id comes again: the other connection is up, or the attempt would wait for that.
     lines = two_lines(made, client, waits)
@@ -142,14 +142,14 @@
 
 def spend_room(client, box):
     """The client's last request is one whose fill has no room at the cold parent: that has gone to earlier ones."""
-    box.next().answer("MISS")
-    fill = box.next()  # after the parent's first debt
+    box.next_request().answer("MISS")
+    fill = box.next_request()  # after the parent's first debt
     for block in range(2, 12):
-        fill.answer("OK", SERVED, b"x")
+        fill.answer("OK", OK_FIELDS, b"x")
         assert client.answer(client.calls)[2] is None
         client.ask(block=str(block))
-        box.next().answer("MISS")
-        fill = box.next(AT_ONCE)
+        box.next_request().answer("MISS")
+        fill = box.next_request(AT_ONCE)
         if fill is None:
             return
     raise AssertionError("the cold parent's room has no end")
@@ -159,9 +159,9 @@
     """Both connections to a machine that three requests at once need."""
     place, request_class = (1, "results") if waits == "retry" else (0, "pages")
     calls = [client.ask(request_class, block=str(block)) for block in range(1, 4)]
-    lines = [made.line(place), made.line(place)]
+    lines = [made.accept_connection(place), made.accept_connection(place)]
     for _ in calls:
-        next_of(lines).answer("OK", SERVED, b"x")
+        next_of(lines).answer("OK", OK_FIELDS, b"x")
     for call in calls:
         assert client.answer(call)[2] is None
     return lines
@@ -172,7 +172,7 @@
     end = time.monotonic() + PATIENT
     while time.monotonic() < end:
         for line in lines:
-            if (asked := line.next(0.02)) is not None:
+            if (asked := line.next_request(0.02)) is not None:
                 return asked
     raise AssertionError("no attempt")
 
@@ -183,7 +183,7 @@
     made = waiting_stand(stand, waits)
     client = made.client()
     wait_for_room(made, client, waits)
-    assert next_of(made.lines)
+    assert next_of(made.connections)
 
 
 # A client in a hold: what it sends is read on, however much that is.
@@ -194,7 +194,7 @@
     made = stand()
     client, other = made.client(), made.client()
     call = client.ask()
-    asked = made.line(0).next()
+    asked = made.accept_connection(0).next_request()
     hold(client)
     for _ in range(4):
         client.ask("results", LARGE)
@@ -202,7 +202,7 @@
     time.sleep(LATE)
     asked.answer("MISS")
     assert other.ping() and other.ping()
-    assert made.attempts() == 0
+    assert made.close_and_count_attempts() == 0
 
 
 def test_what_is_asked_and_given_up_in_a_hold_is_never_begun(stand):
@@ -214,9 +214,9 @@
     calls = [client.ask("results", LARGE) for _ in range(6)]
     for call in calls[::2]:
         leave(client, call, "abort")
-    lines = [line, made.line(1)]  # two share the first, the third has another
+    lines = [line, made.accept_connection(1)]  # two share the first, the third has another
     for _ in calls[1::2]:
         next_of(lines).answer("OK", "-", b"x")
     for call in calls[1::2]:
         assert client.answer(call)[2] is None
-    assert made.attempts() == 0
+    assert made.close_and_count_attempts() == 0
--- a/tests/net/test_clock_steps.py
+++ b/tests/net/test_clock_steps.py
@@ -12,7 +12,7 @@
 
 import pytest
 
-from tests.support.router_process import SERVED
+from tests.support.router_process import OK_FIELDS
 
 HOUR = 3600.0
 STEPS = [-HOUR, -3.0, 3.0, HOUR]
@@ -41,15 +41,15 @@
     def answer_line(line):
         with suppress(OSError):
             while not stop.is_set():
-                asked = line.next(0.1)
+                asked = line.next_request(0.1)
                 if asked is not None:
-                    asked.answer("OK", SERVED, b"x" * 100)
+                    asked.answer("OK", OK_FIELDS, b"x" * 100)
 
     def accept():
-        made.places[0].settimeout(0.1)
+        made.listeners[0].settimeout(0.1)
         while not stop.is_set():
             with suppress(TimeoutError, OSError):
-                line = made.line(0)
+                line = made.accept_connection(0)
                 threading.Thread(target=answer_line, args=(line,), daemon=True).start()
 
     threading.Thread(target=accept, daemon=True).start()
--- a/tests/net/test_clock_wrong_at_start.py
+++ b/tests/net/test_clock_wrong_at_start.py
@@ -23,14 +23,14 @@
 def purge(made, key=KEY):
     """Tells of a purge, by default of the object that clients ask for; its time of day by the right clock."""
     stamp = unix_ms()
-    made.tell(endpoint_watch.FrameKind.OBJECT_PURGED, endpoint_watch.OBJECT_PURGE.pack(key, stamp))
+    made.send_event(endpoint_watch.FrameKind.OBJECT_PURGED, endpoint_watch.OBJECT_PURGE.pack(key, stamp))
     made.router.wait('"event":"purge_applied"')
     return stamp
 
 
 def ask(made, client, line, block):
     client.ask("pages", block=str(block))
-    asked = line.next()
+    asked = line.next_request()
     asked.answer("OK", SERVED_NOW.format(unix_ms()), b"x")
     return asked.fields
 
@@ -46,8 +46,8 @@
     if told_by == "service":
         stamp = purge(made)
     client.ask("pages", block="7")
-    line = made.line(0)
-    asked = line.next()
+    line = made.accept_connection(0)
+    asked = line.next_request()
     assert int(asked.fields["maxage"]) <= unix_ms() - stamp + LEAST
     asked.answer("OK", SERVED_NOW.format(unix_ms()), b"x")
     client.answer(client.calls)
@@ -66,8 +66,8 @@
     )
     client = made.client()
     client.ask("pages", block="7")
-    line = made.line(0)
-    line.next().answer("OK", SERVED_NOW.format(unix_ms()), b"x")
+    line = made.accept_connection(0)
+    line.next_request().answer("OK", SERVED_NOW.format(unix_ms()), b"x")
     client.answer(client.calls)
     purge(made)
     time.sleep(3.0)  # 0.5, and 2.0 that a parent may take
@@ -100,27 +100,27 @@
     service has to: an answer's time may be spoilt.
     """
     made, _ = faulty(before=lambda shim: shim.step_wall_clock(off))
-    made.tell(endpoint_watch.FrameKind.ALL_ENDPOINTS, records(made.places, unix_ms() - int(age * 1000)))
+    made.send_event(endpoint_watch.FrameKind.ALL_ENDPOINTS, records(made.listeners, unix_ms() - int(age * 1000)))
     made.router.wait('"event":"endpoints_updated"')
     client = made.client()
     client.ask("pages", block="7")
-    made.places[0].settimeout(COLD)
+    made.listeners[0].settimeout(COLD)
     try:
-        line = made.line(0)
-        first = line.next(COLD)
+        line = made.accept_connection(0)
+        first = line.next_request(COLD)
     except TimeoutError:
         first = None
     if age < 1.0:
         assert first is None or "src" in first.fields
         return
     if first is None:  # its first share is not earned yet: the source is asked in its place
-        line = made.line(1)
-        first = line.next()
+        line = made.accept_connection(1)
+        first = line.next_request()
     first.answer("OK", SERVED_NOW.format(unix_ms()), b"x")
     client.answer(client.calls)
     if off < 0:
         purge(made, KEY + 1)
-    made.places[0].settimeout(PATIENT)
+    made.listeners[0].settimeout(PATIENT)
     client.ask("pages", block="1")
-    asked = (made.line(0) if line.place == 1 else line).next()
+    asked = (made.accept_connection(0) if line.place == 1 else line).next_request()
     assert "src" not in asked.fields
--- a/tests/net/test_crossings.py
+++ b/tests/net/test_crossings.py
@@ -13,7 +13,7 @@
 
 from tests.support.connections import attempts, line
 from tests.support.processes import ROOT, Client
-from tests.support.router_process import SERVED, host
+from tests.support.router_process import OK_FIELDS, endpoint_entry
 from tests.support.routing import end, request_class, router, take
 from wickhinge.clocks import steady
 from wickhinge.fields import MalformedError
@@ -51,28 +51,28 @@
 
 def test_what_waits_for_a_connection_does_not_go_to_a_machine_that_drains_meanwhile(stand):
     made = stand(change=slow)
-    late, client = made.shut(0), made.client()
+    late, client = made.stop_accepting(0), made.client()
     call = client.ask()
     assert client.ping()  # read after it
-    made.drain(0)
-    made.line(1).next().answer("OK", SERVED, b"x")
+    made.drain_endpoint(0)
+    made.accept_connection(1).next_request().answer("OK", OK_FIELDS, b"x")
     assert answered(client, call)
     connection = late()
     assert client.ping()
     made.router.close()
-    assert connection.next() is None
+    assert connection.next_request() is None
 
 
 def test_what_waits_for_a_connection_goes_with_the_age_that_a_purge_told_meanwhile_allows(stand):
     made = stand(change=slow)
-    late, client = made.shut(0), made.client()
+    late, client = made.stop_accepting(0), made.client()
     call = client.ask(budget="6000")
     assert client.ping()
-    made.tell(3, endpoint_watch.OBJECT_PURGE.pack(OBJECT, int(time.time() * 1000) - 1))
+    made.send_event(3, endpoint_watch.OBJECT_PURGE.pack(OBJECT, int(time.time() * 1000) - 1))
     made.router.wait('"event":"purge_applied"')
-    asked = late().next()
+    asked = late().next_request()
     assert int(asked.fields["maxage"]) < 2000  # without a purge it is not named: the fresh time of the tariff
-    asked.answer("OK", SERVED, b"x")
+    asked.answer("OK", OK_FIELDS, b"x")
     assert answered(client, call)
 
 
@@ -80,7 +80,7 @@
 @pytest.mark.parametrize("leaves", ["abort", "close"])
 def test_what_waits_for_a_connection_is_not_sent_when_its_client_has_left(stand, cancel, leaves):
     made = stand(change=lambda conf: slow(conf, cancel=cancel))
-    late, client, other = made.shut(0), made.client(), made.client()
+    late, client, other = made.stop_accepting(0), made.client(), made.client()
     call = client.ask()
     assert client.ping()
     if leaves == "abort":
@@ -92,7 +92,7 @@
     connection = late()
     assert other.ping() and other.ping()
     made.router.close()
-    assert connection.next() is None
+    assert connection.next_request() is None
 
 
 def test_a_second_refusal_under_the_same_id_is_not_taken_for_that_of_a_second_forward(stand):
@@ -100,14 +100,14 @@
     made = stand(change=lambda conf: conf["classes"][1].update(onTimeMs=2900))
     client = made.client()
     call = client.ask("results", b"mark")
-    first = made.line(1)
-    asked = first.next()
+    first = made.accept_connection(1)
+    asked = first.next_request()
     asked.answer("BUSY")
-    again = made.line(1).next()  # on another connection
+    again = made.accept_connection(1).next_request()  # on another connection
     assert again.id == asked.id
     asked.answer("BUSY")
-    for place in (first, again.line):
-        assert place.next(0.9) is None  # nothing waits longer: what waits is looked at each 0.7 s
+    for place in (first, again.connection):
+        assert place.next_request(0.9) is None  # nothing waits longer: what waits is looked at each 0.7 s
     again.answer("OK", "-", b"mark")
     assert answered(client, call)
 
@@ -116,16 +116,16 @@
     made = stand(change=lambda conf: conf["limits"].update(mayDuplicate=False))
     client = made.client()
     call = client.ask()
-    box = made.line(0)
-    asked = box.next()
+    box = made.accept_connection(0)
+    asked = box.next_request()
     asked.answer("MISS")
-    fill = box.next()
+    fill = box.next_request()
     assert "src" in fill.fields
     asked.answer("MISS")
-    fill.answer("OK", SERVED, b"x")
+    fill.answer("OK", OK_FIELDS, b"x")
     assert answered(client, call)
     made.router.close()
-    assert box.next() is None
+    assert box.next_request() is None
 
 
 def test_where_nothing_may_be_given_up_no_word_of_it_goes_out(stand):
@@ -134,9 +134,9 @@
     calls = [client.ask(budget=budget) for budget in ("1200", "1500")]
     for call in calls:  # the first has run out at the machine, too, when the second is answered
         assert client.answer(call)[2][0] == "Overloaded"
-    box = made.line(0)
+    box = made.accept_connection(0)
     made.router.close()
-    assert box.words() == [b"REQ", b"REQ"]
+    assert box.read_message_types() == [b"REQ", b"REQ"]
 
 
 def test_the_mark_of_a_ticketed_visit_goes_with_each_of_its_forwards(stand):
@@ -145,10 +145,10 @@
     )
     client = made.client()
     call = client.ask("results", b"mark", token="d266bfacf2dce431")
-    first = made.line(1).next()
+    first = made.accept_connection(1).next_request()
     assert first.fields["uniq"] == "d266bfacf2dce431"
-    first.line.socket.close()  # it may have run
-    again = made.line(1).next()
+    first.connection.socket.close()  # it may have run
+    again = made.accept_connection(1).next_request()
     assert again.fields["uniq"] == "d266bfacf2dce431" and again.id == first.id
     again.answer("OK", "-", b"mark")
     assert answered(client, call)
@@ -172,7 +172,7 @@
             self.address = place.getsockname()
         self.box = socket.create_server(("127.0.0.1", 0))
         self.box.settimeout(5.0)
-        hosts = [host(0, "origin", self.box)]
+        hosts = [endpoint_entry(0, "origin", self.box)]
         conf |= {
             "listen": "{}:{}".format(*self.address),
             "journal": "127.0.0.1:9",
--- a/tests/net/test_descriptors.py
+++ b/tests/net/test_descriptors.py
@@ -21,7 +21,7 @@
 
 from tests.support.connections import Wire, pool
 from tests.support.processes import PATIENT
-from tests.support.router_process import SERVED, Stand
+from tests.support.router_process import OK_FIELDS, RouterHarness
 from wickhinge.net.downstream import msgpack
 from wickhinge.net.downstream.client_connections import ClientConnections
 from wickhinge.net.downstream.descriptors import (
@@ -58,7 +58,7 @@
         others = [os.open(os.devnull, os.O_RDONLY) for _ in range(held_by_others)]
         try:
             made.append(
-                Stand(
+                RouterHarness(
                     tmp_path,
                     change=lambda conf: conf["limits"].update(connectTimeoutMs=400),
                     limits={"memory_mb": 64, "sockets": limit},
@@ -114,27 +114,27 @@
 
 def service_goes(made):
     """The discovery service ends, and its address refuses."""
-    address = made.service.getsockname()
-    made.service.close()
-    made.journal.close()
+    address = made.discovery_listener.getsockname()
+    made.discovery_listener.close()
+    made.watch_connection.close()
     made.router.wait("endpoint_watch_lost")
     return address
 
 
 def service_returns(made, address):
     """Seconds from its return until the router has come back to it with its last number."""
-    made.service = made.stack.enter_context(socket.create_server(address))
-    made.service.settimeout(PATIENT)
+    made.discovery_listener = made.stack.enter_context(socket.create_server(address))
+    made.discovery_listener.settimeout(PATIENT)
     start = time.monotonic()
-    made.journal = made.take(made.service)
-    assert int.from_bytes(made.journal.recv(8)) == made.number
+    made.watch_connection = made.accept_on(made.discovery_listener)
+    assert int.from_bytes(made.watch_connection.recv(8)) == made.last_event_number
     return time.monotonic() - start
 
 
 def visit_is_served(made, client):
     call = client.ask()
-    asked = made.line(0).next()
-    asked.answer("OK", SERVED, b"x")
+    asked = made.accept_connection(0).next_request()
+    asked.answer("OK", OK_FIELDS, b"x")
     kind, _, error, _ = client.answer(call)
     return kind == 1 and error is None
 
@@ -191,15 +191,15 @@
         if system_limit < SMALL and descriptors(made) >= system_limit - 1:
             break
         clients.append(client)
-    box = made.line(0)
-    first = box.next()
+    box = made.accept_connection(0)
+    first = box.next_request()
     new = connect_and_ping(made, 3)
     start = cpu_time(made)
     assert readable(new, WATCHED) == []  # neither answered nor closed
     assert cpu_time(made) - start < WATCHED * SPINNING
     clients.pop().socket.close()  # a descriptor is free
     assert all(answered(client) for client in new)  # the new ones make room for one another once they are answered
-    first.answer("OK", SERVED, b"x")
+    first.answer("OK", OK_FIELDS, b"x")
     assert readable(clients, PATIENT)
 
 
@@ -207,11 +207,11 @@
     made = stand(SMALL)
     clients = [made.client() for _ in range(bounds(SMALL).clients)]
     calls = [client.ask(budget="6000") for client in clients]
-    box = made.line(0)
-    asked = box.next()
+    box = made.accept_connection(0)
+    asked = box.next_request()
     [new] = connect_and_ping(made, 1)
     assert readable([new], 0.1) == []
-    asked.answer("OK", SERVED, b"x")
+    asked.answer("OK", OK_FIELDS, b"x")
     assert answered(new)
     [served] = readable(clients)
     assert served.answer(calls[clients.index(served)])[2] is None
--- a/tests/net/test_failing_calls.py
+++ b/tests/net/test_failing_calls.py
@@ -14,7 +14,7 @@
 
 from bench.faults.shim import Call, Shim
 from tests.support.processes import PATIENT, Client
-from tests.support.router_process import SERVED
+from tests.support.router_process import OK_FIELDS
 
 ONE_IN_FIVE = 0.2
 ACCEPT_ERRORS = [
@@ -40,19 +40,19 @@
         threading.Thread(target=self.accept, daemon=True).start()
 
     def accept(self):
-        self.made.places[0].settimeout(0.05)
+        self.made.listeners[0].settimeout(0.05)
         while not self.stop.is_set():
             with suppress(OSError):
-                line = self.made.line(0)
+                line = self.made.accept_connection(0)
                 threading.Thread(target=self.answer, args=(line,), daemon=True).start()
 
     def answer(self, line):
         with suppress(OSError):
             while not self.stop.is_set():
-                asked = line.next(0.05)
+                asked = line.next_request(0.05)
                 if asked is not None:
                     self.count += 1
-                    asked.answer("OK", SERVED, b"x" * 1000)
+                    asked.answer("OK", OK_FIELDS, b"x" * 1000)
 
 
 @pytest.fixture
@@ -145,9 +145,9 @@
 def test_a_broken_list_watch_is_made_anew(faulty):
     made, shim = faulty()
     shim.fail_next(Call.BREAK, 1, errno.ETIMEDOUT)
-    made.tell(0)
-    anew = made.take(made.service)
-    assert int.from_bytes(anew.recv(8)) == made.number
+    made.send_event(0)
+    anew = made.accept_on(made.discovery_listener)
+    assert int.from_bytes(anew.recv(8)) == made.last_event_number
 
 
 @pytest.mark.parametrize("call", [Call.SOCKET, Call.CONNECT, Call.REGISTER])
@@ -202,25 +202,29 @@
 
 def test_a_reload_goes_on_after_a_failed_open(faulty):
     made, shim = faulty()
-    other = made.listening()
+    other = made.open_listener()
     path = made.folder / "config.json"
-    text = path.read_text().replace(*("{}:{}".format(*place.getsockname()) for place in (made.service, other)))
+    text = path.read_text().replace(
+        *("{}:{}".format(*place.getsockname()) for place in (made.discovery_listener, other))
+    )
     path.write_text(text)
     shim.fail_next(Call.OPEN, 2)
     os.kill(made.router.child.pid, signal.SIGHUP)
-    moved = made.take(other)
-    assert int.from_bytes(moved.recv(8)) == made.number
+    moved = made.accept_on(other)
+    assert int.from_bytes(moved.recv(8)) == made.last_event_number
 
 
 def test_a_reload_goes_on_when_the_file_was_half_written(faulty):
     """Whoever writes it in place is read in the middle; the signal comes once."""
     made, _ = faulty()
-    other = made.listening()
+    other = made.open_listener()
     path = made.folder / "config.json"
-    text = path.read_text().replace(*("{}:{}".format(*place.getsockname()) for place in (made.service, other)))
+    text = path.read_text().replace(
+        *("{}:{}".format(*place.getsockname()) for place in (made.discovery_listener, other))
+    )
     path.write_text(text[: len(text) // 2])
     os.kill(made.router.child.pid, signal.SIGHUP)
     made.router.wait("config_reload_failed")
     path.write_text(text)
-    moved = made.take(other)
-    assert int.from_bytes(moved.recv(8)) == made.number
+    moved = made.accept_on(other)
+    assert int.from_bytes(moved.recv(8)) == made.last_event_number
--- a/tests/net/test_graceful_shutdown.py
+++ b/tests/net/test_graceful_shutdown.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from tests.support.router_process import SERVED
+from tests.support.router_process import OK_FIELDS
 
 TIMEOUT_S = 3.0  # of results, the longest
 KILL_AFTER_S = 0.7  # past the longest deadline: PROTOCOL's earliest SIGKILL
@@ -23,7 +23,7 @@
     if not heeded_after_s:
         os.kill(made.router.child.pid, signal.SIGTERM)
         return made, client, started
-    with made.stopped():
+    with made.suspended():
         os.kill(made.router.child.pid, signal.SIGTERM)
         time.sleep(heeded_after_s)
     return made, client, started
@@ -35,7 +35,7 @@
     time.sleep(taken_at_s)
     asked_at = time.monotonic()
     call = client.ask("results")
-    made.line(1).next()  # and nothing comes back
+    made.accept_connection(1).next_request()  # and nothing comes back
     assert client.answer(call)[0] == 1
     ended_at = time.monotonic()
     assert ended_at - asked_at >= TIMEOUT_S - NEARLY_ALL
@@ -53,9 +53,9 @@
     time.sleep(LAST_REQUEST_S - 0.1)
     asked_at = time.monotonic()
     call = client.ask("results")
-    asked = made.line(1).next()
+    asked = made.accept_connection(1).next_request()
     time.sleep(max(asked_at + TIMEOUT_S - left_s - time.monotonic(), 0.0))
-    asked.answer("OK", SERVED, b"late")
+    asked.answer("OK", OK_FIELDS, b"late")
     assert client.answer(call)[2] is None
 
 
@@ -87,7 +87,7 @@
     client = made.client()
     assert client.ping()
     started = time.monotonic()
-    with made.stopped():
+    with made.suspended():
         os.kill(made.router.child.pid, signal.SIGTERM)
         time.sleep(0.2)
     time.sleep(started + LAST_REQUEST_S - 0.05 - time.monotonic())
@@ -129,7 +129,7 @@
     time.sleep(LAST_REQUEST_S - 0.1)
     calls = [client.ask("results", budget="3000")]
     time.sleep(started + stopped_at_s - time.monotonic())
-    with made.stopped():
+    with made.suspended():
         calls.append(client.ask("results", budget="3000"))
         time.sleep(0.3)
     for call in calls:
--- a/tests/net/test_idempotency_window.py
+++ b/tests/net/test_idempotency_window.py
@@ -1,6 +1,6 @@
 """A request with an idempotency key is repeated only while the servers still know its key."""
 
-from tests.support.router_process import SERVED, is_connecting
+from tests.support.router_process import OK_FIELDS, is_connecting
 from tests.support.running_router import wait_until
 
 SYN_RETRY_S = 1.0  # until the system tries again to connect to a listener that was full
@@ -16,10 +16,10 @@
     made = stand(change=keyed)
     client = made.client()
     call = client.ask("results", b"mark", budget="3000", token="d266bfacf2dce431")
-    first = made.line(1).next()
-    late = made.shut(1)
-    first.line.socket.close()  # it may have run
-    origin_port = made.places[1].getsockname()[1]
+    first = made.accept_connection(1).next_request()
+    late = made.stop_accepting(1)
+    first.connection.socket.close()  # it may have run
+    origin_port = made.listeners[1].getsockname()[1]
     wait_until(lambda: is_connecting(made.router.child.pid, origin_port))
     return made, client, call, late()
 
@@ -29,11 +29,11 @@
     made, client, call, connection = ask_and_fail(stand, SYN_RETRY_S - 0.3)
     assert client.answer(call)[2] is not None  # rejected or failed
     made.router.close()
-    assert connection.next() is None
+    assert connection.next_request() is None
 
 
 def test_a_repeat_whose_connection_comes_up_within_the_window_is_sent(stand):
     """The bound on late repeats must not stop those in time."""
     _, client, call, connection = ask_and_fail(stand, SYN_RETRY_S + 1.5)
-    connection.next().answer("OK", SERVED, b"mark")
+    connection.next_request().answer("OK", OK_FIELDS, b"mark")
     assert client.answer(call)[2] is None
--- a/tests/net/test_lost_connections.py
+++ b/tests/net/test_lost_connections.py
@@ -15,7 +15,7 @@
 
 def test_a_refused_connection_is_told_in_words(stand):
     made = stand()
-    made.places[0].close()
+    made.listeners[0].close()
     client = made.client()
     client.ask("pages")
     reason = json.loads(made.router.wait('"event":"upstream_connection_lost"'))["reason"]
--- a/tests/net/test_net.py
+++ b/tests/net/test_net.py
@@ -163,8 +163,8 @@
     )
     for split in range(len(data) + 1):
         made, told = reading()
-        made.read(made.connection, data[:split])
-        made.read(made.connection, data[split:])
+        made.receive_data(made.connection, data[:split])
+        made.receive_data(made.connection, data[split:])
         assert (
             told == [(True, endpoint_watch.endpoint_records(RECORD)), (9, 0, 8), (None, 17, 6)]
             and made.last_number == 43
@@ -176,14 +176,14 @@
 )
 def test_journal_never_guesses_over_a_gap_or_a_bad_frame(data):
     made, told = reading()
-    made.read(made.connection, data)
+    made.receive_data(made.connection, data)
     assert told == ["dropped"] and made.last_number == 40 and made.connection is None
 
 
 def test_an_event_written_twice_is_heard_once_and_costs_nothing():
     made, told = reading()
     for number in (40, 41, 41, 42, 41):
-        made.read(made.connection, frame(number, 4, endpoint_watch.GROUP_PURGE.pack(number, 6)))
+        made.receive_data(made.connection, frame(number, 4, endpoint_watch.GROUP_PURGE.pack(number, 6)))
     assert told == [(None, 41, 6), (None, 42, 6)] and made.last_number == 42
 
 
@@ -191,10 +191,10 @@
     made, told = reading()
     made.reactor = SimpleNamespace(connectTCP=lambda host, port, *_, **__: told.append(port))
     old = made.connection
-    made.move(("127.0.0.1", 9))
-    made.lost(old, "closed")
-    made.read(old, frame(41, 4, endpoint_watch.GROUP_PURGE.pack(41, 6)))
-    made.move(("127.0.0.1", 9))
+    made.change_address(("127.0.0.1", 9))
+    made.handle_lost(old, "closed")
+    made.receive_data(old, frame(41, 4, endpoint_watch.GROUP_PURGE.pack(41, 6)))
+    made.change_address(("127.0.0.1", 9))
     assert told == ["dropped", 9] and made.last_number == 40
 
 
--- a/tests/net/test_request_log.py
+++ b/tests/net/test_request_log.py
@@ -92,7 +92,7 @@
     client = made.client()
     rid = "00000000000000f1"
     call = client.ask("pages", rid=rid, budget="900")
-    assert made.line(0).next() is not None
+    assert made.accept_connection(0).next_request() is not None
     assert client.answer(call)[2][0] == "Overloaded"
     line = made.router.wait(rid)
     assert json.loads(line)["reason"] == "deadline exceeded"
--- a/tests/net/test_short_waits.py
+++ b/tests/net/test_short_waits.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from tests.support.router_process import SERVED
+from tests.support.router_process import OK_FIELDS
 
 REQUESTS = 30
 
@@ -15,7 +15,7 @@
     line = None
     for number in range(REQUESTS):
         call = client.ask("pages", budget=str(budget_ms), obj=f"{number:016x}")
-        line = line or made.line(0)
-        asked = line.next()
-        asked.answer("OK", SERVED, b"body")
+        line = line or made.accept_connection(0)
+        asked = line.next_request()
+        asked.answer("OK", OK_FIELDS, b"body")
         assert client.answer(call)[2] is None
--- a/tests/net/test_stalls.py
+++ b/tests/net/test_stalls.py
@@ -17,7 +17,7 @@
 from bench.faults.shim import Call
 from tests.support.clients import patient, warmed
 from tests.support.processes import PATIENT
-from tests.support.router_process import SERVED, Line
+from tests.support.router_process import OK_FIELDS, CacheConnection
 from wickhinge.net.downstream import msgpack
 
 SLACK = 0.15  # seconds that the deadline passed on may be more than what is left
@@ -44,13 +44,13 @@
     made = stand()
     client = made.client()
     line = warmed(made, client)
-    with made.stopped():
+    with made.suspended():
         if connection == "new":
             client = made.client()
         sent = time.monotonic()
         ask(client)
         time.sleep(pause)
-    asked = line.next(BUDGET)
+    asked = line.next_request(BUDGET)
     assert asked is not None
     assert passed_on(asked) <= left_of(sent) + SLACK
 
@@ -59,20 +59,20 @@
     """All requests that come to a machine, with the time at which each did."""
 
     def __init__(self, made, place=0):
-        self.made, self.place, self.had = made, made.places[place], queue.Queue()
+        self.made, self.place, self.had = made, made.listeners[place], queue.Queue()
         threading.Thread(target=self.accept, daemon=True).start()
 
     def accept(self):
         with suppress(OSError):
             while True:
-                self.follow(Line(self.place.accept()[0]))
+                self.follow(CacheConnection(self.place.accept()[0]))
 
     def follow(self, line):
         threading.Thread(target=self.read, args=(line,), daemon=True).start()
 
     def read(self, line):
         with suppress(OSError):
-            while (asked := line.next()) is not None:
+            while (asked := line.next_request()) is not None:
                 self.had.put((time.monotonic(), asked))
 
 
@@ -85,7 +85,7 @@
     collector = Collector(made)
     collector.follow(line)
     sent = {}
-    with made.stopped():
+    with made.suspended():
         for part in range(count):
             sent[str(part)] = time.monotonic()
             client.ask("pages", budget=str(round(BUDGET * 1000)), block=str(part))
@@ -98,11 +98,11 @@
 
 def test_the_budget_is_what_is_left_when_a_connection_has_come_up_late(stand):
     made = stand(change=patient)
-    late, client = made.shut(0), made.client()
+    late, client = made.stop_accepting(0), made.client()
     sent = time.monotonic()
     client.ask("pages", budget="2500")
     time.sleep(0.8)
-    asked = late().next()
+    asked = late().next_request()
     assert passed_on(asked) <= left_of(sent, 2.5) + SLACK
 
 
@@ -110,10 +110,10 @@
     made = stand()
     client = made.client()
     line = warmed(made, client)
-    with made.stopped():
+    with made.suspended():
         ask(client)
         time.sleep(BUDGET + 0.1)
-    assert line.next(0.3) is None
+    assert line.next_request(0.3) is None
     assert client.answer(client.calls)[2] is not None
 
 
@@ -126,7 +126,7 @@
     assert other.ping()
     os.kill(made.router.child.pid, signal.SIGTERM)
     time.sleep(0.7)  # 0.75 is the time in which clients still come
-    with made.stopped():
+    with made.suspended():
         new = made.client()
         calls = [(one, one.ask("pages", block="9")) for one in (client, other, new)]
         time.sleep(pause)
@@ -142,7 +142,7 @@
     client.socket.sendall(whole[:3])
     assert other.ping()
     time.sleep(1.0)
-    with made.stopped():
+    with made.suspended():
         client.socket.sendall(whole[3:])
         time.sleep(3.6)
     assert client.answer(1)[3][0] is True
@@ -151,9 +151,9 @@
 def serve_forever(line, stop):
     with suppress(OSError):
         while not stop.is_set():
-            asked = line.next(0.05)
+            asked = line.next_request(0.05)
             if asked is not None:
-                asked.answer("OK", SERVED, b"x" * 2000)
+                asked.answer("OK", OK_FIELDS, b"x" * 2000)
 
 
 def test_stops_at_any_moment_lose_nothing(stand):
@@ -163,15 +163,15 @@
     clients = [made.client() for _ in range(4)]
     threads = [threading.Thread(target=serve_forever, args=(warmed(made, clients[0]), stop), daemon=True)]
     threads[0].start()
-    made.places[0].settimeout(0.05)
+    made.listeners[0].settimeout(0.05)
     for turn in range(30):
-        with made.stopped():
+        with made.suspended():
             calls = [(client, client.ask("pages", budget="1500")) for client in clients]
             time.sleep(0.02 + 0.01 * (turn % 5))
         for client, call in calls:
             client.answer(call)
         try:
-            thread = threading.Thread(target=serve_forever, args=(made.line(0), stop), daemon=True)
+            thread = threading.Thread(target=serve_forever, args=(made.accept_connection(0), stop), daemon=True)
             thread.start()
         except TimeoutError:
             pass
@@ -184,15 +184,15 @@
     clients = [made.client() for _ in range(12)]
     for client in clients:
         assert client.ping()
-    with made.stopped():
+    with made.suspended():
         for client in clients:
             for part in range(4):
                 client.ask("pages", block=str(part))
-        made.tell_drain(0)
+        made.send_drain_event(0)
         time.sleep(1.2)
-    made.places[0].settimeout(0.5)
+    made.listeners[0].settimeout(0.5)
     with pytest.raises(TimeoutError):
-        made.line(0)
+        made.accept_connection(0)
 
 
 def has_ended(client):
@@ -219,7 +219,7 @@
     time.sleep(5.0)
     lost = 0
     for _ in range(10):
-        with made.stopped():
+        with made.suspended():
             time.sleep(0.02)  # what was closed before the stop has come here
             some = [client for client in clients if not has_ended(client)][:20]
             written = [(client, client.ask("pages", budget="3000")) for client in some]
@@ -239,9 +239,9 @@
     client = made.client()
     line = warmed(made, client)
     call = client.ask("pages", budget="600")
-    asked = line.next()
-    with made.stopped():
-        asked.answer("OK", SERVED, b"x")
+    asked = line.next_request()
+    with made.suspended():
+        asked.answer("OK", OK_FIELDS, b"x")
         time.sleep(0.7)
     assert client.answer(call)[2] is None
 
@@ -257,17 +257,17 @@
     client = made.client()
     line = warmed(made, client)
     shim.fail(Call.SHORT_READ, 1.0)
-    with made.stopped():
+    with made.suspended():
         asked_at = [time.monotonic()]
         client.ask("pages", budget=str(round(BUDGET * 1000)), block="1")
         asked_at.append(time.monotonic())
         client.ask("pages", budget=str(round(BUDGET * 1000)), block="2")
         time.sleep(pause)
     for _ in range(2):
-        asked = line.next()
+        asked = line.next_request()
         left = asked_at[int(asked.fields["blk"]) - 1] + BUDGET - time.monotonic()
         assert float(asked.fields["budget"]) / 1000 <= left + SLACK
-        asked.answer("OK", SERVED, b"x")
+        asked.answer("OK", OK_FIELDS, b"x")
     shim.calm()
 
 
@@ -281,11 +281,11 @@
     made, shim = faulty()
     client = made.client()
     line = warmed(made, client)
-    with made.stopped():
+    with made.suspended():
         asked_at = time.monotonic()
         client.ask("pages", budget=str(round(BUDGET * 1000)), block="1")
         time.sleep(0.5)
         shim.fail_next(Call.CLIENT_READ, failures, errno.ENOMEM if failures > 1 else errno.EAGAIN)
-    asked = line.next()
+    asked = line.next_request()
     assert float(asked.fields["budget"]) / 1000 <= asked_at + BUDGET - time.monotonic() + SLACK
     assert shim.failed(Call.CLIENT_READ) == failures
--- a/tests/store/test_store.py
+++ b/tests/store/test_store.py
@@ -275,8 +275,8 @@
     up = []
     made.listener.caught_up = lambda: up.append(made.is_unbroken)
     for number in (3, 4, 5, 6):
-        made.take_frame(number, 1, b"") if number in (3, 6) else made.take_frame(number, 4, b"\x00\x07" + bytes(8))
-    made.take_frame(6, 0, b"")
+        made.apply_frame(number, 1, b"") if number in (3, 6) else made.apply_frame(number, 4, b"\x00\x07" + bytes(8))
+    made.apply_frame(6, 0, b"")
     assert told == [(None, 7, 0), (None, 7, 0), (True, [])] and up == [True]
 
 
@@ -288,9 +288,9 @@
     made.resume_purges(remembered)
     if first:
         with pytest.raises(Exception, match="after"):
-            made.take_frame(first, 4, b"\x00\x07" + bytes(8))
-    made.take_frame(5, 0, b"")
-    made.take_frame(3, 0, b"")  # a service that lost its count: nothing is caught up with
+            made.apply_frame(first, 4, b"\x00\x07" + bytes(8))
+    made.apply_frame(5, 0, b"")
+    made.apply_frame(3, 0, b"")  # a service that lost its count: nothing is caught up with
     assert up == [False] and made.last_number == 5
 
 
--- a/tests/support/changelog_fleet.py
+++ b/tests/support/changelog_fleet.py
@@ -14,7 +14,7 @@
 from contextlib import ExitStack, contextmanager
 
 from tests.support.processes import PATIENT, ROOT, Process
-from tests.support.router_process import SERVED, Line, Stand
+from tests.support.router_process import OK_FIELDS, CacheConnection, RouterHarness
 from wickhinge.changelog.entries import Purge, Setting
 from wickhinge.cli.changelog_client import Client, NotAppendedError, routers_of
 from wickhinge.options import load
@@ -165,12 +165,12 @@
     def start_router(self):
         os.environ["WICKHINGE_OPTIONS"] = str(self.folder / f"{ROUTER}.cue")
         try:
-            self.stand = Stand(self.folder)
+            self.stand = RouterHarness(self.folder)
         finally:
             del os.environ["WICKHINGE_OPTIONS"]
         self.stack.callback(self.stand.close)
         self.requests = queue.Queue()
-        for place in self.stand.places:
+        for place in self.stand.listeners:
             threading.Thread(target=self._serve, args=(place,), daemon=True).start()
 
     def kill(self, name):
@@ -256,13 +256,13 @@
                 continue
             except OSError:
                 return
-            threading.Thread(target=self._serve_connection, args=(Line(made),), daemon=True).start()
+            threading.Thread(target=self._serve_connection, args=(CacheConnection(made),), daemon=True).start()
 
     def _serve_connection(self, line):
         try:
-            while asked := line.next(IDLE_S):
+            while asked := line.next_request(IDLE_S):
                 self.requests.put(asked.fields)
-                asked.answer("OK", SERVED, b"x")
+                asked.answer("OK", OK_FIELDS, b"x")
         except OSError:
             pass
         line.socket.close()
--- a/tests/support/clients.py
+++ b/tests/support/clients.py
@@ -1,6 +1,6 @@
 """Clients that wait, and deployments that have served before."""
 
-from tests.support.router_process import SERVED
+from tests.support.router_process import OK_FIELDS
 
 
 def patient(conf):
@@ -12,7 +12,7 @@
 def warmed(made, client, place=0):
     """The machine's connection, up and idle."""
     call = client.ask("pages" if place == 0 else "results", block="7")
-    line = made.line(place)
-    line.next().answer("OK", SERVED, b"x")
+    line = made.accept_connection(place)
+    line.next_request().answer("OK", OK_FIELDS, b"x")
     assert client.answer(call)[2] is None
     return line
--- a/tests/support/router_process.py
+++ b/tests/support/router_process.py
@@ -14,14 +14,14 @@
 from wickhinge.net.upstream import resp
 
 KINDS = {"box": 0, "parent": 1, "origin": 2}
-SERVED = "etag=00000000000000aa,made=1764576000123"
+OK_FIELDS = "etag=00000000000000aa,made=1764576000123"
 
 
 def at(place):
     return "{}:{}".format(*place.getsockname())
 
 
-def host(place, kind, made):
+def endpoint_entry(place, kind, made):
     return {
         "host": f"s-{0xA1 + place:08x}",
         "dial": at(made),
@@ -34,17 +34,17 @@
     }
 
 
-class Asked:
+class CacheRequest:
     """A request as it came to a machine, and the connection that it came on."""
 
     def __init__(self, line, id_, fields, body):
-        self.line, self.id, self.fields, self.body = line, id_, resp.fields(fields), body
+        self.connection, self.id, self.fields, self.body = line, id_, resp.fields(fields), body
 
     def answer(self, word, told="-", body=b""):
-        self.line.socket.sendall(resp.pack(self.id, word.encode(), told.encode(), body))
+        self.connection.socket.sendall(resp.pack(self.id, word.encode(), told.encode(), body))
 
 
-class Line:
+class CacheConnection:
     """A connection of the router to a machine, by the machine's place."""
 
     def __init__(self, made, place=0):
@@ -52,7 +52,7 @@
         self.socket, self.stream, self.had = made, resp.ReplyDecoder(BufferPool(99, lambda: None, lambda: None)), []
         made.settimeout(PATIENT)
 
-    def next(self, within=PATIENT):
+    def next_request(self, within=PATIENT):
         """The next REQ; None for the end of the connection, or where none came within so long."""
         self.socket.settimeout(within)
         while True:
@@ -60,7 +60,7 @@
                 if items[0] == b"REQ":
                     self.had = self.had[self.had.index(items) + 1 :]
                     body = b"".join(items[3].views()) if not isinstance(items[3], bytes) else items[3]
-                    return Asked(self, items[1], items[2], body)
+                    return CacheRequest(self, items[1], items[2], body)
             self.had = []
             try:
                 data = self.socket.recv(65536)
@@ -70,17 +70,17 @@
                 return None
             self.had += self.stream.feed(data)
 
-    def requests(self):
+    def count_requests(self):
         """How many REQ come until the connection ends, also by a reset."""
         count = 0
         try:
-            while self.next() is not None:
+            while self.next_request() is not None:
                 count += 1
         except ConnectionResetError:
             pass
         return count
 
-    def words(self):
+    def read_message_types(self):
         """All that came, to the end of the connection."""
         data = b""
         while piece := self.socket.recv(65536):
@@ -105,7 +105,7 @@
     return False
 
 
-class Stand:
+class RouterHarness:
     def __init__(
         self,
         folder,
@@ -118,18 +118,21 @@
         **process,
     ):
         self.stack = ExitStack()
-        self.lines = []
+        self.connections = []
         self.folder = folder
         base = free(1)
-        self.places = [self.listening() for _ in machines]
-        self.service = self.listening()
+        self.listeners = [self.open_listener() for _ in machines]
+        self.discovery_listener = self.open_listener()
         conf = json.loads((ROOT / "example/config.json").read_text())
-        hosts = [host(place, kind, made) for place, (kind, made) in enumerate(zip(machines, self.places, strict=True))]
+        hosts = [
+            endpoint_entry(place, kind, made)
+            for place, (kind, made) in enumerate(zip(machines, self.listeners, strict=True))
+        ]
         list_change(hosts)
-        self.kinds, self.number, self.address = machines, 1, ("127.0.0.1", base)
+        self.kinds, self.last_event_number, self.address = machines, 1, ("127.0.0.1", base)
         conf |= {
             "listen": f"127.0.0.1:{base}",
-            "journal": at(self.service),
+            "journal": at(self.discovery_listener),
             "known": {"pos": 1, "entries": [{"pos": 1, "hosts": {"seq": 1, "whole": True, "hosts": hosts}}, *known]},
         }
         conf["limits"] = limits or conf["limits"]
@@ -139,50 +142,50 @@
         told = {**os.environ, "RELAY_CONFIG": str(folder / "config.json"), **(environment or {})}
         self.router = Process("-m", "wickhinge", env=told, **process)
         self.stack.callback(self.router.close)
-        self.journal = self.take(self.service)
-        assert int.from_bytes(self.journal.recv(8)) == 1
-        self.tell(0)
+        self.watch_connection = self.accept_on(self.discovery_listener)
+        assert int.from_bytes(self.watch_connection.recv(8)) == 1
+        self.send_event(0)
         self.router.wait('"event":"listener_opened"')
 
-    def listening(self, backlog=64):
+    def open_listener(self, backlog=64):
         made = self.stack.enter_context(socket.create_server(("127.0.0.1", 0), backlog=backlog))
         made.settimeout(PATIENT)
         return made
 
-    def take(self, place):
+    def accept_on(self, place):
         made = self.stack.enter_context(place.accept()[0])
         made.settimeout(PATIENT)
         return made
 
-    def line(self, place):
+    def accept_connection(self, place):
         """The next connection to a machine."""
-        self.lines.append(Line(self.take(self.places[place]), place))
-        return self.lines[-1]
+        self.connections.append(CacheConnection(self.accept_on(self.listeners[place]), place))
+        return self.connections[-1]
 
-    def shut(self, place):
+    def stop_accepting(self, place):
         """No connection to a machine comes up from now on, though none is refused; the call that ends it gives the
         router's, which has tried again and again meanwhile.
         """
-        self.places[place].listen(0)
+        self.listeners[place].listen(0)
         fillers = [self.stack.enter_context(socket.socket()) for _ in range(4)]
         for one in fillers:
             one.setblocking(False)
-            one.connect_ex(self.places[place].getsockname())
+            one.connect_ex(self.listeners[place].getsockname())
 
         def end():
-            self.places[place].listen(64)
+            self.listeners[place].listen(64)
             ours = {one.getsockname() for one in fillers}
-            while (made := self.take(self.places[place])).getpeername() in ours:
+            while (made := self.accept_on(self.listeners[place])).getpeername() in ours:
                 pass
             for one in fillers:
                 one.close()
-            self.lines.append(Line(made))
-            return self.lines[-1]
+            self.connections.append(CacheConnection(made))
+            return self.connections[-1]
 
         return end
 
     @contextmanager
-    def stopped(self):
+    def suspended(self):
         """The router stands still, as where another has its core: what reaches its sockets lies unread."""
         pid = self.router.child.pid
         os.kill(pid, signal.SIGSTOP)
@@ -191,45 +194,47 @@
         os.kill(pid, signal.SIGCONT)
 
     @contextmanager
-    def stopped_while_connecting(self, place):
+    def suspended_while_connecting(self, place):
         """As `stopped`, at a moment when a connection of the router's to this machine is on its way.
 
         The router gives an attempt to connect up and begins another; stopped between the two it would begin none.
         """
         end = time.monotonic() + PATIENT
         while time.monotonic() < end:
-            with self.stopped():
-                if is_connecting(self.router.child.pid, self.places[place].getsockname()[1]):
+            with self.suspended():
+                if is_connecting(self.router.child.pid, self.listeners[place].getsockname()[1]):
                     yield
                     return
             time.sleep(0.02)
         raise AssertionError("the router does not connect")
 
-    def attempts(self):
+    def close_and_count_attempts(self):
         """End the router; how many attempts came to all machines and were not taken by the test before."""
         self.router.close()
-        for place in self.places:
+        for place in self.listeners:
             place.setblocking(False)
             try:
                 while True:
                     made = self.stack.enter_context(place.accept()[0])
-                    self.lines.append(Line(made))
+                    self.connections.append(CacheConnection(made))
             except BlockingIOError:
                 pass
-        return sum(line.requests() for line in self.lines)
+        return sum(line.count_requests() for line in self.connections)
 
-    def tell(self, kind, payload=b""):
-        self.number += kind != 0
-        self.journal.sendall((9 + len(payload)).to_bytes(4) + self.number.to_bytes(8) + bytes((kind,)) + payload)
+    def send_event(self, kind, payload=b""):
+        self.last_event_number += kind != 0
+        self.watch_connection.sendall(
+            (9 + len(payload)).to_bytes(4) + self.last_event_number.to_bytes(8) + bytes((kind,)) + payload
+        )
 
-    def tell_drain(self, place):
+    def send_drain_event(self, place):
         """What is told; the router may not have heard of it yet."""
-        self.tell(
+        self.send_event(
             2,
             endpoint_watch.ENDPOINT_RECORD.pack(
                 0xA1 + place,
                 0x7F000001,
-                self.places[place].getsockname()[1],
+                self.listeners[place].getsockname()[1],
                 1,
                 self.kinds[place] != "box",
                 KINDS[self.kinds[place]],
@@ -239,8 +244,8 @@
             ),
         )
 
-    def drain(self, place):
-        self.tell_drain(place)
+    def drain_endpoint(self, place):
+        self.send_drain_event(place)
         self.router.wait("draining")
 
     def client(self):
--- a/wickhinge/common/owed_reload.py
+++ b/wickhinge/common/owed_reload.py
@@ -78,7 +78,7 @@
             self._log(self._events.dropped, request=self._requested - self._at_start, tries=self._tries)
         self._is_owed, self._is_closed = False, True
 
-    def figures(self) -> dict[str, int | bool]:
+    def report_fields(self) -> dict[str, int | bool]:
         """Its entry in the report."""
         done = self._in_force - self._at_start
         return ReloadFigures(self._requested - self._at_start, done, self._failed, self._is_owed)._asdict()
--- a/wickhinge/net/control/changelog_client.py
+++ b/wickhinge/net/control/changelog_client.py
@@ -95,7 +95,7 @@
         """The greatest age of a copy that may be served, whatever the time of day is."""
         return self.follower.max_copy_age_s(self._options.grace_s)
 
-    def figures(self) -> dict[str, Any]:
+    def report_fields(self) -> dict[str, Any]:
         """Its entry in the report."""
         machine, now = self.follower.state_machine, self.follower.clock()
         until = machine.informed_until(now)
@@ -155,7 +155,7 @@
         self._limited = limited
         if limited:
             self._node.attempts.overtaken(lambda sent: sent.forward.request.request_class.pass_through)
-        figures = self.figures()
+        figures = self.report_fields()
         state = "changelog_uninformed" if limited else "changelog_informed"
         self._log(state, epoch=figures["epoch"], number=figures["number"], age_s=figures["age_s"])
 
--- a/wickhinge/net/control/config.py
+++ b/wickhinge/net/control/config.py
@@ -49,7 +49,7 @@
 class ListedEndpoint(NamedTuple):
     """One server of an endpoint list; `started_at` is in Unix seconds, None where it is not known."""
 
-    mark: int
+    endpoint_id: int
     address: Address
     state: str
     zone: str
--- a/wickhinge/net/control/endpoint_updates.py
+++ b/wickhinge/net/control/endpoint_updates.py
@@ -57,7 +57,7 @@
             if endpoint is None:
                 self._log(
                     "endpoint_record_invalid",
-                    endpoint=f"{record.mark:08x}",
+                    endpoint=f"{record.endpoint_id:08x}",
                     state=record.state,
                     zone=record.zone,
                     kind=record.kind,
@@ -74,10 +74,10 @@
                 self._others_time.vouched(endpoint.started_at, now)
         listings = []
         for endpoint in endpoints:
-            self._pools.listed(endpoint.mark, f"{endpoint.mark:08x}", endpoint.address)
+            self._pools.listed(endpoint.endpoint_id, f"{endpoint.endpoint_id:08x}", endpoint.address)
             listings.append(
                 Endpoint(
-                    endpoint.mark,
+                    endpoint.endpoint_id,
                     endpoint.zone,
                     endpoint.kind,
                     endpoint.cell,
@@ -95,7 +95,7 @@
             "endpoints_updated",
             complete=complete,
             endpoints=[
-                [f"{endpoint.mark:08x}", endpoint.state, endpoint.zone, endpoint.kind, endpoint.started_at]
+                [f"{endpoint.endpoint_id:08x}", endpoint.state, endpoint.zone, endpoint.kind, endpoint.started_at]
                 for endpoint in endpoints
             ],
         )
@@ -122,7 +122,7 @@
             return None
         host = ".".join(str(octet) for octet in record.address.to_bytes(4))
         return ListedEndpoint(
-            record.mark,
+            record.endpoint_id,
             (host, record.port),
             ENDPOINT_STATES[record.state],
             zones[record.zone],
--- a/wickhinge/net/control/endpoint_watch.py
+++ b/wickhinge/net/control/endpoint_watch.py
@@ -63,7 +63,7 @@
 class EndpointRecord(NamedTuple):
     """One endpoint of a list; `state`, `zone` and `kind` are places in the settings' lists of names."""
 
-    mark: int
+    endpoint_id: int
     address: int
     port: int
     state: int
@@ -151,15 +151,15 @@
         """Called by Twisted once the connection is up: says after which number events are wanted."""
         self.transport.setTcpNoDelay(True)
         self.transport.write(EVENT_NUMBER.pack(self.watch.last_number))
-        self.watch.connected(self)
+        self.watch.handle_connected(self)
 
     def dataReceived(self, data: bytes) -> None:
         """Called by Twisted with what was read."""
-        self.watch.read(self, data)
+        self.watch.receive_data(self, data)
 
     def connectionLost(self, reason: Failure) -> None:
         """Called by Twisted when the connection is over."""
-        self.watch.lost(self, reason.getErrorMessage())
+        self.watch.handle_lost(self, reason.getErrorMessage())
 
 
 class EndpointWatch:
@@ -189,7 +189,7 @@
         self._wants_confirmation = False  # the start waits to hear that there is nothing more
         self._connecting_since, self._round_trip_s = 0.0, 0.0
 
-    def move(self, address: Address) -> None:
+    def change_address(self, address: Address) -> None:
         """Leaves the connection and goes on at another address, from the last number had."""
         if address == self.address or self._is_closed:
             return
@@ -229,7 +229,7 @@
         )
         self.deadlines.after(self._connect_timeout_s, attempt.stop)  # which does nothing to one that is up
 
-    def connected(self, connection: WatchConnection) -> None:
+    def handle_connected(self, connection: WatchConnection) -> None:
         """Called by a connection that is up."""
         if connection.connect_round != self.connect_round or self._is_closed:  # moved meanwhile
             connection.transport.abortConnection()
@@ -249,13 +249,13 @@
             self.address, delay_s = self._addresses.record_failure()
         self.deadlines.after(delay_s, self.start, connect_round)
 
-    def drop(self, connection: WatchConnection, reason: str) -> None:
+    def drop_connection(self, connection: WatchConnection, reason: str) -> None:
         """Gives up a connection and tries again."""
         self.connection = None
         connection.transport.abortConnection()
         self.retry(reason, self.connect_round)
 
-    def lost(self, connection: WatchConnection, reason: str) -> None:
+    def handle_lost(self, connection: WatchConnection, reason: str) -> None:
         """Called by a connection that is over."""
         if self.connection is connection:
             self.connection = None
@@ -280,10 +280,10 @@
             return False  # the transport will tell
         if not data:
             return False
-        self.read(connection, data)
+        self.receive_data(connection, data)
         return True
 
-    def read(self, connection: WatchConnection, data: bytes) -> None:
+    def receive_data(self, connection: WatchConnection, data: bytes) -> None:
         """Takes what a connection has read; that of one that was left is ignored."""
         if self.connection is not connection:
             return
@@ -292,15 +292,15 @@
         try:
             for frame in connection.decoder.feed(data):
                 kind = frame.kind
-                self.take_frame(*frame)
+                self.apply_frame(*frame)
         except MalformedFrameError as problem:
-            self.drop(connection, str(problem))
+            self.drop_connection(connection, str(problem))
             return
         if self._wants_confirmation and kind != FrameKind.NO_MORE_EVENTS:
             self._wants_confirmation = False
             self.deadlines.after(max(2 * self._round_trip_s, MIN_SETTLE_S), self._confirm, connection)
 
-    def take_frame(self, number: int, kind: int, payload: bytes) -> None:
+    def apply_frame(self, number: int, kind: int, payload: bytes) -> None:
         """Tells the listener of one event; an event had already is ignored, since the service may write one twice.
 
         Raises MalformedFrameError for a gap or a malformed frame; no event is guessed.
@@ -362,7 +362,7 @@
             return
         silence_s = self.deadlines.now() - self._last_heard_at
         if silence_s >= SILENCE_LIMIT_S - SILENCE_TOLERANCE_S:
-            self.drop(connection, "nothing heard")
+            self.drop_connection(connection, "nothing heard")
         else:
             self.deadlines.after(SILENCE_LIMIT_S - silence_s, self._check_silence, connection)
 
--- a/wickhinge/net/control/graceful_shutdown.py
+++ b/wickhinge/net/control/graceful_shutdown.py
@@ -21,8 +21,9 @@
 MAX_REQUEST_TIMEOUT_S = 3.0
 EARLIEST_KILL_S = 0.7  # past the longest deadline
 LINGER_S = LAST_REQUEST_S + 0.15  # what was sent last may still be on its way, or in the listener
-GIVE_UP_AFTER_S = LAST_REQUEST_S  # past the longest deadline: whoever asked last has had all of its time
-LAST_ANSWER_S = EARLIEST_KILL_S - 0.03  # past the longest deadline: what ends by itself until then is left to its end
+GIVE_UP_AFTER_DEADLINE_S = LAST_REQUEST_S  # past the longest deadline: whoever asked last has had all of its time
+# Past the longest deadline: what ends by itself until then is left to its end.
+LAST_ANSWER_AFTER_DEADLINE_S = EARLIEST_KILL_S - 0.03
 MIN_PASSES = 2  # over all clients past the kill's earliest time: one reads what lies there, one sees it answered
 POLL_INTERVAL_S = 0.01
 FLUSH_S = 0.02  # some turns of the loop, so that what is written last leaves the transports
@@ -51,8 +52,8 @@
         self._deadlines: Deadlines = clients.deadlines
         self._requests = clients.visits
         longest_s = min(timeout_s, MAX_REQUEST_TIMEOUT_S)
-        self.give_up_after_s = longest_s + GIVE_UP_AFTER_S
-        self._last_answer_after_s = longest_s + LAST_ANSWER_S
+        self.give_up_after_s = longest_s + GIVE_UP_AFTER_DEADLINE_S
+        self._last_answer_after_s = longest_s + LAST_ANSWER_AFTER_DEADLINE_S
         self._end_after_s = longest_s + EARLIEST_KILL_S
         self.is_draining = False
         self._requested_at = 0.0  # at the earliest
--- a/wickhinge/net/control/membership.py
+++ b/wickhinge/net/control/membership.py
@@ -200,7 +200,7 @@
         self.controller.live_caught_up(self.now(), watch.last_number, is_continuous=is_continuous)
         self.backoff.record_success()
 
-    def ended(self, sent: Any, outcome: Outcome) -> None:
+    def record_attempt_outcome(self, sent: Any, outcome: Outcome) -> None:
         """Called when an attempt ended: an answer proves that the endpoint is there."""
         if sent.door.request_class.idempotency is Idempotency.IDEMPOTENT and (outcome.answered or outcome in FAILED):
             self.controller.record_request(sent.cache.id, self.now(), answered=outcome.answered)
@@ -209,7 +209,7 @@
         """Called with each purge; stamp: Unix seconds."""
         self.controller.record_purge(PurgeRecord(key, group, stamp), self.now())
 
-    def oldest(self, bound: float | None) -> float | None:
+    def limit_copy_age(self, bound: float | None) -> float | None:
         """The greatest age in seconds of a copy that may answer: the bound, or less where purges may be unknown."""
         ours = self.controller.max_copy_age_s(self.now())
         return bound if ours is None else ours if bound is None else min(ours, bound)
@@ -257,7 +257,7 @@
         if not self.closed:
             self.after(delay_s, self.ask)
 
-    def figures(self) -> dict[str, Any]:
+    def report_fields(self) -> dict[str, Any]:
         """Its entry in the report."""
         return self.controller.figures(self.now())
 
--- a/wickhinge/net/control/peer_transport.py
+++ b/wickhinge/net/control/peer_transport.py
@@ -183,7 +183,7 @@
     def connectionRefused(self) -> None:
         """Called by Twisted where nobody listens at a peer's address just now."""
 
-    def figures(self) -> dict[str, Any]:
+    def report_fields(self) -> dict[str, Any]:
         """Its entry in the report."""
         now, detector = clock(), self.detector
         view = detector.view(now)
@@ -211,7 +211,7 @@
 
     def status(self) -> dict[str, Any]:
         """For `wickhinge peers show`: the figures, and all fellows one by one."""
-        now, detector, told = clock(), self.detector, self.figures()
+        now, detector, told = clock(), self.detector, self.report_fields()
         told.pop("states")
         fellows = [
             {
--- a/wickhinge/net/control/process_report.py
+++ b/wickhinge/net/control/process_report.py
@@ -22,7 +22,7 @@
 class Reporting(typing.Protocol):
     """An optional subsystem with figures of its own in the report."""
 
-    def figures(self) -> dict[str, Any]:
+    def report_fields(self) -> dict[str, Any]:
         """Its entry in the report."""
 
 
@@ -64,7 +64,7 @@
             event_loop_stalls=self._loop.stalls.report(),
             **self._client_figures(),
             **self._server_figures(),
-            **{name: subsystem.figures() for name, subsystem in self._optional.items()},
+            **{name: subsystem.report_fields() for name, subsystem in self._optional.items()},
         )
         self._deadlines.after(REPORT_INTERVAL_S, self._report)
 
--- a/wickhinge/net/control/router_process.py
+++ b/wickhinge/net/control/router_process.py
@@ -136,7 +136,7 @@
         """The discovery service is at another address from now on."""
         if self.membership is not None:
             self.membership.moved(address)
-        self.endpoint_watch.move(address)
+        self.endpoint_watch.change_address(address)
 
     # The Environment of its decisions.
 
--- a/wickhinge/net/upstream/attempts.py
+++ b/wickhinge/net/upstream/attempts.py
@@ -93,7 +93,7 @@
         if parameters.retention_rank:
             fields += f",keep={parameters.retention_rank}"
         if self.membership is not None and not door.request_class.pass_through:
-            oldest = self.membership.oldest(oldest)
+            oldest = self.membership.limit_copy_age(oldest)
         if oldest is not None:
             # 0 would lift the limit, and rounding up would widen it.
             fields += f",maxage={max(int(oldest * 1000), 1)}"
@@ -270,7 +270,7 @@
             self.decisions.health_checked(sent.cache, outcome, load, now)
             return
         if self.membership is not None:
-            self.membership.ended(sent, outcome)
+            self.membership.record_attempt_outcome(sent, outcome)
         door.trace.add(now, Step.ENDED, sent.cache.id, (end, told))
         if outcome is Outcome.SUCCEEDED:
             if self.local_copies is not None and not door.final:
--- a/wickhinge/net/upstream/local_copies.py
+++ b/wickhinge/net/upstream/local_copies.py
@@ -114,7 +114,7 @@
         if made.isdigit() and len(made) <= 16:
             self.store.revalidate(copy, int(made) / 1000.0)
 
-    def figures(self) -> dict[str, Any]:
+    def report_fields(self) -> dict[str, Any]:
         return {**self.store.figures(), "served": self.served}
 
 
