--- a/tests/net/test_endpoint_watch.py
+++ b/tests/net/test_endpoint_watch.py
@@ -4,7 +4,13 @@
 
 import pytest
 
-from wickhinge.net.control.endpoint_watch import FRAME_HEADER, MAX_READS, EndpointWatch, FrameDecoder, WatchSettings
+from wickhinge.net.control.endpoint_watch import (
+    FRAME_HEADER,
+    MAX_READS_PER_CALL,
+    EndpointWatch,
+    FrameDecoder,
+    WatchSettings,
+)
 
 
 class ShortReads:
@@ -28,7 +34,7 @@
     deadlines = SimpleNamespace(now=lambda: now[0], after=lambda *_: None)
     watch = EndpointWatch(None, deadlines, WatchSettings(("127.0.0.1", 9), 0, 1.0), listener, lambda *_, **fields: None)
     frames = b"".join(FRAME_HEADER.pack(25, number, 3) + bytes(16) for number in (1, 2))
-    assert len(frames) > MAX_READS
+    assert len(frames) > MAX_READS_PER_CALL
     handle = ShortReads(frames, size)
     watch.connection = SimpleNamespace(
         transport=SimpleNamespace(getHandle=lambda: handle), decoder=FrameDecoder(), connect_round=0
--- a/wickhinge/net/control/endpoint_watch.py
+++ b/wickhinge/net/control/endpoint_watch.py
@@ -1,7 +1,8 @@
-"""Watches the discovery service: numbered events as binary frames, resumed at the last number had.
+"""Client of the discovery service: receives numbered events as binary frames and resumes after the last event received.
 
-The service writes a frame at least once a second. A connection that is silent for longer, or that carries a gap or a
-malformed frame, is dropped, and the events after the last number are requested again on the next one.
+The discovery service writes a frame at least once a second. The client drops a connection that is silent for
+SILENCE_LIMIT_S, skips an event number, or carries a malformed frame. The next connection requests the events after the
+last one received.
 """
 
 from __future__ import annotations
@@ -20,26 +21,26 @@
 from wickhinge.common.failed_calls import receive
 from wickhinge.net.runtime.deadlines import Deadlines
 
-FRAME_HEADER = Struct(">IQB")  # length of what follows the length, event number, kind
-ENDPOINT_RECORD = Struct(">IIHBBBHIQ")  # as EndpointRecord
-OBJECT_PURGE = Struct(">QQ")  # object key, Unix milliseconds
-GROUP_PURGE = Struct(">HQ")  # group, Unix milliseconds
+FRAME_HEADER = Struct(">IQB")  # bytes that follow the length field, event number, frame kind
+ENDPOINT_RECORD = Struct(">IIHBBBHIQ")  # the fields of EndpointRecord, in their order
+OBJECT_PURGE = Struct(">QQ")  # object key, time of the purge in Unix milliseconds
+GROUP_PURGE = Struct(">HQ")  # object group, time of the purge in Unix milliseconds
 EVENT_NUMBER = Struct(">Q")
 LENGTH_BYTES = 4
 MIN_FRAME_BYTES = FRAME_HEADER.size - LENGTH_BYTES
 MAX_FRAME_BYTES = MIN_FRAME_BYTES + ENDPOINT_RECORD.size * 8192
-SILENCE_LIMIT_S = 1.6  # without a frame, one of which comes each second: the connection is dead
-SILENCE_TOLERANCE_S = 0.001  # by which a deadline may be early
-RETRY_INTERVAL_S = 0.15  # where no list of addresses says when to try next
+SILENCE_LIMIT_S = 1.6  # A connection without a frame for this long is dead: the service sends one each second.
+SILENCE_TOLERANCE_S = 0.001  # A deadline may fire this much too early.
+RETRY_INTERVAL_S = 0.15  # Delay before the next connection attempt if no ServiceAddresses chooses the delay.
 READ_BYTES = 65536
-MAX_READS = 32  # of READ_BYTES each, in one call of `read_pending`
-MIN_SETTLE_S = 0.01  # after the latest event, before the service is asked whether that was all
+MAX_READS_PER_CALL = 32  # Limit of reads, of READ_BYTES each, in one call of `EndpointWatch.read_pending`.
+MIN_CONFIRM_DELAY_S = 0.01  # Shortest wait after the first events of a start before asking whether there are more.
 
 Address = tuple[str, int]
 
 
 class FrameKind(IntEnum):
-    """What a frame of the service tells."""
+    """Event that a frame of the discovery service carries."""
 
     NO_MORE_EVENTS = 0
     ALL_ENDPOINTS = 1
@@ -49,11 +50,11 @@
 
 
 class MalformedFrameError(Exception):
-    """No frame that may follow; the message names the fault."""
+    """The received bytes are not a valid next frame; the message names the fault."""
 
 
 class Frame(NamedTuple):
-    """One event; `kind` is as it was received and may be none of FrameKind."""
+    """One frame as received; `kind` may be a number that FrameKind does not define."""
 
     number: int
     kind: int
@@ -61,7 +62,7 @@
 
 
 class EndpointRecord(NamedTuple):
-    """One endpoint of a list; `state`, `zone` and `kind` are places in the settings' lists of names."""
+    """One endpoint of a list; `state`, `zone` and `kind` are indexes into the lists of names in the settings."""
 
     endpoint_id: int
     address: int
@@ -75,95 +76,107 @@
 
 
 class WatchListener(typing.Protocol):
-    """Hears each event once, in order of the numbers."""
+    """Receiver of the events; gets each event once, in the order of the event numbers."""
 
     def endpoints_changed(self, records: list[EndpointRecord], *, complete: bool) -> None:
-        """Called with all endpoints there are where complete is true, else with those that changed."""
+        """Handle a list of all endpoints if `complete` is true, else of the changed endpoints only."""
 
     def purged(self, key: int | None, group: int, stamp_ms: int) -> None:
-        """Called for a purge of one object; of the whole group where key is None."""
+        """Handle the purge of one object, or of the whole group if `key` is None."""
 
     def caught_up(self) -> None:
-        """Called when the service has no event that was not told."""
+        """Handle the service's statement that the listener has received all events."""
 
 
 class ServiceAddresses(typing.Protocol):
-    """The addresses of a service, in turn."""
+    """Addresses of the discovery service, which are tried in turn."""
 
     def record_failure(self) -> tuple[Address, float]:
-        """Called when an attempt failed; returns the next address and the seconds until it is tried."""
+        """Record a failed connection attempt and return the next address and the seconds until its attempt."""
 
 
 @dataclass(frozen=True, slots=True)
 class WatchSettings:
-    """Where an EndpointWatch connects, and after which event it begins."""
+    """Address that an EndpointWatch connects to first, and the event number that it resumes after."""
 
     address: Address
     last_number: int
     connect_timeout_s: float
-    addresses: ServiceAddresses | None = None  # None: `address` alone, every RETRY_INTERVAL_S
+    addresses: ServiceAddresses | None = None  # With None, `address` is retried every RETRY_INTERVAL_S.
 
 
 class FrameDecoder:
-    """Frames out of bytes at any split."""
+    """Decoder of frames from a byte stream that may be split at any position."""
 
     def __init__(self) -> None:
-        self._rest = b""
+        self._incomplete_frame = b""
 
     def feed(self, data: bytes) -> list[Frame]:
-        """The frames that are complete now. Raises MalformedFrameError."""
-        data, place, frames = self._rest + data, 0, []
-        while len(data) - place >= LENGTH_BYTES:
-            length = int.from_bytes(data[place : place + LENGTH_BYTES])
+        """Return the frames that `data` completes.
+
+        Raises:
+            MalformedFrameError: The length field of a frame is out of range.
+        """
+        data, offset, frames = self._incomplete_frame + data, 0, []
+        while len(data) - offset >= LENGTH_BYTES:
+            length = int.from_bytes(data[offset : offset + LENGTH_BYTES])
             if not MIN_FRAME_BYTES <= length <= MAX_FRAME_BYTES:
-                raise MalformedFrameError(f"a frame of length {length}")
-            end = place + LENGTH_BYTES + length
+                raise MalformedFrameError(f"frame length out of range: {length}")
+            end = offset + LENGTH_BYTES + length
             if len(data) < end:
                 break
-            _, number, kind = FRAME_HEADER.unpack_from(data, place)
-            frames.append(Frame(number, kind, data[place + FRAME_HEADER.size : end]))
-            place = end
-        self._rest = data[place:]
+            _, number, kind = FRAME_HEADER.unpack_from(data, offset)
+            frames.append(Frame(number, kind, data[offset + FRAME_HEADER.size : end]))
+            offset = end
+        self._incomplete_frame = data[offset:]
         return frames
 
 
 def endpoint_records(payload: bytes) -> list[EndpointRecord]:
-    """The endpoints of a list. Raises MalformedFrameError."""
+    """Return the endpoints in the payload of a list frame.
+
+    Raises:
+        MalformedFrameError: The payload does not consist of whole records.
+    """
     if len(payload) % ENDPOINT_RECORD.size:
-        raise MalformedFrameError(f"a list of {len(payload)} bytes")
+        raise MalformedFrameError(f"endpoint list of {len(payload)} bytes does not consist of whole records")
     return [EndpointRecord._make(fields) for fields in ENDPOINT_RECORD.iter_unpack(payload)]
 
 
-def unpack_purge(form: Struct, payload: bytes) -> tuple[int, ...]:
-    """The fields of a purge. Raises MalformedFrameError."""
-    if len(payload) != form.size:
-        raise MalformedFrameError(f"a purge of {len(payload)} bytes")
-    return form.unpack(payload)
+def unpack_purge(purge_format: Struct, payload: bytes) -> tuple[int, ...]:
+    """Return the fields in the payload of a purge frame.
+
+    Raises:
+        MalformedFrameError: The payload does not have the size of the format.
+    """
+    if len(payload) != purge_format.size:
+        raise MalformedFrameError(f"purge of {len(payload)} bytes does not have the size of its frame kind")
+    return purge_format.unpack(payload)
 
 
 class WatchConnection(Protocol):
-    """One connection to the service, for the round of attempts that began it."""
+    """One connection to the discovery service; `connect_round` numbers the connect attempt that opened it."""
 
     def __init__(self, watch: EndpointWatch, connect_round: int) -> None:
         self.watch, self.decoder, self.connect_round = watch, FrameDecoder(), connect_round
 
     def connectionMade(self) -> None:
-        """Called by Twisted once the connection is up: says after which number events are wanted."""
+        """Request the events after the last one received, once Twisted has established the connection."""
         self.transport.setTcpNoDelay(True)
         self.transport.write(EVENT_NUMBER.pack(self.watch.last_number))
         self.watch.handle_connected(self)
 
     def dataReceived(self, data: bytes) -> None:
-        """Called by Twisted with what was read."""
+        """Hand the bytes that Twisted has read to the watch."""
         self.watch.receive_data(self, data)
 
     def connectionLost(self, reason: Failure) -> None:
-        """Called by Twisted when the connection is over."""
+        """Report the end of the connection to the watch."""
         self.watch.handle_lost(self, reason.getErrorMessage())
 
 
 class EndpointWatch:
-    """Keeps one connection to the service and tells the listener of its events."""
+    """Keeper of one connection to the discovery service; delivers the service's events to the listener."""
 
     def __init__(
         self,
@@ -177,20 +190,22 @@
         self.address, self._addresses = settings.address, settings.addresses
         self._connect_timeout_s = settings.connect_timeout_s
         self.last_number = settings.last_number
-        self._last_list_number = settings.last_number  # where purges are told again, lists up to here are not
-        self.is_unbroken = False  # all events since a number of an earlier start were told, in one numbering
-        self.is_list_resumed = False  # the list, too, is of an earlier start
+        # Endpoint lists up to this event number are already known. While purges are replayed, these lists are skipped.
+        self._last_list_number = settings.last_number
+        # True if all events since the number resumed from an earlier run were received, under unchanged numbering.
+        self.is_unbroken = False
+        self.is_list_resumed = False  # True if the endpoint list was resumed from an earlier run, too.
         self.connection: WatchConnection | None = None
-        self.connect_round = 0  # an attempt of an earlier round is over
-        self.last_read_pending_at = 0.0  # when all that the service had sent was last read
-        self._last_heard_at = 0.0
+        self.connect_round = 0  # Number of the newest connect attempt; results of older attempts are ignored.
+        self.last_read_pending_at = 0.0  # Start of the last `read_pending` call that emptied the socket.
+        self._last_received_at = 0.0
         self._is_closed = False
-        self._confirmed_number = -1  # at which the service last said that there is nothing more
-        self._wants_confirmation = False  # the start waits to hear that there is nothing more
+        self._confirmed_number = -1  # Last event number at which the service said that there are no more events.
+        self._awaits_confirmation = False  # True while a start still has to learn that there are no more events.
         self._connecting_since, self._round_trip_s = 0.0, 0.0
 
     def change_address(self, address: Address) -> None:
-        """Leaves the connection and goes on at another address, from the last number had."""
+        """Abort the connection and resume at another address after the last event received."""
         if address == self.address or self._is_closed:
             return
         self.address = address
@@ -200,23 +215,30 @@
         self.start()
 
     def resume_purges(self, number: int) -> None:
-        """Has purges after this number told again; before `start`, and only where the service keeps its numbers."""
+        """Request the purges after event `number` again.
+
+        Must be called before `start`, and only if the service keeps its event numbers across its restarts.
+        """
         if 0 < number <= self.last_number:
             self.last_number, self.is_unbroken = number, True
 
     def resume_list(self, number: int) -> None:
-        """Goes on after the number of a remembered list; before `start`, and only where no other list is known."""
+        """Resume after event `number`, up to which a stored endpoint list holds the service's lists.
+
+        Must be called before `start`, and only if the service keeps its event numbers across its restarts. Has no
+        effect if the configuration holds an endpoint list.
+        """
         if number > 0 and self.last_number == 0:
             self.last_number = self._last_list_number = number
             self.is_list_resumed = self.is_unbroken = True
 
     def start_confirmed(self) -> None:
-        """Starts, and asks the service soon after its first events whether those were all."""
-        self._wants_confirmation = True
+        """Start, and ask the service soon after its first events whether there are more."""
+        self._awaits_confirmation = True
         self.start()
 
     def start(self, after_round: int | None = None) -> None:
-        """Begins to connect, unless another round began after the given one."""
+        """Start a connect attempt, unless one newer than attempt `after_round` has been started."""
         if self._is_closed or after_round not in (None, self.connect_round):
             return
         self.connect_round += 1
@@ -227,20 +249,21 @@
             WatchConnection(self, connect_round),
             lambda failure: self.retry(failure_text(failure), connect_round),
         )
-        self.deadlines.after(self._connect_timeout_s, attempt.stop)  # which does nothing to one that is up
+        # Stopping an attempt has no effect on a connection that has been established.
+        self.deadlines.after(self._connect_timeout_s, attempt.stop)
 
     def handle_connected(self, connection: WatchConnection) -> None:
-        """Called by a connection that is up."""
-        if connection.connect_round != self.connect_round or self._is_closed:  # moved meanwhile
+        """Use an established connection, or abort it if a newer connect attempt has been started."""
+        if connection.connect_round != self.connect_round or self._is_closed:
             connection.transport.abortConnection()
             return
-        self.connection, self._last_heard_at = connection, self.deadlines.now()
-        self._round_trip_s = self._last_heard_at - self._connecting_since
+        self.connection, self._last_received_at = connection, self.deadlines.now()
+        self._round_trip_s = self._last_received_at - self._connecting_since
         self.log("endpoint_watch_connected", last_event=self.last_number)
         self.deadlines.after(SILENCE_LIMIT_S, self._check_silence, connection)
 
     def retry(self, reason: str, connect_round: int) -> None:
-        """Tries again after a pause, unless another round began meanwhile."""
+        """Connect again after a delay, unless a newer connect attempt has been started."""
         if connect_round != self.connect_round or self._is_closed:
             return
         self.log("endpoint_watch_lost", reason=reason, last_event=self.last_number)
@@ -250,44 +273,47 @@
         self.deadlines.after(delay_s, self.start, connect_round)
 
     def drop_connection(self, connection: WatchConnection, reason: str) -> None:
-        """Gives up a connection and tries again."""
+        """Abort a connection and connect again after a delay."""
         self.connection = None
         connection.transport.abortConnection()
         self.retry(reason, self.connect_round)
 
     def handle_lost(self, connection: WatchConnection, reason: str) -> None:
-        """Called by a connection that is over."""
+        """Connect again after the connection in use has ended; the end of any other connection is ignored."""
         if self.connection is connection:
             self.connection = None
             self.retry(reason, self.connect_round)
 
     def read_pending(self) -> None:
-        """Reads what lies in the socket now, before the loop comes to it: after the process stood still."""
+        """Read all bytes waiting in the socket without waiting for the event loop.
+
+        After the process has stalled, this brings the endpoint list up to date before decisions are made by it.
+        """
         began_at = self.deadlines.now()
-        for _ in range(MAX_READS):
+        for _ in range(MAX_READS_PER_CALL):
             if not self._read_once():
                 self.last_read_pending_at = began_at
                 return
 
     def _read_once(self) -> bool:
-        """Reads from the connection, if there is one; whether there may be more."""
+        """Read once from the connection, if there is one, and return whether there may be more to read."""
         connection = self.connection
         if connection is None:
             return False
         try:
             data = receive(connection.transport.getHandle(), READ_BYTES)
         except OSError:
-            return False  # the transport will tell
+            return False  # The transport meets the same error and reports it by `connectionLost`.
         if not data:
             return False
         self.receive_data(connection, data)
         return True
 
     def receive_data(self, connection: WatchConnection, data: bytes) -> None:
-        """Takes what a connection has read; that of one that was left is ignored."""
+        """Decode and apply the bytes read from the connection in use; bytes from any other connection are ignored."""
         if self.connection is not connection:
             return
-        self._last_heard_at = self.deadlines.now()
+        self._last_received_at = self.deadlines.now()
         kind: int = FrameKind.NO_MORE_EVENTS
         try:
             for frame in connection.decoder.feed(data):
@@ -296,22 +322,25 @@
         except MalformedFrameError as problem:
             self.drop_connection(connection, str(problem))
             return
-        if self._wants_confirmation and kind != FrameKind.NO_MORE_EVENTS:
-            self._wants_confirmation = False
-            self.deadlines.after(max(2 * self._round_trip_s, MIN_SETTLE_S), self._confirm, connection)
+        if self._awaits_confirmation and kind != FrameKind.NO_MORE_EVENTS:
+            self._awaits_confirmation = False
+            self.deadlines.after(max(2 * self._round_trip_s, MIN_CONFIRM_DELAY_S), self._confirm, connection)
 
     def apply_frame(self, number: int, kind: int, payload: bytes) -> None:
-        """Tells the listener of one event; an event had already is ignored, since the service may write one twice.
+        """Deliver one event to the listener.
 
-        Raises MalformedFrameError for a gap or a malformed frame; no event is guessed.
+        An event that was received before is ignored, since the service may write an event twice.
+
+        Raises:
+            MalformedFrameError: An event number was skipped, or the frame is malformed. The listener gets no event.
         """
         if kind == FrameKind.NO_MORE_EVENTS:
-            self._no_more_events(number)
+            self._handle_no_more_events(number)
             return
         if number <= self.last_number:
             return
         if number != self.last_number + 1:
-            self._gap(number)
+            self._handle_gap(number)
         if kind in (FrameKind.ALL_ENDPOINTS, FrameKind.CHANGED_ENDPOINTS):
             records = endpoint_records(payload)
             if number > self._last_list_number:
@@ -323,36 +352,46 @@
             group, stamp_ms = unpack_purge(GROUP_PURGE, payload)
             self.listener.purged(None, group, stamp_ms)
         else:
-            raise MalformedFrameError(f"a frame of kind {kind}")
+            raise MalformedFrameError(f"unknown frame kind {kind}")
         self.last_number = number
 
     def close(self) -> None:
-        """Ends the watch for good."""
+        """End the watch permanently."""
         self._is_closed = True
         if self.connection is not None:
             self.connection.transport.loseConnection()
 
-    def _no_more_events(self, number: int) -> None:
-        """A number other than the last had is no proof: the service has more to tell, or counts anew."""
+    def _handle_no_more_events(self, number: int) -> None:
+        """Handle the service's statement that event `number` is its last.
+
+        The listener is up to date only if `number` is the last event received. A higher number means that events are
+        still to come; a lower number means that the service has restarted its numbering.
+        """
         if number > self.last_number:
             return
         self.is_unbroken = self.is_unbroken and number == self.last_number
         if number == self.last_number:
-            self._wants_confirmation, self._confirmed_number = False, number
+            self._awaits_confirmation, self._confirmed_number = False, number
             self.listener.caught_up()
         elif self.is_list_resumed:
-            self._start_over(f"event {number} is the last, and {self.last_number} was remembered")
+            self._reset_resumed_list(
+                f"event {number} is the last of the service, but event {self.last_number} is in the stored list"
+            )
 
-    def _gap(self, number: int) -> None:
-        """Raises MalformedFrameError; the next connection asks for what is missing."""
+    def _handle_gap(self, number: int) -> None:
+        """Choose the event that the next connection resumes after, then raise MalformedFrameError."""
         if self.is_list_resumed:
-            self._start_over(f"event {number} after {self.last_number}, which was remembered")
-        if self.last_number < self._last_list_number:  # the service does not keep events for so long
+            self._reset_resumed_list(f"received event {number} after event {self.last_number} of the stored list")
+        if self.last_number < self._last_list_number:
+            # The service no longer keeps the events that the purges were to be replayed from.
             self.last_number, self.is_unbroken = self._last_list_number, False
-        raise MalformedFrameError(f"event {number} after {self.last_number}")
+        raise MalformedFrameError(f"received event {number} after event {self.last_number}")
+
+    def _reset_resumed_list(self, reason: str) -> None:
+        """Request all events from the first one on, then raise MalformedFrameError with `reason`.
 
-    def _start_over(self, reason: str) -> None:
-        """What was remembered is of another numbering, or too old: all events are asked for from the first on."""
+        The stored list does not fit the service's events: it is from another numbering, or too old.
+        """
         self.last_number = self._last_list_number = 0
         self.is_list_resumed = self.is_unbroken = False
         raise MalformedFrameError(reason)
@@ -360,16 +399,18 @@
     def _check_silence(self, connection: WatchConnection) -> None:
         if self.connection is not connection:
             return
-        silence_s = self.deadlines.now() - self._last_heard_at
+        silence_s = self.deadlines.now() - self._last_received_at
         if silence_s >= SILENCE_LIMIT_S - SILENCE_TOLERANCE_S:
-            self.drop_connection(connection, "nothing heard")
+            self.drop_connection(connection, "no frame received within the silence limit")
         else:
             self.deadlines.after(SILENCE_LIMIT_S - silence_s, self._check_silence, connection)
 
     def _confirm(self, connection: WatchConnection) -> None:
-        """Connects anew, since the frame that says that there is nothing more may take a second to come.
+        """Connect anew to learn at once whether there are more events.
 
-        Who connects with the last number is told so at once: one connection more a start, and no guess.
+        On an open connection, the frame that says that there are no more events may take a second to come. A new
+        connection that requests the events after the last one gets this frame at once. The cost is one additional
+        connection for each start.
         """
         if self.connection is connection and self._confirmed_number != self.last_number and not self._is_closed:
             self.connection = None
