--- a/bench/scale/connections.py
+++ b/bench/scale/connections.py
@@ -28,7 +28,7 @@
 
 def descriptors_needed(caches: int) -> float:
     """The limit of descriptors at which each cache may have all of its connections."""
-    return descriptors.SHARE_OF_MACHINES * LINES * caches
+    return descriptors.LIMIT_PER_UPSTREAM_DESCRIPTOR * LINES * caches
 
 
 def connections(meter: Meter) -> list[Row]:
@@ -58,7 +58,7 @@
             needed,
             "descriptors",
             "computed",
-            "descriptors.bounds: a third is for machines",
+            "descriptors.descriptor_limits: a third is for machines",
         ),
     ]
 
--- a/bench/soak/planted.py
+++ b/bench/soak/planted.py
@@ -18,7 +18,7 @@
 
 def dropped_answer() -> None:
     """One answer in EVERY is not written."""
-    _harm_answers(lambda connection, call, body, fields, serve: connection.open.pop(call, None))
+    _harm_answers(lambda connection, call, body, fields, serve: connection.open_requests.pop(call, None))
 
 
 def second_answer() -> None:
@@ -26,7 +26,7 @@
 
     def twice(connection, call, body, fields, serve) -> None:
         serve(connection, call, body, fields)
-        connection.error(call, "Overloaded", {})
+        connection.send_error(call, "Overloaded", {})
 
     _harm_answers(twice)
 
@@ -48,7 +48,7 @@
 def _harm_answers(harm: Callable[..., object]) -> None:
     from wickhinge.net.downstream.client_connection import ClientConnection
 
-    serve, is_harmed = ClientConnection.serve, _every(EVERY)
+    serve, is_harmed = ClientConnection.send_answer, _every(EVERY)
 
     def harmed(self, call, body, fields):
         if is_harmed():
@@ -56,7 +56,7 @@
         else:
             serve(self, call, body, fields)
 
-    ClientConnection.serve = harmed
+    ClientConnection.send_answer = harmed
 
 
 def forgotten_reload() -> None:
@@ -84,7 +84,7 @@
     """Some requests begin 0.3 s after they were read, whether or not their client has left or cancelled meanwhile."""
     from wickhinge.net.downstream.client_connection import ClientConnection
 
-    begin, is_harmed = ClientConnection.request, _every(3)
+    begin, is_harmed = ClientConnection.begin_request, _every(3)
 
     def late(self, call, method, params, arrival):
         if is_harmed():
@@ -92,8 +92,8 @@
         else:
             begin(self, call, method, params, arrival)
 
-    ClientConnection.request = late
-    ClientConnection.awaits = lambda self, call: True
+    ClientConnection.begin_request = late
+    ClientConnection.is_request_open = lambda self, call: True
 
 
 def sent_twice() -> None:
--- a/tests/net/test_arrivals.py
+++ b/tests/net/test_arrivals.py
@@ -32,8 +32,8 @@
     def take(self, handed):
         for when in handed:
             self.coming.remove(when)
-            self.read.append((when, self.arrivals.arrived, self.now))
-        self.arrivals.handled()
+            self.read.append((when, self.arrivals.earliest_arrival_at, self.now))
+        self.arrivals.mark_handled()
 
     def wait(self, limit, standstill, broken):
         """Wakes with what comes; stands still within the wait, and then hands out what there is by then."""
@@ -49,19 +49,19 @@
         limit = min(limit, MAX_WAIT_S)
         while True:
             entered = self.now
-            asked = limit <= 0.0 or self.arrivals.uncertain(entered)
+            asked = limit <= 0.0 or self.arrivals.needs_poll_before_wait(entered)
             self.now, before = self.now + before, 0.0
             if not asked:
                 break
             handed, returned = self.ready(), self.now
             if handed or limit <= 0.0:
-                self.arrivals.polled(entered, returned, len(handed))
+                self.arrivals.record_poll(entered, returned, len(handed))
                 self.now += standstill  # between the poll and the read
                 return self.take(handed)
             if returned - entered <= FRESH_POLL_S:
                 break
         handed = self.wait(limit, standstill, broken)
-        self.arrivals.waited(entered, limit, self.now, len(handed), asked=asked)
+        self.arrivals.record_wait(entered, limit, self.now, len(handed), asked=asked)
         self.take(handed)
 
 
@@ -83,7 +83,7 @@
 @given(TURNS)
 def test_what_is_settled_has_been_read(turns):
     system = play(turns)
-    assert all(when >= system.arrivals.settled for when in system.coming)
+    assert all(when >= system.arrivals.handled_until for when in system.coming)
 
 
 @given(st.lists(st.floats(0.0, 2.0), min_size=1, max_size=40))
@@ -101,31 +101,31 @@
 @pytest.mark.parametrize("standstill", [0.2, 0.5])
 def test_after_a_standstill_within_a_wait_all_may_have_come_at_its_begin(standstill):
     arrivals = Arrivals(0.0, MOST)
-    arrivals.waited(10.0, 0.05, 10.05, 0, asked=False)
-    arrivals.handled()
-    arrivals.waited(10.06, 0.05, 10.06 + standstill, 3, asked=False)
-    assert arrivals.arrived == 10.06
+    arrivals.record_wait(10.0, 0.05, 10.05, 0, asked=False)
+    arrivals.mark_handled()
+    arrivals.record_wait(10.06, 0.05, 10.06 + standstill, 3, asked=False)
+    assert arrivals.earliest_arrival_at == 10.06
 
 
 def test_what_a_full_poll_leaves_over_is_as_old_as_the_last_poll_that_was_not_full():
     arrivals = Arrivals(0.0, MOST)
-    arrivals.polled(1.0, 1.0, 3)
+    arrivals.record_poll(1.0, 1.0, 3)
     for turn in range(5):
-        arrivals.polled(2.0 + turn, 2.0 + turn, MOST)
-        arrivals.handled()
-        assert arrivals.arrived == 1.0 == arrivals.settled
+        arrivals.record_poll(2.0 + turn, 2.0 + turn, MOST)
+        arrivals.mark_handled()
+        assert arrivals.earliest_arrival_at == 1.0 == arrivals.handled_until
 
 
 def test_a_router_is_behind_from_a_standstill_until_all_that_there_was_is_read():
     arrivals = Arrivals(0.0, MOST)
-    arrivals.waited(10.0, 0.05, 10.7, 0, asked=False)  # broken off, and the system not asked any more
-    arrivals.handled()
-    assert arrivals.behind
-    arrivals.polled(10.71, 10.71, MOST)
-    arrivals.handled()
-    assert arrivals.behind
-    arrivals.polled(10.72, 10.72, 2)
-    arrivals.handled()
-    assert not arrivals.behind
-    arrivals.polled(10.9, 10.9, MOST)  # a turn of 0.18 s
-    assert arrivals.behind
+    arrivals.record_wait(10.0, 0.05, 10.7, 0, asked=False)  # broken off, and the system not asked any more
+    arrivals.mark_handled()
+    assert arrivals.is_behind
+    arrivals.record_poll(10.71, 10.71, MOST)
+    arrivals.mark_handled()
+    assert arrivals.is_behind
+    arrivals.record_poll(10.72, 10.72, 2)
+    arrivals.mark_handled()
+    assert not arrivals.is_behind
+    arrivals.record_poll(10.9, 10.9, MOST)  # a turn of 0.18 s
+    assert arrivals.is_behind
--- a/tests/net/test_crossings.py
+++ b/tests/net/test_crossings.py
@@ -21,10 +21,10 @@
 from wickhinge.net.control import config, endpoint_watch
 from wickhinge.net.downstream import msgpack
 from wickhinge.net.downstream.client_connection import (
-    FIRST_HOLD_S,
+    INITIAL_HOLD_S,
     MAX_OPEN_REQUESTS,
-    MAX_QUEUED_BYTES_OF_ALL,
-    READ_BYTES,
+    MAX_READ_BYTES,
+    MAX_TOTAL_QUEUED_BYTES,
     ClientConnection,
 )
 from wickhinge.net.downstream.client_connections import ClientConnections
@@ -250,8 +250,8 @@
     client.socket.sendall(msgpack.pack([0, 1, "ping", [{}]]))
     ended.turn()
     assert client.answer(1)[3][0] is True
-    [made] = ended.node.clients.all
-    assert ended.node.clients.turn_away(made)
+    [made] = ended.node.clients.connections
+    assert ended.node.clients.close_if_idle(made)
     client.socket.settimeout(1.0)
     assert client.socket.recv(1) == b""
 
@@ -274,9 +274,9 @@
         self.arrivals = clock.arrivals
         requests = RequestLog(lambda *_, **more: None)
         visits = SimpleNamespace(
-            take=self.take,
-            refuse=lambda door: None,
-            gone=lambda door, why: self.gone.append(door),
+            start_request=self.take,
+            reject_for_client_error=lambda door: None,
+            client_left=lambda door, why: self.gone.append(door),
             request_log=requests,
         )
         self.clients = ClientConnections(visits, clock, 9, lambda *_, **more: None)
@@ -311,7 +311,7 @@
         return call
 
     def ask(self, *calls, method="pages", body=b""):
-        self.arrivals.arrived = self.now
+        self.arrivals.earliest_arrival_at = self.now
         self.made.dataReceived(b"".join(msgpack.pack([0, call, method, [{"rid": "a"}, body]]) for call in calls))
 
     def abort(self, call):
@@ -336,9 +336,9 @@
     peer.abort(1)
     peer.abort(4)
     assert [call for call, _ in peer.taken] == [1, 2] and peer.gone == [1] and "pause" not in peer.calls
-    assert peer.made.unread()  # so nobody hangs up on it, and the program does not end
+    assert peer.made.has_unread_requests()  # so nobody hangs up on it, and the program does not end
     peer.now += 0.2
-    peer.clients.resume() if hold == "full" else peer.let(2 * FIRST_HOLD_S)
+    peer.clients.resume() if hold == "full" else peer.let(2 * INITIAL_HOLD_S)
     assert [call for call, _ in peer.taken] == [1, 2, 3, 5] and peer.taken[-1][1] >= 0.2  # its time ran on
     peer.ask(9, method="bad")
     peer.ask(6)
@@ -351,21 +351,21 @@
     peer = Peer()
     peer.ask(9, method="bad")
     peer.ask(1, body=b"x" * 9000)
-    others = peer.clients.kept = MAX_QUEUED_BYTES_OF_ALL - 48_000  # as much as others keep there
+    others = peer.clients.queued_bytes = MAX_TOTAL_QUEUED_BYTES - 48_000  # as much as others keep there
     peer.ask(2, body=b"x" * 40_000)
     for call in range(30, 50):
         peer.ask(call, body=b"x" * 40_000)
-    assert list(peer.made.later) == [1, 2] and peer.written.count(b"Overloaded") == 20
-    assert peer.clients.kept <= MAX_QUEUED_BYTES_OF_ALL
+    assert list(peer.made.queued_requests) == [1, 2] and peer.written.count(b"Overloaded") == 20
+    assert peer.clients.queued_bytes <= MAX_TOTAL_QUEUED_BYTES
     peer.abort(2)
     peer.ask(3, body=b"x" * 40_000)
-    assert list(peer.made.later) == [1, 3] and peer.calls == []  # read on all the time
+    assert list(peer.made.queued_requests) == [1, 3] and peer.calls == []  # read on all the time
     peer.let(5.0)
-    assert [call for call, _ in peer.taken] == [1, 3] and peer.made.kept == 0
-    assert peer.clients.kept < others
+    assert [call for call, _ in peer.taken] == [1, 3] and peer.made.queued_bytes == 0
+    assert peer.clients.queued_bytes < others
     peer.ask(10, method="bad")
     peer.ask(*range(20, 20 + MAX_OPEN_REQUESTS))
-    assert "abort" in peer.calls and not peer.made.later
+    assert "abort" in peer.calls and not peer.made.queued_requests
 
 
 def test_what_one_read_leaves_in_the_socket_is_read_before_anything_begins():
@@ -373,9 +373,9 @@
     peer.now += 1.0  # all that came before has been read, as far as the loop knows
     requests = [msgpack.pack([0, call, "pages", [{"rid": "a"}, b"x" * 47_000]]) for call in (1, 2)]
     data = b"".join(requests)
-    unread = [data[READ_BYTES:] + msgpack.pack([2, "abort", [1]])]
+    unread = [data[MAX_READ_BYTES:] + msgpack.pack([2, "abort", [1]])]
     peer.made.socket.recv = lambda size: unread.pop() if unread else peer.nothing(size)
-    peer.made.dataReceived(data[:READ_BYTES])
+    peer.made.dataReceived(data[:MAX_READ_BYTES])
     assert not unread and [call for call, _ in peer.taken] == [2]
 
 
@@ -395,7 +395,7 @@
     peer.now += since
     peer.clients.sweep()
     assert ("close" in peer.calls) is fails
-    assert list(peer.made.later) == ([] if fails else [1])
+    assert list(peer.made.queued_requests) == ([] if fails else [1])
 
 
 # Connections to machines, without a socket.
@@ -444,7 +444,7 @@
             assert not made.doubted and ends == {}  # slow, but somebody waits for it
         if made.down:
             break
-    assert ends == {2: AttemptResult.UNREADABLE} and 9 <= turn <= 10 and made.caches.pool.out == 0
+    assert ends == {2: AttemptResult.UNREADABLE} and 9 <= turn <= 10 and made.caches.pool.in_use == 0
 
 
 def test_an_id_is_not_used_again_where_a_late_answer_came_for_it():
@@ -477,7 +477,7 @@
         DownstreamRequest(SimpleNamespace(taken=1), None, 1, "a", request_class(), 0.0),
         SimpleNamespace(id=1),
     )
-    door.until = 200.0
+    door.deadline = 200.0
     number = forwards.slots.put(SentAttempt(door, None, cache, 0.0, 1.0))
     forwards.slots.get(number).line, forwards.slots.get(number).tag = made, b"a"
     assert forwards.answered(number, b"MISS", b"-", None)
--- a/tests/net/test_descriptors.py
+++ b/tests/net/test_descriptors.py
@@ -25,14 +25,14 @@
 from wickhinge.net.downstream import msgpack
 from wickhinge.net.downstream.client_connections import ClientConnections
 from wickhinge.net.downstream.descriptors import (
-    ACCEPTED_AT_ONCE,
-    BACK_OFF,
-    CLOSING,
-    RESERVED,
-    SHED_AT_ONCE,
-    WATCH,
+    CLOSING_DESCRIPTORS,
+    LIMIT_REDUCTION,
+    MAX_ACCEPTS_PER_TURN,
+    MAX_CLOSES_PER_STEP,
+    RESERVED_DESCRIPTORS,
+    WATCH_DESCRIPTORS,
     Admission,
-    bounds,
+    descriptor_limits,
 )
 from wickhinge.net.downstream.listener import Listener
 from wickhinge.net.runtime.arrivals import Arrivals
@@ -142,8 +142,8 @@
 @pytest.mark.parametrize("limit", LIMITS)
 def test_who_comes_while_idle_clients_fill_the_descriptors_is_answered(stand, limit):
     """All machines' descriptors are held as well. Many connect in one turn, as after a pause of the router."""
-    most, new_clients = bounds(limit), 120
-    made = stand(limit, held_by_others=most.machines)
+    most, new_clients = descriptor_limits(limit), 120
+    made = stand(limit, held_by_others=most.upstream)
     address = service_goes(made)
     without_clients = descriptors(made)
     idle = []
@@ -159,10 +159,10 @@
         counts.append(descriptors(made))
         assert answered(client)
     assert max(counts) <= without_clients + most.clients + 1  # a try to reach the discovery service
-    assert max(counts) < limit - CLOSING
+    assert max(counts) < limit - CLOSING_DESCRIPTORS
     closed = [client in readable([client]) for client in idle]
     shed = closed.index(False)
-    assert new_clients <= shed < new_clients + SHED_AT_ONCE and not any(closed[shed:])  # the oldest, and no more
+    assert new_clients <= shed < new_clients + MAX_CLOSES_PER_STEP and not any(closed[shed:])  # the oldest, and no more
     assert visit_is_served(made, new[-1])
     assert service_returns(made, address) < RECONNECT_WITHIN
 
@@ -170,12 +170,12 @@
 @pytest.mark.parametrize("limit", LIMITS)
 def test_where_others_hold_more_than_promised_idle_clients_make_room(stand, limit):
     """The system has no descriptor for a connection that it has accepted, though the budget has."""
-    most = bounds(limit)
-    made = stand(limit, held_by_others=most.machines + 2 * RESERVED)
+    most = descriptor_limits(limit)
+    made = stand(limit, held_by_others=most.upstream + 2 * RESERVED_DESCRIPTORS)
     address = service_goes(made)
     clients = connect_and_ping(made, most.clients)
     assert all(answered(client) for client in clients)
-    assert descriptors(made) <= limit - WATCH
+    assert descriptors(made) <= limit - WATCH_DESCRIPTORS
     assert visit_is_served(made, clients[-1])
     assert service_returns(made, address) < RECONNECT_WITHIN
 
@@ -185,7 +185,7 @@
     """Each client has a visit open, so that none may be hung up on, and the listener stays readable."""
     made = stand(SMALL, system_limit=system_limit)
     clients = []
-    while len(clients) < bounds(SMALL).clients:
+    while len(clients) < descriptor_limits(SMALL).clients:
         client = made.client()
         client.visit = client.ask(budget="6000")
         if system_limit < SMALL and descriptors(made) >= system_limit - 1:
@@ -205,7 +205,7 @@
 
 def test_a_client_with_its_answer_makes_room_for_one_that_waits(stand):
     made = stand(SMALL)
-    clients = [made.client() for _ in range(bounds(SMALL).clients)]
+    clients = [made.client() for _ in range(descriptor_limits(SMALL).clients)]
     calls = [client.ask(budget="6000") for client in clients]
     box = made.line(0)
     asked = box.next()
@@ -222,62 +222,62 @@
 
 @pytest.mark.parametrize("limit", [SMALL, 256, 384, 512, 640, 672, 1024])
 def test_the_roles_never_hold_more_than_the_limit(limit):
-    most = bounds(limit)
-    assert most.machines + most.clients + RESERVED == limit
-    assert most.machines == limit // 3 <= most.clients or limit == SMALL
+    most = descriptor_limits(limit)
+    assert most.upstream + most.clients + RESERVED_DESCRIPTORS == limit
+    assert most.upstream == limit // 3 <= most.clients or limit == SMALL
 
 
 def test_connections_being_closed_count_until_their_descriptors_are_free():
     admission = Admission(100)
     for _ in range(100):
-        admission.accepted()
-    assert admission.room() == 0
-    assert admission.to_shed() == 1
-    admission.shed(1)
-    assert admission.room() == 0  # the one that was hung up on is not closed yet
-    admission.closed()
-    assert admission.room() == 1
+        admission.connection_accepted()
+    assert admission.available_count() == 0
+    assert admission.close_count_for_room() == 1
+    admission.clients_closed(1)
+    assert admission.available_count() == 0  # the one that was hung up on is not closed yet
+    admission.descriptor_freed()
+    assert admission.available_count() == 1
 
 
 def test_more_are_shed_each_time_as_long_as_connections_wait():
     admission = Admission(100)
     for _ in range(100):
-        admission.accepted()
+        admission.connection_accepted()
     steps = []
     for _ in range(7):
-        steps.append(admission.to_shed())
-        admission.shed(steps[-1])
+        steps.append(admission.close_count_for_room())
+        admission.clients_closed(steps[-1])
         for _ in range(steps[-1]):
-            admission.closed()
-            admission.accepted()
+            admission.descriptor_freed()
+            admission.connection_accepted()
     assert steps == [1, 2, 4, 8, 16, 16, 16]
-    admission.drained()
-    assert admission.to_shed() == 1
+    admission.backlog_emptied()
+    assert admission.close_count_for_room() == 1
 
 
 def test_one_that_ended_by_itself_and_holds_its_descriptor_on_does_not_keep_others_from_going(listening):
     """As one that still has to take an answer: others make room all the same."""
     made, connect, _ = listening
     client = fill(made, connect)
-    made.clients.forget(client)
-    assert made.admission.held == 1 and made.admission.to_shed() == 1
+    made.clients.client_disconnected(client)
+    assert made.admission.open_descriptors == 1 and made.admission.close_count_for_room() == 1
 
 
 def test_a_turn_accepts_few_and_a_system_without_descriptors_lowers_the_bound_for_a_time():
     admission = Admission(100)
-    assert admission.room() == ACCEPTED_AT_ONCE
+    assert admission.available_count() == MAX_ACCEPTS_PER_TURN
     for _ in range(60):
-        admission.accepted()
-    admission.refused_by_system()
-    assert admission.room() == 0 and admission.to_shed() == BACK_OFF + 1
-    for _ in range(BACK_OFF):
-        admission.recover()
-    assert admission.room() == 0
-    admission.recover()
-    assert admission.room() == 1
+        admission.connection_accepted()
+    admission.system_limit_reached()
+    assert admission.available_count() == 0 and admission.close_count_for_room() == LIMIT_REDUCTION + 1
+    for _ in range(LIMIT_REDUCTION):
+        admission.raise_limit()
+    assert admission.available_count() == 0
+    admission.raise_limit()
+    assert admission.available_count() == 1
     for _ in range(100):
-        admission.recover()
-    assert admission.allowed == 100
+        admission.raise_limit()
+    assert admission.current_limit == 100
 
 
 def test_a_client_that_has_not_taken_its_answer_is_not_idle():
@@ -288,11 +288,11 @@
     class Named(SimpleNamespace):
         __hash__ = object.__hash__
 
-    client = Named(open=(), later=(), out=(), ended=False, full=True)
-    clients.settle(client)
+    client = Named(open_requests=(), queued_requests=(), write_queue=(), has_ended=False, is_write_blocked=True)
+    clients.update_idle(client)
     assert not clients.idle
-    client.full = False
-    clients.settle(client)
+    client.is_write_blocked = False
+    clients.update_idle(client)
     assert client in clients.idle
 
 
@@ -340,7 +340,7 @@
     assert made in made.reactor.read
     made.doRead()
     assert made not in made.reactor.read
-    [client] = made.clients.all
+    [client] = made.clients.connections
     return client
 
 
@@ -350,22 +350,22 @@
     client.transport.connectionLost(Failure(ConnectionDone()))
     assert made in made.reactor.read
     made.doRead()
-    assert len(made.clients.all) == 1 and client not in made.clients.all
-    assert made.admission.held == 1
+    assert len(made.clients.connections) == 1 and client not in made.clients.connections
+    assert made.admission.open_descriptors == 1
 
 
 def test_accept_looks_again_as_soon_as_a_client_rests(listening):
     made, connect, soon = listening
     client = fill(made, connect)
-    made.clients.read(client, True)  # it had its answer
+    made.clients.data_received(client, True)  # it had its answer
     assert made not in made.reactor.read  # not within a call of its own
     [make_room, look] = soon
     soon.clear()
     make_room()  # as nobody rested yet; now one does
-    assert client.ended and made.admission.held == 0 and made in made.reactor.read
+    assert client.has_ended and made.admission.open_descriptors == 0 and made in made.reactor.read
     look()
     made.doRead()
-    assert len(made.clients.all) == 1 == made.admission.held
+    assert len(made.clients.connections) == 1 == made.admission.open_descriptors
 
 
 def test_where_nobody_can_go_the_next_step_is_one_again(listening):
@@ -375,7 +375,7 @@
     for _ in range(5):
         made.resume()
         made.doRead()
-    assert made.admission.step == 1
+    assert made.admission.next_close_count == 1
 
 
 def test_a_sweep_looks_again_once(listening):
@@ -398,8 +398,8 @@
     made.socket = SimpleNamespace(accept=accept, fileno=made.socket.fileno)
     made.doRead()
     assert made not in made.reactor.read
-    made.clients.look_again()
-    made.clients.looked_again()
+    made.clients.schedule_listener_resume()
+    made.clients.resume_listener()
     assert made in made.reactor.read
 
 
@@ -413,26 +413,26 @@
             raise ends.pop()
         return real.accept()
 
-    made.admission.allowed = 2
+    made.admission.current_limit = 2
     made.socket = SimpleNamespace(accept=accept, fileno=real.fileno)
     made.doRead()
-    assert len(made.clients.all) == 1
+    assert len(made.clients.connections) == 1
 
 
 def test_a_fault_with_one_connection_does_not_close_the_listener(listening):
     made, connect, _ = listening
     faults = []
-    made.clients.visits = SimpleNamespace(fault=faults.append)
-    made.clients.came = lambda client: 1 / 0
+    made.clients.request_table = SimpleNamespace(fault=faults.append)
+    made.clients.client_connected = lambda client: 1 / 0
     aborted = []
     made.reactor.callLater = lambda delay, call, *told: aborted.append((call, told))
     connect()
     made.doRead()
     assert faults == ["accept"] and made in made.reactor.read
     [(call, told)] = aborted
-    assert made.admission.held == 1
+    assert made.admission.open_descriptors == 1
     call(*told)
-    assert made.admission.held == 0
+    assert made.admission.open_descriptors == 0
 
 
 class Connecting:
@@ -527,7 +527,7 @@
         connected(caches, clock, mark)
     attempts = [caches.machines[mark].send(b"c", mark, b"") for mark in range(3, 20)]
     assert sum(attempt is not None for attempt in attempts) == 3  # none of those in use goes for another
-    assert caches.held == 6 <= caches.most + CLOSING
-    caches.held = caches.most + CLOSING
+    assert caches.held == 6 <= caches.most + CLOSING_DESCRIPTORS
+    caches.held = caches.most + CLOSING_DESCRIPTORS
     caches.machines[3].lines.clear()
     assert caches.machines[3].send(b"d", 30, b"") is None
--- a/tests/net/test_net.py
+++ b/tests/net/test_net.py
@@ -315,19 +315,30 @@
     class Named:
         """A client that tells when it is hung up on."""
 
-        came_since = rests = lambda self: True
+        earliest_unread_arrival = is_idle = lambda self: True
 
-    for name, table, since in (("silent", clients.silent, silent), ("idle", clients.idle, idle)):
+    for name, table, since in (("silent", clients.without_request, silent), ("idle", clients.idle, idle)):
         if since is not None:
             made = Named()
-            made.open, made.out, made.later, made.full, made.ended = (), (), (), False, False
+            made.open_requests, made.write_queue, made.queued_requests, made.is_write_blocked, made.has_ended = (
+                (),
+                (),
+                (),
+                False,
+                False,
+            )
             # What lies unread is a request, as its socket is read.
-            made.read_all = lambda _, gone=made, since=since: since < 0 and setattr(gone, "rests", lambda: False)
-            made.close = made.fail = lambda *_, gone=made, what=name: (ended.append(what), clients.forget(gone))
-            clients.all.add(made)
+            made.read_all_pending = lambda _, gone=made, since=since: since < 0 and setattr(
+                gone, "is_idle", lambda: False
+            )
+            made.close_unless_unread = made.fail = lambda *_, gone=made, what=name: (
+                ended.append(what),
+                clients.client_disconnected(gone),
+            )
+            clients.connections.add(made)
             table[made] = 100.0 - since
-    clients.all.update(range(2 - len(clients.all)))
-    assert clients.shed(1) == len(goes)
+    clients.connections.update(range(2 - len(clients.connections)))
+    assert clients.close_idle_clients(1) == len(goes)
     assert ended == goes
 
 
@@ -359,7 +370,7 @@
     assert ends == {}
     del made.socket.recv
     call(*told)
-    assert ends == {1: AttemptResult.UNREADABLE, 2: AttemptResult.UNREADABLE} and made.caches.pool.out == 0
+    assert ends == {1: AttemptResult.UNREADABLE, 2: AttemptResult.UNREADABLE} and made.caches.pool.in_use == 0
 
 
 def test_a_machine_gone_is_forgotten_when_nothing_is_out_there():
@@ -418,14 +429,14 @@
 def test_what_lies_in_the_sockets_is_read_before_deadlines_that_a_standstill_made_late():
     clock, called = Clock(), []
     deadlines = Deadlines(clock, [].append)
-    clock.arrivals.returned = deadlines.now()
+    clock.arrivals.poll_ended_at = deadlines.now()
     deadlines.after(-1.0, lambda: called.append(clock.caught_up))
     deadlines.fire()
-    clock.arrivals.returned = deadlines.now() - 0.2
+    clock.arrivals.poll_ended_at = deadlines.now() - 0.2
     deadlines.after(-0.1, lambda: called.append(clock.caught_up))
     deadlines.fire()
-    clock.arrivals.returned = deadlines.now()
-    clock.arrivals.behind = True  # the poll was broken off, and told nothing
+    clock.arrivals.poll_ended_at = deadlines.now()
+    clock.arrivals.is_behind = True  # the poll was broken off, and told nothing
     deadlines.after(-0.1, lambda: called.append(clock.caught_up))
     deadlines.fire()
     assert called == [0, 1, 2]
@@ -484,7 +495,7 @@
 def test_a_visit_denied_at_once_is_freed_without_the_collector():
     """The collector is off in service: a circle would stay until the memory limit."""
     clock = SimpleNamespace(now=lambda: 100.0, at=lambda *_: None)
-    client = SimpleNamespace(error=lambda call, word, fields: None)
+    client = SimpleNamespace(send_error=lambda call, word, fields: None)
     decisions = router(boxes=0, parents=0, direct=False)
     forwards = SimpleNamespace(decisions=decisions, local_copies=None)
     visits = RequestTable(forwards, clock, pool()[0], {"t": request_class()}, lambda *_, **more: None, [].append)
@@ -492,8 +503,8 @@
     decisions.route = lambda *told: seen.append(weakref.ref(visit := take(*told))) or visit
     gc.disable()
     try:
-        visits.take(client, 1, "t", {"rid": "0" * 16, "budget": "3000", "obj": "0" * 16}, b"", 100.0)
+        visits.start_request(client, 1, "t", {"rid": "0" * 16, "budget": "3000", "obj": "0" * 16}, b"", 100.0)
         decisions.environment.alarms.clear()
-        assert visits.answers == {"denied": 1} and seen[0]() is None
+        assert visits.answer_counts == {"denied": 1} and seen[0]() is None
     finally:
         gc.enable()
--- a/tests/net/test_request_log.py
+++ b/tests/net/test_request_log.py
@@ -79,9 +79,9 @@
     lines = Lines()
     meter = EventLoopStalls()
     meter.log_to(lines)
-    meter.waited(0.0, 0.25, 0.25)  # in time
-    meter.waited(0.26, 0.25, 1.01)  # half a second past its time
-    meter.waited(1.31, None, 9.0)  # a turn of 0.3 s; a wait without end is never late
+    meter.record_wait(0.0, 0.25, 0.25)  # in time
+    meter.record_wait(0.26, 0.25, 1.01)  # half a second past its time
+    meter.record_wait(1.31, None, 9.0)  # a turn of 0.3 s; a wait without end is never late
     assert meter.report() == {"count": 2, "longest_ms": 500, "total_ms": 800}
     assert [line["where"] for line in lines] == ["wait", "turn"]
     assert meter.report()["count"] == 0
--- a/tests/store/test_store.py
+++ b/tests/store/test_store.py
@@ -432,13 +432,13 @@
     def __init__(self):
         self.had = []
 
-    def serve(self, call, body, fields):
+    def send_answer(self, call, body, fields):
         self.had.append((call, b"".join(body.views()) if body is not None else b"", fields))
 
-    def error(self, call, word, fields):
+    def send_error(self, call, word, fields):
         self.had.append((call, word, fields))
 
-    def awaits(self, call):
+    def is_request_open(self, call):
         return True
 
 
@@ -481,7 +481,7 @@
 
 def ask(net, **more):
     fields = {"rid": f"{ASKED.getrandbits(64):016x}", "budget": "3000", "obj": f"{5:016x}", "block": "0", **more}
-    return net.visits.take(net.client, len(net.client.had), "t", fields, b"", net.heap.clock)
+    return net.visits.start_request(net.client, len(net.client.had), "t", fields, b"", net.heap.clock)
 
 
 def told(net):
@@ -547,7 +547,7 @@
     net = wired()
     visited(net), visited(net)
     door = ask(net)
-    net.visits.gone(door, "aborted")
+    net.visits.client_left(door, "aborted")
     net.world.lanes.go()
     net.heap.run(net.heap.clock + 5.0)
     assert len(net.client.had) == 2 and not list(net.visits.slots)
--- a/wickhinge/net/control/graceful_shutdown.py
+++ b/wickhinge/net/control/graceful_shutdown.py
@@ -49,7 +49,7 @@
         """Parameters as named; timeout_s: the longest that a request may take."""
         self._readiness, self._clients, self._log, self._stop_loop = readiness, clients, log, stop_loop
         self._deadlines: Deadlines = clients.deadlines
-        self._requests = clients.visits
+        self._requests = clients.request_table
         longest_s = min(timeout_s, MAX_REQUEST_TIMEOUT_S)
         self.give_up_after_s = longest_s + GIVE_UP_AFTER_S
         self._last_answer_after_s = longest_s + LAST_ANSWER_S
@@ -75,7 +75,7 @@
         self._clients.drain()
         self._readiness.drain()
         late_ms = round((now - self._requested_at) * 1000)
-        self._log("shutdown_started", open_requests=self._requests.open(), late_ms=late_ms)
+        self._log("shutdown_started", open_requests=self._requests.open_count(), late_ms=late_ms)
 
     def _await_idle(self) -> None:
         is_idle = False
@@ -88,7 +88,11 @@
             self._finish()
 
     def _finish(self) -> None:
-        self._log("shutdown_finished", open_requests=self._requests.open(), accepted_requests=self._requests.taken)
+        self._log(
+            "shutdown_finished",
+            open_requests=self._requests.open_count(),
+            accepted_requests=self._requests.started_count,
+        )
         for subsystem in self._subsystems:
             self._close(subsystem)
         self._deadlines.after(FLUSH_S, self._end)
@@ -111,13 +115,13 @@
         if self._passes > MIN_PASSES:
             return False
         if elapsed_s >= self.give_up_after_s:
-            self._clients.read_all()
-            self._clients.begin_all()
-            self._requests.give_up(self._requested_at + self._last_answer_after_s)
+            self._clients.read_all_pending()
+            self._clients.begin_all_queued()
+            self._requests.give_up_open_requests(self._requested_at + self._last_answer_after_s)
         return bool(
-            self._requests.open()
-            or self._clients.unwritten()
-            or self._clients.unread()
+            self._requests.open_count()
+            or self._clients.has_unwritten_answers()
+            or self._clients.has_unread_requests()
             or self._readiness.has_pending_connection()
         )
 
@@ -128,7 +132,7 @@
         """
         has_ended = False
         try:
-            self._requests.give_up()
+            self._requests.give_up_open_requests()
             has_ended = not self._is_busy() and self._has_closed()
         finally:
             if not has_ended:
@@ -137,5 +141,5 @@
             self._stop_loop()
 
     def _has_closed(self) -> bool:
-        has_closed = self._readiness.close() and self._clients.close_all()
+        has_closed = self._readiness.close() and self._clients.close_all_idle()
         return has_closed or self._passes > MIN_PASSES
--- a/wickhinge/net/control/process_report.py
+++ b/wickhinge/net/control/process_report.py
@@ -39,8 +39,8 @@
     ) -> None:
         """Parameters as named; optional: the subsystems that are on, by their names in the report."""
         self._clients, self._decisions, self._log, self._optional = clients, decisions, log, optional
-        self._requests = clients.visits
-        self._attempts = self._requests.forwards
+        self._requests = clients.request_table
+        self._attempts = self._requests.attempts
         self._pools = self._attempts.caches
         self._deadlines: Deadlines = clients.deadlines
         self._loop: Any = self._deadlines.reactor  # the loop's own Reactor
@@ -71,15 +71,15 @@
     def _client_figures(self) -> dict[str, Any]:
         requests, clients = self._requests, self._clients
         return {
-            "taken": requests.taken,
-            "open": requests.open(),
-            "clients": len(clients.all),
-            "client_descriptors": clients.admission.held,
-            "answers": requests.answers,
+            "taken": requests.started_count,
+            "open": requests.open_count(),
+            "clients": len(clients.connections),
+            "client_descriptors": clients.admission.open_descriptors,
+            "answers": requests.answer_counts,
             "unserved": requests.request_log.reasons,
             "unlogged": requests.request_log.unlogged,
-            "closed": clients.closed,
-            "faults": clients.take_faults(),
+            "closed": clients.close_counts,
+            "faults": clients.take_fault_counts(),
         }
 
     def _server_figures(self) -> dict[str, Any]:
@@ -87,7 +87,7 @@
         return {
             "lines": sum(len(pool.lines) for pool in pools.machines.values()),
             "line_descriptors": pools.held,
-            "buffers": pools.pool.peak,
+            "buffers": pools.pool.peak_in_use,
             "late_answers": pools.lates,
             "known": len(self._decisions.endpoints.servers),
             "machines": len(pools.machines),
--- a/wickhinge/net/control/router_process.py
+++ b/wickhinge/net/control/router_process.py
@@ -24,7 +24,7 @@
 from wickhinge.net.control.readiness import Readiness
 from wickhinge.net.control.start_steps import StartSteps
 from wickhinge.net.downstream.client_connections import ClientConnections
-from wickhinge.net.downstream.descriptors import bounds
+from wickhinge.net.downstream.descriptors import descriptor_limits
 from wickhinge.net.downstream.request_table import RequestTable
 from wickhinge.net.runtime.buffers import BUFFER_BYTES, BufferPool
 from wickhinge.net.runtime.deadlines import Deadlines
@@ -190,7 +190,7 @@
 
     def is_up_to_date(self, now: float) -> bool:
         """Whether what the discovery service told until lately is known here; else it is read on the next turn."""
-        known_at = max(self.reactor.arrivals.settled, self.endpoint_watch.last_read_pending_at)
+        known_at = max(self.reactor.arrivals.handled_until, self.endpoint_watch.last_read_pending_at)
         if now - known_at <= MAX_STALENESS_S:
             return True
         self.deadlines.soon(self.endpoint_watch.read_pending)
@@ -198,13 +198,13 @@
 
     def pause(self) -> None:
         """Called when the buffers are used up: nothing more is read."""
-        self.log.event("buffers_exhausted", buffers=self.buffers.out)
+        self.log.event("buffers_exhausted", buffers=self.buffers.in_use)
         self.pools.pause()
         self.clients.pause()
 
     def resume(self) -> None:
         """Called when there are buffers again."""
-        self.log.event("buffers_available", buffers=self.buffers.out)
+        self.log.event("buffers_available", buffers=self.buffers.in_use)
         self.pools.resume()
         self.clients.resume()
 
@@ -274,14 +274,14 @@
 
     def _build_connections(self, configuration: dict[str, Any]) -> None:
         limits = config.process_limits(configuration)
-        descriptors = bounds(limits.descriptors)
+        descriptors = descriptor_limits(limits.descriptors)
         self.connection_limits = config.connection_limits(configuration)
         buffers = max((limits.memory_mb - PROGRAM_MB) * 500_000 // BUFFER_BYTES, MIN_BUFFERS)
         self.buffers = BufferPool(buffers, self.pause, self.resume)
         self.pools = ConnectionPools(
             self.deadlines,
             self.buffers,
-            PoolSettings(*self.connection_limits, descriptors.machines, self.decisions.capabilities.cancellation),
+            PoolSettings(*self.connection_limits, descriptors.upstream, self.decisions.capabilities.cancellation),
             self.log.event,
         )
         self._max_clients = descriptors.clients
--- a/wickhinge/net/downstream/client_connections.py
+++ b/wickhinge/net/downstream/client_connections.py
@@ -28,120 +28,130 @@
 
     noisy = False
 
-    def __init__(self, visits: RequestTable, deadlines: Deadlines, most: int, log: Callable[..., None]) -> None:
-        self.visits, self.deadlines, self.log = visits, deadlines, log
+    def __init__(self, request_table: RequestTable, deadlines: Deadlines, most: int, log: Callable[..., None]) -> None:
+        self.request_table, self.deadlines, self.log = request_table, deadlines, log
         self.arrivals = deadlines.arrivals
         self.admission = Admission(most)
         self.listener: Any = None
-        self.room_wanted = False  # the listener is to look again on the next turn
-        self.all: set[ClientConnection] = set()
-        self.silent: dict[ClientConnection, float] = {}
-        self.half: dict[ClientConnection, float] = {}
+        self.is_resume_scheduled = False  # the listener is to look again on the next turn
+        self.connections: set[ClientConnection] = set()
+        self.without_request: dict[ClientConnection, float] = {}
+        self.with_partial_message: dict[ClientConnection, float] = {}
         self.idle: dict[ClientConnection, float] = {}
-        self.leaving = self.paused = False
-        self.kept = 0  # bytes of requests that clients keep here in holds
-        self.faults: dict[str, int] = {}
-        self.closed: dict[str, int] = {}  # connections that the router has ended, by why
+        self.is_shutting_down = self.is_paused = False
+        self.queued_bytes = 0  # bytes of requests that clients keep here in holds
+        self.fault_counts: dict[str, int] = {}
+        self.close_counts: dict[str, int] = {}  # connections that the router has ended, by why
 
-    def came(self, client: ClientConnection) -> None:
+    def client_connected(self, client: ClientConnection) -> None:
         """Called by a connection that is up."""
-        self.all.add(client)
-        self.silent[client] = self.deadlines.now()
+        self.connections.add(client)
+        self.without_request[client] = self.deadlines.now()
 
-    def shed(self, count: int) -> int:
+    def close_idle_clients(self, count: int) -> int:
         """Hang up on so many at most, for connections that wait to be accepted. Returns how many went."""
         gone = 0
-        while gone < count and self.shed_one():
+        while gone < count and self.close_longest_idle():
             gone += 1
         return gone
 
-    def shed_one(self) -> bool:
+    def close_longest_idle(self) -> bool:
         """The one that rests for longest: one that has asked nothing, else one that had its answers, else one with
         half a request. Never one that came just now: what it asks may be on its way, and the others can wait.
         """
         now = self.deadlines.now()
-        for table, least in ((self.silent, MIN_AGE_FOR_ROOM_S), (self.idle, 0.0), (self.half, MIN_AGE_FOR_ROOM_S)):
+        for table, least in (
+            (self.without_request, MIN_AGE_FOR_ROOM_S),
+            (self.idle, 0.0),
+            (self.with_partial_message, MIN_AGE_FOR_ROOM_S),
+        ):
             oldest = [client for client, since in islice(table.items(), MAX_CANDIDATES) if now - since >= least]
-            if any(self.turn_away(client, for_room=True) for client in oldest):
+            if any(self.close_if_idle(client, for_room=True) for client in oldest):
                 return True
         return False
 
-    def look_again(self) -> None:
+    def schedule_listener_resume(self) -> None:
         """On the next turn, so that no client is hung up on within a call of its own."""
-        if self.listener is not None and self.listener.paused and not self.room_wanted:
-            self.room_wanted = True
-            self.deadlines.soon(self.looked_again)
+        if self.listener is not None and self.listener.is_paused and not self.is_resume_scheduled:
+            self.is_resume_scheduled = True
+            self.deadlines.soon(self.resume_listener)
 
-    def looked_again(self) -> None:
+    def resume_listener(self) -> None:
         """Let the listener look again."""
-        self.room_wanted = False
+        self.is_resume_scheduled = False
         self.listener.resume()
 
-    def read(self, client: ClientConnection, whole: bool) -> None:
+    def data_received(self, client: ClientConnection, whole: bool) -> None:
         """Something has come from it, and at least one whole message where so said."""
-        if client.ended:
+        if client.has_ended:
             return
         if whole:
-            self.silent.pop(client, None)
-            self.half.pop(client, None)
+            self.without_request.pop(client, None)
+            self.with_partial_message.pop(client, None)
             self.idle.pop(client, None)
         if client.stream.rest:
-            self.half.setdefault(client, self.deadlines.now())
-        self.settle(client)
+            self.with_partial_message.setdefault(client, self.deadlines.now())
+        self.update_idle(client)
 
-    def settle(self, client: ClientConnection) -> None:
+    def update_idle(self, client: ClientConnection) -> None:
         """Note whether a connection rests from now on."""
-        busy = client.open or client.later or client.out or client.full
-        if busy or client.ended or client in self.silent:
+        busy = client.open_requests or client.queued_requests or client.write_queue or client.is_write_blocked
+        if busy or client.has_ended or client in self.without_request:
             self.idle.pop(client, None)
         elif client not in self.idle:
             self.idle[client] = self.deadlines.now()
-            self.look_again()
+            self.schedule_listener_resume()
 
     def sweep(self) -> None:
         """Hang up on those that have rested for too long; called each SWEEP_INTERVAL_S."""
         now = self.deadlines.now()
-        for table, most in ((self.silent, FIRST_REQUEST_S), (self.half, FIRST_REQUEST_S), (self.idle, MAX_IDLE_S)):
+        for table, most in (
+            (self.without_request, FIRST_REQUEST_S),
+            (self.with_partial_message, FIRST_REQUEST_S),
+            (self.idle, MAX_IDLE_S),
+        ):
             for client, since in list(table.items()):
                 if now - since < most:
                     break
-                self.turn_away(client)
-        self.admission.recover()
-        self.look_again()
+                self.close_if_idle(client)
+        self.admission.raise_limit()
+        self.schedule_listener_resume()
         self.deadlines.after(SWEEP_INTERVAL_S, self.sweep)
 
-    def turn_away(self, client: ClientConnection, for_room: bool = False) -> bool:
+    def close_if_idle(self, client: ClientConnection, for_room: bool = False) -> bool:
         """Hang up on it, unless it has asked meanwhile: its socket is read to the end first. Whether it went."""
-        table = next((table for table in (self.silent, self.half, self.idle) if client in table), None)
-        client.read_all(client.came_since())
-        if client.ended:
+        table = next(
+            (table for table in (self.without_request, self.with_partial_message, self.idle) if client in table), None
+        )
+        client.read_all_pending(client.earliest_unread_arrival())
+        if client.has_ended:
             return True
-        if table is None or client not in table or not client.rests():
-            self.settle(client)
+        if table is None or client not in table or not client.is_idle():
+            self.update_idle(client)
             return False
-        why = "idle" if table is self.idle else "half a request" if table is self.half else "no request"
+        why = "idle" if table is self.idle else "half a request" if table is self.with_partial_message else "no request"
         reason = f"{why}, for room" if for_room else why
-        if not client.close(reason):
+        if not client.close_unless_unread(reason):
             return False
-        self.closed[reason] = self.closed.get(reason, 0) + 1
+        self.close_counts[reason] = self.close_counts.get(reason, 0) + 1
         if table is not self.idle:
-            self.bad(why)
+            self.count_fault(why)
         return True
 
-    def forget(self, client: ClientConnection) -> None:
+    def client_disconnected(self, client: ClientConnection) -> None:
         """Called by a connection that has ended."""
-        self.all.discard(client)
-        for table in (self.silent, self.half, self.idle):
+        self.connections.discard(client)
+        for table in (self.without_request, self.with_partial_message, self.idle):
             table.pop(client, None)
 
-    def bad(self, why: str) -> None:
+    def count_fault(self, why: str) -> None:
         """The first of a kind is told at once, the others are counted: a flood may not cost a line each."""
-        if why not in self.faults:
-            if len(self.faults) < MAX_FAULT_KINDS:
+        if why not in self.fault_counts:
+            if len(self.fault_counts) < MAX_FAULT_KINDS:
                 self.log("client_fault", reason=why)
             else:
                 why = "others"
-        self.faults[why] = self.faults.get(why, 0) + 1
+        self.fault_counts[why] = self.fault_counts.get(why, 0) + 1
 
     def buildProtocol(self, addr: Any) -> ClientConnection:
         """Called for each accepted connection."""
@@ -149,52 +159,52 @@
 
     def drain(self) -> None:
         """The router leaves: `ping` says so from now on."""
-        self.leaving = True
+        self.is_shutting_down = True
 
-    def take_faults(self) -> dict[str, int]:
+    def take_fault_counts(self) -> dict[str, int]:
         """How often clients made which fault since the last call."""
-        faults, self.faults = self.faults, {}
+        faults, self.fault_counts = self.fault_counts, {}
         return faults
 
     def pause(self) -> None:
         """Nothing new begins: the buffers are used up."""
-        self.paused = True
-        self.throttle()
+        self.is_paused = True
+        self.update_holds()
 
     def resume(self) -> None:
         """There are buffers again."""
-        self.paused = False
-        self.throttle()
+        self.is_paused = False
+        self.update_holds()
 
-    def throttle(self) -> None:
+    def update_holds(self) -> None:
         """Begin what has waited, where nothing holds it."""
-        for client in list(self.all):
-            client.throttle()
+        for client in list(self.connections):
+            client.update_hold()
 
-    def begin_all(self) -> None:
+    def begin_all_queued(self) -> None:
         """The router ends: holds too."""
-        self.paused = False
-        for client in list(self.all):
-            client.until = 0.0
-            client.throttle()
+        self.is_paused = False
+        for client in list(self.connections):
+            client.hold_until = 0.0
+            client.update_hold()
 
-    def read_all(self) -> None:
+    def read_all_pending(self) -> None:
         """Read each socket to its end."""
-        for client in list(self.all):
-            client.read_all(client.came_since())
+        for client in list(self.connections):
+            client.read_all_pending(client.earliest_unread_arrival())
 
-    def close_all(self) -> bool:
+    def close_all_idle(self) -> bool:
         """Close those that rest, each right after a look; whether all have gone."""
-        for client in list(self.all):
-            client.read_all(client.came_since())
-            if not client.ended and client.rests():
-                client.close("the router ends")
-        return not self.all
+        for client in list(self.connections):
+            client.read_all_pending(client.earliest_unread_arrival())
+            if not client.has_ended and client.is_idle():
+                client.close_unless_unread("the router ends")
+        return not self.connections
 
-    def unread(self) -> bool:
+    def has_unread_requests(self) -> bool:
         """Whether something of a client was not looked at yet."""
-        return any(client.unread() for client in self.all)
+        return any(client.has_unread_requests() for client in self.connections)
 
-    def unwritten(self) -> bool:
+    def has_unwritten_answers(self) -> bool:
         """Whether an answer waits for a client to take it."""
-        return any(client.out or client.full for client in self.all)
+        return any(client.write_queue or client.is_write_blocked for client in self.connections)
--- a/wickhinge/net/downstream/listener.py
+++ b/wickhinge/net/downstream/listener.py
@@ -33,7 +33,7 @@
     def nothing_read(self) -> None:
         """As the base class."""
         if has_unread_data(self.socket):
-            self.protocol.left_unread()
+            self.protocol.read_failed()
 
     def connectionLost(self, reason: Failure) -> None:
         listener, self.server = self.server, None
@@ -41,7 +41,7 @@
             super().connectionLost(reason)
         finally:
             if listener is not None:  # else it is called a second time
-                listener.freed()
+                listener.descriptor_freed()
 
 
 class Listener(Port):
@@ -55,17 +55,17 @@
         self.clients, self.admission = clients, clients.admission
         self.deadlines, self.arrivals = clients.deadlines, clients.arrivals
         self._preexistingSocket = listening
-        self.paused = False
-        self.failures = 0  # in a row, of any kind
-        self.starved = 0  # times in a row that it came to a wait, the system having no descriptor
-        self.waiting_since: float | None = None  # connections were left in the system then; None: none were
+        self.is_paused = False
+        self.failed_accepts = 0  # in a row, of any kind
+        self.accepts_without_descriptor = 0  # times in a row that it came to a wait, the system having no descriptor
+        self.backlog_since: float | None = None  # connections were left in the system then; None: none were
         clients.listener = self
 
     def doRead(self) -> None:
         """Called by the loop when a connection waits."""
-        room = self.admission.room()
+        room = self.admission.available_count()
         if not room:
-            self.leave_waiting()
+            self.note_backlog()
             self.pause()
             self.deadlines.soon(self.make_room)
             return
@@ -73,87 +73,89 @@
             try:
                 connection, address = self.socket.accept()
             except BlockingIOError:
-                self.admission.drained()
-                self.waiting_since, self.failures = None, 0
+                self.admission.backlog_emptied()
+                self.backlog_since, self.failed_accepts = None, 0
                 return
             except OSError as problem:
                 failed_calls.count("accept", problem.errno)
-                self.failures += 1
-                if self.failures < MAX_FAILED_ACCEPTS:
+                self.failed_accepts += 1
+                if self.failed_accepts < MAX_FAILED_ACCEPTS:
                     continue
-                self.wait(problem)
+                self.retry_accept_later(problem)
                 return
-            self.starved = self.failures = 0
-            self.take(connection, address)
+            self.accepts_without_descriptor = self.failed_accepts = 0
+            self.serve_connection(connection, address)
             room -= 1
-        self.leave_waiting()
+        self.note_backlog()
 
-    def take(self, connection: socket, address: tuple[str, int]) -> None:
+    def serve_connection(self, connection: socket, address: tuple[str, int]) -> None:
         """Begins to serve a connection."""
         protocol = self.clients.buildProtocol(self._buildAddr(address))
         self.sessionno += 1
         transport = self.transport(connection, protocol, address, self, self.sessionno, self.reactor)
-        self.admission.accepted()
-        arrived = self.arrivals.arrived
+        self.admission.connection_accepted()
+        arrived = self.arrivals.earliest_arrival_at
         try:
             protocol.makeConnection(transport)
-            protocol.accepted(arrived if self.waiting_since is None else min(arrived, self.waiting_since))
+            protocol.read_on_accept(arrived if self.backlog_since is None else min(arrived, self.backlog_since))
         except Exception:  # the loop would close the listener for it
-            self.clients.visits.fault("accept")
+            self.clients.request_table.fault("accept")
             transport.abortConnection()
 
-    def leave_waiting(self) -> None:
+    def note_backlog(self) -> None:
         """What waits in the system from here on may be read much later, and is as old then."""
-        if self.waiting_since is None:
-            self.waiting_since = self.arrivals.arrived
+        if self.backlog_since is None:
+            self.backlog_since = self.arrivals.earliest_arrival_at
 
-    def wait(self, problem: OSError) -> None:
+    def retry_accept_later(self, problem: OSError) -> None:
         """It failed again and again. Where the system has no descriptor and that lasts, clients that rest make room;
         what waits is tried again soon, and with the next descriptor that is free.
         """
-        self.leave_waiting()
+        self.note_backlog()
         self.pause()
         self.deadlines.after(RETRY_INTERVAL_S, self.resume)
-        self.starved = self.starved + 1 if problem.errno in NO_DESCRIPTOR_ERRNOS else 0
-        if self.starved >= MAX_STARVED_TRIES:
-            self.starved = 0
-            self.admission.refused_by_system()
+        self.accepts_without_descriptor = (
+            self.accepts_without_descriptor + 1 if problem.errno in NO_DESCRIPTOR_ERRNOS else 0
+        )
+        if self.accepts_without_descriptor >= MAX_STARVED_TRIES:
+            self.accepts_without_descriptor = 0
+            self.admission.system_limit_reached()
             self.clients.log(
                 "listener_accept_failed",
                 reason=problem.strerror,
-                clients=self.admission.held,
-                allowed=self.admission.allowed,
+                clients=self.admission.open_descriptors,
+                allowed=self.admission.current_limit,
             )
             self.deadlines.soon(self.make_room)
 
     def make_room(self) -> None:
         """On a turn of its own: a descriptor that is closed within a poll's events might be used again among them."""
-        if self.admission.room():
+        if self.admission.available_count():
             self.resume()
         else:
-            self.admission.shed(self.clients.shed(self.admission.to_shed()))
+            self.admission.clients_closed(self.clients.close_idle_clients(self.admission.close_count_for_room()))
 
-    def freed(self) -> None:
+    def descriptor_freed(self) -> None:
         """Called when the descriptor of a connection is free again."""
-        self.admission.closed()
+        self.admission.descriptor_freed()
         self.resume()
 
     def close_when_drained(self) -> bool:
         """The program ends: closed in the call in which nothing waits any more. Whether it is closed."""
         if self.connected:
             self.doRead()
-            if self.waiting_since is not None:
+            if self.backlog_since is not None:
                 return False
             self.connectionLost(Failure(ConnectionDone()))
         return True
 
     def pause(self) -> None:
         """Reads no more: what waits stays in the system."""
-        self.paused = True
+        self.is_paused = True
         self.stopReading()
 
     def resume(self) -> None:
         """A descriptor may be free, or a client may be hung up on."""
-        if self.paused and self.connected and not self.disconnecting:
-            self.paused = False
+        if self.is_paused and self.connected and not self.disconnecting:
+            self.is_paused = False
             self.startReading()
--- a/wickhinge/net/downstream/request_table.py
+++ b/wickhinge/net/downstream/request_table.py
@@ -31,145 +31,151 @@
 
 class DownstreamRequest:
     __slots__ = (
-        "visits",
+        "request_table",
         "client",
-        "call",
+        "call_id",
         "rid",
-        "passed",
+        "upstream_fields",
         "body",
         "request_class",
-        "since",
-        "final",
+        "started_at",
+        "has_ended",
         "answer",
-        "visit",
-        "out",
+        "routed_request",
+        "open_attempts",
         "number",
         "trace",
         "reason",
-        "until",
-        "cached",
-        "missed",
+        "deadline",
+        "client_etag",
+        "missed_connection",
     )
 
     def __init__(
         self,
-        visits: RequestTable,
+        request_table: RequestTable,
         client: Any,
-        call: int,
+        call_id: int,
         rid: str,
         request_class: Any,
-        since: float,
+        started_at: float,
         unread: float = 0.0,
     ) -> None:
-        self.visits, self.client, self.call, self.request_class, self.since = visits, client, call, request_class, since
+        self.request_table, self.client, self.call_id, self.request_class, self.started_at = (
+            request_table,
+            client,
+            call_id,
+            request_class,
+            started_at,
+        )
         self.rid = rid.encode()
-        self.passed = ""  # what goes on unchanged
-        self.cached = ""  # the tag of the client's own copy
-        self.body, self.final, self.answer, self.number, self.until = None, False, "", 0, 0.0
-        self.visit: Any = None
-        self.missed: Any = None  # the connection on which a look missed last
-        self.out: dict[Any, int] = {}
-        self.trace = RequestTrace(since, unread)
+        self.upstream_fields = ""  # what goes on unchanged
+        self.client_etag = ""  # the tag of the client's own copy
+        self.body, self.has_ended, self.answer, self.number, self.deadline = None, False, "", 0, 0.0
+        self.routed_request: Any = None
+        self.missed_connection: Any = None  # the connection on which a look missed last
+        self.open_attempts: dict[Any, int] = {}
+        self.trace = RequestTrace(started_at, unread)
         self.reason = ""  # why it ended unserved
 
     # RequestTransport.
 
     def forward(self, parameters: AttemptParameters) -> None:
-        self.visit = parameters.attempt.request
-        self.visits.forwards.send(self, parameters)
+        self.routed_request = parameters.attempt.request
+        self.request_table.attempts.send(self, parameters)
 
     def cancel(self, attempt: Any) -> None:
-        number = self.out.get(attempt)
+        number = self.open_attempts.get(attempt)
         if number is not None:
-            self.visits.forwards.cancel(number)
+            self.request_table.attempts.cancel(number)
 
     def serve_copy(self, copy: Any) -> None:
-        self.visits.local_copies.read(self, copy)
+        self.request_table.local_copies.read(self, copy)
 
     def reject(self, retry_after: float, reason: RejectionReason) -> None:
         fields = {"backoff": str(int(retry_after * 1000))} if retry_after > 0 else {}
-        self.end("denied", reason.value, lambda client: client.error(self.call, "Overloaded", fields))
+        self.end("denied", reason.value, lambda client: client.send_error(self.call_id, "Overloaded", fields))
 
     def fail(self, reason: RejectionReason) -> None:
-        self.end("abandoned", reason.value, lambda client: client.error(self.call, "Abandoned", {}))
+        self.end("abandoned", reason.value, lambda client: client.send_error(self.call_id, "Abandoned", {}))
 
     # What happens to it.
 
     def serve(self, body: Any, same: bool) -> None:
-        if self.final:
+        if self.has_ended:
             if body is not None:
                 body.release()
             return
         fields = {"keep": "1"} if same else {}
-        self.end(SERVED, "", lambda client: client.serve(self.call, body, fields))
+        self.end(SERVED, "", lambda client: client.send_answer(self.call_id, body, fields))
 
-    def broken(self) -> None:
+    def end_with_internal_error(self) -> None:
         """A fault of ours: nothing is known of what ran, so nothing is promised."""
-        if not self.final:
-            self.end("broken", "a fault of ours", lambda client: client.error(self.call, "Internal", {}))
-        if self.visit is not None:
-            self.visit.is_finished = True
-        for number in list(self.out.values()):
-            self.visits.forwards.cancel(number)
+        if not self.has_ended:
+            self.end("broken", "a fault of ours", lambda client: client.send_error(self.call_id, "Internal", {}))
+        if self.routed_request is not None:
+            self.routed_request.is_finished = True
+        for number in list(self.open_attempts.values()):
+            self.request_table.attempts.cancel(number)
 
     def end(self, answer: str, reason: str, tell: Callable[[Any], None]) -> None:
-        if self.final:
+        if self.has_ended:
             return
-        self.final, self.answer, self.reason = True, answer, reason
+        self.has_ended, self.answer, self.reason = True, answer, reason
         client, self.client = self.client, None
         if client is not None:
             tell(client)
-        self.recall()
-        self.settle()
+        self.recall_attempts()
+        self.release_if_settled()
 
-    def left(self) -> bool:
+    def check_ended(self) -> bool:
         """Whether it is over, or its client has closed or given it up: read from its socket if that may lie there."""
         client = self.client
-        if client is not None and not client.awaits(self.call):
-            self.visits.gone(self, "found gone before an attempt")
-        return self.final
+        if client is not None and not client.is_request_open(self.call_id):
+            self.request_table.client_left(self, "found gone before an attempt")
+        return self.has_ended
 
-    def recall(self) -> None:
+    def recall_attempts(self) -> None:
         """It is over: what of it still waits to be written is not sent, also where nothing may be withdrawn."""
-        for number in list(self.out.values()):
-            self.visits.forwards.recall(number, True)
+        for number in list(self.open_attempts.values()):
+            self.request_table.attempts.recall(number, True)
 
-    def fits(self, told: bytes, body: Any) -> bool:
+    def is_valid_answer(self, told: bytes, body: Any) -> bool:
         """Whether this can be the answer: a copy carries its tag and its age."""
         return body is not None and (self.request_class.pass_through or b"etag=" in told and b"made=" in told)
 
-    def forgotten(self, forward: Any) -> None:
-        self.out.pop(forward, None)
-        self.settle()
+    def attempt_ended(self, forward: Any) -> None:
+        self.open_attempts.pop(forward, None)
+        self.release_if_settled()
 
-    def settle(self) -> None:
+    def release_if_settled(self) -> None:
         """The slot is free again once the visit is answered and nothing of it is out."""
-        if self.final and not self.out and self.visits.slots.drop(self.number) is self:
-            self.visits.ended(self)
+        if self.has_ended and not self.open_attempts and self.request_table.slots.drop(self.number) is self:
+            self.request_table.request_ended(self)
 
 
 class RequestTable:
     def __init__(
         self,
-        forwards: Attempts,
+        attempts: Attempts,
         deadlines: Deadlines,
         pool: BufferPool,
         request_classes: dict[str, Any],
         log: Callable[..., None],
         fault: Callable[[str], None],
     ) -> None:
-        self.forwards, self.deadlines, self.pool, self.request_classes = forwards, deadlines, pool, request_classes
+        self.attempts, self.deadlines, self.pool, self.request_classes = attempts, deadlines, pool, request_classes
         self.log, self.fault = log, fault
         self.request_log = RequestLog(log)
         self.slots = Slots()
-        self.decisions, self.local_copies = forwards.decisions, forwards.local_copies
-        self.rids: set[str] = set()  # the latest: an id is new with every visit, also with a repeat
-        self.before: set[str] = set()
-        self.taken = 0
-        self.answers: dict[str, int] = {}
-
-    def take(
-        self, client: Any, call: int, method: str, fields: dict[str, str], body: bytes, arrival: float
+        self.decisions, self.local_copies = attempts.decisions, attempts.local_copies
+        self.recent_rids: set[str] = set()  # the latest: an id is new with every visit, also with a repeat
+        self.older_rids: set[str] = set()
+        self.started_count = 0
+        self.answer_counts: dict[str, int] = {}
+
+    def start_request(
+        self, client: Any, call_id: int, method: str, fields: dict[str, str], body: bytes, arrival: float
     ) -> DownstreamRequest:
         """arrival: when its last byte came, at the earliest; its time counts from then."""
         now = self.deadlines.now()
@@ -180,93 +186,97 @@
         rid = hex_field(fields, "rid")
         request = parse_request(fields, request_class, waited)
         check_body_and_key(fields, body)
-        self._remember(rid)
-        door = DownstreamRequest(self, client, call, rid, request_class, now, waited)
-        door.body = Body(self.pool, body) if body else None
-        door.passed = forwarded_fields(method, fields)
+        self._remember_rid(rid)
+        request_entry = DownstreamRequest(self, client, call_id, rid, request_class, now, waited)
+        request_entry.body = Body(self.pool, body) if body else None
+        request_entry.upstream_fields = forwarded_fields(method, fields)
         if not request_class.pass_through and HEX(fields.get("cached", "")):
-            door.cached = fields["cached"]
-        door.number = self.slots.put(door)
-        self.taken += 1
-        door.until = now + request.timeout - SLACK_S
-        self._route(door, request, now, waited)
-        if not door.final:
-            self.deadlines.at(now + request.timeout + ANSWERED_WITHIN_S, self.overdue, door.number)
-        return door
-
-    def _remember(self, rid: str) -> None:
+            request_entry.client_etag = fields["cached"]
+        request_entry.number = self.slots.put(request_entry)
+        self.started_count += 1
+        request_entry.deadline = now + request.timeout - SLACK_S
+        self._route(request_entry, request, now, waited)
+        if not request_entry.has_ended:
+            self.deadlines.at(now + request.timeout + ANSWERED_WITHIN_S, self.expire_request, request_entry.number)
+        return request_entry
+
+    def _remember_rid(self, rid: str) -> None:
         """Raises InvalidRequestError for one of the latest ids; of them at least MAX_RIDS are known."""
-        if rid in self.rids or rid in self.before:
+        if rid in self.recent_rids or rid in self.older_rids:
             raise InvalidRequestError("field rid was used before")
-        self.rids.add(rid)
-        if len(self.rids) >= MAX_RIDS:
-            self.before, self.rids = self.rids, set()
+        self.recent_rids.add(rid)
+        if len(self.recent_rids) >= MAX_RIDS:
+            self.older_rids, self.recent_rids = self.recent_rids, set()
 
-    def _route(self, door: DownstreamRequest, request: Request, now: float, waited: float) -> None:
+    def _route(self, request_entry: DownstreamRequest, request: Request, now: float, waited: float) -> None:
         """Hands the request to the decisions; a fault of theirs ends this request alone."""
         try:
-            visit = self.decisions.route(door, door.request_class, request, now, waited)
-            if not door.final:  # over already, it would only close the circle that ended() opens
-                door.visit = visit
+            visit = self.decisions.route(request_entry, request_entry.request_class, request, now, waited)
+            if not request_entry.has_ended:  # over already, it would only close the circle that ended() opens
+                request_entry.routed_request = visit
         except Exception:
             self.fault("visit")
-            door.broken()
+            request_entry.end_with_internal_error()
 
-    def overdue(self, number: int) -> None:
-        door = self.slots.get(number)
-        for forward in list(door.out.values()) if door is not None else ():
-            self.forwards.expire(forward)
-        if door is not None and not door.final:
-            self.log("request_overdue", rid=door.rid.decode(), steps=door.trace.lines())
-            door.broken()
+    def expire_request(self, number: int) -> None:
+        request_entry = self.slots.get(number)
+        for forward in list(request_entry.open_attempts.values()) if request_entry is not None else ():
+            self.attempts.expire(forward)
+        if request_entry is not None and not request_entry.has_ended:
+            self.log("request_overdue", rid=request_entry.rid.decode(), steps=request_entry.trace.lines())
+            request_entry.end_with_internal_error()
 
-    def gone(self, door: DownstreamRequest, why: str) -> None:
+    def client_left(self, request_entry: DownstreamRequest, why: str) -> None:
         """The client has left, or given the request up: nothing is owed."""
-        door.client = None
-        if door.final:
+        request_entry.client = None
+        if request_entry.has_ended:
             return
-        door.final, door.answer, door.reason = True, "gone", why
-        door.trace.add(self.deadlines.now(), Step.CLIENT_LEFT, 0, why)
-        if door.visit is not None:
-            door.visit.finish()
-        door.recall()
-        door.settle()
-
-    def refuse(self, door: DownstreamRequest) -> None:
+        request_entry.has_ended, request_entry.answer, request_entry.reason = True, "gone", why
+        request_entry.trace.add(self.deadlines.now(), Step.CLIENT_LEFT, 0, why)
+        if request_entry.routed_request is not None:
+            request_entry.routed_request.finish()
+        request_entry.recall_attempts()
+        request_entry.release_if_settled()
+
+    def reject_for_client_error(self, request_entry: DownstreamRequest) -> None:
         """Its connection ends by the client's fault: answered while that is still there."""
-        if not door.final and door.visit is not None:
-            door.visit.give_up(self.deadlines.now(), RejectionReason.CLIENT_ERROR)
+        if not request_entry.has_ended and request_entry.routed_request is not None:
+            request_entry.routed_request.give_up(self.deadlines.now(), RejectionReason.CLIENT_ERROR)
 
-    def give_up(self, ending_after: float = 0.0) -> None:
+    def give_up_open_requests(self, ending_after: float = 0.0) -> None:
         """The router ends: what is still open, and would be until after that time, is answered while somebody can hear
         it.
         """
-        for door in self.slots:
-            if not door.final and door.visit is not None and door.until > ending_after:
-                door.visit.give_up(self.deadlines.now(), RejectionReason.SHUTTING_DOWN)
-
-    def open(self) -> int:
-        return sum(not door.final for door in self.slots)
-
-    def ended(self, door: DownstreamRequest) -> None:
-        if door.body is not None:
-            door.body.release()
-        visit, door.visit = door.visit, None
+        for request_entry in self.slots:
+            if (
+                not request_entry.has_ended
+                and request_entry.routed_request is not None
+                and request_entry.deadline > ending_after
+            ):
+                request_entry.routed_request.give_up(self.deadlines.now(), RejectionReason.SHUTTING_DOWN)
+
+    def open_count(self) -> int:
+        return sum(not request_entry.has_ended for request_entry in self.slots)
+
+    def request_ended(self, request_entry: DownstreamRequest) -> None:
+        if request_entry.body is not None:
+            request_entry.body.release()
+        visit, request_entry.routed_request = request_entry.routed_request, None
         if visit is not None:
             visit.attempts.clear()  # they name the visit: a circle that only the collector would find
-        self.answers[door.answer] = self.answers.get(door.answer, 0) + 1
+        self.answer_counts[request_entry.answer] = self.answer_counts.get(request_entry.answer, 0) + 1
         self.request_log.ended(
             self.deadlines.now(),
-            door.rid,
-            door.answer,
-            door.reason,
-            door.trace,
-            request_class=door.request_class.name,
-            timeout_ms=round((door.until - door.since) * 1000),
+            request_entry.rid,
+            request_entry.answer,
+            request_entry.reason,
+            request_entry.trace,
+            request_class=request_entry.request_class.name,
+            timeout_ms=round((request_entry.deadline - request_entry.started_at) * 1000),
             repeat=visit.is_retry if visit else None,
             part=visit.part if visit else None,
             work=round(visit.work * 1000) if visit else None,
-            exclusive=door.request_class.idempotency is Idempotency.NOT_IDEMPOTENT,
+            exclusive=request_entry.request_class.idempotency is Idempotency.NOT_IDEMPOTENT,
         )
 
 
--- a/wickhinge/net/runtime/arrivals.py
+++ b/wickhinge/net/runtime/arrivals.py
@@ -26,43 +26,45 @@
     def __init__(self, began: float, max_events: int = MAX_EVENTS_PER_POLL) -> None:
         """began: nothing can have come before; max_events: that one poll hands out."""
         self._max_events = max_events
-        self.arrived = began  # what the latest poll handed out, or any socket holds, came then at the earliest
-        self.settled = began  # all that came before this has been read and handled, without any doubt
-        self.returned = began  # when the latest poll did
-        self.behind = False  # the process stood still, and what came meanwhile may not all have been read
-        self._left_nothing = began  # the same as `arrived`, for what the next poll hands out
-        self._settles = began  # the same as `settled`, once what the latest poll handed out is handled
+        self.earliest_arrival_at = (
+            began  # what the latest poll handed out, or any socket holds, came then at the earliest
+        )
+        self.handled_until = began  # all that came before this has been read and handled, without any doubt
+        self.poll_ended_at = began  # when the latest poll did
+        self.is_behind = False  # the process stood still, and what came meanwhile may not all have been read
+        self._next_earliest_arrival_at = began  # the same as `arrived`, for what the next poll hands out
+        self._next_handled_until = began  # the same as `settled`, once what the latest poll handed out is handled
 
-    def uncertain(self, now: float) -> bool:
+    def needs_poll_before_wait(self, now: float) -> bool:
         """Whether it matters that a poll tells what lies there already from what comes while it waits."""
-        return now - self._left_nothing > FRESH_POLL_S
+        return now - self._next_earliest_arrival_at > FRESH_POLL_S
 
-    def polled(self, entered: float, returned: float, count: int) -> None:
+    def record_poll(self, entered: float, returned: float, count: int) -> None:
         """A poll that does not wait handed out so many events."""
-        self.behind |= entered - self.returned > STALL_S
-        self.arrived = self._left_nothing
+        self.is_behind |= entered - self.poll_ended_at > STALL_S
+        self.earliest_arrival_at = self._next_earliest_arrival_at
         if 0 < count < self._max_events:
             # No event at all is no proof: a signal may have come, and the system was not asked.
-            self._left_nothing = self._settles = entered
-        self.returned = returned
+            self._next_earliest_arrival_at = self._next_handled_until = entered
+        self.poll_ended_at = returned
 
-    def waited(self, entered: float, limit: float, returned: float, count: int, *, asked: bool) -> None:
+    def record_wait(self, entered: float, limit: float, returned: float, count: int, *, asked: bool) -> None:
         """A wait of up to `limit` seconds ended with so many events.
 
         asked: a poll just before it found none; else something may have come within FRESH_POLL_S before it began.
         """
         if count == self._max_events and not asked:
-            self.polled(entered, returned, count)
+            self.record_poll(entered, returned, count)
             return
         took = returned - entered
-        self.behind |= took > limit + LATE_WAIT_S or entered - self.returned > STALL_S
-        self.arrived = self._left_nothing = returned if took <= limit + LATE_WAIT_S else entered
+        self.is_behind |= took > limit + LATE_WAIT_S or entered - self.poll_ended_at > STALL_S
+        self.earliest_arrival_at = self._next_earliest_arrival_at = returned if took <= limit + LATE_WAIT_S else entered
         # One that a signal broke off past its time asks the system no more, and looks as if nothing had come.
         if 0 < count < self._max_events or not count and took <= limit + PUNCTUAL_WAIT_S:
-            self._settles = entered
-        self.returned = returned
+            self._next_handled_until = entered
+        self.poll_ended_at = returned
 
-    def handled(self) -> None:
+    def mark_handled(self) -> None:
         """What the latest poll handed out has been read."""
-        self.behind &= self.settled == self._settles
-        self.settled = self._settles
+        self.is_behind &= self.handled_until == self._next_handled_until
+        self.handled_until = self._next_handled_until
--- a/wickhinge/net/runtime/buffers.py
+++ b/wickhinge/net/runtime/buffers.py
@@ -18,24 +18,24 @@
         """
         self.limit, self._on_exhausted, self._on_available = limit, on_exhausted, on_available
         self.free: list[bytearray] = []
-        self.out = self.peak = 0
+        self.in_use = self.peak_in_use = 0
         self._is_exhausted = False
 
-    def take(self) -> bytearray:
+    def acquire(self) -> bytearray:
         """A buffer of BUFFER_BYTES; what it holds is old."""
-        self.out += 1
-        self.peak = max(self.peak, self.out)
-        if self.out >= self.limit and not self._is_exhausted:
+        self.in_use += 1
+        self.peak_in_use = max(self.peak_in_use, self.in_use)
+        if self.in_use >= self.limit and not self._is_exhausted:
             self._is_exhausted = True
             self._on_exhausted()
         return self.free.pop() if self.free else bytearray(BUFFER_BYTES)
 
-    def give(self, buffer: bytearray) -> None:
+    def give_back(self, buffer: bytearray) -> None:
         """Takes a buffer back."""
-        self.out -= 1
+        self.in_use -= 1
         if len(self.free) < self.limit:
             self.free.append(buffer)
-        if self._is_exhausted and self.out <= self.limit * 3 // 4:
+        if self._is_exhausted and self.in_use <= self.limit * 3 // 4:
             self._is_exhausted = False
             self._on_available()
 
@@ -49,14 +49,14 @@
         self.pool, self.length, self.start = pool, 0, 0
         self.buffers: list[bytearray] = []
         if data:
-            self.add(memoryview(data))
+            self.append(memoryview(data))
 
-    def add(self, data: memoryview) -> None:
+    def append(self, data: memoryview) -> None:
         """Appends a copy of the bytes."""
         while data:
             start = self.length % BUFFER_BYTES
             if not start:
-                self.buffers.append(self.pool.take())
+                self.buffers.append(self.pool.acquire())
             piece = data[: BUFFER_BYTES - start]
             self.buffers[-1][start : start + len(piece)] = piece
             self.length += len(piece)
@@ -72,16 +72,16 @@
             start = 0
         return views
 
-    def spend(self, size: int) -> None:
+    def drop_written(self, size: int) -> None:
         """Drops the first `size` bytes, which were written."""
         self.length -= size
         self.start += size
         while self.buffers and (self.start >= BUFFER_BYTES or not self.length):
-            self.pool.give(self.buffers.pop(0))
+            self.pool.give_back(self.buffers.pop(0))
             self.start -= BUFFER_BYTES
 
     def release(self) -> None:
         """Gives all buffers back; may be called twice."""
         buffers, self.buffers, self.length = self.buffers, [], 0
         for buffer in buffers:
-            self.pool.give(buffer)
+            self.pool.give_back(buffer)
--- a/wickhinge/net/runtime/deadlines.py
+++ b/wickhinge/net/runtime/deadlines.py
@@ -75,7 +75,7 @@
 
     def fire(self) -> None:
         """Called by the timer: calls what is due, after what lies in the sockets has been read."""
-        if self.arrivals.behind or self.now() - self.arrivals.returned > STALL_S:
+        if self.arrivals.is_behind or self.now() - self.arrivals.poll_ended_at > STALL_S:
             self.reactor.catch_up()
         heap, now, last = self.heap, self.now(), self.serial
         self.due = -1.0  # calls made from here add to the heap; the timer is set once, at the end
--- a/wickhinge/net/runtime/event_loop_stalls.py
+++ b/wickhinge/net/runtime/event_loop_stalls.py
@@ -25,7 +25,7 @@
         """Long stalls leave a line there from now on."""
         self._log = log
 
-    def waited(self, entered: float, timeout: float | None, returned: float) -> None:
+    def record_wait(self, entered: float, timeout: float | None, returned: float) -> None:
         """A wait for events of up to `timeout` seconds (None: without end) began and ended."""
         if self._returned is not None:
             self._note("turn", entered - self._returned)
--- a/wickhinge/net/runtime/loop.py
+++ b/wickhinge/net/runtime/loop.py
@@ -64,14 +64,14 @@
         """Waits for events and serves them; called by Twisted once a turn."""
         self._before_polls(self.now())
         events = self.poll(MAX_WAIT_S if timeout is None else min(timeout, MAX_WAIT_S))
-        if self.arrivals.returned - self.arrivals.arrived > READ_FIRST_AFTER_S:
+        if self.arrivals.poll_ended_at - self.arrivals.earliest_arrival_at > READ_FIRST_AFTER_S:
             self._read_first()
         named = [(self._selectables.get(descriptor), descriptor, event) for descriptor, event in events]
         for selectable, descriptor, event in named:
             # One that was closed by an event before it may have left its number to another.
             if selectable is not None and self._selectables.get(descriptor) is selectable:
                 self._doReadOrWrite(selectable, descriptor, event)  # type: ignore[no-untyped-call]
-        self.arrivals.handled()
+        self.arrivals.mark_handled()
         if self._unregistered:
             self.register_again()
 
@@ -82,21 +82,21 @@
         arrivals = self.arrivals
         while True:
             entered = self.now()
-            asked = limit <= 0.0 or arrivals.uncertain(entered)
+            asked = limit <= 0.0 or arrivals.needs_poll_before_wait(entered)
             if not asked:
                 break
             events = self.poll_once(0.0) or self.poll_once(0.0)  # a signal may break one off
             returned = self.now()
             if events or limit <= 0.0:
-                arrivals.polled(entered, returned, len(events))
-                self.stalls.waited(entered, 0.0, returned)
+                arrivals.record_poll(entered, returned, len(events))
+                self.stalls.record_wait(entered, 0.0, returned)
                 return events
             if returned - entered <= FRESH_POLL_S:
                 break  # else something may have come since it was asked
         events = self.poll_once(limit)
         returned = self.now()
-        arrivals.waited(entered, limit, returned, len(events), asked=asked)
-        self.stalls.waited(entered, limit, returned)
+        arrivals.record_wait(entered, limit, returned, len(events), asked=asked)
+        self.stalls.record_wait(entered, limit, returned)
         return events
 
     def poll_once(self, limit: float) -> list[tuple[int, int]]:
@@ -111,7 +111,7 @@
         """Deadlines that ran out while the process stood still come after what lies in its sockets."""
         for _ in range(MAX_CATCH_UP_POLLS):
             self.doPoll(0.0)
-            if not self.arrivals.behind or not self._reads:
+            if not self.arrivals.is_behind or not self._reads:
                 return
 
     # Descriptors that the system does not take at once.
--- a/wickhinge/net/upstream/attempts.py
+++ b/wickhinge/net/upstream/attempts.py
@@ -104,16 +104,17 @@
                 ("freshen", parameters.revalidate),
             )
             fields += ",flags=" + "+".join(word for word, on in words if on)
-        if parameters.only_if_cached and door.missed is not None:
-            door.missed.leave(door.rid)  # this may end as a miss, and the look's, come twice, would be taken for it
+        if parameters.only_if_cached and door.missed_connection is not None:
+            # this may end as a miss, and the look's, come twice, would be taken for it
+            door.missed_connection.leave(door.rid)
         now = self.deadlines.now()
         sent = SentAttempt(door, forward, cache, now, now + parameters.timeout)
         if parameters.begin_within is not None:
             sent.begin_until = now + parameters.begin_within
         sent.fills = source is not None and source is not cache and not parameters.only_if_cached
-        if door.cached:
-            sent.offered = door.cached
-            fields += f",have={door.cached}"
+        if door.client_etag:
+            sent.offered = door.client_etag
+            fields += f",have={door.client_etag}"
         elif forward.request.local_copy is not None:
             sent.offered = forward.request.local_copy
             fields += f",have={sent.offered.etag.decode()}"
@@ -129,10 +130,10 @@
         number = self.slots.put(sent)
         sent.tag = tag or b"p%d" % number
         if sent.door is not None:
-            sent.door.out[sent.forward] = number
+            sent.door.open_attempts[sent.forward] = number
             source = sent.forward.source.id if sent.forward.source is not sent.cache else 0
             sent.door.trace.add(sent.since, Step.SENT, sent.cache.id, (round(patience * 1000), source))
-            if sent.door.left():
+            if sent.door.check_ended():
                 self.deadlines.soon(self.ended, number, AttemptResult.RECALLED)
                 return number
         machine = self.caches.machines.get(sent.cache.id)  # none: gone meanwhile, and freed
@@ -141,7 +142,7 @@
             sent.line = machine.send(sent.tag, number, probe)
         if sent.line is None:
             self.deadlines.soon(self.ended, number, AttemptResult.NO_DESCRIPTOR)
-        elif sent.door is None or sent.since + patience < sent.door.until:
+        elif sent.door is None or sent.since + patience < sent.door.deadline:
             self.deadlines.at(sent.since + patience, self.expire, number)
         # Else it runs out with its visit, which ends what is out: one deadline less for nearly every forward.
         return number
@@ -187,7 +188,7 @@
             return None
         while True:
             now = self.deadlines.now()
-            if sent.door.left():
+            if sent.door.check_ended():
                 self.deadlines.soon(self.ended, number, AttemptResult.RECALLED)  # where nothing may be withdrawn
                 return None
             if now >= sent.until:
@@ -210,7 +211,7 @@
         door = sent.door
         budget = max(int((sent.until - now) * 1000), 1)
         body = b"".join(door.body.views()) if door.body is not None else b""
-        return resp.pack(b"REQ", door.rid, f"{door.passed},budget={budget}{sent.fields}".encode(), body)
+        return resp.pack(b"REQ", door.rid, f"{door.upstream_fields},budget={budget}{sent.fields}".encode(), body)
 
     def take_back(self, number: int, why: str) -> None:
         """Nothing of it has been written: it is decided anew on the next turn."""
@@ -240,11 +241,11 @@
             and (sent.offered is None or b"made=" not in told)
             or end is AttemptResult.SERVED
             and sent.door is not None
-            and not sent.door.fits(told, body)
+            and not sent.door.is_valid_answer(told, body)
         ):
             end = AttemptResult.UNREADABLE
         if end is AttemptResult.MISS and sent is not None and sent.door is not None:
-            sent.door.missed = sent.line
+            sent.door.missed_connection = sent.line
         if sent is not None and sent.line is not None and end not in (AttemptResult.MISS, AttemptResult.SERVED):
             # The visit may come again to this machine. A second answer, some milliseconds late, would then end that
             # forward while it runs; refused twice and run once, an exclusive visit would be sent a second time.
@@ -273,7 +274,7 @@
             self.membership.ended(sent, outcome)
         door.trace.add(now, Step.ENDED, sent.cache.id, (end, told))
         if outcome is Outcome.SUCCEEDED:
-            if self.local_copies is not None and not door.final:
+            if self.local_copies is not None and not door.has_ended:
                 self.local_copies.passed(sent.forward.request, resp.fields(told), body)
             door.serve(body, False)
         elif body is not None:
@@ -289,9 +290,9 @@
             place = told.find(b"detail=")
             note = NOTES.get(told[place + 7 : place + 8]) if place >= 0 else None
             load = resp.loads(resp.fields(told).get("use", "")) if b"use=" in told else None
-            completion = Completion(outcome, took, door.final, note, load)
+            completion = Completion(outcome, took, door.has_ended, note, load)
             sent.forward.request.attempt_ended(sent.forward, completion, now)
         except Exception:
             self.fault("forward")
-            door.broken()
-        door.forgotten(sent.forward)
+            door.end_with_internal_error()
+        door.attempt_ended(sent.forward)
--- a/wickhinge/net/upstream/connection_pools.py
+++ b/wickhinge/net/upstream/connection_pools.py
@@ -14,7 +14,7 @@
 
 from wickhinge.common.connector import ConnectAttempt, failure_text
 from wickhinge.common.failed_calls import call_with_retries, has_unread_data
-from wickhinge.net.downstream.descriptors import CLOSING
+from wickhinge.net.downstream.descriptors import CLOSING_DESCRIPTORS
 from wickhinge.net.runtime.buffers import Body, BufferPool
 from wickhinge.net.runtime.deadlines import Deadlines
 from wickhinge.net.upstream import resp
@@ -420,7 +420,7 @@
         free = self.most - sum(len(machine.lines) for machine in self.machines.values())
         if needed and free == 0 and self.close_resting():
             free = 1
-        return free > 0 and self.held < self.most + CLOSING
+        return free > 0 and self.held < self.most + CLOSING_DESCRIPTORS
 
     def close_resting(self) -> bool:
         """Close the connection that rests for longest, if any does."""
--- a/wickhinge/net/upstream/local_copies.py
+++ b/wickhinge/net/upstream/local_copies.py
@@ -62,7 +62,7 @@
 
     def read(self, door: Any, copy: Any) -> None:
         number = self.slots.put((door, copy))
-        if door.cached and door.cached.encode() == copy.etag:
+        if door.client_etag and door.client_etag.encode() == copy.etag:
             self.deadlines.soon(self.ended, number, True, "told")
             return
         self.deadlines.after(self.within, self.ended, number, None, "late")
@@ -76,18 +76,18 @@
         if entry is None:
             return
         door, copy = entry
-        if door.final:
+        if door.has_ended:
             return
         self.served["late"] += how == "late"
         now = self.deadlines.now()
         try:
-            if door.visit.copy_read(copy, now, is_complete=data is not None):
+            if door.routed_request.copy_read(copy, now, is_complete=data is not None):
                 self.served[how] += 1
                 self.link.record_transfer(int(copy.size * TOLD) if data is True else copy.size, now)
                 door.serve(None if data is True else Body(self.pool, data), data is True)
         except Exception:
             self.fault("copies")
-            door.broken()
+            door.end_with_internal_error()
 
     # Copies out of answers.
 
--- a/wickhinge/net/upstream/resp.py
+++ b/wickhinge/net/upstream/resp.py
@@ -61,7 +61,7 @@
                 place = end + 2
             elif self.body is not None:
                 piece = memoryview(data)[place : place + self.size - self.body.length]
-                self.body.add(piece)
+                self.body.append(piece)
                 place += len(piece)
                 if self.body.length < self.size or len(data) - place < 2:
                     break
