--- a/bench/scale/fleet_flat.py
+++ b/bench/scale/fleet_flat.py
@@ -63,7 +63,7 @@
             return
         if after_round in (None, self.connect_round):
             self.connect_round += 1
-            self.deadlines.after(CONNECT_WITHIN_S, self.retry, "no answer", self.connect_round)
+            self.deadlines.call_after(CONNECT_WITHIN_S, self.retry, "no answer", self.connect_round)
 
     def connected(self, connection: WatchConnection) -> None:
         super().connected(connection)
--- a/bench/scale/watching.py
+++ b/bench/scale/watching.py
@@ -26,7 +26,7 @@
 
 def watching() -> tuple[endpoint_watch.EndpointWatch, Any]:
     """A router's watch without a socket, and the connection that hands it bytes."""
-    purges, clock = Purges(DONE_WITHIN), SimpleNamespace(now=lambda: 0.0, after=lambda *told: None)
+    purges, clock = Purges(DONE_WITHIN), SimpleNamespace(now=lambda: 0.0, call_after=lambda *told: None)
     listener = SimpleNamespace(
         endpoints_changed=lambda records, *, complete: None,
         purged=lambda key, group, stamp: purges.notify(key, group, stamp / 1000, stamp / 1000),
--- a/bench/soak/planted.py
+++ b/bench/soak/planted.py
@@ -34,7 +34,7 @@
 def late_answer() -> None:
     """One answer in EVERY comes four seconds late."""
     _harm_answers(
-        lambda connection, call, body, fields, serve: connection.clients.deadlines.after(
+        lambda connection, call, body, fields, serve: connection.clients.deadlines.call_after(
             4.0, serve, connection, call, body, fields
         )
     )
@@ -88,7 +88,7 @@
 
     def late(self, call, method, params, arrival):
         if is_harmed():
-            self.clients.deadlines.after(0.3, begin, self, call, method, params, arrival)
+            self.clients.deadlines.call_after(0.3, begin, self, call, method, params, arrival)
         else:
             begin(self, call, method, params, arrival)
 
--- a/tests/changelog/test_router_changes.py
+++ b/tests/changelog/test_router_changes.py
@@ -30,7 +30,7 @@
     )
     node = SimpleNamespace(
         reactor=sockets,
-        deadlines=SimpleNamespace(after=sockets.callLater),
+        deadlines=SimpleNamespace(call_after=sockets.callLater),
         log=SimpleNamespace(event=lambda event, **fields: told.append(event)),
         decisions=SimpleNamespace(purges=Purges(6.0)),
         local_copies=LocalCopies(store, None, None, None, 0.1, None, SimpleNamespace(earliest=lambda made, now: made)),
--- a/tests/net/test_crossings.py
+++ b/tests/net/test_crossings.py
@@ -267,8 +267,8 @@
         self.written = b""
         clock = SimpleNamespace(
             now=lambda: self.now,
-            after=lambda delay, call, *told: self.soon.append(call),
-            soon=lambda call, *told: self.soon.append(call),
+            call_after=lambda delay, call, *told: self.soon.append(call),
+            call_soon=lambda call, *told: self.soon.append(call),
             arrivals=Arrivals(self.now),
         )
         self.arrivals = clock.arrivals
--- a/tests/net/test_descriptors.py
+++ b/tests/net/test_descriptors.py
@@ -311,8 +311,8 @@
     soon = []
     clock = SimpleNamespace(
         now=lambda: 100.0,
-        after=lambda *_: None,
-        soon=lambda call, *told: soon.append(call),
+        call_after=lambda *_: None,
+        call_soon=lambda call, *told: soon.append(call),
         arrivals=Arrivals(0.0),
     )
     clients = ClientConnections(None, clock, 1, lambda *_, **more: None)
@@ -444,7 +444,7 @@
 
 def caches_with(most, machines):
     clock = SimpleNamespace(
-        now=lambda: clock.time, after=lambda *_: None, soon=lambda *_: None, time=100.0, reactor=Connecting()
+        now=lambda: clock.time, call_after=lambda *_: None, call_soon=lambda *_: None, time=100.0, reactor=Connecting()
     )
     made = ConnectionPools(clock, pool()[0], PoolSettings(0.4, 15.0, 100, most), lambda *_, **more: None)
     for mark in range(machines):
--- a/tests/net/test_endpoint_watch.py
+++ b/tests/net/test_endpoint_watch.py
@@ -25,7 +25,7 @@
     """A process that stood still decides by the list only when the list is read to its end."""
     purged, now = [], [100.0]
     listener = SimpleNamespace(purged=lambda key, group, stamp: purged.append(key))
-    deadlines = SimpleNamespace(now=lambda: now[0], after=lambda *_: None)
+    deadlines = SimpleNamespace(now=lambda: now[0], call_after=lambda *_: None)
     watch = EndpointWatch(None, deadlines, WatchSettings(("127.0.0.1", 9), 0, 1.0), listener, lambda *_, **fields: None)
     frames = b"".join(FRAME_HEADER.pack(25, number, 3) + bytes(16) for number in (1, 2))
     assert len(frames) > MAX_READS
--- a/tests/net/test_net.py
+++ b/tests/net/test_net.py
@@ -266,11 +266,11 @@
 def test_deadlines_share_one_timer_come_in_order_and_outlive_a_fault():
     clock, called, faults = Clock(), [], []
     deadlines = Deadlines(clock, faults.append)
-    deadlines.after(-1.0, called.append, "b")
-    deadlines.after(-2.0, called.append, "a")
-    deadlines.after(-1.5, lambda: 1 / 0)
-    deadlines.after(-0.5, lambda: deadlines.soon(called.append, "next turn"))
-    deadlines.after(60.0, called.append, "later")
+    deadlines.call_after(-1.0, called.append, "b")
+    deadlines.call_after(-2.0, called.append, "a")
+    deadlines.call_after(-1.5, lambda: 1 / 0)
+    deadlines.call_after(-0.5, lambda: deadlines.call_soon(called.append, "next turn"))
+    deadlines.call_after(60.0, called.append, "later")
     deadlines.fire()
     assert called == ["a", "b"] and faults == ["deadline"]
     deadlines.fire()
@@ -430,14 +430,14 @@
     clock, called = Clock(), []
     deadlines = Deadlines(clock, [].append)
     clock.arrivals.poll_ended_at = deadlines.now()
-    deadlines.after(-1.0, lambda: called.append(clock.caught_up))
+    deadlines.call_after(-1.0, lambda: called.append(clock.caught_up))
     deadlines.fire()
     clock.arrivals.poll_ended_at = deadlines.now() - 0.2
-    deadlines.after(-0.1, lambda: called.append(clock.caught_up))
+    deadlines.call_after(-0.1, lambda: called.append(clock.caught_up))
     deadlines.fire()
     clock.arrivals.poll_ended_at = deadlines.now()
     clock.arrivals.is_behind = True  # the poll was broken off, and told nothing
-    deadlines.after(-0.1, lambda: called.append(clock.caught_up))
+    deadlines.call_after(-0.1, lambda: called.append(clock.caught_up))
     deadlines.fire()
     assert called == [0, 1, 2]
 
@@ -494,7 +494,7 @@
 
 def test_a_visit_denied_at_once_is_freed_without_the_collector():
     """The collector is off in service: a circle would stay until the memory limit."""
-    clock = SimpleNamespace(now=lambda: 100.0, at=lambda *_: None)
+    clock = SimpleNamespace(now=lambda: 100.0, call_at=lambda *_: None)
     client = SimpleNamespace(send_error=lambda call, word, fields: None)
     decisions = router(boxes=0, parents=0, direct=False)
     forwards = SimpleNamespace(decisions=decisions, local_copies=None)
--- a/tests/peers/test_view_interval.py
+++ b/tests/peers/test_view_interval.py
@@ -13,7 +13,7 @@
 
     now, calls = [100.0], []
     node = SimpleNamespace(
-        deadlines=SimpleNamespace(after=lambda delay, call: calls.append(call)),
+        deadlines=SimpleNamespace(call_after=lambda delay, call: calls.append(call)),
         log=SimpleNamespace(event=lambda event, **fields: None),
     )
     real_clock, peer_transport.clock = peer_transport.clock, lambda: now[0]
--- a/tests/store/test_store.py
+++ b/tests/store/test_store.py
@@ -412,14 +412,14 @@
     def now(self):
         return self.clock
 
-    def at(self, when, call, *args):
+    def call_at(self, when, call, *args):
         self.calls.append((when, call, args))
 
-    def after(self, delay, call, *args):
-        self.at(self.clock + delay, call, *args)
+    def call_after(self, delay, call, *args):
+        self.call_at(self.clock + delay, call, *args)
 
-    def soon(self, call, *args):
-        self.at(0.0, call, *args)
+    def call_soon(self, call, *args):
+        self.call_at(0.0, call, *args)
 
     def run(self, until):
         self.clock = until
--- a/tests/support/connections.py
+++ b/tests/support/connections.py
@@ -47,8 +47,8 @@
     soon, ends, now = [], {}, [100.0]
     clock = SimpleNamespace(
         now=lambda: now[0],
-        after=lambda delay, call, *told: soon.append((call, told)),
-        soon=lambda call, *told: soon.append((call, told)),
+        call_after=lambda delay, call, *told: soon.append((call, told)),
+        call_soon=lambda call, *told: soon.append((call, told)),
         arrivals=Arrivals(0.0),
     )
     caches = ConnectionPools(clock, pool()[0], PoolSettings(0.4, 15.0, 100, 50), lambda *_, **more: None)
@@ -69,7 +69,7 @@
 
 def reading(last=40):
     told = []
-    clock = SimpleNamespace(after=lambda *_: None, now=lambda: 1.0)
+    clock = SimpleNamespace(call_after=lambda *_: None, now=lambda: 1.0)
     listener = SimpleNamespace(
         endpoints_changed=lambda records, *, complete: told.append((complete, records)),
         purged=lambda *purge: told.append(purge),
--- a/wickhinge/net/control/changelog_client.py
+++ b/wickhinge/net/control/changelog_client.py
@@ -61,7 +61,7 @@
                 options_of.addresses(options.relays),
                 options_of.read_keys(options),
             ),
-            Runtime(node.reactor, log=self._log, call_later=node.deadlines.after),
+            Runtime(node.reactor, log=self._log, call_later=node.deadlines.call_after),
             self,
             FollowSettings(bound_s=options.bound_s, ingest_s=options.ingest_s),
         )
--- a/wickhinge/net/control/endpoint_watch.py
+++ b/wickhinge/net/control/endpoint_watch.py
@@ -227,7 +227,7 @@
             WatchConnection(self, connect_round),
             lambda failure: self.retry(failure_text(failure), connect_round),
         )
-        self.deadlines.after(self._connect_timeout_s, attempt.stop)  # which does nothing to one that is up
+        self.deadlines.call_after(self._connect_timeout_s, attempt.stop)  # which does nothing to one that is up
 
     def connected(self, connection: WatchConnection) -> None:
         """Called by a connection that is up."""
@@ -237,7 +237,7 @@
         self.connection, self._last_heard_at = connection, self.deadlines.now()
         self._round_trip_s = self._last_heard_at - self._connecting_since
         self.log("endpoint_watch_connected", last_event=self.last_number)
-        self.deadlines.after(SILENCE_LIMIT_S, self._check_silence, connection)
+        self.deadlines.call_after(SILENCE_LIMIT_S, self._check_silence, connection)
 
     def retry(self, reason: str, connect_round: int) -> None:
         """Tries again after a pause, unless another round began meanwhile."""
@@ -247,7 +247,7 @@
         delay_s = RETRY_INTERVAL_S
         if self._addresses is not None:
             self.address, delay_s = self._addresses.record_failure()
-        self.deadlines.after(delay_s, self.start, connect_round)
+        self.deadlines.call_after(delay_s, self.start, connect_round)
 
     def drop(self, connection: WatchConnection, reason: str) -> None:
         """Gives up a connection and tries again."""
@@ -298,7 +298,7 @@
             return
         if self._wants_confirmation and kind != FrameKind.NO_MORE_EVENTS:
             self._wants_confirmation = False
-            self.deadlines.after(max(2 * self._round_trip_s, MIN_SETTLE_S), self._confirm, connection)
+            self.deadlines.call_after(max(2 * self._round_trip_s, MIN_SETTLE_S), self._confirm, connection)
 
     def take_frame(self, number: int, kind: int, payload: bytes) -> None:
         """Tells the listener of one event; an event had already is ignored, since the service may write one twice.
@@ -364,7 +364,7 @@
         if silence_s >= SILENCE_LIMIT_S - SILENCE_TOLERANCE_S:
             self.drop(connection, "nothing heard")
         else:
-            self.deadlines.after(SILENCE_LIMIT_S - silence_s, self._check_silence, connection)
+            self.deadlines.call_after(SILENCE_LIMIT_S - silence_s, self._check_silence, connection)
 
     def _confirm(self, connection: WatchConnection) -> None:
         """Connects anew, since the frame that says that there is nothing more may take a second to come.
--- a/wickhinge/net/control/graceful_shutdown.py
+++ b/wickhinge/net/control/graceful_shutdown.py
@@ -71,7 +71,7 @@
         now = self._deadlines.now()
         self._requested_at = now if requested_after is None else requested_after
         linger_s = LINGER_S if self._readiness.has_opened else 0.0
-        self._deadlines.at(min(now + linger_s, self._requested_at + self.give_up_after_s), self._await_idle)
+        self._deadlines.call_at(min(now + linger_s, self._requested_at + self.give_up_after_s), self._await_idle)
         self._clients.drain()
         self._readiness.drain()
         late_ms = round((now - self._requested_at) * 1000)
@@ -83,7 +83,7 @@
             is_idle = not self._is_busy()
         finally:
             if not is_idle:  # also after a fault, which is logged: the program has to end
-                self._deadlines.after(POLL_INTERVAL_S, self._await_idle)
+                self._deadlines.call_after(POLL_INTERVAL_S, self._await_idle)
         if is_idle:
             self._finish()
 
@@ -95,7 +95,7 @@
         )
         for subsystem in self._subsystems:
             self._close(subsystem)
-        self._deadlines.after(FLUSH_S, self._end)
+        self._deadlines.call_after(FLUSH_S, self._end)
 
     def _close(self, subsystem: Subsystem) -> None:
         """A file or socket that cannot be closed holds nobody's end up."""
@@ -136,7 +136,7 @@
             has_ended = not self._is_busy() and self._has_closed()
         finally:
             if not has_ended:
-                self._deadlines.after(POLL_INTERVAL_S, self._end)
+                self._deadlines.call_after(POLL_INTERVAL_S, self._end)
         if has_ended:
             self._stop_loop()
 
--- a/wickhinge/net/control/membership.py
+++ b/wickhinge/net/control/membership.py
@@ -72,7 +72,7 @@
         """Parameters as named; options: the `discovery` options."""
         self.node, self.settings = node, settings
         self.list_file, self.key, self.static = sources.list_file, sources.key, sources.static
-        self.now, self.after, self.log_event = node.deadlines.now, node.deadlines.after, node.log.event
+        self.now, self.after, self.log_event = node.deadlines.now, node.deadlines.call_after, node.log.event
         self.chance = RandomSource(node.seed ^ 0x5EED)
         self.controller = MembershipController(self, self.chance, settings)
         self.write_interval_s = 60.0 / options.writes_a_minute
--- a/wickhinge/net/control/peer_transport.py
+++ b/wickhinge/net/control/peer_transport.py
@@ -61,7 +61,7 @@
     def __init__(self, node: PeerHost, roster: Roster, keys: list[bytes], seed: int) -> None:
         """keys: the first is ours; what comes under the others is read too, while the fleet changes its key."""
         self.node, self.keys, self.closed = node, keys, False
-        self.after, self.log = node.deadlines.after, node.log.event
+        self.after, self.log = node.deadlines.call_after, node.log.event
         self.unreadable = self.unsent = self.left = self.taken = 0
         self.detector = FailureDetector(
             roster, RandomSource(seed), clock(), self.send, lambda event, **told: self.log(f"peers_{event}", **told)
--- a/wickhinge/net/control/process_report.py
+++ b/wickhinge/net/control/process_report.py
@@ -48,7 +48,7 @@
 
     def start(self) -> None:
         """Writes the first report after an interval, and all that follow."""
-        self._deadlines.after(REPORT_INTERVAL_S, self._report)
+        self._deadlines.call_after(REPORT_INTERVAL_S, self._report)
 
     def _report(self) -> None:
         usage = resource.getrusage(resource.RUSAGE_SELF)
@@ -66,7 +66,7 @@
             **self._server_figures(),
             **{name: subsystem.figures() for name, subsystem in self._optional.items()},
         )
-        self._deadlines.after(REPORT_INTERVAL_S, self._report)
+        self._deadlines.call_after(REPORT_INTERVAL_S, self._report)
 
     def _client_figures(self) -> dict[str, Any]:
         requests, clients = self._requests, self._clients
--- a/wickhinge/net/control/readiness.py
+++ b/wickhinge/net/control/readiness.py
@@ -56,7 +56,7 @@
     def start(self) -> None:
         """Called when the loop runs: the time limit counts from here, not from the start of a slow program."""
         self._started_at = self._deadlines.now()
-        self._deadlines.after(MAX_WAIT_S, self.open, "not told")
+        self._deadlines.call_after(MAX_WAIT_S, self.open, "not told")
 
     def caught_up(self) -> None:
         """Called when the service has nothing that the router does not know."""
--- a/wickhinge/net/control/router_process.py
+++ b/wickhinge/net/control/router_process.py
@@ -142,7 +142,7 @@
 
     def call_later(self, delay: float, call: Callable[[float], None]) -> None:
         """Calls back with the time then."""
-        self.deadlines.after(delay, lambda: call(self.deadlines.now()))
+        self.deadlines.call_after(delay, lambda: call(self.deadlines.now()))
 
     def check_health(self, server: Any) -> None:
         """Begins a health check."""
@@ -193,7 +193,7 @@
         known_at = max(self.reactor.arrivals.handled_until, self.endpoint_watch.last_read_pending_at)
         if now - known_at <= MAX_STALENESS_S:
             return True
-        self.deadlines.soon(self.endpoint_watch.read_pending)
+        self.deadlines.call_soon(self.endpoint_watch.read_pending)
         return False
 
     def pause(self) -> None:
@@ -253,7 +253,7 @@
         self._build_copies_and_membership(configuration, options)
         self._build_request_path()
         self.updates = EndpointUpdates(self.decisions, self.attempts, self.names, self.log.event)
-        self.reloads = OwedReload(self._reload_files, self.deadlines.after, self.log.event, answered_reloads)
+        self.reloads = OwedReload(self._reload_files, self.deadlines.call_after, self.log.event, answered_reloads)
         self._build_fleet_clients(options)
         self._build_endpoint_watch(configuration, options)
         self.listen_address = config.listen_address(configuration)
@@ -370,4 +370,4 @@
         step_s = self._clock_watch.step(wall(), monotonic())
         if step_s:
             self.log.event("wall_clock_stepped", by_s=round(step_s, 3))
-        self.deadlines.after(CLOCK_CHECK_INTERVAL_S, self._check_clock)
+        self.deadlines.call_after(CLOCK_CHECK_INTERVAL_S, self._check_clock)
--- a/wickhinge/net/control/start_steps.py
+++ b/wickhinge/net/control/start_steps.py
@@ -44,4 +44,4 @@
             return
         if budget.tries == 1:
             self._log("start_step_failed", reason=str(problem), will_retry=True)
-        self._deadlines.after(delay_s, self._try, name, step, budget)
+        self._deadlines.call_after(delay_s, self._try, name, step, budget)
--- a/wickhinge/net/downstream/client_connection.py
+++ b/wickhinge/net/downstream/client_connection.py
@@ -172,7 +172,7 @@
         else:
             self.is_socket_drained = False  # there may be more, as old as this
         if self.queued_requests or self.queued_pings:
-            self.clients.deadlines.soon(self.update_hold)
+            self.clients.deadlines.call_soon(self.update_hold)
 
     def is_request_open(self, call: int) -> bool:
         """Whether it is known to be there still, and not to have given this request up."""
@@ -277,7 +277,7 @@
             self.invalid_request_count += 1
             hold = min(INITIAL_HOLD_S * 2 ** min(self.invalid_request_count, 9), MAX_HOLD_S)
             self.hold_until = self.clients.deadlines.now() + hold
-            self.clients.deadlines.after(hold + 0.001, self.update_hold)
+            self.clients.deadlines.call_after(hold + 0.001, self.update_hold)
             return
         if call in self.open_requests:
             self.open_requests[call] = door
@@ -334,7 +334,7 @@
             else:
                 item.drop_written(size)
             self.is_write_blocked, self.last_write_at = True, self.clients.deadlines.now()
-            self.clients.deadlines.after(MAX_WRITE_STALL_S, self.check_write_stall)
+            self.clients.deadlines.call_after(MAX_WRITE_STALL_S, self.check_write_stall)
             self.transport.registerProducer(self, False)
 
     def drop_written_item(self, item: bytes | Body) -> None:
@@ -370,7 +370,7 @@
         if still >= MAX_WRITE_STALL_S - 0.01:
             self.fail("reads nothing")
         else:
-            self.clients.deadlines.after(MAX_WRITE_STALL_S - still, self.check_write_stall)
+            self.clients.deadlines.call_after(MAX_WRITE_STALL_S - still, self.check_write_stall)
 
     def update_hold(self) -> None:
         """In a hold it is read on and nothing new is begun: unread, one that leaves or gives a request up is not
--- a/wickhinge/net/downstream/client_connections.py
+++ b/wickhinge/net/downstream/client_connections.py
@@ -74,7 +74,7 @@
         """On the next turn, so that no client is hung up on within a call of its own."""
         if self.listener is not None and self.listener.is_paused and not self.is_resume_scheduled:
             self.is_resume_scheduled = True
-            self.deadlines.soon(self.resume_listener)
+            self.deadlines.call_soon(self.resume_listener)
 
     def resume_listener(self) -> None:
         """Let the listener look again."""
@@ -116,7 +116,7 @@
                 self.close_if_idle(client)
         self.admission.raise_limit()
         self.schedule_listener_resume()
-        self.deadlines.after(SWEEP_INTERVAL_S, self.sweep)
+        self.deadlines.call_after(SWEEP_INTERVAL_S, self.sweep)
 
     def close_if_idle(self, client: ClientConnection, for_room: bool = False) -> bool:
         """Hang up on it, unless it has asked meanwhile: its socket is read to the end first. Whether it went."""
--- a/wickhinge/net/downstream/listener.py
+++ b/wickhinge/net/downstream/listener.py
@@ -67,7 +67,7 @@
         if not room:
             self.note_backlog()
             self.pause()
-            self.deadlines.soon(self.make_room)
+            self.deadlines.call_soon(self.make_room)
             return
         while room:
             try:
@@ -113,7 +113,7 @@
         """
         self.note_backlog()
         self.pause()
-        self.deadlines.after(RETRY_INTERVAL_S, self.resume)
+        self.deadlines.call_after(RETRY_INTERVAL_S, self.resume)
         self.accepts_without_descriptor = (
             self.accepts_without_descriptor + 1 if problem.errno in NO_DESCRIPTOR_ERRNOS else 0
         )
@@ -126,7 +126,7 @@
                 clients=self.admission.open_descriptors,
                 allowed=self.admission.current_limit,
             )
-            self.deadlines.soon(self.make_room)
+            self.deadlines.call_soon(self.make_room)
 
     def make_room(self) -> None:
         """On a turn of its own: a descriptor that is closed within a poll's events might be used again among them."""
--- a/wickhinge/net/downstream/request_table.py
+++ b/wickhinge/net/downstream/request_table.py
@@ -197,7 +197,7 @@
         request_entry.deadline = now + request.timeout - SLACK_S
         self._route(request_entry, request, now, waited)
         if not request_entry.has_ended:
-            self.deadlines.at(now + request.timeout + ANSWERED_WITHIN_S, self.expire_request, request_entry.number)
+            self.deadlines.call_at(now + request.timeout + ANSWERED_WITHIN_S, self.expire_request, request_entry.number)
         return request_entry
 
     def _remember_rid(self, rid: str) -> None:
--- a/wickhinge/net/runtime/deadlines.py
+++ b/wickhinge/net/runtime/deadlines.py
@@ -48,20 +48,20 @@
         """Seconds of the steady clock."""
         return steady()
 
-    def at(self, when: float, call: Callable[..., None], *args: Any) -> None:
+    def call_at(self, when: float, call: Callable[..., None], *args: Any) -> None:
         """Calls at a time of the steady clock; cannot be cancelled."""
         self.serial += 1
         heappush(self.heap, (when, self.serial, call, args))
         if when < self.due:
             self.arm()
 
-    def after(self, delay: float, call: Callable[..., None], *args: Any) -> None:
+    def call_after(self, delay: float, call: Callable[..., None], *args: Any) -> None:
         """Calls after so many seconds; cannot be cancelled."""
-        self.at(self.now() + delay, call, *args)
+        self.call_at(self.now() + delay, call, *args)
 
-    def soon(self, call: Callable[..., None], *args: Any) -> None:
+    def call_soon(self, call: Callable[..., None], *args: Any) -> None:
         """Calls on the next turn of the loop: what the decisions started must return before they hear of its end."""
-        self.at(0.0, call, *args)
+        self.call_at(0.0, call, *args)
 
     def arm(self) -> None:
         """Sets the timer to the first deadline."""
--- a/wickhinge/net/upstream/attempts.py
+++ b/wickhinge/net/upstream/attempts.py
@@ -134,16 +134,16 @@
             source = sent.forward.source.id if sent.forward.source is not sent.cache else 0
             sent.door.trace.add(sent.since, Step.SENT, sent.cache.id, (round(patience * 1000), source))
             if sent.door.check_ended():
-                self.deadlines.soon(self.ended, number, AttemptResult.RECALLED)
+                self.deadlines.call_soon(self.ended, number, AttemptResult.RECALLED)
                 return number
         machine = self.caches.machines.get(sent.cache.id)  # none: gone meanwhile, and freed
         if machine is not None:
             probe = resp.pack(b"STAT", sent.tag) if sent.door is None else None
             sent.line = machine.send(sent.tag, number, probe)
         if sent.line is None:
-            self.deadlines.soon(self.ended, number, AttemptResult.NO_DESCRIPTOR)
+            self.deadlines.call_soon(self.ended, number, AttemptResult.NO_DESCRIPTOR)
         elif sent.door is None or sent.since + patience < sent.door.deadline:
-            self.deadlines.at(sent.since + patience, self.expire, number)
+            self.deadlines.call_at(sent.since + patience, self.expire, number)
         # Else it runs out with its visit, which ends what is out: one deadline less for nearly every forward.
         return number
 
@@ -154,7 +154,7 @@
     def cancel(self, number: int) -> None:
         """Stopped now; the module hears of it on the next turn, since this is called from within it."""
         self.halt(number)
-        self.deadlines.soon(self.ended, number, AttemptResult.STOPPED)
+        self.deadlines.call_soon(self.ended, number, AttemptResult.STOPPED)
 
     def recall(self, number: int, whole: bool = False) -> None:
         """Not sent after all where it still waits for its connection. whole: also where it has begun to go; the
@@ -165,7 +165,7 @@
             return
         if whole or sent.line.waits(sent.tag):
             sent.line.stop(sent.tag, sent.since)
-            self.deadlines.soon(self.ended, number, AttemptResult.RECALLED)
+            self.deadlines.call_soon(self.ended, number, AttemptResult.RECALLED)
 
     def overtaken(self, holds: Callable[[SentAttempt], bool]) -> None:
         """Something was told that forms a bar to what was decided before it. A send counts from its first byte, and
@@ -189,7 +189,7 @@
         while True:
             now = self.deadlines.now()
             if sent.door.check_ended():
-                self.deadlines.soon(self.ended, number, AttemptResult.RECALLED)  # where nothing may be withdrawn
+                self.deadlines.call_soon(self.ended, number, AttemptResult.RECALLED)  # where nothing may be withdrawn
                 return None
             if now >= sent.until:
                 self.take_back(number, "its time was over before it was written")
@@ -219,7 +219,7 @@
         sent.door.trace.add(self.deadlines.now(), Step.TAKEN_BACK, sent.cache.id, why)
         if sent.line is not None:
             sent.line.stop(sent.tag, sent.since)
-        self.deadlines.soon(self.ended, number, AttemptResult.RECALLED)
+        self.deadlines.call_soon(self.ended, number, AttemptResult.RECALLED)
 
     def halt(self, number: int) -> None:
         sent = self.slots.get(number)
--- a/wickhinge/net/upstream/connection_pools.py
+++ b/wickhinge/net/upstream/connection_pools.py
@@ -61,7 +61,7 @@
     def connect(self, address: tuple[str, int]) -> None:
         self.caches.held += 1
         self.attempt = ConnectAttempt(self.caches.deadlines.reactor, address, self, self.unconnected)
-        self.caches.deadlines.after(self.caches.connect_within, self.overdue)
+        self.caches.deadlines.call_after(self.caches.connect_within, self.overdue)
 
     def connectionMade(self) -> None:
         self.up, self.attempt = True, None
@@ -71,7 +71,7 @@
         self.socket = self.transport.getHandle()
         if self.caches.paused:
             self.transport.pauseProducing()
-        self.caches.deadlines.after(self.caches.idle, self.rest)
+        self.caches.deadlines.call_after(self.caches.idle, self.rest)
         self.drain()
 
     def unconnected(self, failure: Failure) -> None:
@@ -151,7 +151,7 @@
         if tag in self.unwritten:
             if self.begun and self.queue[0].tag == tag:  # the rest may not follow, and nothing else can
                 self.cut = self.doubted = True
-                self.caches.deadlines.soon(self.over, AttemptResult.CUT, "a request given up half written")
+                self.caches.deadlines.call_soon(self.over, AttemptResult.CUT, "a request given up half written")
             else:
                 self.queue = deque(item for item in self.queue if item.tag != tag)
             self.unwritten.discard(tag)
@@ -197,7 +197,7 @@
                 self.over(AttemptResult.UNREADABLE, f"an answer {word!r:.20} with {told!r:.60}")
         if self.stream.busy() and not self.watched:
             self.watched = True
-            self.caches.deadlines.after(STALL, self.watch)
+            self.caches.deadlines.call_after(STALL, self.watch)
         self.settle()
 
     def watch(self) -> None:
@@ -220,7 +220,7 @@
         # Where this router is behind or has stopped reading, the rest lies unread: that is looked at.
         if now - self.heard < STALL or self.caches.paused or has_unread_data(self.socket):
             self.watched = True
-            self.caches.deadlines.after(0.5 * STALL, self.watch)
+            self.caches.deadlines.call_after(0.5 * STALL, self.watch)
         else:
             self.over(AttemptResult.UNREADABLE, "an answer that stopped short")
 
@@ -253,7 +253,7 @@
             self.close()
         else:
             left = self.used + self.caches.idle - now
-            self.caches.deadlines.after(max(left, 0.5), self.rest)
+            self.caches.deadlines.call_after(max(left, 0.5), self.rest)
 
     def connectionLost(self, reason: Failure) -> None:
         self.caches.held -= 1
--- a/wickhinge/net/upstream/local_copies.py
+++ b/wickhinge/net/upstream/local_copies.py
@@ -63,11 +63,12 @@
     def read(self, door: Any, copy: Any) -> None:
         number = self.slots.put((door, copy))
         if door.client_etag and door.client_etag.encode() == copy.etag:
-            self.deadlines.soon(self.ended, number, True, "told")
+            self.deadlines.call_soon(self.ended, number, True, "told")
             return
-        self.deadlines.after(self.within, self.ended, number, None, "late")
+        self.deadlines.call_after(self.within, self.ended, number, None, "late")
         self.store.read(
-            copy, lambda data, memory: self.deadlines.soon(self.ended, number, data, "memory" if memory else "disk")
+            copy,
+            lambda data, memory: self.deadlines.call_soon(self.ended, number, data, "memory" if memory else "disk"),
         )
 
     def ended(self, number: int, data: Any, how: str) -> None:
@@ -129,7 +130,7 @@
     others: OthersTime,
 ) -> LocalCopies | None:
     workers = Workers(reactor, min(options.store.reads_at_once, MAX_READ_THREADS), fault)
-    store = start_store(options.store, options.journal, Runtime(workers, deadlines.now, deadlines.after, log))
+    store = start_store(options.store, options.journal, Runtime(workers, deadlines.now, deadlines.call_after, log))
     if store is None:
         return None
     return LocalCopies(store, deadlines, pool, LinkBandwidth(*link), options.store.read_within_s, fault, others)
