--- a/wickhinge/net/control/endpoint_watch.py
+++ b/wickhinge/net/control/endpoint_watch.py
@@ -250,7 +250,7 @@
             lambda failure: self.retry(failure_text(failure), connect_round),
         )
         # Stopping an attempt has no effect on a connection that has been established.
-        self.deadlines.after(self._connect_timeout_s, attempt.stop)
+        self.deadlines.call_after(self._connect_timeout_s, attempt.stop)
 
     def handle_connected(self, connection: WatchConnection) -> None:
         """Use an established connection, or abort it if a newer connect attempt has been started."""
@@ -260,7 +260,7 @@
         self.connection, self._last_received_at = connection, self.deadlines.now()
         self._round_trip_s = self._last_received_at - self._connecting_since
         self.log("endpoint_watch_connected", last_event=self.last_number)
-        self.deadlines.after(SILENCE_LIMIT_S, self._check_silence, connection)
+        self.deadlines.call_after(SILENCE_LIMIT_S, self._check_silence, connection)
 
     def retry(self, reason: str, connect_round: int) -> None:
         """Connect again after a delay, unless a newer connect attempt has been started."""
@@ -270,7 +270,7 @@
         delay_s = RETRY_INTERVAL_S
         if self._addresses is not None:
             self.address, delay_s = self._addresses.record_failure()
-        self.deadlines.after(delay_s, self.start, connect_round)
+        self.deadlines.call_after(delay_s, self.start, connect_round)
 
     def drop_connection(self, connection: WatchConnection, reason: str) -> None:
         """Abort a connection and connect again after a delay."""
@@ -324,7 +324,7 @@
             return
         if self._awaits_confirmation and kind != FrameKind.NO_MORE_EVENTS:
             self._awaits_confirmation = False
-            self.deadlines.after(max(2 * self._round_trip_s, MIN_CONFIRM_DELAY_S), self._confirm, connection)
+            self.deadlines.call_after(max(2 * self._round_trip_s, MIN_CONFIRM_DELAY_S), self._confirm, connection)
 
     def apply_frame(self, number: int, kind: int, payload: bytes) -> None:
         """Deliver one event to the listener.
@@ -403,7 +403,7 @@
         if silence_s >= SILENCE_LIMIT_S - SILENCE_TOLERANCE_S:
             self.drop_connection(connection, "no frame received within the silence limit")
         else:
-            self.deadlines.after(SILENCE_LIMIT_S - silence_s, self._check_silence, connection)
+            self.deadlines.call_after(SILENCE_LIMIT_S - silence_s, self._check_silence, connection)
 
     def _confirm(self, connection: WatchConnection) -> None:
         """Connect anew to learn at once whether there are more events.
--- a/wickhinge/net/control/process_report.py
+++ b/wickhinge/net/control/process_report.py
@@ -39,7 +39,7 @@
     ) -> None:
         """Parameters as named; optional: the subsystems that are on, by their names in the report."""
         self._clients, self._decisions, self._log, self._optional = clients, decisions, log, optional
-        self._requests = clients.visits
+        self._requests = clients.request_table
         self._attempts = self._requests.forwards
         self._pools = self._attempts.pools
         self._deadlines: Deadlines = clients.deadlines
@@ -48,7 +48,7 @@
 
     def start(self) -> None:
         """Writes the first report after an interval, and all that follow."""
-        self._deadlines.after(REPORT_INTERVAL_S, self._report)
+        self._deadlines.call_after(REPORT_INTERVAL_S, self._report)
 
     def _report(self) -> None:
         usage = resource.getrusage(resource.RUSAGE_SELF)
@@ -66,20 +66,20 @@
             **self._server_figures(),
             **{name: subsystem.report_fields() for name, subsystem in self._optional.items()},
         )
-        self._deadlines.after(REPORT_INTERVAL_S, self._report)
+        self._deadlines.call_after(REPORT_INTERVAL_S, self._report)
 
     def _client_figures(self) -> dict[str, Any]:
         requests, clients = self._requests, self._clients
         return {
-            "taken": requests.taken,
-            "open": requests.open(),
-            "clients": len(clients.all),
-            "client_descriptors": clients.admission.held,
-            "answers": requests.answers,
+            "taken": requests.started_count,
+            "open": requests.open_count(),
+            "clients": len(clients.connections),
+            "client_descriptors": clients.admission.open_descriptors,
+            "answers": requests.answer_counts,
             "unserved": requests.request_log.unserved_by_reason,
             "unlogged": requests.request_log.unlogged_count,
-            "closed": clients.closed,
-            "faults": clients.take_faults(),
+            "closed": clients.close_counts,
+            "faults": clients.take_fault_counts(),
         }
 
     def _server_figures(self) -> dict[str, Any]:
@@ -87,7 +87,7 @@
         return {
             "lines": sum(len(pool.connections) for pool in pools.pools_by_id.values()),
             "line_descriptors": pools.open_descriptors,
-            "buffers": pools.buffer_pool.peak,
+            "buffers": pools.buffer_pool.peak_in_use,
             "late_answers": pools.late_responses,
             "known": len(self._decisions.endpoints.servers),
             "machines": len(pools.pools_by_id),
--- a/wickhinge/net/upstream/attempts.py
+++ b/wickhinge/net/upstream/attempts.py
@@ -110,16 +110,18 @@
                 ("freshen", parameters.revalidate),
             )
             fields += ",flags=" + "+".join(word for word, on in words if on)
-        if parameters.only_if_cached and door.missed is not None:
-            door.missed.block_tag(door.rid)  # this may end as a miss, and the look's, come twice, would be taken for it
+        if parameters.only_if_cached and door.missed_connection is not None:
+            door.missed_connection.block_tag(
+                door.rid
+            )  # this may end as a miss, and the look's, come twice, would be taken for it
         now = self.deadlines.now()
         sent = SentAttempt(door, forward, cache, now, now + parameters.timeout)
         if parameters.begin_within is not None:
             sent.first_byte_deadline = now + parameters.begin_within
         sent.is_fill = source is not None and source is not cache and not parameters.only_if_cached
-        if door.cached:
-            sent.offered_copy = door.cached
-            fields += f",have={door.cached}"
+        if door.client_etag:
+            sent.offered_copy = door.client_etag
+            fields += f",have={door.client_etag}"
         elif forward.request.local_copy is not None:
             sent.offered_copy = forward.request.local_copy
             fields += f",have={sent.offered_copy.etag.decode()}"
@@ -135,20 +137,20 @@
         number = self.slots.put(sent)
         sent.tag = tag or b"p%d" % number
         if sent.downstream_request is not None:
-            sent.downstream_request.out[sent.attempt] = number
+            sent.downstream_request.open_attempts[sent.attempt] = number
             source = sent.attempt.source.id if sent.attempt.source is not sent.server else 0
             sent.downstream_request.trace.add(sent.sent_at, Step.SENT, sent.server.id, (round(patience * 1000), source))
-            if sent.downstream_request.left():
-                self.deadlines.soon(self.attempt_ended, number, AttemptResult.RECALLED)
+            if sent.downstream_request.check_ended():
+                self.deadlines.call_soon(self.attempt_ended, number, AttemptResult.RECALLED)
                 return number
         machine = self.pools.pools_by_id.get(sent.server.id)  # none: gone meanwhile, and freed
         if machine is not None:
             probe = resp.pack(b"STAT", sent.tag) if sent.downstream_request is None else None
             sent.connection = machine.send(sent.tag, number, probe)
         if sent.connection is None:
-            self.deadlines.soon(self.attempt_ended, number, AttemptResult.NO_DESCRIPTOR)
-        elif sent.downstream_request is None or sent.sent_at + patience < sent.downstream_request.until:
-            self.deadlines.at(sent.sent_at + patience, self.expire, number)
+            self.deadlines.call_soon(self.attempt_ended, number, AttemptResult.NO_DESCRIPTOR)
+        elif sent.downstream_request is None or sent.sent_at + patience < sent.downstream_request.deadline:
+            self.deadlines.call_at(sent.sent_at + patience, self.expire, number)
         # Else it runs out with its visit, which ends what is out: one deadline less for nearly every forward.
         return number
 
@@ -159,7 +161,7 @@
     def cancel(self, number: int) -> None:
         """Stopped now; the module hears of it on the next turn, since this is called from within it."""
         self.halt(number)
-        self.deadlines.soon(self.attempt_ended, number, AttemptResult.CANCELLED)
+        self.deadlines.call_soon(self.attempt_ended, number, AttemptResult.CANCELLED)
 
     def recall(self, number: int, whole: bool = False) -> None:
         """Not sent after all where it still waits for its connection. whole: also where it has begun to go; the
@@ -170,7 +172,7 @@
             return
         if whole or sent.connection.waits(sent.tag):
             sent.connection.cancel(sent.tag, sent.sent_at)
-            self.deadlines.soon(self.attempt_ended, number, AttemptResult.RECALLED)
+            self.deadlines.call_soon(self.attempt_ended, number, AttemptResult.RECALLED)
 
     def recall_unwritten(self, holds: Callable[[SentAttempt], bool]) -> None:
         """Something was told that forms a bar to what was decided before it. A send counts from its first byte, and
@@ -197,8 +199,8 @@
             return None
         while True:
             now = self.deadlines.now()
-            if sent.downstream_request.left():
-                self.deadlines.soon(
+            if sent.downstream_request.check_ended():
+                self.deadlines.call_soon(
                     self.attempt_ended, number, AttemptResult.RECALLED
                 )  # where nothing may be withdrawn
                 return None
@@ -222,7 +224,7 @@
         door = sent.downstream_request
         budget = max(int((sent.deadline - now) * 1000), 1)
         body = b"".join(door.body.views()) if door.body is not None else b""
-        return resp.pack(b"REQ", door.rid, f"{door.passed},budget={budget}{sent.fields}".encode(), body)
+        return resp.pack(b"REQ", door.rid, f"{door.upstream_fields},budget={budget}{sent.fields}".encode(), body)
 
     def take_back(self, number: int, why: str) -> None:
         """Nothing of it has been written: it is decided anew on the next turn."""
@@ -230,7 +232,7 @@
         sent.downstream_request.trace.add(self.deadlines.now(), Step.TAKEN_BACK, sent.server.id, why)
         if sent.connection is not None:
             sent.connection.cancel(sent.tag, sent.sent_at)
-        self.deadlines.soon(self.attempt_ended, number, AttemptResult.RECALLED)
+        self.deadlines.call_soon(self.attempt_ended, number, AttemptResult.RECALLED)
 
     def halt(self, number: int) -> None:
         sent = self.slots.get(number)
@@ -252,11 +254,11 @@
             and (sent.offered_copy is None or b"made=" not in told)
             or end is AttemptResult.SERVED
             and sent.downstream_request is not None
-            and not sent.downstream_request.fits(told, body)
+            and not sent.downstream_request.is_valid_answer(told, body)
         ):
             end = AttemptResult.UNREADABLE
         if end is AttemptResult.MISS and sent is not None and sent.downstream_request is not None:
-            sent.downstream_request.missed = sent.connection
+            sent.downstream_request.missed_connection = sent.connection
         if sent is not None and sent.connection is not None and end not in (AttemptResult.MISS, AttemptResult.SERVED):
             # The visit may come again to this machine. A second answer, some milliseconds late, would then end that
             # forward while it runs; refused twice and run once, an exclusive visit would be sent a second time.
@@ -285,7 +287,7 @@
             self.membership.record_attempt_outcome(sent, outcome)
         door.trace.add(now, Step.ENDED, sent.server.id, (end, told))
         if outcome is Outcome.SUCCEEDED:
-            if self.local_copies is not None and not door.final:
+            if self.local_copies is not None and not door.has_ended:
                 self.local_copies.store_response(sent.attempt.request, resp.parse_fields(told), body)
             door.serve(body, False)
         elif body is not None:
@@ -301,9 +303,9 @@
             place = told.find(b"detail=")
             note = CACHE_STATUS_BY_CODE.get(told[place + 7 : place + 8]) if place >= 0 else None
             load = resp.parse_load_report(resp.parse_fields(told).get("use", "")) if b"use=" in told else None
-            completion = Completion(outcome, took, door.final, note, load)
+            completion = Completion(outcome, took, door.has_ended, note, load)
             sent.attempt.request.attempt_ended(sent.attempt, completion, now)
         except Exception:
             self.fault("forward")
-            door.broken()
-        door.forgotten(sent.attempt)
+            door.end_with_internal_error()
+        door.attempt_ended(sent.attempt)
--- a/wickhinge/net/upstream/connection_pools.py
+++ b/wickhinge/net/upstream/connection_pools.py
@@ -14,7 +14,7 @@
 
 from wickhinge.common.connector import ConnectAttempt, failure_text
 from wickhinge.common.failed_calls import call_with_retries, has_unread_data
-from wickhinge.net.downstream.descriptors import CLOSING
+from wickhinge.net.downstream.descriptors import CLOSING_DESCRIPTORS
 from wickhinge.net.runtime.buffers import Body, BufferPool
 from wickhinge.net.runtime.deadlines import Deadlines
 from wickhinge.net.upstream import resp
@@ -61,7 +61,7 @@
     def connect(self, address: tuple[str, int]) -> None:
         self.pools.open_descriptors += 1
         self.attempt = ConnectAttempt(self.pools.deadlines.reactor, address, self, self.connect_failed)
-        self.pools.deadlines.after(self.pools.connect_within, self.connect_timed_out)
+        self.pools.deadlines.call_after(self.pools.connect_within, self.connect_timed_out)
 
     def connectionMade(self) -> None:
         self.is_up, self.attempt = True, None
@@ -71,7 +71,7 @@
         self.socket = self.transport.getHandle()
         if self.pools.paused:
             self.transport.pauseProducing()
-        self.pools.deadlines.after(self.pools.idle, self.rest)
+        self.pools.deadlines.call_after(self.pools.idle, self.rest)
         self.drain()
 
     def connect_failed(self, failure: Failure) -> None:
@@ -151,7 +151,7 @@
         if tag in self.unwritten_tags:
             if self.begun and self.write_queue[0].tag == tag:  # the rest may not follow, and nothing else can
                 self.cut = self.is_suspect = True
-                self.pools.deadlines.soon(
+                self.pools.deadlines.call_soon(
                     self.over, AttemptResult.CLOSED_PARTLY_WRITTEN, "a request given up half written"
                 )
             else:
@@ -199,7 +199,7 @@
                 self.over(AttemptResult.UNREADABLE, f"an answer {word!r:.20} with {told!r:.60}")
         if self.stream.is_mid_array() and not self.watched:
             self.watched = True
-            self.pools.deadlines.after(STALL, self.check_progress)
+            self.pools.deadlines.call_after(STALL, self.check_progress)
         self.settle()
 
     def check_progress(self) -> None:
@@ -222,7 +222,7 @@
         # Where this router is behind or has stopped reading, the rest lies unread: that is looked at.
         if now - self.last_received_at < STALL or self.pools.paused or has_unread_data(self.socket):
             self.watched = True
-            self.pools.deadlines.after(0.5 * STALL, self.check_progress)
+            self.pools.deadlines.call_after(0.5 * STALL, self.check_progress)
         else:
             self.over(AttemptResult.UNREADABLE, "an answer that stopped short")
 
@@ -255,7 +255,7 @@
             self.close()
         else:
             left = self.used + self.pools.idle - now
-            self.pools.deadlines.after(max(left, 0.5), self.rest)
+            self.pools.deadlines.call_after(max(left, 0.5), self.rest)
 
     def connectionLost(self, reason: Failure) -> None:
         self.pools.open_descriptors -= 1
@@ -429,7 +429,7 @@
         free = self.max_connections - sum(len(machine.connections) for machine in self.pools_by_id.values())
         if needed and free == 0 and self.close_resting():
             free = 1
-        return free > 0 and self.open_descriptors < self.max_connections + CLOSING
+        return free > 0 and self.open_descriptors < self.max_connections + CLOSING_DESCRIPTORS
 
     def close_resting(self) -> bool:
         """Close the connection that rests for longest, if any does."""
--- a/wickhinge/net/upstream/local_copies.py
+++ b/wickhinge/net/upstream/local_copies.py
@@ -62,12 +62,13 @@
 
     def read(self, door: Any, copy: Any) -> None:
         number = self.slots.put((door, copy))
-        if door.cached and door.cached.encode() == copy.etag:
-            self.deadlines.soon(self.ended, number, True, "told")
+        if door.client_etag and door.client_etag.encode() == copy.etag:
+            self.deadlines.call_soon(self.ended, number, True, "told")
             return
-        self.deadlines.after(self.within, self.ended, number, None, "late")
+        self.deadlines.call_after(self.within, self.ended, number, None, "late")
         self.store.read(
-            copy, lambda data, memory: self.deadlines.soon(self.ended, number, data, "memory" if memory else "disk")
+            copy,
+            lambda data, memory: self.deadlines.call_soon(self.ended, number, data, "memory" if memory else "disk"),
         )
 
     def ended(self, number: int, data: Any, how: str) -> None:
@@ -76,18 +77,18 @@
         if entry is None:
             return
         door, copy = entry
-        if door.final:
+        if door.has_ended:
             return
         self.served_counts["late"] += how == "late"
         now = self.deadlines.now()
         try:
-            if door.visit.copy_read(copy, now, is_complete=data is not None):
+            if door.routed_request.copy_read(copy, now, is_complete=data is not None):
                 self.served_counts[how] += 1
                 self.link.record_transfer(int(copy.size * TOLD) if data is True else copy.size, now)
                 door.serve(None if data is True else Body(self.pool, data), data is True)
         except Exception:
             self.fault("copies")
-            door.broken()
+            door.end_with_internal_error()
 
     # Copies out of answers.
 
@@ -129,7 +130,7 @@
     others: RemoteClock,
 ) -> LocalCopies | None:
     workers = Workers(reactor, min(options.store.reads_at_once, MAX_READ_THREADS), fault)
-    store = start_store(options.store, options.journal, Runtime(workers, deadlines.now, deadlines.after, log))
+    store = start_store(options.store, options.journal, Runtime(workers, deadlines.now, deadlines.call_after, log))
     if store is None:
         return None
     return LocalCopies(store, deadlines, pool, LinkBandwidth(*link), options.store.read_within_s, fault, others)
