--- a/tests/ci/test_known_red.py
+++ b/tests/ci/test_known_red.py
@@ -57,6 +57,9 @@
         (["tests/test_it.py::test_red"], TESTS, "line 1: not of the form"),
         (["tests/test_it.py::test_red | cause | seed | issue 1"], TESTS, "line 1: not of the form"),
         (["tests/test_it.py::test_red | | 1 | seen | issue 1"], TESTS, "line 1: not of the form"),
+        (["tests/test_it.py::test_red | issue 1 | at times"], TESTS, "line 1: not of the form"),
+        ([f"{RED} | at times".replace("test_red", "test_gone")], GREEN, "test_gone could not be run"),
+        ([f"{RED} | at times"], TESTS, "2 failed, 1 passed, 1 deselected"),  # others fail
     ],
 )
 def test_it_fails(tmp_path, known, tests, said):
@@ -72,5 +75,15 @@
     assert "[2]: 2 in place of 0 (issue 1; replay: python -m bench.it --seed 2, seed 2)" in done.stdout
 
 
+def test_a_test_listed_as_failing_at_times_may_pass_or_fail_and_is_printed_so(tmp_path):
+    replayed = "tests/test_it.py::test_red_too | python -m bench.it --seed 3 | 3 | late | issue 1 | at times"
+    done = run(tmp_path, [f"{RED} | at times", replayed, PARAMETERS], TESTS + GREEN)
+    assert done.returncode == 0, done.stdout
+    assert "failed, listed: tests/test_it.py::test_red\n" in done.stdout
+    assert "passed, listed: tests/test_it.py::test_red_too\n" in done.stdout
+    assert "test_red_too: late (issue 1; replay: python -m bench.it --seed 3, seed 3)" in done.stdout
+    assert "1 passed, 4 deselected" in done.stdout and "test_red_with_parameters: so is this" in done.stdout
+
+
 def test_without_a_list_all_must_pass(tmp_path):
     assert run(tmp_path, None, GREEN).returncode == 0
