--- a/wickhinge/shared/budgets.py
+++ b/wickhinge/shared/budgets.py
@@ -1,4 +1,4 @@
-"""One budget of the fleet as one router has it, and by what numbers budgets are divided."""
+"""A budget of the whole fleet as one router sees it, and the bounds by which budgets are divided among routers."""
 
 from __future__ import annotations
 
@@ -8,44 +8,51 @@
 from wickhinge.shared.quota_bucket import Quota, QuotaBucket
 from wickhinge.shared.quota_loans import Loans
 
-BURST_S = 0.1  # of a rate that a bucket saves up
-DEMAND_HEADROOM = 1.2  # times the demand is what a router tries to have
-SURPLUS_HEADROOM = 1.1  # times the demand is what it keeps from lending
+BURST_S = 0.1  # Seconds of its refill rate that a bucket saves up at most.
+WANTED_DEMAND_FACTOR = 1.2  # A router tries to have this multiple of its demand.
+KEPT_DEMAND_FACTOR = 1.1  # A router lends only the part of its share above this multiple of its demand.
 
 
 @dataclass(frozen=True, slots=True)
 class BudgetDivision:
-    """By what numbers shares are divided, the same for the whole fleet."""
+    """Upper bounds on routers, by which shares are divided; all routers of the fleet use the same bounds."""
 
-    max_names: int  # of all rosters in use together, at most
-    max_processes: int  # that run at once, at most: names, and those started twice or not ended yet
+    max_names: int  # Bound on the names that all rosters in use hold together.
+    max_processes: int  # Bound on processes that run at once; a name has two while its old process has not ended.
 
-    def within(self, roster: Roster, zone: str) -> BudgetDivision:
-        """The numbers of one zone's routers: names that the roster does not hold yet may all come to be there."""
+    def for_zone(self, roster: Roster, zone: str) -> BudgetDivision:
+        """Return the division among the routers of one zone, or of all zones for "".
+
+        Names that the roster does not hold yet may all be added to this zone, so they are counted in it.
+        """
         if not zone:
             return self
-        names = sum(place.zone == zone for place in roster.entries.values()) + self.max_names - len(roster)
-        return BudgetDivision(names, names + self.max_processes - self.max_names)
+        max_names = sum(entry.zone == zone for entry in roster.entries.values()) + self.max_names - len(roster)
+        return BudgetDivision(max_names, max_names + self.max_processes - self.max_names)
 
 
 @dataclass(frozen=True, slots=True)
 class BudgetScope:
-    """Whose budget it is, and of what."""
+    """Which routers spend a budget, and how much they may spend."""
 
-    zone: str = ""  # its routers alone; "" for all
-    quota: Quota | None = None  # of its one bucket; None where servers have one each, added by who spends
+    zone: str = ""  # Zone whose routers spend the budget; "" for the routers of all zones.
+    quota: Quota | None = None  # Quota of the budget's only bucket; None where each server gets a bucket later.
 
 
 class Budget:
-    """A budget with this router's share, buckets, loans and demand. Levels are parts of the whole budget.
+    """A budget with this router's share, buckets, loans and demand.
+
+    Share, demand, shortage and surplus are fractions of the whole budget.
 
     Attributes:
-        zone: As BudgetScope.zone.
-        division: Of the routers that spend it.
-        buckets: By the server's id, or the one of None.
-        demand: What was asked for here lately, where most was.
-        shortage: What is wanted and not had.
-        surplus: What is had and not wanted.
+        zone: Zone whose routers spend the budget; "" for the routers of all zones.
+        division: Bounds on the routers that spend the budget.
+        loans: Loans to and from other routers.
+        share: Fraction of the budget that this router may spend.
+        buckets: Buckets by server id; a budget with only one bucket has it under None.
+        demand: Fraction that was requested recently, at the bucket with the highest demand.
+        shortage: Fraction that this router wants beyond its share.
+        surplus: Fraction that this router can lend.
     """
 
     def __init__(self, scope: BudgetScope, division: BudgetDivision, now: float) -> None:
@@ -59,19 +66,23 @@
         self.demand = self.shortage = self.surplus = 0.0
 
     def set_share(self, share: float, now: float) -> None:
-        """Set the share of all buckets."""
+        """Set the share of the budget and of all its buckets."""
         if share != self.share:
             self.share = share
             for bucket in self.buckets.values():
                 bucket.set_share(share, now)
 
     def decay_demand(self, factor: float) -> None:
-        """Let the demand that is not felt again fade."""
+        """Multiply the demand of all buckets by a factor, so that old requests count less."""
         for bucket in self.buckets.values():
             bucket.demand_rate *= factor
 
     def update_levels(self, own_share: float) -> None:
-        """Update demand, shortage and surplus; of the share so much is our own, and may be lent."""
+        """Update demand, shortage and surplus.
+
+        Args:
+            own_share: The part of the share that is not borrowed. Only this part may be lent.
+        """
         demands = (
             min(bucket.demand_rate / bucket.total_rate, 1.0)
             for bucket in self.buckets.values()
@@ -79,8 +90,8 @@
         )
         self.demand = max(demands, default=0.0)
         self.shortage = max(self.wanted_share() - self.share, 0.0)
-        self.surplus = min(max(self.share - SURPLUS_HEADROOM * self.demand, 0.0), own_share)
+        self.surplus = min(max(self.share - KEPT_DEMAND_FACTOR * self.demand, 0.0), own_share)
 
     def wanted_share(self) -> float:
-        """The share that would meet the demand."""
-        return min(DEMAND_HEADROOM * self.demand, 1.0)
+        """Return the share that meets the demand, with headroom."""
+        return min(WANTED_DEMAND_FACTOR * self.demand, 1.0)
--- a/wickhinge/shared/lending_payload.py
+++ b/wickhinge/shared/lending_payload.py
@@ -1,10 +1,12 @@
-"""What a datagram between peers carries of budgets: one MessagePack array, about 400 bytes at most.
+"""The payload about budgets in a datagram between routers: one MessagePack array, about 400 bytes at most.
 
-    [[names, processes], clock, echoed clock, granted, [[shortage, surplus] a budget], [[budget, serial, amount] asked],
-     [[budget, serial, amount] granted], [[budget, serial] returned]]
+    [[max names, max processes], clock, echoed clock, lease granted, [[shortage, surplus] of each budget],
+     [[budget, serial, amount] of each requested loan], [[budget, serial, amount] of each granted loan],
+     [[budget, serial] of each returned loan]]
 
-The first are the numbers by which the sender divides. `clock` is the sender's own, which comes back as `echoed clock`
-and tells it when it had asked; nobody else reads it. Levels and amounts are parts of a whole budget, 0 to 1.
+`max names` and `max processes` are the bounds by which the sender divides budgets. `clock` is the sender's time; the
+receiver sends it back as `echoed clock`, which tells the sender when it requested the grant. Only the router whose
+clock it is interprets the value. Levels and amounts are fractions of a whole budget, from 0 to 1.
 """
 
 from __future__ import annotations
@@ -16,19 +18,19 @@
 
 from wickhinge.common.sealing import DatagramError, decode_body
 
-MAX_ITEMS = 8  # of each kind in a datagram
+MAX_LOANS_PER_KIND = 8  # Most requested loans in a message; also most granted and most returned loans.
 MAX_BUDGETS = 8
 
 
 class Level(NamedTuple):
-    """What a router lacks and can spare of a budget."""
+    """How much of a budget a router lacks, and how much it can lend."""
 
     shortage: float
     surplus: float
 
 
 class LoanAmount(NamedTuple):
-    """A loan that is asked for, or granted."""
+    """A loan that is requested or granted."""
 
     budget: int
     serial: int
@@ -36,18 +38,18 @@
 
 
 class LoanReturn(NamedTuple):
-    """A loan that is given back."""
+    """A loan that the borrower gives back."""
 
     budget: int
     serial: int
 
 
 class LendingMessage(msgspec.Struct, array_like=True, frozen=True):
-    """All that one router tells another of budgets."""
+    """All that one datagram tells another router about budgets."""
 
     division: tuple[int, int]
     clock: float
-    echoed_clock: float  # 0 for none
+    echoed_clock: float  # The receiver's own clock from its latest message; 0 for none.
     lease_granted: bool
     levels: list[Level]
     requests: list[LoanAmount]
@@ -60,27 +62,30 @@
 
 
 def encode(message: LendingMessage) -> bytes:
-    """The bytes of a message."""
+    """Return the bytes of a message."""
     return encoder.encode(message)
 
 
 def decode(data: bytes) -> LendingMessage:
-    """The message in these bytes.
+    """Return the message that the bytes encode.
 
     Raises:
-        DatagramError: They are none, or have numbers that no router sends.
+        DatagramError: The bytes are not a message, or a number in it is outside its range.
     """
     message: LendingMessage = decode_body(decoder, data)
     loans = [*message.requests, *message.grants]
-    item_counts = (len(message.requests), len(message.grants), len(message.returns))
-    if len(message.levels) > MAX_BUDGETS or max(item_counts) > MAX_ITEMS:
-        raise DatagramError(f"expected at most {MAX_BUDGETS} budgets and {MAX_ITEMS} loans of a kind")
-    parts = [part for level in message.levels for part in level] + [loan.amount for loan in loans]
-    if not all(isfinite(part) and 0.0 <= part <= 1.0 for part in parts):
-        raise DatagramError("expected parts of a budget from 0 to 1")
+    loan_counts = (len(message.requests), len(message.grants), len(message.returns))
+    if len(message.levels) > MAX_BUDGETS or max(loan_counts) > MAX_LOANS_PER_KIND:
+        raise DatagramError(
+            f"lending message has too many items: expected at most {MAX_BUDGETS} budgets and "
+            f"{MAX_LOANS_PER_KIND} loans of each kind"
+        )
+    fractions = [fraction for level in message.levels for fraction in level] + [loan.amount for loan in loans]
+    if not all(isfinite(fraction) and 0.0 <= fraction <= 1.0 for fraction in fractions):
+        raise DatagramError("lending message has an amount out of range: expected fractions of a budget from 0 to 1")
     budgets = [loan.budget for loan in loans] + [loan.budget for loan in message.returns]
     if not all(0 <= budget < MAX_BUDGETS for budget in budgets):
-        raise DatagramError(f"expected budgets from 0 to {MAX_BUDGETS - 1}")
+        raise DatagramError(f"lending message names an unknown budget: expected a number from 0 to {MAX_BUDGETS - 1}")
     if not (isfinite(message.clock) and isfinite(message.echoed_clock)):
-        raise DatagramError("expected finite times")
+        raise DatagramError("lending message has a clock that is infinite or not a number: expected a finite time")
     return message
