--- a/wickhinge/shared/outlier_detection.py
+++ b/wickhinge/shared/outlier_detection.py
@@ -1,22 +1,28 @@
-"""Outlier detection by several routers: evidence with a witness and an age, never an order.
-
-A router tells what it saw itself, to its zone's routers of caches and to all of parents: at once where that changes,
-and with each datagram that goes anyway. What it does with others' verdicts, and all that it does:
-
-- Two witnesses at least, more than say the server is well, none of them unhealthy themselves, each verdict
-  VERDICT_MAX_AGE_S old at most.
-- UNREACHABLE: the server is ejected here for REST_S at a time while they say so, one failure of our own is enough, and
-  some of us send it a health check at once. Its witnesses go on trying it, as `routing` does with what it lost.
-- SLOW: what the server is believed to bear, beside its peers, is lowered to the median of what they say, where we have
-  few answers of our own; it drifts back as every such belief does, and own answers move it from then on. Who was told
-  says nothing of it himself, so that no verdict feeds on its echo.
-- RESTARTED: a start that the endpoint list has not told, and we did not see, counts from when they saw it.
-- At most MAX_EJECTED_SHARE of a location's caches (one at least), and of parents, stand under others' verdict at a
-  time.
-
-Who finds more than half of its servers bad that others find well has a bad network itself: its verdicts do not count,
-here and, as it hears the same of itself, there. Nothing here waits or sends more than MAX_PUSHES_PER_S datagrams a
-second. Without verdicts nothing is done at all: no router is worse than alone for want of them.
+"""Outlier detection by several routers, which exchange verdicts on servers as evidence and never as orders.
+
+A router sends verdicts that rest on its own evidence: on caches to the routers of its zone, on parents to all routers.
+It sends them at once when a verdict changes, and with each datagram that is sent anyway. It applies the verdicts of
+other routers only by these rules:
+
+- At least two witnesses agree, and they outnumber the witnesses that find the server healthy. Unhealthy routers do not
+  count as witnesses, and each verdict is at most VERDICT_MAX_AGE_S old.
+- UNREACHABLE: the server is ejected for EJECTION_S at a time while the witnesses say so. One failure of this router's
+  own request then makes the server count as failed. Some of the location's routers, chosen at random, send the server
+  a health check at once. The witnesses go on trying the server, as `routing` does with any failed server.
+- SLOW: where this router has few recent answers of its own, it lowers the server's concurrency limit to the median of
+  the witnesses' amounts, relative to the other servers of the tier. From then on the limit recovers as `routing` lets
+  all limits recover, and the router's own answers move it. A router that applied a verdict sends none on that server,
+  so that no verdict is confirmed by its own echo.
+- RESTARTED: a restart that neither the endpoint list nor this router has seen counts from the time when the witnesses
+  saw it.
+- At most MAX_OVERRIDDEN_SHARE of a location's caches are under an applied verdict of other routers at a time, and at
+  most that fraction of its parents; one server of each tier always may be.
+
+A router that finds more than half of its servers not healthy, while other routers find these servers healthy, has a
+faulty network itself and is called unhealthy. The other routers ignore its verdicts, and it sends none once it learns
+from their verdicts that it is unhealthy. Nothing here waits, and changed verdicts cause at most MAX_PUSHES_PER_S extra
+datagrams a second. Without verdicts of other routers no server's state is changed here, so a router that receives none
+works as well as a router without this exchange.
 """
 
 from __future__ import annotations
@@ -29,10 +35,10 @@
 from wickhinge.peers.messages import MessageKind
 from wickhinge.shared import verdicts
 from wickhinge.shared.evidence import (
+    EJECTION_S,
     EVALUATION_INTERVAL_S,
-    LONG_AGO,
+    NEVER_S,
     OWN_EVIDENCE_MAX_AGE_S,
-    REST_S,
     VERDICT_MAX_AGE_S,
     Evidence,
 )
@@ -40,18 +46,18 @@
 from wickhinge.shared.ports import CheckHealth, Endpoints, Server
 from wickhinge.shared.verdicts import HEALTH_NAMES, Health, Verdict
 
-MAX_EJECTED_SHARE = 1 / 3  # of a location's caches, at most under others' verdict at a time
-OWN_ANSWERS_SUFFICE = 6.0  # half of them forgotten each OWN_EVIDENCE_MAX_AGE_S, that go before others' verdict
-MIN_SERVERS_TO_DOUBT_ROUTER = 3  # that must be judged before a router can be called unhealthy
-HEALTH_CHECKERS = 3.0  # of the location's routers that check a server called unreachable, each evaluation
-MAX_PUSHES_PER_S = 16.0  # datagrams that go only to tell of a change
-MIN_FITNESS = 0.3  # that a server is lowered to
-MAX_LISTED = 64  # servers in the figures
-MAX_WITNESSES_LISTED = 16
+MAX_OVERRIDDEN_SHARE = 1 / 3  # Largest fraction of a tier's servers under an applied verdict at a time.
+MIN_ANSWERS_TO_IGNORE_SLOW = 6.0  # With this many recent answers of its own, a router ignores a SLOW verdict.
+MIN_SERVERS_TO_DOUBT_ROUTER = 3  # With fewer servers to compare, no router is called unhealthy.
+MEAN_HEALTH_CHECKERS = 3.0  # Mean number of a location's routers that check an unreachable server per evaluation.
+MAX_PUSHES_PER_S = 16.0  # Most datagrams a second that are sent only because a verdict changed.
+MIN_LOWERED_LIMIT = 0.3  # Lowest concurrency limit that a SLOW verdict sets.
+MAX_REPORTED_SERVERS = 64  # Most servers in the report.
+MAX_REPORTED_WITNESSES = 16  # Most unhealthy routers in the report.
 
 
-def median_pace(servers: list[Server]) -> float:
-    """The median of what servers bear of what they should; 1.0 for none."""
+def median_limit_ratio(servers: list[Server]) -> float:
+    """Return the median of concurrency limit over maximum concurrency limit; 1.0 for no servers."""
     return (
         sorted(server.concurrency_limit / server.max_concurrency_limit for server in servers)[len(servers) // 2]
         if servers
@@ -60,14 +66,14 @@
 
 
 class OutlierDetector:
-    """Weighs what other routers tell of servers against what we see ourselves.
+    """Applies other routers' verdicts on servers where this router's own evidence does not contradict them.
 
     Attributes:
-        evidence: Our own, by the server's id.
-        peer_verdicts: The others'.
-        is_unhealthy: Whether we ourselves are, by what the others say.
-        applied_count: How often others' verdict changed something.
-        unreadable: Payloads that could not be read.
+        evidence: This router's own evidence, by server id.
+        peer_verdicts: The verdicts of other routers.
+        is_unhealthy: Whether other routers' verdicts show that this router's own network is faulty.
+        applied_count: Number of times that a verdict of other routers changed a server's state.
+        unreadable_count: Number of received payloads that could not be decoded.
     """
 
     def __init__(
@@ -77,13 +83,13 @@
         check_health: CheckHealth,
         log: LogEvent = ignore_event,
     ) -> None:
-        """Begin without evidence.
+        """Create a detector without evidence.
 
         Args:
-            detector: Knows the peers, and carries the payloads.
+            detector: Failure detector that knows the peers and carries the payloads.
             endpoints: The endpoint list.
-            check_health: Called with a server that is to get a health check at once.
-            log: Called with an event and its fields.
+            check_health: Called with each server that needs a health check at once.
+            log: Called with the name and the fields of each event.
         """
         self.detector = detector
         self.endpoints = endpoints
@@ -91,58 +97,64 @@
         self.peer_verdicts = PeerVerdicts()
         self.is_unhealthy = False
         self.applied_count = 0
-        self.unreadable = 0
+        self.unreadable_count = 0
         self._check_health = check_health
         self._log = log
-        self._evaluated_at = LONG_AGO
+        self._evaluated_at = NEVER_S
         self._pushes = TokenBucket(MAX_PUSHES_PER_S, MAX_PUSHES_PER_S, 0.0, tokens=MAX_PUSHES_PER_S)
 
     def tick(self, now: float, policy_now: float) -> None:
-        """Evaluate all servers where that is due.
+        """Evaluate all servers when EVALUATION_INTERVAL_S has passed.
 
         Args:
-            now: The detector's time.
-            policy_now: The time by which `routing` counts.
+            now: The current time by the detector's clock.
+            policy_now: The current time by the clock of `routing`.
         """
         elapsed = now - self._evaluated_at
         if 0.0 <= elapsed < EVALUATION_INTERVAL_S:
             return
         elapsed, self._evaluated_at = min(max(elapsed, 0.0), VERDICT_MAX_AGE_S), now
         servers = {server.id: server for server in (*self.endpoints.edge_caches, *self.endpoints.parents)}
-        for mark in [mark for mark, own in self.evidence.items() if servers.get(mark) is not own.server]:
-            del self.evidence[mark]
-        paces = {True: median_pace(self.endpoints.edge_caches), False: median_pace(self.endpoints.parents)}
-        for mark, server in servers.items():
-            own = self.evidence.setdefault(
-                mark, Evidence(server, last_answer_at=server.last_answer, was_lost=server.has_failed)
+        for server_id in [
+            server_id for server_id, evidence in self.evidence.items() if servers.get(server_id) is not evidence.server
+        ]:
+            del self.evidence[server_id]
+        median_ratios = {
+            True: median_limit_ratio(self.endpoints.edge_caches),
+            False: median_limit_ratio(self.endpoints.parents),
+        }
+        for server_id, server in servers.items():
+            evidence = self.evidence.setdefault(
+                server_id, Evidence(server, last_answer_at=server.last_answer, had_failed=server.has_failed)
             )
-            self._update_evidence(own, paces[self._is_cache(server)], elapsed, now, policy_now)
+            self._update_evidence(evidence, median_ratios[self._is_cache(server)], elapsed, now, policy_now)
         self.peer_verdicts.expire(servers, now)
         self._update_own_health()
         self._apply_verdicts(now, policy_now)
 
     def reload(self) -> None:
-        """Take the detector's other roster: who left is no witness."""
-        self.peer_verdicts.keep_witnesses(self.detector.roster.entries)
+        """Use the roster that the detector has loaded; routers that left it are no witnesses any more."""
+        self.peer_verdicts.retain_witnesses(self.detector.roster.entries)
 
     # Datagrams.
 
     def payload(self, to: str) -> bytes:
-        """What to tell that peer: evidence that is fresh, and bad or asked for."""
+        """Return the encoded verdicts that a peer needs; empty while this router is unhealthy."""
         if self.is_unhealthy:
             return b""
         now = self._evaluated_at
-        tellable = [own for own in self.evidence.values() if self._is_tellable(own, to, now)]
+        sendable = [evidence for evidence in self.evidence.values() if self._should_send(evidence, to, now)]
         own_verdicts = [
             Verdict(
-                own.server.id,
-                own.health,
-                round(min(own.amount, verdicts.MAX_SECONDS), 3),
-                round(now - own.observed_at, 2),
+                evidence.server.id,
+                evidence.health,
+                round(min(evidence.amount, verdicts.MAX_AMOUNT_OR_AGE), 3),
+                round(now - evidence.observed_at, 2),
             )
-            for own in tellable
+            for evidence in sendable
         ]
-        if len(own_verdicts) > verdicts.MAX_VERDICTS:  # by chance: a storm is told over some datagrams
+        if len(own_verdicts) > verdicts.MAX_VERDICTS:
+            # Each datagram carries a random sample, so that after a mass failure several together carry all verdicts.
             count = len(own_verdicts)
             own_verdicts = [
                 own_verdicts[int(self.detector.random_source.draw() * count)] for _ in range(verdicts.MAX_VERDICTS)
@@ -150,28 +162,28 @@
         return verdicts.encode(own_verdicts)
 
     def receive(self, name: str, data: bytes, now: float) -> None:
-        """Take in a peer's verdicts on our servers."""
+        """Store the verdicts in a peer's payload that concern this router's servers."""
         try:
             received = verdicts.decode(data)
         except DatagramError:
-            self.unreadable += 1
+            self.unreadable_count += 1
             return
         for verdict in received:
             if verdict.server in self.evidence and verdict.age <= VERDICT_MAX_AGE_S:
                 self.peer_verdicts.record(name, verdict, now)
 
     def report_fields(self, now: float) -> dict[str, object]:
-        """For operators: our own verdicts, and the others'."""
-        by_server = sorted(self.peer_verdicts.by_server.items())[:MAX_LISTED]
+        """Return the fields of the report: own evidence, and counts of other routers' verdicts by server."""
+        by_server = sorted(self.peer_verdicts.by_server.items())[:MAX_REPORTED_SERVERS]
         return {
             "sick": self.is_unhealthy,
-            "sick_fellows": sorted(self._unhealthy_witnesses())[:MAX_WITNESSES_LISTED],
+            "sick_fellows": sorted(self._unhealthy_witnesses())[:MAX_REPORTED_WITNESSES],
             "acted": self.applied_count,
-            "unreadable": self.unreadable,
+            "unreadable": self.unreadable_count,
             "machines": {
-                f"s-{mark:08x}": {
-                    "own": HEALTH_NAMES[self.evidence[mark].health],
-                    "under": self.evidence[mark].is_overridden(now),
+                f"s-{server_id:08x}": {
+                    "own": HEALTH_NAMES[self.evidence[server_id].health],
+                    "under": self.evidence[server_id].is_overridden(now),
                     **{
                         HEALTH_NAMES[health]: sum(
                             observation.verdict.health == health for observation in observations.values()
@@ -179,138 +191,172 @@
                         for health in Health
                     },
                 }
-                for mark, observations in by_server
-                if mark in self.evidence
+                for server_id, observations in by_server
+                if server_id in self.evidence
             },
         }
 
-    # Our own evidence.
+    # Own evidence.
 
-    def _update_evidence(self, own: Evidence, pace: float, elapsed: float, now: float, policy_now: float) -> None:
-        before = own.health
-        own.update(pace, elapsed, now, policy_now)
-        if own.health != before and not self.is_unhealthy:
-            self._log("server_health", server=f"{own.server.id:08x}", health=HEALTH_NAMES[own.health])
-            self._push(own.server, now)
+    def _update_evidence(
+        self, evidence: Evidence, median_ratio: float, elapsed: float, now: float, policy_now: float
+    ) -> None:
+        """Update one server's evidence, and send a changed verdict at once."""
+        previous_health = evidence.health
+        evidence.update(median_ratio, elapsed, now, policy_now)
+        if evidence.health != previous_health and not self.is_unhealthy:
+            self._log("server_health", server=f"{evidence.server.id:08x}", health=HEALTH_NAMES[evidence.health])
+            self._push(evidence.server, now)
 
     def _push(self, server: Server, now: float) -> None:
-        """Tell those whom it concerns at once, in random order, as far as the rate allows."""
-        concerned = [name for name in self.detector.members if self._concerns(name, server)]
-        for name in shuffle(self.detector.random_source, concerned):
+        """Send a datagram to each router that uses the server, in random order, as far as the rate limit allows."""
+        recipients = [name for name in self.detector.members if self._uses_server(name, server)]
+        for name in shuffle(self.detector.random_source, recipients):
             if not self._pushes.take(1, now):
                 return
             self.detector.send(name, MessageKind.HELLO, 0, now)
 
-    def _is_tellable(self, own: Evidence, to: str, now: float) -> bool:
-        mark = own.server.id
-        if own.health == Health.HEALTHY and mark not in self.peer_verdicts.by_server:
-            return False  # nobody asks
-        return self._concerns(to, own.server) and 0.0 <= now - own.observed_at <= VERDICT_MAX_AGE_S
+    def _should_send(self, evidence: Evidence, to: str, now: float) -> bool:
+        """Return whether a peer needs this evidence.
+
+        A peer needs fresh evidence on the servers that it uses. Evidence that a server is healthy is sent only if a
+        verdict on that server was received.
+        """
+        server_id = evidence.server.id
+        if evidence.health == Health.HEALTHY and server_id not in self.peer_verdicts.by_server:
+            return False
+        return self._uses_server(to, evidence.server) and 0.0 <= now - evidence.observed_at <= VERDICT_MAX_AGE_S
 
-    def _concerns(self, name: str, server: Server) -> bool:
-        """Whether that router may send requests to the server."""
-        place = self.detector.roster.entries.get(name)
-        return place is not None and (not self._is_cache(server) or place.zone == self.detector.roster.local.zone)
+    def _uses_server(self, name: str, server: Server) -> bool:
+        """Return whether a router may send requests to the server, by its zone."""
+        entry = self.detector.roster.entries.get(name)
+        return entry is not None and (not self._is_cache(server) or entry.zone == self.detector.roster.local.zone)
 
     def _is_cache(self, server: Server) -> bool:
-        """Whether it is a cache of our location, and no parent."""
+        """Return whether the server is a cache of the location and not a parent."""
         return server.kind != self.endpoints.parent_kind
 
     # Unhealthy routers.
 
     def _update_own_health(self) -> None:
-        bad = [mark for mark, own in self.evidence.items() if own.health != Health.HEALTHY]
-        healthy_to_others = [mark for mark in bad if self.peer_verdicts.is_healthy_to_others(mark)]
+        """Update whether this router is unhealthy.
+
+        It is where it finds most of its servers faulty and other routers find most of those healthy.
+        """
+        faulty = [server_id for server_id, evidence in self.evidence.items() if evidence.health != Health.HEALTHY]
+        healthy_to_others = [server_id for server_id in faulty if self.peer_verdicts.is_healthy_to_others(server_id)]
         is_unhealthy = (
             len(self.evidence) >= MIN_SERVERS_TO_DOUBT_ROUTER
-            and 2 * len(bad) > len(self.evidence)
-            and 2 * len(healthy_to_others) > len(bad)
+            and 2 * len(faulty) > len(self.evidence)
+            and 2 * len(healthy_to_others) > len(faulty)
         )
         if is_unhealthy != self.is_unhealthy:
             self.is_unhealthy = is_unhealthy
             event = "router_unhealthy" if is_unhealthy else "router_healthy"
-            self._log(event, bad=len(bad), healthy_to_others=len(healthy_to_others))
+            self._log(event, bad=len(faulty), healthy_to_others=len(healthy_to_others))
 
     def _unhealthy_witnesses(self) -> set[str]:
-        """Who finds more than half of our servers bad that we, or two others, find well."""
+        """Return the witnesses whose verdicts are contradicted for more than half of the servers.
+
+        A verdict that a server is not healthy is contradicted if this router, or at least MIN_WITNESSES other routers,
+        find the server healthy.
+        """
         if len(self.evidence) < MIN_SERVERS_TO_DOUBT_ROUTER:
             return set()
-        wrong_verdicts: dict[str, int] = {}
-        for mark, observations in self.peer_verdicts.by_server.items():
-            own = self.evidence[mark]
-            own_age = self._evaluated_at - own.observed_at
-            is_healthy_here = own.health == Health.HEALTHY and own_age <= OWN_EVIDENCE_MAX_AGE_S
-            if is_healthy_here or self.peer_verdicts.is_healthy_to_others(mark):
+        contradicted_counts: dict[str, int] = {}
+        for server_id, observations in self.peer_verdicts.by_server.items():
+            evidence = self.evidence[server_id]
+            own_age = self._evaluated_at - evidence.observed_at
+            is_healthy_here = evidence.health == Health.HEALTHY and own_age <= OWN_EVIDENCE_MAX_AGE_S
+            if is_healthy_here or self.peer_verdicts.is_healthy_to_others(server_id):
                 for name, observation in observations.items():
-                    is_wrong = observation.verdict.health != Health.HEALTHY
-                    wrong_verdicts[name] = wrong_verdicts.get(name, 0) + is_wrong
-        return {name for name, count in wrong_verdicts.items() if 2 * count > len(self.evidence)}
+                    is_contradicted = observation.verdict.health != Health.HEALTHY
+                    contradicted_counts[name] = contradicted_counts.get(name, 0) + is_contradicted
+        return {name for name, count in contradicted_counts.items() if 2 * count > len(self.evidence)}
 
-    # Others' verdicts.
+    # Verdicts of other routers.
 
     def _apply_verdicts(self, now: float, policy_now: float) -> None:
+        """Apply all verdicts on which enough witnesses agree, those with the most witnesses first."""
         ignored = self._unhealthy_witnesses()
-        capacity = {is_cache: self._ejection_capacity(is_cache, now) for is_cache in (True, False)}
-        agreements = [(mark, self.peer_verdicts.agreement(mark, ignored)) for mark in self.peer_verdicts.by_server]
-        bad = [(mark, agreement) for mark, agreement in agreements if agreement.health != Health.HEALTHY]
-        for mark, agreement in sorted(bad, key=lambda item: (-len(item[1].observations), item[0])):
-            own = self.evidence[mark]
-            is_cache, was_overridden = self._is_cache(own.server), own.is_overridden(now)
-            if not was_overridden and capacity[is_cache] < 1 or not self._apply(own, agreement, now, policy_now):
+        capacity = {is_cache: self._override_capacity(is_cache, now) for is_cache in (True, False)}
+        agreements = [
+            (server_id, self.peer_verdicts.find_agreement(server_id, ignored))
+            for server_id in self.peer_verdicts.by_server
+        ]
+        faulty = [(server_id, agreement) for server_id, agreement in agreements if agreement.health != Health.HEALTHY]
+        for server_id, agreement in sorted(faulty, key=lambda item: (-len(item[1].observations), item[0])):
+            evidence = self.evidence[server_id]
+            is_cache, was_overridden = self._is_cache(evidence.server), evidence.is_overridden(now)
+            if not was_overridden and capacity[is_cache] < 1 or not self._apply(evidence, agreement, now, policy_now):
                 continue
             self.applied_count += 1
             if not was_overridden:
                 capacity[is_cache] -= 1
                 self._log(
                     "verdict_applied",
-                    server=f"{mark:08x}",
+                    server=f"{server_id:08x}",
                     health=HEALTH_NAMES[agreement.health],
                     witnesses=len(agreement.observations),
                 )
             if not was_overridden or agreement.health == Health.UNREACHABLE:
-                own.overridden_at, own.override = now, agreement.health
+                evidence.overridden_at, evidence.override_health = now, agreement.health
 
-    def _ejection_capacity(self, is_cache: bool, now: float) -> int:
-        """How many more servers of a tier may come under others' verdict."""
-        tier = [own for own in self.evidence.values() if self._is_cache(own.server) is is_cache]
-        return max(int(len(tier) * MAX_EJECTED_SHARE), 1) - sum(own.is_overridden(now) for own in tier)
+    def _override_capacity(self, is_cache: bool, now: float) -> int:
+        """Return how many more servers of a tier may come under an applied verdict."""
+        tier = [evidence for evidence in self.evidence.values() if self._is_cache(evidence.server) is is_cache]
+        return max(int(len(tier) * MAX_OVERRIDDEN_SHARE), 1) - sum(evidence.is_overridden(now) for evidence in tier)
 
-    def _apply(self, own: Evidence, agreement: Agreement, now: float, policy_now: float) -> bool:
-        """Change what is believed of the server; False where nothing changes."""
+    def _apply(self, evidence: Evidence, agreement: Agreement, now: float, policy_now: float) -> bool:
+        """Change the server's state by an agreement; return False where nothing changes."""
         if agreement.health == Health.UNREACHABLE:
-            return self._eject(own, agreement.observations, policy_now)
+            return self._eject(evidence, agreement.observations, policy_now)
         if agreement.health == Health.RESTARTED:
-            return self._restart(own.server, agreement.observations, now, policy_now)
-        return self._slow_down(own, agreement.observations)
+            return self._restart(evidence.server, agreement.observations, now, policy_now)
+        return self._lower_limit(evidence, agreement.observations)
 
-    def _eject(self, own: Evidence, observations: list[Observation], policy_now: float) -> bool:
-        server = own.server
-        if server.has_failed or own.observed_at >= min(observation.observed_at for observation in observations):
+    def _eject(self, evidence: Evidence, observations: list[Observation], policy_now: float) -> bool:
+        """Eject a server for EJECTION_S; return False where it has failed here or own evidence is newer."""
+        server = evidence.server
+        if server.has_failed or evidence.observed_at >= min(observation.observed_at for observation in observations):
             return False
         server.consecutive_failures = max(server.consecutive_failures, 1.0)
-        server.ejected_until = max(server.ejected_until, policy_now + REST_S)
-        if self.detector.random_source.draw() * self.endpoints.routers < HEALTH_CHECKERS:
+        server.ejected_until = max(server.ejected_until, policy_now + EJECTION_S)
+        if self.detector.random_source.draw() * self.endpoints.routers < MEAN_HEALTH_CHECKERS:
             self._check_health(server)
         return True
 
     def _restart(self, server: Server, observations: list[Observation], now: float, policy_now: float) -> bool:
-        """Count the start by those who saw it: the latest of the starts that two at least agree on."""
+        """Reset a server that witnesses saw restart.
+
+        The MIN_WITNESSES-th latest of the starts that the witnesses saw becomes the server's start.
+
+        Returns:
+            False where this router knows of that restart, or finds the server failed itself.
+        """
         starts = sorted(observation.observed_at - observation.verdict.amount for observation in observations)
         started = policy_now - (now - starts[-MIN_WITNESSES])
         if server.has_failed or server.started > started - VERDICT_MAX_AGE_S:
-            return False  # we know of that start, or see for ourselves
+            return False
         server.reset(policy_now)
         server.started = started
         return True
 
-    def _slow_down(self, own: Evidence, observations: list[Observation]) -> bool:
-        server = own.server
-        if own.answers >= OWN_ANSWERS_SUFFICE:
+    def _lower_limit(self, evidence: Evidence, observations: list[Observation]) -> bool:
+        """Lower a slow server's concurrency limit to the median of the witnesses' amounts.
+
+        Returns:
+            False where the limit is lower already, or this router has enough recent answers of its own.
+        """
+        server = evidence.server
+        if evidence.recent_answers >= MIN_ANSWERS_TO_IGNORE_SLOW:
             return False
-        pace = median_pace(self.endpoints.edge_caches if self._is_cache(server) else self.endpoints.parents)
+        median_ratio = median_limit_ratio(
+            self.endpoints.edge_caches if self._is_cache(server) else self.endpoints.parents
+        )
         amounts = sorted(observation.verdict.amount for observation in observations)
-        fitness = amounts[len(amounts) // 2] * pace * server.max_concurrency_limit
-        if fitness >= server.concurrency_limit:
+        limit = amounts[len(amounts) // 2] * median_ratio * server.max_concurrency_limit
+        if limit >= server.concurrency_limit:
             return False
-        server.concurrency_limit = max(fitness, MIN_FITNESS)
+        server.concurrency_limit = max(limit, MIN_LOWERED_LIMIT)
         return True
