--- a/tests/shared/test_outlier_detection.py
+++ b/tests/shared/test_outlier_detection.py
@@ -33,7 +33,7 @@
         self.detector = FailureDetector(Roster(entries, self.name), RandomSource(place), 0.0, lambda item: None)
         self.sent_datagrams, self.health_checks = [], []
         self.detector.send = lambda name, kind, serial, now: self.sent_datagrams.append((now, name))
-        self.routing = helpers.router(boxes=cache_count, routers=3, seed=place)
+        self.routing = helpers.make_router(caches=cache_count, routers=3, seed=place)
         self.outliers = OutlierDetector(self.detector, self.routing.endpoints, self.health_checks.append, group.log)
 
     def cache(self, number=0):
--- a/wickhinge/net/control/changelog_client.py
+++ b/wickhinge/net/control/changelog_client.py
@@ -18,7 +18,7 @@
 from wickhinge.changelog.log import Snapshot
 from wickhinge.changelog.settings import FollowSettings
 from wickhinge.changelog.settings_table import JOURNAL, SettingsTable
-from wickhinge.fields import MalformedError, endpoint
+from wickhinge.fields import MalformedError, parse_host_port
 from wickhinge.net.control.endpoint_updates import EndpointUpdates
 from wickhinge.net.runtime.deadlines import Deadlines
 from wickhinge.net.runtime.log import Log
@@ -57,17 +57,17 @@
         self.follower = FollowerEndpoint(
             EndpointConfig(
                 name,
-                endpoint(options.bind) or ANY_ADDRESS,
+                parse_host_port(options.bind) or ANY_ADDRESS,
                 options_of.addresses(options.relays),
                 options_of.read_keys(options),
             ),
-            Runtime(node.reactor, log=self._log, call_later=node.deadlines.after),
+            Runtime(node.reactor, log=self._log, call_later=node.deadlines.call_after),
             self,
             FollowSettings(bound_s=options.bound_s, ingest_s=options.ingest_s),
         )
         self._limited = True  # as at the last tick: the age of copies is limited
         self._source = ""
-        node.decisions.purges.limit_age_by(self.limit)
+        node.decisions.purges.set_age_limit(self.limit)
         if node.local_copies is not None:
             node.local_copies.limit_age(self.limit)
 
@@ -95,7 +95,7 @@
         """The greatest age of a copy that may be served, whatever the time of day is."""
         return self.follower.max_copy_age_s(self._options.grace_s)
 
-    def figures(self) -> dict[str, Any]:
+    def report_fields(self) -> dict[str, Any]:
         """Its entry in the report."""
         machine, now = self.follower.state_machine, self.follower.clock()
         until = machine.informed_until(now)
@@ -127,8 +127,8 @@
             self._node.updates.record_purge(purge.key, purge.group, purge.stamp_ms, 0)
         keys = {purge.key for purge in snapshot.purges if purge.key is not None}
         groups = {purge.group for purge in snapshot.purges if purge.key is None}
-        self._node.attempts.overtaken(
-            lambda sent: sent.forward.request.object_count.key not in keys and sent.forward.request.group not in groups
+        self._node.attempts.recall_unwritten(
+            lambda sent: sent.attempt.request.object_count.key not in keys and sent.attempt.request.group not in groups
         )
         self._log(
             "changelog_reset",
@@ -154,8 +154,8 @@
             return
         self._limited = limited
         if limited:
-            self._node.attempts.overtaken(lambda sent: sent.forward.request.request_class.pass_through)
-        figures = self.figures()
+            self._node.attempts.recall_unwritten(lambda sent: sent.attempt.request.request_class.pass_through)
+        figures = self.report_fields()
         state = "changelog_uninformed" if limited else "changelog_informed"
         self._log(state, epoch=figures["epoch"], number=figures["number"], age_s=figures["age_s"])
 
--- a/wickhinge/net/control/graceful_shutdown.py
+++ b/wickhinge/net/control/graceful_shutdown.py
@@ -21,8 +21,9 @@
 MAX_REQUEST_TIMEOUT_S = 3.0
 EARLIEST_KILL_S = 0.7  # past the longest deadline
 LINGER_S = LAST_REQUEST_S + 0.15  # what was sent last may still be on its way, or in the listener
-GIVE_UP_AFTER_S = LAST_REQUEST_S  # past the longest deadline: whoever asked last has had all of its time
-LAST_ANSWER_S = EARLIEST_KILL_S - 0.03  # past the longest deadline: what ends by itself until then is left to its end
+GIVE_UP_AFTER_DEADLINE_S = LAST_REQUEST_S  # past the longest deadline: whoever asked last has had all of its time
+# Past the longest deadline: what ends by itself until then is left to its end.
+LAST_ANSWER_AFTER_DEADLINE_S = EARLIEST_KILL_S - 0.03
 MIN_PASSES = 2  # over all clients past the kill's earliest time: one reads what lies there, one sees it answered
 POLL_INTERVAL_S = 0.01
 FLUSH_S = 0.02  # some turns of the loop, so that what is written last leaves the transports
@@ -49,10 +50,10 @@
         """Parameters as named; timeout_s: the longest that a request may take."""
         self._readiness, self._clients, self._log, self._stop_loop = readiness, clients, log, stop_loop
         self._deadlines: Deadlines = clients.deadlines
-        self._requests = clients.visits
+        self._requests = clients.request_table
         longest_s = min(timeout_s, MAX_REQUEST_TIMEOUT_S)
-        self.give_up_after_s = longest_s + GIVE_UP_AFTER_S
-        self._last_answer_after_s = longest_s + LAST_ANSWER_S
+        self.give_up_after_s = longest_s + GIVE_UP_AFTER_DEADLINE_S
+        self._last_answer_after_s = longest_s + LAST_ANSWER_AFTER_DEADLINE_S
         self._end_after_s = longest_s + EARLIEST_KILL_S
         self.is_draining = False
         self._requested_at = 0.0  # at the earliest
@@ -71,11 +72,11 @@
         now = self._deadlines.now()
         self._requested_at = now if requested_after is None else requested_after
         linger_s = LINGER_S if self._readiness.has_opened else 0.0
-        self._deadlines.at(min(now + linger_s, self._requested_at + self.give_up_after_s), self._await_idle)
+        self._deadlines.call_at(min(now + linger_s, self._requested_at + self.give_up_after_s), self._await_idle)
         self._clients.drain()
         self._readiness.drain()
         late_ms = round((now - self._requested_at) * 1000)
-        self._log("shutdown_started", open_requests=self._requests.open(), late_ms=late_ms)
+        self._log("shutdown_started", open_requests=self._requests.open_count(), late_ms=late_ms)
 
     def _await_idle(self) -> None:
         is_idle = False
@@ -83,15 +84,19 @@
             is_idle = not self._is_busy()
         finally:
             if not is_idle:  # also after a fault, which is logged: the program has to end
-                self._deadlines.after(POLL_INTERVAL_S, self._await_idle)
+                self._deadlines.call_after(POLL_INTERVAL_S, self._await_idle)
         if is_idle:
             self._finish()
 
     def _finish(self) -> None:
-        self._log("shutdown_finished", open_requests=self._requests.open(), accepted_requests=self._requests.taken)
+        self._log(
+            "shutdown_finished",
+            open_requests=self._requests.open_count(),
+            accepted_requests=self._requests.started_count,
+        )
         for subsystem in self._subsystems:
             self._close(subsystem)
-        self._deadlines.after(FLUSH_S, self._end)
+        self._deadlines.call_after(FLUSH_S, self._end)
 
     def _close(self, subsystem: Subsystem) -> None:
         """A file or socket that cannot be closed holds nobody's end up."""
@@ -111,13 +116,13 @@
         if self._passes > MIN_PASSES:
             return False
         if elapsed_s >= self.give_up_after_s:
-            self._clients.read_all()
-            self._clients.begin_all()
-            self._requests.give_up(self._requested_at + self._last_answer_after_s)
+            self._clients.read_all_pending()
+            self._clients.begin_all_queued()
+            self._requests.give_up_open_requests(self._requested_at + self._last_answer_after_s)
         return bool(
-            self._requests.open()
-            or self._clients.unwritten()
-            or self._clients.unread()
+            self._requests.open_count()
+            or self._clients.has_unwritten_answers()
+            or self._clients.has_unread_requests()
             or self._readiness.has_pending_connection()
         )
 
@@ -128,14 +133,14 @@
         """
         has_ended = False
         try:
-            self._requests.give_up()
+            self._requests.give_up_open_requests()
             has_ended = not self._is_busy() and self._has_closed()
         finally:
             if not has_ended:
-                self._deadlines.after(POLL_INTERVAL_S, self._end)
+                self._deadlines.call_after(POLL_INTERVAL_S, self._end)
         if has_ended:
             self._stop_loop()
 
     def _has_closed(self) -> bool:
-        has_closed = self._readiness.close() and self._clients.close_all()
+        has_closed = self._readiness.close() and self._clients.close_all_idle()
         return has_closed or self._passes > MIN_PASSES
--- a/wickhinge/net/control/peer_transport.py
+++ b/wickhinge/net/control/peer_transport.py
@@ -61,7 +61,7 @@
     def __init__(self, node: PeerHost, roster: Roster, keys: list[bytes], seed: int) -> None:
         """keys: the first is ours; what comes under the others is read too, while the fleet changes its key."""
         self.node, self.keys, self.closed = node, keys, False
-        self.after, self.log = node.deadlines.after, node.log.event
+        self.after, self.log = node.deadlines.call_after, node.log.event
         self.unreadable = self.unsent = self.left = self.taken = 0
         self.detector = FailureDetector(
             roster, RandomSource(seed), clock(), self.send, lambda event, **told: self.log(f"peers_{event}", **told)
@@ -183,7 +183,7 @@
     def connectionRefused(self) -> None:
         """Called by Twisted where nobody listens at a peer's address just now."""
 
-    def figures(self) -> dict[str, Any]:
+    def report_fields(self) -> dict[str, Any]:
         """Its entry in the report."""
         now, detector = clock(), self.detector
         view = detector.view(now)
@@ -211,7 +211,7 @@
 
     def status(self) -> dict[str, Any]:
         """For `wickhinge peers show`: the figures, and all fellows one by one."""
-        now, detector, told = clock(), self.detector, self.figures()
+        now, detector, told = clock(), self.detector, self.report_fields()
         told.pop("states")
         fellows = [
             {
--- a/wickhinge/shared/evidence.py
+++ b/wickhinge/shared/evidence.py
@@ -48,11 +48,11 @@
             policy_now: The current time by the clock of `routing`.
         """
         server = self.server
-        answered_at = now - max(policy_now - server.last_answer, 0.0)
+        answered_at = now - max(policy_now - server.last_answer_at, 0.0)
         self.recent_answers = self.recent_answers * 0.5 ** (elapsed / OWN_EVIDENCE_MAX_AGE_S) + (
-            server.last_answer > self.last_answer_at
+            server.last_answer_at > self.last_answer_at
         )
-        self.last_answer_at = server.last_answer
+        self.last_answer_at = server.last_answer_at
         since_start = policy_now - server.started
         limit_ratio = server.concurrency_limit / server.max_concurrency_limit
         is_slow = server.concurrency_limit < SLOW_MEDIAN_FACTOR * median_limit_ratio * server.max_concurrency_limit
@@ -69,7 +69,7 @@
             self.health, self.observed_at = Health.HEALTHY, answered_at if answered else NEVER_S
         elif self.recent_answers >= MIN_ANSWERS_FOR_SLOW and is_slow:
             self._set(Health.SLOW, limit_ratio / median_limit_ratio, now)
-        elif policy_now - server.last_answer <= OWN_EVIDENCE_MAX_AGE_S:
+        elif policy_now - server.last_answer_at <= OWN_EVIDENCE_MAX_AGE_S:
             self._set(Health.HEALTHY, 0.0, answered_at)
         elif now - self.observed_at > VERDICT_MAX_AGE_S:
             self.health, self.amount = Health.HEALTHY, 0.0
--- a/wickhinge/shared/ports.py
+++ b/wickhinge/shared/ports.py
@@ -13,14 +13,14 @@
     kind: str
     weight: float
     started: float  # Time of the server's last known start.
-    last_answer: float  # Time of the server's last answer.
+    last_answer_at: float  # Time of the server's last answer.
     has_failed: bool
     consecutive_failures: float  # Failures since the last answer; some kinds of failure count as a fraction.
     ejected_until: float  # Time until which the server gets no requests.
     concurrency_limit: float  # Learned number of transfers that the server handles at full speed.
     max_concurrency_limit: float  # Number of transfers that the server should handle at full speed.
     tokens: float  # Seconds of work that may be sent during slow start; used where routers share the limit.
-    pending: Collection[object]  # This router's requests in flight to the server.
+    pending_attempts: Collection[object]  # This router's requests in flight to the server.
     reported_transfers: float  # Requests in flight from other routers, as their tallies report them.
 
     def reset(self, now: float) -> None:
