--- a/tests/shared/test_slow_start_quota.py
+++ b/tests/shared/test_slow_start_quota.py
@@ -1,4 +1,4 @@
-"""Cold machines' limits by true shares: a router's part of them, and what `policy` makes of it."""
+"""Tests of slow-start quotas: a router's share of the limits of servers in slow start, and how `routing` uses it."""
 
 import os
 import random
@@ -32,46 +32,48 @@
 LIMITS = SlowStart(4.0, 3.0, 0.2, 100.0)
 
 
-def roster(zones, mine="n0"):
-    return Roster([RosterEntry(f"n{place}", ("127.0.0.1", place + 1), zone) for place, zone in enumerate(zones)], mine)
+def roster(zones, own_name="n0"):
+    return Roster(
+        [RosterEntry(f"n{place}", ("127.0.0.1", place + 1), zone) for place, zone in enumerate(zones)], own_name
+    )
 
 
-def slow_start_quotas(share=1.0, processes=4):
-    """Of a router alone under its name, whose share is what the test says."""
+def slow_start_quotas(share=1.0, max_processes=4):
+    """Return the quotas of a router that is alone on its roster, with the given share of each budget."""
     detector = FailureDetector(roster(["here"]), RandomSource(1), 0.0, lambda item: None)
-    limiter = LendingLimiter(detector, BudgetDivision(1, processes), slow_start_quota.budget_scopes("here"), 0.0)
-    made = SlowStartQuotas(limiter)
+    limiter = LendingLimiter(detector, BudgetDivision(1, max_processes), slow_start_quota.budget_scopes("here"), 0.0)
+    quotas = SlowStartQuotas(limiter)
     limiter.update_share = lambda budget, now: budget.set_share(share, limiter.lagging_clock)
-    return made
+    return quotas
 
 
-def server(mark=7, weight=10.0):
-    return SimpleNamespace(id=mark, weight=weight, tokens=-0.3)
+def make_server(server_id=7, weight=10.0):
+    return SimpleNamespace(id=server_id, weight=weight, tokens=-0.3)
 
 
-def spend(made, cache, work, seconds, upper=False, part=0.2, since=0.0):
-    """As much as goes, each hundredth of a second: (when, name, work)."""
+def send_all_admitted(quotas, cache, work, seconds, is_parent=False, capacity_share=0.2, start=0.0):
+    """Send all requests that are admitted in each hundredth of a second, and return (time, name, work) of each."""
     sent = []
     for turn in range(int(seconds * 100)):
-        now = since + turn / 100
-        made.limiter.tick(now)
-        while made.admits(SlowStartRequest(cache, upper, LIMITS, part, work), now):
+        now = start + turn / 100
+        quotas.limiter.tick(now)
+        while quotas.admits(SlowStartRequest(cache, is_parent, LIMITS, capacity_share, work), now):
             cache.tokens -= work
             sent.append((now, "", work))
     return sent
 
 
 @pytest.mark.parametrize("work", [0.01, 0.1, 1.0, 3.0])
-def test_server_when_in_slow_start_gets_what_the_formula_says(work):
-    made, cache = slow_start_quotas(), server()
-    most = LIMITS.overload_factor * 0.2 * cache.weight * LIMITS.window
-    sent = spend(made, cache, work, 30.0)
-    unit = slow_start_quota.PIECES_SHARE_OF_LIMIT * most / 4
-    assert judges.peak(sent, most + max(work - unit, 0.0), LIMITS.window) <= 1.0
-    wanted = (
-        (1 - slow_start_quota.PIECES_SHARE_OF_LIMIT) * most / (LIMITS.window + BURST_S) / (1 + MAX_CLOCK_DRIFT) * 29.0
+def test_server_when_in_slow_start_gets_the_work_that_the_formula_allows(work):
+    quotas, cache = slow_start_quotas(), make_server()
+    amount = LIMITS.overload_factor * 0.2 * cache.weight * LIMITS.window
+    sent = send_all_admitted(quotas, cache, work, 30.0)
+    max_piece = slow_start_quota.PIECES_SHARE_OF_LIMIT * amount / 4
+    assert judges.peak(sent, amount + max(work - max_piece, 0.0), LIMITS.window) <= 1.0
+    expected = (
+        (1 - slow_start_quota.PIECES_SHARE_OF_LIMIT) * amount / (LIMITS.window + BURST_S) / (1 + MAX_CLOCK_DRIFT) * 29.0
     )
-    assert sum(one[2] for one in sent) >= 0.95 * wanted - work
+    assert sum(request[2] for request in sent) >= 0.95 * expected - work
 
 
 @settings(max_examples=40, deadline=None)
@@ -79,60 +81,60 @@
 def test_routers_when_shares_move_never_overload_a_server(seed, count, work):
     rand, now, sent = random.Random(seed), 0.0, []
     shares = [1.0 / count] * count
-    most = LIMITS.overload_factor * 0.2 * 10.0 * LIMITS.window
-    caches = [server() for _ in range(count)]
+    amount = LIMITS.overload_factor * 0.2 * 10.0 * LIMITS.window
+    caches = [make_server() for _ in range(count)]
     routers = []
     for place in range(count):
-        made = slow_start_quotas(processes=count)
-        made.limiter.update_share = lambda budget, now, made=made, place=place: budget.set_share(
-            shares[place], made.limiter.lagging_clock
+        quotas = slow_start_quotas(max_processes=count)
+        quotas.limiter.update_share = lambda budget, now, quotas=quotas, place=place: budget.set_share(
+            shares[place], quotas.limiter.lagging_clock
         )
-        routers.append(made)
+        routers.append(quotas)
     for _ in range(500):
         now += rand.expovariate(30.0)
-        if rand.random() < 0.1:
-            one, other = rand.randrange(count), rand.randrange(count)
-            part = shares[one] * rand.random()
-            shares[one] -= part
-            routers[one].limiter.tick(now)
-            shares[other] += part
+        if rand.random() < 0.1:  # A part of a share moves: the giver loses it before the receiver gets it.
+            giver, receiver = rand.randrange(count), rand.randrange(count)
+            moved = shares[giver] * rand.random()
+            shares[giver] -= moved
+            routers[giver].limiter.tick(now)
+            shares[receiver] += moved
         place = rand.randrange(count)
         routers[place].limiter.tick(now)
         while routers[place].admits(SlowStartRequest(caches[place], False, LIMITS, 0.2, work), now):
             caches[place].tokens -= work
             sent.append((now, "", work))
-    over = count * max(work - slow_start_quota.PIECES_SHARE_OF_LIMIT * most / count, 0.0)
-    assert not sent or judges.peak(sent, most + over, LIMITS.window) <= 1.0
+    credit = count * max(work - slow_start_quota.PIECES_SHARE_OF_LIMIT * amount / count, 0.0)
+    assert not sent or judges.peak(sent, amount + credit, LIMITS.window) <= 1.0
 
 
-def test_bucket_when_its_server_restarted_is_empty_and_when_idle_is_dropped():
-    made, cache = slow_start_quotas(), server()
-    spend(made, cache, 0.1, 3.0)
+def test_bucket_when_its_server_restarted_is_empty_and_when_idle_is_deleted():
+    quotas, cache = slow_start_quotas(), make_server()
+    send_all_admitted(quotas, cache, 0.1, 3.0)
     assert cache.tokens > -0.1
-    later = server()  # the same mark, of another listing
-    assert not made.admits(SlowStartRequest(later, False, LIMITS, 0.2, 0.1), 3.0) and later.tokens < 0.0
-    other = server(8)
+    restarted = make_server()  # The same id, but a new entry in the endpoint list.
+    assert not quotas.admits(SlowStartRequest(restarted, False, LIMITS, 0.2, 0.1), 3.0) and restarted.tokens < 0.0
+    other = make_server(8)
     for turn in range(400, 1200):
-        made.limiter.tick(turn / 100)
-        made.admits(SlowStartRequest(other, False, LIMITS, 0.2, 0.1), turn / 100)
-    assert set(made.limiter.budgets[slow_start_quota.CACHES].buckets) == {8}
+        quotas.limiter.tick(turn / 100)
+        quotas.admits(SlowStartRequest(other, False, LIMITS, 0.2, 0.1), turn / 100)
+    assert set(quotas.limiter.budgets[slow_start_quota.CACHE_BUDGET].buckets) == {8}
 
 
-def test_buckets_when_at_the_bound_are_not_added(monkeypatch):
+def test_buckets_when_at_their_maximum_number_are_not_added(monkeypatch):
     monkeypatch.setattr(slow_start_quota, "MAX_SERVERS", 3)
-    made = slow_start_quotas()
-    for mark in range(5):
-        made.admits(SlowStartRequest(server(mark), False, LIMITS, 0.2, 0.1), 0.1)
-    assert len(made.limiter.budgets[slow_start_quota.CACHES].buckets) == 3
+    quotas = slow_start_quotas()
+    for server_id in range(5):
+        quotas.admits(SlowStartRequest(make_server(server_id), False, LIMITS, 0.2, 0.1), 0.1)
+    assert len(quotas.limiter.budgets[slow_start_quota.CACHE_BUDGET].buckets) == 3
 
 
-def test_server_when_warming_up_gets_more():
-    cool = spend(slow_start_quotas(), server(), 0.1, 10.0)
-    warm = spend(slow_start_quotas(), server(), 0.1, 10.0, part=0.6)
-    assert len(warm) > 2.5 * len(cool)
+def test_server_when_warmer_gets_more_requests():
+    sent_cold = send_all_admitted(slow_start_quotas(), make_server(), 0.1, 10.0)
+    sent_warm = send_all_admitted(slow_start_quotas(), make_server(), 0.1, 10.0, capacity_share=0.6)
+    assert len(sent_warm) > 2.5 * len(sent_cold)
 
 
-# Who divides.
+# Division of budgets among routers.
 
 
 @settings(max_examples=100, deadline=None)
@@ -142,17 +144,17 @@
     st.integers(0, 8),
     st.integers(0, 3),
 )
-def test_shares_when_rosters_differ_add_up_to_one_at_most(zones, spare, old, twins):
-    """Routers below `old` still have the roster that ended there."""
-    names = len(zones) + spare
-    division = BudgetDivision(names, names + twins)
+def test_shares_when_rosters_differ_add_up_to_one_at_most(zones, spare_names, old_count, spare_processes):
+    """The first `old_count` routers still use an old roster, on which only these routers stand."""
+    max_names = len(zones) + spare_names
+    division = BudgetDivision(max_names, max_names + spare_processes)
     for zone in set(zones):
         total = 0.0
-        for place, one in enumerate(zones):
-            if one == zone:
-                seen = zones[: max(old, 1)] if place < old else zones
-                mine = division.within(roster(seen, f"n{place}"), zone)
-                total += (1 - FLOOR_SHARE) / mine.max_names + FLOOR_SHARE / mine.max_processes
+        for place, router_zone in enumerate(zones):
+            if router_zone == zone:
+                roster_zones = zones[: max(old_count, 1)] if place < old_count else zones
+                zone_division = division.for_zone(roster(roster_zones, f"n{place}"), zone)
+                total += (1 - FLOOR_SHARE) / zone_division.max_names + FLOOR_SHARE / zone_division.max_processes
         assert total <= 1.0 + 1e-9
 
 
@@ -163,80 +165,86 @@
             LendingLimiter(detector, division, [], 0.0)
 
 
-def test_quota_when_of_a_cache_goes_to_its_zone_and_of_a_parent_to_all():
+def test_quota_when_of_a_cache_is_lent_in_its_zone_and_when_of_a_parent_everywhere():
     fleet = play.Fleet(Schedule(3, 6, 2, (), 6, 18.0, 4.0))
     fleet.wants = lambda process, number: 2.0 * (process.place == 0)
     fleet.run()
-    shares = {one.name: [round(budget.share, 2) for budget in one.limiter.budgets[2:]] for one in fleet.processes}
+    shares = {
+        process.name: [round(budget.share, 2) for budget in process.limiter.budgets[2:]] for process in fleet.processes
+    }
     assert shares["n0"][0] > 0.9 and shares["n0"][1] > 0.9
     assert all(shares[name][0] < 0.03 for name in ("n2", "n4")) and all(
         shares[name][0] > 0.3 for name in ("n1", "n3", "n5")
     )
     assert judges.toppled(fleet.sent, fleet.bears, play.COLD.window) == []
-    one = sum(work for when, _, work in fleet.sent[0] if when > 12.0)
-    could = sum(fleet.bears(when / 10) / play.COLD.window / 10 for when in range(120, 220))
-    assert one > 0.8 * could
+    sent_work = sum(work for when, _, work in fleet.sent[0] if when > 12.0)
+    possible_work = sum(fleet.bears(when / 10) / play.COLD.window / 10 for when in range(120, 220))
+    assert sent_work > 0.8 * possible_work
 
 
-def lends_what_it_keeps(process):
-    """The plant: what is out is not taken off."""
+def spend_lent_quota(process):
+    """Plant a fault: the lender does not subtract lent amounts from its share."""
     for budget in process.limiter.budgets:
         budget.loans.total_lent = lambda now: 0.0
 
 
-def takes_all_for_its_own(process):
-    """The plant: the limit divided among nobody."""
+def use_undivided_limit(process):
+    """Plant a fault: each router uses the limit multiplied by the number of names, so its share of it is the whole."""
     admits = process.colds.admits
     process.colds.admits = lambda request, now: admits(
-        replace(request, warm_share=request.warm_share * len(process.fleet.names)), now
+        replace(request, capacity_share=request.capacity_share * len(process.fleet.names)), now
     )
 
 
-@pytest.mark.parametrize("plant", [takes_all_for_its_own, lends_what_it_keeps])
-def test_check_when_a_fault_is_planted_finds_an_overloaded_server(plant):
-    told = Schedule(5, 4, 1, (), 6, 16.0, 4.0)
+@pytest.mark.parametrize("plant", [use_undivided_limit, spend_lent_quota])
+def test_overload_check_when_a_fault_is_planted_finds_an_overloaded_server(plant):
+    schedule_without_faults = Schedule(5, 4, 1, (), 6, 16.0, 4.0)
 
-    def play_it(plants):
-        fleet = play.Fleet(told, plants)
+    def overloaded_servers(plants):
+        fleet = play.Fleet(schedule_without_faults, plants)
         fleet.wants = lambda process, number: 2.0 * (process.place == 0 or fleet.now > 12.0)
         return judges.toppled(fleet.run().sent, fleet.bears, play.COLD.window)
 
-    assert play_it((plant,)) and play_it(()) == []
+    assert overloaded_servers((plant,)) and overloaded_servers(()) == []
 
 
-# What `policy` makes of it.
+# Decisions of `routing`.
 
 
-def test_decision_when_the_quota_admits_sends_and_charges_the_cache():
-    made = helpers.make_router(caches=1)
-    cache = made.endpoints.edge_caches[0]
-    cache.started, cache.tokens, asked = 99.0, 5.0, []
+def test_decision_when_the_quota_admits_sends_to_the_cache_and_charges_it():
+    router = helpers.make_router(caches=1)
+    cache = router.endpoints.edge_caches[0]
+    cache.started, cache.tokens, quota_calls = 99.0, 5.0, []
 
-    def dealt(*words):
-        asked.append(words)
-        return len(asked) > 1
+    def admit_all_but_the_first(*arguments):
+        quota_calls.append(arguments)
+        return len(quota_calls) > 1
 
-    made.endpoints.slow_start_quota = dealt
-    _, caller = helpers.route_request(made)
+    router.endpoints.slow_start_quota = admit_all_but_the_first
+    _, caller = helpers.route_request(router)
     assert cache not in [sent.server for sent in caller.forwards]
-    _, caller = helpers.route_request(made)
+    _, caller = helpers.route_request(router)
     assert caller.forwards[0].server is cache
-    told, upper, limits, part, work = asked[0]
-    assert (told, upper, limits) == (cache, False, made.endpoints.cache_slow_start) and 0.2 < part < 0.3
-    assert work == pytest.approx(made.mean_work(helpers.make_request_class())) and cache.tokens == pytest.approx(
+    server, is_parent, limits, capacity_share, work = quota_calls[0]
+    assert (server, is_parent, limits) == (
+        cache,
+        False,
+        router.endpoints.cache_slow_start,
+    ) and 0.2 < capacity_share < 0.3
+    assert work == pytest.approx(router.mean_work(helpers.make_request_class())) and cache.tokens == pytest.approx(
         5.0 - work
     )
     helpers.end_attempt(caller, Outcome.SUCCEEDED, 100.1, is_answered=True)
 
 
-def test_decision_when_servers_are_warm_or_unweighted_does_not_ask_the_quota():
-    for weighed, started in ((True, -1e9), (False, 99.0)):
-        made = helpers.make_router(caches=1, has_weights=weighed)
-        made.endpoints.edge_caches[0].started = started
-        made.endpoints.slow_start_quota = lambda *words: pytest.fail("asked")
-        made.endpoints.cache_slow_start.usual_load = 10.0
-        made.endpoints.edge_caches[0].tokens = 1.0
-        _, caller = helpers.route_request(made)
+def test_decision_when_the_server_is_warm_or_unweighted_does_not_use_the_quota():
+    for has_weights, started in ((True, -1e9), (False, 99.0)):
+        router = helpers.make_router(caches=1, has_weights=has_weights)
+        router.endpoints.edge_caches[0].started = started
+        router.endpoints.slow_start_quota = lambda *arguments: pytest.fail("the quota was called")
+        router.endpoints.cache_slow_start.usual_load = 10.0
+        router.endpoints.edge_caches[0].tokens = 1.0
+        _, caller = helpers.route_request(router)
         assert caller.forwards
 
 
@@ -246,7 +254,7 @@
 
 
 @pytest.mark.parametrize(
-    "text, told",
+    "text, setting",
     [
         ('shared: mode: "on"', "shared.mode"),
         (PEERS + 'shared: {mode: "on", names: 3, processes: 2}', "shared.processes"),
@@ -256,12 +264,12 @@
         ),
     ],
 )
-def test_settings_when_contradictory_name_the_key(text, told):
-    with pytest.raises(OptionsError, match=told):
+def test_settings_when_contradictory_are_refused_with_the_setting(text, setting):
+    with pytest.raises(OptionsError, match=setting):
         parse_options(text, "x")
 
 
-def test_start_when_the_zone_differs_from_the_platforms_is_refused(tmp_path):
+def test_start_when_the_roster_and_the_platform_differ_in_the_zone_is_refused(tmp_path):
     (tmp_path / "key").write_text("k" * 16)
     text = PEERS.replace("KEY", str(tmp_path / "key")).replace("ZONE", "hub") + 'shared: mode: "on"\n'
     (tmp_path / "o.cue").write_text(text)
@@ -270,7 +278,7 @@
         "RELAY_CONFIG": str(ROOT / "example/config.json"),
         "WICKHINGE_OPTIONS": str(tmp_path / "o.cue"),
     }
-    ran = subprocess.run(
+    finished = subprocess.run(
         [sys.executable, "-m", "wickhinge"], cwd=ROOT, env=env, capture_output=True, text=True, timeout=30, check=False
     )
-    assert ran.returncode == 2 and "'hub'" in ran.stderr and "'here'" in ran.stderr
+    assert finished.returncode == 2 and "'hub'" in finished.stderr and "'here'" in finished.stderr
--- a/wickhinge/shared/evidence.py
+++ b/wickhinge/shared/evidence.py
@@ -28,7 +28,9 @@
     health: Health = Health.HEALTHY
     amount: float = 0.0  # The amount to send in a verdict, as `Verdict.amount` defines it.
     observed_at: float = NEVER_S
-    last_answer_at: float = NEVER_S  # The server's last answer before the latest evaluation, by the clock of `routing`.
+    previous_answer_at: float = (
+        NEVER_S  # The server's last answer before the latest evaluation, by the clock of `routing`.
+    )
     recent_answers: float = 0.0  # Evaluations with a new answer; half of them expire in each OWN_EVIDENCE_MAX_AGE_S.
     had_failed: bool = False  # Whether the server counted as failed at the latest evaluation.
     overridden_at: float = NEVER_S  # Time when other routers' verdict was applied; NEVER_S for no verdict.
@@ -50,9 +52,9 @@
         server = self.server
         answered_at = now - max(policy_now - server.last_answer_at, 0.0)
         self.recent_answers = self.recent_answers * 0.5 ** (elapsed / OWN_EVIDENCE_MAX_AGE_S) + (
-            server.last_answer_at > self.last_answer_at
+            server.last_answer_at > self.previous_answer_at
         )
-        self.last_answer_at = server.last_answer_at
+        self.previous_answer_at = server.last_answer_at
         since_start = policy_now - server.started
         limit_ratio = server.concurrency_limit / server.max_concurrency_limit
         is_slow = server.concurrency_limit < SLOW_MEDIAN_FACTOR * median_limit_ratio * server.max_concurrency_limit
--- a/wickhinge/shared/outlier_detection.py
+++ b/wickhinge/shared/outlier_detection.py
@@ -125,7 +125,7 @@
         }
         for server_id, server in servers.items():
             evidence = self.evidence.setdefault(
-                server_id, Evidence(server, last_answer_at=server.last_answer_at, had_failed=server.has_failed)
+                server_id, Evidence(server, previous_answer_at=server.last_answer_at, had_failed=server.has_failed)
             )
             self._update_evidence(evidence, median_ratios[self._is_cache(server)], elapsed, now, policy_now)
         self.peer_verdicts.expire(servers, now)
--- a/wickhinge/shared/request_tallies.py
+++ b/wickhinge/shared/request_tallies.py
@@ -1,15 +1,18 @@
-"""How many requests are in flight at each cache of a location, by all of its routers: counted by each, passed on.
+"""Exchange of request tallies: how many requests each router of a location has in flight at each cache.
 
-Alone, a router takes the others for as loaded as itself (`Endpoints.count`), which is wrong by as much as their loads
-differ. Here each tells how many requests it has in flight, with a number that rises, and passes on what it knows of its
-zone's others (gossip): of each name the largest (epoch, incarnation, number) counts, in whatever order, however often
-it comes. Merging is a maximum a name, so it ends the same everywhere. A tally counts no more after TALLY_MAX_AGE_S;
-whoever is not heard of is guessed as before, so without tallies everything is as it is alone.
+Without an exchange, a router assumes that every other router has the same load as itself
+(`Endpoints.estimate_other_transfers`), which is wrong by as much as their loads differ. Here each router counts its own
+requests in a tally with a rising sequence number, and also relays the latest tallies that it knows of its zone's other
+routers (gossip). For each router the tally with the largest (epoch, incarnation, number) counts. A merge is a maximum
+for each name, so all routers reach the same result whatever the order of tallies, and however often each arrives. A
+tally is ignored after TALLY_MAX_AGE_S. Routers without a tally are estimated, so without any tallies this router
+behaves as it does without the exchange.
 
-What a name says itself goes before what is said of it. What is passed on counts only of the incarnation that this
-router believes, and its number may have risen only as fast as numbers do.
+A router's firsthand tally takes precedence over relayed ones. A relayed tally counts only if it is of the incarnation
+that this router believes to be current, and if its number has not risen faster than tallies are counted.
 
-A tally holds counts in the order of the servers' ids, and a hash of those ids: one of another list is of no use here.
+A tally holds its counts in the order of the servers' ids, and a hash of these ids: the counts of a router with another
+list of caches cannot be used.
 """
 
 from __future__ import annotations
@@ -25,26 +28,36 @@
 from wickhinge.peers.messages import MemberState, MessageKind
 from wickhinge.shared.ports import Endpoints, Server
 
-TALLY_INTERVAL_S = 0.25  # from one tally of our own to the next, each told to one peer of the zone
-TALLY_MAX_AGE_S = 3.0
-MAX_RELAYED_TALLIES = 4  # tallies of others in a datagram, those passed on least first
+TALLY_INTERVAL_S = 0.25  # Seconds between two tallies of a router, each sent to one peer of its zone.
+TALLY_MAX_AGE_S = 3.0  # Tallies that are older are ignored.
+MAX_RELAYED_TALLIES = 4  # Most tallies of other routers in a datagram.
 MAX_PAYLOAD_BYTES = 420
-MAX_REQUESTS = 10_000  # in flight at one server, by one router
-MAX_SERVERS = 256
-SMOOTHING = 0.3  # of a new sum, each TALLY_INTERVAL_S
-MAX_NUMBER_SPEEDUP = 1.2  # of others' numbers, by clocks and datagrams that meet
-NUMBERS_AHEAD = 8  # besides
+MAX_REQUESTS_PER_SERVER = 10_000  # Largest count in a tally.
+MAX_SERVERS = 256  # Most counts in a tally.
+SMOOTHING_FACTOR = 0.3  # Weight of a new sum in the reported count, in each TALLY_INTERVAL_S.
+MAX_NUMBER_SPEEDUP = 1.2  # Factor by which clock drift and bunched datagrams may speed up a router's numbers.
+NUMBER_TOLERANCE = 8  # Numbers by which a tally may be ahead beyond the speedup.
 
 
 class Tally(msgspec.Struct, array_like=True, frozen=True):
-    """What one router has in flight."""
+    """The requests that one router has in flight at each cache.
+
+    Attributes:
+        name: The router that counted.
+        epoch: The router's epoch.
+        incarnation: The router's incarnation.
+        number: Sequence number of the tally.
+        age: Seconds since the tally was counted.
+        list_hash: Hash of the ids of the servers in the counting router's list.
+        in_flight: Number of requests in flight at each server, in the order of the servers' ids.
+    """
 
     name: str
     epoch: int
     incarnation: int
     number: int
-    age: float  # seconds
-    list_hash: int  # of the servers' ids
+    age: float
+    list_hash: int
     in_flight: list[int]
 
 
@@ -53,119 +66,149 @@
 
 
 def decode(data: bytes) -> list[Tally]:
-    """The tallies in these bytes.
+    """Return the tallies that the bytes encode.
 
     Raises:
-        DatagramError: They are none, or have numbers that no router sends.
+        DatagramError: The bytes are not an array of tallies, or a number in them is outside its range.
     """
     tallies: list[Tally] = decode_body(decoder, data)
     if len(tallies) > MAX_RELAYED_TALLIES + 1:
-        raise DatagramError(f"expected at most {MAX_RELAYED_TALLIES + 1} tallies")
+        raise DatagramError(f"payload has too many tallies: expected at most {MAX_RELAYED_TALLIES + 1} tallies")
     for tally in tallies:
-        if len(tally.in_flight) > MAX_SERVERS or not all(0 <= count <= MAX_REQUESTS for count in tally.in_flight):
-            raise DatagramError(f"expected at most {MAX_SERVERS} counts from 0 to {MAX_REQUESTS}")
+        if len(tally.in_flight) > MAX_SERVERS or not all(
+            0 <= count <= MAX_REQUESTS_PER_SERVER for count in tally.in_flight
+        ):
+            raise DatagramError(
+                f"tally has counts out of range: expected at most {MAX_SERVERS} counts from 0 to "
+                f"{MAX_REQUESTS_PER_SERVER}"
+            )
         if not (isfinite(tally.age) and tally.age >= 0.0):
-            raise DatagramError("expected an age of 0 or more")
+            raise DatagramError("tally has an age out of range: expected a finite age of 0 or more")
         if not (tally.number > 0 and tally.epoch > 0 and tally.incarnation > 0):
-            raise DatagramError("expected a number, an epoch and an incarnation above 0")
+            raise DatagramError(
+                "tally has an identity out of range: expected a number, an epoch and an incarnation above 0"
+            )
     return tallies
 
 
-def hash_server_ids(marks: list[int]) -> int:
-    """The same number for the same servers, 32 bits."""
-    return xxh32_intdigest(b"".join(mark.to_bytes(4) for mark in marks))
+def hash_server_ids(server_ids: list[int]) -> int:
+    """Return a hash of a list of server ids, 32 bits."""
+    return xxh32_intdigest(b"".join(server_id.to_bytes(4) for server_id in server_ids))
 
 
 @dataclass(slots=True)
 class KnownTally:
-    """A tally of another router."""
+    """The latest tally of another router."""
 
     tally: Tally
-    counted_at: float  # by our clock
-    relayed: int = 0  # times
+    counted_at: float  # Time when the tally was counted, by the local clock.
+    relay_count: int = 0  # Number of times that this router has relayed the tally.
 
 
 class RequestTallies:
-    """Exchanges tallies with the zone's other routers.
+    """Exchanges tallies with the other routers of the zone.
 
     Attributes:
-        latest_tallies: The latest tally of each other router.
-        list_hash: Of our own list of caches.
-        refused: Tallies whose number rose too fast.
-        unreadable: Payloads that could not be read.
+        latest_tallies: The latest tally of each other router, by name.
+        list_hash: Hash of the ids of this router's caches.
+        refused_count: Number of relayed tallies that were refused because their number had risen too fast.
+        unreadable_count: Number of received payloads that could not be decoded.
     """
 
     def __init__(self, detector: FailureDetector, endpoints: Endpoints, now: float) -> None:
-        """Begin without tallies; the reports in the endpoint list and its caches are set here."""
+        """Create an exchange without tallies.
+
+        Args:
+            detector: Failure detector that knows the peers and carries the payloads.
+            endpoints: The endpoint list. The exchange sets `reporting_routers` in it, and `reported_transfers` of its
+                caches.
+            now: The current time by the detector's clock.
+        """
         self.detector = detector
         self.endpoints = endpoints
         self.latest_tallies: dict[str, KnownTally] = {}
         self.list_hash = 0
-        self.refused = 0
-        self.unreadable = 0
-        self._number = 0
+        self.refused_count = 0
+        self.unreadable_count = 0
+        self._last_number = 0
         self._counted_at = now
-        self._marks: list[int] = []
+        self._server_ids: list[int] = []
         self._in_flight: list[int] = []
 
     def zone_peers(self) -> list[str]:
-        """The names of the zone's other routers."""
+        """Return the names of the other routers of the zone."""
         roster = self.detector.roster
         return [name for name in roster.peer_names if roster.entries[name].zone == roster.local.zone]
 
     def tick(self, now: float) -> None:
-        """Count and tell where that is due; called some times a second."""
+        """Count the requests in flight and send a tally if TALLY_INTERVAL_S has passed.
+
+        Called several times a second.
+        """
         if 0.0 <= now - self._counted_at < TALLY_INTERVAL_S:
             return
         self._counted_at = now
         caches = sorted(self.endpoints.edge_caches, key=lambda cache: cache.id)[:MAX_SERVERS]
-        self._count(caches)
+        self._count_requests(caches)
         peers = self.zone_peers()
         for name in [
-            name for name, known in self.latest_tallies.items() if not self._counts(known, now) or name not in peers
+            name for name, known in self.latest_tallies.items() if not self._is_fresh(known, now) or name not in peers
         ]:
             del self.latest_tallies[name]
         self._update_endpoints(caches)
-        self._tell_one(peers, now)
+        self._send_to_random_peer(peers, now)
 
     def merge(self, tally: Tally, counted_at: float, *, is_firsthand: bool) -> bool:
-        """Take in a tally; False where it is not the latest of its name. is_firsthand: told by that very name."""
+        """Store a tally if it is the latest of its router.
+
+        Args:
+            tally: The tally.
+            counted_at: Time when it was counted, by the local clock.
+            is_firsthand: Whether the router that counted sent it itself.
+
+        Returns:
+            Whether the tally was stored.
+        """
         entry = self.detector.members.get(tally.name)
         if entry is None or (tally.epoch, tally.incarnation) != (entry.epoch, entry.incarnation):
             return False
         known = self.latest_tallies.get(tally.name)
         if known is not None and (known.tally.epoch, known.tally.incarnation) == (tally.epoch, tally.incarnation):
             step = tally.number - known.tally.number
-            most_in_flight = MAX_NUMBER_SPEEDUP * TALLY_MAX_AGE_S / TALLY_INTERVAL_S + NUMBERS_AHEAD
+            max_late_numbers = MAX_NUMBER_SPEEDUP * TALLY_MAX_AGE_S / TALLY_INTERVAL_S + NUMBER_TOLERANCE
             elapsed = max(counted_at - known.counted_at, 0.0)
-            if is_firsthand and -step > most_in_flight:
-                pass  # none of its datagrams is so late: what we were told before was not its own
+            if is_firsthand and -step > max_late_numbers:
+                # A datagram is never delayed by more numbers: another router must have invented the stored tally.
+                pass
             elif step <= 0:
                 return False
-            elif not is_firsthand and step > MAX_NUMBER_SPEEDUP * elapsed / TALLY_INTERVAL_S + NUMBERS_AHEAD:
-                self.refused += 1
+            elif not is_firsthand and step > MAX_NUMBER_SPEEDUP * elapsed / TALLY_INTERVAL_S + NUMBER_TOLERANCE:
+                self.refused_count += 1
                 return False
         self.latest_tallies[tally.name] = KnownTally(tally, counted_at)
         return True
 
     def payload(self, to: str) -> bytes:
-        """Our own tally, and others' that were passed on least; empty for routers of other zones."""
+        """Return this router's tally and some of other routers, those relayed least first.
+
+        The payload is empty for peers of other zones.
+        """
         roster = self.detector.roster
-        place = roster.entries.get(to)
-        if place is None or place.zone != roster.local.zone or not self._number:
+        entry = roster.entries.get(to)
+        if entry is None or entry.zone != roster.local.zone or not self._last_number:
             return b""
         now = self._counted_at
-        own = Tally(
+        own_tally = Tally(
             roster.local.name,
             self.detector.epoch,
             self.detector.incarnation,
-            self._number,
+            self._last_number,
             0.0,
             self.list_hash,
             self._in_flight,
         )
-        tallies, size = [own], len(encoder.encode([own]))
-        candidates = sorted(self.latest_tallies.values(), key=lambda known: (known.relayed, known.tally.name))
+        tallies, size = [own_tally], len(encoder.encode([own_tally]))
+        candidates = sorted(self.latest_tallies.values(), key=lambda known: (known.relay_count, known.tally.name))
         for known in candidates[:MAX_RELAYED_TALLIES]:
             if known.tally.name == to:
                 continue
@@ -173,16 +216,16 @@
             size += len(encoder.encode(tally))
             if size > MAX_PAYLOAD_BYTES:
                 break
-            known.relayed += 1
+            known.relay_count += 1
             tallies.append(tally)
         return encoder.encode(tallies)
 
     def receive(self, name: str, data: bytes, now: float) -> None:
-        """Take in a peer's payload."""
+        """Merge the tallies of a peer's payload."""
         try:
             tallies = decode(data)
         except DatagramError:
-            self.unreadable += 1
+            self.unreadable_count += 1
             return
         peers = set(self.zone_peers())
         for tally in tallies:
@@ -190,26 +233,26 @@
                 self.merge(tally, now - tally.age, is_firsthand=tally.name == name)
 
     def report_fields(self, now: float) -> dict[str, object]:
-        """For operators: how many routers' tallies count."""
+        """Return the fields of the report: how many tallies are in use, and the age of the oldest."""
         ages = [now - known.counted_at for known in self.latest_tallies.values()]
         return {
             "heard": sum(known.tally.list_hash == self.list_hash for known in self.latest_tallies.values()),
             "of": len(self.zone_peers()),
             "oldest_s": round(max(ages, default=0.0), 2),
-            "refused": self.refused,
-            "unreadable": self.unreadable,
+            "refused": self.refused_count,
+            "unreadable": self.unreadable_count,
         }
 
     @staticmethod
-    def _counts(known: KnownTally, now: float) -> bool:
+    def _is_fresh(known: KnownTally, now: float) -> bool:
         return 0.0 <= now - known.counted_at <= TALLY_MAX_AGE_S
 
-    def _count(self, caches: list[Server]) -> None:
-        marks = [cache.id for cache in caches]
-        if marks != self._marks:
-            self._marks, self.list_hash = marks, hash_server_ids(marks)
-        self._number += 1
-        self._in_flight = [min(len(cache.pending_attempts), MAX_REQUESTS) for cache in caches]
+    def _count_requests(self, caches: list[Server]) -> None:
+        server_ids = [cache.id for cache in caches]
+        if server_ids != self._server_ids:
+            self._server_ids, self.list_hash = server_ids, hash_server_ids(server_ids)
+        self._last_number += 1
+        self._in_flight = [min(len(cache.pending_attempts), MAX_REQUESTS_PER_SERVER) for cache in caches]
 
     def _update_endpoints(self, caches: list[Server]) -> None:
         fresh = [
@@ -219,11 +262,18 @@
         for index, cache in enumerate(caches):
             total = sum(in_flight[index] for in_flight in fresh)
             cache.reported_transfers += (
-                SMOOTHING * (total - cache.reported_transfers) if fresh else -cache.reported_transfers
+                SMOOTHING_FACTOR * (total - cache.reported_transfers) if fresh else -cache.reported_transfers
             )
 
-    def _tell_one(self, peers: list[str], now: float) -> None:
-        """Send a datagram to a random peer that is up: it carries our payload."""
-        up = [name for name in peers if self.detector.members[name].state in (MemberState.ALIVE, MemberState.SUSPECT)]
-        if up and self.detector.epoch:
-            self.detector.send(up[int(self.detector.random_source.draw() * len(up))], MessageKind.HELLO, 0, now)
+    def _send_to_random_peer(self, peers: list[str], now: float) -> None:
+        """Send a datagram, which carries the payload, to a random peer that has not failed."""
+        reachable_peers = [
+            name for name in peers if self.detector.members[name].state in (MemberState.ALIVE, MemberState.SUSPECT)
+        ]
+        if reachable_peers and self.detector.epoch:
+            self.detector.send(
+                reachable_peers[int(self.detector.random_source.draw() * len(reachable_peers))],
+                MessageKind.HELLO,
+                0,
+                now,
+            )
