--- a/tests/shared/test_quota_lending.py
+++ b/tests/shared/test_quota_lending.py
@@ -20,7 +20,7 @@
 from wickhinge.shared.quota_bucket import Quota, QuotaBucket
 from wickhinge.shared.quota_loans import LOAN_TERM_S, BorrowerKey, Loans
 
-# Buckets.
+# Tests of buckets.
 
 
 @settings(max_examples=60, deadline=None)
@@ -62,7 +62,7 @@
     assert not bucket.take(0.5, 50.0)
 
 
-# Leases: two incarnations of a name, and granters that restart or get delayed requests.
+# Tests of leases, with two incarnations of a name, granters that restart, and grants that arrive late.
 
 
 def both_hold_the_lease(seed, count, forgetful=False):
@@ -127,7 +127,7 @@
     assert leases.held_until(5.1) == 0.0
 
 
-# Loans.
+# Tests of loans.
 
 
 def test_loan_when_its_term_ends_ends_at_the_borrower_first():
@@ -195,7 +195,7 @@
         lending_payload.decode(lending_payload.encoder.encode(VALID_MESSAGE)[:-1])
 
 
-# Whole fleets in virtual time.
+# Tests of whole fleets in virtual time.
 
 
 @pytest.mark.parametrize("seed", range(100, 118))
--- a/tests/shared/test_slow_start_quota.py
+++ b/tests/shared/test_slow_start_quota.py
@@ -134,7 +134,7 @@
     assert len(sent_warm) > 2.5 * len(sent_cold)
 
 
-# Division of budgets among routers.
+# Tests of the division of budgets among routers.
 
 
 @settings(max_examples=100, deadline=None)
@@ -208,7 +208,7 @@
     assert overloaded_servers((plant,)) and overloaded_servers(()) == []
 
 
-# Decisions of `routing`.
+# Tests of routing decisions that use the quota.
 
 
 def test_decision_when_the_quota_admits_sends_to_the_cache_and_charges_it():
@@ -248,7 +248,7 @@
         assert caller.forwards
 
 
-# Settings.
+# Tests of settings.
 
 PEERS = 'peers: {mode: "on", key_file: "KEY", roster: [{name: "n1", address: "127.0.0.1:1", zone: "ZONE"}]}\n'
 
--- a/wickhinge/shared/budgets.py
+++ b/wickhinge/shared/budgets.py
@@ -36,7 +36,7 @@
     """Which routers spend a budget, and how much they may spend."""
 
     zone: str = ""  # Zone whose routers spend the budget; "" for the routers of all zones.
-    quota: Quota | None = None  # Quota of the budget's only bucket; None where each server gets a bucket later.
+    quota: Quota | None = None  # Quota of the budget's only bucket; None where each server has its own bucket.
 
 
 class Budget:
--- a/wickhinge/shared/evidence.py
+++ b/wickhinge/shared/evidence.py
@@ -18,7 +18,7 @@
 
 @dataclass(slots=True)
 class Evidence:
-    """This router's own evidence on one server, and the verdict of others that overrides it.
+    """This router's own evidence on one server, and the verdict of other routers that overrides it.
 
     Times are by the failure detector's clock except where a comment names the clock of `routing`. The limit ratio of
     a server is its learned concurrency limit over its maximum concurrency limit.
@@ -28,9 +28,7 @@
     health: Health = Health.HEALTHY
     amount: float = 0.0  # The amount to send in a verdict, as `Verdict.amount` defines it.
     observed_at: float = NEVER_S
-    previous_answer_at: float = (
-        NEVER_S  # The server's last answer before the latest evaluation, by the clock of `routing`.
-    )
+    previous_answer_at: float = NEVER_S  # `Server.last_answer_at` at the latest evaluation, by the clock of `routing`.
     recent_answers: float = 0.0  # Evaluations with a new answer; half of them expire in each OWN_EVIDENCE_MAX_AGE_S.
     had_failed: bool = False  # Whether the server counted as failed at the latest evaluation.
     overridden_at: float = NEVER_S  # Time when other routers' verdict was applied; NEVER_S for no verdict.
@@ -65,8 +63,8 @@
         elif self.health == Health.RESTARTED and since_start < VERDICT_MAX_AGE_S:
             self.amount, self.observed_at = max(since_start, 0.0), now
         elif self.is_overridden(now):
-            # While a verdict of others is in force, this router has no evidence of its own. An answer from the server
-            # is the exception: it shows that the server is reachable.
+            # While an applied verdict is in force, the server's state reflects that verdict and is no evidence of this
+            # router's own. Only an answer counts, because it shows that the server is reachable.
             answered = self.override_health == Health.UNREACHABLE and answered_at > self.overridden_at - EJECTION_S
             self.health, self.observed_at = Health.HEALTHY, answered_at if answered else NEVER_S
         elif self.recent_answers >= MIN_ANSWERS_FOR_SLOW and is_slow:
--- a/wickhinge/shared/lending_payload.py
+++ b/wickhinge/shared/lending_payload.py
@@ -18,7 +18,7 @@
 
 from wickhinge.common.sealing import DatagramError, decode_body
 
-MAX_LOANS_PER_KIND = 8  # Most requested loans in a message; also most granted and most returned loans.
+MAX_LOANS_PER_KIND = 8  # Most loans that one message requests, most that it grants, and most that it returns.
 MAX_BUDGETS = 8
 
 
@@ -45,11 +45,11 @@
 
 
 class LendingMessage(msgspec.Struct, array_like=True, frozen=True):
-    """All that one datagram tells another router about budgets."""
+    """The payload about budgets that one router sends to another with a datagram."""
 
     division: tuple[int, int]
     clock: float
-    echoed_clock: float  # The receiver's own clock from its latest message; 0 for none.
+    echoed_clock: float  # The receiver's own time from its latest message; 0 where none is echoed.
     lease_granted: bool
     levels: list[Level]
     requests: list[LoanAmount]
--- a/wickhinge/shared/lending_peers.py
+++ b/wickhinge/shared/lending_peers.py
@@ -82,7 +82,7 @@
             self._log("division_mismatch", name=name, names=division[0], processes=division[1])
         return False
 
-    # Levels.
+    # Budget levels of peers.
 
     def record_levels(self, name: str, levels: list[Level], now: float) -> None:
         """Record the levels of all budgets that a peer sent."""
@@ -106,7 +106,7 @@
         """Set the level that is assumed for a peer until it sends its levels again."""
         self._levels[name].levels[budget_index] = level
 
-    # Messages.
+    # Messages to peers.
 
     def record_echo(self, name: str, echo: Echo) -> None:
         """Set the echo that the next datagram to a peer carries."""
--- a/wickhinge/shared/outlier_detection.py
+++ b/wickhinge/shared/outlier_detection.py
@@ -136,7 +136,7 @@
         """Use the roster that the detector has loaded; routers that left it are no witnesses any more."""
         self.peer_verdicts.retain_witnesses(self.detector.roster.entries)
 
-    # Datagrams.
+    # Datagram payloads.
 
     def payload(self, to: str) -> bytes:
         """Return the encoded verdicts that a peer needs; empty while this router is unhealthy."""
@@ -196,7 +196,7 @@
             },
         }
 
-    # Own evidence.
+    # Evidence of this router.
 
     def _update_evidence(
         self, evidence: Evidence, median_ratio: float, elapsed: float, now: float, policy_now: float
@@ -236,7 +236,7 @@
         """Return whether the server is a cache of the location and not a parent."""
         return server.kind != self.endpoints.parent_kind
 
-    # Unhealthy routers.
+    # Detection of unhealthy routers.
 
     def _update_own_health(self) -> None:
         """Update whether this router is unhealthy.
@@ -274,7 +274,7 @@
                     contradicted_counts[name] = contradicted_counts.get(name, 0) + is_contradicted
         return {name for name, count in contradicted_counts.items() if 2 * count > len(self.evidence)}
 
-    # Verdicts of other routers.
+    # Application of other routers' verdicts.
 
     def _apply_verdicts(self, now: float, policy_now: float) -> None:
         """Apply all verdicts on which enough witnesses agree, those with the most witnesses first."""
--- a/wickhinge/shared/quota_lending.py
+++ b/wickhinge/shared/quota_lending.py
@@ -96,7 +96,7 @@
         self._peers = LendingPeers(detector, division, log)
         detector.attach_piggyback(self.payload, self.receive)
 
-    # Spending.
+    # Spending budgets.
 
     def take(self, budget_index: int, amount: float, now: float, server_id: int | None = None) -> bool:
         """Spend an amount of a budget, or nothing where less is available. The amount counts as demand either way.
@@ -136,7 +136,7 @@
         """Set another amount for a budget with one bucket."""
         self.budgets[budget_index].buckets[None].set_amount(amount, self.lagging_clock)
 
-    # Time.
+    # Updating shares over time.
 
     def tick(self, now: float) -> None:
         """Advance the clocks, update all shares, and balance them when due. Called several times a second."""
@@ -199,7 +199,7 @@
             budget.division = self.division.for_zone(self._detector.roster, budget.zone)
         self.tick(now)
 
-    # Datagrams.
+    # Datagram payloads.
 
     def payload(self, to: str) -> bytes:
         """Return the payload about budgets for a datagram that is sent to a peer now."""
@@ -251,7 +251,7 @@
             ],
         }
 
-    # Shares.
+    # Computing this router's own share.
 
     def _drop_leases_and_loans(self) -> None:
         """Forget received grants and all loans: they belong to another incarnation, or their ends are unknown."""
@@ -270,7 +270,7 @@
         is_alone = len(self._detector.roster) == 1
         return (1 - FLOOR_SHARE) / (budget.division.max_processes if is_alone else budget.division.max_names)
 
-    # Loans.
+    # Lending and borrowing.
 
     def _borrow(self, budget_index: int, budget: Budget, shortage: float, now: float) -> None:
         """Request loans from the peers with the largest known surpluses, each weighted by a random factor."""
@@ -322,7 +322,7 @@
             self.update_share(budget, now)  # The share shrinks before the borrower can receive the grant.
             self._peers.send_grant(key.borrower, LoanAmount(request.budget, request.serial, lent), now)
 
-    # Messages.
+    # Handling messages from peers.
 
     def _exchange_leases(self, name: str, message: LendingMessage, now: float) -> None:
         """Grant a peer the lease of its name, and record the grant that its message may carry."""
--- a/wickhinge/shared/quota_loans.py
+++ b/wickhinge/shared/quota_loans.py
@@ -78,7 +78,7 @@
         self.pending_requests: dict[int, PendingRequest] = {}
         self._last_serial = 0
 
-    # The lender's side.
+    # Loans to other routers.
 
     def lend(self, key: BorrowerKey, amount: float, now: float) -> float:
         """Lend an amount for one term from now on.
@@ -113,7 +113,7 @@
             del self.lent_quotas[key]
         return sum(loan.amount for loan in self.lent_quotas.values())
 
-    # The borrower's side.
+    # Loans from other routers.
 
     def expire_requests(self, now: float) -> None:
         """Forget requests that were not answered in time.
--- a/wickhinge/shared/slow_start_quota.py
+++ b/wickhinge/shared/slow_start_quota.py
@@ -96,9 +96,10 @@
         self._idle_checked_at = 0.0
 
     def admits(self, request: SlowStartRequest, now: float) -> bool:
-        """Return whether a request may be sent to its server now. The request counts as demand either way.
+        """Return whether a request may be sent to its server now.
 
-        The caller subtracts the work of a request that it sends from the server's tokens.
+        A request that is refused for lack of tokens counts as demand too. The caller subtracts the work of a request
+        that it sends from the server's tokens.
         """
         budget_index = self._first_budget + (PARENT_BUDGET if request.is_parent else CACHE_BUDGET)
         bucket = self._find_or_create_bucket(budget_index, request, now)
