--- a/wickhinge/net/upstream/attempt_results.py
+++ b/wickhinge/net/upstream/attempt_results.py
@@ -1,4 +1,4 @@
-"""Every way in which an attempt, a health check or a connection can end, and the one map to the decisions' outcomes."""
+"""The ways in which an attempt, a health check or a connection can end, and the outcomes that the decisions get."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class AttemptResult(Enum):
-    """How an attempt, a health check or a connection ended; the value is what the log says."""
+    """How an attempt, a health check or a connection ended; the log has the values."""
 
     SERVED = "served"
     NOT_MODIFIED = "same"
@@ -52,9 +52,9 @@
     AttemptResult.REFUSED: Outcome.CONNECT_FAILED,
     AttemptResult.CONNECT_FAILED: Outcome.CONNECT_FAILED,
     AttemptResult.RESET_WHILE_CONNECTING: Outcome.NOT_SENT,
-    AttemptResult.NO_DESCRIPTOR: Outcome.NOT_SENT,  # our own want, not the machine's
-    AttemptResult.CONNECT_NOT_STARTED: Outcome.NOT_SENT,  # the same
-    AttemptResult.NO_ROUTE: Outcome.NOT_SENT,  # told of by this machine's network; where it lasts, NO_CONNECT
+    AttemptResult.NO_DESCRIPTOR: Outcome.NOT_SENT,  # A local limit; says nothing about the server.
+    AttemptResult.CONNECT_NOT_STARTED: Outcome.NOT_SENT,  # A local error; says nothing about the server.
+    AttemptResult.NO_ROUTE: Outcome.NOT_SENT,  # If it persists, it is reported as CONNECT_FAILED instead.
     AttemptResult.LOST_UNWRITTEN: Outcome.NOT_SENT,
     AttemptResult.LOST_WRITTEN: Outcome.CONNECTION_LOST,
     AttemptResult.UNREADABLE: Outcome.CONNECTION_LOST,
@@ -62,7 +62,7 @@
     AttemptResult.CANCELLED: Outcome.CANCELLED,
     AttemptResult.RECALLED: Outcome.NOT_SENT,
     AttemptResult.CLOSED_PARTLY_WRITTEN: Outcome.CONNECTION_LOST,
-    AttemptResult.CLOSED_IDLE: None,  # nothing was open: no failure of the cache at all
+    AttemptResult.CLOSED_IDLE: None,  # Nothing was pending, so the server has not failed.
     AttemptResult.CLOSED_BY_US: None,
 }
 
@@ -78,11 +78,12 @@
 }
 
 
+# Connect errors which mean that the network has no route to the server, or that nothing on the way has answered.
 NO_ROUTE_ERRNOS = frozenset({EHOSTUNREACH, ETIMEDOUT})
 
 
 def connect_failure_result(reason: Failure) -> AttemptResult:
-    """Why no connection came up."""
+    """Return the result for the reason why a connection did not come up."""
     if reason.check(error.ConnectionRefusedError):
         return AttemptResult.REFUSED
     if reason.check(error.ConnectBindError, error.ConnectingCancelledError) is error.ConnectBindError:
--- a/wickhinge/net/upstream/local_copies.py
+++ b/wickhinge/net/upstream/local_copies.py
@@ -1,4 +1,4 @@
-"""Copies of our own, between the visits and the store: imported only where the settings switch the store on."""
+"""Answers requests with local copies from the store; imported only where the settings switch the store on."""
 
 from __future__ import annotations
 
@@ -16,12 +16,13 @@
 from wickhinge.store.workers import Workers
 from wickhinge.store.writing import CopyOffer
 
-TOLD = 0.05  # of a copy's bytes: what telling a client that its own is the one costs
+# Link bandwidth of the answer "your copy is current", as a share of the copy's size.
+NOT_MODIFIED_SIZE_SHARE = 0.05
 MAX_READ_THREADS = 8
 
 
 class LocalCopies:
-    """The module's Copies; reads under way are in numbered slots, each with a deadline."""
+    """The LocalCopies of the routing decisions; reads in progress are in numbered slots, each with a timer."""
 
     def __init__(
         self,
@@ -29,92 +30,121 @@
         deadlines: Deadlines,
         pool: BufferPool,
         link: LinkBandwidth,
-        within: float,
-        fault: Callable[[str], None],
-        others: OthersTime,
+        read_timeout_s: float,
+        report_fault: Callable[[str], None],
+        others_time: OthersTime,
     ) -> None:
-        self.store, self.deadlines, self.pool, self.link, self.within = store, deadlines, pool, link, within
-        self.fault, self.others = fault, others
+        """Create the table over a store that has been started.
+
+        Args:
+            store: The store that holds the copies.
+            deadlines: The timers of the router.
+            pool: The buffers for the bodies of answers.
+            link: The bandwidth of the router's own link.
+            read_timeout_s: Seconds after which a read counts as late; the request then goes to a server.
+            report_fault: Called with a name while an exception of the decisions is being handled.
+            others_time: Converts times of day that servers name.
+        """
+        self.store, self.deadlines, self.pool, self.link, self.read_timeout_s = (
+            store,
+            deadlines,
+            pool,
+            link,
+            read_timeout_s,
+        )
+        self.report_fault, self.others_time = report_fault, others_time
         self.record_request, self.find = store.record_request, store.find
         self.is_valid = store.is_valid
         self._age_limit: Callable[[float], float | None] = lambda now: None
         self.slots = Slots()
+        # Counts by how reads ended: bytes from memory or disk, "told" where the client had the copy, "late" for timeouts.
         self.served_counts = {"memory": 0, "disk": 0, "told": 0, "late": 0}
 
     def limit_age(self, limit: Callable[[float], float | None]) -> None:
-        """From now on no copy is current that is older than limit(now) seconds; None: of any age."""
+        """Treat copies older than `limit(now)` seconds as not current from now on; a limit of None allows any age."""
         self._age_limit = limit
 
     def is_current(self, copy: Any, now: float) -> bool:
-        """Whether the store vouches for the copy, and it is no older than the limit."""
+        """Return whether the copy is current for the store and no older than the age limit."""
         if not self.store.is_current(copy, now):
             return False
         limit = self._age_limit(now)
         return limit is None or self.age(copy, now) <= limit
 
     def age(self, copy: Any, now: float) -> float:
-        return now - self.others.earliest(copy.created, now)
+        """Return the greatest age in seconds that the copy can have."""
+        return now - self.others_time.earliest(copy.created, now)
 
     def transfer_end(self, copy: Any, now: float) -> float:
+        """Return the time at which the copy would have passed the router's own link."""
         return self.link.transfer_end(copy.size, now)
 
-    # Answers out of copies.
+    # Answering requests with copies.
 
-    def read(self, door: Any, copy: Any) -> None:
-        number = self.slots.put((door, copy))
-        if door.cached and door.cached.encode() == copy.etag:
-            self.deadlines.soon(self.ended, number, True, "told")
+    def read(self, downstream_request: Any, copy: Any) -> None:
+        """Read a copy from the store and answer the request with it; a client that has the copy gets no body."""
+        number = self.slots.put((downstream_request, copy))
+        if downstream_request.cached and downstream_request.cached.encode() == copy.etag:
+            self.deadlines.soon(self.read_ended, number, True, "told")
             return
-        self.deadlines.after(self.within, self.ended, number, None, "late")
+        self.deadlines.after(self.read_timeout_s, self.read_ended, number, None, "late")
         self.store.read(
-            copy, lambda data, memory: self.deadlines.soon(self.ended, number, data, "memory" if memory else "disk")
+            copy,
+            lambda data, memory: self.deadlines.soon(self.read_ended, number, data, "memory" if memory else "disk"),
         )
 
-    def ended(self, number: int, data: Any, how: str) -> None:
-        """data: the bytes, True where the client has them, None where they could not be had in time."""
-        entry = self.slots.drop(number)
-        if entry is None:
+    def read_ended(self, number: int, data: Any, how: str) -> None:
+        """Answer the request where its copy was read in time.
+
+        Args:
+            number: The number of the read.
+            data: The bytes; True where the client has the copy itself; None where the read failed or is late.
+            how: The key of `served_counts`.
+        """
+        pending_read = self.slots.drop(number)
+        if pending_read is None:
             return
-        door, copy = entry
-        if door.final:
+        downstream_request, copy = pending_read
+        if downstream_request.final:
             return
         self.served_counts["late"] += how == "late"
         now = self.deadlines.now()
         try:
-            if door.visit.copy_read(copy, now, is_complete=data is not None):
+            if downstream_request.visit.copy_read(copy, now, is_complete=data is not None):
                 self.served_counts[how] += 1
-                self.link.record_transfer(int(copy.size * TOLD) if data is True else copy.size, now)
-                door.serve(None if data is True else Body(self.pool, data), data is True)
+                self.link.record_transfer(int(copy.size * NOT_MODIFIED_SIZE_SHARE) if data is True else copy.size, now)
+                downstream_request.serve(None if data is True else Body(self.pool, data), data is True)
         except Exception:
-            self.fault("copies")
-            door.broken()
+            self.report_fault("copies")
+            downstream_request.broken()
 
-    # Copies out of answers.
+    # Storing and revalidating copies with responses.
 
-    def store_response(self, visit: Any, told: dict[str, str], body: Any) -> None:
-        """A cache's answer is about to go to its client; kept if the tier wants it."""
-        request_class = visit.request_class
-        made = told.get("made", "")
+    def store_response(self, request: Any, fields: dict[str, str], body: Any) -> None:
+        """Store the body of a response where the store admits it; called before the client gets the body."""
+        request_class = request.request_class
+        made_ms = fields.get("made", "")
         if (
             request_class.pass_through
             or request_class.idempotency is not Idempotency.IDEMPOTENT
-            or not made.isdigit()
-            or len(made) > 16
+            or not made_ms.isdigit()
+            or len(made_ms) > 16
         ):
             return
-        tag = told.get("etag", "").encode()
-        key, part, now = visit.object_count.key, visit.part, self.deadlines.now()
-        offer = CopyOffer(key, part, visit.group, tag, int(made) / 1000.0, body.length)
+        etag = fields.get("etag", "").encode()
+        key, part, now = request.object_count.key, request.part, self.deadlines.now()
+        offer = CopyOffer(key, part, request.group, etag, int(made_ms) / 1000.0, body.length)
         if self.store.admit(offer, now):
             self.store.write(offer, b"".join(body.views()))
 
-    def revalidated(self, copy: Any, told: dict[str, str]) -> None:
-        """A cache answered that ours is the one."""
-        made = told.get("made", "")
-        if made.isdigit() and len(made) <= 16:
-            self.store.revalidate(copy, int(made) / 1000.0)
+    def revalidated(self, copy: Any, fields: dict[str, str]) -> None:
+        """Note that a server has answered that the local copy is current."""
+        made_ms = fields.get("made", "")
+        if made_ms.isdigit() and len(made_ms) <= 16:
+            self.store.revalidate(copy, int(made_ms) / 1000.0)
 
     def figures(self) -> dict[str, Any]:
+        """Return the entry of the local copies in the report."""
         return {**self.store.figures(), "served": self.served_counts}
 
 
@@ -125,11 +155,17 @@
     pool: BufferPool,
     link: tuple[float, float],
     log: Callable[..., None],
-    fault: Callable[[str], None],
-    others: OthersTime,
+    report_fault: Callable[[str], None],
+    others_time: OthersTime,
 ) -> LocalCopies | None:
-    workers = Workers(reactor, min(options.store.reads_at_once, MAX_READ_THREADS), fault)
+    """Start the store and return its LocalCopies; None where the directory of the store cannot be used.
+
+    `link` holds the bytes per second of the router's own link: for one transfer, and for all transfers together.
+    """
+    workers = Workers(reactor, min(options.store.reads_at_once, MAX_READ_THREADS), report_fault)
     store = start_store(options.store, options.journal, Runtime(workers, deadlines.now, deadlines.after, log))
     if store is None:
         return None
-    return LocalCopies(store, deadlines, pool, LinkBandwidth(*link), options.store.read_within_s, fault, others)
+    return LocalCopies(
+        store, deadlines, pool, LinkBandwidth(*link), options.store.read_within_s, report_fault, others_time
+    )
