--- a/bench/soak/planted.py
+++ b/bench/soak/planted.py
@@ -18,7 +18,7 @@
 
 def dropped_answer() -> None:
     """One answer in EVERY is not written."""
-    _harm_answers(lambda connection, call, body, fields, serve: connection.open.pop(call, None))
+    _harm_answers(lambda connection, call, body, fields, serve: connection.open_requests.pop(call, None))
 
 
 def second_answer() -> None:
@@ -26,7 +26,7 @@
 
     def twice(connection, call, body, fields, serve) -> None:
         serve(connection, call, body, fields)
-        connection.error(call, "Overloaded", {})
+        connection.send_error(call, "Overloaded", {})
 
     _harm_answers(twice)
 
@@ -34,7 +34,7 @@
 def late_answer() -> None:
     """One answer in EVERY comes four seconds late."""
     _harm_answers(
-        lambda connection, call, body, fields, serve: connection.clients.deadlines.after(
+        lambda connection, call, body, fields, serve: connection.clients.deadlines.call_after(
             4.0, serve, connection, call, body, fields
         )
     )
@@ -48,7 +48,7 @@
 def _harm_answers(harm: Callable[..., object]) -> None:
     from wickhinge.net.downstream.client_connection import ClientConnection
 
-    serve, is_harmed = ClientConnection.serve, _every(EVERY)
+    serve, is_harmed = ClientConnection.send_answer, _every(EVERY)
 
     def harmed(self, call, body, fields):
         if is_harmed():
@@ -56,7 +56,7 @@
         else:
             serve(self, call, body, fields)
 
-    ClientConnection.serve = harmed
+    ClientConnection.send_answer = harmed
 
 
 def forgotten_reload() -> None:
@@ -84,23 +84,23 @@
     """Some requests begin 0.3 s after they were read, whether or not their client has left or cancelled meanwhile."""
     from wickhinge.net.downstream.client_connection import ClientConnection
 
-    begin, is_harmed = ClientConnection.request, _every(3)
+    begin, is_harmed = ClientConnection.begin_request, _every(3)
 
     def late(self, call, method, params, arrival):
         if is_harmed():
-            self.clients.deadlines.after(0.3, begin, self, call, method, params, arrival)
+            self.clients.deadlines.call_after(0.3, begin, self, call, method, params, arrival)
         else:
             begin(self, call, method, params, arrival)
 
-    ClientConnection.request = late
-    ClientConnection.awaits = lambda self, call: True
+    ClientConnection.begin_request = late
+    ClientConnection.is_request_open = lambda self, call: True
 
 
 def sent_twice() -> None:
     """What may not be repeated is taken for what may."""
     from wickhinge import interface, settings
 
-    build = settings.build
+    build = settings.build_router
 
     def all_idempotent(*arguments):
         decisions, classes = build(*arguments)
@@ -108,7 +108,7 @@
             object.__setattr__(request_class, "idempotency", interface.Idempotency.IDEMPOTENT)  # it is frozen
         return decisions, classes
 
-    settings.build = all_idempotent
+    settings.build_router = all_idempotent
 
 
 def whole_budget() -> None:
@@ -144,7 +144,7 @@
     """Purges are read and forgotten."""
     from wickhinge.routing.purges import Purges
 
-    Purges.notify = lambda self, key, group, stamp, now: None
+    Purges.record_purge = lambda self, key, group, stamp, now: None
 
 
 def cold_ignored() -> None:
@@ -204,8 +204,8 @@
     """The shutdown gives up a second before the end of the last requests."""
     from wickhinge.net.control import graceful_shutdown
 
-    graceful_shutdown.GIVE_UP_AFTER_S = -0.4
-    graceful_shutdown.LAST_ANSWER_S = -0.4
+    graceful_shutdown.GIVE_UP_AFTER_DEADLINE_S = -0.4
+    graceful_shutdown.LAST_ANSWER_AFTER_DEADLINE_S = -0.4
 
 
 def closed_listener() -> None:
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -3,7 +3,7 @@
 import pytest
 
 from bench.faults import shim
-from tests.support.router_process import Stand
+from tests.support.router_process import RouterHarness
 
 
 @pytest.fixture
@@ -11,7 +11,7 @@
     made = []
 
     def build(*told, **more):
-        made.append(Stand(tmp_path, *told, **more))
+        made.append(RouterHarness(tmp_path, *told, **more))
         return made[0]
 
     yield build
@@ -25,13 +25,13 @@
 
 
 @pytest.fixture
-def faulty(stand, shim_library, tmp_path):
+def faulty_stand(stand, shim_library, tmp_path):
     """A stand whose router's wall clock can be stepped and whose system calls can be made to fail."""
 
-    def build(*told, before=lambda shim: None, **more):
+    def build(*told, prepare=lambda shim: None, **more):
         """before: what is done to the shim before the router is started."""
         made = shim.Shim(shim_library, tmp_path / "shim.page", files=tmp_path)
-        before(made)
+        prepare(made)
         return stand(*told, environment=made.environment, **more), made
 
     return build
--- a/tests/net/test_net.py
+++ b/tests/net/test_net.py
@@ -14,7 +14,7 @@
 from twisted.python.failure import Failure
 
 from tests.support.connections import Wire, attempts, line, pool, reading
-from tests.support.routing import request_class, router
+from tests.support.routing import make_request_class, make_router
 from wickhinge.fields import MalformedError
 from wickhinge.interface import Outcome
 from wickhinge.net.control import config, endpoint_watch
@@ -168,8 +168,8 @@
     )
     for split in range(len(data) + 1):
         made, told = reading()
-        made.read(made.connection, data[:split])
-        made.read(made.connection, data[split:])
+        made.receive_data(made.connection, data[:split])
+        made.receive_data(made.connection, data[split:])
         assert (
             told == [(True, endpoint_watch.endpoint_records(RECORD)), (9, 0, 8), (None, 17, 6)]
             and made.last_number == 43
@@ -181,14 +181,14 @@
 )
 def test_journal_never_guesses_over_a_gap_or_a_bad_frame(data):
     made, told = reading()
-    made.read(made.connection, data)
+    made.receive_data(made.connection, data)
     assert told == ["dropped"] and made.last_number == 40 and made.connection is None
 
 
 def test_an_event_written_twice_is_heard_once_and_costs_nothing():
     made, told = reading()
     for number in (40, 41, 41, 42, 41):
-        made.read(made.connection, frame(number, 4, endpoint_watch.GROUP_PURGE.pack(number, 6)))
+        made.receive_data(made.connection, frame(number, 4, endpoint_watch.GROUP_PURGE.pack(number, 6)))
     assert told == [(None, 41, 6), (None, 42, 6)] and made.last_number == 42
 
 
@@ -196,10 +196,10 @@
     made, told = reading()
     made.reactor = SimpleNamespace(connectTCP=lambda host, port, *_, **__: told.append(port))
     old = made.connection
-    made.move(("127.0.0.1", 9))
-    made.lost(old, "closed")
-    made.read(old, frame(41, 4, endpoint_watch.GROUP_PURGE.pack(41, 6)))
-    made.move(("127.0.0.1", 9))
+    made.change_address(("127.0.0.1", 9))
+    made.handle_lost(old, "closed")
+    made.receive_data(old, frame(41, 4, endpoint_watch.GROUP_PURGE.pack(41, 6)))
+    made.change_address(("127.0.0.1", 9))
     assert told == ["dropped", 9] and made.last_number == 40
 
 
@@ -271,11 +271,11 @@
 def test_deadlines_share_one_timer_come_in_order_and_outlive_a_fault():
     clock, called, faults = Clock(), [], []
     deadlines = Deadlines(clock, faults.append)
-    deadlines.after(-1.0, called.append, "b")
-    deadlines.after(-2.0, called.append, "a")
-    deadlines.after(-1.5, lambda: 1 / 0)
-    deadlines.after(-0.5, lambda: deadlines.soon(called.append, "next turn"))
-    deadlines.after(60.0, called.append, "later")
+    deadlines.call_after(-1.0, called.append, "b")
+    deadlines.call_after(-2.0, called.append, "a")
+    deadlines.call_after(-1.5, lambda: 1 / 0)
+    deadlines.call_after(-0.5, lambda: deadlines.call_soon(called.append, "next turn"))
+    deadlines.call_after(60.0, called.append, "later")
     deadlines.fire()
     assert called == ["a", "b"] and faults == ["deadline"]
     deadlines.fire()
@@ -320,19 +320,30 @@
     class Named:
         """A client that tells when it is hung up on."""
 
-        came_since = rests = lambda self: True
+        earliest_unread_arrival = is_idle = lambda self: True
 
-    for name, table, since in (("silent", clients.silent, silent), ("idle", clients.idle, idle)):
+    for name, table, since in (("silent", clients.without_request, silent), ("idle", clients.idle, idle)):
         if since is not None:
             made = Named()
-            made.open, made.out, made.later, made.full, made.ended = (), (), (), False, False
+            made.open_requests, made.write_queue, made.queued_requests, made.is_write_blocked, made.has_ended = (
+                (),
+                (),
+                (),
+                False,
+                False,
+            )
             # What lies unread is a request, as its socket is read.
-            made.read_all = lambda _, gone=made, since=since: since < 0 and setattr(gone, "rests", lambda: False)
-            made.close = made.fail = lambda *_, gone=made, what=name: (ended.append(what), clients.forget(gone))
-            clients.all.add(made)
+            made.read_all_pending = lambda _, gone=made, since=since: since < 0 and setattr(
+                gone, "is_idle", lambda: False
+            )
+            made.close_unless_unread = made.fail = lambda *_, gone=made, what=name: (
+                ended.append(what),
+                clients.client_disconnected(gone),
+            )
+            clients.connections.add(made)
             table[made] = 100.0 - since
-    clients.all.update(range(2 - len(clients.all)))
-    assert clients.shed(1) == len(goes)
+    clients.connections.update(range(2 - len(clients.connections)))
+    assert clients.close_idle_clients(1) == len(goes)
     assert ended == goes
 
 
@@ -364,7 +375,7 @@
     assert ends == {}
     del made.socket.recv
     call(*told)
-    assert ends == {1: AttemptResult.UNREADABLE, 2: AttemptResult.UNREADABLE} and made.pools.buffer_pool.out == 0
+    assert ends == {1: AttemptResult.UNREADABLE, 2: AttemptResult.UNREADABLE} and made.pools.buffer_pool.in_use == 0
 
 
 def test_a_machine_gone_is_forgotten_when_nothing_is_out_there():
@@ -393,7 +404,7 @@
     made, ended = line()[0].pools, []
     forwards = attempts(made)
     forwards.attempt_ended = lambda number, end, told, body: ended.append(end)
-    door = None if probe else DownstreamRequest(SimpleNamespace(taken=1), None, 1, "a", request_class(), 0.0)
+    door = None if probe else DownstreamRequest(SimpleNamespace(taken=1), None, 1, "a", make_request_class(), 0.0)
     number = forwards.slots.put(SentAttempt(door, None, None, 0.0, 1.0))
     assert forwards.response_received(number, word, told, Body(made.buffer_pool, b"x")) is good
     assert (ended == [AttemptResult.UNREADABLE]) is not good
@@ -423,15 +434,15 @@
 def test_what_lies_in_the_sockets_is_read_before_deadlines_that_a_standstill_made_late():
     clock, called = Clock(), []
     deadlines = Deadlines(clock, [].append)
-    clock.arrivals.returned = deadlines.now()
-    deadlines.after(-1.0, lambda: called.append(clock.caught_up))
+    clock.arrivals.poll_ended_at = deadlines.now()
+    deadlines.call_after(-1.0, lambda: called.append(clock.caught_up))
     deadlines.fire()
-    clock.arrivals.returned = deadlines.now() - 0.2
-    deadlines.after(-0.1, lambda: called.append(clock.caught_up))
+    clock.arrivals.poll_ended_at = deadlines.now() - 0.2
+    deadlines.call_after(-0.1, lambda: called.append(clock.caught_up))
     deadlines.fire()
-    clock.arrivals.returned = deadlines.now()
-    clock.arrivals.behind = True  # the poll was broken off, and told nothing
-    deadlines.after(-0.1, lambda: called.append(clock.caught_up))
+    clock.arrivals.poll_ended_at = deadlines.now()
+    clock.arrivals.is_behind = True  # the poll was broken off, and told nothing
+    deadlines.call_after(-0.1, lambda: called.append(clock.caught_up))
     deadlines.fire()
     assert called == [0, 1, 2]
 
@@ -488,17 +499,17 @@
 
 def test_a_visit_denied_at_once_is_freed_without_the_collector():
     """The collector is off in service: a circle would stay until the memory limit."""
-    clock = SimpleNamespace(now=lambda: 100.0, at=lambda *_: None)
-    client = SimpleNamespace(error=lambda call, word, fields: None)
-    decisions = router(boxes=0, parents=0, direct=False)
+    clock = SimpleNamespace(now=lambda: 100.0, call_at=lambda *_: None)
+    client = SimpleNamespace(send_error=lambda call, word, fields: None)
+    decisions = make_router(caches=0, parents=0, direct_to_source=False)
     forwards = SimpleNamespace(decisions=decisions, local_copies=None)
-    visits = RequestTable(forwards, clock, pool()[0], {"t": request_class()}, lambda *_, **more: None, [].append)
+    visits = RequestTable(forwards, clock, pool()[0], {"t": make_request_class()}, lambda *_, **more: None, [].append)
     seen, take = [], decisions.route
     decisions.route = lambda *told: seen.append(weakref.ref(visit := take(*told))) or visit
     gc.disable()
     try:
-        visits.take(client, 1, "t", {"rid": "0" * 16, "budget": "3000", "obj": "0" * 16}, b"", 100.0)
-        decisions.environment.alarms.clear()
-        assert visits.answers == {"denied": 1} and seen[0]() is None
+        visits.start_request(client, 1, "t", {"rid": "0" * 16, "budget": "3000", "obj": "0" * 16}, b"", 100.0)
+        decisions.environment.timers.clear()
+        assert visits.answer_counts == {"denied": 1} and seen[0]() is None
     finally:
         gc.enable()
--- a/tests/net/test_request_log.py
+++ b/tests/net/test_request_log.py
@@ -77,18 +77,18 @@
 @pytest.mark.parametrize("by", [-3600.0, -3.0, 3.0])
 def test_a_step_of_the_wall_clock_is_found_once_and_drift_is_none(by):
     watch = WallClockWatch(1e9, 50.0)
-    assert watch.step(1e9 + 0.501, 50.5) == 0.0
-    assert watch.step(1e9 + 1.0 + by, 51.0) == pytest.approx(by, abs=0.01)
-    assert watch.step(1e9 + 1.5 + by, 51.5) == 0.0
+    assert watch.detect_step(1e9 + 0.501, 50.5) == 0.0
+    assert watch.detect_step(1e9 + 1.0 + by, 51.0) == pytest.approx(by, abs=0.01)
+    assert watch.detect_step(1e9 + 1.5 + by, 51.5) == 0.0
 
 
 def test_standstills_are_found_in_waits_and_in_turns_and_counted_anew_after_a_report():
     lines = Lines()
     meter = EventLoopStalls()
     meter.log_to(lines)
-    meter.waited(0.0, 0.25, 0.25)  # in time
-    meter.waited(0.26, 0.25, 1.01)  # half a second past its time
-    meter.waited(1.31, None, 9.0)  # a turn of 0.3 s; a wait without end is never late
+    meter.record_wait(0.0, 0.25, 0.25)  # in time
+    meter.record_wait(0.26, 0.25, 1.01)  # half a second past its time
+    meter.record_wait(1.31, None, 9.0)  # a turn of 0.3 s; a wait without end is never late
     assert meter.report() == {"count": 2, "longest_ms": 500, "total_ms": 800}
     assert [line["where"] for line in lines] == ["wait", "turn"]
     assert meter.report()["count"] == 0
@@ -99,7 +99,7 @@
     client = made.client()
     rid = "00000000000000f1"
     call = client.ask("pages", rid=rid, budget="900")
-    assert made.line(0).next() is not None
+    assert made.accept_connection(0).next_request() is not None
     assert client.answer(call)[2][0] == "Overloaded"
     line = made.router.wait(rid)
     assert json.loads(line)["reason"] == "deadline exceeded"
@@ -112,8 +112,8 @@
     assert CliRunner().invoke(main, ["trace", "0" * 16, str(log)]).exit_code == 1
 
 
-def test_a_router_tells_that_it_stood_still_and_that_its_wall_clock_was_stepped(faulty):
-    made, shim = faulty()
+def test_a_router_tells_that_it_stood_still_and_that_its_wall_clock_was_stepped(faulty_stand):
+    made, shim = faulty_stand()
     shim.step_wall_clock(-2.0)
     assert -2.1 < json.loads(made.router.wait("wall_clock_stepped"))["by_s"] < -1.9
     pid = made.router.child.pid
--- a/wickhinge/net/control/changelog_client.py
+++ b/wickhinge/net/control/changelog_client.py
@@ -18,7 +18,7 @@
 from wickhinge.changelog.log import Snapshot
 from wickhinge.changelog.settings import FollowSettings
 from wickhinge.changelog.settings_table import JOURNAL, SettingsTable
-from wickhinge.fields import MalformedError, endpoint
+from wickhinge.fields import MalformedError, parse_host_port
 from wickhinge.net.control.endpoint_updates import EndpointUpdates
 from wickhinge.net.runtime.deadlines import Deadlines
 from wickhinge.net.runtime.log import Log
@@ -57,17 +57,17 @@
         self.follower = FollowerEndpoint(
             EndpointConfig(
                 name,
-                endpoint(options.bind) or ANY_ADDRESS,
+                parse_host_port(options.bind) or ANY_ADDRESS,
                 options_of.addresses(options.relays),
                 options_of.read_keys(options),
             ),
-            Runtime(node.reactor, log=self._log, call_later=node.deadlines.after),
+            Runtime(node.reactor, log=self._log, call_later=node.deadlines.call_after),
             self,
             FollowSettings(bound_s=options.bound_s, ingest_s=options.ingest_s),
         )
         self._limited = True  # as at the last tick: the age of copies is limited
         self._source = ""
-        node.decisions.purges.limit_age_by(self.limit)
+        node.decisions.purges.set_age_limit(self.limit)
         if node.local_copies is not None:
             node.local_copies.limit_age(self.limit)
 
@@ -95,7 +95,7 @@
         """The greatest age of a copy that may be served, whatever the time of day is."""
         return self.follower.max_copy_age_s(self._options.grace_s)
 
-    def figures(self) -> dict[str, Any]:
+    def report_fields(self) -> dict[str, Any]:
         """Its entry in the report."""
         machine, now = self.follower.state_machine, self.follower.clock()
         until = machine.informed_until(now)
@@ -155,7 +155,7 @@
         self._limited = limited
         if limited:
             self._node.attempts.recall_unwritten(lambda sent: sent.attempt.request.request_class.pass_through)
-        figures = self.figures()
+        figures = self.report_fields()
         state = "changelog_uninformed" if limited else "changelog_informed"
         self._log(state, epoch=figures["epoch"], number=figures["number"], age_s=figures["age_s"])
 
--- a/wickhinge/net/control/membership.py
+++ b/wickhinge/net/control/membership.py
@@ -12,7 +12,7 @@
 from twisted.internet.error import CannotListenError
 
 from wickhinge import settings
-from wickhinge.fields import MalformedError, endpoint
+from wickhinge.fields import MalformedError, parse_host_port
 from wickhinge.interface import Endpoint, Idempotency, Outcome
 from wickhinge.membership.backoff import AddressBackoff
 from wickhinge.membership.controller import MembershipController
@@ -72,7 +72,7 @@
         """Parameters as named; options: the `discovery` options."""
         self.node, self.settings = node, settings
         self.list_file, self.key, self.static = sources.list_file, sources.key, sources.static
-        self.now, self.after, self.log_event = node.deadlines.now, node.deadlines.after, node.log.event
+        self.now, self.after, self.log_event = node.deadlines.now, node.deadlines.call_after, node.log.event
         self.chance = RandomSource(node.seed ^ 0x5EED)
         self.controller = MembershipController(self, self.chance, settings)
         self.write_interval_s = 60.0 / options.writes_a_minute
@@ -80,7 +80,9 @@
         self.client = ListClient(node.reactor, self.after, self.key)
         self.written_at, self.is_writing, self.closed = 0.0, False, False
         self.exchange_backoff = (
-            AddressBackoff([endpoint(one) for one in options.siblings], self.chance, 0.5, options.longest_backoff_s)
+            AddressBackoff(
+                [parse_host_port(one) for one in options.siblings], self.chance, 0.5, options.longest_backoff_s
+            )
             if options.siblings
             else None
         )
@@ -89,7 +91,7 @@
 
     def service_addresses(self, address: tuple[str, int], options: Any) -> AddressBackoff:
         """The discovery service's addresses: the configuration's, and those of the `discovery` options."""
-        addresses = [address, *(endpoint(further) for further in options.addresses)]
+        addresses = [address, *(parse_host_port(further) for further in options.addresses)]
         self.backoff = AddressBackoff(addresses, self.chance, options.backoff_s, options.longest_backoff_s)
         return self.backoff
 
@@ -103,7 +105,7 @@
         self.controller.start(stored, self.static, self.now())
         fleet = self.node.decisions.endpoints
         if self.controller.stored is not None:
-            fleet.edge.usual_load, fleet.upper.usual_load = self.controller.stored.usual_loads
+            fleet.cache_slow_start.usual_load, fleet.parent_slow_start.usual_load = self.controller.stored.usual_loads
             if options.journal.continues:
                 watch.resume_list(self.controller.stored.last_event)
 
@@ -113,7 +115,7 @@
         Raises OSError where the address cannot be had; then nothing has begun.
         """
         if self.listen:
-            host, port = endpoint(self.listen)
+            host, port = parse_host_port(self.listen)
             factory = ListServerFactory(
                 self.key, self.now, self.after, lambda: self.controller.replica_answer(self.now()), self.log_event
             )
@@ -174,7 +176,7 @@
 
     def recover_purge(self, purge: PurgeRecord) -> None:
         """Carries out a purge that was stored, or that another router told."""
-        self.node.decisions.purges.notify(purge.object_key, purge.group, purge.stamp, self.now())
+        self.node.decisions.purges.record_purge(purge.object_key, purge.group, purge.stamp, self.now())
         if self.node.local_copies is not None:
             self.node.local_copies.store.purge(purge.object_key, purge.group, purge.stamp, 0)
 
@@ -200,18 +202,18 @@
         self.controller.live_caught_up(self.now(), watch.last_number, is_continuous=is_continuous)
         self.backoff.record_success()
 
-    def ended(self, sent: Any, outcome: Outcome) -> None:
+    def record_attempt_outcome(self, sent: Any, outcome: Outcome) -> None:
         """Called when an attempt ended: an answer proves that the endpoint is there."""
         if sent.downstream_request.request_class.idempotency is Idempotency.IDEMPOTENT and (
-            outcome.answered or outcome in FAILED
+            outcome.is_answer or outcome in FAILED
         ):
-            self.controller.record_request(sent.server.id, self.now(), answered=outcome.answered)
+            self.controller.record_request(sent.server.id, self.now(), answered=outcome.is_answer)
 
     def purge(self, key: int | None, group: int, stamp: float) -> None:
         """Called with each purge; stamp: Unix seconds."""
         self.controller.record_purge(PurgeRecord(key, group, stamp), self.now())
 
-    def oldest(self, bound: float | None) -> float | None:
+    def limit_copy_age(self, bound: float | None) -> float | None:
         """The greatest age in seconds of a copy that may answer: the bound, or less where purges may be unknown."""
         ours = self.controller.max_copy_age_s(self.now())
         return bound if ours is None else ours if bound is None else min(ours, bound)
@@ -227,7 +229,7 @@
         if self.list_file is None or self.is_writing or 0.0 <= now - self.written_at < self.write_interval_s:
             return
         fleet = self.node.decisions.endpoints
-        stored = self.controller.snapshot(now, (fleet.edge.usual_load, fleet.upper.usual_load))
+        stored = self.controller.snapshot(now, (fleet.cache_slow_start.usual_load, fleet.parent_slow_start.usual_load))
         if stored is None:
             return
         self.is_writing, self.written_at = True, now
@@ -259,7 +261,7 @@
         if not self.closed:
             self.after(delay_s, self.ask)
 
-    def figures(self) -> dict[str, Any]:
+    def report_fields(self) -> dict[str, Any]:
         """Its entry in the report."""
         return self.controller.figures(self.now())
 
@@ -282,7 +284,7 @@
         static.append(
             Statement(
                 int(one.id[2:], 16),
-                endpoint(one.dial),
+                parse_host_port(one.dial),
                 EndpointState.READY,
                 one.zone,
                 one.kind,
--- a/wickhinge/net/runtime/deadlines.py
+++ b/wickhinge/net/runtime/deadlines.py
@@ -7,7 +7,7 @@
 from math import inf
 from typing import Any, Protocol
 
-from wickhinge.clocks import steady
+from wickhinge.clocks import steady_time
 from wickhinge.net.runtime.arrivals import STALL_S, Arrivals
 
 MIN_TICK_S = 0.002  # seconds; the kernel's timer counts in milliseconds
@@ -46,22 +46,22 @@
     @staticmethod
     def now() -> float:
         """Seconds of the steady clock."""
-        return steady()
+        return steady_time()
 
-    def at(self, when: float, call: Callable[..., None], *args: Any) -> None:
+    def call_at(self, when: float, call: Callable[..., None], *args: Any) -> None:
         """Calls at a time of the steady clock; cannot be cancelled."""
         self.serial += 1
         heappush(self.heap, (when, self.serial, call, args))
         if when < self.due:
             self.arm()
 
-    def after(self, delay: float, call: Callable[..., None], *args: Any) -> None:
+    def call_after(self, delay: float, call: Callable[..., None], *args: Any) -> None:
         """Calls after so many seconds; cannot be cancelled."""
-        self.at(self.now() + delay, call, *args)
+        self.call_at(self.now() + delay, call, *args)
 
-    def soon(self, call: Callable[..., None], *args: Any) -> None:
+    def call_soon(self, call: Callable[..., None], *args: Any) -> None:
         """Calls on the next turn of the loop: what the decisions started must return before they hear of its end."""
-        self.at(0.0, call, *args)
+        self.call_at(0.0, call, *args)
 
     def arm(self) -> None:
         """Sets the timer to the first deadline."""
@@ -75,7 +75,7 @@
 
     def fire(self) -> None:
         """Called by the timer: calls what is due, after what lies in the sockets has been read."""
-        if self.arrivals.behind or self.now() - self.arrivals.returned > STALL_S:
+        if self.arrivals.is_behind or self.now() - self.arrivals.poll_ended_at > STALL_S:
             self.reactor.catch_up()
         heap, now, last = self.heap, self.now(), self.serial
         self.due = -1.0  # calls made from here add to the heap; the timer is set once, at the end
--- a/wickhinge/net/upstream/attempts.py
+++ b/wickhinge/net/upstream/attempts.py
@@ -7,7 +7,7 @@
 from math import inf
 from typing import Any
 
-from wickhinge.clocks import OthersTime
+from wickhinge.clocks import RemoteClock
 from wickhinge.interface import AttemptParameters, CacheStatus, Completion, Outcome
 from wickhinge.net.runtime.deadlines import Deadlines
 from wickhinge.net.runtime.slots import Slots
@@ -80,7 +80,7 @@
     """The subsystems that Attempts calls; optional ones are None where they are switched off."""
 
     decisions: Any  # The Router of wickhinge.routing.
-    others_time: OthersTime
+    others_time: RemoteClock
     # Returns whether everything that the discovery service has sent until shortly before now has been read.
     is_up_to_date: Callable[[float], bool] = always_up_to_date
     local_copies: Any = None
@@ -123,7 +123,7 @@
         if parameters.retention_rank:
             fields += f",keep={parameters.retention_rank}"
         if self.membership is not None and not downstream_request.request_class.pass_through:
-            max_age = self.membership.oldest(max_age)
+            max_age = self.membership.limit_copy_age(max_age)
         if max_age is not None:
             # At least 1 ms: maxage=0 would mean that there is no limit. Rounded down: rounding up would allow older
             # copies than the limit does.
@@ -135,18 +135,18 @@
                 ("freshen", parameters.revalidate),
             )
             fields += ",flags=" + "+".join(flag for flag, is_set in flags if is_set)
-        if parameters.only_if_cached and downstream_request.missed is not None:
+        if parameters.only_if_cached and downstream_request.missed_connection is not None:
             # An only-if-cached attempt may end as a miss. On the connection of the earlier miss, a duplicate of that
             # response would be taken for the response to this attempt, so this attempt must use another connection.
-            downstream_request.missed.block_tag(downstream_request.rid)
+            downstream_request.missed_connection.block_tag(downstream_request.rid)
         now = self.deadlines.now()
         sent = SentAttempt(downstream_request, attempt, server, now, now + parameters.timeout)
         if parameters.begin_within is not None:
             sent.first_byte_deadline = now + parameters.begin_within
         sent.is_fill = source is not None and source is not server and not parameters.only_if_cached
-        if downstream_request.cached:
-            sent.offered_copy = downstream_request.cached
-            fields += f",have={downstream_request.cached}"
+        if downstream_request.client_etag:
+            sent.offered_copy = downstream_request.client_etag
+            fields += f",have={downstream_request.client_etag}"
         elif attempt.request.local_copy is not None:
             sent.offered_copy = attempt.request.local_copy
             fields += f",have={sent.offered_copy.etag.decode()}"
@@ -168,22 +168,22 @@
         number = self.slots.put(sent)
         sent.tag = tag or b"p%d" % number
         if sent.downstream_request is not None:
-            sent.downstream_request.out[sent.attempt] = number
+            sent.downstream_request.open_attempts[sent.attempt] = number
             source_id = sent.attempt.source.id if sent.attempt.source is not sent.server else 0
             sent.downstream_request.trace.add(
                 sent.sent_at, Step.SENT, sent.server.id, (round(timeout_s * 1000), source_id)
             )
-            if sent.downstream_request.left():
-                self.deadlines.soon(self.attempt_ended, number, AttemptResult.RECALLED)
+            if sent.downstream_request.check_ended():
+                self.deadlines.call_soon(self.attempt_ended, number, AttemptResult.RECALLED)
                 return number
         pool = self.pools.pools_by_id.get(sent.server.id)  # None where the server was removed after the decision.
         if pool is not None:
             health_check = resp.pack(b"STAT", sent.tag) if sent.downstream_request is None else None
             sent.connection = pool.send(sent.tag, number, health_check)
         if sent.connection is None:
-            self.deadlines.soon(self.attempt_ended, number, AttemptResult.NO_DESCRIPTOR)
-        elif sent.downstream_request is None or sent.sent_at + timeout_s < sent.downstream_request.until:
-            self.deadlines.at(sent.sent_at + timeout_s, self.expire, number)
+            self.deadlines.call_soon(self.attempt_ended, number, AttemptResult.NO_DESCRIPTOR)
+        elif sent.downstream_request is None or sent.sent_at + timeout_s < sent.downstream_request.deadline:
+            self.deadlines.call_at(sent.sent_at + timeout_s, self.expire, number)
         # An attempt that may last as long as its request sets no timer: the request's timer ends its attempts too.
         # That saves one timer for nearly every attempt.
         return number
@@ -196,7 +196,7 @@
     def cancel(self, number: int) -> None:
         """Cancel an attempt now; report its end to the decisions on the next turn, since they are calling this."""
         self.cancel_on_connection(number)
-        self.deadlines.soon(self.attempt_ended, number, AttemptResult.CANCELLED)
+        self.deadlines.call_soon(self.attempt_ended, number, AttemptResult.CANCELLED)
 
     def recall(self, number: int, even_if_partly_written: bool = False) -> None:
         """Withdraw an attempt whose request frame still waits to be written.
@@ -211,7 +211,7 @@
             return
         if even_if_partly_written or sent.connection.is_unwritten(sent.tag):
             sent.connection.cancel(sent.tag, sent.sent_at)
-            self.deadlines.soon(self.attempt_ended, number, AttemptResult.RECALLED)
+            self.deadlines.call_soon(self.attempt_ended, number, AttemptResult.RECALLED)
 
     def recall_unwritten(self, may_be_sent: Callable[[SentAttempt], bool]) -> None:
         """Recall the attempts that `may_be_sent` rejects and of which no byte has been written.
@@ -248,9 +248,9 @@
             return None
         while True:
             now = self.deadlines.now()
-            if sent.downstream_request.left():
+            if sent.downstream_request.check_ended():
                 # The attempt ends here also where the settings do not allow cancellation.
-                self.deadlines.soon(self.attempt_ended, number, AttemptResult.RECALLED)
+                self.deadlines.call_soon(self.attempt_ended, number, AttemptResult.RECALLED)
                 return None
             if now >= sent.deadline:
                 self.recall_unsendable(number, "the deadline passed before it was written")
@@ -273,7 +273,9 @@
         request = sent.downstream_request
         budget_ms = max(int((sent.deadline - now) * 1000), 1)
         body = b"".join(request.body.views()) if request.body is not None else b""
-        return resp.pack(b"REQ", request.rid, f"{request.passed},budget={budget_ms}{sent.fields}".encode(), body)
+        return resp.pack(
+            b"REQ", request.rid, f"{request.upstream_fields},budget={budget_ms}{sent.fields}".encode(), body
+        )
 
     def recall_unsendable(self, number: int, reason: str) -> None:
         """Recall an attempt of which nothing was written; the decisions decide anew on the next turn."""
@@ -281,7 +283,7 @@
         sent.downstream_request.trace.add(self.deadlines.now(), Step.TAKEN_BACK, sent.server.id, reason)
         if sent.connection is not None:
             sent.connection.cancel(sent.tag, sent.sent_at)
-        self.deadlines.soon(self.attempt_ended, number, AttemptResult.RECALLED)
+        self.deadlines.call_soon(self.attempt_ended, number, AttemptResult.RECALLED)
 
     def cancel_on_connection(self, number: int) -> None:
         """Remove an attempt from its connection, and tell the server where it already has the request."""
@@ -308,11 +310,11 @@
             and (sent.offered_copy is None or b"made=" not in fields)
             or result is AttemptResult.SERVED
             and sent.downstream_request is not None
-            and not sent.downstream_request.fits(fields, body)
+            and not sent.downstream_request.is_valid_answer(fields, body)
         ):
             result = AttemptResult.UNREADABLE
         if result is AttemptResult.MISS and sent is not None and sent.downstream_request is not None:
-            sent.downstream_request.missed = sent.connection
+            sent.downstream_request.missed_connection = sent.connection
         if (
             sent is not None
             and sent.connection is not None
@@ -344,10 +346,10 @@
             self.decisions.health_checked(sent.server, outcome, load, now)
             return
         if self.membership is not None:
-            self.membership.ended(sent, outcome)
+            self.membership.record_attempt_outcome(sent, outcome)
         request.trace.add(now, Step.ENDED, sent.server.id, (result, fields))
         if outcome is Outcome.SUCCEEDED:
-            if self.local_copies is not None and not request.final:
+            if self.local_copies is not None and not request.has_ended:
                 self.local_copies.store_response(sent.attempt.request, resp.parse_fields(fields), body)
             request.serve(body, False)
         elif body is not None:
@@ -356,7 +358,7 @@
             result in (AttemptResult.SERVED, AttemptResult.NOT_MODIFIED)
             and (made_ms := resp.parse_made_ms(fields)) is not None
         ):
-            self.others_time.seen(made_ms / 1000.0, now)
+            self.others_time.observe(made_ms / 1000.0, now)
         if result is AttemptResult.NOT_MODIFIED:
             if type(sent.offered_copy) is str:
                 request.serve(None, True)
@@ -366,9 +368,9 @@
             place = fields.find(b"detail=")
             cache_status = CACHE_STATUS_BY_CODE.get(fields[place + 7 : place + 8]) if place >= 0 else None
             load = resp.parse_load_report(resp.parse_fields(fields).get("use", "")) if b"use=" in fields else None
-            completion = Completion(outcome, duration_s, request.final, cache_status, load)
+            completion = Completion(outcome, duration_s, request.has_ended, cache_status, load)
             sent.attempt.request.attempt_ended(sent.attempt, completion, now)
         except Exception:
             self.report_fault("forward")
-            request.broken()
-        request.forgotten(sent.attempt)
+            request.end_with_internal_error()
+        request.attempt_ended(sent.attempt)
--- a/wickhinge/net/upstream/connection_pools.py
+++ b/wickhinge/net/upstream/connection_pools.py
@@ -14,7 +14,7 @@
 
 from wickhinge.common.connector import ConnectAttempt, failure_text
 from wickhinge.common.failed_calls import call_with_retries, has_unread_data
-from wickhinge.net.downstream.descriptors import CLOSING
+from wickhinge.net.downstream.descriptors import CLOSING_DESCRIPTORS
 from wickhinge.net.runtime.buffers import Body, BufferPool
 from wickhinge.net.runtime.deadlines import Deadlines
 from wickhinge.net.upstream import resp
@@ -87,7 +87,7 @@
         """Start to connect."""
         self.pools.open_descriptors += 1
         self.connect_attempt = ConnectAttempt(self.pools.deadlines.reactor, address, self, self.connect_failed)
-        self.pools.deadlines.after(self.pools.connect_timeout_s, self.connect_timed_out)
+        self.pools.deadlines.call_after(self.pools.connect_timeout_s, self.connect_timed_out)
 
     def connectionMade(self) -> None:
         """Write what was queued while the connection came up; called by Twisted."""
@@ -98,7 +98,7 @@
         self.socket = self.transport.getHandle()
         if self.pools.is_paused:
             self.transport.pauseProducing()
-        self.pools.deadlines.after(self.pools.idle_timeout_s, self.close_if_idle)
+        self.pools.deadlines.call_after(self.pools.idle_timeout_s, self.close_if_idle)
         self.write_queued()
 
     def connect_failed(self, failure: Failure) -> None:
@@ -194,7 +194,7 @@
             if self.is_head_partly_written and self.write_queue[0].tag == tag:
                 # The rest of the frame must not be written, and no other frame can be written without it.
                 self.is_writing_stopped = self.is_suspect = True
-                self.pools.deadlines.soon(
+                self.pools.deadlines.call_soon(
                     self.end, AttemptResult.CLOSED_PARTLY_WRITTEN, "a partly written request was cancelled"
                 )
             else:
@@ -247,7 +247,7 @@
                 )
         if self.decoder.is_mid_array() and not self.is_progress_check_set:
             self.is_progress_check_set = True
-            self.pools.deadlines.after(RESPONSE_STALL_S, self.check_progress)
+            self.pools.deadlines.call_after(RESPONSE_STALL_S, self.check_progress)
         self.close_if_suspect_and_unused()
 
     def check_progress(self) -> None:
@@ -272,7 +272,7 @@
         # Where this router is slow or has paused reading, the rest of the response may lie unread in the socket.
         if now - self.last_received_at < RESPONSE_STALL_S or self.pools.is_paused or has_unread_data(self.socket):
             self.is_progress_check_set = True
-            self.pools.deadlines.after(0.5 * RESPONSE_STALL_S, self.check_progress)
+            self.pools.deadlines.call_after(0.5 * RESPONSE_STALL_S, self.check_progress)
         else:
             self.end(AttemptResult.UNREADABLE, "a response stopped before its end")
 
@@ -312,7 +312,7 @@
             self.close()
         else:
             remaining_s = self.last_used_at + self.pools.idle_timeout_s - now
-            self.pools.deadlines.after(max(remaining_s, 0.5), self.close_if_idle)
+            self.pools.deadlines.call_after(max(remaining_s, 0.5), self.close_if_idle)
 
     def connectionLost(self, reason: Failure) -> None:
         """Free the descriptor and end the connection; called by Twisted."""
@@ -515,7 +515,7 @@
         free = self.max_connections - sum(len(pool.connections) for pool in self.pools_by_id.values())
         if is_needed and free == 0 and self.close_longest_idle():
             free = 1
-        return free > 0 and self.open_descriptors < self.max_connections + CLOSING
+        return free > 0 and self.open_descriptors < self.max_connections + CLOSING_DESCRIPTORS
 
     def close_longest_idle(self) -> bool:
         """Close the connection that has been idle for longest; return whether there was an idle one."""
--- a/wickhinge/net/upstream/local_copies.py
+++ b/wickhinge/net/upstream/local_copies.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from wickhinge.clocks import OthersTime
+from wickhinge.clocks import RemoteClock
 from wickhinge.interface import Idempotency
 from wickhinge.net.runtime.buffers import Body, BufferPool
 from wickhinge.net.runtime.deadlines import Deadlines
@@ -32,7 +32,7 @@
         link: LinkBandwidth,
         read_timeout_s: float,
         report_fault: Callable[[str], None],
-        others_time: OthersTime,
+        others_time: RemoteClock,
     ) -> None:
         """Create the table over a store that has been started.
 
@@ -57,7 +57,7 @@
         self.is_valid = store.is_valid
         self._age_limit: Callable[[float], float | None] = lambda now: None
         self.slots = Slots()
-        # Counts by how reads ended: bytes from memory or disk, "told" where the client had the copy, "late" for timeouts.
+        # Counts by how reads ended: bytes from memory or disk; the client had the copy ("told"); timeout ("late").
         self.served_counts = {"memory": 0, "disk": 0, "told": 0, "late": 0}
 
     def limit_age(self, limit: Callable[[float], float | None]) -> None:
@@ -73,7 +73,7 @@
 
     def age(self, copy: Any, now: float) -> float:
         """Return the greatest age in seconds that the copy can have."""
-        return now - self.others_time.earliest(copy.created, now)
+        return now - self.others_time.earliest_local_time(copy.created, now)
 
     def transfer_end(self, copy: Any, now: float) -> float:
         """Return the time at which the copy would have passed the router's own link."""
@@ -84,13 +84,15 @@
     def read(self, downstream_request: Any, copy: Any) -> None:
         """Read a copy from the store and answer the request with it; a client that has the copy gets no body."""
         number = self.slots.put((downstream_request, copy))
-        if downstream_request.cached and downstream_request.cached.encode() == copy.etag:
-            self.deadlines.soon(self.read_ended, number, True, "told")
+        if downstream_request.client_etag and downstream_request.client_etag.encode() == copy.etag:
+            self.deadlines.call_soon(self.read_ended, number, True, "told")
             return
-        self.deadlines.after(self.read_timeout_s, self.read_ended, number, None, "late")
+        self.deadlines.call_after(self.read_timeout_s, self.read_ended, number, None, "late")
         self.store.read(
             copy,
-            lambda data, memory: self.deadlines.soon(self.read_ended, number, data, "memory" if memory else "disk"),
+            lambda data, memory: self.deadlines.call_soon(
+                self.read_ended, number, data, "memory" if memory else "disk"
+            ),
         )
 
     def read_ended(self, number: int, data: Any, how: str) -> None:
@@ -105,18 +107,18 @@
         if pending_read is None:
             return
         downstream_request, copy = pending_read
-        if downstream_request.final:
+        if downstream_request.has_ended:
             return
         self.served_counts["late"] += how == "late"
         now = self.deadlines.now()
         try:
-            if downstream_request.visit.copy_read(copy, now, is_complete=data is not None):
+            if downstream_request.routed_request.copy_read(copy, now, is_complete=data is not None):
                 self.served_counts[how] += 1
                 self.link.record_transfer(int(copy.size * NOT_MODIFIED_SIZE_SHARE) if data is True else copy.size, now)
                 downstream_request.serve(None if data is True else Body(self.pool, data), data is True)
         except Exception:
             self.report_fault("copies")
-            downstream_request.broken()
+            downstream_request.end_with_internal_error()
 
     # Storing and revalidating copies with responses.
 
@@ -143,7 +145,7 @@
         if made_ms.isdigit() and len(made_ms) <= 16:
             self.store.revalidate(copy, int(made_ms) / 1000.0)
 
-    def figures(self) -> dict[str, Any]:
+    def report_fields(self) -> dict[str, Any]:
         """Return the entry of the local copies in the report."""
         return {**self.store.figures(), "served": self.served_counts}
 
@@ -156,7 +158,7 @@
     link: tuple[float, float],
     log: Callable[..., None],
     report_fault: Callable[[str], None],
-    others_time: OthersTime,
+    others_time: RemoteClock,
 ) -> LocalCopies | None:
     """Start the store and return its LocalCopies; None where the directory of the store cannot be used.
 
