--- a/wickhinge/common/__init__.py
+++ b/wickhinge/common/__init__.py
@@ -1,1 +1,1 @@
-"""Small parts that several packages need and that need no package of ours themselves."""
+"""Small modules that several packages use; they use no other package of wickhinge."""
--- a/wickhinge/common/config_reload.py
+++ b/wickhinge/common/config_reload.py
@@ -1,8 +1,8 @@
-"""Reloads of a configuration: one that was asked for is owed until it took effect.
+"""Reloads of a configuration file; a requested reload stays pending until it has taken effect.
 
-Whoever writes the file may be halfway when the signal comes: absent, empty or cut off it is tried again, with a
-backoff, until it is whole. A whole file with a key that cannot be used is wrong for good: the next request is the next
-try. A newer request replaces an older one, and the shutdown ends them all.
+The file may be half written when the reload is requested. A file that is absent, empty or truncated is read again, with
+a backoff, until it is complete. A complete file with an invalid key is not read again until the next request. A newer
+request replaces an older one, and the shutdown drops a pending one.
 """
 
 from __future__ import annotations
@@ -13,11 +13,11 @@
 from wickhinge.fields import MalformedError, UnreadableFileError
 
 FIRST_RETRY_DELAY_S = 0.05
-MAX_RETRY_DELAY_S = 1.0  # a failed read of the file costs well under a millisecond
+MAX_RETRY_DELAY_S = 1.0  # A failed read of the file takes well under a millisecond, so retries may be frequent.
 
 
 class ReloadEvents(NamedTuple):
-    """The names of the log's events."""
+    """The names of the log events of one kind of reload."""
 
     requested: str
     done: str
@@ -30,76 +30,81 @@
 )
 
 
-class ReloadFigures(NamedTuple):
-    """Reloads since the start, for the report."""
+class ReloadCounts(NamedTuple):
+    """Counts of reloads since the start; the field names are those of the report."""
 
     requested: int
-    done: int  # of the requested ones, those that the configuration in force answers
-    failed: int  # by a file that was wrong for good
-    owed: bool
+    done: int  # Requests up to the newest one that has taken effect, including those that it replaced.
+    failed: int  # Requests for which the file had an invalid key.
+    owed: bool  # Whether a reload is pending.
 
 
 class ConfigReload:
-    """Puts the configuration in force that the newest request asks for."""
+    """Carries out the newest requested reload, with retries."""
 
     def __init__(
         self,
         reload: Callable[[], dict[str, object]],
         call_later: Callable[..., None],
         log: Callable[..., None],
-        in_force: int = 0,
+        number_at_start: int = 0,
         events: ReloadEvents = CONFIG_EVENTS,
     ) -> None:
-        """Parameters as named, and these.
-
-        reload: reads the file and puts it in force; returns what the log shall tell of it. Raises UnreadableFileError
-        or OSError for what may pass, MalformedError for what is wrong for good; then nothing has changed.
-        call_later: takes the seconds, the call and its arguments.
-        in_force: the number of the newest request that the start itself has answered by reading the file.
+        """Create a reloader without a pending reload.
+
+        Args:
+            reload: Reads the file and applies it; returns fields for the log. Where it raises, nothing has changed:
+                UnreadableFileError or OSError for what may be temporary, MalformedError for an invalid file.
+            call_later: Calls a function later; takes the seconds, the function and its arguments.
+            log: Writes an event to the log.
+            number_at_start: The number of the newest request that the start has satisfied by reading the file.
+            events: The names of the log events.
         """
         self._reload, self._call_later, self._log, self._events = reload, call_later, log, events
-        self._at_start = self._requested = self._in_force = in_force
-        self._is_owed = self._is_closed = False
-        self._failed = self._tries = 0
+        self._number_at_start = self._requested_number = self._applied_number = number_at_start
+        self._is_pending = self._is_closed = False
+        self._failed_count = self._tries = 0
         self._delay_s = FIRST_RETRY_DELAY_S
 
     def request(self, number: int) -> None:
-        """Reloads for the request of this number; does nothing for one that was heard of before."""
-        if number == self._requested or self._is_closed:
+        """Reload for the request with this number; does nothing where this request is already known."""
+        if number == self._requested_number or self._is_closed:
             return
-        self._requested, self._is_owed = number, True
+        self._requested_number, self._is_pending = number, True
         self._tries, self._delay_s = 0, FIRST_RETRY_DELAY_S
-        self._log(self._events.requested, request=number - self._at_start)
+        self._log(self._events.requested, request=number - self._number_at_start)
         self._call_later(0.0, self._try, number)
 
     def close(self) -> None:
-        """The shutdown begins: nothing is reloaded from now on."""
-        if self._is_owed:
-            self._log(self._events.dropped, request=self._requested - self._at_start, tries=self._tries)
-        self._is_owed, self._is_closed = False, True
+        """Drop a pending reload and ignore later requests; called when the shutdown begins."""
+        if self._is_pending:
+            self._log(self._events.dropped, request=self._requested_number - self._number_at_start, tries=self._tries)
+        self._is_pending, self._is_closed = False, True
 
     def report_fields(self) -> dict[str, int | bool]:
-        """Its entry in the report."""
-        done = self._in_force - self._at_start
-        return ReloadFigures(self._requested - self._at_start, done, self._failed, self._is_owed)._asdict()
+        """Return the reload counts for the report."""
+        done = self._applied_number - self._number_at_start
+        return ReloadCounts(
+            self._requested_number - self._number_at_start, done, self._failed_count, self._is_pending
+        )._asdict()
 
     def _try(self, number: int) -> None:
-        if number != self._requested or self._is_closed:
+        if number != self._requested_number or self._is_closed:
             return
         self._tries += 1
         try:
-            in_force = self._reload()
+            log_fields = self._reload()
         except (UnreadableFileError, OSError) as problem:
-            self._try_again(number, problem)
+            self._retry_later(number, problem)
         except MalformedError as problem:
-            self._failed += 1
-            self._is_owed = False
+            self._failed_count += 1
+            self._is_pending = False
             self._log_failure(problem, will_retry=False)
         else:
-            self._is_owed, self._in_force = False, number
-            self._log(self._events.done, request=number - self._at_start, tries=self._tries, **in_force)
+            self._is_pending, self._applied_number = False, number
+            self._log(self._events.done, request=number - self._number_at_start, tries=self._tries, **log_fields)
 
-    def _try_again(self, number: int, problem: Exception) -> None:
+    def _retry_later(self, number: int, problem: Exception) -> None:
         if self._tries == 1:
             self._log_failure(problem, will_retry=True)
         self._call_later(self._delay_s, self._try, number)
@@ -108,7 +113,7 @@
     def _log_failure(self, problem: Exception, *, will_retry: bool) -> None:
         self._log(
             self._events.failed,
-            request=self._requested - self._at_start,
+            request=self._requested_number - self._number_at_start,
             reason=str(problem),
             will_retry=will_retry,
         )
--- a/wickhinge/common/connector.py
+++ b/wickhinge/common/connector.py
@@ -1,8 +1,8 @@
 """One attempt to connect that leaves no reference cycles behind.
 
-Twisted's endpoints and connectors point to each other, and through our factory to the protocol, for good: a circle of
-some fifteen objects, 4 KB, a connection, that only the collector frees, which is off in service. Here the links are cut
-at the end, each in the last call that needs it.
+In Twisted, a connector, its factory, its transport and the protocol refer to each other even after the connection has
+ended. That is a cycle of about fifteen objects, 4 KB for each connection, which only the garbage collector frees; a
+running router has the collector switched off. This module removes each reference in the last call that needs it.
 """
 
 from __future__ import annotations
@@ -16,9 +16,9 @@
 
 
 def failure_text(failure: Failure) -> str:
-    """What went wrong, in one line of plain text.
+    """Return what failed, in one line of plain text.
 
-    Twisted's ConnectError carries the Failure that ended a connection while it was coming up in place of a text.
+    Where a connection ends while it is coming up, Twisted's ConnectError has a Failure where its text should be.
     """
     cause = failure.value.args[0] if isinstance(failure.value, ConnectError) and failure.value.args else None
     if isinstance(cause, Failure):
@@ -27,13 +27,14 @@
 
 
 def _do_nothing() -> None:
-    """Stands in for a transport's methods that the event loop may still call."""
+    """Do nothing; replaces methods of a transport that the event loop may still call."""
 
 
 class ConnectAttempt(ClientFactory):
-    """One attempt to connect, begun at once.
+    """One attempt to connect, which starts at once.
 
-    The protocol's connectionMade tells that it is up; on_failed(reason) is called once if it never will be.
+    When the connection is up, Twisted calls connectionMade of the protocol. If the attempt fails, on_failed is called
+    once, with the reason.
     """
 
     noisy = False
@@ -47,27 +48,28 @@
         self._transport = getattr(self._connector, "transport", None)
 
     def stop(self) -> None:
-        """Gives up an attempt that is under way: on_failed is called, with UserError."""
+        """Stop connecting: on_failed is called, with Twisted's UserError. Does nothing once the attempt has ended."""
         if self._connector is not None and self._connector.state == "connecting":
             self._connector.stopConnecting()
 
     def buildProtocol(self, addr: Any) -> Protocol | None:  # noqa: ARG002 - Twisted's signature
-        """Twisted calls it when the connection is up."""
+        """Return the protocol; called by Twisted when the connection is up."""
         protocol, self._protocol = self._protocol, None
         self._on_failed = self._connector = self._transport = None
         return protocol
 
     def clientConnectionFailed(self, connector: Any, reason: Failure) -> None:  # noqa: ARG002 - Twisted's signature
-        """Twisted calls it when the attempt failed or was stopped."""
+        """Call on_failed; called by Twisted when the attempt has failed or was stopped."""
         on_failed, self._on_failed = self._on_failed, None
         if self._transport is not None:
-            # Its own method, bound, while it was connecting; and the loop may call the second after the first failed.
+            # A connecting transport stores its own bound method as doRead and doWrite, which is a reference cycle. They
+            # are replaced, not deleted: the event loop may call doWrite in the same turn after doRead has failed.
             self._transport.doRead = self._transport.doWrite = _do_nothing
         self._protocol = self._connector = self._transport = None
         if on_failed is not None:
             on_failed(reason)
 
     def clientConnectionLost(self, connector: Any, reason: Failure) -> None:  # noqa: ARG002 - Twisted's signature
-        """Twisted calls it when a connection that was up has ended."""
+        """Remove the references between connector and transport; called by Twisted after a connection has ended."""
         transport, connector.transport = connector.transport, None
-        transport.connector = None  # its connectionLost has called us by it and asks for it no more
+        transport.connector = None  # Its connectionLost is calling this method and uses the connector no more.
--- a/wickhinge/common/failed_calls.py
+++ b/wickhinge/common/failed_calls.py
@@ -1,8 +1,9 @@
-"""System calls on sockets that fail for a moment, and are tried again.
+"""System calls on sockets, with retries of failures that may be temporary.
 
-By the manual pages recv(2), send(2), accept(2) and their like, a call may fail for want of memory or buffers, or by a
-signal, and nothing has happened then. An error of the network is told once: whether the connection is over shows at the
-next call, which gives its end. So no single failed call ends a connection.
+According to the manual pages recv(2), send(2) and accept(2), a call may fail for lack of memory or buffers, or because
+of a signal; the connection is unharmed then. The system reports a network error by one failed call. Whether it ended
+the connection shows at the next call, which then returns the end of the connection or fails again. So a single failed
+call never ends a connection.
 """
 
 from __future__ import annotations
@@ -26,35 +27,37 @@
 from socket import MSG_PEEK
 from typing import Any, TypeVar
 
-# Nothing has happened; the same call may succeed the next time.
+# Errors after which the connection is unharmed and the same call may succeed.
 TRANSIENT_ERRNOS = frozenset({EAGAIN, EINTR, ENOBUFS, ENOMEM})
+# Errors for lack of a free file descriptor, in the process or in the system.
 NO_DESCRIPTOR_ERRNOS = frozenset({EMFILE, ENFILE})
-# Why a connection cannot be begun here just now, whatever its other end is like.
+# Local errors that keep this system from starting to connect; they say nothing about the other side.
 LOCAL_ERRNOS = TRANSIENT_ERRNOS | NO_DESCRIPTOR_ERRNOS | {EACCES, EADDRNOTAVAIL, ENETDOWN, ENETUNREACH, ENOSPC, EPERM}
-MAX_TRIES = 4  # of one call in a row
+MAX_TRIES = 4  # Tries of one call in a row.
 
 Result = TypeVar("Result")
 
 
 class FailedCalls:
-    """How often which call failed with which error, since the start."""
+    """Counts of failed calls since the start, by call and error, such as `recv ECONNRESET`."""
 
     def __init__(self) -> None:
         self.counts: dict[str, int] = {}
 
     def count(self, call: str, error: int | None) -> None:
-        """Notes that a call failed with this errno."""
+        """Count a call that failed with an errno; None where the error has none."""
         name = f"{call} {errorcode.get(error or 0, str(error))}"
         self.counts[name] = self.counts.get(name, 0) + 1
 
 
-failed_calls = FailedCalls()  # of this process: the calls of a process are one system's
+failed_calls = FailedCalls()  # The counts of this process.
 
 
 def call_with_retries(name: str, call: Callable[..., Result], *arguments: Any) -> Result | None:
-    """What the call gives; None where it would block, or fails for a moment again and again.
+    """Return the call's result; None where it would block, or where every try failed with a temporary error.
 
-    Raises OSError where it fails for good: a connection that is over gives its end or its error each time.
+    Raises:
+        OSError: The last try failed with another error; on an ended connection each try fails.
     """
     for turn in range(MAX_TRIES):
         try:
@@ -69,12 +72,12 @@
 
 
 def receive(socket: Any, size: int) -> bytes | None:
-    """What lies in the socket, b"" for the end of the connection, None for nothing. Raises OSError."""
+    """Return unread data, b"" at the end of the connection, None where there is neither; raise OSError."""
     return call_with_retries("recv", socket.recv, size)
 
 
 def has_unread_data(socket: Any) -> bool | None:
-    """Whether something lies unread there; False where the other side has ended it, None for nothing."""
+    """Return True for unread data, False where the other side has ended the connection, None for neither."""
     try:
         peeked = call_with_retries("recv", socket.recv, 1, MSG_PEEK)
     except OSError:
--- a/wickhinge/common/log_event.py
+++ b/wickhinge/common/log_event.py
@@ -1,4 +1,4 @@
-"""The function by which a part of the router writes to its log."""
+"""The type of the function that writes an event to the log."""
 
 from __future__ import annotations
 
@@ -6,11 +6,11 @@
 
 
 class LogEvent(Protocol):
-    """Writes one event; it is called at once and does not block."""
+    """A function that writes one event to the log; it does not block."""
 
     def __call__(self, event: str, /, **fields: object) -> None:
-        """fields: values that JSON can hold."""
+        """Write an event; the fields must have values that JSON can represent."""
 
 
 def ignore_event(event: str, /, **fields: object) -> None:
-    """A LogEvent for parts whose events nobody reads."""
+    """Do nothing; a LogEvent for callers without a log."""
--- a/wickhinge/common/process_signals.py
+++ b/wickhinge/common/process_signals.py
@@ -1,10 +1,10 @@
-"""What signals have asked this process for, from its first line to its last.
+"""Records the reloads and the shutdown that signals request, for the whole life of the process.
 
-A handler only notes the request and wakes the event loop; the loop compares what is wanted with what is done. Until
-there is a loop, the start looks at the notes itself. A signal that comes while the process stands still is handled when
-it goes on; `record_turn_start` bounds how long it may have lain. Once the loop has ended the signals are ignored: the
-interpreter gives the system's default back to handlers of its own while it is torn down, but leaves ignored signals
-ignored.
+A signal handler only records the request and wakes the event loop, which then carries it out. Before the event loop
+exists, the start reads the recorded requests itself. A signal that arrives while the process is stopped is handled when
+the process continues; `record_turn_start` bounds how long ago it may have arrived. After the event loop has ended the
+signals are ignored. While the interpreter shuts down it replaces signal handlers by the system's default, which would
+end the process, but it leaves ignored signals ignored.
 """
 
 from __future__ import annotations
@@ -19,49 +19,55 @@
 
 
 class WakeableLoop(Protocol):
-    """What ReceivedSignals need of the event loop: a Twisted reactor."""
+    """The part of the event loop, a Twisted reactor, that ReceivedSignals uses."""
 
     def callFromThread(self, call: Callable[[], None], /) -> None:
-        """Calls on the loop's next turn, and wakes it."""
+        """Wake the loop and call a function on its next turn; callable from a signal handler."""
 
 
 class ReceivedSignals:
-    """The requests so far: the number of the newest reload, and whether the program shall end."""
+    """The requests received so far: the number of the newest reload, and whether to shut down."""
 
     def __init__(self) -> None:
-        self.reload_number = 0  # SIGHUP received since the first line
+        self.reload_number = 0  # Count of SIGHUPs since the process started.
         self.shutdown_requested = False
-        self.shutdown_not_requested_before: float | None = None  # by the steady clock; None: no turn had begun
+        # The start of the last turn of the event loop before the shutdown signal was handled, by the steady clock. The
+        # signal arrived later than that. None where no turn had started.
+        self.shutdown_not_requested_before: float | None = None
         self._last_turn_at: float | None = None
         self._loop: WakeableLoop | None = None
         self._on_request: Callable[[], None] | None = None
         self._is_call_pending = False
 
     def install(self) -> None:
-        """Handles the signals from now on; may be called again."""
+        """Handle the signals from now on; calling it again is harmless."""
         for number in (*RELOAD_SIGNALS, *SHUTDOWN_SIGNALS):
             signal.signal(number, self._received)
 
     def deliver_to(self, loop: WakeableLoop, wake_descriptor: int, on_request: Callable[[], None]) -> None:
-        """Calls `on_request` on the loop's turn after each request, and once for those so far.
+        """Call `on_request` on the event loop after each request from now on, and once for the earlier ones.
 
-        wake_descriptor: the system itself writes a byte there with each signal, so that one that comes just before a
-        wait for events ends that wait.
+        Args:
+            loop: The event loop.
+            wake_descriptor: The interpreter's signal handler writes a byte to it for each signal, so that a signal just
+                before the loop waits for events ends that wait.
+            on_request: Called without arguments.
         """
         self._loop, self._on_request = loop, on_request
         signal.set_wakeup_fd(wake_descriptor, warn_on_full_buffer=False)
         self._call_soon()
 
     def record_turn_start(self, now: float) -> None:
-        """To be called on each turn of the loop with a time read just before: what is handled later came after that.
+        """Record a time that the caller read at the start of a turn of the event loop.
 
-        The interpreter runs the handlers of all signals that came before as this function begins, for which this module
-        must not be compiled.
+        A signal that is handled after this call arrived after that time: as this function begins, the interpreter runs
+        the handlers of all signals that arrived before. A compiled module would not do that, so this one must not be
+        compiled.
         """
         self._last_turn_at = now
 
     def ignore(self) -> None:
-        """To be called when the program has nothing more to do; whatever comes from now on changes nothing."""
+        """Ignore the signals from now on; called when the event loop has ended."""
         signal.set_wakeup_fd(-1)
         for number in (*RELOAD_SIGNALS, *SHUTDOWN_SIGNALS):
             signal.signal(number, signal.SIG_IGN)
@@ -77,7 +83,9 @@
     def _call_soon(self) -> None:
         if self._loop is not None and not self._is_call_pending:
             self._is_call_pending = True
-            with suppress(OSError):  # the call is noted before the loop is woken, which the system has done already
+            with suppress(
+                OSError
+            ):  # The loop records the call before it wakes itself, and the wake descriptor has woken it.
                 self._loop.callFromThread(self._call)
 
     def _call(self) -> None:
@@ -86,4 +94,4 @@
             self._on_request()
 
 
-received_signals = ReceivedSignals()  # of this process: signals come to a process as a whole
+received_signals = ReceivedSignals()  # The one instance: signals are sent to a whole process.
--- a/wickhinge/common/sealing.py
+++ b/wickhinge/common/sealing.py
@@ -1,8 +1,8 @@
-"""Datagrams sealed with a key that sender and receiver share.
+"""Datagrams that are authenticated with a key which sender and receiver share.
 
-    datagram = magic:3 body mac:16      mac: keyed BLAKE2b (RFC 7693) of all before it
+    datagram = magic:3 body mac:16      mac: keyed BLAKE2b (RFC 7693) of magic and body
 
-The magic tells kinds of datagrams apart; what the body holds is its kind's own affair.
+The magic identifies the kind of datagram; each kind has its own format for the body.
 """
 
 from __future__ import annotations
@@ -16,49 +16,49 @@
 MAX_DATAGRAM_BYTES = 1400
 MAGIC_BYTES = 3
 MAC_BYTES = 16
-_MAX_KEY_BYTES = 64  # what BLAKE2b takes
+_MAX_KEY_BYTES = 64  # The longest key that BLAKE2b accepts.
 
 _Body = TypeVar("_Body", covariant=True)
 
 
 class DatagramError(Exception):
-    """A datagram of another kind or form, or one that is not sealed with our key; the message names the fault."""
+    """A datagram of another kind or format, or with the MAC of another key; the message names the fault."""
 
 
 class Decoder(Protocol[_Body]):
     """A msgspec decoder of one type."""
 
     def decode(self, data: bytes, /) -> _Body:
-        """Raises msgspec.MsgspecError."""
+        """Return the decoded value; raise msgspec.MsgspecError for data of another type."""
 
 
 def mac(key: bytes, data: bytes) -> bytes:
-    """The code that seals `data`."""
+    """Return the message authentication code of `data`."""
     return blake2b(data, digest_size=MAC_BYTES, key=key[:_MAX_KEY_BYTES]).digest()
 
 
 def seal(key: bytes, magic: bytes, body: bytes) -> bytes:
-    """A datagram of the kind that `magic` names. Its length is not checked."""
+    """Return a datagram of the kind that `magic` identifies, without a check of its length."""
     return magic + body + mac(key, magic + body)
 
 
 def unseal(key: bytes, magic: bytes, datagram: bytes) -> bytes:
-    """The body of a datagram.
+    """Return the body of a datagram.
 
     Raises:
-        DatagramError: it is too long, of another kind, or not sealed with `key`.
+        DatagramError: The datagram is too long, of another kind, or has the MAC of another key.
     """
-    is_of_kind = len(datagram) <= MAX_DATAGRAM_BYTES and datagram[:MAGIC_BYTES] == magic
-    if not is_of_kind or not hmac.compare_digest(datagram[-MAC_BYTES:], mac(key, datagram[:-MAC_BYTES])):
-        raise DatagramError("not under our key")
+    has_size_and_magic = len(datagram) <= MAX_DATAGRAM_BYTES and datagram[:MAGIC_BYTES] == magic
+    if not has_size_and_magic or not hmac.compare_digest(datagram[-MAC_BYTES:], mac(key, datagram[:-MAC_BYTES])):
+        raise DatagramError("datagram is too long, of another kind, or has the MAC of another key")
     return datagram[MAGIC_BYTES:-MAC_BYTES]
 
 
 def decode_body(decoder: Decoder[_Body], body: bytes) -> _Body:
-    """The body as the decoder's type.
+    """Return the body as the decoder's type.
 
     Raises:
-        DatagramError: it is of another form.
+        DatagramError: The body has another format.
     """
     try:
         return decoder.decode(body)
--- a/wickhinge/common/start_attempts.py
+++ b/wickhinge/common/start_attempts.py
@@ -1,7 +1,7 @@
-"""Steps of a start that fail for a passing reason, tried again within a bounded time.
+"""Retries of start-up steps that fail for a temporary reason, within a time limit.
 
-A file that its writer has not finished, a call that fails once, an address that the process before still holds: each
-passes. What is wrong for good ends the start at once, as a MalformedError that no step here catches.
+Temporary reasons are a file that its writer has not finished, a system call that fails once, and an address that the
+previous process still uses. An invalid file is not retried: it raises MalformedError, which ends the start at once.
 """
 
 from __future__ import annotations
@@ -14,35 +14,36 @@
 from wickhinge.common.process_signals import ReceivedSignals
 from wickhinge.fields import UnreadableFileError
 
-# The standing test wants nine in ten restarted routers ready within 10 s, and takes one for failed after 30 s.
+# The standing test requires nine in ten restarted routers to be ready within 10 s, and counts one that takes over 30 s
+# as failed.
 MAX_RETRY_TIME_S = 10.0
 FIRST_RETRY_DELAY_S = 0.02
-MAX_RETRY_DELAY_S = 0.25  # a signal that ends the start waits no longer for a step that is retried
+MAX_RETRY_DELAY_S = 0.25  # A shutdown signal during the start waits up to this long for the delay to end.
 
 Result = TypeVar("Result")
 
 
 class StartFailedError(Exception):
-    """A step of the start went on failing; the message names the call, the key or file, and how often."""
+    """A start-up step failed until the time limit; the message names the failed call, key or file, and the tries."""
 
 
 class ShutdownRequestedError(Exception):
-    """A signal has ended the start."""
+    """A signal requested the shutdown during the start."""
 
 
 class RetryBudget:
-    """When a step that fails is tried again, and when no more."""
+    """The delays between the tries of one step, and the time limit for all of them."""
 
     def __init__(self, now: Callable[[], float]) -> None:
-        """Its time begins here; now: seconds of a monotonic clock."""
-        self._now, self._began_at = now, now()
+        """Start the time limit; `now` returns the seconds of a monotonic clock."""
+        self._now, self._started_at = now, now()
         self.tries = 0
         self._delay_s = FIRST_RETRY_DELAY_S
 
     def next_delay_s(self, problem: Exception) -> float:
-        """Seconds until the next try. Raises StartFailedError where there is none."""
+        """Count a failed try; return the seconds until the next one, or raise StartFailedError after the limit."""
         self.tries += 1
-        elapsed_s = self._now() - self._began_at
+        elapsed_s = self._now() - self._started_at
         if elapsed_s >= MAX_RETRY_TIME_S:
             raise StartFailedError(f"{problem} ({self.tries} tries in {elapsed_s:.1f} s)") from problem
         delay_s, self._delay_s = self._delay_s, min(2 * self._delay_s, MAX_RETRY_DELAY_S)
@@ -50,15 +51,18 @@
 
 
 class StartAttempts:
-    """The steps before there is an event loop; waits are sleeps."""
+    """Runs the start-up steps that come before the event loop; it sleeps between tries."""
 
     def __init__(self, signals: ReceivedSignals) -> None:
         self._signals = signals
 
     def run(self, step: Callable[[], Result]) -> Result:
-        """What the step returns in the end; the first failure is told on standard error.
+        """Call the step until it returns, and return its result; write the first failure to standard error.
 
-        Raises StartFailedError, ShutdownRequestedError, and what the step raises for good.
+        Raises:
+            StartFailedError: The step failed until the time limit.
+            ShutdownRequestedError: A signal requested the shutdown.
+            Exception: Whatever the step raises besides UnreadableFileError and OSError.
         """
         budget = RetryBudget(time.monotonic)
         while True:
@@ -69,5 +73,5 @@
             except (UnreadableFileError, OSError) as problem:
                 delay_s = budget.next_delay_s(problem)
                 if budget.tries == 1:
-                    sys.stderr.write(f"{problem}; tried again for {MAX_RETRY_TIME_S:.0f} s\n")
+                    sys.stderr.write(f"{problem}; retrying for {MAX_RETRY_TIME_S:.0f} s\n")
             time.sleep(delay_s)
--- a/wickhinge/net/upstream/local_copies.py
+++ b/wickhinge/net/upstream/local_copies.py
@@ -165,7 +165,7 @@
     `link` holds the bytes per second of the router's own link: for one transfer, and for all transfers together.
     """
     workers = Workers(reactor, min(options.store.reads_at_once, MAX_READ_THREADS), report_fault)
-    store = start_store(options.store, options.journal, Runtime(workers, deadlines.now, deadlines.after, log))
+    store = start_store(options.store, options.journal, Runtime(workers, deadlines.now, deadlines.call_after, log))
     if store is None:
         return None
     return LocalCopies(
