--- a/tests/common/test_start_attempts.py
+++ b/tests/common/test_start_attempts.py
@@ -1,4 +1,4 @@
-"""Steps of a start that are tried again, and signals that come meanwhile."""
+"""Retries of start-up steps, and signals that arrive during them."""
 
 import os
 import signal
@@ -19,6 +19,8 @@
 
 
 class Clock:
+    """A clock that only sleeping moves."""
+
     def __init__(self):
         self.now = 0.0
 
@@ -34,7 +36,7 @@
     return made
 
 
-def test_a_budget_grows_its_delays_and_ends():
+def test_retry_budget_grows_its_delays_and_ends_after_the_time_limit():
     clock = Clock()
     budget = RetryBudget(lambda: clock.now)
     delays = []
@@ -47,7 +49,7 @@
 
 
 @pytest.mark.parametrize("problem", [UnreadableFileError("cut off"), OSError(12, "no memory")])
-def test_a_step_is_tried_until_it_passes_and_told_of_once(clock, capsys, problem):
+def test_step_when_the_failure_is_temporary_is_retried_and_reported_once(clock, capsys, problem):
     outcomes = [problem] * 5
 
     def step():
@@ -59,7 +61,7 @@
     assert capsys.readouterr().err.count("\n") == 1 and 0.0 < clock.now < 2.0
 
 
-def test_what_is_wrong_for_good_is_not_tried_again(clock):
+def test_step_when_the_failure_is_permanent_is_not_retried(clock):
     def step():
         raise MalformedError("config: field seed is missing")
 
@@ -68,7 +70,7 @@
     assert clock.now == 0.0
 
 
-def test_a_signal_ends_a_start_that_waits(clock):
+def test_start_when_a_signal_requests_shutdown_during_retries_ends(clock):
     signals, tries = ReceivedSignals(), []
 
     def step():
@@ -81,26 +83,28 @@
     assert len(tries) == 3
 
 
-class Loop:
+class UnwakeableLoop:
+    """An event loop that records calls and fails when it is to be woken."""
+
     def __init__(self):
         self.calls = []
 
     def callFromThread(self, call):
         self.calls.append(call)
-        raise OSError(5, "the loop cannot be woken just now")
+        raise OSError(5, "the loop cannot be woken")
 
 
 @pytest.fixture
 def signals():
-    before = {number: signal.getsignal(number) for number in (signal.SIGHUP, signal.SIGINT, signal.SIGTERM)}
+    old_handlers = {number: signal.getsignal(number) for number in (signal.SIGHUP, signal.SIGINT, signal.SIGTERM)}
     made = ReceivedSignals()
     made.install()
     yield made
-    for number, handler in before.items():
+    for number, handler in old_handlers.items():
         signal.signal(number, handler)
 
 
-def test_a_shutdown_was_requested_after_the_last_turn_that_began_before_its_signal_was_handled(signals):
+def test_shutdown_time_bound_is_the_last_turn_start_before_the_signal_was_handled(signals):
     signals.record_turn_start(10.0)
     signals.record_turn_start(11.0)
     os.kill(os.getpid(), signal.SIGTERM)
@@ -109,26 +113,26 @@
     assert signals.shutdown_not_requested_before == 11.0
 
 
-def test_a_signal_that_is_handled_as_a_turn_begins_may_have_come_before_it(signals):
+def test_signal_when_handled_as_a_turn_starts_may_have_arrived_before_that_turn(signals):
     signals.record_turn_start(10.0)
     signal.pthread_sigmask(signal.SIG_BLOCK, [signal.SIGTERM])
     try:
         os.kill(os.getpid(), signal.SIGTERM)
-        now = 11.0  # read while the signal lies
+        now = 11.0  # The clock is read while the signal is blocked.
     finally:
         signal.pthread_sigmask(signal.SIG_UNBLOCK, [signal.SIGTERM])
     signals.record_turn_start(now)
     assert signals.shutdown_not_requested_before == 10.0
 
 
-def test_a_shutdown_that_was_requested_before_the_first_turn_has_no_earliest_time(signals):
+def test_shutdown_when_requested_before_the_first_turn_has_no_time_bound(signals):
     os.kill(os.getpid(), signal.SIGTERM)
     signals.record_turn_start(10.0)
     assert signals.shutdown_requested and signals.shutdown_not_requested_before is None
 
 
-def test_signals_are_noted_and_delivered_once_a_turn_until_they_are_ignored(signals):
-    loop, requests = Loop(), []
+def test_signals_are_recorded_and_delivered_once_a_turn_until_they_are_ignored(signals):
+    loop, requests = UnwakeableLoop(), []
     reader, writer = os.pipe()
     os.set_blocking(writer, False)
     try:
--- a/tests/net/test_crossings.py
+++ b/tests/net/test_crossings.py
@@ -1,5 +1,6 @@
-"""Two events that cross, each order forced: docs/notes/crossings.md lists the pairs. On sockets the machines and the
-journal service are the test; what has to happen first is waited for, never hoped for.
+"""Pairs of events that cross, each forced into one order; docs/notes/crossings.md lists the pairs.
+
+In the tests on sockets the test plays the servers and the discovery service, and waits for what has to happen first.
 """
 
 import gc
@@ -39,48 +40,48 @@
 OBJECT = 0xAA
 
 
-def slow(conf, **limits):
-    """Connections may take long to come up."""
+def allow_slow_connects(conf, **limits):
+    """Let connections take long to come up."""
     conf["limits"] |= {"connectTimeoutMs": 9000, **limits}
 
 
-def answered(client, call):
+def is_served(client, call):
     kind, _, error, _ = client.answer(call)
     return kind == 1 and error is None
 
 
-def test_what_waits_for_a_connection_does_not_go_to_a_machine_that_drains_meanwhile(stand):
-    made = stand(change=slow)
-    late, client = made.stop_accepting(0), made.client()
+def test_queued_request_when_its_server_starts_draining_goes_to_another_server(stand):
+    made = stand(change=allow_slow_connects)
+    accept_again, client = made.stop_accepting(0), made.client()
     call = client.ask()
-    assert client.ping()  # read after it
+    assert client.ping()  # The router has read the request once it answers the ping.
     made.drain_endpoint(0)
     made.accept_connection(1).next_request().answer("OK", OK_FIELDS, b"x")
-    assert answered(client, call)
-    connection = late()
+    assert is_served(client, call)
+    connection = accept_again()
     assert client.ping()
     made.router.close()
     assert connection.next_request() is None
 
 
-def test_what_waits_for_a_connection_goes_with_the_age_that_a_purge_told_meanwhile_allows(stand):
-    made = stand(change=slow)
-    late, client = made.stop_accepting(0), made.client()
+def test_queued_request_when_a_purge_arrives_carries_the_age_limit_of_the_purge(stand):
+    made = stand(change=allow_slow_connects)
+    accept_again, client = made.stop_accepting(0), made.client()
     call = client.ask(budget="6000")
     assert client.ping()
     made.send_event(3, endpoint_watch.OBJECT_PURGE.pack(OBJECT, int(time.time() * 1000) - 1))
     made.router.wait('"event":"purge_applied"')
-    asked = late().next_request()
-    assert int(asked.fields["maxage"]) < 2000  # without a purge it is not named: the fresh time of the tariff
+    asked = accept_again().next_request()
+    assert int(asked.fields["maxage"]) < 2000  # Without a purge the field is missing: the freshness lifetime applies.
     asked.answer("OK", OK_FIELDS, b"x")
-    assert answered(client, call)
+    assert is_served(client, call)
 
 
 @pytest.mark.parametrize("cancel", [True, False])
 @pytest.mark.parametrize("leaves", ["abort", "close"])
-def test_what_waits_for_a_connection_is_not_sent_when_its_client_has_left(stand, cancel, leaves):
-    made = stand(change=lambda conf: slow(conf, cancel=cancel))
-    late, client, other = made.stop_accepting(0), made.client(), made.client()
+def test_queued_request_when_its_client_has_left_is_not_sent(stand, cancel, leaves):
+    made = stand(change=lambda conf: allow_slow_connects(conf, cancel=cancel))
+    accept_again, client, other = made.stop_accepting(0), made.client(), made.client()
     call = client.ask()
     assert client.ping()
     if leaves == "abort":
@@ -89,57 +90,57 @@
     else:
         client.socket.close()
         made.router.wait('"event":"client_connection_lost"')
-    connection = late()
+    connection = accept_again()
     assert other.ping() and other.ping()
     made.router.close()
     assert connection.next_request() is None
 
 
-def test_a_second_refusal_under_the_same_id_is_not_taken_for_that_of_a_second_forward(stand):
-    """Refused twice and run once, an exclusive visit would be sent a third time."""
+def test_duplicate_rejection_when_the_second_attempt_has_the_same_id_is_ignored(stand):
+    """The second attempt, which runs, would count as rejected, and a non-idempotent request would be sent again."""
     made = stand(change=lambda conf: conf["classes"][1].update(onTimeMs=2900))
     client = made.client()
     call = client.ask("results", b"mark")
     first = made.accept_connection(1)
     asked = first.next_request()
     asked.answer("BUSY")
-    again = made.accept_connection(1).next_request()  # on another connection
+    again = made.accept_connection(1).next_request()  # The second attempt is on another connection.
     assert again.id == asked.id
     asked.answer("BUSY")
     for place in (first, again.connection):
-        assert place.next_request(0.9) is None  # nothing waits longer: what waits is looked at each 0.7 s
+        assert place.next_request(0.9) is None  # A third attempt would have come: retries are due every 0.7 s.
     again.answer("OK", "-", b"mark")
-    assert answered(client, call)
+    assert is_served(client, call)
 
 
-def test_a_second_miss_is_not_the_answer_of_the_fill_that_followed_the_first(stand):
+def test_duplicate_miss_when_a_fill_is_pending_is_not_taken_for_its_response(stand):
     made = stand(change=lambda conf: conf["limits"].update(mayDuplicate=False))
     client = made.client()
     call = client.ask()
-    box = made.accept_connection(0)
-    asked = box.next_request()
+    connection = made.accept_connection(0)
+    asked = connection.next_request()
     asked.answer("MISS")
-    fill = box.next_request()
+    fill = connection.next_request()
     assert "src" in fill.fields
     asked.answer("MISS")
     fill.answer("OK", OK_FIELDS, b"x")
-    assert answered(client, call)
+    assert is_served(client, call)
     made.router.close()
-    assert box.next_request() is None
+    assert connection.next_request() is None
 
 
-def test_where_nothing_may_be_given_up_no_word_of_it_goes_out(stand):
+def test_expired_request_when_cancellation_is_off_sends_no_cancellation(stand):
     made = stand(change=lambda conf: conf["limits"].update(cancel=False))
     client = made.client()
     calls = [client.ask(budget=budget) for budget in ("1200", "1500")]
-    for call in calls:  # the first has run out at the machine, too, when the second is answered
+    for call in calls:  # The server has seen the first request expire when the second one ends.
         assert client.answer(call)[2][0] == "Overloaded"
-    box = made.accept_connection(0)
+    connection = made.accept_connection(0)
     made.router.close()
-    assert box.read_message_types() == [b"REQ", b"REQ"]
+    assert connection.read_message_types() == [b"REQ", b"REQ"]
 
 
-def test_the_mark_of_a_ticketed_visit_goes_with_each_of_its_forwards(stand):
+def test_idempotency_key_when_a_request_is_retried_goes_with_each_attempt(stand):
     made = stand(
         change=lambda conf: conf["classes"][1].update(effect="token", group="all", windowMs=2500, onTimeMs=2900)
     )
@@ -147,295 +148,295 @@
     call = client.ask("results", b"mark", token="d266bfacf2dce431")
     first = made.accept_connection(1).next_request()
     assert first.fields["uniq"] == "d266bfacf2dce431"
-    first.connection.socket.close()  # it may have run
+    first.connection.socket.close()  # The request may have run.
     again = made.accept_connection(1).next_request()
     assert again.fields["uniq"] == "d266bfacf2dce431" and again.id == first.id
     again.answer("OK", "-", b"mark")
-    assert answered(client, call)
+    assert is_served(client, call)
 
 
-# The end of the program, in one process and with the clock turned by hand.
+# The shutdown of a router in this process, with a clock that the test moves.
 
 
-class Ended:
-    """A node that has been told to leave, its machines and its clients real sockets."""
+class InProcessRouter:
+    """A router in this process with a clock that the test moves; its server and its clients use real sockets."""
 
     def __init__(self, monkeypatch):
         from wickhinge.net.control.router_process import RouterProcess
         from wickhinge.net.runtime.deadlines import Deadlines
         from wickhinge.net.runtime.loop import Reactor
 
-        self.ahead, self.stopped = 0.0, []
+        self.clock_offset_s, self.stopped = 0.0, []
         monkeypatch.setattr(Deadlines, "now", staticmethod(self.clock))
         conf = json.loads((ROOT / "example/config.json").read_text())
         with socket.create_server(("127.0.0.1", 0)) as place:
             self.address = place.getsockname()
-        self.box = socket.create_server(("127.0.0.1", 0))
-        self.box.settimeout(5.0)
-        hosts = [endpoint_entry(0, "origin", self.box)]
+        self.server_listener = socket.create_server(("127.0.0.1", 0))
+        self.server_listener.settimeout(5.0)
+        hosts = [endpoint_entry(0, "origin", self.server_listener)]
         conf |= {
             "listen": "{}:{}".format(*self.address),
             "journal": "127.0.0.1:9",
             "known": {"pos": 1, "entries": [{"pos": 1, "hosts": {"seq": 1, "whole": True, "hosts": hosts}}]},
         }
-        conf["settings"]["limits"]["connectTimeoutMs"] = 9000  # the clock is turned by seconds
+        conf["settings"]["limits"]["connectTimeoutMs"] = 9000  # The test moves the clock by seconds.
         self.reactor = Reactor()
         self.reactor.now = self.clock
-        self.node = RouterProcess(conf, self.reactor, os.open(os.devnull, os.O_WRONLY))
+        self.process = RouterProcess(conf, self.reactor, os.open(os.devnull, os.O_WRONLY))
         monkeypatch.setattr(self.reactor, "stop", lambda: self.stopped.append(True))
-        self.node.start()
-        self.node.readiness.open("test")
+        self.process.start()
+        self.process.readiness.open("test")
 
     def clock(self):
-        return steady_time() + self.ahead
+        return steady_time() + self.clock_offset_s
 
-    def turn(self, count=5):
+    def run_turns(self, count=5):
         for _ in range(count):
-            self.node.deadlines.fire()
+            self.process.deadlines.fire()
             self.reactor.iterate(0.01)
 
     def close(self):
         gc.enable()
-        self.node.endpoint_watch.close()
-        self.node.readiness.close()
-        self.box.close()
+        self.process.endpoint_watch.close()
+        self.process.readiness.close()
+        self.server_listener.close()
 
 
 @pytest.fixture
-def ended(monkeypatch):
-    made = Ended(monkeypatch)
+def router(monkeypatch):
+    made = InProcessRouter(monkeypatch)
     yield made
     made.close()
 
 
 @pytest.mark.parametrize("connected", [True, False])
-def test_a_request_unread_when_nothing_is_open_is_still_answered(ended, connected):
-    """With little CPU the end comes due before what lies in a socket, or a connection in the listener, is looked at."""
-    client = Client(ended.address) if connected else None
-    ended.turn()
-    ended.node.drain()
-    ended.ahead = 1.0
-    client = client or Client(ended.address)
+def test_unread_request_when_a_draining_router_has_no_open_requests_is_answered(router, connected):
+    """On a busy machine the shutdown may come due before unread sockets and waiting connections are looked at."""
+    client = Client(router.address) if connected else None
+    router.run_turns()
+    router.process.drain()
+    router.clock_offset_s = 1.0
+    client = client or Client(router.address)
     call = client.ask("results", b"mark")
-    ended.node.deadlines.fire()
-    ended.ahead = 2.0
-    ended.node.deadlines.fire()
-    assert not ended.stopped
-    ended.turn()
-    machine = ended.box.accept()[0]
-    machine.settimeout(5.0)
-    rid = resp.ReplyDecoder(ended.node.buffers).feed(machine.recv(65536))[0][1]
-    machine.sendall(resp.pack(rid, b"OK", b"-", b"mark"))
-    ended.turn()
+    router.process.deadlines.fire()
+    router.clock_offset_s = 2.0
+    router.process.deadlines.fire()
+    assert not router.stopped
+    router.run_turns()
+    connection = router.server_listener.accept()[0]
+    connection.settimeout(5.0)
+    rid = resp.ReplyDecoder(router.process.buffers).feed(connection.recv(65536))[0][1]
+    connection.sendall(resp.pack(rid, b"OK", b"-", b"mark"))
+    router.run_turns()
     assert client.answer(call)[2] is None
-    ended.ahead = 4.0
-    ended.turn(10)
-    assert ended.stopped
+    router.clock_offset_s = 4.0
+    router.run_turns(10)
+    assert router.stopped
 
 
-def test_what_no_machine_answers_before_the_kill_is_given_up(ended):
-    client = Client(ended.address)
+def test_open_requests_when_no_server_answers_before_the_kill_are_given_up(router):
+    client = Client(router.address)
     calls = [client.ask("results", b"mark"), client.ask("pages")]
-    ended.turn()
-    ended.node.drain()
-    ended.ahead = ended.node.shutdown.give_up_after_s + 0.01
-    ended.turn(10)
+    router.run_turns()
+    router.process.drain()
+    router.clock_offset_s = router.process.shutdown.give_up_after_s + 0.01
+    router.run_turns(10)
     assert [client.answer(call)[2][0] for call in calls] == ["Abandoned", "Overloaded"]
-    assert ended.stopped
+    assert router.stopped
 
 
-def test_a_rested_connection_is_closed_in_the_call_that_looked_at_it(ended):
-    """A turn of the loop later it may be half a second later, with a request in it that nobody reads."""
-    client = Client(ended.address)
+def test_idle_client_is_closed_in_the_same_call_that_found_it_idle(router):
+    """The next turn of the event loop may be half a second later, and a request that arrives by then is never read."""
+    client = Client(router.address)
     client.socket.sendall(msgpack.pack([0, 1, "ping", [{}]]))
-    ended.turn()
+    router.run_turns()
     assert client.answer(1)[3][0] is True
-    [made] = ended.node.clients.connections
-    assert ended.node.clients.close_if_idle(made)
+    [connection] = router.process.clients.connections
+    assert router.process.clients.close_if_idle(connection)
     client.socket.settimeout(1.0)
     assert client.socket.recv(1) == b""
 
 
-# Clients, without a socket.
+# Client connections without sockets.
 
 
-class Peer:
-    """A client's connection and what the visits hear of it."""
+class ClientHarness:
+    """A client connection without a socket; it records the requests that start and that lose their client."""
 
     def __init__(self):
-        self.now, self.soon, self.taken, self.gone, self.calls = 100.0, [], [], [], []
+        self.now, self.scheduled_calls, self.started, self.abandoned, self.calls = 100.0, [], [], [], []
         self.written = b""
         clock = SimpleNamespace(
             now=lambda: self.now,
-            call_after=lambda delay, call, *told: self.soon.append(call),
-            call_soon=lambda call, *told: self.soon.append(call),
+            call_after=lambda delay, call, *told: self.scheduled_calls.append(call),
+            call_soon=lambda call, *told: self.scheduled_calls.append(call),
             arrivals=Arrivals(self.now),
         )
         self.arrivals = clock.arrivals
-        requests = RequestLog(lambda *_, **more: None)
-        visits = SimpleNamespace(
-            start_request=self.take,
-            reject_for_client_error=lambda door: None,
-            client_left=lambda door, why: self.gone.append(door),
-            request_log=requests,
+        request_log = RequestLog(lambda *_, **more: None)
+        request_table = SimpleNamespace(
+            start_request=self.start_request,
+            reject_for_client_error=lambda request: None,
+            client_left=lambda request, reason: self.abandoned.append(request),
+            request_log=request_log,
         )
-        self.clients = ClientConnections(visits, clock, 9, lambda *_, **more: None)
-        self.made = ClientConnection(self.clients)
-        self.made.transport = self.made.socket = SimpleNamespace(
+        self.clients = ClientConnections(request_table, clock, 9, lambda *_, **more: None)
+        self.connection = ClientConnection(self.clients)
+        self.connection.transport = self.connection.socket = SimpleNamespace(
             pauseProducing=lambda: self.calls.append("pause"),
             resumeProducing=lambda: self.calls.append("resume"),
             setTcpNoDelay=lambda on: None,
-            getHandle=lambda: self.made.transport,
+            getHandle=lambda: self.connection.transport,
             sendmsg=self.send,
-            recv=self.nothing,
+            recv=self.receive_nothing,
             abortConnection=lambda: self.calls.append("abort"),
             loseConnection=lambda: self.calls.append("abort"),
             end_unless_unread=lambda: True,
             close_ended=lambda: self.calls.append("close"),
         )
-        self.made.connectionMade()
+        self.connection.connectionMade()
 
     def send(self, views):
         self.written += b"".join(views)
         return 1 << 20
 
-    def nothing(self, size):
+    def receive_nothing(self, size):
         raise BlockingIOError
 
-    def take(self, client, call, method, fields, body, arrival):
+    def start_request(self, client, call, method, fields, body, arrival):
         from wickhinge.net.downstream.request_table import InvalidRequestError
 
         if method == "bad":
             raise InvalidRequestError("bad")
-        self.taken.append((call, round(self.now - arrival, 3)))
+        self.started.append((call, round(self.now - arrival, 3)))
         return call
 
     def ask(self, *calls, method="pages", body=b""):
         self.arrivals.earliest_arrival_at = self.now
-        self.made.dataReceived(b"".join(msgpack.pack([0, call, method, [{"rid": "a"}, body]]) for call in calls))
+        self.connection.dataReceived(b"".join(msgpack.pack([0, call, method, [{"rid": "a"}, body]]) for call in calls))
 
     def abort(self, call):
-        self.made.dataReceived(msgpack.pack([2, "abort", [call]]))
+        self.connection.dataReceived(msgpack.pack([2, "abort", [call]]))
 
-    def let(self, after):
-        self.now += after
-        for call in self.soon[:]:
+    def advance(self, seconds):
+        self.now += seconds
+        for call in self.scheduled_calls[:]:
             call()
 
 
 @pytest.mark.parametrize("hold", ["bad", "full"])
-def test_who_is_held_back_is_seen_to_give_up_and_to_leave(hold):
-    """Unread, what it had open would still be sent on long after it left."""
-    peer = Peer()
-    peer.ask(1, 2)
+def test_client_on_hold_when_it_aborts_or_leaves_is_noticed(hold):
+    """Without reading during the hold, its open requests would still be sent to servers long after it left."""
+    client = ClientHarness()
+    client.ask(1, 2)
     if hold == "bad":
-        peer.ask(9, method="bad")
+        client.ask(9, method="bad")
     else:
-        peer.clients.pause()
-    peer.ask(3, 4, 5)
-    peer.abort(1)
-    peer.abort(4)
-    assert [call for call, _ in peer.taken] == [1, 2] and peer.gone == [1] and "pause" not in peer.calls
-    assert peer.made.has_unread_requests()  # so nobody hangs up on it, and the program does not end
-    peer.now += 0.2
-    peer.clients.resume() if hold == "full" else peer.let(2 * INITIAL_HOLD_S)
-    assert [call for call, _ in peer.taken] == [1, 2, 3, 5] and peer.taken[-1][1] >= 0.2  # its time ran on
-    peer.ask(9, method="bad")
-    peer.ask(6)
-    peer.made.connectionLost(SimpleNamespace(getErrorMessage=lambda: "closed"))
-    peer.let(5.0)
-    assert peer.gone == [1, 2, 3, 5] and len(peer.taken) == 4
-
-
-def test_what_is_read_in_a_hold_is_bounded():
-    peer = Peer()
-    peer.ask(9, method="bad")
-    peer.ask(1, body=b"x" * 9000)
-    others = peer.clients.queued_bytes = MAX_TOTAL_QUEUED_BYTES - 48_000  # as much as others keep there
-    peer.ask(2, body=b"x" * 40_000)
+        client.clients.pause()
+    client.ask(3, 4, 5)
+    client.abort(1)
+    client.abort(4)
+    assert [call for call, _ in client.started] == [1, 2] and client.abandoned == [1] and "pause" not in client.calls
+    assert client.connection.has_unread_requests()  # This keeps the client connected and the shutdown waiting.
+    client.now += 0.2
+    client.clients.resume() if hold == "full" else client.advance(2 * INITIAL_HOLD_S)
+    # The last request's waiting time includes the hold.
+    assert [call for call, _ in client.started] == [1, 2, 3, 5] and client.started[-1][1] >= 0.2
+    client.ask(9, method="bad")
+    client.ask(6)
+    client.connection.connectionLost(SimpleNamespace(getErrorMessage=lambda: "closed"))
+    client.advance(5.0)
+    assert client.abandoned == [1, 2, 3, 5] and len(client.started) == 4
+
+
+def test_bytes_queued_during_a_hold_are_bounded():
+    client = ClientHarness()
+    client.ask(9, method="bad")
+    client.ask(1, body=b"x" * 9000)
+    bytes_of_others = client.clients.queued_bytes = MAX_TOTAL_QUEUED_BYTES - 48_000  # Queued by others.
+    client.ask(2, body=b"x" * 40_000)
     for call in range(30, 50):
-        peer.ask(call, body=b"x" * 40_000)
-    assert list(peer.made.queued_requests) == [1, 2] and peer.written.count(b"Overloaded") == 20
-    assert peer.clients.queued_bytes <= MAX_TOTAL_QUEUED_BYTES
-    peer.abort(2)
-    peer.ask(3, body=b"x" * 40_000)
-    assert list(peer.made.queued_requests) == [1, 3] and peer.calls == []  # read on all the time
-    peer.let(5.0)
-    assert [call for call, _ in peer.taken] == [1, 3] and peer.made.queued_bytes == 0
-    assert peer.clients.queued_bytes < others
-    peer.ask(10, method="bad")
-    peer.ask(*range(20, 20 + MAX_OPEN_REQUESTS))
-    assert "abort" in peer.calls and not peer.made.queued_requests
-
-
-def test_what_one_read_leaves_in_the_socket_is_read_before_anything_begins():
-    peer = Peer()
-    peer.now += 1.0  # all that came before has been read, as far as the loop knows
+        client.ask(call, body=b"x" * 40_000)
+    assert list(client.connection.queued_requests) == [1, 2] and client.written.count(b"Overloaded") == 20
+    assert client.clients.queued_bytes <= MAX_TOTAL_QUEUED_BYTES
+    client.abort(2)
+    client.ask(3, body=b"x" * 40_000)
+    assert list(client.connection.queued_requests) == [1, 3] and client.calls == []  # Reading never paused.
+    client.advance(5.0)
+    assert [call for call, _ in client.started] == [1, 3] and client.connection.queued_bytes == 0
+    assert client.clients.queued_bytes < bytes_of_others
+    client.ask(10, method="bad")
+    client.ask(*range(20, 20 + MAX_OPEN_REQUESTS))
+    assert "abort" in client.calls and not client.connection.queued_requests
+
+
+def test_socket_when_one_read_leaves_bytes_is_read_to_the_end_before_requests_start():
+    client = ClientHarness()
+    client.now += 1.0  # The event loop takes everything that arrived before this time as read.
     requests = [msgpack.pack([0, call, "pages", [{"rid": "a"}, b"x" * 47_000]]) for call in (1, 2)]
     data = b"".join(requests)
     unread = [data[MAX_READ_BYTES:] + msgpack.pack([2, "abort", [1]])]
-    peer.made.socket.recv = lambda size: unread.pop() if unread else peer.nothing(size)
-    peer.made.dataReceived(data[:MAX_READ_BYTES])
-    assert not unread and [call for call, _ in peer.taken] == [2]
+    client.connection.socket.recv = lambda size: unread.pop() if unread else client.receive_nothing(size)
+    client.connection.dataReceived(data[:MAX_READ_BYTES])
+    assert not unread and [call for call, _ in client.started] == [2]
 
 
-def test_a_ping_beside_as_many_requests_as_may_be_open_harms_none():
-    peer = Peer()
+def test_ping_when_the_most_requests_are_open_is_no_request_too_many():
+    client = ClientHarness()
     data = [msgpack.pack([0, call, "pages", [{"rid": "a"}]]) for call in range(MAX_OPEN_REQUESTS)]
-    peer.made.dataReceived(b"".join(data) + msgpack.pack([0, 99, "ping", [{}]]))
-    assert len(peer.taken) == MAX_OPEN_REQUESTS and "abort" not in peer.calls
+    client.connection.dataReceived(b"".join(data) + msgpack.pack([0, 99, "ping", [{}]]))
+    assert len(client.started) == MAX_OPEN_REQUESTS and "abort" not in client.calls
 
 
-@pytest.mark.parametrize("since, fails", [(3.0, False), (5.0, False), (60.0, False), (3.0, True)])
-def test_one_that_asked_while_the_router_stood_still_is_not_hung_up_on_for_its_silence(since, fails):
-    """However long it stood still; one that lies in the socket is read first."""
-    peer = Peer()
-    unread = [] if fails else [msgpack.pack([0, 1, "pages", [{"rid": "a"}]])]
-    peer.made.socket.recv = lambda size: unread.pop() if unread else peer.nothing(size)
-    peer.now += since
-    peer.clients.sweep()
-    assert ("close" in peer.calls) is fails
-    assert list(peer.made.queued_requests) == ([] if fails else [1])
+@pytest.mark.parametrize("stall_s, is_closed", [(3.0, False), (5.0, False), (60.0, False), (3.0, True)])
+def test_client_when_it_asked_during_a_stall_is_not_closed_as_silent(stall_s, is_closed):
+    """Unread requests are read before a client counts as silent, however long the router stalled."""
+    client = ClientHarness()
+    unread = [] if is_closed else [msgpack.pack([0, 1, "pages", [{"rid": "a"}]])]
+    client.connection.socket.recv = lambda size: unread.pop() if unread else client.receive_nothing(size)
+    client.now += stall_s
+    client.clients.sweep()
+    assert ("close" in client.calls) is is_closed
+    assert list(client.connection.queued_requests) == ([] if is_closed else [1])
 
 
-# Connections to machines, without a socket.
+# Connections to servers without sockets.
 
 
 @pytest.mark.parametrize("room", [0, 4])
-def test_what_is_not_wholly_written_when_its_visit_is_over_never_becomes_a_request(room):
+def test_request_frame_when_not_fully_written_at_the_end_of_its_request_is_never_completed(room):
     made, ends, soon, _ = line(room)
-    forwards = attempts(made.pools)
+    owner = attempts(made.pools)
     made.pools.set_owner(
         SimpleNamespace(
-            build_frame=forwards.build_frame,
-            response_received=forwards.response_received,
+            build_frame=owner.build_frame,
+            response_received=owner.response_received,
             attempt_ended=ends.__setitem__,
         )
     )
-    door = SimpleNamespace(trace=RequestTrace(0.0, 0.0))
-    number = forwards.slots.put(SentAttempt(door, None, SimpleNamespace(mark=1), 0.0, 1.0))
-    sent = forwards.slots.get(number)
+    request = SimpleNamespace(trace=RequestTrace(0.0, 0.0))
+    number = owner.slots.put(SentAttempt(request, None, SimpleNamespace(mark=1), 0.0, 1.0))
+    sent = owner.slots.get(number)
     sent.connection, sent.tag = made, b"a"
     made.send(b"a", number, resp.pack(b"REQ", b"a", b"-", b""))
-    forwards.recall(number)
-    assert (not made.write_queue) is (
-        room == 0
-    )  # begun, it may go on after a drain was told: its first byte went before
-    forwards.recall(number, True)
+    owner.recall(number)
+    # A recall for a draining server does not stop a partly written frame: its first byte was written before.
+    assert (not made.write_queue) is (room == 0)
+    owner.recall(number, True)
     made.socket.room = 1 << 20
     made.resumeProducing()
     made.resumeProducing()
     assert len(made.socket.data) == room and (AttemptResult.RECALLED in [told[-1] for _, told in soon])
 
 
-def test_an_answer_under_an_id_that_still_waits_here_is_none():
+def test_response_when_the_request_with_its_id_is_unwritten_is_ignored():
     made, ends, _, _ = line(0)
     made.send(b"a", 1, b"x")
     made.dataReceived(resp.pack(b"a", b"BUSY", b"-", b""))
     assert ends == {} and made.pending == {b"a": 1} and made.write_queue
 
 
-def test_an_answer_that_trickles_on_after_its_visit_holds_no_other_up_for_long():
+def test_abandoned_response_when_it_trickles_on_ends_the_connection_in_time():
     made, ends, soon, now = line()
     made.send(b"a", 1, b"x")
     made.send(b"b", 2, b"x")
@@ -449,70 +450,72 @@
         made.dataReceived(b"x")
         call(*told)
         if turn == 3:
-            assert not made.is_suspect and ends == {}  # slow, but somebody waits for it
+            assert not made.is_suspect and ends == {}  # The response is slow, but still waited for.
         if made.has_ended:
             break
     assert ends == {2: AttemptResult.UNREADABLE} and 9 <= turn <= 10 and made.pools.buffer_pool.in_use == 0
 
 
-def test_an_id_is_not_used_again_where_a_late_answer_came_for_it():
+def test_request_id_when_a_late_response_came_is_not_used_again():
     made, *_ = line()
     made.send(b"a", 1, b"x")
     made.cancel(b"a", 100.0)
-    made.dataReceived(resp.pack(b"a", b"OK", b"-", b""))  # and once more, some milliseconds later
+    made.dataReceived(resp.pack(b"a", b"OK", b"-", b""))  # A duplicate may follow milliseconds later.
     assert b"a" in made.used_tags
 
 
-@pytest.mark.parametrize("word, again", [(b"MISS", True), (b"BUSY", False), (b"ERR", False), (b"VOID", False)])
-def test_after_what_answer_a_visit_may_come_again_on_the_same_connection(word, again):
+@pytest.mark.parametrize(
+    "status, may_be_reused", [(b"MISS", True), (b"BUSY", False), (b"ERR", False), (b"VOID", False)]
+)
+def test_request_id_after_a_response_is_blocked_on_the_connection_unless_it_was_a_miss(status, may_be_reused):
     made, *_ = line()
-    forwards = attempts(made.pools)
-    forwards.attempt_ended = lambda *_: None
-    door = DownstreamRequest(SimpleNamespace(taken=1), None, 1, "a", make_request_class(), 0.0)
-    number = forwards.slots.put(SentAttempt(door, None, None, 0.0, 1.0))
-    forwards.slots.get(number).connection, forwards.slots.get(number).tag = made, b"a"
-    assert forwards.response_received(number, word, b"-", None)
-    assert (b"a" not in made.used_tags) is again
-
-
-@pytest.mark.parametrize("held, again", [(False, True), (True, False)])
-def test_what_a_source_holds_is_not_asked_for_where_the_look_missed(held, again):
-    """A fill cannot end as a miss, an ask for what is held can: the look's miss, come twice, would be taken for it."""
+    owner = attempts(made.pools)
+    owner.attempt_ended = lambda *_: None
+    request = DownstreamRequest(SimpleNamespace(taken=1), None, 1, "a", make_request_class(), 0.0)
+    number = owner.slots.put(SentAttempt(request, None, None, 0.0, 1.0))
+    owner.slots.get(number).connection, owner.slots.get(number).tag = made, b"a"
+    assert owner.response_received(number, status, b"-", None)
+    assert (b"a" not in made.used_tags) is may_be_reused
+
+
+@pytest.mark.parametrize("only_if_cached, is_sent", [(False, True), (True, False)])
+def test_only_if_cached_attempt_when_the_connection_had_a_miss_is_not_sent_there(only_if_cached, is_sent):
+    """An only-if-cached attempt may end as a miss, so a duplicate of the first miss would be taken for its response."""
     made, *_ = line()
-    forwards = attempts(made.pools)
-    forwards.attempt_ended = lambda *_: None
-    door, cache = (
+    owner = attempts(made.pools)
+    owner.attempt_ended = lambda *_: None
+    request, server = (
         DownstreamRequest(SimpleNamespace(taken=1), None, 1, "a", make_request_class(), 0.0),
         SimpleNamespace(id=1),
     )
-    door.deadline = 200.0
-    number = forwards.slots.put(SentAttempt(door, None, cache, 0.0, 1.0))
-    forwards.slots.get(number).connection, forwards.slots.get(number).tag = made, b"a"
-    assert forwards.response_received(number, b"MISS", b"-", None)
-    made.pools.max_connections = 0  # no other connection may be made, so none takes it
+    request.deadline = 200.0
+    number = owner.slots.put(SentAttempt(request, None, server, 0.0, 1.0))
+    owner.slots.get(number).connection, owner.slots.get(number).tag = made, b"a"
+    assert owner.response_received(number, b"MISS", b"-", None)
+    made.pools.max_connections = 0  # No other connection can be opened.
     source = SimpleNamespace(id=2)
-    request = SimpleNamespace(local_copy=None, router=SimpleNamespace(endpoints=SimpleNamespace(edge_caches=[])))
-    forward = Attempt(request, cache, source, 0.0, only_if_cached=held)
-    parameters = AttemptParameters(forward, cache, 200.0, source, 1, None, False, held, False)
-    forwards.send(door, parameters)
-    assert (b"a" in made.pending) is again
+    routed_request = SimpleNamespace(local_copy=None, router=SimpleNamespace(endpoints=SimpleNamespace(edge_caches=[])))
+    attempt = Attempt(routed_request, server, source, 0.0, only_if_cached=only_if_cached)
+    parameters = AttemptParameters(attempt, server, 200.0, source, 1, None, False, only_if_cached, False)
+    owner.send(request, parameters)
+    assert (b"a" in made.pending) is is_sent
 
 
-# Settings in which something is not allowed, or 0.
+# Settings that switch something off or are 0.
 
 
-def test_where_probes_are_not_allowed_a_source_that_refused_is_not_asked_either():
+def test_rejecting_source_when_health_checks_are_off_is_not_checked():
     made = make_router(health_checks=False)
-    visit, caller = route_request(made)
+    _, caller = route_request(made)
     end_attempt(caller, Outcome.MISS, 100.1)
     end_attempt(caller, Outcome.OVERLOADED, 100.2)
     assert made.environment.health_checked == []
 
 
-@pytest.mark.parametrize("multiple, span", [(0.0, 1.0), (4.0, 0.0)])
-def test_where_no_load_topples_a_cold_machine_none_is_kept_from_it(multiple, span):
+@pytest.mark.parametrize("load_multiple, duration_s", [(0.0, 1.0), (4.0, 0.0)])
+def test_cold_cache_when_slow_start_is_off_gets_every_request(load_multiple, duration_s):
     made = make_router(caches=1)
-    made.endpoints.cache_slow_start.__init__(multiple, span, 0.2, 10.0)
+    made.endpoints.cache_slow_start.__init__(load_multiple, duration_s, 0.2, 10.0)
     made.endpoints.edge_caches[0].started = 99.9
     for number in range(20):
         _, caller = route_request(made, key=number)
@@ -520,6 +523,6 @@
 
 
 @pytest.mark.parametrize("field", ["connectTimeoutMs", "connIdleMs", "maxStreams"])
-def test_times_and_streams_of_0_are_faults_that_name_their_key(field):
+def test_connection_limit_when_zero_is_rejected_with_its_key(field):
     with pytest.raises(MalformedError, match=field):
         config.connection_limits({"settings": {"limits": {field: 0}}})
--- a/tests/net/test_failing_calls.py
+++ b/tests/net/test_failing_calls.py
@@ -1,6 +1,6 @@
-"""System calls of a router fail once, with each error that Linux documents for a passing condition: one try is lost.
+"""A router whose system calls fail with the errors that Linux documents for temporary conditions loses no request.
 
-They fail in a preloaded library; all is judged by what clients and machines see.
+A preloaded library makes the calls fail. The tests judge only by what clients and servers see.
 """
 
 import errno
@@ -16,7 +16,7 @@
 from tests.support.processes import PATIENT, Client
 from tests.support.router_process import OK_FIELDS
 
-ONE_IN_FIVE = 0.2
+FAILURE_SHARE = 0.2
 ACCEPT_ERRORS = [
     errno.ECONNABORTED,
     errno.ENFILE,
@@ -32,39 +32,39 @@
 ]
 
 
-class Serving:
-    """The cache answers all that comes to it at once."""
+class RespondingCache:
+    """Answers every request that comes to the first cache at once."""
 
-    def __init__(self, made):
-        self.made, self.count, self.stop = made, 0, threading.Event()
+    def __init__(self, harness):
+        self.harness, self.request_count, self.is_stopped = harness, 0, threading.Event()
         threading.Thread(target=self.accept, daemon=True).start()
 
     def accept(self):
-        self.made.listeners[0].settimeout(0.05)
-        while not self.stop.is_set():
+        self.harness.listeners[0].settimeout(0.05)
+        while not self.is_stopped.is_set():
             with suppress(OSError):
-                line = self.made.accept_connection(0)
-                threading.Thread(target=self.answer, args=(line,), daemon=True).start()
+                connection = self.harness.accept_connection(0)
+                threading.Thread(target=self.answer, args=(connection,), daemon=True).start()
 
-    def answer(self, line):
+    def answer(self, connection):
         with suppress(OSError):
-            while not self.stop.is_set():
-                asked = line.next_request(0.05)
-                if asked is not None:
-                    self.count += 1
-                    asked.answer("OK", OK_FIELDS, b"x" * 1000)
+            while not self.is_stopped.is_set():
+                request = connection.next_request(0.05)
+                if request is not None:
+                    self.request_count += 1
+                    request.answer("OK", OK_FIELDS, b"x" * 1000)
 
 
 @pytest.fixture
 def serving():
     made = []
-    yield lambda stand: made.append(Serving(stand)) or made[-1]
-    for one in made:
-        one.stop.set()
+    yield lambda stand: made.append(RespondingCache(stand)) or made[-1]
+    for cache in made:
+        cache.is_stopped.set()
 
 
 @pytest.mark.parametrize("error", ACCEPT_ERRORS)
-def test_a_failed_accept_hangs_up_on_nobody(faulty_stand, error):
+def test_idle_clients_when_an_accept_fails_stay_connected(faulty_stand, error):
     made, shim = faulty_stand()
     resting = [made.client() for _ in range(12)]
     for client in resting:
@@ -77,32 +77,33 @@
         assert client.ping()
 
 
-BLOCK = 10  # connections without failures, then with them: what else the machine does meets both alike
+# Connections of one block. Blocks without and with failures alternate, so that other load on the machine slows both.
+BLOCK_CONNECTIONS = 10
 MIN_FAILED_ACCEPTS = 50
-MAX_BLOCKS = 100  # some 25 bring that many
+MAX_BLOCKS = 100  # About 25 blocks bring MIN_FAILED_ACCEPTS failures.
 
 
-def test_one_failed_accept_in_five_leaves_half_of_the_requests(faulty_stand, serving):
-    """An accept that failed held the listener up and had clients at rest hung up on."""
+def test_throughput_when_one_accept_in_five_fails_is_at_least_half(faulty_stand, serving):
+    """A failed accept delayed the listener and made the router close idle clients."""
     made, shim = faulty_stand()
     serving(made)
     resting = [made.client() for _ in range(20)]
     for client in resting:
         assert client.ping()
 
-    def seconds_of_a_block():
-        began = time.monotonic()
-        for _ in range(BLOCK):
-            client = Client(made.address)  # each request on a connection of its own
+    def time_block_s():
+        started_at = time.monotonic()
+        for _ in range(BLOCK_CONNECTIONS):
+            client = Client(made.address)  # Each request has a connection of its own.
             assert client.answer(client.ask("pages"))[2] is None
             client.socket.close()
-        return time.monotonic() - began
+        return time.monotonic() - started_at
 
     undisturbed_s = disturbed_s = 0.0
     for _ in range(MAX_BLOCKS):
-        undisturbed_s += seconds_of_a_block()
-        shim.fail(Call.ACCEPT, ONE_IN_FIVE)
-        disturbed_s += seconds_of_a_block()
+        undisturbed_s += time_block_s()
+        shim.fail(Call.ACCEPT, FAILURE_SHARE)
+        disturbed_s += time_block_s()
         shim.calm()
         if shim.failed(Call.ACCEPT) >= MIN_FAILED_ACCEPTS:
             break
@@ -114,11 +115,11 @@
 
 @pytest.mark.parametrize("call", [Call.CLIENT_READ, Call.CLIENT_PEEK, Call.CLIENT_SEND])
 @pytest.mark.parametrize("error", [errno.ENOMEM, errno.ENOBUFS, errno.EINTR, errno.EAGAIN])
-def test_a_failed_call_on_a_client_s_connection_loses_no_request(faulty_stand, serving, call, error):
+def test_requests_when_calls_on_client_connections_fail_are_all_answered(faulty_stand, serving, call, error):
     made, shim = faulty_stand()
     serving(made)
     clients = [made.client() for _ in range(8)]
-    shim.fail(call, ONE_IN_FIVE, error)
+    shim.fail(call, FAILURE_SHARE, error)
     for _ in range(15):
         calls = [(client, client.ask("pages")) for client in clients]
         for client, number in calls:
@@ -129,12 +130,12 @@
 @pytest.mark.parametrize(
     "call", [Call.SERVER_READ, Call.SERVER_PEEK, Call.SERVER_SEND, Call.SHORT_SEND, Call.SHORT_READ]
 )
-def test_a_failed_call_on_a_machine_s_connection_fails_no_request(faulty_stand, serving, call):
-    """Results are exclusive: what may have run is not sent again, so that a cut connection shows as a failure."""
+def test_requests_when_calls_on_server_connections_fail_are_all_answered(faulty_stand, serving, call):
+    """A closed connection would show as a failed request: requests that may have run are not retried here."""
     made, shim = faulty_stand(change=lambda conf: conf["classes"][1].update(onTimeMs=2900))
     serving(made)
     client = made.client()
-    shim.fail(call, ONE_IN_FIVE)
+    shim.fail(call, FAILURE_SHARE)
     for _ in range(40):
         calls = [client.ask("pages", block=str(part)) for part in range(4)]
         for number in calls:
@@ -142,28 +143,28 @@
     assert shim.failed(call) > 5
 
 
-def test_a_broken_list_watch_is_made_anew(faulty_stand):
+def test_endpoint_watch_when_its_connection_breaks_connects_again(faulty_stand):
     made, shim = faulty_stand()
     shim.fail_next(Call.BREAK, 1, errno.ETIMEDOUT)
     made.send_event(0)
-    anew = made.accept_on(made.discovery_listener)
-    assert int.from_bytes(anew.recv(8)) == made.last_event_number
+    new_connection = made.accept_on(made.discovery_listener)
+    assert int.from_bytes(new_connection.recv(8)) == made.last_event_number
 
 
 @pytest.mark.parametrize("call", [Call.SOCKET, Call.CONNECT, Call.REGISTER])
-def test_a_local_failure_to_connect_costs_one_try(faulty_stand, serving, call):
-    """The machine is not blamed: the next request goes to it, and it is not taken for cold."""
+def test_server_when_connects_fail_locally_still_gets_the_next_request(faulty_stand, serving, call):
+    """A local failure is no evidence against the server, which must not count as failed or as cold."""
     made, shim = faulty_stand()
-    served = serving(made)
+    cache = serving(made)
     shim.fail_next(call, 2)
     client = made.client()
     numbers = [client.ask("pages", block=str(part)) for part in range(8)]
     for number in numbers:
         assert client.answer(number)[2] is None
-    assert served.count > 0
+    assert cache.request_count > 0
 
 
-def test_a_descriptor_that_the_loop_does_not_take_at_once_is_served(faulty_stand, serving):
+def test_client_when_registering_its_descriptor_fails_once_is_served(faulty_stand, serving):
     made, shim = faulty_stand()
     serving(made)
     for _ in range(5):
@@ -173,12 +174,12 @@
         assert shim.failed(Call.REGISTER)
 
 
-def test_requests_in_half_open_connections_of_a_router_that_ends_are_answered(faulty_stand):
-    """Accepts fail now and then while it ends; nothing that was accepted by the system is left unread."""
+def test_requests_on_new_connections_during_the_shutdown_are_answered(faulty_stand):
+    """Some accepts and reads fail meanwhile; the router must still read every connection that the system accepted."""
     made, shim = faulty_stand()
-    shim.fail(Call.ACCEPT, ONE_IN_FIVE)
-    shim.fail(Call.CLIENT_READ, ONE_IN_FIVE)
-    shim.fail(Call.CLIENT_PEEK, ONE_IN_FIVE)
+    shim.fail(Call.ACCEPT, FAILURE_SHARE)
+    shim.fail(Call.CLIENT_READ, FAILURE_SHARE)
+    shim.fail(Call.CLIENT_PEEK, FAILURE_SHARE)
     os.kill(made.router.child.pid, signal.SIGTERM)
     end, asked = time.monotonic() + 0.5, []
     while time.monotonic() < end:
@@ -192,7 +193,7 @@
 
 @pytest.mark.parametrize("call", [Call.SOCKET, Call.REGISTER, Call.OPEN])
 @pytest.mark.parametrize("count", [1, 3])
-def test_a_start_goes_on_after_a_failed_call(stand, shim_library, tmp_path, call, count):
+def test_start_when_a_call_fails_is_retried_until_the_router_serves(stand, shim_library, tmp_path, call, count):
     shim = Shim(shim_library, tmp_path / "shim.page", files=tmp_path)
     shim.fail_next(call, count)
     made = stand(environment=shim.environment)
@@ -200,31 +201,31 @@
     assert shim.failed(call)
 
 
-def test_a_reload_goes_on_after_a_failed_open(faulty_stand):
+def test_reload_when_opening_the_file_fails_is_retried(faulty_stand):
     made, shim = faulty_stand()
-    other = made.open_listener()
+    new_listener = made.open_listener()
     path = made.folder / "config.json"
     text = path.read_text().replace(
-        *("{}:{}".format(*place.getsockname()) for place in (made.discovery_listener, other))
+        *("{}:{}".format(*place.getsockname()) for place in (made.discovery_listener, new_listener))
     )
     path.write_text(text)
     shim.fail_next(Call.OPEN, 2)
     os.kill(made.router.child.pid, signal.SIGHUP)
-    moved = made.accept_on(other)
-    assert int.from_bytes(moved.recv(8)) == made.last_event_number
+    new_watch = made.accept_on(new_listener)
+    assert int.from_bytes(new_watch.recv(8)) == made.last_event_number
 
 
-def test_a_reload_goes_on_when_the_file_was_half_written(faulty_stand):
-    """Whoever writes it in place is read in the middle; the signal comes once."""
+def test_reload_when_the_file_is_half_written_is_retried_until_it_is_complete(faulty_stand):
+    """A file that is written in place may be read half written, and the signal comes only once."""
     made, _ = faulty_stand()
-    other = made.open_listener()
+    new_listener = made.open_listener()
     path = made.folder / "config.json"
     text = path.read_text().replace(
-        *("{}:{}".format(*place.getsockname()) for place in (made.discovery_listener, other))
+        *("{}:{}".format(*place.getsockname()) for place in (made.discovery_listener, new_listener))
     )
     path.write_text(text[: len(text) // 2])
     os.kill(made.router.child.pid, signal.SIGHUP)
     made.router.wait("config_reload_failed")
     path.write_text(text)
-    moved = made.accept_on(other)
-    assert int.from_bytes(moved.recv(8)) == made.last_event_number
+    new_watch = made.accept_on(new_listener)
+    assert int.from_bytes(new_watch.recv(8)) == made.last_event_number
--- a/tests/net/test_lost_connections.py
+++ b/tests/net/test_lost_connections.py
@@ -1,8 +1,8 @@
-"""What the log says of connections to servers that were lost.
+"""The reasons that the log gives for lost connections to servers.
 
-What was seen before: the `reason` of `upstream_connection_lost` held `[Failure instance: Traceback: <class ...` and
-line numbers of Twisted's files in 10 of 60 runs. Where a connection ends while it is coming up, Twisted's ConnectError
-carries the Failure that ended it in place of a text, and the text of such an error is that of the object.
+In 10 of 60 runs the `reason` of `upstream_connection_lost` was `[Failure instance: Traceback: <class ...`, with line
+numbers of Twisted's files. Where a connection ends while it is coming up, Twisted's ConnectError has a Failure where
+its text should be, and its text is then the representation of that object.
 """
 
 import json
@@ -13,7 +13,7 @@
 from wickhinge.common.connector import failure_text
 
 
-def test_a_refused_connection_is_told_in_words(stand):
+def test_log_reason_when_a_connection_is_refused_is_plain_text(stand):
     made = stand()
     made.listeners[0].close()
     client = made.client()
@@ -23,7 +23,7 @@
     assert "connect" in reason.lower()
 
 
-def test_the_text_of_a_failure_is_that_of_the_errors_within():
+def test_failure_text_when_an_error_contains_a_failure_is_the_text_of_both():
     cause = Failure(ConnectionLost("reset by peer"))
     text = failure_text(Failure(ConnectError(string=cause)))
     assert (
--- a/tests/net/test_short_waits.py
+++ b/tests/net/test_short_waits.py
@@ -1,4 +1,4 @@
-"""Requests whose clients wait for less than the first guess of their work are tried."""
+"""Requests whose timeout is shorter than the initial estimate of their work are attempted."""
 
 import pytest
 
@@ -8,14 +8,17 @@
 
 
 @pytest.mark.parametrize("budget_ms", [100, 300, 450])
-def test_requests_with_short_waits_are_served_where_caches_are_at_rest(stand, budget_ms):
-    """All were rejected untried: the guess of half a latency objective forbade the attempts that would correct it."""
+def test_requests_with_short_timeouts_when_caches_are_idle_are_served(stand, budget_ms):
+    """All were rejected without an attempt.
+
+    The initial estimate, half of the latency objective, ruled out the attempts that would have corrected it.
+    """
     made = stand()
     client = made.client()
-    line = None
+    connection = None
     for number in range(REQUESTS):
         call = client.ask("pages", budget=str(budget_ms), obj=f"{number:016x}")
-        line = line or made.accept_connection(0)
-        asked = line.next_request()
-        asked.answer("OK", OK_FIELDS, b"body")
+        connection = connection or made.accept_connection(0)
+        request = connection.next_request()
+        request.answer("OK", OK_FIELDS, b"body")
         assert client.answer(call)[2] is None
--- a/tests/net/test_sockets.py
+++ b/tests/net/test_sockets.py
@@ -1,4 +1,4 @@
-"""The program itself, started and spoken to over sockets, with the example's toy deployment beside it."""
+"""The router as a process, reached over sockets, with the toy deployment of the example as its servers."""
 
 import json
 import os
@@ -20,7 +20,7 @@
     made.close()
 
 
-def test_visits_are_honoured_with_the_bytes_of_their_part(deployment):
+def test_requests_are_served_with_the_bytes_of_their_part(deployment):
     client = deployment.client()
     assert client.ping() is True
     calls = [client.ask(block=str(part % 3)) for part in range(32)]
@@ -32,18 +32,18 @@
     assert error is None and result[0] == b"\x00mark\xff"
 
 
-@pytest.mark.parametrize("request_class, word", [("pages", "Overloaded"), ("results", "Abandoned")])
-def test_what_no_machine_answers_is_given_up_in_time(deployment, request_class, word):
+@pytest.mark.parametrize("request_class, error_name", [("pages", "Overloaded"), ("results", "Abandoned")])
+def test_request_when_no_server_answers_ends_in_time(deployment, request_class, error_name):
     for place in "1234":
         deployment.toy.say(f"silent {place}")
     client = deployment.client()
     start = time.monotonic()
     _, _, error, _ = client.answer(client.ask(request_class, budget="1200"))
     assert time.monotonic() - start < 3.0
-    assert error[0] == word and (word == "Abandoned" or error[1]["backoff"] == "500")
+    assert error[0] == error_name and (error_name == "Abandoned" or error[1]["backoff"] == "500")
 
 
-def test_an_aborted_visit_gets_no_answer(deployment):
+def test_aborted_request_gets_no_answer(deployment):
     for place in "1234":
         deployment.toy.say(f"silent {place}")
     client = deployment.client()
@@ -54,7 +54,7 @@
     assert client.had == []
 
 
-def test_lost_connections_are_made_anew(deployment):
+def test_request_when_all_server_connections_were_lost_is_served_on_new_ones(deployment):
     client = deployment.client()
     client.answer(client.ask())
     for place in "1234":
@@ -63,7 +63,7 @@
     assert client.answer(client.ask(block="1"))[2] is None
 
 
-def test_a_draining_cache_gets_nothing_more_also_after_the_journal_was_lost(deployment):
+def test_draining_cache_when_the_watch_connection_was_lost_still_gets_no_requests(deployment):
     deployment.toy.say("drop")
     assert '"last_event":1' in deployment.router.wait('"event":"endpoint_watch_connected"')
     deployment.toy.say("drain 1")
@@ -78,20 +78,20 @@
 
 
 @pytest.mark.parametrize("data", [b"\xc1", b"\x05", msgpack.pack([7, 7]), msgpack.pack([2, "abort", ["x"]])])
-def test_one_bad_client_is_cut_off_and_harms_no_other(deployment, data):
-    bad, good = deployment.client(), deployment.client()
-    bad.socket.sendall(data)
+def test_client_when_it_sends_malformed_data_is_disconnected_and_others_are_served(deployment, data):
+    faulty_client, client = deployment.client(), deployment.client()
+    faulty_client.socket.sendall(data)
     with pytest.raises((AssertionError, ConnectionError)):
-        bad.answer(1)
+        faulty_client.answer(1)
     assert deployment.router.wait('"event":"client_fault"')
-    assert good.answer(good.ask())[2] is None
+    assert client.answer(client.ask())[2] is None
 
 
-HALF = msgpack.pack([0, 1, "pages", [{"rid": "00000000000000aa"}]])[:-5]
+PARTIAL_MESSAGE = msgpack.pack([0, 1, "pages", [{"rid": "00000000000000aa"}]])[:-5]
 
 
-@pytest.mark.parametrize("data, asks", [(b"", False), (HALF, False), (HALF, True), (b"", True)])
-def test_who_says_nothing_half_a_thing_or_nothing_more_is_hung_up_on_in_time(deployment, data, asks):
+@pytest.mark.parametrize("data, asks", [(b"", False), (PARTIAL_MESSAGE, False), (PARTIAL_MESSAGE, True), (b"", True)])
+def test_client_when_silent_or_with_a_partial_message_is_disconnected_in_time(deployment, data, asks):
     client = deployment.client()
     start = time.monotonic()
     if asks:
@@ -102,11 +102,11 @@
     assert time.monotonic() - start < (9.0 if asks and not data else 5.0)
 
 
-def test_silent_connections_by_the_hundred_leave_room_for_those_who_ask(deployment):
+def test_client_with_a_request_when_hundreds_of_silent_clients_are_connected_is_served(deployment):
     with ExitStack() as stack:
-        many = [socket.create_connection(deployment.address, PATIENT) for _ in range(150)]
-        silent = [stack.enter_context(one) for one in many]
-        silent[0].settimeout(1.0)  # sooner than for its silence alone
+        sockets = [socket.create_connection(deployment.address, PATIENT) for _ in range(150)]
+        silent = [stack.enter_context(each) for each in sockets]
+        silent[0].settimeout(1.0)  # The time limit for silent clients alone is longer.
         with pytest.raises((AssertionError, ConnectionResetError)):
             assert silent[0].recv(1)
         client = deployment.client()
@@ -114,7 +114,7 @@
 
 
 @pytest.mark.parametrize(
-    "request_class, change, told",
+    "request_class, change, field",
     [
         ("nothing", {}, "method"),
         ("pages", {"drop": ("budget",)}, "budget"),
@@ -127,26 +127,26 @@
         ("results", {"token": "a,keep=3"}, "token"),
     ],
 )
-def test_a_bad_request_gets_an_error_that_names_the_field(deployment, request_class, change, told):
+def test_invalid_request_gets_an_error_that_names_the_field(deployment, request_class, change, field):
     client = deployment.client()
     _, _, error, _ = client.answer(client.ask(request_class, **change))
-    assert error[0] == "BadRequest" and told in error[1]["why"]
+    assert error[0] == "BadRequest" and field in error[1]["why"]
     assert client.answer(client.ask())[2] is None
 
 
-def test_an_id_used_before_and_hundreds_at_once_are_turned_away(deployment):
+def test_reused_request_id_and_too_many_requests_at_once_are_rejected(deployment):
     client, flood = deployment.client(), deployment.client()
     assert client.answer(client.ask(rid="00000000000000ab"))[2] is None
     assert "rid" in client.answer(client.ask(rid="00000000000000ab", block="1"))[2][1]["why"]
-    told = {"budget": "900", "obj": "0" * 16}
+    fields = {"budget": "900", "obj": "0" * 16}
     flood.socket.sendall(
-        b"".join(msgpack.pack([0, call, "pages", [told | {"rid": f"{call:016x}"}]]) for call in range(33))
+        b"".join(msgpack.pack([0, call, "pages", [fields | {"rid": f"{call:016x}"}]]) for call in range(33))
     )
     with pytest.raises((AssertionError, ConnectionError)):
         flood.answer(99)
 
 
-def test_sigterm_answers_all_that_was_taken_and_ends(deployment):
+def test_sigterm_when_requests_are_open_ends_the_router_after_their_answers(deployment):
     client, other = deployment.client(), deployment.client()
     calls = [client.ask(block=str(part)) for part in range(20)]
     deployment.router.child.send_signal(signal.SIGTERM)
@@ -159,7 +159,9 @@
     assert deployment.router.child.wait(PATIENT) == 0
 
 
-def test_sighup_moves_the_journal_and_a_faulty_file_changes_nothing(deployment):
+def test_sighup_moves_the_endpoint_watch_and_an_invalid_file_changes_nothing(
+    deployment,
+):
     path, client = deployment.path, deployment.client()
     conf = json.loads(path.read_text())
     with socket.create_server(("127.0.0.1", 0)) as place:
@@ -170,23 +172,23 @@
         path.write_text(json.dumps(conf | {"journal": f"127.0.0.1:{place.getsockname()[1]}"}))
         for _ in range(2):
             deployment.router.child.send_signal(signal.SIGHUP)
-        with place.accept()[0] as journal:
-            journal.settimeout(PATIENT)
-            assert int.from_bytes(journal.recv(8)) == 1
-            journal.sendall(b"\x00\x00\x00\x13" + (2).to_bytes(8) + b"\x04" + b"\x00\x07" + bytes(8))
+        with place.accept()[0] as watch:
+            watch.settimeout(PATIENT)
+            assert int.from_bytes(watch.recv(8)) == 1
+            watch.sendall(b"\x00\x00\x00\x13" + (2).to_bytes(8) + b"\x04" + b"\x00\x07" + bytes(8))
             assert deployment.router.wait('"event":"purge_applied"')
             assert client.answer(client.ask())[2] is None
 
 
-class Restarted:
-    """A router whose configuration is older than what its service has to tell, and the service, which is the test."""
+class RestartedRouter:
+    """A router with an outdated endpoint list in its configuration; the test plays the discovery service."""
 
     def __init__(self, folder):
         self.toy_base = free(7)
         self.toy = Process("example/toy.py", str(self.toy_base), "hidden")
         self.toy.wait("ready")
-        self.service = socket.create_server(("127.0.0.1", self.toy_base + 6))
-        self.service.settimeout(PATIENT)
+        self.discovery_listener = socket.create_server(("127.0.0.1", self.toy_base + 6))
+        self.discovery_listener.settimeout(PATIENT)
         conf = json.loads((ROOT / "example/config.json").read_text())
         kinds = conf["settings"]["shapes"]
         hosts = [
@@ -209,32 +211,32 @@
             "known": {"pos": 1, "entries": [{"pos": 1, "hosts": {"seq": 1, "whole": True, "hosts": hosts}}]},
         }
         (folder / "config.json").write_text(json.dumps(conf))
-        self.told = {**os.environ, "RELAY_CONFIG": str(folder / "config.json")}
-        self.router = Process("-m", "wickhinge", env=self.told)
+        self.environment = {**os.environ, "RELAY_CONFIG": str(folder / "config.json")}
+        self.router = Process("-m", "wickhinge", env=self.environment)
 
-    def refuses(self):
+    def assert_refuses_connections(self):
         with pytest.raises(ConnectionRefusedError):
             socket.create_connection(self.address, PATIENT)
 
     def close(self):
         self.router.close()
         self.toy.close()
-        self.service.close()
+        self.discovery_listener.close()
 
 
 @pytest.fixture
 def restarted(tmp_path):
-    made = Restarted(tmp_path)
+    made = RestartedRouter(tmp_path)
     yield made
     made.close()
 
 
-def test_a_router_takes_nothing_before_it_knows_what_drained_while_it_was_away(restarted):
+def test_restarted_router_accepts_no_clients_before_it_knows_all_endpoint_changes(restarted):
     restarted.toy.say("silent 1")
-    with restarted.service.accept()[0] as journal:
-        journal.settimeout(PATIENT)
-        assert int.from_bytes(journal.recv(8)) == 1
-        restarted.refuses()
+    with restarted.discovery_listener.accept()[0] as watch:
+        watch.settimeout(PATIENT)
+        assert int.from_bytes(watch.recv(8)) == 1
+        restarted.assert_refuses_connections()
         drained = (
             (0xA1).to_bytes(4)
             + bytes((127, 0, 0, 1))
@@ -243,14 +245,14 @@
             + (4000).to_bytes(4)
             + bytes(8)
         )
-        journal.sendall((9 + len(drained)).to_bytes(4) + (2).to_bytes(8) + b"\x02" + drained)
+        watch.sendall((9 + len(drained)).to_bytes(4) + (2).to_bytes(8) + b"\x02" + drained)
         restarted.router.wait("draining")
-        restarted.refuses()  # there may be more
-    with restarted.service.accept()[0] as journal:  # asked whether that was all, it need not wait for a second
-        journal.settimeout(PATIENT)
-        assert int.from_bytes(journal.recv(8)) == 2
-        restarted.refuses()
-        journal.sendall((9).to_bytes(4) + (2).to_bytes(8) + b"\x00")
+        restarted.assert_refuses_connections()  # The discovery service may have more changes.
+    with restarted.discovery_listener.accept()[0] as watch:  # The router asks here for further changes.
+        watch.settimeout(PATIENT)
+        assert int.from_bytes(watch.recv(8)) == 2
+        restarted.assert_refuses_connections()
+        watch.sendall((9).to_bytes(4) + (2).to_bytes(8) + b"\x00")
         assert '"caught up"' in restarted.router.wait('"event":"listener_opened"')
         client = Client(restarted.address)
         assert client.ping() is True
@@ -259,10 +261,10 @@
 
 
 @pytest.mark.parametrize("silent", [True, False])
-def test_a_router_whose_service_tells_nothing_goes_on_with_its_list(restarted, silent):
+def test_restarted_router_when_the_discovery_service_sends_nothing_uses_its_own_list(restarted, silent):
     if not silent:
-        restarted.service.close()
-    restarted.router.wait('"event":"router_started"')  # what an import takes beside load is not the router's wait
+        restarted.discovery_listener.close()
+    restarted.router.wait('"event":"router_started"')  # Slow imports on a busy machine must not count.
     start = time.monotonic()
     assert '"not told"' in restarted.router.wait('"event":"listener_opened"')
     assert time.monotonic() - start < 2.5
@@ -271,25 +273,25 @@
     assert client.answer(client.ask())[2] is None
 
 
-def test_sigterm_before_it_takes_anything_ends_the_program_at_once(restarted):
-    with restarted.service.accept()[0]:
+def test_sigterm_before_the_router_accepts_clients_ends_it_at_once(restarted):
+    with restarted.discovery_listener.accept()[0]:
         start = time.monotonic()
         restarted.router.child.send_signal(signal.SIGTERM)
         assert restarted.router.child.wait(PATIENT) == 0
-        assert time.monotonic() - start < 0.7  # there are no clients that still come
-    restarted.refuses()
+        assert time.monotonic() - start < 0.7  # A router without clients need not wait for any.
+    restarted.assert_refuses_connections()
 
 
 @pytest.mark.parametrize("event", ["router_started", "listener_opened"])
-def test_of_two_at_one_address_one_ends_also_where_both_wait(restarted, event):
+def test_second_router_at_the_same_address_ends_with_an_error(restarted, event):
     restarted.router.wait(f'"event":"{event}"')
-    other = Process("-m", "wickhinge", env=restarted.told)
+    other = Process("-m", "wickhinge", env=restarted.environment)
     assert "field listen" in other.wait("config")
     assert other.child.wait(PATIENT) == 2
     assert Client(restarted.address).ping() is True
 
 
-def test_bad_configuration_ends_the_program_with_its_key(tmp_path):
+def test_invalid_configuration_ends_the_router_with_the_key_named(tmp_path):
     (tmp_path / "config.json").write_text('{"name": "n1", "listen": "x"}')
     made = Process("-m", "wickhinge", env={**os.environ, "RELAY_CONFIG": str(tmp_path / "config.json")})
     assert "config" in made.wait("field")
