--- a/tests/net/test_crossings.py
+++ b/tests/net/test_crossings.py
@@ -37,7 +37,7 @@
 from wickhinge.net.upstream.request_log import RequestLog, RequestTrace
 from wickhinge.routing.attempt import Attempt
 
-OBJECT = 0xAA
+OBJECT_KEY = 0xAA
 
 
 def allow_slow_connects(conf, **limits):
@@ -69,7 +69,7 @@
     accept_again, client = made.stop_accepting(0), made.client()
     call = client.ask(budget="6000")
     assert client.ping()
-    made.send_event(3, endpoint_watch.OBJECT_PURGE.pack(OBJECT, int(time.time() * 1000) - 1))
+    made.send_event(3, endpoint_watch.OBJECT_PURGE.pack(OBJECT_KEY, int(time.time() * 1000) - 1))
     made.router.wait('"event":"purge_applied"')
     asked = accept_again().next_request()
     assert int(asked.fields["maxage"]) < 2000  # Without a purge the field is missing: the freshness lifetime applies.
--- a/wickhinge/common/failed_calls.py
+++ b/wickhinge/common/failed_calls.py
@@ -54,19 +54,19 @@
 
 
 def call_with_retries(name: str, call: Callable[..., Result], *arguments: Any) -> Result | None:
-    """Return the call's result; None where it would block, or where every try failed with a temporary error.
+    """Return the call's result; None where it would block, or where the last try failed with a temporary error.
 
     Raises:
         OSError: The last try failed with another error; on an ended connection each try fails.
     """
-    for turn in range(MAX_TRIES):
+    for index in range(MAX_TRIES):
         try:
             return call(*arguments)
         except BlockingIOError:
             return None
         except OSError as problem:
             failed_calls.count(name, problem.errno)
-            if turn == MAX_TRIES - 1 and problem.errno not in TRANSIENT_ERRNOS:
+            if index == MAX_TRIES - 1 and problem.errno not in TRANSIENT_ERRNOS:
                 raise
     return None
 
