--- a/tests/changelog/test_router_changes.py
+++ b/tests/changelog/test_router_changes.py
@@ -30,11 +30,13 @@
     )
     node = SimpleNamespace(
         reactor=sockets,
-        deadlines=SimpleNamespace(after=sockets.callLater),
+        deadlines=SimpleNamespace(call_after=sockets.callLater),
         log=SimpleNamespace(event=lambda event, **fields: told.append(event)),
         decisions=SimpleNamespace(purges=Purges(6.0)),
-        local_copies=LocalCopies(store, None, None, None, 0.1, None, SimpleNamespace(earliest=lambda made, now: made)),
-        attempts=SimpleNamespace(overtaken=lambda holds: told.append(holds)),
+        local_copies=LocalCopies(
+            store, None, None, None, 0.1, None, SimpleNamespace(earliest_local_time=lambda made, now: made)
+        ),
+        attempts=SimpleNamespace(recall_unwritten=lambda holds: told.append(holds)),
         move_endpoint_watch=lambda address: told.append(address),
         updates=SimpleNamespace(
             purge=lambda *given: told.append(given), record_purge=lambda *given: told.append(given)
--- a/tests/support/connections.py
+++ b/tests/support/connections.py
@@ -2,7 +2,7 @@
 
 from types import SimpleNamespace
 
-from wickhinge.clocks import OthersTime
+from wickhinge.clocks import RemoteClock
 from wickhinge.net.control import endpoint_watch
 from wickhinge.net.runtime.arrivals import Arrivals
 from wickhinge.net.runtime.buffers import BufferPool
@@ -12,7 +12,7 @@
 
 def attempts(pools, faults=None, **ports):
     """Attempts over these pools, with no decisions unless they are given."""
-    ports = {"decisions": None, "others_time": OthersTime(), **ports}
+    ports = {"decisions": None, "others_time": RemoteClock(), **ports}
     return Attempts(pools, pools.deadlines, AttemptPorts(**ports), 0.25, [].append if faults is None else faults.append)
 
 
@@ -47,29 +47,29 @@
     soon, ends, now = [], {}, [100.0]
     clock = SimpleNamespace(
         now=lambda: now[0],
-        after=lambda delay, call, *told: soon.append((call, told)),
-        soon=lambda call, *told: soon.append((call, told)),
+        call_after=lambda delay, call, *told: soon.append((call, told)),
+        call_soon=lambda call, *told: soon.append((call, told)),
         arrivals=Arrivals(0.0),
     )
     caches = ConnectionPools(clock, pool()[0], PoolSettings(0.4, 15.0, 100, 50), lambda *_, **more: None)
-    caches.report_to(
+    caches.set_owner(
         SimpleNamespace(
-            begin=lambda number: None,
-            answered=lambda number, *_: ends.setdefault(number, "answered") == "answered",
-            ended=ends.__setitem__,
+            build_frame=lambda number: None,
+            response_received=lambda number, *_: ends.setdefault(number, "answered") == "answered",
+            attempt_ended=ends.__setitem__,
         )
     )
-    caches.listed(1, "1", ("127.0.0.1", 1))
-    made = UpstreamConnection(caches.machines[1])
-    made.machine.lines.append(made)
+    caches.add_or_move(1, "1", ("127.0.0.1", 1))
+    made = UpstreamConnection(caches.pools_by_id[1])
+    made.pool.connections.append(made)
     made.transport = made.socket = Wire(room)
-    made.up = True
+    made.is_up = True
     return made, ends, soon, now
 
 
 def reading(last=40):
     told = []
-    clock = SimpleNamespace(after=lambda *_: None, now=lambda: 1.0)
+    clock = SimpleNamespace(call_after=lambda *_: None, now=lambda: 1.0)
     listener = SimpleNamespace(
         endpoints_changed=lambda records, *, complete: told.append((complete, records)),
         purged=lambda *purge: told.append(purge),
--- a/wickhinge/net/control/endpoint_updates.py
+++ b/wickhinge/net/control/endpoint_updates.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from wickhinge.clocks import OthersTime
+from wickhinge.clocks import RemoteClock
 from wickhinge.interface import Endpoint
 from wickhinge.net.control.config import ENDPOINT_STATES, KnownEndpoints, KnownEvents, ListedEndpoint
 from wickhinge.net.control.endpoint_watch import EndpointRecord
@@ -39,9 +39,9 @@
         log: Callable[..., None],
     ) -> None:
         self._decisions, self._attempts, self._names, self._log = decisions, attempts, names, log
-        self._pools: ConnectionPools = attempts.caches
+        self._pools: ConnectionPools = attempts.pools
         self._deadlines: Deadlines = attempts.deadlines
-        self._others_time: OthersTime = attempts.others_time
+        self._remote_clock: RemoteClock = attempts.others_time
         self._membership, self._local_copies = attempts.membership, attempts.local_copies
 
     def apply_known(self, known: KnownEvents) -> None:
@@ -74,10 +74,10 @@
         now = self._deadlines.now()
         for endpoint in endpoints:
             if endpoint.started_at is not None:
-                self._others_time.vouched(endpoint.started_at, now)
+                self._remote_clock.observe_trusted(endpoint.started_at, now)
         listings = []
         for endpoint in endpoints:
-            self._pools.listed(endpoint.endpoint_id, f"{endpoint.endpoint_id:08x}", endpoint.address)
+            self._pools.add_or_move(endpoint.endpoint_id, f"{endpoint.endpoint_id:08x}", endpoint.address)
             listings.append(
                 Endpoint(
                     endpoint.endpoint_id,
@@ -93,7 +93,7 @@
         if self._membership is not None:
             self._membership.apply_live_list(complete, endpoints)
         self._close_pools_of_unlisted()
-        self._attempts.overtaken(_may_still_be_sent)
+        self._attempts.recall_unwritten(_may_still_be_sent)
         self._log(
             "endpoints_updated",
             complete=complete,
@@ -109,14 +109,14 @@
         Attempts that were decided before the purge and are not yet written to their connection are recalled.
         """
         self.record_purge(key, group, stamp_ms, number)
-        self._attempts.overtaken(lambda sent: not _is_purged(sent, key, group))
+        self._attempts.recall_unwritten(lambda sent: not _is_purged(sent, key, group))
         self._log("purge_applied", key=None if key is None else f"{key:016x}", group=group, stamp_ms=stamp_ms)
 
     def record_purge(self, key: int | None, group: int, stamp_ms: float, number: int = UNNUMBERED_EVENT) -> None:
         """Apply a purge to attempts decided from now on; the caller recalls those that are not yet written."""
         now, stamp_s = self._deadlines.now(), stamp_ms / 1000.0
-        self._others_time.vouched(stamp_s, now)
-        self._decisions.purges.notify(key, group, stamp_s, now)
+        self._remote_clock.observe_trusted(stamp_s, now)
+        self._decisions.purges.record_purge(key, group, stamp_s, now)
         if self._local_copies is not None:
             self._local_copies.store.purge(key, group, stamp_s, number)
         if self._membership is not None:
@@ -140,16 +140,16 @@
 
     def _close_pools_of_unlisted(self) -> None:
         """Close connection pools of endpoints that are neither listed nor known to the membership."""
-        for endpoint_id, pool in list(self._pools.machines.items()):
+        for endpoint_id, pool in list(self._pools.pools_by_id.items()):
             is_member = self._membership is not None and self._membership.needs_connection(endpoint_id)
             if endpoint_id not in self._decisions.endpoints.servers and not is_member:
-                pool.leave()
+                pool.retire()
 
 
 def _is_purged(sent: SentAttempt, key: int | None, group: int) -> bool:
-    request = sent.forward.request
+    request = sent.attempt.request
     return bool(request.group == group if key is None else request.object_count.key == key)
 
 
 def _may_still_be_sent(sent: SentAttempt) -> bool:
-    return bool(sent.cache.state == "ready" == sent.forward.source.state)
+    return bool(sent.server.state == "ready" == sent.attempt.source.state)
--- a/wickhinge/net/control/process_report.py
+++ b/wickhinge/net/control/process_report.py
@@ -48,16 +48,16 @@
             optional: Subsystems that are switched on, by their names in the report.
         """
         self._clients, self._decisions, self._log, self._optional = clients, decisions, log, optional
-        self._requests = clients.visits
-        self._attempts = self._requests.forwards
-        self._pools = self._attempts.caches
+        self._requests = clients.request_table
+        self._attempts = self._requests.attempts
+        self._pools = self._attempts.pools
         self._deadlines: Deadlines = clients.deadlines
         self._reactor: Any = self._deadlines.reactor  # Reactor of wickhinge.net.runtime.loop.
         self._collect_above_kb = int(memory_mb * 1000 * COLLECT_ABOVE_SHARE_OF_LIMIT)
 
     def start(self) -> None:
         """Schedule the first report; each report schedules the next."""
-        self._deadlines.after(REPORT_INTERVAL_S, self._write_report)
+        self._deadlines.call_after(REPORT_INTERVAL_S, self._write_report)
 
     def _write_report(self) -> None:
         usage = resource.getrusage(resource.RUSAGE_SELF)
@@ -75,31 +75,31 @@
             **self._server_figures(),
             **{name: subsystem.report_fields() for name, subsystem in self._optional.items()},
         )
-        self._deadlines.after(REPORT_INTERVAL_S, self._write_report)
+        self._deadlines.call_after(REPORT_INTERVAL_S, self._write_report)
 
     def _client_figures(self) -> dict[str, Any]:
         requests, clients = self._requests, self._clients
         return {
-            "taken": requests.taken,
-            "open": requests.open(),
-            "clients": len(clients.all),
-            "client_descriptors": clients.admission.held,
-            "answers": requests.answers,
-            "unserved": requests.request_log.reasons,
-            "unlogged": requests.request_log.unlogged,
-            "closed": clients.closed,
-            "faults": clients.take_faults(),
+            "taken": requests.started_count,
+            "open": requests.open_count(),
+            "clients": len(clients.connections),
+            "client_descriptors": clients.admission.open_descriptors,
+            "answers": requests.answer_counts,
+            "unserved": requests.request_log.unserved_by_reason,
+            "unlogged": requests.request_log.unlogged_count,
+            "closed": clients.close_counts,
+            "faults": clients.take_fault_counts(),
         }
 
     def _server_figures(self) -> dict[str, Any]:
         pools = self._pools
         return {
-            "lines": sum(len(pool.lines) for pool in pools.machines.values()),
-            "line_descriptors": pools.held,
-            "buffers": pools.pool.peak,
-            "late_answers": pools.lates,
+            "lines": sum(len(pool.connections) for pool in pools.pools_by_id.values()),
+            "line_descriptors": pools.open_descriptors,
+            "buffers": pools.buffer_pool.peak_in_use,
+            "late_answers": pools.late_responses,
             "known": len(self._decisions.endpoints.servers),
-            "machines": len(pools.machines),
+            "machines": len(pools.pools_by_id),
             "objects": len(self._decisions.object_counts.entries),
         }
 
--- a/wickhinge/net/control/readiness.py
+++ b/wickhinge/net/control/readiness.py
@@ -60,7 +60,7 @@
         The limit does not count from the start of the program, which may be slow.
         """
         self._started_at = self._deadlines.now()
-        self._deadlines.after(MAX_WAIT_S, self.open, "not told")
+        self._deadlines.call_after(MAX_WAIT_S, self.open, "not told")
 
     def caught_up(self) -> None:
         """Open the address, since the router has received all events of the discovery service."""
--- a/wickhinge/net/control/router_process.py
+++ b/wickhinge/net/control/router_process.py
@@ -13,8 +13,8 @@
 from typing import Any, NamedTuple
 
 from wickhinge import settings
-from wickhinge.clocks import OthersTime, WallClockWatch, monotonic, wall
-from wickhinge.common.owed_reload import OwedReload
+from wickhinge.clocks import RemoteClock, WallClockWatch, monotonic, wall_time
+from wickhinge.common.config_reload import ConfigReload
 from wickhinge.common.start_attempts import StartFailedError
 from wickhinge.net.control import config
 from wickhinge.net.control.endpoint_updates import UNNUMBERED_EVENT, EndpointUpdates, SettingsNames
@@ -24,7 +24,7 @@
 from wickhinge.net.control.readiness import Readiness
 from wickhinge.net.control.start_steps import StartSteps
 from wickhinge.net.downstream.client_connections import ClientConnections
-from wickhinge.net.downstream.descriptors import bounds
+from wickhinge.net.downstream.descriptors import descriptor_limits
 from wickhinge.net.downstream.request_table import RequestTable
 from wickhinge.net.runtime.buffers import BUFFER_BYTES, BufferPool
 from wickhinge.net.runtime.deadlines import Deadlines
@@ -112,7 +112,7 @@
         gc.disable()
         self._report.start()
         self.reactor.stalls.log_to(self.log.event)
-        self._clock_watch = WallClockWatch(wall(), monotonic())
+        self._clock_watch = WallClockWatch(wall_time(), monotonic())
         self._check_clock()
         self.log.event("router_started", listen=":".join(map(str, self.listen_address)), buffers=self.buffers.limit)
 
@@ -153,13 +153,13 @@
 
     def call_later(self, delay: float, call: Callable[[float], None]) -> None:
         """Call `call` after `delay` seconds, with the time of the call as its argument."""
-        self.deadlines.after(delay, lambda: call(self.deadlines.now()))
+        self.deadlines.call_after(delay, lambda: call(self.deadlines.now()))
 
     def check_health(self, server: Any) -> None:
         """Start a health check of a server."""
         self.attempts.probe(server)
 
-    def watch(self) -> None:
+    def watch_endpoints(self) -> None:
         """Do nothing, because the EndpointWatch receives the endpoint list without being asked."""
 
     def fetch_endpoints(self) -> None:
@@ -167,8 +167,8 @@
 
     def close_idle(self, server: Any) -> None:
         """Close the idle connections to a server."""
-        if server.id in self.pools.machines:
-            self.pools.machines[server.id].hang_up()
+        if server.id in self.pools.pools_by_id:
+            self.pools.pools_by_id[server.id].close_idle()
 
     def gossip(self, recipient: int, content: bytes) -> None:
         """Do nothing, because routers on sockets do not exchange state by this method."""
@@ -204,21 +204,21 @@
 
         If not, schedule reading them on the next turn of the event loop.
         """
-        read_until = max(self.reactor.arrivals.settled, self.endpoint_watch.last_read_pending_at)
+        read_until = max(self.reactor.arrivals.handled_until, self.endpoint_watch.last_read_pending_at)
         if now - read_until <= MAX_STALENESS_S:
             return True
-        self.deadlines.soon(self.endpoint_watch.read_pending)
+        self.deadlines.call_soon(self.endpoint_watch.read_pending)
         return False
 
     def pause(self) -> None:
         """Stop reading from all connections, because the buffers are used up."""
-        self.log.event("buffers_exhausted", buffers=self.buffers.out)
+        self.log.event("buffers_exhausted", buffers=self.buffers.in_use)
         self.pools.pause()
         self.clients.pause()
 
     def resume(self) -> None:
         """Read from all connections again, because buffers are available."""
-        self.log.event("buffers_available", buffers=self.buffers.out)
+        self.log.event("buffers_available", buffers=self.buffers.in_use)
         self.pools.resume()
         self.clients.resume()
 
@@ -276,7 +276,7 @@
         self._build_copies_and_membership(configuration, options)
         self._build_request_path()
         self.updates = EndpointUpdates(self.decisions, self.attempts, self.names, self.log.event)
-        self.reloads = OwedReload(self._reload_files, self.deadlines.after, self.log.event, answered_reloads)
+        self.reloads = ConfigReload(self._reload_files, self.deadlines.call_after, self.log.event, answered_reloads)
         self._build_fleet_clients(options)
         self._build_endpoint_watch(configuration, options)
         self.listen_address = config.listen_address(configuration)
@@ -285,33 +285,33 @@
     def _build_decisions(self, configuration: dict[str, Any]) -> None:
         decision_settings = config.settings(configuration)
         self.names = SettingsNames(
-            settings.names(decision_settings, "zones"), settings.names(decision_settings, "shapes")
+            settings.string_list(decision_settings, "zones"), settings.string_list(decision_settings, "shapes")
         )
         self.seed = config.seed(configuration)
-        self.others_time = OthersTime()
-        self.decisions, self._request_classes = settings.build(
-            decision_settings, self.seed, self, self.others_time.instant
+        self.remote_clock = RemoteClock()
+        self.decisions, self._request_classes = settings.build_router(
+            decision_settings, self.seed, self, self.remote_clock.to_local_time
         )
-        self.others_time.improved = lambda: self.decisions.endpoints.clock_improved(self.deadlines.now())
+        self.remote_clock.on_improved = lambda: self.decisions.endpoints.clock_improved(self.deadlines.now())
         self._longest_timeout_s = max(request_class.timeout for request_class in self._request_classes.values())
 
     def _build_connections(self, configuration: dict[str, Any]) -> None:
         limits = config.process_limits(configuration)
-        descriptors = bounds(limits.descriptors)
+        descriptors = descriptor_limits(limits.descriptors)
         self.connection_limits = config.connection_limits(configuration)
         buffers = max((limits.memory_mb - PROGRAM_MB) * 500_000 // BUFFER_BYTES, MIN_BUFFERS)
         self.buffers = BufferPool(buffers, self.pause, self.resume)
         self.pools = ConnectionPools(
             self.deadlines,
             self.buffers,
-            PoolSettings(*self.connection_limits, descriptors.machines, self.decisions.capabilities.cancellation),
+            PoolSettings(*self.connection_limits, descriptors.upstream, self.decisions.capabilities.cancellation),
             self.log.event,
         )
         self._max_clients = descriptors.clients
         self._memory_mb = limits.memory_mb
 
     def _build_request_path(self) -> None:
-        ports = AttemptPorts(self.decisions, self.others_time, self.is_up_to_date, self.local_copies, self.membership)
+        ports = AttemptPorts(self.decisions, self.remote_clock, self.is_up_to_date, self.local_copies, self.membership)
         self.attempts = Attempts(self.pools, self.deadlines, ports, PROBE_TIMEOUT_S, self.fault)
         self.requests = RequestTable(
             self.attempts, self.deadlines, self.buffers, self._request_classes, self.log.event, self.fault
@@ -324,7 +324,7 @@
         if options is not None and options.store.mode == "on":
             from wickhinge.net.upstream import local_copies
 
-            self.local_copies = local_copies.make(
+            self.local_copies = local_copies.start_local_copies(
                 options,
                 self.reactor,
                 self.deadlines,
@@ -332,7 +332,7 @@
                 config.link_limits(configuration),
                 self.log.event,
                 self.fault,
-                self.others_time,
+                self.remote_clock,
             )
         self.decisions.local_copies = self.local_copies
         if options is not None and options.discovery.mode == "on":
@@ -391,7 +391,7 @@
 
     def _check_clock(self) -> None:
         """Log a step of the wall clock; no decision depends on such steps."""
-        step_s = self._clock_watch.step(wall(), monotonic())
+        step_s = self._clock_watch.detect_step(wall_time(), monotonic())
         if step_s:
             self.log.event("wall_clock_stepped", by_s=round(step_s, 3))
-        self.deadlines.after(CLOCK_CHECK_INTERVAL_S, self._check_clock)
+        self.deadlines.call_after(CLOCK_CHECK_INTERVAL_S, self._check_clock)
--- a/wickhinge/net/upstream/local_copies.py
+++ b/wickhinge/net/upstream/local_copies.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from wickhinge.clocks import OthersTime
+from wickhinge.clocks import RemoteClock
 from wickhinge.interface import Idempotency
 from wickhinge.net.runtime.buffers import Body, BufferPool
 from wickhinge.net.runtime.deadlines import Deadlines
@@ -31,7 +31,7 @@
         link: LinkBandwidth,
         within: float,
         fault: Callable[[str], None],
-        others: OthersTime,
+        others: RemoteClock,
     ) -> None:
         self.store, self.deadlines, self.pool, self.link, self.within = store, deadlines, pool, link, within
         self.fault, self.others = fault, others
@@ -39,7 +39,7 @@
         self.is_valid = store.is_valid
         self._age_limit: Callable[[float], float | None] = lambda now: None
         self.slots = Slots()
-        self.served = {"memory": 0, "disk": 0, "told": 0, "late": 0}
+        self.served_counts = {"memory": 0, "disk": 0, "told": 0, "late": 0}
 
     def limit_age(self, limit: Callable[[float], float | None]) -> None:
         """From now on no copy is current that is older than limit(now) seconds; None: of any age."""
@@ -53,7 +53,7 @@
         return limit is None or self.age(copy, now) <= limit
 
     def age(self, copy: Any, now: float) -> float:
-        return now - self.others.earliest(copy.created, now)
+        return now - self.others.earliest_local_time(copy.created, now)
 
     def transfer_end(self, copy: Any, now: float) -> float:
         return self.link.transfer_end(copy.size, now)
@@ -62,12 +62,13 @@
 
     def read(self, door: Any, copy: Any) -> None:
         number = self.slots.put((door, copy))
-        if door.cached and door.cached.encode() == copy.etag:
-            self.deadlines.soon(self.ended, number, True, "told")
+        if door.client_etag and door.client_etag.encode() == copy.etag:
+            self.deadlines.call_soon(self.ended, number, True, "told")
             return
-        self.deadlines.after(self.within, self.ended, number, None, "late")
+        self.deadlines.call_after(self.within, self.ended, number, None, "late")
         self.store.read(
-            copy, lambda data, memory: self.deadlines.soon(self.ended, number, data, "memory" if memory else "disk")
+            copy,
+            lambda data, memory: self.deadlines.call_soon(self.ended, number, data, "memory" if memory else "disk"),
         )
 
     def ended(self, number: int, data: Any, how: str) -> None:
@@ -76,22 +77,22 @@
         if entry is None:
             return
         door, copy = entry
-        if door.final:
+        if door.has_ended:
             return
-        self.served["late"] += how == "late"
+        self.served_counts["late"] += how == "late"
         now = self.deadlines.now()
         try:
-            if door.visit.copy_read(copy, now, is_complete=data is not None):
-                self.served[how] += 1
+            if door.routed_request.copy_read(copy, now, is_complete=data is not None):
+                self.served_counts[how] += 1
                 self.link.record_transfer(int(copy.size * TOLD) if data is True else copy.size, now)
                 door.serve(None if data is True else Body(self.pool, data), data is True)
         except Exception:
             self.fault("copies")
-            door.broken()
+            door.end_with_internal_error()
 
     # Copies out of answers.
 
-    def passed(self, visit: Any, told: dict[str, str], body: Any) -> None:
+    def store_response(self, visit: Any, told: dict[str, str], body: Any) -> None:
         """A cache's answer is about to go to its client; kept if the tier wants it."""
         request_class = visit.request_class
         made = told.get("made", "")
@@ -108,17 +109,17 @@
         if self.store.admit(offer, now):
             self.store.write(offer, b"".join(body.views()))
 
-    def renewed(self, copy: Any, told: dict[str, str]) -> None:
+    def revalidated(self, copy: Any, told: dict[str, str]) -> None:
         """A cache answered that ours is the one."""
         made = told.get("made", "")
         if made.isdigit() and len(made) <= 16:
             self.store.revalidate(copy, int(made) / 1000.0)
 
     def report_fields(self) -> dict[str, Any]:
-        return {**self.store.figures(), "served": self.served}
+        return {**self.store.figures(), "served": self.served_counts}
 
 
-def make(
+def start_local_copies(
     options: Any,
     reactor: Any,
     deadlines: Deadlines,
@@ -126,10 +127,10 @@
     link: tuple[float, float],
     log: Callable[..., None],
     fault: Callable[[str], None],
-    others: OthersTime,
+    others: RemoteClock,
 ) -> LocalCopies | None:
     workers = Workers(reactor, min(options.store.reads_at_once, MAX_READ_THREADS), fault)
-    store = start_store(options.store, options.journal, Runtime(workers, deadlines.now, deadlines.after, log))
+    store = start_store(options.store, options.journal, Runtime(workers, deadlines.now, deadlines.call_after, log))
     if store is None:
         return None
     return LocalCopies(store, deadlines, pool, LinkBandwidth(*link), options.store.read_within_s, fault, others)
