--- a/wickhinge/net/control/changelog_client.py
+++ b/wickhinge/net/control/changelog_client.py
@@ -1,8 +1,9 @@
-"""The router's side of the change log, between the package that follows it and the router's purges and copies.
+"""Router's client of the change log; applies its purges and settings to the router.
 
-Imported only where the settings switch `changelog` on. Stamps of purges are Unix time, as the router's; how old the
-router's knowledge is, is measured by the follower's own clock, which nobody sets, and only durations go from one to the
-other: `limit` turns "informed until" into the greatest age of a copy.
+This module is imported only if the options switch `changelog` on. Times of purges are Unix time, as in the rest of the
+router. How long ago the router was informed of all changes is measured by the follower's own clock, which is never
+stepped. Only durations pass between the two clocks: `max_copy_age_s` converts the time until which the router is
+informed into the greatest age of a copy that may be served.
 """
 
 from __future__ import annotations
@@ -22,34 +23,44 @@
 from wickhinge.net.control.endpoint_updates import EndpointUpdates
 from wickhinge.net.runtime.deadlines import Deadlines
 from wickhinge.net.runtime.log import Log
-from wickhinge.options import changelog as options_of
+from wickhinge.options import changelog as changelog_options
 from wickhinge.options.records import Changelog
 
 ANY_ADDRESS = ("0.0.0.0", 0)
 
 
 class ChangelogHost(Protocol):
-    """What a ChangelogClient needs of its router."""
+    """Parts of the router that a ChangelogClient uses."""
 
     reactor: Any
     deadlines: Deadlines
     log: Log
     updates: EndpointUpdates
-    decisions: Any  # the Router of wickhinge.routing
+    decisions: Any  # Router of wickhinge.routing.
     attempts: Any
-    local_copies: Any  # None where the store is off
+    local_copies: Any  # None if the store is switched off.
 
     def move_endpoint_watch(self, address: tuple[str, int]) -> None:
-        """The discovery service is elsewhere from now on."""
+        """Connect to the discovery service at another address from now on."""
 
 
 class ChangelogClient:
-    """Follows the change log; raises MalformedError in the constructor with the faulty key."""
+    """Follower of the change log in a router process."""
 
     def __init__(self, options: Changelog, name: str, node: ChangelogHost) -> None:
-        if len(name.encode()) > options_of.MAX_NAME_BYTES:
+        """Create a follower that does nothing until `start`.
+
+        Args:
+            options: The `changelog` options.
+            name: Name of the router.
+            node: Router that the changes are applied to.
+
+        Raises:
+            MalformedError: A key of the options is invalid, or the router's name is too long.
+        """
+        if len(name.encode()) > changelog_options.MAX_NAME_BYTES:
             raise MalformedError(
-                f"config: field name is over {options_of.MAX_NAME_BYTES} bytes, too long for the change log"
+                f"config: field name is over {changelog_options.MAX_NAME_BYTES} bytes, too long for the change log"
             )
         self._options, self._node, self._log = options, node, node.log.event
         self.settings = SettingsTable(self._log)
@@ -58,61 +69,72 @@
             EndpointConfig(
                 name,
                 parse_host_port(options.bind) or ANY_ADDRESS,
-                options_of.addresses(options.relays),
-                options_of.read_keys(options),
+                changelog_options.addresses(options.relays),
+                changelog_options.read_keys(options),
             ),
             Runtime(node.reactor, log=self._log, call_later=node.deadlines.call_after),
             self,
             FollowSettings(bound_s=options.bound_s, ingest_s=options.ingest_s),
         )
-        self._limited = True  # as at the last tick: the age of copies is limited
-        self._source = ""
-        node.decisions.purges.set_age_limit(self.limit)
+        self._is_copy_age_limited = True  # State at the last tick.
+        self._logged_source = ""
+        node.decisions.purges.set_age_limit(self.max_copy_age_s)
         if node.local_copies is not None:
-            node.local_copies.limit_age(self.limit)
+            node.local_copies.limit_age(self.max_copy_age_s)
 
     def start(self) -> None:
-        """Raises OSError where `bind` cannot be had."""
+        """Open the socket and start to follow.
+
+        Raises:
+            OSError: The address `bind` of the options cannot be bound.
+        """
         self.follower.start()
 
     def close(self) -> None:
-        """Gives the socket back."""
+        """Close the socket."""
         self.follower.close()
 
     def keys_in(self, options: Changelog) -> list[bytes]:
-        """The keys of a file that is read again. Raises MalformedError where anything else has changed in it."""
+        """Return the keys that the options name when they are read again.
+
+        Raises:
+            MalformedError: An option other than the keys has changed, or a key is invalid.
+        """
         for key in ("mode", "relays", "bind", "grace_s", "bound_s", "ingest_s"):
             if getattr(options, key) != getattr(self._options, key):
                 raise MalformedError(f"changelog.{key}: changes at a restart only")
-        return options_of.read_keys(options)
+        return changelog_options.read_keys(options)
 
     def use_keys(self, keys: list[bytes]) -> None:
-        """Other keys from now on; the first seals what is sent."""
+        """Replace the keys; messages are sealed with the first key and accepted under each."""
         self.follower.use_keys(keys)
         self._log("changelog_reload", keys=len(keys))
 
-    def limit(self, now: float) -> float | None:  # noqa: ARG002  as the purges and the copies call it
-        """The greatest age of a copy that may be served, whatever the time of day is."""
+    def max_copy_age_s(self, now: float) -> float | None:  # noqa: ARG002  signature of an age limit
+        """Return the greatest age in seconds of a copy that may be served, or None for no limit.
+
+        The result does not depend on the wall clock.
+        """
         return self.follower.max_copy_age_s(self._options.grace_s)
 
     def report_fields(self) -> dict[str, Any]:
-        """Its entry in the report."""
-        machine, now = self.follower.state_machine, self.follower.clock()
-        until = machine.informed_until(now)
+        """Return the change log's entry in the report."""
+        state_machine, now = self.follower.state_machine, self.follower.clock()
+        informed_until = state_machine.informed_until(now)
         return {
-            "epoch": machine.epoch,
-            "number": machine.number,
-            "source": machine.source,
-            "age_s": round(now - until, 2) if until > float("-inf") else None,
-            "uninformed": machine.uninformed(now),
-            "skipped": machine.skipped,
-            "not_understood": machine.not_understood,
+            "epoch": state_machine.epoch,
+            "number": state_machine.number,
+            "source": state_machine.source,
+            "age_s": round(now - informed_until, 2) if informed_until > float("-inf") else None,
+            "uninformed": state_machine.uninformed(now),
+            "skipped": state_machine.skipped,
+            "not_understood": state_machine.not_understood,
             "settings": {row.name: row.state.value for row in self.settings.rows.values()},
             **msgspec.to_builtins(self.follower.counters),
         }
 
     def apply_entry(self, entry: Entry) -> None:
-        """Called with each entry of the log, in order."""
+        """Apply the next entry of the log; entries arrive in the order of their numbers."""
         change = entry.change
         if isinstance(change, Purge):
             self._node.updates.purge(change.key, change.group, change.stamp_ms, 0)
@@ -122,7 +144,10 @@
             self._log("changelog_not_understood", number=entry.number)
 
     def load_snapshot(self, snapshot: Snapshot) -> None:
-        """Purges of a snapshot are taken together: a start may bring thousands of them."""
+        """Apply the purges and settings of a snapshot.
+
+        Unwritten attempts are recalled once for all purges together, since a snapshot may hold thousands of them.
+        """
         for purge in snapshot.purges:
             self._node.updates.record_purge(purge.key, purge.group, purge.stamp_ms, 0)
         keys = {purge.key for purge in snapshot.purges if purge.key is not None}
@@ -140,26 +165,30 @@
         self.settings.replace(snapshot.settings)
 
     def after_tick(self) -> None:
-        """Logs what changed since the last tick.
+        """Log a new source of the log, and whether the age of copies has become limited or unlimited.
 
-        What was decided without a limit, and is not written yet, is decided anew once there is one: it may be written
-        much later.
+        When it becomes limited, attempts that were decided without the limit and are not yet written are recalled,
+        since they might be written much later. Attempts of pass-through request classes are kept.
         """
         source = self.follower.state_machine.source
-        if source != self._source:
-            self._source = source
+        if source != self._logged_source:
+            self._logged_source = source
             self._log("changelog_source", relay=source)
-        limited = self.limit(0.0) is not None
-        if limited == self._limited:
+        is_limited = self.max_copy_age_s(0.0) is not None
+        if is_limited == self._is_copy_age_limited:
             return
-        self._limited = limited
-        if limited:
+        self._is_copy_age_limited = is_limited
+        if is_limited:
             self._node.attempts.recall_unwritten(lambda sent: sent.attempt.request.request_class.pass_through)
-        figures = self.report_fields()
-        state = "changelog_uninformed" if limited else "changelog_informed"
-        self._log(state, epoch=figures["epoch"], number=figures["number"], age_s=figures["age_s"])
+        fields = self.report_fields()
+        state = "changelog_uninformed" if is_limited else "changelog_informed"
+        self._log(state, epoch=fields["epoch"], number=fields["number"], age_s=fields["age_s"])
+
 
+def make_changelog_client(options: Changelog, name: str, node: ChangelogHost) -> ChangelogClient:
+    """Return a ChangelogClient for the router `node`.
 
-def make(options: Changelog, name: str, node: ChangelogHost) -> ChangelogClient:
-    """Raises MalformedError with the faulty key."""
+    Raises:
+        MalformedError: A key of the options is invalid, or the router's name is too long.
+    """
     return ChangelogClient(options, name, node)
--- a/wickhinge/net/control/endpoint_updates.py
+++ b/wickhinge/net/control/endpoint_updates.py
@@ -120,7 +120,7 @@
         if self._local_copies is not None:
             self._local_copies.store.purge(key, group, stamp_s, number)
         if self._membership is not None:
-            self._membership.purge(key, group, stamp_s)
+            self._membership.record_purge(key, group, stamp_s)
 
     def _listed_endpoint(self, record: EndpointRecord) -> ListedEndpoint | None:
         zones, kinds = self._names.zones, self._names.kinds
--- a/wickhinge/net/control/membership.py
+++ b/wickhinge/net/control/membership.py
@@ -1,6 +1,7 @@
-"""Who is there without discovery, between the package that decides it and the router's sockets and files.
+"""Connector of the membership package to the router's sockets and files.
 
-Imported only where the settings switch discovery on.
+The membership package provides endpoint lists while the discovery service is unavailable. This module is imported only
+if the options switch `discovery` on.
 """
 
 from __future__ import annotations
@@ -35,74 +36,96 @@
 from wickhinge.store.workers import Lane, Workers
 
 TICK_INTERVAL_S = 0.1
-FAILED = (Outcome.CONNECT_FAILED, Outcome.TIMED_OUT)
+FAILED_OUTCOMES = (Outcome.CONNECT_FAILED, Outcome.TIMED_OUT)
 
 
 @dataclass(frozen=True, slots=True)
 class ListSources:
-    """Where lists come from besides the discovery service."""
+    """Sources of endpoint lists besides the discovery service."""
 
     list_file: EndpointListFile | None
-    key: bytes  # under which other routers' lists are sealed
-    static: list[Statement]
+    exchange_key: bytes  # Key that lists exchanged with other routers are sealed with.
+    static_statements: list[Statement]  # Endpoints that the options list.
 
 
 class MembershipHost(Protocol):
-    """What a MembershipClient needs of its router."""
+    """Parts of the router that a MembershipClient uses."""
 
     reactor: Any
     deadlines: Deadlines
     log: Log
     seed: int
-    names: Any  # of zones and kinds
-    decisions: Any  # the Router of wickhinge.routing
+    names: Any  # SettingsNames of the zones and kinds.
+    decisions: Any  # Router of wickhinge.routing.
     pools: ConnectionPools
     attempts: Any
-    local_copies: Any  # None where the store is off
+    local_copies: Any  # None if the store is switched off.
     readiness: Any
 
     def fault(self, where: str) -> None:
-        """Logs the exception that is being handled."""
+        """Log the exception that is being handled."""
 
 
 class MembershipClient:
-    """The router's MembershipController and its port; files are written by a worker, other routers asked in turn."""
+    """Implementation of the MembershipPort that the router's MembershipController calls.
+
+    A worker thread writes the stored list. Other routers are asked for their lists in turn.
+    """
 
     def __init__(self, node: MembershipHost, settings: MembershipSettings, options: Any, sources: ListSources) -> None:
-        """Parameters as named; options: the `discovery` options."""
+        """Create a client that does nothing until `start`.
+
+        Args:
+            node: Router that the client belongs to.
+            settings: Settings of the controller.
+            options: The `discovery` options.
+            sources: Sources of endpoint lists besides the discovery service.
+        """
         self.node, self.settings = node, settings
-        self.list_file, self.key, self.static = sources.list_file, sources.key, sources.static
-        self.now, self.after, self.log_event = node.deadlines.now, node.deadlines.call_after, node.log.event
-        self.chance = RandomSource(node.seed ^ 0x5EED)
-        self.controller = MembershipController(self, self.chance, settings)
+        self.list_file, self.exchange_key, self.static_statements = (
+            sources.list_file,
+            sources.exchange_key,
+            sources.static_statements,
+        )
+        self.now, self.call_after, self.log_event = node.deadlines.now, node.deadlines.call_after, node.log.event
+        self.random_source = RandomSource(node.seed ^ 0x5EED)
+        self.controller = MembershipController(self, self.random_source, settings)
         self.write_interval_s = 60.0 / options.writes_a_minute
-        self.listen = options.listen
-        self.client = ListClient(node.reactor, self.after, self.key)
-        self.written_at, self.is_writing, self.closed = 0.0, False, False
+        self.listen_address = options.listen
+        self.list_client = ListClient(node.reactor, self.call_after, self.exchange_key)
+        self.last_write_at, self.is_writing, self.is_closed = 0.0, False, False
         self.exchange_backoff = (
             AddressBackoff(
-                [parse_host_port(one) for one in options.siblings], self.chance, 0.5, options.longest_backoff_s
+                [parse_host_port(address) for address in options.siblings],
+                self.random_source,
+                0.5,
+                options.longest_backoff_s,
             )
             if options.siblings
             else None
         )
         self.workers = Workers(node.reactor, 1, node.fault) if self.list_file is not None else None
-        self.backoff: AddressBackoff | None = None
+        self.service_backoff: AddressBackoff | None = None
 
     def service_addresses(self, address: tuple[str, int], options: Any) -> AddressBackoff:
-        """The discovery service's addresses: the configuration's, and those of the `discovery` options."""
-        addresses = [address, *(parse_host_port(further) for further in options.addresses)]
-        self.backoff = AddressBackoff(addresses, self.chance, options.backoff_s, options.longest_backoff_s)
-        return self.backoff
+        """Return the discovery service's addresses: that of the configuration, then those of the options."""
+        addresses = [address, *(parse_host_port(further_address) for further_address in options.addresses)]
+        self.service_backoff = AddressBackoff(
+            addresses, self.random_source, options.backoff_s, options.longest_backoff_s
+        )
+        return self.service_backoff
+
+    def restore_stored_list(self, watch: EndpointWatch, options: Any) -> None:
+        """Read the stored list; must be called before `start`.
 
-    def restore(self, watch: EndpointWatch, options: Any) -> None:
-        """Before the start: reads the stored list, and lets the watch go on from there where it keeps its numbers."""
+        If the discovery service keeps its event numbers, the watch resumes after the last event of the stored list.
+        """
         stored = None
         if self.list_file is not None:
             stored, problems = self.list_file.read()
             for problem in problems:
                 self.log_event("membership_list_unusable", reason=problem)
-        self.controller.start(stored, self.static, self.now())
+        self.controller.start(stored, self.static_statements, self.now())
         fleet = self.node.decisions.endpoints
         if self.controller.stored is not None:
             fleet.cache_slow_start.usual_load, fleet.parent_slow_start.usual_load = self.controller.stored.usual_loads
@@ -110,14 +133,19 @@
                 watch.resume_list(self.controller.stored.last_event)
 
     def start(self) -> None:
-        """Listens for other routers, where the options say so, and begins to tick.
+        """Listen for list requests of other routers if the options say so, and start to tick.
 
-        Raises OSError where the address cannot be had; then nothing has begun.
+        Raises:
+            OSError: The address cannot be bound. Nothing has been started then.
         """
-        if self.listen:
-            host, port = parse_host_port(self.listen)
+        if self.listen_address:
+            host, port = parse_host_port(self.listen_address)
             factory = ListServerFactory(
-                self.key, self.now, self.after, lambda: self.controller.replica_answer(self.now()), self.log_event
+                self.exchange_key,
+                self.now,
+                self.call_after,
+                lambda: self.controller.replica_answer(self.now()),
+                self.log_event,
             )
             try:
                 self.node.reactor.listenTCP(port, factory, interface=host)
@@ -125,179 +153,200 @@
                 raise OSError(problem.socketError.errno, f"{host}:{port}: {problem.socketError.strerror}") from None
         self.tick()
         if self.exchange_backoff is not None:
-            self.after(self.settings.fallback_delay_s, self.ask)
+            self.call_after(self.settings.fallback_delay_s, self.request_list)
 
     def tick(self) -> None:
-        """Called each TICK_INTERVAL_S."""
-        if self.closed:
+        """Run the periodic work of the controller; called each TICK_INTERVAL_S."""
+        if self.is_closed:
             return
         now = self.now()
         self.controller.tick(now)
         if self.controller.source not in (ListSource.NONE, ListSource.LIVE):
             self.node.readiness.fallback_list_applied()
-        self.save(now)
-        self.after(TICK_INTERVAL_S, self.tick)
+        self.write_list_if_due(now)
+        self.call_after(TICK_INTERVAL_S, self.tick)
 
-    # The controller's port.
+    # Methods of the MembershipPort, which the controller calls.
 
     def list_endpoints(self, listings: list[EndpointListing]) -> None:
-        """Puts endpoints of another list than the live one in force."""
+        """Apply endpoints of a list that does not come from the live discovery service."""
         rows = []
         for listing in listings:
-            one = listing.statement
-            self.node.pools.add_or_move(one.endpoint_id, f"{one.endpoint_id:08x}", one.address)
+            statement = listing.statement
+            self.node.pools.add_or_move(statement.endpoint_id, f"{statement.endpoint_id:08x}", statement.address)
             rows.append(
                 Endpoint(
-                    one.endpoint_id,
-                    one.zone,
-                    one.kind,
-                    one.cell,
+                    statement.endpoint_id,
+                    statement.zone,
+                    statement.kind,
+                    statement.cell,
                     listing.state.value,
-                    one.weight,
-                    one.started_at,
+                    statement.weight,
+                    statement.started_at,
                     listing.is_trusted,
                 )
             )
         self.node.decisions.endpoints.update(rows, self.now(), complete=False)
         for listing in listings:
-            machine = self.node.pools.pools_by_id.get(listing.statement.endpoint_id)
-            if listing.state is EndpointState.GONE and machine is not None:
-                machine.retire()
+            pool = self.node.pools.pools_by_id.get(listing.statement.endpoint_id)
+            if listing.state is EndpointState.GONE and pool is not None:
+                pool.retire()
 
     def check_health(self, statement: Statement) -> None:
-        """Begins a health check of an endpoint that nobody vouches for."""
+        """Start a health check of an endpoint that is not in the live list."""
         endpoint_id = statement.endpoint_id
         self.node.pools.add_or_move(endpoint_id, f"{endpoint_id:08x}", statement.address)
-        self.node.attempts.probe(SimpleNamespace(id=endpoint_id), self.probed)
+        self.node.attempts.probe(SimpleNamespace(id=endpoint_id), self.handle_health_check_result)
 
-    def probed(self, cache: Any, up: bool) -> None:
-        """Called with the result of a health check."""
-        self.controller.record_health_check(cache.id, self.now(), healthy=up)
+    def handle_health_check_result(self, server: Any, is_healthy: bool) -> None:
+        """Pass the result of a health check to the controller."""
+        self.controller.record_health_check(server.id, self.now(), healthy=is_healthy)
 
     def recover_purge(self, purge: PurgeRecord) -> None:
-        """Carries out a purge that was stored, or that another router told."""
+        """Apply a purge from the stored list or from another router's list."""
         self.node.decisions.purges.record_purge(purge.object_key, purge.group, purge.stamp, self.now())
         if self.node.local_copies is not None:
             self.node.local_copies.store.purge(purge.object_key, purge.group, purge.stamp, 0)
 
-    # What the router tells.
+    # Methods that the router calls.
 
     def apply_live_list(self, complete: bool, endpoints: list[ListedEndpoint]) -> None:
-        """Called with each list of the discovery service."""
+        """Pass an endpoint list of the discovery service to the controller."""
         now = self.now()
         statements = [
-            Statement(mark, where, EndpointState(state), zone, kind, cell, weight, started, now, ListSource.LIVE)
-            for mark, where, state, zone, kind, cell, weight, started in endpoints
+            Statement(
+                endpoint_id, address, EndpointState(state), zone, kind, cell, weight, started_at, now, ListSource.LIVE
+            )
+            for endpoint_id, address, state, zone, kind, cell, weight, started_at in endpoints
         ]
         self.controller.apply_live(statements, now, is_complete=complete)
-        self.written_at = min(self.written_at, now - self.write_interval_s + 1.0)  # soon, yet not for each of a burst
+        # Write the stored list about one second after a change; a burst of changes is written only once.
+        self.last_write_at = min(self.last_write_at, now - self.write_interval_s + 1.0)
 
     def change_service_address(self, address: tuple[str, int]) -> None:
-        """The platform's address of the service is another now; the further ones stay."""
-        self.backoff.replace_first_address(address)
+        """Replace the discovery service's address of the configuration; the addresses of the options stay."""
+        self.service_backoff.replace_first_address(address)
 
     def caught_up(self, watch: EndpointWatch) -> None:
-        """Called when the discovery service has nothing more to tell."""
+        """Tell the controller that all events of the discovery service have been received."""
         is_continuous = watch.is_unbroken and watch.is_list_resumed
         self.controller.live_caught_up(self.now(), watch.last_number, is_continuous=is_continuous)
-        self.backoff.record_success()
+        self.service_backoff.record_success()
 
     def record_attempt_outcome(self, sent: Any, outcome: Outcome) -> None:
-        """Called when an attempt ended: an answer proves that the endpoint is there."""
+        """Tell the controller whether an idempotent request was answered, which shows whether the server is up."""
         if sent.downstream_request.request_class.idempotency is Idempotency.IDEMPOTENT and (
-            outcome.is_answer or outcome in FAILED
+            outcome.is_answer or outcome in FAILED_OUTCOMES
         ):
             self.controller.record_request(sent.server.id, self.now(), answered=outcome.is_answer)
 
-    def purge(self, key: int | None, group: int, stamp: float) -> None:
-        """Called with each purge; stamp: Unix seconds."""
+    def record_purge(self, key: int | None, group: int, stamp: float) -> None:
+        """Pass a purge to the controller; `stamp` is in Unix seconds."""
         self.controller.record_purge(PurgeRecord(key, group, stamp), self.now())
 
     def limit_copy_age(self, bound: float | None) -> float | None:
-        """The greatest age in seconds of a copy that may answer: the bound, or less where purges may be unknown."""
-        ours = self.controller.max_copy_age_s(self.now())
-        return bound if ours is None else ours if bound is None else min(ours, bound)
+        """Return the greatest age in seconds of a copy that may be served, or None for no limit.
+
+        Args:
+            bound: Limit that holds in any case, or None. The result is lower while purges may be unknown here.
+        """
+        own_limit = self.controller.max_copy_age_s(self.now())
+        return bound if own_limit is None else own_limit if bound is None else min(own_limit, bound)
 
     def needs_connection(self, endpoint_id: int) -> bool:
-        """Whether connections to the endpoint are to be kept."""
+        """Return whether connections to an endpoint must be kept open."""
         return self.controller.wants_connection(endpoint_id)
 
-    # The file and the list exchange.
+    # The stored list and the exchange of lists with other routers.
 
-    def save(self, now: float) -> None:
-        """Has the list written, as often as the options allow."""
-        if self.list_file is None or self.is_writing or 0.0 <= now - self.written_at < self.write_interval_s:
+    def write_list_if_due(self, now: float) -> None:
+        """Write the stored list in the worker, at most as often as the options allow."""
+        if self.list_file is None or self.is_writing or 0.0 <= now - self.last_write_at < self.write_interval_s:
             return
         fleet = self.node.decisions.endpoints
         stored = self.controller.snapshot(now, (fleet.cache_slow_start.usual_load, fleet.parent_slow_start.usual_load))
         if stored is None:
             return
-        self.is_writing, self.written_at = True, now
-        self.workers.run(Lane.WRITE, lambda: self.list_file.write(stored), self.written)
+        self.is_writing, self.last_write_at = True, now
+        self.workers.run(Lane.WRITE, lambda: self.list_file.write(stored), self.handle_write_finished)
 
-    def written(self, _: Any, problem: BaseException | None) -> None:
-        """Called by the worker when the list is written, or could not be."""
+    def handle_write_finished(self, _: Any, problem: BaseException | None) -> None:
+        """Allow the next write after the worker has finished one, and log a failure."""
         self.is_writing = False
         if problem is not None:
             self.log_event("membership_list_write_failed", reason=str(problem))
 
-    def ask(self) -> None:
-        """Asks the next router for its list, unless the live one is there."""
-        if self.closed:
+    def request_list(self) -> None:
+        """Ask the next router for its list, unless the live list is available."""
+        if self.is_closed:
             return
         if self.controller.is_live(self.now()):
-            self.after(1.0, self.ask)
+            self.call_after(1.0, self.request_list)
             return
-        self.client.request(self.exchange_backoff.address, self.now(), self.answered)
+        self.list_client.request(self.exchange_backoff.address, self.now(), self.handle_list_answer)
 
-    def answered(self, answer: ReplicaAnswer | None, reason: str) -> None:
-        """Called with another router's list; None: there was no answer, for the reason."""
+    def handle_list_answer(self, answer: ReplicaAnswer | None, reason: str) -> None:
+        """Pass another router's list to the controller and schedule the next request.
+
+        Args:
+            answer: The list, or None if the request failed.
+            reason: Reason of the failure.
+        """
         _, delay_s = self.exchange_backoff.record_failure()
         if answer is None:
             self.log_event("membership_exchange_failed", reason=reason)
         elif self.controller.apply_replica_answer(answer, self.now()):
             self.exchange_backoff.record_success()
             delay_s = 1.0
-        if not self.closed:
-            self.after(delay_s, self.ask)
+        if not self.is_closed:
+            self.call_after(delay_s, self.request_list)
 
     def report_fields(self) -> dict[str, Any]:
-        """Its entry in the report."""
+        """Return the membership's entry in the report."""
         return self.controller.figures(self.now())
 
     def close(self) -> None:
-        """Gives threads and files back."""
-        self.closed = True
+        """Stop the worker thread and close the file."""
+        self.is_closed = True
         if self.workers is not None:
             self.workers.close()
             self.list_file.close()
 
 
-def make(options: Any, conf: dict[str, Any], node: MembershipHost) -> MembershipClient:
-    """Raises MalformedError where the key can't be read."""
-    found, fleet = options.discovery, node.decisions.endpoints
-    key = keys.read("discovery.key_file", found.key_file) if found.key_file else b""
-    static = []
-    for place, one in enumerate(found.static):
-        if one.zone not in node.names.zones or one.kind not in node.names.kinds:
-            raise MalformedError(f"discovery.static[{place}]: zone or kind is none of the settings'")
-        static.append(
+def make_membership_client(options: Any, conf: dict[str, Any], node: MembershipHost) -> MembershipClient:
+    """Return a MembershipClient for the router `node`.
+
+    Args:
+        options: Options record.
+        conf: Settings of the routing decisions.
+        node: Router that the client belongs to.
+
+    Raises:
+        MalformedError: The key file cannot be read, or a static endpoint has an unknown zone or kind.
+    """
+    discovery_options, fleet = options.discovery, node.decisions.endpoints
+    exchange_key = keys.read("discovery.key_file", discovery_options.key_file) if discovery_options.key_file else b""
+    static_statements = []
+    for index, server in enumerate(discovery_options.static):
+        if server.zone not in node.names.zones or server.kind not in node.names.kinds:
+            raise MalformedError(f"discovery.static[{index}]: zone or kind is not named in the platform's settings")
+        static_statements.append(
             Statement(
-                int(one.id[2:], 16),
-                parse_host_port(one.dial),
+                int(server.id[2:], 16),
+                parse_host_port(server.dial),
                 EndpointState.READY,
-                one.zone,
-                one.kind,
-                one.cell,
-                one.weight,
+                server.zone,
+                server.kind,
+                server.cell,
+                server.weight,
                 None,
                 0.0,
                 ListSource.STATIC,
             )
         )
     list_file = None
-    if found.dir:
-        list_file = EndpointListFile(Files(), found.dir)
+    if discovery_options.dir:
+        list_file = EndpointListFile(Files(), discovery_options.dir)
         try:
             list_file.open()
         except ListDirectoryError as problem:
@@ -305,12 +354,14 @@
             list_file = None
     membership_settings = MembershipSettings(
         deployment=deployment_fingerprint(node.names.zones, node.names.kinds, sorted(settings.request_classes(conf))),
-        routers=found.routers or fleet.routers,
+        routers=discovery_options.routers or fleet.routers,
         upper_kinds=(fleet.parent_kind, fleet.origin_kind),
-        fallback_delay_s=found.after_s,
-        hint_age_s=found.hint_after_s,
-        max_uninformed_copy_age_s=found.untold_s,
+        fallback_delay_s=discovery_options.after_s,
+        hint_age_s=discovery_options.hint_after_s,
+        max_uninformed_copy_age_s=discovery_options.untold_s,
         quiet_s=options.journal.quiet_s,
         purge_done_s=node.decisions.purges.retention,
     )
-    return MembershipClient(node, membership_settings, found, ListSources(list_file, key, static))
+    return MembershipClient(
+        node, membership_settings, discovery_options, ListSources(list_file, exchange_key, static_statements)
+    )
--- a/wickhinge/net/control/peer_transport.py
+++ b/wickhinge/net/control/peer_transport.py
@@ -1,8 +1,8 @@
-"""The router's peers over UDP, between the package that decides who is there and the router's socket and clock.
+"""UDP transport of the failure detector that watches the router's peers.
 
-Imported only where the settings switch `peers` on. One socket at our own address of the roster, datagrams under the
-fleet's key, a tick of a twentieth of a second. Time is the system's clock since its start, which nobody sets and which
-goes on while a machine sleeps; the wall clock is not used.
+This module is imported only if the options switch `peers` on. It uses one socket at the router's own address in the
+roster, seals datagrams with the fleet's key, and ticks each TICK_INTERVAL_S. Times are read from the system's boot-time
+clock, which is never stepped and continues while the machine sleeps; the wall clock is not used.
 """
 
 from __future__ import annotations
@@ -29,61 +29,72 @@
 from wickhinge.routing.random_source import RandomSource
 
 TICK_INTERVAL_S = 0.05
-VIEW_INTERVAL_S = 0.5  # between two checks of the view: a health check's period
-MAX_DATAGRAMS_PER_TICK = 256  # are read; the others are counted
+VIEW_INTERVAL_S = 0.5  # Interval between checks of the view for changes; the same as that of health checks.
+MAX_DATAGRAMS_PER_TICK = 256  # Further datagrams within a tick are counted and ignored.
 MAX_REPORTED_NAMES = 64
-SPARE_PROCESSES = 2  # more than names that may run at once, where the settings name no number
+SPARE_PROCESSES = 2  # Processes assumed beyond one per name if the options do not set `shared.processes`.
 
 
 def clock() -> float:
-    """Seconds since the system started; goes on while the machine sleeps."""
+    """Return the seconds since the system started, including time in which the machine slept."""
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
 class PeerHost(Protocol):
-    """What a PeerTransport needs of its router."""
+    """Parts of the router that a PeerTransport uses."""
 
     reactor: Any
     deadlines: Deadlines
     log: Log
-    decisions: Any  # the Router of wickhinge.routing
+    decisions: Any  # Router of wickhinge.routing.
     seed: int
 
     def check_health(self, server: Any) -> None:
-        """Begins a health check."""
+        """Start a health check of a server."""
 
 
 class PeerTransport(DatagramProtocol):
-    """The router's FailureDetector on its socket."""
+    """Connector of the router's FailureDetector to a UDP socket."""
 
     noisy = False
 
     def __init__(self, node: PeerHost, roster: Roster, keys: list[bytes], seed: int) -> None:
-        """keys: the first is ours; what comes under the others is read too, while the fleet changes its key."""
-        self.node, self.keys, self.closed = node, keys, False
-        self.after, self.log = node.deadlines.call_after, node.log.event
-        self.unreadable = self.unsent = self.left = self.taken = 0
+        """Create a transport that does nothing until `start`.
+
+        Args:
+            node: Router that the transport belongs to.
+            roster: Roster of the fleet.
+            keys: Keys of the fleet. Datagrams are sealed with the first key; datagrams under the other keys are also
+                read while the fleet changes its key.
+            seed: Seed of the failure detector's random choices.
+        """
+        self.node, self.keys, self.is_closed = node, keys, False
+        self.call_after, self.log = node.deadlines.call_after, node.log.event
+        self.unreadable_datagrams = self.unsent_datagrams = self.ignored_datagrams = self.datagrams_in_tick = 0
         self.detector = FailureDetector(
-            roster, RandomSource(seed), clock(), self.send, lambda event, **told: self.log(f"peers_{event}", **told)
+            roster, RandomSource(seed), clock(), self.send, lambda event, **fields: self.log(f"peers_{event}", **fields)
         )
-        self.seen: Any = None  # of the last view that the log was told
-        self.view_due = 0.0
-        self.limiter: Any = None  # where the settings switch `shared` on
-        self.judge: Any = None  # and `shared.judgements`
-        self.counts: Any = None  # and `shared.counts`
-        self.secret = os.urandom(32)
-        self.serve_status(roster.local.name)
-
-    def serve_status(self, name: str) -> None:
-        """Answers `wickhinge peers show` under each of the keys."""
-        self.status_servers = [StatusServer(name, key, self.secret, clock()) for key in self.keys]
+        self.logged_view: Any = None  # Summary of the view that was logged last.
+        self.next_view_check_at = 0.0
+        self.quota_limiter: Any = None  # LendingLimiter, or None if `shared` is switched off.
+        self.outlier_detector: Any = None  # OutlierDetector, or None if `shared.judgements` is switched off.
+        self.request_tallies: Any = None  # RequestTallies, or None if `shared.counts` is switched off.
+        self.cookie_secret = os.urandom(32)
+        self.start_status_servers(roster.local.name)
+
+    def start_status_servers(self, name: str) -> None:
+        """Answer status requests of `wickhinge peers show` under each of the keys from now on."""
+        self.status_servers = [StatusServer(name, key, self.cookie_secret, clock()) for key in self.keys]
         for server in self.status_servers:
             server.add_command("peers", lambda _: msgspec.json.encode(self.status()))
 
-    def share(self, division: Any, *, judgements: bool, counts: bool) -> None:
-        """Takes slow starts' limits from the fleet's budgets from now on.
+    def enable_sharing(self, division: Any, *, judgements: bool, counts: bool) -> None:
+        """Take the limits of servers in slow start from the fleet's shared budgets from now on.
 
-        judgements: servers' health is shared, too; counts: and how many requests are in flight.
+        Args:
+            division: BudgetDivision of the fleet's budgets.
+            judgements: Whether routers also share their verdicts on the health of servers.
+            counts: Whether routers also share their numbers of requests in flight.
         """
         from wickhinge.shared import slow_start_quota
         from wickhinge.shared.outlier_detection import OutlierDetector
@@ -91,23 +102,27 @@
         from wickhinge.shared.quota_lending import LendingLimiter
         from wickhinge.shared.request_tallies import RequestTallies
 
-        def log(event: str, **told: Any) -> None:
-            self.log(f"shared_{event}", **told)
+        def log(event: str, **fields: Any) -> None:
+            self.log(f"shared_{event}", **fields)
 
         fleet = self.node.decisions.endpoints
-        self.limiter = LendingLimiter(
+        self.quota_limiter = LendingLimiter(
             self.detector, division, slow_start_quota.budget_scopes(self.detector.roster.local.zone), clock(), log
         )
         if judgements:
-            self.judge = OutlierDetector(self.detector, fleet, self.node.check_health, log)
+            self.outlier_detector = OutlierDetector(self.detector, fleet, self.node.check_health, log)
         if counts:
-            self.counts = RequestTallies(self.detector, fleet, clock())
-        Piggyback(self.detector, [self.limiter, self.judge, self.counts])
-        quotas = slow_start_quota.SlowStartQuotas(self.limiter)
-        fleet.slow_start_quota = lambda *asked: quotas.admits(slow_start_quota.SlowStartRequest(*asked), clock())
+            self.request_tallies = RequestTallies(self.detector, fleet, clock())
+        Piggyback(self.detector, [self.quota_limiter, self.outlier_detector, self.request_tallies])
+        quotas = slow_start_quota.SlowStartQuotas(self.quota_limiter)
+        fleet.slow_start_quota = lambda *request: quotas.admits(slow_start_quota.SlowStartRequest(*request), clock())
 
     def start(self) -> None:
-        """Raises OSError where our address of the roster cannot be had: another process has the name here."""
+        """Open the socket and start to tick.
+
+        Raises:
+            OSError: The router's address in the roster cannot be bound; another process on this machine uses the name.
+        """
         host, port = self.detector.roster.local.address
         try:
             self.port = self.node.reactor.listenUDP(port, self, interface=host, maxPacketSize=MAX_DATAGRAM_BYTES + 1)
@@ -116,57 +131,61 @@
         self.tick()
 
     def tick(self) -> None:
-        """Called each TICK_INTERVAL_S."""
-        if self.closed:
+        """Run the periodic work of the detector and the sharing; called each TICK_INTERVAL_S."""
+        if self.is_closed:
             return
-        self.taken = 0
+        self.datagrams_in_tick = 0
         now = clock()
         self.detector.tick(now)
-        if self.limiter is not None:
-            self.limiter.tick(now)
-        if self.counts is not None:
-            self.counts.tick(now)
-        if self.judge is not None:
-            self.judge.tick(now, self.node.deadlines.now())
-        if now >= self.view_due:
-            self.view_due = now + VIEW_INTERVAL_S
-            self.log_view(now)
-        self.after(TICK_INTERVAL_S, self.tick)
-
-    def log_view(self, now: float) -> None:
-        """Tells the log where the view has changed. It goes through the whole roster, so not at each tick."""
-        seen = self.detector.view(now).summary()
-        if seen != self.seen:
-            self.seen = seen
-            self.log("peers_view", **seen)
-
-    def send(self, item: Message) -> None:
-        """Called by the detector; what the system does not take is counted as lost."""
+        if self.quota_limiter is not None:
+            self.quota_limiter.tick(now)
+        if self.request_tallies is not None:
+            self.request_tallies.tick(now)
+        if self.outlier_detector is not None:
+            self.outlier_detector.tick(now, self.node.deadlines.now())
+        if now >= self.next_view_check_at:
+            self.next_view_check_at = now + VIEW_INTERVAL_S
+            self.log_changed_view(now)
+        self.call_after(TICK_INTERVAL_S, self.tick)
+
+    def log_changed_view(self, now: float) -> None:
+        """Log the view of the fleet if it has changed.
+
+        Computing the view goes through the whole roster, so it is not done at each tick.
+        """
+        view = self.detector.view(now).summary()
+        if view != self.logged_view:
+            self.logged_view = view
+            self.log("peers_view", **view)
+
+    def send(self, message: Message) -> None:
+        """Send a message of the detector; a datagram that the system does not accept is counted as lost."""
         try:
-            self.transport.write(wire.encode(self.keys[0], item), self.detector.roster.entries[item.to].address)
-        except OSError:  # full, or no way there: as lost on the way, which is what all above reckons with
-            self.unsent += 1
+            self.transport.write(wire.encode(self.keys[0], message), self.detector.roster.entries[message.to].address)
+        except OSError:
+            # The send buffer is full or there is no route. The detector tolerates lost datagrams.
+            self.unsent_datagrams += 1
 
     def datagramReceived(self, datagram: bytes, addr: Any) -> None:
-        """Called by Twisted with each datagram."""
-        self.taken += 1
-        if self.taken > MAX_DATAGRAMS_PER_TICK or self.closed:
-            self.left += 1
+        """Decode a datagram and hand it to the detector or the status servers."""
+        self.datagrams_in_tick += 1
+        if self.datagrams_in_tick > MAX_DATAGRAMS_PER_TICK or self.is_closed:
+            self.ignored_datagrams += 1
             return
         if datagram[: len(REQUEST_MAGIC)] == REQUEST_MAGIC:
             self.answer_status(datagram, addr)
             return
         for key in self.keys:
             try:
-                item = wire.decode(key, datagram)
+                message = wire.decode(key, datagram)
             except DatagramError:
                 continue
-            self.detector.receive(item, clock())
+            self.detector.receive(message, clock())
             return
-        self.unreadable += 1
+        self.unreadable_datagrams += 1
 
     def answer_status(self, datagram: bytes, addr: Any) -> None:
-        """Answers a request of `wickhinge peers`."""
+        """Answer a status request of the command `wickhinge peers`."""
         for server in self.status_servers:
             try:
                 answers = server.receive(datagram, addr, clock())
@@ -176,20 +195,20 @@
                 try:
                     self.transport.write(answer, addr)
                 except OSError:
-                    self.unsent += 1
+                    self.unsent_datagrams += 1
             return
-        self.unreadable += 1
+        self.unreadable_datagrams += 1
 
     def connectionRefused(self) -> None:
-        """Called by Twisted where nobody listens at a peer's address just now."""
+        """Ignore Twisted's report that no process listens at a peer's address."""
 
     def report_fields(self) -> dict[str, Any]:
-        """Its entry in the report."""
+        """Return the peers' entry in the report."""
         now, detector = clock(), self.detector
         view = detector.view(now)
         return {
             "share": round(view.alive_fraction, 3),
-            "zones": {zone: round(part, 3) for zone, part in view.alive_fraction_by_zone.items()},
+            "zones": {zone: round(fraction, 3) for zone, fraction in view.alive_fraction_by_zone.items()},
             "cut_s": None if view.isolated_since is None else round(now - view.isolated_since, 1),
             "unheard": view.is_thought_gone,
             "oldest_s": round(view.oldest_evidence_s, 1),
@@ -198,22 +217,22 @@
             "rosters": view.other_rosters,
             "doubt": detector.health.doubt,
             "sent": detector.sent,
-            "unreadable": self.unreadable,
-            "unsent": self.unsent,
-            "left": self.left,
+            "unreadable": self.unreadable_datagrams,
+            "unsent": self.unsent_datagrams,
+            "left": self.ignored_datagrams,
             "states": {
                 name: entry.state.label for name, entry in sorted(detector.members.items())[:MAX_REPORTED_NAMES]
             },
-            **({} if self.limiter is None else {"shared": self.limiter.report_fields(now)}),
-            **({} if self.judge is None else {"judgements": self.judge.report_fields(now)}),
-            **({} if self.counts is None else {"counts": self.counts.report_fields(now)}),
+            **({} if self.quota_limiter is None else {"shared": self.quota_limiter.report_fields(now)}),
+            **({} if self.outlier_detector is None else {"judgements": self.outlier_detector.report_fields(now)}),
+            **({} if self.request_tallies is None else {"counts": self.request_tallies.report_fields(now)}),
         }
 
     def status(self) -> dict[str, Any]:
-        """For `wickhinge peers show`: the figures, and all fellows one by one."""
-        now, detector, told = clock(), self.detector, self.report_fields()
-        told.pop("states")
-        fellows = [
+        """Return the status for `wickhinge peers show`: the report's fields, and one entry for each peer."""
+        now, detector, fields = clock(), self.detector, self.report_fields()
+        fields.pop("states")
+        peers = [
             {
                 "name": name,
                 "zone": detector.roster.entries[name].zone,
@@ -230,74 +249,88 @@
             "zone": detector.roster.local.zone,
             "roster": f"{detector.roster.version:016x}",
             "settled": detector.epoch > 0,
-            **told,
-            "fellows": fellows,
+            **fields,
+            "fellows": peers,
         }
 
     def reload(self, options: Any) -> None:
-        """Another roster and other keys from now on; quotas move by the roster at once.
+        """Replace the roster and the keys; the quotas follow the new roster at once.
 
-        Raises MalformedError, and then nothing has changed.
+        Raises:
+            MalformedError: The roster or a key is invalid, or an option that may change only at a restart has changed.
+                Nothing has been replaced then.
         """
         roster, keys = read_roster_and_keys(options, self.detector.roster.local.name)
         if roster.local.address != self.detector.roster.local.address:
-            raise MalformedError("peers.roster: our own address changes at a restart only")
-        if self.limiter is not None:
+            raise MalformedError("peers.roster: the address of this router can change only at a restart")
+        if self.quota_limiter is not None:
             division = quota_division(options, roster, self.node.decisions.endpoints.zone)
-            if division != self.limiter.division:
+            if division != self.quota_limiter.division:
                 raise MalformedError(
-                    f"shared.names, shared.processes: are {self.limiter.division.max_names} and "
-                    f"{self.limiter.division.max_processes} until a restart, not {division.max_names} and "
-                    f"{division.max_processes}"
+                    f"shared.names, shared.processes: stay {self.quota_limiter.division.max_names} and "
+                    f"{self.quota_limiter.division.max_processes} until a restart, but the options have "
+                    f"{division.max_names} and {division.max_processes}"
                 )
         self.keys = keys
-        self.serve_status(roster.local.name)
+        self.start_status_servers(roster.local.name)
         self.detector.reload(roster, clock())
-        if self.limiter is not None:
-            self.limiter.reload(clock())
-        if self.judge is not None:
-            self.judge.reload()
+        if self.quota_limiter is not None:
+            self.quota_limiter.reload(clock())
+        if self.outlier_detector is not None:
+            self.outlier_detector.reload()
         self.log("peers_roster_reloaded", names=len(roster), roster=f"{roster.version:016x}", keys=len(keys))
 
     def close(self) -> None:
-        """Gives the socket back."""
-        self.closed = True
+        """Close the socket."""
+        self.is_closed = True
         self.port.stopListening()
 
 
 def read_roster_and_keys(options: Any, name: str) -> tuple[Roster, list[bytes]]:
-    """Raises MalformedError with the faulty key."""
-    found = options.peers
+    """Return the roster and the keys that the options name.
+
+    Raises:
+        MalformedError: The roster or a key is invalid.
+    """
+    peer_options = options.peers
     try:
-        roster = Roster(read_entries(found.roster), name)
+        roster = Roster(read_entries(peer_options.roster), name)
     except RosterError as problem:
         raise MalformedError(f"peers.roster: {problem}") from None
-    also = [keys.read("peers.also_key_file", found.also_key_file)] if found.also_key_file else []
-    return roster, [keys.read("peers.key_file", found.key_file), *also]
+    further_keys = [keys.read("peers.also_key_file", peer_options.also_key_file)] if peer_options.also_key_file else []
+    return roster, [keys.read("peers.key_file", peer_options.key_file), *further_keys]
 
 
 def quota_division(options: Any, roster: Roster, zone: str) -> Any:
-    """The BudgetDivision. Raises MalformedError where the roster's zones are not the platform's."""
+    """Return the BudgetDivision for a roster.
+
+    Raises:
+        MalformedError: The roster and the platform's settings name different zones for this router.
+    """
     from wickhinge.shared.budgets import BudgetDivision
 
-    mine = roster.local
-    if mine.zone != zone and any(one.zone for one in roster.entries.values()):
+    local = roster.local
+    if local.zone != zone and any(entry.zone for entry in roster.entries.values()):
         raise MalformedError(
-            f"peers.roster: {mine.name} stands in zone {mine.zone!r}, the platform's settings say "
-            f"{zone!r}: caches' limits are dealt among a zone's routers"
+            f"peers.roster: {local.name} is in zone {local.zone!r}, but the platform's settings have "
+            f"{zone!r}; the limits of caches are divided among the routers of a zone"
         )
     names = options.shared.names or len(roster)
     return BudgetDivision(names, options.shared.processes or names + SPARE_PROCESSES)
 
 
-def make(options: Any, name: str, node: PeerHost) -> PeerTransport:
-    """Raises MalformedError with the faulty key."""
-    roster, found = read_roster_and_keys(options, name)
-    made = PeerTransport(node, roster, found, node.seed ^ 0xFE110)
+def make_peer_transport(options: Any, name: str, node: PeerHost) -> PeerTransport:
+    """Return a PeerTransport for the router `node`, with the sharing that the options switch on.
+
+    Raises:
+        MalformedError: A key of the options, the roster or a key file is invalid.
+    """
+    roster, fleet_keys = read_roster_and_keys(options, name)
+    transport = PeerTransport(node, roster, fleet_keys, node.seed ^ 0xFE110)
     if options.shared.mode == "on":
-        made.share(
+        transport.enable_sharing(
             quota_division(options, roster, node.decisions.endpoints.zone),
             judgements=options.shared.judgements == "on",
             counts=options.shared.counts == "on",
         )
-    return made
+    return transport
--- a/wickhinge/net/control/router_process.py
+++ b/wickhinge/net/control/router_process.py
@@ -338,7 +338,7 @@
         if options is not None and options.discovery.mode == "on":
             from wickhinge.net.control import membership
 
-            self.membership = membership.make(options, config.settings(configuration), self)
+            self.membership = membership.make_membership_client(options, config.settings(configuration), self)
 
     def _build_fleet_clients(self, options: Any) -> None:
         """Build the optional clients of peers and change log, and the report of all parts that are switched on."""
@@ -347,11 +347,11 @@
         if options is not None and options.peers.mode == "on":
             from wickhinge.net.control import peer_transport
 
-            self.peers = peer_transport.make(options, self.name, self)
+            self.peers = peer_transport.make_peer_transport(options, self.name, self)
         if options is not None and options.changelog.mode == "on":
             from wickhinge.net.control import changelog_client
 
-            self.changelog = changelog_client.make(options.changelog, self.name, self)
+            self.changelog = changelog_client.make_changelog_client(options.changelog, self.name, self)
         optional = {
             "list": self.membership,
             "peers": self.peers,
@@ -381,7 +381,7 @@
         )
         self.reactor.read_first_after_stall(self.endpoint_watch.read_pending)
         if self.membership is not None:
-            self.membership.restore(self.endpoint_watch, options)
+            self.membership.restore_stored_list(self.endpoint_watch, options)
         # True if the discovery service is asked again for all purges after the last event in the store's purge log.
         self._purges_resumed = False
         if self.local_copies is not None and options.journal.continues:
