--- a/wickhinge/net/control/router_process.py
+++ b/wickhinge/net/control/router_process.py
@@ -41,15 +41,15 @@
 CLOCK_CHECK_INTERVAL_S = 0.5  # Interval between checks for a step of the wall clock.
 
 
-class Reloading(NamedTuple):
+class ReloadContext(NamedTuple):
     """State at the start of the process that later reloads need."""
 
     read_options: Callable[[], Any]  # Returns the options that the file holds at the time of the call.
     # Number of the newest reload requested before the configuration and the options were read for the start.
-    answered_reloads: int
+    last_handled_reload: int
 
 
-NO_RELOAD = Reloading(lambda: None, 0)
+NO_RELOAD_CONTEXT = ReloadContext(lambda: None, 0)
 
 
 class RouterProcess:
@@ -61,7 +61,7 @@
         reactor: Any,
         descriptor: int = 1,
         options: Any = None,
-        reloading: Reloading = NO_RELOAD,
+        reloading: ReloadContext = NO_RELOAD_CONTEXT,
     ) -> None:
         """Build all parts of the router, without starting them.
 
@@ -85,7 +85,7 @@
         self._started_subsystems: list[Any] = []
         self.local_copies: Any = None
         try:
-            self._build(configuration, options, reloading.answered_reloads)
+            self._build(configuration, options, reloading.last_handled_reload)
         except Exception:
             if self.local_copies is not None:
                 self.local_copies.store.close()  # A further try of the start opens the store's directory again.
@@ -93,8 +93,8 @@
 
     def start(self) -> None:
         """Start all parts; a step that fails is retried until the start's time limit is reached."""
-        self._steps = StartSteps(self.deadlines, self.log.event, self._handle_start_failed)
-        self.readiness = Readiness(self.listen_address, self.clients, self.deadlines, self._steps, self.log.event)
+        self._start_steps = StartSteps(self.deadlines, self.log.event, self._handle_start_failed)
+        self.readiness = Readiness(self.listen_address, self.clients, self.deadlines, self._start_steps, self.log.event)
         self.readiness.bind()
         self.shutdown = GracefulShutdown(
             self.readiness, self.clients, self.log.event, self._longest_timeout_s, self.reactor.stop
@@ -105,7 +105,7 @@
         self.reactor.callWhenRunning(self.readiness.start)
         self.endpoint_watch.start_confirmed()
         for name, subsystem in self._subsystems().items():
-            self._steps.run(name, partial(self._start_subsystem, subsystem))
+            self._start_steps.run(name, partial(self._start_subsystem, subsystem))
         self.clients.sweep()
         # A full collection stalls the router for 70 ms, in which requests time out. Requests leave no reference cycles,
         # so no regular collections are needed.
@@ -136,7 +136,7 @@
         if self.shutdown.is_draining:
             return
         self.reloads.close()
-        self._steps.close()
+        self._start_steps.close()
         stores = [] if self.local_copies is None else [self.local_copies.store]
         subsystems = [self.endpoint_watch, *self._started_subsystems, *stores, self.pools]
         self.shutdown.begin(subsystems, requested_after)
@@ -270,13 +270,13 @@
 
     # Steps of the construction.
 
-    def _build(self, configuration: dict[str, Any], options: Any, answered_reloads: int) -> None:
+    def _build(self, configuration: dict[str, Any], options: Any, last_handled_reload: int) -> None:
         self._build_decisions(configuration)
         self._build_connections(configuration)
         self._build_copies_and_membership(configuration, options)
         self._build_request_path()
         self.updates = EndpointUpdates(self.decisions, self.attempts, self.names, self.log.event)
-        self.reloads = ConfigReload(self._reload_files, self.deadlines.call_after, self.log.event, answered_reloads)
+        self.reloads = ConfigReload(self._reload_files, self.deadlines.call_after, self.log.event, last_handled_reload)
         self._build_fleet_clients(options)
         self._build_endpoint_watch(configuration, options)
         self.listen_address = config.listen_address(configuration)
--- a/wickhinge/net/control/start.py
+++ b/wickhinge/net/control/start.py
@@ -88,14 +88,14 @@
         MalformedError: A key is invalid; the message names it.
     """
     from wickhinge.net.control import config
-    from wickhinge.net.control.router_process import Reloading, RouterProcess
+    from wickhinge.net.control.router_process import ReloadContext, RouterProcess
 
-    answered_reloads = received_signals.reload_number
+    last_handled_reload = received_signals.reload_number
     return RouterProcess(
         config.read(os.environ),
         reactor,
         options=read_options(options_path) if options_path else None,
-        reloading=Reloading(lambda: read_options(options_path) if options_path else None, answered_reloads),
+        reloading=ReloadContext(lambda: read_options(options_path) if options_path else None, last_handled_reload),
     )
 
 
