--- a/tests/net/test_clock_steps.py
+++ b/tests/net/test_clock_steps.py
@@ -1,7 +1,6 @@
-"""The wall clock of a router is stepped while requests are out: every span goes on by the monotonic clock.
+"""Steps of a router's wall clock while requests are open: all durations must follow the monotonic clock.
 
-The router's own clock is stepped by a preloaded library; all times are taken outside of it, by the test's monotonic
-clock.
+A preloaded library steps the wall clock of the router process only. The test measures with its own monotonic clock.
 """
 
 import os
@@ -14,76 +13,79 @@
 
 from tests.support.router_process import OK_FIELDS
 
-HOUR = 3600.0
-STEPS = [-HOUR, -3.0, 3.0, HOUR]
-BUDGET = 1.0  # seconds
-REQUESTS = 8
-LATE = 0.5  # seconds past its time up to which an answer only earns nothing
-EARLY = 0.25  # seconds before its time from which giving up is no waste
-END_WITHIN = 3.7  # seconds of a shutdown: PROTOCOL's earliest SIGKILL
+HOUR_S = 3600.0
+WALL_CLOCK_STEPS_S = [-HOUR_S, -3.0, 3.0, HOUR_S]
+REQUEST_BUDGET_S = 1.0
+REQUEST_COUNT = 8
+MAX_LATENESS_S = 0.5  # An answer that is later than its budget by at most this much has no value but costs nothing.
+MAX_EARLINESS_S = 0.25  # Giving a request up this long before the end of its budget wastes nothing.
+MAX_SHUTDOWN_S = 3.7  # The platform sends SIGKILL no sooner after SIGTERM (PROTOCOL).
 
 
-def answers(client, calls):
-    """Seconds until the last of these is answered."""
+def seconds_until_answered(client, calls):
+    """Return the seconds until the last of the calls is answered."""
     start = time.monotonic()
     for call in calls:
         client.answer(call)
     return time.monotonic() - start
 
 
-def ask_together(client):
-    return [client.ask("pages", budget=str(round(BUDGET * 1000)), block=str(part)) for part in range(REQUESTS)]
+def send_requests(client):
+    return [
+        client.ask("pages", budget=str(round(REQUEST_BUDGET_S * 1000)), block=str(part))
+        for part in range(REQUEST_COUNT)
+    ]
 
 
-def serve(made, stop):
-    """The cache answers all that comes to it, on each of its connections."""
+def serve_in_background(harness, stop):
+    """Let the cache answer each request on each connection until `stop` is set."""
 
-    def answer_line(line):
+    def answer_requests(connection):
         with suppress(OSError):
             while not stop.is_set():
-                asked = line.next_request(0.1)
-                if asked is not None:
-                    asked.answer("OK", OK_FIELDS, b"x" * 100)
+                request = connection.next_request(0.1)
+                if request is not None:
+                    request.answer("OK", OK_FIELDS, b"x" * 100)
 
     def accept():
-        made.listeners[0].settimeout(0.1)
+        harness.listeners[0].settimeout(0.1)
         while not stop.is_set():
             with suppress(TimeoutError, OSError):
-                line = made.accept_connection(0)
-                threading.Thread(target=answer_line, args=(line,), daemon=True).start()
+                connection = harness.accept_connection(0)
+                threading.Thread(target=answer_requests, args=(connection,), daemon=True).start()
 
     threading.Thread(target=accept, daemon=True).start()
 
 
 @pytest.fixture
-def served():
+def serve():
     stop = threading.Event()
-    yield lambda made: serve(made, stop)
+    yield lambda harness: serve_in_background(harness, stop)
     stop.set()
 
 
-@pytest.mark.parametrize("step", STEPS)
-def test_requests_that_are_out_are_given_up_on_in_their_time(faulty_stand, step):
-    made, shim = faulty_stand()
-    client = made.client()
-    calls = ask_together(client)
+@pytest.mark.parametrize("step_s", WALL_CLOCK_STEPS_S)
+def test_open_requests_when_the_wall_clock_is_stepped_are_given_up_at_the_end_of_their_budget(faulty_stand, step_s):
+    harness, shim = faulty_stand()
+    client = harness.client()
+    calls = send_requests(client)
     time.sleep(0.1)
-    shim.step_wall_clock(step)
-    took = 0.1 + answers(client, calls)
-    assert BUDGET - EARLY < took < BUDGET + LATE
-    calls = ask_together(client)  # on the same connection, which rests no longer for it
-    assert answers(client, calls) < BUDGET + LATE
-
-
-@pytest.mark.parametrize("step", STEPS)
-def test_requests_after_a_step_are_served_and_the_program_ends(faulty_stand, served, step):
-    made, shim = faulty_stand()
-    served(made)
-    client, other = made.client(), made.client()
-    assert answers(client, ask_together(client)) < BUDGET
-    shim.step_wall_clock(step)
-    for asking in (client, other, made.client()):
-        for call in ask_together(asking):
-            assert asking.answer(call)[2] is None
-    os.kill(made.router.child.pid, signal.SIGTERM)
-    assert made.router.child.wait(END_WITHIN) == 0
+    shim.step_wall_clock(step_s)
+    elapsed_s = 0.1 + seconds_until_answered(client, calls)
+    assert REQUEST_BUDGET_S - MAX_EARLINESS_S < elapsed_s < REQUEST_BUDGET_S + MAX_LATENESS_S
+    calls = send_requests(client)  # The step must not make the router close this connection as idle.
+    assert seconds_until_answered(client, calls) < REQUEST_BUDGET_S + MAX_LATENESS_S
+
+
+@pytest.mark.parametrize("step_s", WALL_CLOCK_STEPS_S)
+def test_requests_after_a_wall_clock_step_are_served_and_the_shutdown_ends_in_time(faulty_stand, serve, step_s):
+    harness, shim = faulty_stand()
+    serve(harness)
+    client, second_client = harness.client(), harness.client()
+    assert seconds_until_answered(client, send_requests(client)) < REQUEST_BUDGET_S
+    shim.step_wall_clock(step_s)
+    for asking_client in (client, second_client, harness.client()):
+        for call in send_requests(asking_client):
+            assert asking_client.answer(call)[2] is None
+    os.kill(harness.router.child.pid, signal.SIGTERM)
+    assert harness.router.child.wait(MAX_SHUTDOWN_S) == 0
--- a/tests/net/test_clock_wrong_at_start.py
+++ b/tests/net/test_clock_wrong_at_start.py
@@ -1,4 +1,4 @@
-"""The router's wall clock is off by an hour, or by some seconds, when it starts; the others' clocks are right."""
+"""A router whose wall clock is wrong at its start, while the clocks of all other processes are right."""
 
 import time
 
@@ -7,120 +7,130 @@
 from tests.support.processes import PATIENT
 from wickhinge.net.control import endpoint_watch
 
-HOUR = 3600.0
-OFF = [-HOUR, -3.0, 0.0, 3.0, HOUR]
-KEY = 0xAA
-LEAST = 1  # milliseconds: 0 would lift the limit
-COLD = 1.0  # seconds in which an attempt would have come to a server that is taken for warm
+HOUR_S = 3600.0
+WALL_CLOCK_ERRORS_S = [-HOUR_S, -3.0, 0.0, 3.0, HOUR_S]
+OBJECT_KEY = 0xAA
+MIN_MAX_AGE_MS = 1  # The lowest `maxage` that a router sends, since 0 would mean no limit.
+WARM_ATTEMPT_WAIT_S = 1.0  # A server that the router takes for warm gets an attempt within this time.
 KINDS = ("box", "parent", "origin")
-SERVED_NOW = "etag=00000000000000aa,made={}"
+OK_FIELDS_FORMAT = "etag=00000000000000aa,made={}"
 
 
 def unix_ms():
     return int(time.time() * 1000)
 
 
-def purge(made, key=KEY):
-    """Tells of a purge, by default of the object that clients ask for; its time of day by the right clock."""
-    stamp = unix_ms()
-    made.send_event(endpoint_watch.FrameKind.OBJECT_PURGED, endpoint_watch.OBJECT_PURGE.pack(key, stamp))
-    made.router.wait('"event":"purge_applied"')
-    return stamp
+def send_purge(harness, key=OBJECT_KEY):
+    """Send a purge, by default of the requested object, and return its time in milliseconds by the right clock."""
+    purged_ms = unix_ms()
+    harness.send_event(endpoint_watch.FrameKind.OBJECT_PURGED, endpoint_watch.OBJECT_PURGE.pack(key, purged_ms))
+    harness.router.wait('"event":"purge_applied"')
+    return purged_ms
 
 
-def ask(made, client, line, block):
+def request_and_answer(harness, client, connection, block):
+    """Send a request, answer it at the server and return the fields that the server received."""
     client.ask("pages", block=str(block))
-    asked = line.next_request()
-    asked.answer("OK", SERVED_NOW.format(unix_ms()), b"x")
-    return asked.fields
-
-
-@pytest.mark.parametrize("off", OFF)
-@pytest.mark.parametrize("told_by", ["service", "configuration"])
-def test_no_copy_older_than_a_purge_is_asked_for(faulty_stand, told_by, off):
-    """The configuration's was told a second before the start."""
-    stamp = unix_ms() - 1000
-    known = [{"pos": 1, "expire": {"name": f"{KEY:016x}", "stamp": stamp}}] if told_by == "configuration" else []
-    made, _ = faulty_stand(prepare=lambda shim: shim.step_wall_clock(off), known=known)
-    client = made.client()
-    if told_by == "service":
-        stamp = purge(made)
+    request = connection.next_request()
+    request.answer("OK", OK_FIELDS_FORMAT.format(unix_ms()), b"x")
+    return request.fields
+
+
+@pytest.mark.parametrize("clock_error_s", WALL_CLOCK_ERRORS_S)
+@pytest.mark.parametrize("purge_source", ["service", "configuration"])
+def test_requested_copy_age_when_the_wall_clock_is_wrong_excludes_copies_older_than_a_purge(
+    faulty_stand, purge_source, clock_error_s
+):
+    """The purge in the configuration is from one second before the start."""
+    purged_ms = unix_ms() - 1000
+    known = (
+        [{"pos": 1, "expire": {"name": f"{OBJECT_KEY:016x}", "stamp": purged_ms}}]
+        if purge_source == "configuration"
+        else []
+    )
+    harness, _ = faulty_stand(prepare=lambda shim: shim.step_wall_clock(clock_error_s), known=known)
+    client = harness.client()
+    if purge_source == "service":
+        purged_ms = send_purge(harness)
     client.ask("pages", block="7")
-    line = made.accept_connection(0)
-    asked = line.next_request()
-    assert int(asked.fields["maxage"]) <= unix_ms() - stamp + LEAST
-    asked.answer("OK", SERVED_NOW.format(unix_ms()), b"x")
+    connection = harness.accept_connection(0)
+    request = connection.next_request()
+    assert int(request.fields["maxage"]) <= unix_ms() - purged_ms + MIN_MAX_AGE_MS
+    request.answer("OK", OK_FIELDS_FORMAT.format(unix_ms()), b"x")
     client.answer(client.calls)
     for turn in range(3):
-        fields = ask(made, client, line, turn)
-        assert int(fields["maxage"]) <= unix_ms() - stamp + LEAST
+        fields = request_and_answer(harness, client, connection, turn)
+        assert int(fields["maxage"]) <= unix_ms() - purged_ms + MIN_MAX_AGE_MS
         time.sleep(0.3)
 
 
-@pytest.mark.parametrize("off", OFF)
-def test_a_purge_is_over_when_it_is_done_everywhere(faulty_stand, off):
-    """Once answers have shown what time it is, at the latest."""
-    made, _ = faulty_stand(
-        prepare=lambda shim: shim.step_wall_clock(off),
+@pytest.mark.parametrize("clock_error_s", WALL_CLOCK_ERRORS_S)
+def test_purge_when_all_servers_must_have_applied_it_no_longer_limits_the_copy_age(faulty_stand, clock_error_s):
+    """The limit ends no later than when answers of servers have shown the router the right time."""
+    harness, _ = faulty_stand(
+        prepare=lambda shim: shim.step_wall_clock(clock_error_s),
         change=lambda conf: conf["familyInfo"].update(goneEverywhereMs=500),
     )
-    client = made.client()
+    client = harness.client()
     client.ask("pages", block="7")
-    line = made.accept_connection(0)
-    line.next_request().answer("OK", SERVED_NOW.format(unix_ms()), b"x")
+    connection = harness.accept_connection(0)
+    connection.next_request().answer("OK", OK_FIELDS_FORMAT.format(unix_ms()), b"x")
     client.answer(client.calls)
-    purge(made)
-    time.sleep(3.0)  # 0.5, and 2.0 that a parent may take
-    assert "maxage" not in ask(made, client, line, 1)
+    send_purge(harness)
+    time.sleep(3.0)  # 0.5 s until all caches have applied the purge, and 2.0 s more for a parent.
+    assert "maxage" not in request_and_answer(harness, client, connection, 1)
 
 
-def records(places, started):
-    """All machines as the discovery service names them; the first was started then."""
+def endpoint_list_payload(listeners, first_started_ms):
+    """Return the discovery service's list of all servers; the first one was started at the given time."""
     return b"".join(
         endpoint_watch.ENDPOINT_RECORD.pack(
-            0xA1 + place,
+            0xA1 + index,
             0x7F000001,
-            made.getsockname()[1],
+            listener.getsockname()[1],
             0,
             int(kind != "box"),
             KINDS.index(kind),
             0,
             4000,
-            started if place == 0 else 0,
+            first_started_ms if index == 0 else 0,
         )
-        for place, (kind, made) in enumerate(zip(("box", "origin"), places, strict=True))
+        for index, (kind, listener) in enumerate(zip(("box", "origin"), listeners, strict=True))
     )
 
 
-@pytest.mark.parametrize("off", OFF)
-@pytest.mark.parametrize("age", [0.5, 60.0])
-def test_a_server_is_as_cold_as_it_is(faulty_stand, age, off):
-    """Whatever goes to one that started just now is a fill, since a look would miss, and only as its share allows. One
-    that started long ago is looked at as ever, once an answer has shown what time it is; to a clock that is behind, the
-    service has to: an answer's time may be spoilt.
+@pytest.mark.parametrize("clock_error_s", WALL_CLOCK_ERRORS_S)
+@pytest.mark.parametrize("age_s", [0.5, 60.0])
+def test_slow_start_when_the_wall_clock_is_wrong_follows_the_real_age_of_a_server(faulty_stand, age_s, clock_error_s):
+    """A server that has just started gets only fills, since a cache lookup would miss, and only within its share.
+
+    A server that started long ago gets cache lookups as usual once an answer has shown the router the right time. If
+    the router's clock is behind, the discovery service has to show it, since the time in an answer may be wrong.
     """
-    made, _ = faulty_stand(prepare=lambda shim: shim.step_wall_clock(off))
-    made.send_event(endpoint_watch.FrameKind.ALL_ENDPOINTS, records(made.listeners, unix_ms() - int(age * 1000)))
-    made.router.wait('"event":"endpoints_updated"')
-    client = made.client()
+    harness, _ = faulty_stand(prepare=lambda shim: shim.step_wall_clock(clock_error_s))
+    harness.send_event(
+        endpoint_watch.FrameKind.ALL_ENDPOINTS, endpoint_list_payload(harness.listeners, unix_ms() - int(age_s * 1000))
+    )
+    harness.router.wait('"event":"endpoints_updated"')
+    client = harness.client()
     client.ask("pages", block="7")
-    made.listeners[0].settimeout(COLD)
+    harness.listeners[0].settimeout(WARM_ATTEMPT_WAIT_S)
     try:
-        line = made.accept_connection(0)
-        first = line.next_request(COLD)
+        connection = harness.accept_connection(0)
+        first_request = connection.next_request(WARM_ATTEMPT_WAIT_S)
     except TimeoutError:
-        first = None
-    if age < 1.0:
-        assert first is None or "src" in first.fields
+        first_request = None
+    if age_s < 1.0:
+        assert first_request is None or "src" in first_request.fields
         return
-    if first is None:  # its first share is not earned yet: the source is asked in its place
-        line = made.accept_connection(1)
-        first = line.next_request()
-    first.answer("OK", SERVED_NOW.format(unix_ms()), b"x")
+    if first_request is None:  # The first server's share does not allow an attempt yet, so the source gets the request.
+        connection = harness.accept_connection(1)
+        first_request = connection.next_request()
+    first_request.answer("OK", OK_FIELDS_FORMAT.format(unix_ms()), b"x")
     client.answer(client.calls)
-    if off < 0:
-        purge(made, KEY + 1)
-    made.listeners[0].settimeout(PATIENT)
+    if clock_error_s < 0:
+        send_purge(harness, OBJECT_KEY + 1)
+    harness.listeners[0].settimeout(PATIENT)
     client.ask("pages", block="1")
-    asked = (made.accept_connection(0) if line.place == 1 else line).next_request()
-    assert "src" not in asked.fields
+    request = (harness.accept_connection(0) if connection.server_index == 1 else connection).next_request()
+    assert "src" not in request.fields
--- a/tests/net/test_endpoint_watch.py
+++ b/tests/net/test_endpoint_watch.py
@@ -1,4 +1,4 @@
-"""The watch of the discovery service, without a socket."""
+"""The client of the discovery service, tested without a socket."""
 
 from types import SimpleNamespace
 
@@ -14,7 +14,7 @@
 
 
 class ShortReads:
-    """A socket that gives a few bytes a read, as recv(2) may."""
+    """Socket that returns at most `size` bytes for each read, as recv(2) may."""
 
     def __init__(self, data, size):
         self.data, self.size = data, size
@@ -26,11 +26,11 @@
         return piece
 
 
-@pytest.mark.parametrize("size, is_read_at_once", [(64, True), (1, False)])
-def test_what_is_pending_counts_as_read_only_when_all_of_it_is(size, is_read_at_once):
-    """A process that stood still decides by the list only when the list is read to its end."""
-    purged, now = [], [100.0]
-    listener = SimpleNamespace(purged=lambda key, group, stamp: purged.append(key))
+@pytest.mark.parametrize("size, is_emptied_by_one_call", [(64, True), (1, False)])
+def test_read_pending_when_it_does_not_empty_the_socket_does_not_update_its_time(size, is_emptied_by_one_call):
+    """After a stall, a router may decide by its endpoint list only once it has read all pending events."""
+    purged_keys, now = [], [100.0]
+    listener = SimpleNamespace(purged=lambda key, group, stamp: purged_keys.append(key))
     deadlines = SimpleNamespace(now=lambda: now[0], call_after=lambda *_: None)
     watch = EndpointWatch(None, deadlines, WatchSettings(("127.0.0.1", 9), 0, 1.0), listener, lambda *_, **fields: None)
     frames = b"".join(FRAME_HEADER.pack(25, number, 3) + bytes(16) for number in (1, 2))
@@ -40,7 +40,7 @@
         transport=SimpleNamespace(getHandle=lambda: handle), decoder=FrameDecoder(), connect_round=0
     )
     watch.read_pending()
-    assert (watch.last_read_pending_at == 100.0) is is_read_at_once
+    assert (watch.last_read_pending_at == 100.0) is is_emptied_by_one_call
     now[0] = 100.5
     watch.read_pending()
-    assert watch.last_read_pending_at == 100.5 and len(purged) == 2
+    assert watch.last_read_pending_at == 100.5 and len(purged_keys) == 2
--- a/tests/net/test_graceful_shutdown.py
+++ b/tests/net/test_graceful_shutdown.py
@@ -1,4 +1,4 @@
-"""A request that is taken while the router ends has all of its own time, and its answer before the kill."""
+"""A request accepted during the shutdown keeps its whole time limit, and is answered before the platform's SIGKILL."""
 
 import os
 import signal
@@ -8,146 +8,151 @@
 
 from tests.support.router_process import OK_FIELDS
 
-TIMEOUT_S = 3.0  # of results, the longest
-KILL_AFTER_S = 0.7  # past the longest deadline: PROTOCOL's earliest SIGKILL
-LAST_REQUEST_S = 0.6  # after SIGTERM, PROTOCOL: 0.2 to 0.4 s of new connections and 0.2 s on open ones
-NEARLY_ALL = 0.05  # seconds of its time that a request may be without
+TIMEOUT_S = 3.0  # Time limit of the request class `results`, the longest of all.
+KILL_AFTER_DEADLINE_S = 0.7  # SIGKILL is sent no sooner than this long after the longest deadline (PROTOCOL).
+# After SIGTERM, new connections arrive for 0.2 to 0.4 s, and requests on open connections for 0.2 s more (PROTOCOL).
+LAST_REQUEST_AFTER_SIGTERM_S = 0.6
+TIMEOUT_TOLERANCE_S = 0.05  # A request may be given up this much before the end of its time limit.
 
 
-def ending(stand, heeded_after_s=0.0):
-    """A router that was told to end, one of its clients, and when; it stands still for so long as the signal comes."""
-    made = stand()
-    client = made.client()
+def start_shutdown(stand, stalled_s=0.0):
+    """Send SIGTERM to a router, and return the router, one of its clients and the time of the signal.
+
+    The router process is stopped for `stalled_s` from just before the signal.
+    """
+    harness = stand()
+    client = harness.client()
     assert client.ping()
-    started = time.monotonic()
-    if not heeded_after_s:
-        os.kill(made.router.child.pid, signal.SIGTERM)
-        return made, client, started
-    with made.suspended():
-        os.kill(made.router.child.pid, signal.SIGTERM)
-        time.sleep(heeded_after_s)
-    return made, client, started
-
-
-@pytest.mark.parametrize("taken_at_s", [0.2, 0.4, 0.55])
-def test_a_request_that_a_cache_hangs_on_is_given_up_at_its_own_end(stand, taken_at_s):
-    made, client, started = ending(stand)
-    time.sleep(taken_at_s)
-    asked_at = time.monotonic()
+    signalled_at = time.monotonic()
+    if not stalled_s:
+        os.kill(harness.router.child.pid, signal.SIGTERM)
+        return harness, client, signalled_at
+    with harness.suspended():
+        os.kill(harness.router.child.pid, signal.SIGTERM)
+        time.sleep(stalled_s)
+    return harness, client, signalled_at
+
+
+@pytest.mark.parametrize("sent_after_s", [0.2, 0.4, 0.55])
+def test_request_without_an_answer_during_shutdown_is_given_up_at_its_own_deadline(stand, sent_after_s):
+    harness, client, signalled_at = start_shutdown(stand)
+    time.sleep(sent_after_s)
+    sent_at = time.monotonic()
     call = client.ask("results")
-    made.accept_connection(1).next_request()  # and nothing comes back
+    harness.accept_connection(1).next_request()  # The server does not answer.
     assert client.answer(call)[0] == 1
     ended_at = time.monotonic()
-    assert ended_at - asked_at >= TIMEOUT_S - NEARLY_ALL
-    assert ended_at - started < TIMEOUT_S + KILL_AFTER_S
-    assert made.router.child.wait(5.0) == 0
-    assert time.monotonic() - started < TIMEOUT_S + KILL_AFTER_S
+    assert ended_at - sent_at >= TIMEOUT_S - TIMEOUT_TOLERANCE_S
+    assert ended_at - signalled_at < TIMEOUT_S + KILL_AFTER_DEADLINE_S
+    assert harness.router.child.wait(5.0) == 0
+    assert time.monotonic() - signalled_at < TIMEOUT_S + KILL_AFTER_DEADLINE_S
 
 
-@pytest.mark.parametrize("left_s", [0.25, 0.1])
-def test_an_answer_that_comes_shortly_before_its_end_is_passed_on(stand, left_s):
-    made = stand()
-    client = made.client()
+@pytest.mark.parametrize("remaining_s", [0.25, 0.1])
+def test_answer_shortly_before_the_deadline_during_shutdown_reaches_the_client(stand, remaining_s):
+    harness = stand()
+    client = harness.client()
     assert client.ping()
-    os.kill(made.router.child.pid, signal.SIGTERM)
-    time.sleep(LAST_REQUEST_S - 0.1)
-    asked_at = time.monotonic()
+    os.kill(harness.router.child.pid, signal.SIGTERM)
+    time.sleep(LAST_REQUEST_AFTER_SIGTERM_S - 0.1)
+    sent_at = time.monotonic()
     call = client.ask("results")
-    asked = made.accept_connection(1).next_request()
-    time.sleep(max(asked_at + TIMEOUT_S - left_s - time.monotonic(), 0.0))
-    asked.answer("OK", OK_FIELDS, b"late")
+    request = harness.accept_connection(1).next_request()
+    time.sleep(max(sent_at + TIMEOUT_S - remaining_s - time.monotonic(), 0.0))
+    request.answer("OK", OK_FIELDS, b"late")
     assert client.answer(call)[2] is None
 
 
-def test_clients_that_go_on_until_the_kill_lose_nothing(stand):
-    """They ask on open connections all the time; none of what was read is closed over."""
-    made = stand()
-    clients = [made.client() for _ in range(4)]
+def test_clients_that_send_requests_until_the_kill_get_all_answers(stand):
+    """No connection may be closed while a request that was read from it is unanswered."""
+    harness = stand()
+    clients = [harness.client() for _ in range(4)]
     for client in clients:
         assert client.ping()
-    started = time.monotonic()
-    os.kill(made.router.child.pid, signal.SIGTERM)
-    hung = [(client, client.ask("results", budget="3000")) for client in clients]
-    while time.monotonic() - started < TIMEOUT_S + KILL_AFTER_S - 0.2:
-        hung += [(client, client.ask("results", budget="3000")) for client in clients]
+    signalled_at = time.monotonic()
+    os.kill(harness.router.child.pid, signal.SIGTERM)
+    pending_calls = [(client, client.ask("results", budget="3000")) for client in clients]
+    while time.monotonic() - signalled_at < TIMEOUT_S + KILL_AFTER_DEADLINE_S - 0.2:
+        pending_calls += [(client, client.ask("results", budget="3000")) for client in clients]
         time.sleep(0.2)
-    for client, call in hung[: 4 * 14]:  # the last ones may cross the end
+    for client, call in pending_calls[: 4 * 14]:  # The last requests may arrive after the end of the router.
         assert client.answer(call)[0] == 1
-    assert made.router.child.wait(5.0) == 0
-    assert time.monotonic() - started < TIMEOUT_S + KILL_AFTER_S
+    assert harness.router.child.wait(5.0) == 0
+    assert time.monotonic() - signalled_at < TIMEOUT_S + KILL_AFTER_DEADLINE_S
 
 
-def test_a_request_that_comes_late_is_answered_before_the_kill_though_the_signal_was_heeded_late(stand):
-    """Found by the soak, seed 113 beside load: SIGTERM was heeded 0.17 s late, and the end counted from there.
+def test_late_request_when_the_signal_was_handled_late_is_answered_before_the_kill(stand):
+    """The end of the shutdown must be counted from the signal, not from when the signal was handled.
 
-    A request of 0.5 s that a client wrote 3.3 s after SIGTERM on an open connection got no answer before SIGKILL. The
-    program gives up on it 3.6 s after it heeded the signal, which was later than 3.7 s after the signal itself.
+    Otherwise, with SIGTERM handled 0.17 s late, a request of 0.5 s that a client wrote 3.3 s after SIGTERM on an open
+    connection gets no answer before SIGKILL: the router gives it up 3.6 s after handling the signal, which is later
+    than 3.7 s after the signal itself. The soak found this with seed 113 under load.
     """
-    made = stand()
-    client = made.client()
+    harness = stand()
+    client = harness.client()
     assert client.ping()
-    started = time.monotonic()
-    with made.suspended():
-        os.kill(made.router.child.pid, signal.SIGTERM)
+    signalled_at = time.monotonic()
+    with harness.suspended():
+        os.kill(harness.router.child.pid, signal.SIGTERM)
         time.sleep(0.2)
-    time.sleep(started + LAST_REQUEST_S - 0.05 - time.monotonic())
-    hung = client.ask("results", budget="3000")  # so that the program does not end before
-    time.sleep(started + TIMEOUT_S + 0.35 - time.monotonic())
-    late = client.ask("results", budget="600")
-    for call in (hung, late):
-        client.socket.settimeout(max(started + TIMEOUT_S + KILL_AFTER_S - time.monotonic(), 0.01))
+    time.sleep(signalled_at + LAST_REQUEST_AFTER_SIGTERM_S - 0.05 - time.monotonic())
+    open_call = client.ask("results", budget="3000")  # Keeps the program from ending early.
+    time.sleep(signalled_at + TIMEOUT_S + 0.35 - time.monotonic())
+    late_call = client.ask("results", budget="600")
+    for call in (open_call, late_call):
+        client.socket.settimeout(max(signalled_at + TIMEOUT_S + KILL_AFTER_DEADLINE_S - time.monotonic(), 0.01))
         assert client.answer(call)[0] == 1
 
 
-@pytest.mark.parametrize("late_s", [0.12, 0.3, 0.6, 1.0])
-def test_requests_after_a_signal_that_was_heeded_late_are_answered_before_the_kill(stand, late_s):
-    """Those of 3 s that came 1.1 s after SIGTERM and later had no answer when the kill came."""
-    made, client, started = ending(stand, late_s)
+@pytest.mark.parametrize("stalled_s", [0.12, 0.3, 0.6, 1.0])
+def test_requests_when_the_signal_was_handled_late_are_answered_before_the_kill(stand, stalled_s):
+    """Requests of 3 s that arrived 1.1 s after SIGTERM or later used to have no answer at the time of the kill."""
+    harness, client, signalled_at = start_shutdown(stand, stalled_s)
     calls = []
-    for asked_at_s in (late_s + 0.01, 1.1, 1.8, 2.5, 3.3, TIMEOUT_S + KILL_AFTER_S - 0.11):
-        time.sleep(max(started + asked_at_s - time.monotonic(), 0.0))
+    for send_after_s in (stalled_s + 0.01, 1.1, 1.8, 2.5, 3.3, TIMEOUT_S + KILL_AFTER_DEADLINE_S - 0.11):
+        time.sleep(max(signalled_at + send_after_s - time.monotonic(), 0.0))
         calls.append(client.ask("results", budget="3000"))
     for call in calls:
-        client.socket.settimeout(max(started + TIMEOUT_S + KILL_AFTER_S - time.monotonic(), 0.01))
+        client.socket.settimeout(max(signalled_at + TIMEOUT_S + KILL_AFTER_DEADLINE_S - time.monotonic(), 0.01))
         assert client.answer(call)[0] == 1
 
 
-def test_a_request_soon_after_a_signal_that_was_heeded_late_keeps_its_whole_time(stand):
-    """An end that counts from before the signal would take it."""
-    made, client, started = ending(stand, 0.3)
-    time.sleep(started + LAST_REQUEST_S - time.monotonic())
-    asked_at = time.monotonic()
+def test_request_soon_after_a_signal_that_was_handled_late_keeps_its_whole_time_limit(stand):
+    """A shutdown whose end is counted from before the signal would give the request up too early."""
+    harness, client, signalled_at = start_shutdown(stand, 0.3)
+    time.sleep(signalled_at + LAST_REQUEST_AFTER_SIGTERM_S - time.monotonic())
+    sent_at = time.monotonic()
     assert client.answer(client.ask("results", budget="3000"))[0] == 1
-    assert time.monotonic() - asked_at >= TIMEOUT_S - NEARLY_ALL
-    assert time.monotonic() - started < TIMEOUT_S + KILL_AFTER_S
+    assert time.monotonic() - sent_at >= TIMEOUT_S - TIMEOUT_TOLERANCE_S
+    assert time.monotonic() - signalled_at < TIMEOUT_S + KILL_AFTER_DEADLINE_S
 
 
-@pytest.mark.parametrize("stopped_at_s", [1.0, 3.0, 3.3])
-def test_a_stop_within_the_shutdown_loses_nothing(stand, stopped_at_s):
-    """A process that stands still shortly before its end reads and answers what came meanwhile."""
-    made, client, started = ending(stand)
-    time.sleep(LAST_REQUEST_S - 0.1)
+@pytest.mark.parametrize("stalled_after_s", [1.0, 3.0, 3.3])
+def test_stall_within_the_shutdown_loses_no_request(stand, stalled_after_s):
+    """A process that stalls shortly before its end reads and answers the requests that arrived meanwhile."""
+    harness, client, signalled_at = start_shutdown(stand)
+    time.sleep(LAST_REQUEST_AFTER_SIGTERM_S - 0.1)
     calls = [client.ask("results", budget="3000")]
-    time.sleep(started + stopped_at_s - time.monotonic())
-    with made.suspended():
+    time.sleep(signalled_at + stalled_after_s - time.monotonic())
+    with harness.suspended():
         calls.append(client.ask("results", budget="3000"))
         time.sleep(0.3)
     for call in calls:
-        client.socket.settimeout(max(started + TIMEOUT_S + KILL_AFTER_S - time.monotonic(), 0.01))
+        client.socket.settimeout(max(signalled_at + TIMEOUT_S + KILL_AFTER_DEADLINE_S - time.monotonic(), 0.01))
         assert client.answer(call)[0] == 1
 
 
-def test_hundreds_of_requests_that_wait_until_the_end_are_all_answered_before_the_kill(stand):
-    """Answers that are written one after another may come too late for the last ones."""
-    made = stand()
-    clients = [made.client() for _ in range(25)]
+def test_hundreds_of_requests_open_at_the_end_are_all_answered_before_the_kill(stand):
+    """Answers that are written one after another may be too late for the last requests."""
+    harness = stand()
+    clients = [harness.client() for _ in range(25)]
     for client in clients:
         assert client.ping()
-    started = time.monotonic()
-    os.kill(made.router.child.pid, signal.SIGTERM)
-    time.sleep(LAST_REQUEST_S - 0.1)
+    signalled_at = time.monotonic()
+    os.kill(harness.router.child.pid, signal.SIGTERM)
+    time.sleep(LAST_REQUEST_AFTER_SIGTERM_S - 0.1)
     calls = [(client, client.ask("results", budget="3000")) for client in clients for _ in range(32)]
-    time.sleep(started + TIMEOUT_S + KILL_AFTER_S - time.monotonic())
-    made.router.close()  # killed, if it is still there: what was written by now can be read
+    time.sleep(signalled_at + TIMEOUT_S + KILL_AFTER_DEADLINE_S - time.monotonic())
+    harness.router.close()  # Kills the process if it still runs; answers that it has written can still be read.
     for client, call in calls:
         assert client.answer(call)[0] == 1
--- a/tests/net/test_reloads.py
+++ b/tests/net/test_reloads.py
@@ -1,8 +1,8 @@
-"""A reload is owed from its signal until it took effect, a newer signal replaces it, or the shutdown begins.
+"""A reload is retried from its signal until it takes effect, a newer signal replaces it, or the shutdown begins.
 
-What was seen before: one SIGHUP made one try. Where the file was absent, empty or cut off just then, as it is while
-whoever writes it is halfway, the log said `config_reload_failed` with "cannot be read" or "is not JSON", nothing was
-tried again, and the discovery service of the new file was never asked (3 of 3).
+Guards against a SIGHUP that causes only one try. If the file is absent, empty or cut off at that moment, as it is while
+it is being written, the router would log `config_reload_failed` with "cannot be read" or "is not JSON", and would never
+connect to the discovery service of the new file (seen in 3 of 3 runs).
 """
 
 import json
@@ -11,84 +11,86 @@
 
 import pytest
 
-MOST_LINES_OF_ONE_RELOAD = 3  # asked for, first failure, outcome
+MAX_LOG_LINES_OF_RELOAD = 3  # One line each for the request, the first failure and the outcome.
 
 
-def events(router, event):
-    lines = [json.loads(line) for line in router.logged().splitlines() if line.startswith("{")]
+def logged_events(router, event):
+    lines = [json.loads(line) for line in router.read_output().splitlines() if line.startswith("{")]
     return [line for line in lines if line["event"] == event]
 
 
-def cut_inside_a_key(text):
+def cut_off_inside_a_key(text):
     return text[: text.index('"journal"') + 4]
 
 
-@pytest.mark.parametrize("state, seconds", [("absent", 0.4), ("empty", 0.6), ("cut off", 0.5), ("cut off", 2.5)])
-def test_a_reload_is_done_when_the_file_is_whole_again(router, state, seconds):
-    router.open()
-    whole = router.configuration(router.other_service)
+@pytest.mark.parametrize(
+    "state, incomplete_for_s", [("absent", 0.4), ("empty", 0.6), ("cut off", 0.5), ("cut off", 2.5)]
+)
+def test_reload_when_the_file_becomes_complete_takes_effect(router, state, incomplete_for_s):
+    router.launch_and_wait()
+    complete_text = router.configuration(router.other_service)
     if state == "absent":
-        router.path.unlink()
+        router.config_file.unlink()
     else:
-        router.path.write_text("" if state == "empty" else cut_inside_a_key(whole))
-    router.signal(signal.SIGHUP)
-    time.sleep(seconds)
-    assert not router.other_service.is_asked(0.0)
-    router.path.write_text(whole)
-    assert router.other_service.is_asked(3.0)
-    router.wait_for('"event":"config_reloaded"')
-    assert len(events(router, "config_reload_failed")) == 1
-    assert sum("config_reload" in line for line in router.logged().splitlines()) <= MOST_LINES_OF_ONE_RELOAD
-
-
-def test_of_two_reloads_the_newer_file_wins_and_the_older_never_comes_in_force(router):
-    router.open()
-    router.path.write_text(cut_inside_a_key(router.configuration()))
-    router.signal(signal.SIGHUP)
-    router.wait_for('"event":"config_reload_failed"')
-    router.write(router.configuration(router.other_service))
-    router.signal(signal.SIGHUP)
-    assert router.other_service.is_asked(3.0)
-    assert not router.service.is_asked(1.5)
-
-
-def test_a_file_that_is_wrong_for_good_is_not_tried_again(router):
-    """A whole document with a key that cannot be used: the next signal is the next try."""
-    router.open()
-    wrong = json.loads(router.configuration(router.other_service)) | {"journal": 7}
-    router.write(json.dumps(wrong))
-    router.signal(signal.SIGHUP)
-    router.wait_for('"event":"config_reload_failed"')
-    assert "journal" in router.logged()
-    router.write(router.configuration(router.other_service))
-    assert not router.other_service.is_asked(1.5)
-    router.signal(signal.SIGHUP)
-    assert router.other_service.is_asked()
-
-
-def test_a_shutdown_ends_a_reload_that_is_owed(router):
-    router.open()
-    router.path.unlink()
-    router.signal(signal.SIGHUP)
-    router.wait_for('"event":"config_reload_failed"')
+        router.config_file.write_text("" if state == "empty" else cut_off_inside_a_key(complete_text))
+    router.send_signal(signal.SIGHUP)
+    time.sleep(incomplete_for_s)
+    assert not router.other_service.answer_next_watch(0.0)
+    router.config_file.write_text(complete_text)
+    assert router.other_service.answer_next_watch(3.0)
+    router.wait_for_output('"event":"config_reloaded"')
+    assert len(logged_events(router, "config_reload_failed")) == 1
+    assert sum("config_reload" in line for line in router.read_output().splitlines()) <= MAX_LOG_LINES_OF_RELOAD
+
+
+def test_second_reload_while_the_first_is_retried_replaces_it(router):
+    router.launch_and_wait()
+    router.config_file.write_text(cut_off_inside_a_key(router.configuration()))
+    router.send_signal(signal.SIGHUP)
+    router.wait_for_output('"event":"config_reload_failed"')
+    router.replace_config(router.configuration(router.other_service))
+    router.send_signal(signal.SIGHUP)
+    assert router.other_service.answer_next_watch(3.0)
+    assert not router.service.answer_next_watch(1.5)
+
+
+def test_reload_of_a_complete_file_with_an_invalid_key_is_not_retried(router):
+    """The router reads a complete file with an invalid key again only at the next signal."""
+    router.launch_and_wait()
+    invalid_configuration = json.loads(router.configuration(router.other_service)) | {"journal": 7}
+    router.replace_config(json.dumps(invalid_configuration))
+    router.send_signal(signal.SIGHUP)
+    router.wait_for_output('"event":"config_reload_failed"')
+    assert "journal" in router.read_output()
+    router.replace_config(router.configuration(router.other_service))
+    assert not router.other_service.answer_next_watch(1.5)
+    router.send_signal(signal.SIGHUP)
+    assert router.other_service.answer_next_watch()
+
+
+def test_shutdown_while_a_reload_is_retried_ends_the_retries(router):
+    router.launch_and_wait()
+    router.config_file.unlink()
+    router.send_signal(signal.SIGHUP)
+    router.wait_for_output('"event":"config_reload_failed"')
     start = time.monotonic()
-    router.signal(signal.SIGTERM)
-    assert router.exit_code() == 0
+    router.send_signal(signal.SIGTERM)
+    assert router.wait_for_exit() == 0
     assert time.monotonic() - start < 2.0
-    router.write(router.configuration(router.other_service))
-    assert not router.other_service.is_asked(0.0)
-
-
-def test_the_report_tells_a_reload_that_is_owed_from_one_that_is_done(router):
-    router.open()
-    router.path.unlink()
-    router.signal(signal.SIGHUP)
-    router.wait_for('"event":"report"')
-    assert events(router, "report")[-1]["reloads"] == {"requested": 1, "done": 0, "failed": 0, "owed": True}
-    router.write(router.configuration(router.other_service))
-    assert router.other_service.is_asked(3.0)
-    count = len(events(router, "report"))
-    router.wait_for('"event":"config_reloaded"')
-    while len(events(router, "report")) == count:
+    router.replace_config(router.configuration(router.other_service))
+    assert not router.other_service.answer_next_watch(0.0)
+
+
+def test_report_says_whether_a_reload_is_still_retried_or_done(router):
+    router.launch_and_wait()
+    router.config_file.unlink()
+    router.send_signal(signal.SIGHUP)
+    router.wait_for_output('"event":"report"')
+    assert logged_events(router, "report")[-1]["reloads"] == {"requested": 1, "done": 0, "failed": 0, "owed": True}
+    router.replace_config(router.configuration(router.other_service))
+    assert router.other_service.answer_next_watch(3.0)
+    count = len(logged_events(router, "report"))
+    router.wait_for_output('"event":"config_reloaded"')
+    while len(logged_events(router, "report")) == count:
         time.sleep(0.1)
-    assert events(router, "report")[-1]["reloads"] == {"requested": 1, "done": 1, "failed": 0, "owed": False}
+    assert logged_events(router, "report")[-1]["reloads"] == {"requested": 1, "done": 1, "failed": 0, "owed": False}
--- a/tests/net/test_start.py
+++ b/tests/net/test_start.py
@@ -1,4 +1,4 @@
-"""What a start of the router imports, in a process of its own that goes as far as its `start` event."""
+"""Modules that a start of the router imports, observed in a process of its own."""
 
 import subprocess
 import sys
@@ -9,7 +9,7 @@
 from tests.support.imports import modules_of_a_start
 
 ROOT = Path(__file__).parents[2]
-OURS = {
+ROUTER_MODULES = {
     "wickhinge",
     "wickhinge.clocks",
     "wickhinge.fields",
@@ -74,8 +74,8 @@
         for name in names
     ),
 }
-PACKAGES = {
-    "_distutils_hack",  # by the virtual environment itself, with setuptools
+ALLOWED_PACKAGES = {
+    "_distutils_hack",  # Imported by the virtual environment itself, with setuptools.
     "attr",
     "attrs",
     "constantly",
@@ -85,37 +85,37 @@
     "typing_extensions",
     "zope",
 }
-NEVER_USED = {"asyncio.base_events", "email", "http.client", "logging.handlers", "ssl", "urllib.request"}
+UNUSED_MODULES = {"asyncio.base_events", "email", "http.client", "logging.handlers", "ssl", "urllib.request"}
 
 
 @pytest.fixture(scope="module")
-def loaded():
+def loaded_modules():
     return modules_of_a_start()
 
 
-def test_of_ours_a_start_imports_just_what_it_runs(loaded):
-    assert {name for name in loaded if name.partition(".")[0] == "wickhinge"} == OURS
+def test_start_imports_exactly_the_modules_of_wickhinge_that_it_runs(loaded_modules):
+    assert {name for name in loaded_modules if name.partition(".")[0] == "wickhinge"} == ROUTER_MODULES
 
 
-def test_a_start_imports_no_other_library(loaded):
+def test_start_imports_no_package_that_is_not_allowed(loaded_modules):
     installed = {path.name.partition(".")[0] for path in Path(sys.prefix).glob("lib/python*/site-packages/*")}
-    assert {name.partition(".")[0] for name in loaded} & installed <= PACKAGES
+    assert {name.partition(".")[0] for name in loaded_modules} & installed <= ALLOWED_PACKAGES
 
 
-def test_a_start_executes_nothing_that_a_router_never_uses(loaded):
-    assert loaded & NEVER_USED == set()
+def test_start_executes_no_module_that_a_router_never_uses(loaded_modules):
+    assert loaded_modules & UNUSED_MODULES == set()
 
 
-def run(text):
+def run_with_deferred_imports(text):
     text = f"from wickhinge.net.runtime import deferred_imports\ndeferred_imports.install()\n{text}"
-    done = subprocess.run([sys.executable, "-c", text], cwd=ROOT, capture_output=True, text=True)
-    assert done.returncode == 0, done.stderr
-    return done.stdout
+    completed = subprocess.run([sys.executable, "-c", text], cwd=ROOT, capture_output=True, text=True)
+    assert completed.returncode == 0, completed.stderr
+    return completed.stdout
 
 
-def test_what_was_put_off_is_whole_when_it_is_used():
+def test_deferred_modules_when_they_are_used_are_complete():
     assert (
-        run(
+        run_with_deferred_imports(
             "import asyncio, http.cookiejar, twisted.internet.defer\n"
             "async def answer(): return 42\n"
             "print(asyncio.run(answer()), http.cookiejar.CookieJar().__class__.__name__, asyncio.Queue.__module__)"
@@ -124,9 +124,9 @@
     )
 
 
-def test_a_name_that_is_not_there_is_an_error_as_ever():
+def test_unknown_attribute_of_a_deferred_module_raises_attribute_error():
     assert (
-        run(
+        run_with_deferred_imports(
             "import asyncio\n"
             "for _ in range(2):\n"
             "    try: asyncio.no_such_name\n"
@@ -136,9 +136,9 @@
     )
 
 
-def test_where_python_keeps_the_names_elsewhere_the_whole_package_is_imported():
+def test_deferred_package_when_python_has_moved_its_names_is_imported_whole():
     assert (
-        run(
+        run_with_deferred_imports(
             "import sys\n"
             "for name in [name for name in sys.modules if name.startswith('asyncio')]: del sys.modules[name]\n"
             "sys.modules['asyncio.coroutines'] = None\n"
--- a/tests/support/router_process.py
+++ b/tests/support/router_process.py
@@ -1,4 +1,7 @@
-"""A router whose machines and journal service are the test itself: every byte, accept and close waits for its word."""
+"""A router process whose caches, origin and discovery service are sockets of the test.
+
+The test decides when each connection is accepted, each byte is sent and each connection is closed.
+"""
 
 import json
 import os
@@ -13,18 +16,19 @@
 from wickhinge.net.runtime.buffers import BufferPool
 from wickhinge.net.upstream import resp
 
-KINDS = {"box": 0, "parent": 1, "origin": 2}
-OK_FIELDS = "etag=00000000000000aa,made=1764576000123"
+KIND_NUMBERS = {"box": 0, "parent": 1, "origin": 2}
+OK_FIELDS = "etag=00000000000000aa,made=1764576000123"  # Fields of an `OK` answer.
 
 
-def at(place):
-    return "{}:{}".format(*place.getsockname())
+def address_text(listener):
+    return "{}:{}".format(*listener.getsockname())
 
 
-def endpoint_entry(place, kind, made):
+def endpoint_entry(index, kind, listener):
+    """Return a server's entry in the endpoint list of the configuration."""
     return {
-        "host": f"s-{0xA1 + place:08x}",
-        "dial": at(made),
+        "host": f"s-{0xA1 + index:08x}",
+        "dial": address_text(listener),
         "block": 0,
         "site": "here" if kind == "box" else "hub",
         "class": kind,
@@ -35,43 +39,47 @@
 
 
 class CacheRequest:
-    """A request as it came to a machine, and the connection that it came on."""
+    """A request received by a server of the test, and the connection that it arrived on."""
 
-    def __init__(self, line, id_, fields, body):
-        self.connection, self.id, self.fields, self.body = line, id_, resp.parse_fields(fields), body
+    def __init__(self, connection, id_, fields, body):
+        self.connection, self.id, self.fields, self.body = connection, id_, resp.parse_fields(fields), body
 
-    def answer(self, word, told="-", body=b""):
-        self.connection.socket.sendall(resp.pack(self.id, word.encode(), told.encode(), body))
+    def answer(self, result, fields="-", body=b""):
+        self.connection.socket.sendall(resp.pack(self.id, result.encode(), fields.encode(), body))
 
 
 class CacheConnection:
-    """A connection of the router to a machine, by the machine's place."""
-
-    def __init__(self, made, place=0):
-        self.place = place
-        self.socket, self.stream, self.had = made, resp.ReplyDecoder(BufferPool(99, lambda: None, lambda: None)), []
-        made.settimeout(PATIENT)
+    """A connection of the router to the server of the test with this index."""
+
+    def __init__(self, accepted_socket, server_index=0):
+        self.server_index = server_index
+        self.socket, self.decoder, self.unhandled_messages = (
+            accepted_socket,
+            resp.ReplyDecoder(BufferPool(99, lambda: None, lambda: None)),
+            [],
+        )
+        accepted_socket.settimeout(PATIENT)
 
-    def next_request(self, within=PATIENT):
-        """The next REQ; None for the end of the connection, or where none came within so long."""
-        self.socket.settimeout(within)
+    def next_request(self, timeout_s=PATIENT):
+        """Return the next REQ, or None if the connection ends or no REQ arrives within the timeout."""
+        self.socket.settimeout(timeout_s)
         while True:
-            for items in self.had:
+            for items in self.unhandled_messages:
                 if items[0] == b"REQ":
-                    self.had = self.had[self.had.index(items) + 1 :]
+                    self.unhandled_messages = self.unhandled_messages[self.unhandled_messages.index(items) + 1 :]
                     body = b"".join(items[3].views()) if not isinstance(items[3], bytes) else items[3]
                     return CacheRequest(self, items[1], items[2], body)
-            self.had = []
+            self.unhandled_messages = []
             try:
                 data = self.socket.recv(65536)
             except TimeoutError:
                 return None
             if not data:
                 return None
-            self.had += self.stream.feed(data)
+            self.unhandled_messages += self.decoder.feed(data)
 
     def count_requests(self):
-        """How many REQ come until the connection ends, also by a reset."""
+        """Return how many REQ arrive until the connection is closed or reset."""
         count = 0
         try:
             while self.next_request() is not None:
@@ -81,18 +89,18 @@
         return count
 
     def read_message_types(self):
-        """All that came, to the end of the connection."""
+        """Return the first item of each message received until the connection is closed."""
         data = b""
         while piece := self.socket.recv(65536):
             data += piece
-        return [items[0] for items in self.stream.feed(data)]
+        return [items[0] for items in self.decoder.feed(data)]
 
 
-SYN_SENT = "02"  # a connection's state in /proc/net/tcp
+SYN_SENT = "02"  # Connection state in /proc/net/tcp: the connection is not established yet.
 
 
 def is_connecting(pid, port):
-    """Whether the process has a connection to that local port which is not up yet."""
+    """Return whether the process is establishing a connection to a local port."""
     inodes = set()
     for descriptor in Path(f"/proc/{pid}/fd").iterdir():
         with suppress(OSError):
@@ -106,6 +114,8 @@
 
 
 class RouterHarness:
+    """A router process that has caught up with the test's discovery service and accepts clients."""
+
     def __init__(
         self,
         folder,
@@ -125,22 +135,22 @@
         self.discovery_listener = self.open_listener()
         conf = json.loads((ROOT / "example/config.json").read_text())
         hosts = [
-            endpoint_entry(place, kind, made)
-            for place, (kind, made) in enumerate(zip(machines, self.listeners, strict=True))
+            endpoint_entry(index, kind, listener)
+            for index, (kind, listener) in enumerate(zip(machines, self.listeners, strict=True))
         ]
         list_change(hosts)
         self.kinds, self.last_event_number, self.address = machines, 1, ("127.0.0.1", base)
         conf |= {
             "listen": f"127.0.0.1:{base}",
-            "journal": at(self.discovery_listener),
+            "journal": address_text(self.discovery_listener),
             "known": {"pos": 1, "entries": [{"pos": 1, "hosts": {"seq": 1, "whole": True, "hosts": hosts}}, *known]},
         }
         conf["limits"] = limits or conf["limits"]
         conf["settings"]["limits"]["probes"] = False
         change(conf["settings"])
         (folder / "config.json").write_text(json.dumps(conf))
-        told = {**os.environ, "RELAY_CONFIG": str(folder / "config.json"), **(environment or {})}
-        self.router = Process("-m", "wickhinge", env=told, **process)
+        router_environment = {**os.environ, "RELAY_CONFIG": str(folder / "config.json"), **(environment or {})}
+        self.router = Process("-m", "wickhinge", env=router_environment, **process)
         self.stack.callback(self.router.close)
         self.watch_connection = self.accept_on(self.discovery_listener)
         assert int.from_bytes(self.watch_connection.recv(8)) == 1
@@ -148,45 +158,50 @@
         self.router.wait('"event":"listener_opened"')
 
     def open_listener(self, backlog=64):
-        made = self.stack.enter_context(socket.create_server(("127.0.0.1", 0), backlog=backlog))
-        made.settimeout(PATIENT)
-        return made
-
-    def accept_on(self, place):
-        made = self.stack.enter_context(place.accept()[0])
-        made.settimeout(PATIENT)
-        return made
-
-    def accept_connection(self, place):
-        """The next connection to a machine."""
-        self.connections.append(CacheConnection(self.accept_on(self.listeners[place]), place))
+        listener = self.stack.enter_context(socket.create_server(("127.0.0.1", 0), backlog=backlog))
+        listener.settimeout(PATIENT)
+        return listener
+
+    def accept_on(self, listener):
+        accepted_socket = self.stack.enter_context(listener.accept()[0])
+        accepted_socket.settimeout(PATIENT)
+        return accepted_socket
+
+    def accept_connection(self, index):
+        """Accept and return the next connection to the server with this index."""
+        self.connections.append(CacheConnection(self.accept_on(self.listeners[index]), index))
         return self.connections[-1]
 
-    def stop_accepting(self, place):
-        """No connection to a machine comes up from now on, though none is refused; the call that ends it gives the
-        router's, which has tried again and again meanwhile.
+    def stop_accepting(self, index):
+        """Keep new connections to a server from being established, without refusing them.
+
+        Fills the listener's backlog. Returns a function that empties it, accepts the connection that the router has
+        been trying to establish, and returns that connection.
         """
-        self.listeners[place].listen(0)
+        self.listeners[index].listen(0)
         fillers = [self.stack.enter_context(socket.socket()) for _ in range(4)]
-        for one in fillers:
-            one.setblocking(False)
-            one.connect_ex(self.listeners[place].getsockname())
-
-        def end():
-            self.listeners[place].listen(64)
-            ours = {one.getsockname() for one in fillers}
-            while (made := self.accept_on(self.listeners[place])).getpeername() in ours:
+        for filler in fillers:
+            filler.setblocking(False)
+            filler.connect_ex(self.listeners[index].getsockname())
+
+        def resume_accepting():
+            self.listeners[index].listen(64)
+            filler_addresses = {filler.getsockname() for filler in fillers}
+            while (accepted_socket := self.accept_on(self.listeners[index])).getpeername() in filler_addresses:
                 pass
-            for one in fillers:
-                one.close()
-            self.connections.append(CacheConnection(made))
+            for filler in fillers:
+                filler.close()
+            self.connections.append(CacheConnection(accepted_socket))
             return self.connections[-1]
 
-        return end
+        return resume_accepting
 
     @contextmanager
     def suspended(self):
-        """The router stands still, as where another has its core: what reaches its sockets lies unread."""
+        """Stop the router process within the context, as if another process had its core.
+
+        Data that arrives at its sockets meanwhile stays unread until the process continues.
+        """
         pid = self.router.child.pid
         os.kill(pid, signal.SIGSTOP)
         os.waitid(os.P_PID, pid, os.WSTOPPED)
@@ -194,64 +209,67 @@
         os.kill(pid, signal.SIGCONT)
 
     @contextmanager
-    def suspended_while_connecting(self, place):
-        """As `stopped`, at a moment when a connection of the router's to this machine is on its way.
+    def suspended_while_connecting(self, index):
+        """Stop the router process, as in `suspended`, while it is establishing a connection to a server.
 
-        The router gives an attempt to connect up and begins another; stopped between the two it would begin none.
+        The router aborts an unfinished connect attempt after a while and starts another. This method makes sure that
+        the process is not stopped between the two, when no attempt is under way.
         """
-        end = time.monotonic() + PATIENT
-        while time.monotonic() < end:
+        deadline = time.monotonic() + PATIENT
+        while time.monotonic() < deadline:
             with self.suspended():
-                if is_connecting(self.router.child.pid, self.listeners[place].getsockname()[1]):
+                if is_connecting(self.router.child.pid, self.listeners[index].getsockname()[1]):
                     yield
                     return
             time.sleep(0.02)
-        raise AssertionError("the router does not connect")
+        raise AssertionError("the router does not connect to the server")
 
     def close_and_count_attempts(self):
-        """End the router; how many attempts came to all machines and were not taken by the test before."""
+        """End the router and return how many requests reached the servers and were not read by the test before."""
         self.router.close()
-        for place in self.listeners:
-            place.setblocking(False)
+        for listener in self.listeners:
+            listener.setblocking(False)
             try:
                 while True:
-                    made = self.stack.enter_context(place.accept()[0])
-                    self.connections.append(CacheConnection(made))
+                    accepted_socket = self.stack.enter_context(listener.accept()[0])
+                    self.connections.append(CacheConnection(accepted_socket))
             except BlockingIOError:
                 pass
-        return sum(line.count_requests() for line in self.connections)
+        return sum(connection.count_requests() for connection in self.connections)
 
     def send_event(self, kind, payload=b""):
+        """Send a frame of the discovery service; each kind but 0, which means no more events, is a new event."""
         self.last_event_number += kind != 0
         self.watch_connection.sendall(
             (9 + len(payload)).to_bytes(4) + self.last_event_number.to_bytes(8) + bytes((kind,)) + payload
         )
 
-    def send_drain_event(self, place):
-        """What is told; the router may not have heard of it yet."""
+    def send_drain_event(self, index):
+        """Send the event that a server drains, without waiting until the router has received it."""
         self.send_event(
             2,
             endpoint_watch.ENDPOINT_RECORD.pack(
-                0xA1 + place,
+                0xA1 + index,
                 0x7F000001,
-                self.listeners[place].getsockname()[1],
+                self.listeners[index].getsockname()[1],
                 1,
-                self.kinds[place] != "box",
-                KINDS[self.kinds[place]],
+                self.kinds[index] != "box",
+                KIND_NUMBERS[self.kinds[index]],
                 0,
                 4000,
                 0,
             ),
         )
 
-    def drain_endpoint(self, place):
-        self.send_drain_event(place)
+    def drain_endpoint(self, index):
+        """Send the event that a server drains, and wait until the router has applied it."""
+        self.send_drain_event(index)
         self.router.wait("draining")
 
     def client(self):
-        made = Client(self.address)
-        self.stack.callback(made.socket.close)
-        return made
+        client = Client(self.address)
+        self.stack.callback(client.socket.close)
+        return client
 
     def close(self):
         self.stack.close()
--- a/tests/support/running_router.py
+++ b/tests/support/running_router.py
@@ -1,4 +1,4 @@
-"""A router started by any command, with the moments of its start, reloads and end in the test's hand."""
+"""A router process started by the deploy file's command; the test controls its files, signals and discovery service."""
 
 import json
 import os
@@ -17,34 +17,34 @@
 
 
 def run_command() -> str:
-    """What the platform hands to `/bin/sh -c`."""
+    """Return the command that the platform runs by `/bin/sh -c`."""
     return tomllib.loads(DEPLOY_FILE.read_text())["run"]
 
 
-def wait_until(is_true, seconds=PATIENT):
-    end = time.monotonic() + seconds
+def wait_until(is_true, timeout_s=PATIENT):
+    deadline = time.monotonic() + timeout_s
     while not is_true():
-        assert time.monotonic() < end, "waited in vain"
+        assert time.monotonic() < deadline, "the awaited condition did not become true"
         time.sleep(POLL_INTERVAL_S)
 
 
 class DiscoveryService:
-    """Notes who connects, and says at once that there is nothing new."""
+    """Discovery service that answers each connection at once with the frame that there are no more events."""
 
     def __init__(self, stack: ExitStack) -> None:
         self._stack = stack
-        self.listening = stack.enter_context(socket.create_server(("127.0.0.1", 0), backlog=64))
-        self.address = "{}:{}".format(*self.listening.getsockname())
+        self.listener = stack.enter_context(socket.create_server(("127.0.0.1", 0), backlog=64))
+        self.address = "{}:{}".format(*self.listener.getsockname())
 
-    def is_asked(self, within=PATIENT) -> bool:
-        """Whether a router connects within so many seconds; it is told that there is nothing new.
+    def answer_next_watch(self, timeout_s=PATIENT) -> bool:
+        """Return whether a router connects within the timeout, and tell it that there are no more events.
 
-        A connection that the router has left meanwhile, having heard nothing on it for long, is passed over.
+        Connections that the router has closed in the meantime because they were silent are skipped.
         """
-        self.listening.settimeout(max(within, POLL_INTERVAL_S))
+        self.listener.settimeout(max(timeout_s, POLL_INTERVAL_S))
         while True:
             try:
-                connection = self._stack.enter_context(self.listening.accept()[0])
+                connection = self._stack.enter_context(self.listener.accept()[0])
             except TimeoutError:
                 return False
             connection.settimeout(PATIENT)
@@ -55,33 +55,33 @@
 
 
 class RunningRouter:
-    """The program under the configuration `config.json` of a folder, by the deploy file's `run`."""
+    """Router process with the configuration `config.json` of a folder, started by the deploy file's `run` command."""
 
     def __init__(self, folder: Path, **environment: str) -> None:
         self._stack = ExitStack()
-        self.folder, self.path = folder, folder / "config.json"
+        self.folder, self.config_file = folder, folder / "config.json"
         self.service, self.other_service = DiscoveryService(self._stack), DiscoveryService(self._stack)
         self.address = ("127.0.0.1", free(1))
-        self.environment = {**os.environ, "RELAY_CONFIG": str(self.path), **environment}
-        self.output = folder / "output.txt"
+        self.environment = {**os.environ, "RELAY_CONFIG": str(self.config_file), **environment}
+        self.output_file = folder / "output.txt"
         self.child: subprocess.Popen | None = None
 
     def configuration(self, service: DiscoveryService | None = None) -> str:
-        """The text of a whole configuration."""
+        """Return the text of a complete configuration that names the given discovery service, or `self.service`."""
         conf = json.loads((ROOT / "example/config.json").read_text())
         conf["listen"] = "{}:{}".format(*self.address)
         conf["journal"] = (service or self.service).address
         return json.dumps(conf)
 
-    def write(self, text: str) -> None:
-        """Replaces the configuration in one step."""
-        new = self.folder / "config.new"
-        new.write_text(text)
-        new.rename(self.path)
+    def replace_config(self, text: str) -> None:
+        """Replace the configuration file atomically."""
+        new_file = self.folder / "config.new"
+        new_file.write_text(text)
+        new_file.rename(self.config_file)
 
     def launch(self) -> None:
-        """Starts the program by the deploy file's command; returns when the shell has made way for it."""
-        with self.output.open("ab") as output:
+        """Start the program by the deploy file's command, and return once the shell has replaced itself by it."""
+        with self.output_file.open("ab") as output:
             self.child = subprocess.Popen(
                 ["/bin/sh", "-c", run_command()], cwd=ROOT, env=self.environment, stdout=output, stderr=output
             )
@@ -92,25 +92,25 @@
             return os.readlink(f"/proc/{self.child.pid}/exe")
         return ""
 
-    def logged(self) -> str:
-        """All that the program has written so far."""
-        return self.output.read_text()
+    def read_output(self) -> str:
+        """Return the output that the program has written so far."""
+        return self.output_file.read_text()
 
-    def wait_for(self, word: str, seconds=PATIENT) -> None:
-        wait_until(lambda: word in self.logged(), seconds)
+    def wait_for_output(self, text: str, timeout_s=PATIENT) -> None:
+        wait_until(lambda: text in self.read_output(), timeout_s)
 
-    def open(self) -> None:
-        """Launches it with a whole configuration and waits until it takes clients."""
-        self.write(self.configuration())
+    def launch_and_wait(self) -> None:
+        """Start the program with a complete configuration, and wait until it accepts clients."""
+        self.replace_config(self.configuration())
         self.launch()
-        assert self.service.is_asked()
-        self.wait_for('"event":"listener_opened"')
+        assert self.service.answer_next_watch()
+        self.wait_for_output('"event":"listener_opened"')
 
-    def signal(self, number: signal.Signals) -> None:
+    def send_signal(self, number: signal.Signals) -> None:
         self.child.send_signal(number)
 
-    def exit_code(self, within=PATIENT) -> int:
-        return self.child.wait(within)
+    def wait_for_exit(self, timeout_s=PATIENT) -> int:
+        return self.child.wait(timeout_s)
 
     def close(self) -> None:
         if self.child is not None:
