--- a/wickhinge/net/control/endpoint_updates.py
+++ b/wickhinge/net/control/endpoint_updates.py
@@ -152,4 +152,5 @@
 
 
 def _may_still_be_sent(sent: SentAttempt) -> bool:
+    """Return whether both the server and the source of an unwritten attempt are still ready."""
     return bool(sent.server.state == "ready" == sent.attempt.source.state)
--- a/wickhinge/net/control/endpoint_watch.py
+++ b/wickhinge/net/control/endpoint_watch.py
@@ -32,8 +32,8 @@
 SILENCE_LIMIT_S = 1.6  # A connection without a frame for this long is dead: the service sends one each second.
 SILENCE_TOLERANCE_S = 0.001  # A deadline may fire this much too early.
 RETRY_INTERVAL_S = 0.15  # Delay before the next connection attempt if no ServiceAddresses chooses the delay.
-READ_BYTES = 65536
-MAX_READS_PER_CALL = 32  # Limit of reads, of READ_BYTES each, in one call of `EndpointWatch.read_pending`.
+MAX_READ_BYTES = 65536
+MAX_READS_PER_CALL = 32  # Limit of reads, of MAX_READ_BYTES each, in one call of `EndpointWatch.read_pending`.
 MIN_CONFIRM_DELAY_S = 0.01  # Shortest wait after the first events of a start before asking whether there are more.
 
 Address = tuple[str, int]
@@ -301,7 +301,7 @@
         if connection is None:
             return False
         try:
-            data = receive(connection.transport.getHandle(), READ_BYTES)
+            data = receive(connection.transport.getHandle(), MAX_READ_BYTES)
         except OSError:
             return False  # The transport meets the same error and reports it by `connectionLost`.
         if not data:
--- a/wickhinge/net/control/graceful_shutdown.py
+++ b/wickhinge/net/control/graceful_shutdown.py
@@ -96,6 +96,7 @@
         self._log("shutdown_started", open_requests=self._requests.open_count(), late_ms=late_ms)
 
     def _await_idle(self) -> None:
+        """Poll until no client has anything pending, then close the subsystems."""
         is_idle = False
         try:
             is_idle = not self._is_busy()
@@ -104,19 +105,19 @@
             if not is_idle:
                 self._deadlines.call_after(POLL_INTERVAL_S, self._await_idle)
         if is_idle:
-            self._finish()
+            self._close_subsystems()
 
-    def _finish(self) -> None:
+    def _close_subsystems(self) -> None:
         self._log(
             "shutdown_finished",
             open_requests=self._requests.open_count(),
             accepted_requests=self._requests.started_count,
         )
         for subsystem in self._subsystems:
-            self._close(subsystem)
-        self._deadlines.call_after(FLUSH_S, self._end)
+            self._close_subsystem(subsystem)
+        self._deadlines.call_after(FLUSH_S, self._close_and_stop)
 
-    def _close(self, subsystem: Subsystem) -> None:
+    def _close_subsystem(self, subsystem: Subsystem) -> None:
         """Close a subsystem; a failure is logged and does not stop the shutdown."""
         try:
             subsystem.close()
@@ -145,7 +146,7 @@
             or self._readiness.has_pending_connection()
         )
 
-    def _end(self) -> None:
+    def _close_and_stop(self) -> None:
         """Close the listener and the client connections, then stop the event loop.
 
         The connections to servers are already closed, so requests that still arrive are rejected. The listener is
@@ -154,13 +155,17 @@
         has_ended = False
         try:
             self._requests.give_up_open_requests()
-            has_ended = not self._is_busy() and self._has_closed()
+            has_ended = not self._is_busy() and self._close_connections()
         finally:
             if not has_ended:
-                self._deadlines.call_after(POLL_INTERVAL_S, self._end)
+                self._deadlines.call_after(POLL_INTERVAL_S, self._close_and_stop)
         if has_ended:
             self._stop_loop()
 
-    def _has_closed(self) -> bool:
+    def _close_connections(self) -> bool:
+        """Close the listener and the idle client connections; return whether the event loop may stop now.
+
+        After PASSES_AFTER_EARLIEST_KILL passes it may stop even if something is still open.
+        """
         has_closed = self._readiness.close() and self._clients.close_all_idle()
         return has_closed or self._passes_after_earliest_kill > PASSES_AFTER_EARLIEST_KILL
--- a/wickhinge/net/control/process_report.py
+++ b/wickhinge/net/control/process_report.py
@@ -20,7 +20,7 @@
 MAX_NEW_OBJECTS = 25_000
 
 
-class Reporting(typing.Protocol):
+class ReportingSubsystem(typing.Protocol):
     """Optional subsystem that has an entry of its own in the report."""
 
     def report_fields(self) -> dict[str, Any]:
@@ -36,7 +36,7 @@
         decisions: Any,
         log: Callable[..., None],
         memory_mb: int,
-        optional: Mapping[str, Reporting],
+        optional: Mapping[str, ReportingSubsystem],
     ) -> None:
         """Create a report that is written from `start` on.
 
@@ -71,13 +71,13 @@
             deadlines=len(self._deadlines.heap),
             failed_calls=failed_calls.counts,
             event_loop_stalls=self._reactor.stalls.report(),
-            **self._client_figures(),
-            **self._server_figures(),
+            **self._client_fields(),
+            **self._server_fields(),
             **{name: subsystem.report_fields() for name, subsystem in self._optional.items()},
         )
         self._deadlines.call_after(REPORT_INTERVAL_S, self._write_report)
 
-    def _client_figures(self) -> dict[str, Any]:
+    def _client_fields(self) -> dict[str, Any]:
         requests, clients = self._requests, self._clients
         return {
             "taken": requests.started_count,
@@ -91,7 +91,7 @@
             "faults": clients.take_fault_counts(),
         }
 
-    def _server_figures(self) -> dict[str, Any]:
+    def _server_fields(self) -> dict[str, Any]:
         pools = self._pools
         return {
             "lines": sum(len(pool.connections) for pool in pools.pools_by_id.values()),
--- a/wickhinge/net/control/readiness.py
+++ b/wickhinge/net/control/readiness.py
@@ -20,7 +20,7 @@
 from wickhinge.net.runtime.deadlines import Deadlines
 
 BACKLOG_CONNECTIONS = 1024
-ADDRESS_STEP = "config: field listen"
+ADDRESS_STEP_NAME = "config: field listen"
 # The discovery service writes a frame each second. A service that is silent for this long is taken for unavailable, by
 # the same limit at which EndpointWatch drops its connection; the router then serves with the list of its configuration.
 MAX_WAIT_S = SILENCE_LIMIT_S
@@ -52,7 +52,7 @@
 
     def bind(self) -> None:
         """Bind the address, with retries, and listen if `open` was called by then."""
-        self._steps.run(ADDRESS_STEP, self._bind_and_listen)
+        self._steps.run(ADDRESS_STEP_NAME, self._bind_and_listen)
 
     def start(self) -> None:
         """Start the time limit MAX_WAIT_S, once the event loop runs.
@@ -79,7 +79,7 @@
             return
         self._open_reason = reason
         if self._bound_socket is not None:
-            self._steps.run(ADDRESS_STEP, self._bind_and_listen)
+            self._steps.run(ADDRESS_STEP_NAME, self._bind_and_listen)
 
     def _bind_and_listen(self) -> None:
         """Bind the address if it is not bound yet, and listen if `open` was called.
