--- a/tests/routing/test_cold_sum.py
+++ b/tests/routing/test_cold_sum.py
@@ -7,7 +7,7 @@
 
 from bench.cold_sum import EDGE, PARENT, PRESENT, SCENES, Play, Rule, Scene, chernoff, distribution
 from tests.support.routing import make_endpoint, make_request_class, make_router
-from wickhinge.routing.slow_start import MAX_INITIAL_DEBT, SlowStart
+from wickhinge.routing.slow_start import MAX_INITIAL_DEBT_REQUESTS, SlowStart
 
 HERD, THIN = SCENES[0], SCENES[1]
 SEEDS = range(1, 13)
@@ -44,11 +44,11 @@
     made.endpoints.update([make_endpoint(9, started=100.0, weight=1.0)], 100.0, complete=False)
     cold, asks = made.endpoints.servers[9], visit(made, 2 * work)
     rate = 0.65 * 4.0 * 0.2 / 30  # before it has warmed much
-    due = cold.initial_debt * MAX_INITIAL_DEBT * work / rate
+    due = cold.initial_debt * MAX_INITIAL_DEBT_REQUESTS * work / rate
     made.endpoints.cache_slow_start.duration = 1e9
     assert not made.endpoints.admits(cold, asks, 100.0 + 0.98 * due)
     assert made.endpoints.admits(cold, asks, 100.0 + 1.02 * due)
-    cold.charge(work)
+    cold.spend_tokens(work)
     assert not made.endpoints.admits(cold, asks, 100.0 + 1.03 * due)
 
 
@@ -65,7 +65,7 @@
                 if at == 12000 and restarted:
                     cold.reset(at / 100)
                 if made.endpoints.admits(cold, asks, at / 100):
-                    cold.charge(1.0)
+                    cold.spend_tokens(1.0)
                     sent[restarted] += at >= 12000
     assert 0 < sent[True] <= sent[False]
 
--- a/tests/routing/test_decide.py
+++ b/tests/routing/test_decide.py
@@ -12,7 +12,7 @@
     route_request,
 )
 from wickhinge.interface import Completion, Idempotency, Outcome, Request
-from wickhinge.routing.attempt import NEVER_RAN
+from wickhinge.routing.attempt import NOT_EXECUTED_OUTCOMES
 from wickhinge.routing.object_counts import ObjectCount, ObjectCounts
 from wickhinge.routing.purges import Purges
 from wickhinge.routing.random_source import RandomSource
@@ -42,7 +42,7 @@
 
 
 def test_table_of_k_is_bounded_and_drops_the_least_lately_asked():
-    counts = ObjectCounts(capacity=2)
+    counts = ObjectCounts(max_objects=2)
     for key in (1, 2, 1, 3):
         counts.record_request(key, 0, 0.0)
     assert list(counts.entries) == [1, 3]
@@ -133,7 +133,7 @@
     _, caller = route_request(made, make_request_class(Idempotency.NOT_IDEMPOTENT, pass_through=True))
     end_attempt(caller, outcome, 100.1)
     made.serve_waiting(100.4)  # where the origin refuses or is gone it waits a little first
-    if outcome in NEVER_RAN:
+    if outcome in NOT_EXECUTED_OUTCOMES:
         assert len(caller.forwards) == 2 and not caller.answers
     else:
         assert len(caller.forwards) == 1 and caller.answers == [("failed", None)]
@@ -188,7 +188,9 @@
     cold = next(c for c in made.endpoints.edge_caches if c.id == 9)
     made.endpoints.cache_slow_start.usual_load = 5.0
     visit = SimpleNamespace(router=made, request_class=make_request_class())
-    sent = sum(made.endpoints.admits(cold, visit, at / 100.0) and not cold.charge(0.3) for at in range(10000, 10100))
+    sent = sum(
+        made.endpoints.admits(cold, visit, at / 100.0) and not cold.spend_tokens(0.3) for at in range(10000, 10100)
+    )
     assert 0 < sent * 0.3 <= 4.0 * 0.28 * (20.0 if weighed else 5.0)
 
 
@@ -200,7 +202,7 @@
     for at in range(10000, 10100):
         for endpoints, visit in visits:
             if endpoints.admits(endpoints.servers[9], visit, at / 100.0):
-                endpoints.servers[9].charge(0.4)
+                endpoints.servers[9].spend_tokens(0.4)
                 sent += 0.4
     assert 0.2 * 20.0 < sent < 4.0 * 0.2 * 20.0
 
@@ -301,7 +303,7 @@
 @pytest.mark.parametrize("repeat, crowd, denied", [(True, 2.0, True), (False, 2.0, False), (True, 1.0, False)])
 def test_a_repeat_is_not_taken_into_a_crowd(repeat, crowd, denied):
     visit, _ = route_request(make_router(), is_retry=repeat)
-    assert visit.is_late(crowd, 100.0) is denied
+    assert visit.would_be_late(crowd, 100.0) is denied
 
 
 @pytest.mark.parametrize("boxes, size, denied", [(1, 2500.0, False), (1, 6000.0, True), (0, 2500.0, False)])
@@ -416,9 +418,9 @@
 @pytest.mark.parametrize("routers, pending", [(1, 0.0), (12, 0.5)])
 def test_a_crowd_counts_what_the_other_routers_have_there(routers, pending):
     endpoints = make_router(routers=routers).endpoints
-    endpoints.mean_pending = pending * len(endpoints.edge_caches)
+    endpoints.mean_pending_attempts = pending * len(endpoints.edge_caches)
     endpoints.estimate_other_transfers()
-    assert endpoints.edge_caches[0].transfers() == pytest.approx(1 + (routers - 1) * pending, rel=0.11)
+    assert endpoints.edge_caches[0].expected_transfers() == pytest.approx(1 + (routers - 1) * pending, rel=0.11)
 
 
 def test_after_an_error_the_same_cache_is_asked_twice_more():
@@ -482,7 +484,7 @@
     _, turn = route_request(made, key=8, now=later)
     end_attempt(turn, MISS, later)
     end_attempt(turn, MISS, later)
-    assert turn.forwards[2].held is False and made.origin_pacing.next_fetch >= later + 0.5 * gap
+    assert turn.forwards[2].held is False and made.origin_pacing.next_fetch_at >= later + 0.5 * gap
     end_attempt(turn, OK, later + 0.2, is_answered=True, duration=0.2)
     assert made.origin_pacing.interval < gap
     for _ in range(3):
@@ -543,7 +545,7 @@
     visit, caller = route_request(made)
     end_attempt(caller, MISS, 100.01)
     assert not caller.answers and len(caller.forwards) == 1
-    made.environment.timers[-1][1](visit.on_time_until)
+    made.environment.timers[-1][1](visit.objective_deadline)
     assert caller.answers == [("rejected", 0.5)]
 
 
--- a/tests/routing/test_work_evidence.py
+++ b/tests/routing/test_work_evidence.py
@@ -5,10 +5,10 @@
 from tests.support.routing import end_attempt, make_request_class, make_router, route_request
 from wickhinge.interface import Idempotency, Outcome
 from wickhinge.routing.work_evidence import (
-    CLASS_CONFIRMED_FOR_S,
+    CLASS_EVIDENCE_LIFETIME_S,
     ENOUGH_ANSWERS,
-    FIRST_RETRY_INTERVAL_S,
-    OBJECT_CONFIRMED_FOR_S,
+    FIRST_TRIAL_RETRY_INTERVAL_S,
+    OBJECT_EVIDENCE_LIFETIME_S,
 )
 
 SHORT_S = 0.2  # of the objective of 0.6 s the guess takes half
@@ -38,11 +38,11 @@
     visit, _ = short(made)
     visit.give_up(NOW + SHORT_S)
     assert not short(made, NOW + SHORT_S + 0.01)[1].forwards
-    visit, caller = short(made, NOW + FIRST_RETRY_INTERVAL_S + 0.01)
+    visit, caller = short(made, NOW + FIRST_TRIAL_RETRY_INTERVAL_S + 0.01)
     assert caller.forwards
-    visit.give_up(NOW + FIRST_RETRY_INTERVAL_S + 0.1)
-    assert not short(made, NOW + 2 * FIRST_RETRY_INTERVAL_S + 0.1)[1].forwards
-    assert short(made, NOW + 3 * FIRST_RETRY_INTERVAL_S + 0.1)[1].forwards
+    visit.give_up(NOW + FIRST_TRIAL_RETRY_INTERVAL_S + 0.1)
+    assert not short(made, NOW + 2 * FIRST_TRIAL_RETRY_INTERVAL_S + 0.1)[1].forwards
+    assert short(made, NOW + 3 * FIRST_TRIAL_RETRY_INTERVAL_S + 0.1)[1].forwards
 
 
 def test_a_request_with_hardly_any_time_is_no_trial_and_holds_none_up():
@@ -59,11 +59,11 @@
     end_attempt(route_request(made, key=1, size_kb=0.0, now=NOW)[1], Outcome.SUCCEEDED, NOW + 0.9, duration=0.9)
     for key in (1, 2):
         assert not short(made, NOW + 1.0, key=key)[1].forwards
-    later = NOW + 0.9 + CLASS_CONFIRMED_FOR_S + 0.1
+    later = NOW + 0.9 + CLASS_EVIDENCE_LIFETIME_S + 0.1
     tried = short(made, later, key=2)[1]
     end_attempt(tried, Outcome.SUCCEEDED, later + 0.01)
     assert short(made, later + 0.02, key=2)[1].forwards and not short(made, later + 0.02, key=1)[1].forwards
-    later = NOW + 0.9 + OBJECT_CONFIRMED_FOR_S + 0.1
+    later = NOW + 0.9 + OBJECT_EVIDENCE_LIFETIME_S + 0.1
     tried = short(made, later, key=1)[1]
     end_attempt(tried, Outcome.SUCCEEDED, later + 0.01)
     assert all(short(made, later + 0.02, key=1)[1].forwards for _ in range(2))
--- a/wickhinge/interface.py
+++ b/wickhinge/interface.py
@@ -42,10 +42,10 @@
     @property
     def is_answer(self) -> bool:
         """Whether the server sent an answer."""
-        return self in ANSWERED
+        return self in ANSWER_OUTCOMES
 
 
-ANSWERED = (Outcome.SUCCEEDED, Outcome.NOT_MODIFIED, Outcome.MISS, Outcome.OVERLOADED, Outcome.ERROR)
+ANSWER_OUTCOMES = (Outcome.SUCCEEDED, Outcome.NOT_MODIFIED, Outcome.MISS, Outcome.OVERLOADED, Outcome.ERROR)
 
 
 class CacheStatus(Enum):
--- a/wickhinge/routing/attempt.py
+++ b/wickhinge/routing/attempt.py
@@ -1,4 +1,4 @@
-"""One attempt of a request, and what its outcome allows."""
+"""One attempt of a request, and what each outcome says about the server and the request."""
 
 from __future__ import annotations
 
@@ -10,15 +10,16 @@
 if TYPE_CHECKING:
     from wickhinge.routing.routed_request import RoutedRequest
 
-# The request never ran at the server.
-NEVER_RAN = (Outcome.OVERLOADED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT, Outcome.SUPERSEDED, Outcome.MISS)
-# The same cache may well answer the next time.
-TRANSIENT = (Outcome.ERROR, Outcome.CONNECTION_LOST, Outcome.NOT_SENT)
-# The cache itself has not failed.
-CACHE_USABLE = (Outcome.MISS, Outcome.NOT_MODIFIED, *TRANSIENT)
-REJECTED = (Outcome.OVERLOADED, Outcome.ERROR)
-# The source of the fill did not cause it and may fill the next time.
-SOURCE_NOT_AT_FAULT = (Outcome.MISS, Outcome.OVERLOADED, Outcome.CONNECTION_LOST, Outcome.NOT_SENT)
+# Outcomes after which the server has certainly not executed the request.
+NOT_EXECUTED_OUTCOMES = (Outcome.OVERLOADED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT, Outcome.SUPERSEDED, Outcome.MISS)
+# Outcomes after which the same cache may well answer another attempt.
+TRANSIENT_OUTCOMES = (Outcome.ERROR, Outcome.CONNECTION_LOST, Outcome.NOT_SENT)
+# Outcomes that do not mean that the cache itself has failed.
+CACHE_NOT_AT_FAULT_OUTCOMES = (Outcome.MISS, Outcome.NOT_MODIFIED, *TRANSIENT_OUTCOMES)
+# Outcomes by which a server, or the origin behind it, refused the work.
+REJECTION_OUTCOMES = (Outcome.OVERLOADED, Outcome.ERROR)
+# Outcomes of a fill that its source did not cause, so that the source may be asked for another fill.
+SOURCE_NOT_AT_FAULT_OUTCOMES = (Outcome.MISS, Outcome.OVERLOADED, Outcome.CONNECTION_LOST, Outcome.NOT_SENT)
 
 
 class Attempt:
@@ -27,8 +28,16 @@
     def __init__(
         self, request: RoutedRequest, server: Server, source: Server, now: float, *, only_if_cached: bool
     ) -> None:
-        """Args: source: the server itself where nobody fills; only_if_cached: the source gives only what it has."""
-        self.request, self.server, self.source, self.sent = request, server, source, now
+        """Create a pending attempt.
+
+        Args:
+            request: The request that the attempt belongs to.
+            server: The server that the attempt goes to.
+            source: The server that fills a miss; `server` itself if a miss is not to be filled.
+            now: The time at which the attempt is sent.
+            only_if_cached: Whether the source answers only from its cache.
+        """
+        self.request, self.server, self.source, self.sent_at = request, server, source, now
         self.is_pending = True
         self.outcome: Outcome | None = None
         self.only_if_cached = only_if_cached
--- a/wickhinge/routing/endpoints.py
+++ b/wickhinge/routing/endpoints.py
@@ -1,4 +1,4 @@
-"""The servers of the endpoint list, their order for an object, and their capacity for one more request."""
+"""The servers of the endpoint list, their hash order for an object, and whether one may get another request."""
 
 from __future__ import annotations
 
@@ -9,76 +9,110 @@
 
 from wickhinge.interface import Endpoint
 from wickhinge.routing.hashing import mix
-from wickhinge.routing.purges import ToLocalTime, same_clock
+from wickhinge.routing.purges import ToLocalTime, assume_same_clock
 from wickhinge.routing.random_source import RandomSource
-from wickhinge.routing.server import NEVER, Server
+from wickhinge.routing.server import DISTANT_PAST_S, Server
 from wickhinge.routing.slow_start import SlowStart
 
 if TYPE_CHECKING:
     from wickhinge.routing.routed_request import RoutedRequest
 
-MIN_CONCURRENCY_LIMIT = 0.5
-PENDING_GAIN = 0.1  # of one sample
-# Shares of the usual load of a warm server where the list names no weights: a server may be half as large.
-UNWEIGHTED_PARENT_SHARE, UNWEIGHTED_CACHE_SHARE = 0.3, 0.7
-HASH_BITS = 53  # as many as a float holds exactly
-
-# Of server, whether it is a parent, its tier's slow start, its share of capacity and the work: whether it is admitted.
+# Lower bound of the concurrency limit that is set from a server's listed weight.
+MIN_LISTED_CONCURRENCY_LIMIT = 0.5
+# Weight of one sample in the moving average of pending attempts.
+PENDING_ATTEMPTS_GAIN = 0.1
+# Assumed capacity of a starting server if the endpoint list has no weights, as a share of the usual load of a warm
+# server. The shares are below 1 because the server may be half as large as the others.
+UNWEIGHTED_PARENT_LOAD_SHARE, UNWEIGHTED_CACHE_LOAD_SHARE = 0.3, 0.7
+# Bits of a hash that become a fraction; a float represents this many bits exactly.
+HASH_BITS = 53
+
+# Decides whether a request may go to a server in slow start. Arguments: the server, whether it is a parent, the slow
+# start of its tier, its current capacity relative to a warm server, and the expected work of the request in seconds.
 SlowStartQuota = Callable[[Server, bool, SlowStart, float, float], bool]
 
 
 @dataclass(frozen=True, slots=True)
 class Topology:
-    """Where this router stands, and what the tiers are called."""
+    """The router's zone and the tiers of servers.
+
+    Attributes:
+        zone: Name of this router's zone.
+        routers: Number of routers in the zone.
+        parent_kind: Kind that endpoint lists give for parents; None if there are no parents.
+        origin_kind: Kind that endpoint lists give for the origin; None if there is no origin.
+        has_weights: Whether endpoint lists give the servers' weights.
+    """
 
     zone: str
-    routers: int  # of the zone
+    routers: int
     parent_kind: str | None
     origin_kind: str | None
-    has_weights: bool  # whether endpoint lists name the servers' weights
+    has_weights: bool
 
 
 class Endpoints:
-    """The servers that this router may send to, as the latest endpoint list names them."""
+    """The servers of the latest endpoint list, sorted into tiers.
+
+    Attributes:
+        routers: Number of routers in the zone.
+        servers: All listed servers, by id.
+        edge_caches: Ready caches of this router's zone.
+        parents: Ready parents of all zones.
+        slow_start_quota: Decides about requests to servers in slow start where routers exchange their quotas; None
+            where they do not.
+        reporting_routers: Number of other routers whose pending requests are known from their reports.
+        total_weight: Sum of the weights of the zone's caches.
+        zone_traffic_share: Weight of the zone's caches, relative to the caches of all zones.
+        mean_pending_attempts: Moving average of this router's pending attempts at all caches of the zone.
+    """
 
     def __init__(
         self,
         random_source: RandomSource,
         topology: Topology,
-        edge: SlowStart,
-        upper: SlowStart,
-        to_local_time: ToLocalTime = same_clock,
+        cache_slow_start: SlowStart,
+        parent_slow_start: SlowStart,
+        to_local_time: ToLocalTime = assume_same_clock,
     ) -> None:
-        """Args: edge, upper: slow start of caches and of parents; to_local_time: others' times by our clock."""
+        """Create an empty list of endpoints.
+
+        Args:
+            random_source: The router's random numbers.
+            topology: The router's zone and the tiers of servers.
+            cache_slow_start: Slow start of the zone's caches.
+            parent_slow_start: Slow start of the parents.
+            to_local_time: Converts a remote time to this router's clock.
+        """
         self.random_source, self.zone, self.routers = random_source, topology.zone, max(topology.routers, 1)
         self.has_weights = topology.has_weights
         self.parent_kind, self.origin_kind = topology.parent_kind, topology.origin_kind
-        self.cache_slow_start, self.parent_slow_start = edge, upper
+        self.cache_slow_start, self.parent_slow_start = cache_slow_start, parent_slow_start
         self.to_local_time = to_local_time
         self.servers: dict[int, Server] = {}
-        self.edge_caches: list[Server] = []  # of this zone
+        self.edge_caches: list[Server] = []
         self.parents: list[Server] = []
         self.origin: Server | None = None
-        self.slow_start_quota: SlowStartQuota | None = None  # the routers' true shares, where they talk
-        self.reporting_routers = 0  # whose transfers are reported, where they talk
-        self.total_weight = 0.0  # of the zone's caches
-        self.traffic_share = 1.0  # of the zone in all traffic
-        self.mean_pending = 0.0
+        self.slow_start_quota: SlowStartQuota | None = None
+        self.reporting_routers = 0
+        self.total_weight = 0.0
+        self.zone_traffic_share = 1.0
+        self.mean_pending_attempts = 0.0
 
     def update(self, listed: list[Endpoint], now: float, *, complete: bool) -> None:
-        """Take a list; what drains or is gone leaves the lists that attempts choose from at once.
+        """Apply an endpoint list. Servers that are draining or gone get no new attempts from now on.
 
         Args:
-            listed: the endpoints that it names.
-            now: the time.
-            complete: whether a server that it does not name is gone.
+            listed: The endpoints in the list.
+            now: The time.
+            complete: Whether a server that is not in the list is gone.
         """
         if complete:
             for server_id in set(self.servers) - {endpoint.server for endpoint in listed}:
                 self.servers[server_id].state = "gone"
         for endpoint in listed:
             self._update_server(endpoint, now)
-        # Only attempts in progress still name what is gone: an id never comes back, and no rule asks for it again.
+        # Servers that are gone can be dropped: ids are never reused, and attempts in progress refer to their servers.
         self.servers = {server.id: server for server in self.servers.values() if server.state != "gone"}
         self._sort_into_tiers()
 
@@ -87,13 +121,14 @@
         self.servers[server.id] = server
         server.state, server.weight = endpoint.state, endpoint.weight or 1.0
         server.is_verified = endpoint.is_verified
-        server.has_failed |= not endpoint.is_verified and server.last_answer_at == now  # one request at a time
+        # An unverified server that is new to the list counts as failed, so that it gets one request at a time.
+        server.has_failed |= not endpoint.is_verified and server.last_answer_at == now
         if self.has_weights:
-            server.max_concurrency_limit = max(server.weight, MIN_CONCURRENCY_LIMIT)
-        started = NEVER if endpoint.started is None else self.to_local_time(endpoint.started, now)
+            server.max_concurrency_limit = max(server.weight, MIN_LISTED_CONCURRENCY_LIMIT)
+        started = DISTANT_PAST_S if endpoint.started is None else self.to_local_time(endpoint.started, now)
         if started > server.started:
             server.reset(now)
-            server.started, server.listed_start = started, endpoint.started
+            server.started, server.listed_start_time = started, endpoint.started
 
     def _sort_into_tiers(self) -> None:
         ready = [server for server in self.servers.values() if server.state == "ready"]
@@ -102,18 +137,18 @@
         self.parents = [server for server in ready if server.kind == self.parent_kind]
         self.origin = next((server for server in ready if server.kind == self.origin_kind), None)
         self.total_weight = sum(server.weight for server in self.edge_caches)
-        self.traffic_share = self.total_weight / (sum(server.weight for server in caches) or 1.0)
+        self.zone_traffic_share = self.total_weight / (sum(server.weight for server in caches) or 1.0)
 
     def clock_improved(self, now: float) -> None:
-        """Called when others' clocks are known better: a server may have started earlier than was thought."""
+        """Called when the estimate of remote clocks has improved: correct start times that were estimated too late."""
         for server in self.servers.values():
-            if server.listed_start is not None:
-                server.started = min(server.started, self.to_local_time(server.listed_start, now))
+            if server.listed_start_time is not None:
+                server.started = min(server.started, self.to_local_time(server.listed_start_time, now))
 
     def in_order(self, servers: list[Server], object_hash: int, now: float) -> list[Server]:
-        """Return servers by weighted rendezvous hashing.
+        """Return the servers in their order for a hash, by weighted rendezvous hashing.
 
-        Losing a server moves only its own keys, and a warming cache weighs less.
+        The loss of a server moves only the keys that it held. A cache in slow start has a lower weight.
         """
 
         def score(server: Server) -> tuple[float, int]:
@@ -124,19 +159,20 @@
         return sorted(servers, key=score)
 
     def estimate_other_transfers(self) -> None:
-        """Estimate what other routers send to the zone's caches. Called for each request.
+        """Estimate the transfers of other routers at each cache of the zone; called for each request.
 
-        Pooled over the caches: where a hundred share a load, one's own count is chance.
+        Routers that send no reports are assumed to have as many pending attempts as this router. The average is taken
+        over all caches together, because with a hundred routers the count at a single cache is mostly chance.
         """
         pending = sum(len(server.pending_attempts) for server in self.edge_caches)
-        self.mean_pending += PENDING_GAIN * (pending - self.mean_pending)
+        self.mean_pending_attempts += PENDING_ATTEMPTS_GAIN * (pending - self.mean_pending_attempts)
         unknown_routers = self.routers - 1 - self.reporting_routers
         for server in self.edge_caches:
-            server.other_transfers = unknown_routers * self.mean_pending * server.weight / self.total_weight
+            server.other_transfers = unknown_routers * self.mean_pending_attempts * server.weight / self.total_weight
             server.other_transfers += server.reported_transfers
 
     def admits(self, server: Server, request: RoutedRequest, now: float) -> bool:
-        """Return whether the server's slow start, if it is in one, has capacity for the request."""
+        """Return whether the request may go to the server: always to a warm one, else if its slow start allows it."""
         is_parent = server.kind == self.parent_kind
         slow_start = self.parent_slow_start if is_parent else self.cache_slow_start
         if server is self.origin or not slow_start.is_limited:
@@ -147,10 +183,12 @@
         work = request.router.mean_work(request.request_class)
         if self.has_weights and self.slow_start_quota:
             return self.slow_start_quota(server, is_parent, slow_start, capacity_share, work)
-        share = (self.traffic_share if is_parent else 1.0) / self.routers
+        share = (self.zone_traffic_share if is_parent else 1.0) / self.routers
         if self.has_weights:
             return slow_start.admits(server, server.weight * share, share, work, now)
-        # No warm server may show what one takes, and one that has failed is cold until it answers: it gets this
-        # router's share of one request a window.
-        own_capacity = (UNWEIGHTED_PARENT_SHARE if is_parent else UNWEIGHTED_CACHE_SHARE) * slow_start.usual_load
+        # Without weights, the capacity is estimated from the usual load of warm servers, which may be unknown. A failed
+        # server stays in slow start until it answers, so each router may send its share of one request per window.
+        own_capacity = (
+            UNWEIGHTED_PARENT_LOAD_SHARE if is_parent else UNWEIGHTED_CACHE_LOAD_SHARE
+        ) * slow_start.usual_load
         return slow_start.admits(server, own_capacity, share, work, now, min_requests=share)
--- a/wickhinge/routing/origin_pacing.py
+++ b/wickhinge/routing/origin_pacing.py
@@ -8,7 +8,7 @@
 MIN_INTERVAL_S = 0.5 * ROUND_INTERVAL_S
 MAX_INTERVAL_S = 4 * ROUND_INTERVAL_S
 NEGLIGIBLE_INTERVAL_S = 0.1
-RECOVERY = 0.3  # of the interval, after each fetch that succeeds
+INTERVAL_SHARE_AFTER_SUCCESS = 0.3  # of the interval, after each fetch that succeeds
 
 
 class OriginPacing:
@@ -17,16 +17,16 @@
     def __init__(self, random_source: RandomSource) -> None:
         self.random_source = random_source
         self.interval = 0.0  # seconds between two fetches; 0: no backoff
-        self.next_fetch = 0.0
+        self.next_fetch_at = 0.0
 
-    def fetch_begins(self, now: float) -> None:
+    def record_fetch_start(self, now: float) -> None:
         """Set the time of the next fetch."""
         if self.interval:
-            self.next_fetch = now + self.interval * (0.5 + self.random_source.draw())
+            self.next_fetch_at = now + self.interval * (0.5 + self.random_source.draw())
 
     def fetch_succeeded(self) -> None:
         """Shorten the interval."""
-        self._set_interval(RECOVERY * self.interval)
+        self._set_interval(INTERVAL_SHARE_AFTER_SUCCESS * self.interval)
 
     def fetch_rejected(self) -> None:
         """Double the interval, within its bounds."""
--- a/wickhinge/routing/router.py
+++ b/wickhinge/routing/router.py
@@ -1,4 +1,4 @@
-"""The router: it takes requests, chooses sources of fills, and judges servers by what comes of them."""
+"""The router: it accepts requests, chooses the sources of fills, and judges servers by the outcomes of attempts."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
     RequestClass,
     RequestTransport,
 )
-from wickhinge.routing.attempt import REJECTED, SOURCE_NOT_AT_FAULT, Attempt
+from wickhinge.routing.attempt import REJECTION_OUTCOMES, SOURCE_NOT_AT_FAULT_OUTCOMES, Attempt
 from wickhinge.routing.endpoints import Endpoints
 from wickhinge.routing.object_counts import ObjectCounts
 from wickhinge.routing.origin_pacing import OriginPacing
@@ -27,34 +27,61 @@
 from wickhinge.routing.work_evidence import WorkEvidence
 from wickhinge.routing.zone_link import ZoneLink
 
-INITIAL_WORK_SHARE = 0.5  # of the latency objective: pessimistic, for the sake of slow start
-WORK_GAIN = 0.02  # of one sample, for a class's mean
-PART_WORK_GAIN = 0.05  # of what a sample took longer than the shortest seen
-SAMPLE_GAIN = 0.1  # for each router of the zone, up to MAX_GAIN_ROUTERS
+# Assumed mean work of a request class before the first answer, as a share of its latency objective. It is pessimistic,
+# so that slow start does not admit too many requests.
+INITIAL_WORK_SHARE_OF_OBJECTIVE = 0.5
+# Weight of one sample in the moving average of a request class's work.
+CLASS_WORK_GAIN = 0.02
+# Share of a sample's excess over the shortest sample that is added to an object's work.
+OBJECT_WORK_GAIN = 0.05
+# Weight of one sample in a router's other moving averages, multiplied by the number of routers of the zone up to
+# MAX_GAIN_ROUTERS: with more routers, each of them sees fewer samples.
+GAIN_PER_ROUTER = 0.1
 MAX_GAIN_ROUTERS = 3
-MAX_FILL_DELAY = 5.0  # times the fill's own time
-HEALTH_CHECK_INTERVAL_S = 1.0  # of one source
-HEALTH_CHECKS_PER_ROUND = 3  # of a cache by all routers of the zone: more cost more than they tell
-POLLS_PER_MAX_AGE = 8  # a failed poll is made up for before the list counts as old
+# Largest learned delay of a fill, relative to the time that the transfer alone takes.
+MAX_FILL_DELAY_RATIO = 5.0
+# Shortest interval between two health checks of one source, in seconds.
+SOURCE_HEALTH_CHECK_INTERVAL_S = 1.0
+# Health checks of one cache in each round by all routers of its zone together. More checks cost the cache more than
+# their results are worth.
+HEALTH_CHECKS_PER_ROUND = 3
+# Polls of the endpoint list within its maximum age: after a failed poll, another one still comes in time.
+POLLS_PER_MAX_LIST_AGE = 8
+# Interval between polls of the endpoint list if it has no maximum age, in seconds.
 DEFAULT_POLL_INTERVAL_S = 1.0
+# Bounds of the random delay before a router's first round, in seconds.
 MAX_FIRST_ROUND_DELAY_S, MIN_FIRST_ROUND_DELAY_S = 0.5, 0.1
-# The attempt says nothing of the server's health.
-NO_EVIDENCE = (Outcome.SUPERSEDED, Outcome.CANCELLED, Outcome.NOT_SENT)
+# Outcomes of an attempt that say nothing about the server's health.
+NO_EVIDENCE_OUTCOMES = (Outcome.SUPERSEDED, Outcome.CANCELLED, Outcome.NOT_SENT)
 
 
 @dataclass(frozen=True, slots=True)
 class RouterSettings:
-    """What the settings state for the whole router."""
+    """Settings that hold for the whole router.
+
+    Attributes:
+        capabilities: The optional features that the router may use.
+        transfer_kb_per_s: Rate of a transfer at a server that transfers nothing else, in KB per second.
+        max_attempts: Most attempts of one request.
+        max_list_age: Seconds within which the endpoint list must be polled again; 0 for no limit.
+        max_retry_after: Seconds that a rejected client is told to wait before it retries.
+    """
 
     capabilities: Capabilities
-    transfer_kb_per_s: float  # KB a second of one transfer alone
-    max_attempts: int  # of a request
-    max_list_age: float  # seconds within which the endpoint list has to be polled; 0: no limit
-    max_retry_after: float  # seconds
+    transfer_kb_per_s: float
+    max_attempts: int
+    max_list_age: float
+    max_retry_after: float
 
 
 class Router:
-    """All state of one instance's decisions; made by `wickhinge.settings.build_router`."""
+    """All state behind one instance's routing decisions; built by `wickhinge.settings.build_router`.
+
+    Attributes:
+        mean_work_by_class: Mean seconds of transfer of each request class, by its name.
+        waiting_requests: Requests that wait for capacity.
+        learning_gain: Weight of one sample in moving averages.
+    """
 
     def __init__(
         self,
@@ -69,24 +96,24 @@
         self.random_source = endpoints.random_source
         self.capabilities, self.transfer_kb_per_s = settings.capabilities, settings.transfer_kb_per_s
         self.max_attempts, self.max_retry_after = settings.max_attempts, settings.max_retry_after
-        self.poll_interval = settings.max_list_age / POLLS_PER_MAX_AGE or DEFAULT_POLL_INTERVAL_S
+        self.poll_interval = settings.max_list_age / POLLS_PER_MAX_LIST_AGE or DEFAULT_POLL_INTERVAL_S
         self.local_copies: LocalCopies | None = None
-        self.mean_work_by_class: dict[str, float] = {}  # seconds of transfer, by request class
-        self._work_evidence: dict[str, WorkEvidence] = {}  # by request class
-        self.waiting: list[RoutedRequest] = []  # for capacity
-        self.gain = SAMPLE_GAIN * min(endpoints.routers, MAX_GAIN_ROUTERS)  # larger where few are seen
-        self.zone_link = ZoneLink(self.gain)
+        self.mean_work_by_class: dict[str, float] = {}
+        self._work_evidence_by_class: dict[str, WorkEvidence] = {}
+        self.waiting_requests: list[RoutedRequest] = []
+        self.learning_gain = GAIN_PER_ROUTER * min(endpoints.routers, MAX_GAIN_ROUTERS)
+        self.zone_link = ZoneLink(self.learning_gain)
         self.origin_pacing = OriginPacing(self.random_source)
 
     def start(self) -> None:
-        """Begin to watch the endpoint list, and the rounds."""
+        """Subscribe to the endpoint list if it is polled, and schedule the first round."""
         if self.capabilities.polls_endpoints:
             self.environment.watch_endpoints()
         spread = MAX_FIRST_ROUND_DELAY_S - MIN_FIRST_ROUND_DELAY_S
         self.environment.call_later(MIN_FIRST_ROUND_DELAY_S + spread * self.random_source.draw(), self.round)
 
     def watch_lost(self) -> None:
-        """Called when a poll of the endpoint list failed: poll again soon."""
+        """Called when a poll of the endpoint list has failed: schedule another one."""
         delay = self.poll_interval * (0.5 + self.random_source.draw())
         self.environment.call_later(delay, lambda _: self.environment.watch_endpoints())
 
@@ -100,18 +127,19 @@
         now: float,
         waited: float = 0.0,
     ) -> RoutedRequest:
-        """Take a request; its answer comes through the transport.
+        """Route a new request. Its answer is sent through the transport.
 
         Args:
-            transport: of this request.
-            request_class: of the settings.
-            request: what the client asks for.
-            now: the time.
-            waited: seconds that it lay unread: behind with its work, a router takes less and answers in time.
+            transport: Carries out the decisions about this request.
+            request_class: The request's class, from the settings.
+            request: What the client asks for.
+            now: The time.
+            waited: Seconds that the request waited before the router read it. They count against its latency objective,
+                so that a router that lags behind rejects more requests and answers the others in time.
         """
         self.endpoints.estimate_other_transfers()
         routed = RoutedRequest(self, transport, request_class, request, now)
-        routed.on_time_until -= waited
+        routed.objective_deadline -= waited
         self._find_local_copy(routed, request, now)
         if not routed.try_local_copy(now):
             routed.try_edge_cache(now)
@@ -126,64 +154,70 @@
             routed.local_copy = self.local_copies.find(request.key, request.part, now)
 
     def mean_work(self, request_class: RequestClass) -> float:
-        """Return a class's mean seconds of transfer, as learned."""
-        return self.mean_work_by_class.get(request_class.name, INITIAL_WORK_SHARE * request_class.latency_objective)
+        """Return the mean seconds of transfer of a request class, or the initial assumption before the first answer."""
+        return self.mean_work_by_class.get(
+            request_class.name, INITIAL_WORK_SHARE_OF_OBJECTIVE * request_class.latency_objective
+        )
 
     def work_evidence(self, request_class: RequestClass) -> WorkEvidence:
-        """Return what answers have told of a class's work."""
-        return self._work_evidence.setdefault(request_class.name, WorkEvidence())
+        """Return the measured answer times of a request class."""
+        return self._work_evidence_by_class.setdefault(request_class.name, WorkEvidence())
 
     def learn_work(self, routed: RoutedRequest, duration: float, now: float) -> None:
-        """Learn from a transfer out of a cache of the zone."""
+        """Learn the work of the request's class and object from a hit at a cache of the zone."""
         request_class, count = routed.request_class, routed.object_count
         self.mean_work_by_class[request_class.name] = (
-            self.mean_work(request_class) * (1 - WORK_GAIN) + duration * WORK_GAIN
+            self.mean_work(request_class) * (1 - CLASS_WORK_GAIN) + duration * CLASS_WORK_GAIN
         )
-        # All parts are about as large, and load only adds: the shortest time seen is nearest to the work.
+        # All parts of an object have about the same size, and load only lengthens a transfer. So the shortest time is
+        # the best estimate of the work.
         work = min(count.work or duration, duration)
-        count.work, count.work_learned_at = work + (duration - work) * PART_WORK_GAIN, now
+        count.work, count.work_learned_at = work + (duration - work) * OBJECT_WORK_GAIN, now
 
     # Attempts.
 
-    def attempt_begins(self, attempt: Attempt) -> None:
-        """Count an attempt at its server and source."""
-        self.zone_link.fills += attempt.uses_zone_link
+    def record_attempt_start(self, attempt: Attempt) -> None:
+        """Add a new attempt to the load of its server and its source."""
+        self.zone_link.pending_fills += attempt.uses_zone_link
         work = self.mean_work(attempt.request.request_class)
         attempt.server.pending_attempts.add(attempt)
-        attempt.server.charge(work)
+        attempt.server.spend_tokens(work)
         if attempt.source is not attempt.server:
             attempt.source.pending_fills.add(attempt)
-            attempt.source.charge(work)
+            attempt.source.spend_tokens(work)
 
-    def attempt_ends(self, attempt: Attempt, completion: Completion) -> None:
-        """Take an attempt off its server and source, and the load that was reported beside its answer."""
+    def record_attempt_end(self, attempt: Attempt, completion: Completion) -> None:
+        """Remove an ended attempt from the load of its server and source, and use the load report of its answer."""
         attempt.is_pending, attempt.outcome = False, completion.outcome
         attempt.server.pending_attempts.discard(attempt)
         attempt.source.pending_fills.discard(attempt)
-        self.zone_link.fills -= attempt.uses_zone_link
+        self.zone_link.pending_fills -= attempt.uses_zone_link
         if completion.load and attempt.server in self.endpoints.edge_caches:
             self.zone_link.observe_report(completion.load)
 
-    def observe_answer(self, attempt: Attempt, outcome: Outcome, now: float) -> None:
-        """Judge the server that an attempt went to."""
+    def judge_server(self, attempt: Attempt, outcome: Outcome, now: float) -> None:
+        """Record an answer or a failure of the server that an attempt went to."""
         server = attempt.server
         if outcome.is_answer:
             server.record_answer(now)
-        elif outcome not in NO_EVIDENCE and server.last_answer_at < attempt.sent:
+        elif outcome not in NO_EVIDENCE_OUTCOMES and server.last_answer_at < attempt.sent_at:
             server.record_failure(now, outcome)
 
     def link_utilization(self) -> float:
-        """Return the utilization of the zone's link if one more fill comes."""
+        """Return the predicted utilization of the zone's link with one more fill."""
         return self.zone_link.utilization()
 
     # Fills.
 
     def choose_source(self, routed: RoutedRequest, now: float) -> Server | None:
-        """Return the parent on the object's hash, the next where one fails or has no capacity, then the origin."""
+        """Return the first usable source: the parents in the hash order of the object, then the origin.
+
+        A source is skipped if it failed for this request, is not available or has no capacity in its slow start.
+        """
         failed = [
             attempt.source
             for attempt in routed.attempts
-            if not attempt.is_pending and attempt.outcome not in SOURCE_NOT_AT_FAULT
+            if not attempt.is_pending and attempt.outcome not in SOURCE_NOT_AT_FAULT_OUTCOMES
         ]
         endpoints = self.endpoints
         for source in [*endpoints.in_order(endpoints.parents, routed.object_count.key, now), endpoints.origin]:
@@ -194,24 +228,25 @@
         return None
 
     def fill_ended(self, attempt: Attempt, completion: Completion, now: float) -> None:
-        """Judge the source by what it added, and try again for those who wait."""
+        """Judge the source of an ended fill, and retry the requests that wait for capacity."""
         source, routed = attempt.source, attempt.request
         if completion.outcome is Outcome.MISS or completion.cache_status is CacheStatus.ORIGIN_FAILED:
             routed.sources_without_copy.append(source)
         is_from_origin = source is self.endpoints.origin or source in routed.sources_without_copy
         is_origin_fetch = is_from_origin and not attempt.only_if_cached
-        self._pace_origin(attempt, completion, is_origin_fetch=is_origin_fetch)
+        self._update_origin_pacing(attempt, completion, is_origin_fetch=is_origin_fetch)
         self._learn_fill_delay(attempt, completion, is_origin_fetch=is_origin_fetch)
         self._judge_source(source, completion, now)
         self.serve_waiting(now)
 
-    def _pace_origin(self, attempt: Attempt, completion: Completion, *, is_origin_fetch: bool) -> None:
+    def _update_origin_pacing(self, attempt: Attempt, completion: Completion, *, is_origin_fetch: bool) -> None:
         source, routed, outcome = attempt.source, attempt.request, completion.outcome
-        is_rejected = outcome in REJECTED
-        # A parent that was asked directly may have rejected by itself.
+        is_rejected = outcome in REJECTION_OUTCOMES
+        # An error of a parent that was asked directly does not show that the origin rejected.
         is_through_cache = attempt.server in self.endpoints.edge_caches
-        is_not_the_source = outcome is Outcome.MISS and source in routed.rejecting_sources
-        if is_through_cache and is_origin_fetch and is_rejected or is_not_the_source:
+        # The source that rejected a fill now answers that it has no copy, so it was the origin that rejected.
+        is_origin_at_fault = outcome is Outcome.MISS and source in routed.rejecting_sources
+        if is_through_cache and is_origin_fetch and is_rejected or is_origin_at_fault:
             self.origin_pacing.fetch_rejected()
         elif is_through_cache and is_origin_fetch and outcome is Outcome.SUCCEEDED:
             self.origin_pacing.fetch_succeeded()
@@ -220,12 +255,13 @@
 
     def _learn_fill_delay(self, attempt: Attempt, completion: Completion, *, is_origin_fetch: bool) -> None:
         source, routed, outcome = attempt.source, attempt.request, completion.outcome
-        if outcome in REJECTED:
-            delay = MAX_FILL_DELAY  # from all routers the same rejected fills would come again at once
+        if outcome in REJECTION_OUTCOMES:
+            # The largest delay keeps all routers from retrying their rejected fills at once.
+            delay = MAX_FILL_DELAY_RATIO
         elif routed.is_work_known and outcome in (Outcome.SUCCEEDED, Outcome.CANCELLED):
             utilization = max(attempt.server.utilization(), self.link_utilization(), 1.0)
             delay = (completion.duration - routed.work * utilization) / (routed.work + 0.1)
-            delay = max(min(delay, MAX_FILL_DELAY), 0.0)
+            delay = max(min(delay, MAX_FILL_DELAY_RATIO), 0.0)
         else:
             return
         if attempt.only_if_cached:
@@ -233,8 +269,8 @@
         else:
             delays = ((self.endpoints.origin or source) if is_origin_fetch else source).fill_delays
         name = routed.request_class.name
-        usual = delays.get(name, 0.0)
-        delays[name] = usual + self.gain * (delay - usual)
+        average = delays.get(name, 0.0)
+        delays[name] = average + self.learning_gain * (delay - average)
 
     def _judge_source(self, source: Server, completion: Completion, now: float) -> None:
         outcome, status = completion.outcome, completion.cache_status
@@ -242,33 +278,39 @@
             source.record_answer(now)
         elif status is CacheStatus.SOURCE_UNREACHABLE:
             source.record_failure(now, Outcome.CONNECT_FAILED)
-        elif status is None and outcome in REJECTED:
-            self._check_health_of_source(source, now)
+        elif status is None and outcome in REJECTION_OUTCOMES:
+            self._check_source_health(source, now)
 
-    def _check_health_of_source(self, source: Server, now: float) -> None:
-        """Rejecting or dead? No answer tells, so the source is asked itself."""
-        is_due = now - source.last_health_check > HEALTH_CHECK_INTERVAL_S
+    def _check_source_health(self, source: Server, now: float) -> None:
+        """Start a health check of a source after a rejected fill, which does not show whether the source is alive."""
+        is_due = now - source.last_health_check_at > SOURCE_HEALTH_CHECK_INTERVAL_S
         if self.capabilities.health_checks and is_due:
-            source.last_health_check = now
+            source.last_health_check_at = now
             self.environment.check_health(source)
 
     # Rounds.
 
     def serve_waiting(self, now: float) -> None:
-        """Try again for requests that wait for capacity, those of the greatest weight for their work first."""
-        waiting = [routed for routed in self.waiting if routed.is_waiting and not routed.is_finished]
-        ready = [routed for routed in waiting if routed.wait_until <= now]
-        self.waiting = [routed for routed in waiting if routed.wait_until > now]
+        """Retry the requests that wait for capacity, in the order of priority weight per second of work."""
+        waiting = [
+            routed for routed in self.waiting_requests if routed.is_waiting_for_capacity and not routed.is_finished
+        ]
+        ready = [routed for routed in waiting if routed.capacity_retry_at <= now]
+        self.waiting_requests = [routed for routed in waiting if routed.capacity_retry_at > now]
         for routed in sorted(ready, key=lambda routed: (routed.work + 0.05) / routed.request_class.priority_weight):
-            if routed.missed_at is not None:
-                routed.fill(routed.missed_at, now)
+            if routed.missed_cache is not None:
+                routed.fill(routed.missed_cache, now)
             else:
                 routed.try_edge_cache(now)
 
     def round(self, now: float) -> None:
-        """Check the caches' health, let what was learned decay, and serve those who wait; each ROUND_INTERVAL_S."""
+        """Do the periodic work, and schedule the next round in ROUND_INTERVAL_S.
+
+        A round checks the caches' health, learns the usual load, lets learned delays decay, and retries the requests
+        that wait for capacity.
+        """
         if self.capabilities.health_checks and self.capabilities.load_reports:
-            self._check_health_of_caches()
+            self._check_cache_health()
         self.environment.call_later(ROUND_INTERVAL_S, self.round)
         self.endpoints.cache_slow_start.observe_load(self.endpoints.edge_caches, now)
         self.endpoints.parent_slow_start.observe_load(self.endpoints.parents, now)
@@ -276,13 +318,17 @@
             self.endpoints.origin.decay()
         self.serve_waiting(now)
 
-    def _check_health_of_caches(self) -> None:
+    def _check_cache_health(self) -> None:
         for cache in self.endpoints.edge_caches:
             if self.random_source.draw() * self.endpoints.routers < HEALTH_CHECKS_PER_ROUND:
                 self.environment.check_health(cache)
 
     def health_checked(self, server: Server, outcome: Outcome, load: dict[str, float], now: float) -> None:
-        """Take the answer to a health check; a server that hangs may answer these and nothing else."""
+        """Handle the result of a health check.
+
+        A successful check of a server without failures does not count as an answer: a server that hangs may still
+        answer health checks, but no requests.
+        """
         if outcome is not Outcome.SUCCEEDED:
             server.record_failure(now, outcome)
         elif server.has_failed:
--- a/wickhinge/routing/slow_start.py
+++ b/wickhinge/routing/slow_start.py
@@ -9,8 +9,8 @@
     from wickhinge.routing.server import Server
 
 ROUND_INTERVAL_S = 0.7  # from one look at all servers to the next
-MAX_INITIAL_DEBT = 2.0  # mean requests; half as many go first as are earned
-CAPACITY_SHARE = 0.65  # of the limit, as sizes vary and routers spend unknown to each other
+MAX_INITIAL_DEBT_REQUESTS = 2.0  # mean requests; half as many go first as are earned
+SPENDABLE_SHARE_OF_LIMIT = 0.65  # of the limit, as sizes vary and routers spend unknown to each other
 LOAD_GAIN = 0.1  # of one sample
 
 
@@ -72,12 +72,12 @@
         capacity = self.overload_factor * self.capacity_share(server, now)  # in what a warm one can do
         least_rate = min_requests * self.mean_work / self.window
         if capacity > 0.0:
-            own_capacity = max(own_capacity, least_rate / (CAPACITY_SHARE * capacity))
-        rate = CAPACITY_SHARE * capacity * own_capacity
+            own_capacity = max(own_capacity, least_rate / (SPENDABLE_SHARE_OF_LIMIT * capacity))
+        rate = SPENDABLE_SHARE_OF_LIMIT * capacity * own_capacity
         max_tokens = 0.5 * rate * self.window
         if capacity < 1.0:
             mean_requests = capacity * own_capacity * share * self.window * self.mean_work
-            max_tokens = min(max_tokens, CAPACITY_SHARE * 2 * sqrt(mean_requests))
+            max_tokens = min(max_tokens, SPENDABLE_SHARE_OF_LIMIT * 2 * sqrt(mean_requests))
         earned, server.refilled_at = rate * (now - server.refilled_at), now
         if server.initial_debt > 0.0:
             earned = self._pay_initial_debt(server, earned)
@@ -86,7 +86,7 @@
 
     def _pay_initial_debt(self, server: Server, earned: float) -> float:
         """Return what of the earned tokens is left."""
-        debt = MAX_INITIAL_DEBT * self.mean_work
+        debt = MAX_INITIAL_DEBT_REQUESTS * self.mean_work
         left = server.initial_debt - earned / debt
         server.initial_debt, server.tokens = max(left, 0.0), 0.0
         return max(-left, 0.0) * debt
--- a/wickhinge/routing/work_evidence.py
+++ b/wickhinge/routing/work_evidence.py
@@ -11,14 +11,17 @@
 if TYPE_CHECKING:
     from wickhinge.routing.routed_request import RoutedRequest
 
-CLASS_CONFIRMED_FOR_S = 10.0  # after an answer; later the servers may be quicker
-OBJECT_CONFIRMED_FOR_S = 60.0  # after a hit: an object's size stays what it is
-MIN_GAIN = 0.02  # of one answer
+CLASS_EVIDENCE_LIFETIME_S = 10.0  # after an answer; later the servers may be quicker
+OBJECT_EVIDENCE_LIFETIME_S = 60.0  # after a hit: an object's size stays what it is
+MIN_ANSWER_GAIN = 0.02  # of one answer
 ENOUGH_ANSWERS = 8  # to go by in place of the guess
-FIRST_RETRY_INTERVAL_S, MAX_RETRY_INTERVAL_S = 1.0, 8.0  # after trials that were not answered, doubled for each
+FIRST_TRIAL_RETRY_INTERVAL_S, MAX_TRIAL_RETRY_INTERVAL_S = (
+    1.0,
+    8.0,
+)  # after trials that were not answered, doubled for each
 MAX_TRIAL_UTILIZATION = 0.5  # of a server or a link that is at rest
 MIN_TRIAL_TIME_S = 0.05  # left: with less, a trial tells nothing of the servers
-NEVER = -1e9
+DISTANT_PAST_S = -1e9
 
 
 class AnswerTimes:
@@ -27,23 +30,23 @@
     def __init__(self) -> None:
         self._answers = 0
         self._mean = 0.0  # seconds
-        self._answered_at = NEVER
+        self._answered_at = DISTANT_PAST_S
 
     def observe(self, duration: float, now: float) -> None:
         """Take the seconds that an answer took."""
-        if self.mean(now) is None:
+        if self.recent_mean(now) is None:
             self._answers = 0
         self._answers += 1
-        self._mean += max(1.0 / self._answers, MIN_GAIN) * (duration - self._mean)
+        self._mean += max(1.0 / self._answers, MIN_ANSWER_GAIN) * (duration - self._mean)
         self._answered_at = now
 
-    def mean(self, now: float) -> float | None:
+    def recent_mean(self, now: float) -> float | None:
         """Return the seconds that answers of late took; None where there were none."""
-        return self._mean if now - self._answered_at <= CLASS_CONFIRMED_FOR_S else None
+        return self._mean if now - self._answered_at <= CLASS_EVIDENCE_LIFETIME_S else None
 
-    def are_enough(self, now: float) -> bool:
+    def has_enough_answers(self, now: float) -> bool:
         """Return whether there were so many of late that no request need be put on trial."""
-        return self.mean(now) is not None and self._answers >= ENOUGH_ANSWERS
+        return self.recent_mean(now) is not None and self._answers >= ENOUGH_ANSWERS
 
 
 class WorkEvidence:
@@ -52,7 +55,7 @@
     def __init__(self) -> None:
         self.hits, self.fills = AnswerTimes(), AnswerTimes()
         self._trial: RoutedRequest | None = None
-        self._next_trial_at, self._retry_interval = NEVER, FIRST_RETRY_INTERVAL_S
+        self._next_trial_at, self._retry_interval = DISTANT_PAST_S, FIRST_TRIAL_RETRY_INTERVAL_S
 
     def is_trial_due(self, now: float) -> bool:
         """Return whether a request may be put on trial: not while another is, or soon after one without an answer."""
@@ -62,8 +65,8 @@
     def begin_trial(self, request: RoutedRequest, now: float) -> None:
         """An attempt of the request begins."""
         self._trial, self._next_trial_at = request, now + self._retry_interval
-        self._retry_interval = min(2 * self._retry_interval, MAX_RETRY_INTERVAL_S)
+        self._retry_interval = min(2 * self._retry_interval, MAX_TRIAL_RETRY_INTERVAL_S)
 
-    def trial_answered(self) -> None:
+    def end_trial(self) -> None:
         """The next trial need not wait."""
-        self._trial, self._next_trial_at, self._retry_interval = None, NEVER, FIRST_RETRY_INTERVAL_S
+        self._trial, self._next_trial_at, self._retry_interval = None, DISTANT_PAST_S, FIRST_TRIAL_RETRY_INTERVAL_S
--- a/wickhinge/settings.py
+++ b/wickhinge/settings.py
@@ -22,7 +22,7 @@
 from wickhinge.interface import Capabilities, Environment, Idempotency, RequestClass
 from wickhinge.routing.endpoints import Endpoints, Topology
 from wickhinge.routing.object_counts import ObjectCounts
-from wickhinge.routing.purges import Purges, ToLocalTime, same_clock
+from wickhinge.routing.purges import Purges, ToLocalTime, assume_same_clock
 from wickhinge.routing.random_source import RandomSource
 from wickhinge.routing.router import Router, RouterSettings
 from wickhinge.routing.slow_start import SlowStart
@@ -109,7 +109,7 @@
 
 
 def build_router(
-    conf: Fields, seed: int, environment: Environment, to_local_time: ToLocalTime = same_clock
+    conf: Fields, seed: int, environment: Environment, to_local_time: ToLocalTime = assume_same_clock
 ) -> tuple[Router, dict[str, RequestClass]]:
     """Return the router and the request classes, by name.
 
