--- a/tests/net/test_crossings.py
+++ b/tests/net/test_crossings.py
@@ -13,7 +13,7 @@
 
 from tests.support.connections import attempts, line
 from tests.support.processes import ROOT, Client
-from tests.support.router_process import SERVED, host
+from tests.support.router_process import OK_FIELDS, endpoint_entry
 from tests.support.routing import end_attempt, make_request_class, make_router, route_request
 from wickhinge.clocks import steady_time
 from wickhinge.fields import MalformedError
@@ -21,10 +21,10 @@
 from wickhinge.net.control import config, endpoint_watch
 from wickhinge.net.downstream import msgpack
 from wickhinge.net.downstream.client_connection import (
-    FIRST_HOLD_S,
+    INITIAL_HOLD_S,
     MAX_OPEN_REQUESTS,
-    MAX_QUEUED_BYTES_OF_ALL,
-    READ_BYTES,
+    MAX_READ_BYTES,
+    MAX_TOTAL_QUEUED_BYTES,
     ClientConnection,
 )
 from wickhinge.net.downstream.client_connections import ClientConnections
@@ -51,28 +51,28 @@
 
 def test_what_waits_for_a_connection_does_not_go_to_a_machine_that_drains_meanwhile(stand):
     made = stand(change=slow)
-    late, client = made.shut(0), made.client()
+    late, client = made.stop_accepting(0), made.client()
     call = client.ask()
     assert client.ping()  # read after it
-    made.drain(0)
-    made.line(1).next().answer("OK", SERVED, b"x")
+    made.drain_endpoint(0)
+    made.accept_connection(1).next_request().answer("OK", OK_FIELDS, b"x")
     assert answered(client, call)
     connection = late()
     assert client.ping()
     made.router.close()
-    assert connection.next() is None
+    assert connection.next_request() is None
 
 
 def test_what_waits_for_a_connection_goes_with_the_age_that_a_purge_told_meanwhile_allows(stand):
     made = stand(change=slow)
-    late, client = made.shut(0), made.client()
+    late, client = made.stop_accepting(0), made.client()
     call = client.ask(budget="6000")
     assert client.ping()
-    made.tell(3, endpoint_watch.OBJECT_PURGE.pack(OBJECT, int(time.time() * 1000) - 1))
+    made.send_event(3, endpoint_watch.OBJECT_PURGE.pack(OBJECT, int(time.time() * 1000) - 1))
     made.router.wait('"event":"purge_applied"')
-    asked = late().next()
+    asked = late().next_request()
     assert int(asked.fields["maxage"]) < 2000  # without a purge it is not named: the fresh time of the tariff
-    asked.answer("OK", SERVED, b"x")
+    asked.answer("OK", OK_FIELDS, b"x")
     assert answered(client, call)
 
 
@@ -80,7 +80,7 @@
 @pytest.mark.parametrize("leaves", ["abort", "close"])
 def test_what_waits_for_a_connection_is_not_sent_when_its_client_has_left(stand, cancel, leaves):
     made = stand(change=lambda conf: slow(conf, cancel=cancel))
-    late, client, other = made.shut(0), made.client(), made.client()
+    late, client, other = made.stop_accepting(0), made.client(), made.client()
     call = client.ask()
     assert client.ping()
     if leaves == "abort":
@@ -92,7 +92,7 @@
     connection = late()
     assert other.ping() and other.ping()
     made.router.close()
-    assert connection.next() is None
+    assert connection.next_request() is None
 
 
 def test_a_second_refusal_under_the_same_id_is_not_taken_for_that_of_a_second_forward(stand):
@@ -100,14 +100,14 @@
     made = stand(change=lambda conf: conf["classes"][1].update(onTimeMs=2900))
     client = made.client()
     call = client.ask("results", b"mark")
-    first = made.line(1)
-    asked = first.next()
+    first = made.accept_connection(1)
+    asked = first.next_request()
     asked.answer("BUSY")
-    again = made.line(1).next()  # on another connection
+    again = made.accept_connection(1).next_request()  # on another connection
     assert again.id == asked.id
     asked.answer("BUSY")
-    for place in (first, again.line):
-        assert place.next(0.9) is None  # nothing waits longer: what waits is looked at each 0.7 s
+    for place in (first, again.connection):
+        assert place.next_request(0.9) is None  # nothing waits longer: what waits is looked at each 0.7 s
     again.answer("OK", "-", b"mark")
     assert answered(client, call)
 
@@ -116,16 +116,16 @@
     made = stand(change=lambda conf: conf["limits"].update(mayDuplicate=False))
     client = made.client()
     call = client.ask()
-    box = made.line(0)
-    asked = box.next()
+    box = made.accept_connection(0)
+    asked = box.next_request()
     asked.answer("MISS")
-    fill = box.next()
+    fill = box.next_request()
     assert "src" in fill.fields
     asked.answer("MISS")
-    fill.answer("OK", SERVED, b"x")
+    fill.answer("OK", OK_FIELDS, b"x")
     assert answered(client, call)
     made.router.close()
-    assert box.next() is None
+    assert box.next_request() is None
 
 
 def test_where_nothing_may_be_given_up_no_word_of_it_goes_out(stand):
@@ -134,9 +134,9 @@
     calls = [client.ask(budget=budget) for budget in ("1200", "1500")]
     for call in calls:  # the first has run out at the machine, too, when the second is answered
         assert client.answer(call)[2][0] == "Overloaded"
-    box = made.line(0)
+    box = made.accept_connection(0)
     made.router.close()
-    assert box.words() == [b"REQ", b"REQ"]
+    assert box.read_message_types() == [b"REQ", b"REQ"]
 
 
 def test_the_mark_of_a_ticketed_visit_goes_with_each_of_its_forwards(stand):
@@ -145,10 +145,10 @@
     )
     client = made.client()
     call = client.ask("results", b"mark", token="d266bfacf2dce431")
-    first = made.line(1).next()
+    first = made.accept_connection(1).next_request()
     assert first.fields["uniq"] == "d266bfacf2dce431"
-    first.line.socket.close()  # it may have run
-    again = made.line(1).next()
+    first.connection.socket.close()  # it may have run
+    again = made.accept_connection(1).next_request()
     assert again.fields["uniq"] == "d266bfacf2dce431" and again.id == first.id
     again.answer("OK", "-", b"mark")
     assert answered(client, call)
@@ -172,7 +172,7 @@
             self.address = place.getsockname()
         self.box = socket.create_server(("127.0.0.1", 0))
         self.box.settimeout(5.0)
-        hosts = [host(0, "origin", self.box)]
+        hosts = [endpoint_entry(0, "origin", self.box)]
         conf |= {
             "listen": "{}:{}".format(*self.address),
             "journal": "127.0.0.1:9",
@@ -250,8 +250,8 @@
     client.socket.sendall(msgpack.pack([0, 1, "ping", [{}]]))
     ended.turn()
     assert client.answer(1)[3][0] is True
-    [made] = ended.node.clients.all
-    assert ended.node.clients.turn_away(made)
+    [made] = ended.node.clients.connections
+    assert ended.node.clients.close_if_idle(made)
     client.socket.settimeout(1.0)
     assert client.socket.recv(1) == b""
 
@@ -267,16 +267,16 @@
         self.written = b""
         clock = SimpleNamespace(
             now=lambda: self.now,
-            after=lambda delay, call, *told: self.soon.append(call),
-            soon=lambda call, *told: self.soon.append(call),
+            call_after=lambda delay, call, *told: self.soon.append(call),
+            call_soon=lambda call, *told: self.soon.append(call),
             arrivals=Arrivals(self.now),
         )
         self.arrivals = clock.arrivals
         requests = RequestLog(lambda *_, **more: None)
         visits = SimpleNamespace(
-            take=self.take,
-            refuse=lambda door: None,
-            gone=lambda door, why: self.gone.append(door),
+            start_request=self.take,
+            reject_for_client_error=lambda door: None,
+            client_left=lambda door, why: self.gone.append(door),
             request_log=requests,
         )
         self.clients = ClientConnections(visits, clock, 9, lambda *_, **more: None)
@@ -311,7 +311,7 @@
         return call
 
     def ask(self, *calls, method="pages", body=b""):
-        self.arrivals.arrived = self.now
+        self.arrivals.earliest_arrival_at = self.now
         self.made.dataReceived(b"".join(msgpack.pack([0, call, method, [{"rid": "a"}, body]]) for call in calls))
 
     def abort(self, call):
@@ -336,9 +336,9 @@
     peer.abort(1)
     peer.abort(4)
     assert [call for call, _ in peer.taken] == [1, 2] and peer.gone == [1] and "pause" not in peer.calls
-    assert peer.made.unread()  # so nobody hangs up on it, and the program does not end
+    assert peer.made.has_unread_requests()  # so nobody hangs up on it, and the program does not end
     peer.now += 0.2
-    peer.clients.resume() if hold == "full" else peer.let(2 * FIRST_HOLD_S)
+    peer.clients.resume() if hold == "full" else peer.let(2 * INITIAL_HOLD_S)
     assert [call for call, _ in peer.taken] == [1, 2, 3, 5] and peer.taken[-1][1] >= 0.2  # its time ran on
     peer.ask(9, method="bad")
     peer.ask(6)
@@ -351,21 +351,21 @@
     peer = Peer()
     peer.ask(9, method="bad")
     peer.ask(1, body=b"x" * 9000)
-    others = peer.clients.kept = MAX_QUEUED_BYTES_OF_ALL - 48_000  # as much as others keep there
+    others = peer.clients.queued_bytes = MAX_TOTAL_QUEUED_BYTES - 48_000  # as much as others keep there
     peer.ask(2, body=b"x" * 40_000)
     for call in range(30, 50):
         peer.ask(call, body=b"x" * 40_000)
-    assert list(peer.made.later) == [1, 2] and peer.written.count(b"Overloaded") == 20
-    assert peer.clients.kept <= MAX_QUEUED_BYTES_OF_ALL
+    assert list(peer.made.queued_requests) == [1, 2] and peer.written.count(b"Overloaded") == 20
+    assert peer.clients.queued_bytes <= MAX_TOTAL_QUEUED_BYTES
     peer.abort(2)
     peer.ask(3, body=b"x" * 40_000)
-    assert list(peer.made.later) == [1, 3] and peer.calls == []  # read on all the time
+    assert list(peer.made.queued_requests) == [1, 3] and peer.calls == []  # read on all the time
     peer.let(5.0)
-    assert [call for call, _ in peer.taken] == [1, 3] and peer.made.kept == 0
-    assert peer.clients.kept < others
+    assert [call for call, _ in peer.taken] == [1, 3] and peer.made.queued_bytes == 0
+    assert peer.clients.queued_bytes < others
     peer.ask(10, method="bad")
     peer.ask(*range(20, 20 + MAX_OPEN_REQUESTS))
-    assert "abort" in peer.calls and not peer.made.later
+    assert "abort" in peer.calls and not peer.made.queued_requests
 
 
 def test_what_one_read_leaves_in_the_socket_is_read_before_anything_begins():
@@ -373,9 +373,9 @@
     peer.now += 1.0  # all that came before has been read, as far as the loop knows
     requests = [msgpack.pack([0, call, "pages", [{"rid": "a"}, b"x" * 47_000]]) for call in (1, 2)]
     data = b"".join(requests)
-    unread = [data[READ_BYTES:] + msgpack.pack([2, "abort", [1]])]
+    unread = [data[MAX_READ_BYTES:] + msgpack.pack([2, "abort", [1]])]
     peer.made.socket.recv = lambda size: unread.pop() if unread else peer.nothing(size)
-    peer.made.dataReceived(data[:READ_BYTES])
+    peer.made.dataReceived(data[:MAX_READ_BYTES])
     assert not unread and [call for call, _ in peer.taken] == [2]
 
 
@@ -395,7 +395,7 @@
     peer.now += since
     peer.clients.sweep()
     assert ("close" in peer.calls) is fails
-    assert list(peer.made.later) == ([] if fails else [1])
+    assert list(peer.made.queued_requests) == ([] if fails else [1])
 
 
 # Connections to machines, without a socket.
@@ -404,15 +404,23 @@
 @pytest.mark.parametrize("room", [0, 4])
 def test_what_is_not_wholly_written_when_its_visit_is_over_never_becomes_a_request(room):
     made, ends, soon, _ = line(room)
-    forwards = attempts(made.caches)
-    made.caches.report_to(SimpleNamespace(begin=forwards.begin, answered=forwards.answered, ended=ends.__setitem__))
+    forwards = attempts(made.pools)
+    made.pools.set_owner(
+        SimpleNamespace(
+            build_frame=forwards.build_frame,
+            response_received=forwards.response_received,
+            attempt_ended=ends.__setitem__,
+        )
+    )
     door = SimpleNamespace(trace=RequestTrace(0.0, 0.0))
     number = forwards.slots.put(SentAttempt(door, None, SimpleNamespace(mark=1), 0.0, 1.0))
     sent = forwards.slots.get(number)
-    sent.line, sent.tag = made, b"a"
+    sent.connection, sent.tag = made, b"a"
     made.send(b"a", number, resp.pack(b"REQ", b"a", b"-", b""))
     forwards.recall(number)
-    assert (not made.queue) is (room == 0)  # begun, it may go on after a drain was told: its first byte went before
+    assert (not made.write_queue) is (
+        room == 0
+    )  # begun, it may go on after a drain was told: its first byte went before
     forwards.recall(number, True)
     made.socket.room = 1 << 20
     made.resumeProducing()
@@ -424,7 +432,7 @@
     made, ends, _, _ = line(0)
     made.send(b"a", 1, b"x")
     made.dataReceived(resp.pack(b"a", b"BUSY", b"-", b""))
-    assert ends == {} and made.open == {b"a": 1} and made.queue
+    assert ends == {} and made.pending == {b"a": 1} and made.write_queue
 
 
 def test_an_answer_that_trickles_on_after_its_visit_holds_no_other_up_for_long():
@@ -434,60 +442,60 @@
     made.dataReceived(resp.pack(b"a", b"OK", b"-", b"x" * 500)[:-99])
     for turn in range(12):
         if turn == 4:
-            made.stop(b"a", 100.0)
-        call, told = next(item for item in soon if item[0] == made.watch)
+            made.cancel(b"a", 100.0)
+        call, told = next(item for item in soon if item[0] == made.check_progress)
         soon.clear()
         now[0] += 0.2
         made.dataReceived(b"x")
         call(*told)
         if turn == 3:
-            assert not made.doubted and ends == {}  # slow, but somebody waits for it
-        if made.down:
+            assert not made.is_suspect and ends == {}  # slow, but somebody waits for it
+        if made.has_ended:
             break
-    assert ends == {2: AttemptResult.UNREADABLE} and 9 <= turn <= 10 and made.caches.pool.out == 0
+    assert ends == {2: AttemptResult.UNREADABLE} and 9 <= turn <= 10 and made.pools.buffer_pool.in_use == 0
 
 
 def test_an_id_is_not_used_again_where_a_late_answer_came_for_it():
     made, *_ = line()
     made.send(b"a", 1, b"x")
-    made.stop(b"a", 100.0)
+    made.cancel(b"a", 100.0)
     made.dataReceived(resp.pack(b"a", b"OK", b"-", b""))  # and once more, some milliseconds later
-    assert b"a" in made.left
+    assert b"a" in made.used_tags
 
 
 @pytest.mark.parametrize("word, again", [(b"MISS", True), (b"BUSY", False), (b"ERR", False), (b"VOID", False)])
 def test_after_what_answer_a_visit_may_come_again_on_the_same_connection(word, again):
     made, *_ = line()
-    forwards = attempts(made.caches)
-    forwards.ended = lambda *_: None
+    forwards = attempts(made.pools)
+    forwards.attempt_ended = lambda *_: None
     door = DownstreamRequest(SimpleNamespace(taken=1), None, 1, "a", make_request_class(), 0.0)
     number = forwards.slots.put(SentAttempt(door, None, None, 0.0, 1.0))
-    forwards.slots.get(number).line, forwards.slots.get(number).tag = made, b"a"
-    assert forwards.answered(number, word, b"-", None)
-    assert (b"a" not in made.left) is again
+    forwards.slots.get(number).connection, forwards.slots.get(number).tag = made, b"a"
+    assert forwards.response_received(number, word, b"-", None)
+    assert (b"a" not in made.used_tags) is again
 
 
 @pytest.mark.parametrize("held, again", [(False, True), (True, False)])
 def test_what_a_source_holds_is_not_asked_for_where_the_look_missed(held, again):
     """A fill cannot end as a miss, an ask for what is held can: the look's miss, come twice, would be taken for it."""
     made, *_ = line()
-    forwards = attempts(made.caches)
-    forwards.ended = lambda *_: None
+    forwards = attempts(made.pools)
+    forwards.attempt_ended = lambda *_: None
     door, cache = (
         DownstreamRequest(SimpleNamespace(taken=1), None, 1, "a", make_request_class(), 0.0),
         SimpleNamespace(id=1),
     )
-    door.until = 200.0
+    door.deadline = 200.0
     number = forwards.slots.put(SentAttempt(door, None, cache, 0.0, 1.0))
-    forwards.slots.get(number).line, forwards.slots.get(number).tag = made, b"a"
-    assert forwards.answered(number, b"MISS", b"-", None)
-    made.caches.most = 0  # no other connection may be made, so none takes it
+    forwards.slots.get(number).connection, forwards.slots.get(number).tag = made, b"a"
+    assert forwards.response_received(number, b"MISS", b"-", None)
+    made.pools.max_connections = 0  # no other connection may be made, so none takes it
     source = SimpleNamespace(id=2)
     request = SimpleNamespace(local_copy=None, router=SimpleNamespace(endpoints=SimpleNamespace(edge_caches=[])))
     forward = Attempt(request, cache, source, 0.0, only_if_cached=held)
     parameters = AttemptParameters(forward, cache, 200.0, source, 1, None, False, held, False)
     forwards.send(door, parameters)
-    assert (b"a" in made.open) is again
+    assert (b"a" in made.pending) is again
 
 
 # Settings in which something is not allowed, or 0.
--- a/tests/net/test_descriptors.py
+++ b/tests/net/test_descriptors.py
@@ -21,18 +21,18 @@
 
 from tests.support.connections import Wire, pool
 from tests.support.processes import PATIENT
-from tests.support.router_process import SERVED, Stand
+from tests.support.router_process import OK_FIELDS, RouterHarness
 from wickhinge.net.downstream import msgpack
 from wickhinge.net.downstream.client_connections import ClientConnections
 from wickhinge.net.downstream.descriptors import (
-    ACCEPTED_AT_ONCE,
-    BACK_OFF,
-    CLOSING,
-    RESERVED,
-    SHED_AT_ONCE,
-    WATCH,
+    CLOSING_DESCRIPTORS,
+    LIMIT_REDUCTION,
+    MAX_ACCEPTS_PER_TURN,
+    MAX_CLOSES_PER_STEP,
+    RESERVED_DESCRIPTORS,
+    WATCH_DESCRIPTORS,
     Admission,
-    bounds,
+    descriptor_limits,
 )
 from wickhinge.net.downstream.listener import Listener
 from wickhinge.net.runtime.arrivals import Arrivals
@@ -58,7 +58,7 @@
         others = [os.open(os.devnull, os.O_RDONLY) for _ in range(held_by_others)]
         try:
             made.append(
-                Stand(
+                RouterHarness(
                     tmp_path,
                     change=lambda conf: conf["limits"].update(connectTimeoutMs=400),
                     limits={"memory_mb": 64, "sockets": limit},
@@ -114,27 +114,27 @@
 
 def service_goes(made):
     """The discovery service ends, and its address refuses."""
-    address = made.service.getsockname()
-    made.service.close()
-    made.journal.close()
+    address = made.discovery_listener.getsockname()
+    made.discovery_listener.close()
+    made.watch_connection.close()
     made.router.wait("endpoint_watch_lost")
     return address
 
 
 def service_returns(made, address):
     """Seconds from its return until the router has come back to it with its last number."""
-    made.service = made.stack.enter_context(socket.create_server(address))
-    made.service.settimeout(PATIENT)
+    made.discovery_listener = made.stack.enter_context(socket.create_server(address))
+    made.discovery_listener.settimeout(PATIENT)
     start = time.monotonic()
-    made.journal = made.take(made.service)
-    assert int.from_bytes(made.journal.recv(8)) == made.number
+    made.watch_connection = made.accept_on(made.discovery_listener)
+    assert int.from_bytes(made.watch_connection.recv(8)) == made.last_event_number
     return time.monotonic() - start
 
 
 def visit_is_served(made, client):
     call = client.ask()
-    asked = made.line(0).next()
-    asked.answer("OK", SERVED, b"x")
+    asked = made.accept_connection(0).next_request()
+    asked.answer("OK", OK_FIELDS, b"x")
     kind, _, error, _ = client.answer(call)
     return kind == 1 and error is None
 
@@ -142,8 +142,8 @@
 @pytest.mark.parametrize("limit", LIMITS)
 def test_who_comes_while_idle_clients_fill_the_descriptors_is_answered(stand, limit):
     """All machines' descriptors are held as well. Many connect in one turn, as after a pause of the router."""
-    most, new_clients = bounds(limit), 120
-    made = stand(limit, held_by_others=most.machines)
+    most, new_clients = descriptor_limits(limit), 120
+    made = stand(limit, held_by_others=most.upstream)
     address = service_goes(made)
     without_clients = descriptors(made)
     idle = []
@@ -159,10 +159,10 @@
         counts.append(descriptors(made))
         assert answered(client)
     assert max(counts) <= without_clients + most.clients + 1  # a try to reach the discovery service
-    assert max(counts) < limit - CLOSING
+    assert max(counts) < limit - CLOSING_DESCRIPTORS
     closed = [client in readable([client]) for client in idle]
     shed = closed.index(False)
-    assert new_clients <= shed < new_clients + SHED_AT_ONCE and not any(closed[shed:])  # the oldest, and no more
+    assert new_clients <= shed < new_clients + MAX_CLOSES_PER_STEP and not any(closed[shed:])  # the oldest, and no more
     assert visit_is_served(made, new[-1])
     assert service_returns(made, address) < RECONNECT_WITHIN
 
@@ -170,12 +170,12 @@
 @pytest.mark.parametrize("limit", LIMITS)
 def test_where_others_hold_more_than_promised_idle_clients_make_room(stand, limit):
     """The system has no descriptor for a connection that it has accepted, though the budget has."""
-    most = bounds(limit)
-    made = stand(limit, held_by_others=most.machines + 2 * RESERVED)
+    most = descriptor_limits(limit)
+    made = stand(limit, held_by_others=most.upstream + 2 * RESERVED_DESCRIPTORS)
     address = service_goes(made)
     clients = connect_and_ping(made, most.clients)
     assert all(answered(client) for client in clients)
-    assert descriptors(made) <= limit - WATCH
+    assert descriptors(made) <= limit - WATCH_DESCRIPTORS
     assert visit_is_served(made, clients[-1])
     assert service_returns(made, address) < RECONNECT_WITHIN
 
@@ -185,33 +185,33 @@
     """Each client has a visit open, so that none may be hung up on, and the listener stays readable."""
     made = stand(SMALL, system_limit=system_limit)
     clients = []
-    while len(clients) < bounds(SMALL).clients:
+    while len(clients) < descriptor_limits(SMALL).clients:
         client = made.client()
         client.visit = client.ask(budget="6000")
         if system_limit < SMALL and descriptors(made) >= system_limit - 1:
             break
         clients.append(client)
-    box = made.line(0)
-    first = box.next()
+    box = made.accept_connection(0)
+    first = box.next_request()
     new = connect_and_ping(made, 3)
     start = cpu_time(made)
     assert readable(new, WATCHED) == []  # neither answered nor closed
     assert cpu_time(made) - start < WATCHED * SPINNING
     clients.pop().socket.close()  # a descriptor is free
     assert all(answered(client) for client in new)  # the new ones make room for one another once they are answered
-    first.answer("OK", SERVED, b"x")
+    first.answer("OK", OK_FIELDS, b"x")
     assert readable(clients, PATIENT)
 
 
 def test_a_client_with_its_answer_makes_room_for_one_that_waits(stand):
     made = stand(SMALL)
-    clients = [made.client() for _ in range(bounds(SMALL).clients)]
+    clients = [made.client() for _ in range(descriptor_limits(SMALL).clients)]
     calls = [client.ask(budget="6000") for client in clients]
-    box = made.line(0)
-    asked = box.next()
+    box = made.accept_connection(0)
+    asked = box.next_request()
     [new] = connect_and_ping(made, 1)
     assert readable([new], 0.1) == []
-    asked.answer("OK", SERVED, b"x")
+    asked.answer("OK", OK_FIELDS, b"x")
     assert answered(new)
     [served] = readable(clients)
     assert served.answer(calls[clients.index(served)])[2] is None
@@ -222,62 +222,62 @@
 
 @pytest.mark.parametrize("limit", [SMALL, 256, 384, 512, 640, 672, 1024])
 def test_the_roles_never_hold_more_than_the_limit(limit):
-    most = bounds(limit)
-    assert most.machines + most.clients + RESERVED == limit
-    assert most.machines == limit // 3 <= most.clients or limit == SMALL
+    most = descriptor_limits(limit)
+    assert most.upstream + most.clients + RESERVED_DESCRIPTORS == limit
+    assert most.upstream == limit // 3 <= most.clients or limit == SMALL
 
 
 def test_connections_being_closed_count_until_their_descriptors_are_free():
     admission = Admission(100)
     for _ in range(100):
-        admission.accepted()
-    assert admission.room() == 0
-    assert admission.to_shed() == 1
-    admission.shed(1)
-    assert admission.room() == 0  # the one that was hung up on is not closed yet
-    admission.closed()
-    assert admission.room() == 1
+        admission.connection_accepted()
+    assert admission.available_count() == 0
+    assert admission.close_count_for_room() == 1
+    admission.clients_closed(1)
+    assert admission.available_count() == 0  # the one that was hung up on is not closed yet
+    admission.descriptor_freed()
+    assert admission.available_count() == 1
 
 
 def test_more_are_shed_each_time_as_long_as_connections_wait():
     admission = Admission(100)
     for _ in range(100):
-        admission.accepted()
+        admission.connection_accepted()
     steps = []
     for _ in range(7):
-        steps.append(admission.to_shed())
-        admission.shed(steps[-1])
+        steps.append(admission.close_count_for_room())
+        admission.clients_closed(steps[-1])
         for _ in range(steps[-1]):
-            admission.closed()
-            admission.accepted()
+            admission.descriptor_freed()
+            admission.connection_accepted()
     assert steps == [1, 2, 4, 8, 16, 16, 16]
-    admission.drained()
-    assert admission.to_shed() == 1
+    admission.backlog_emptied()
+    assert admission.close_count_for_room() == 1
 
 
 def test_one_that_ended_by_itself_and_holds_its_descriptor_on_does_not_keep_others_from_going(listening):
     """As one that still has to take an answer: others make room all the same."""
     made, connect, _ = listening
     client = fill(made, connect)
-    made.clients.forget(client)
-    assert made.admission.held == 1 and made.admission.to_shed() == 1
+    made.clients.client_disconnected(client)
+    assert made.admission.open_descriptors == 1 and made.admission.close_count_for_room() == 1
 
 
 def test_a_turn_accepts_few_and_a_system_without_descriptors_lowers_the_bound_for_a_time():
     admission = Admission(100)
-    assert admission.room() == ACCEPTED_AT_ONCE
+    assert admission.available_count() == MAX_ACCEPTS_PER_TURN
     for _ in range(60):
-        admission.accepted()
-    admission.refused_by_system()
-    assert admission.room() == 0 and admission.to_shed() == BACK_OFF + 1
-    for _ in range(BACK_OFF):
-        admission.recover()
-    assert admission.room() == 0
-    admission.recover()
-    assert admission.room() == 1
+        admission.connection_accepted()
+    admission.system_limit_reached()
+    assert admission.available_count() == 0 and admission.close_count_for_room() == LIMIT_REDUCTION + 1
+    for _ in range(LIMIT_REDUCTION):
+        admission.raise_limit()
+    assert admission.available_count() == 0
+    admission.raise_limit()
+    assert admission.available_count() == 1
     for _ in range(100):
-        admission.recover()
-    assert admission.allowed == 100
+        admission.raise_limit()
+    assert admission.current_limit == 100
 
 
 def test_a_client_that_has_not_taken_its_answer_is_not_idle():
@@ -288,11 +288,11 @@
     class Named(SimpleNamespace):
         __hash__ = object.__hash__
 
-    client = Named(open=(), later=(), out=(), ended=False, full=True)
-    clients.settle(client)
+    client = Named(open_requests=(), queued_requests=(), write_queue=(), has_ended=False, is_write_blocked=True)
+    clients.update_idle(client)
     assert not clients.idle
-    client.full = False
-    clients.settle(client)
+    client.is_write_blocked = False
+    clients.update_idle(client)
     assert client in clients.idle
 
 
@@ -311,8 +311,8 @@
     soon = []
     clock = SimpleNamespace(
         now=lambda: 100.0,
-        after=lambda *_: None,
-        soon=lambda call, *told: soon.append(call),
+        call_after=lambda *_: None,
+        call_soon=lambda call, *told: soon.append(call),
         arrivals=Arrivals(0.0),
     )
     clients = ClientConnections(None, clock, 1, lambda *_, **more: None)
@@ -340,7 +340,7 @@
     assert made in made.reactor.read
     made.doRead()
     assert made not in made.reactor.read
-    [client] = made.clients.all
+    [client] = made.clients.connections
     return client
 
 
@@ -350,22 +350,22 @@
     client.transport.connectionLost(Failure(ConnectionDone()))
     assert made in made.reactor.read
     made.doRead()
-    assert len(made.clients.all) == 1 and client not in made.clients.all
-    assert made.admission.held == 1
+    assert len(made.clients.connections) == 1 and client not in made.clients.connections
+    assert made.admission.open_descriptors == 1
 
 
 def test_accept_looks_again_as_soon_as_a_client_rests(listening):
     made, connect, soon = listening
     client = fill(made, connect)
-    made.clients.read(client, True)  # it had its answer
+    made.clients.data_received(client, True)  # it had its answer
     assert made not in made.reactor.read  # not within a call of its own
     [make_room, look] = soon
     soon.clear()
     make_room()  # as nobody rested yet; now one does
-    assert client.ended and made.admission.held == 0 and made in made.reactor.read
+    assert client.has_ended and made.admission.open_descriptors == 0 and made in made.reactor.read
     look()
     made.doRead()
-    assert len(made.clients.all) == 1 == made.admission.held
+    assert len(made.clients.connections) == 1 == made.admission.open_descriptors
 
 
 def test_where_nobody_can_go_the_next_step_is_one_again(listening):
@@ -375,7 +375,7 @@
     for _ in range(5):
         made.resume()
         made.doRead()
-    assert made.admission.step == 1
+    assert made.admission.next_close_count == 1
 
 
 def test_a_sweep_looks_again_once(listening):
@@ -398,8 +398,8 @@
     made.socket = SimpleNamespace(accept=accept, fileno=made.socket.fileno)
     made.doRead()
     assert made not in made.reactor.read
-    made.clients.look_again()
-    made.clients.looked_again()
+    made.clients.schedule_listener_resume()
+    made.clients.resume_listener()
     assert made in made.reactor.read
 
 
@@ -413,26 +413,26 @@
             raise ends.pop()
         return real.accept()
 
-    made.admission.allowed = 2
+    made.admission.current_limit = 2
     made.socket = SimpleNamespace(accept=accept, fileno=real.fileno)
     made.doRead()
-    assert len(made.clients.all) == 1
+    assert len(made.clients.connections) == 1
 
 
 def test_a_fault_with_one_connection_does_not_close_the_listener(listening):
     made, connect, _ = listening
     faults = []
-    made.clients.visits = SimpleNamespace(fault=faults.append)
-    made.clients.came = lambda client: 1 / 0
+    made.clients.request_table = SimpleNamespace(fault=faults.append)
+    made.clients.client_connected = lambda client: 1 / 0
     aborted = []
     made.reactor.callLater = lambda delay, call, *told: aborted.append((call, told))
     connect()
     made.doRead()
     assert faults == ["accept"] and made in made.reactor.read
     [(call, told)] = aborted
-    assert made.admission.held == 1
+    assert made.admission.open_descriptors == 1
     call(*told)
-    assert made.admission.held == 0
+    assert made.admission.open_descriptors == 0
 
 
 class Connecting:
@@ -444,22 +444,22 @@
 
 def caches_with(most, machines):
     clock = SimpleNamespace(
-        now=lambda: clock.time, after=lambda *_: None, soon=lambda *_: None, time=100.0, reactor=Connecting()
+        now=lambda: clock.time, call_after=lambda *_: None, call_soon=lambda *_: None, time=100.0, reactor=Connecting()
     )
     made = ConnectionPools(clock, pool()[0], PoolSettings(0.4, 15.0, 100, most), lambda *_, **more: None)
     for mark in range(machines):
-        made.listed(mark, str(mark), ("127.0.0.1", 1))
+        made.add_or_move(mark, str(mark), ("127.0.0.1", 1))
     return made, clock
 
 
 def connected(caches, clock, mark):
     """A connection to a machine that is up, with nothing open."""
     clock.time += 1.0
-    line = caches.machines[mark].send(b"a", mark, b"")
+    line = caches.pools_by_id[mark].send(b"a", mark, b"")
     line.transport = Wire()
     line.transport.getHandle = lambda: line.transport
     line.connectionMade()
-    line.open.clear()
+    line.pending.clear()
     return line
 
 
@@ -467,13 +467,13 @@
     """Before, the attempt and the probe had no descriptor as long as other machines' connections rested."""
     caches, clock = caches_with(3, machines=4)
     lines = [connected(caches, clock, mark) for mark in range(3)]
-    lines[0].open[b"b"] = 9  # in use
-    attempt = caches.machines[3].send(b"c", 10, b"")
-    assert attempt is not None and caches.machines[3].lines == [attempt]
-    assert [line.closing for line in lines] == [False, True, False]
-    assert caches.held == 4  # the one that goes is not closed yet
+    lines[0].pending[b"b"] = 9  # in use
+    attempt = caches.pools_by_id[3].send(b"c", 10, b"")
+    assert attempt is not None and caches.pools_by_id[3].connections == [attempt]
+    assert [line.is_closing for line in lines] == [False, True, False]
+    assert caches.open_descriptors == 4  # the one that goes is not closed yet
     lines[1].connectionLost(SimpleNamespace(getErrorMessage=str))
-    assert caches.held == 3
+    assert caches.open_descriptors == 3
 
 
 def test_a_line_whose_peer_takes_nothing_gives_its_descriptor_back():
@@ -481,7 +481,7 @@
     caches, clock = caches_with(3, machines=1)
     line = connected(caches, clock, 0)
     line.transport.room = 0
-    line.put(b"", b"STOP")
+    line.enqueue(b"", b"STOP")
     line.close()
     assert "abortConnection" in line.transport.calls and "loseConnection" not in line.transport.calls
 
@@ -493,7 +493,7 @@
         deadlines = Deadlines(reactor, [].append)
         caches = ConnectionPools(deadlines, pool()[0], PoolSettings(5.0, 15.0, 100, 3), lambda *_, **more: None)
         for mark, place in enumerate(places):
-            caches.listed(mark, str(mark), place.getsockname())
+            caches.add_or_move(mark, str(mark), place.getsockname())
 
         def until(told):
             end = time.monotonic() + PATIENT
@@ -503,17 +503,17 @@
 
         def exchange(mark):
             """A request and its answer on a new connection, as the machine has it."""
-            line = caches.machines[mark].send(b"%d" % mark, mark, resp.pack(b"REQ", b"%d" % mark, b"-", b""))
-            until(lambda: line.up)
+            line = caches.pools_by_id[mark].send(b"%d" % mark, mark, resp.pack(b"REQ", b"%d" % mark, b"-", b""))
+            until(lambda: line.is_up)
             made = stack.enter_context(places[mark].accept()[0])
             made.settimeout(PATIENT)
             assert b"REQ" in made.recv(4096)
             made.sendall(resp.pack(b"%d" % mark, b"OK", b"-", b""))
-            until(lambda: not line.open)
+            until(lambda: not line.pending)
             return made
 
         peers = [exchange(mark) for mark in range(4)]
-        until(lambda: caches.held == 3)
+        until(lambda: caches.open_descriptors == 3)
         assert peers[0].recv(1) == b""  # the first was closed
         for peer in peers[1:]:
             peer.setblocking(False)
@@ -525,9 +525,9 @@
     caches, clock = caches_with(3, machines=20)
     for mark in range(3):
         connected(caches, clock, mark)
-    attempts = [caches.machines[mark].send(b"c", mark, b"") for mark in range(3, 20)]
+    attempts = [caches.pools_by_id[mark].send(b"c", mark, b"") for mark in range(3, 20)]
     assert sum(attempt is not None for attempt in attempts) == 3  # none of those in use goes for another
-    assert caches.held == 6 <= caches.most + CLOSING
-    caches.held = caches.most + CLOSING
-    caches.machines[3].lines.clear()
-    assert caches.machines[3].send(b"d", 30, b"") is None
+    assert caches.open_descriptors == 6 <= caches.max_connections + CLOSING_DESCRIPTORS
+    caches.open_descriptors = caches.max_connections + CLOSING_DESCRIPTORS
+    caches.pools_by_id[3].connections.clear()
+    assert caches.pools_by_id[3].send(b"d", 30, b"") is None
--- a/tests/net/test_net.py
+++ b/tests/net/test_net.py
@@ -27,8 +27,13 @@
 from wickhinge.net.runtime.loop import Reactor
 from wickhinge.net.runtime.slots import Slots
 from wickhinge.net.upstream import resp
-from wickhinge.net.upstream.attempt_results import OUTCOMES_BY_RESULT, RESULTS_BY_STATUS, AttemptResult, unconnected
-from wickhinge.net.upstream.attempts import NOTES, SentAttempt
+from wickhinge.net.upstream.attempt_results import (
+    OUTCOMES_BY_RESULT,
+    RESULTS_BY_STATUS,
+    AttemptResult,
+    connect_failure_result,
+)
+from wickhinge.net.upstream.attempts import CACHE_STATUS_BY_CODE, SentAttempt
 from wickhinge.net.upstream.connection_pools import ConnectionPools, PoolSettings, UpstreamConnection
 
 
@@ -143,8 +148,8 @@
     ],
 )
 def test_fields_of_answers(data, fields):
-    assert resp.fields(data) == fields
-    assert resp.loads(fields.get("use", "")) == ({"x1": 0.5} if "use" in fields else {})
+    assert resp.parse_fields(data) == fields
+    assert resp.parse_load_report(fields.get("use", "")) == ({"x1": 0.5} if "use" in fields else {})
 
 
 def frame(number, kind, payload=b""):
@@ -163,8 +168,8 @@
     )
     for split in range(len(data) + 1):
         made, told = reading()
-        made.read(made.connection, data[:split])
-        made.read(made.connection, data[split:])
+        made.receive_data(made.connection, data[:split])
+        made.receive_data(made.connection, data[split:])
         assert (
             told == [(True, endpoint_watch.endpoint_records(RECORD)), (9, 0, 8), (None, 17, 6)]
             and made.last_number == 43
@@ -176,14 +181,14 @@
 )
 def test_journal_never_guesses_over_a_gap_or_a_bad_frame(data):
     made, told = reading()
-    made.read(made.connection, data)
+    made.receive_data(made.connection, data)
     assert told == ["dropped"] and made.last_number == 40 and made.connection is None
 
 
 def test_an_event_written_twice_is_heard_once_and_costs_nothing():
     made, told = reading()
     for number in (40, 41, 41, 42, 41):
-        made.read(made.connection, frame(number, 4, endpoint_watch.GROUP_PURGE.pack(number, 6)))
+        made.receive_data(made.connection, frame(number, 4, endpoint_watch.GROUP_PURGE.pack(number, 6)))
     assert told == [(None, 41, 6), (None, 42, 6)] and made.last_number == 42
 
 
@@ -191,10 +196,10 @@
     made, told = reading()
     made.reactor = SimpleNamespace(connectTCP=lambda host, port, *_, **__: told.append(port))
     old = made.connection
-    made.move(("127.0.0.1", 9))
-    made.lost(old, "closed")
-    made.read(old, frame(41, 4, endpoint_watch.GROUP_PURGE.pack(41, 6)))
-    made.move(("127.0.0.1", 9))
+    made.change_address(("127.0.0.1", 9))
+    made.handle_lost(old, "closed")
+    made.receive_data(old, frame(41, 4, endpoint_watch.GROUP_PURGE.pack(41, 6)))
+    made.change_address(("127.0.0.1", 9))
     assert told == ["dropped", 9] and made.last_number == 40
 
 
@@ -220,33 +225,33 @@
     }
     assert never == {
         AttemptResult.REFUSED,
-        AttemptResult.NO_CONNECT,
-        AttemptResult.RESET_NEW,
+        AttemptResult.CONNECT_FAILED,
+        AttemptResult.RESET_WHILE_CONNECTING,
         AttemptResult.NO_DESCRIPTOR,
-        AttemptResult.NOT_BEGUN,
+        AttemptResult.CONNECT_NOT_STARTED,
         AttemptResult.NO_ROUTE,
         AttemptResult.LOST_UNWRITTEN,
         AttemptResult.RECALLED,
         AttemptResult.BUSY,
         AttemptResult.MISS,
-        AttemptResult.VOID,
+        AttemptResult.SUPERSEDED,
     }
-    assert b"".join(NOTES) == b"hfojsrblnx"
+    assert b"".join(CACHE_STATUS_BY_CODE) == b"hfojsrblnx"
 
 
 @pytest.mark.parametrize(
     "reason, end",
     [
         (error.ConnectionRefusedError(), AttemptResult.REFUSED),
-        (error.TimeoutError(), AttemptResult.NO_CONNECT),
-        (error.ConnectingCancelledError(None), AttemptResult.NO_CONNECT),
+        (error.TimeoutError(), AttemptResult.CONNECT_FAILED),
+        (error.ConnectingCancelledError(None), AttemptResult.CONNECT_FAILED),
         (error.ConnectBindError(), AttemptResult.NO_DESCRIPTOR),
-        (error.NoRouteError(), AttemptResult.NO_CONNECT),
-        (error.ConnectError(osError=104), AttemptResult.RESET_NEW),
+        (error.NoRouteError(), AttemptResult.CONNECT_FAILED),
+        (error.ConnectError(osError=104), AttemptResult.RESET_WHILE_CONNECTING),
     ],
 )
 def test_why_no_connection_came_up(reason, end):
-    assert unconnected(Failure(reason)) is end
+    assert connect_failure_result(Failure(reason)) is end
 
 
 class Clock:
@@ -266,11 +271,11 @@
 def test_deadlines_share_one_timer_come_in_order_and_outlive_a_fault():
     clock, called, faults = Clock(), [], []
     deadlines = Deadlines(clock, faults.append)
-    deadlines.after(-1.0, called.append, "b")
-    deadlines.after(-2.0, called.append, "a")
-    deadlines.after(-1.5, lambda: 1 / 0)
-    deadlines.after(-0.5, lambda: deadlines.soon(called.append, "next turn"))
-    deadlines.after(60.0, called.append, "later")
+    deadlines.call_after(-1.0, called.append, "b")
+    deadlines.call_after(-2.0, called.append, "a")
+    deadlines.call_after(-1.5, lambda: 1 / 0)
+    deadlines.call_after(-0.5, lambda: deadlines.call_soon(called.append, "next turn"))
+    deadlines.call_after(60.0, called.append, "later")
     deadlines.fire()
     assert called == ["a", "b"] and faults == ["deadline"]
     deadlines.fire()
@@ -283,7 +288,7 @@
     made, ends, soon, _ = line(room)
     made.send(b"a", 1, resp.pack(b"REQ"))
     made.send(b"b", 2, resp.pack(b"REQ"))
-    made.stop(b"a", 100.0)
+    made.cancel(b"a", 100.0)
     made.socket.room = 1 << 20
     made.resumeProducing()
     made.resumeProducing()
@@ -293,7 +298,7 @@
         call(*told)
         assert ends == {2: AttemptResult.LOST_UNWRITTEN} and "abortConnection" in made.socket.calls
     else:
-        assert made.socket.data == resp.pack(b"REQ") and not made.unwritten
+        assert made.socket.data == resp.pack(b"REQ") and not made.unwritten_tags
 
 
 @pytest.mark.parametrize(
@@ -315,19 +320,30 @@
     class Named:
         """A client that tells when it is hung up on."""
 
-        came_since = rests = lambda self: True
+        earliest_unread_arrival = is_idle = lambda self: True
 
-    for name, table, since in (("silent", clients.silent, silent), ("idle", clients.idle, idle)):
+    for name, table, since in (("silent", clients.without_request, silent), ("idle", clients.idle, idle)):
         if since is not None:
             made = Named()
-            made.open, made.out, made.later, made.full, made.ended = (), (), (), False, False
+            made.open_requests, made.write_queue, made.queued_requests, made.is_write_blocked, made.has_ended = (
+                (),
+                (),
+                (),
+                False,
+                False,
+            )
             # What lies unread is a request, as its socket is read.
-            made.read_all = lambda _, gone=made, since=since: since < 0 and setattr(gone, "rests", lambda: False)
-            made.close = made.fail = lambda *_, gone=made, what=name: (ended.append(what), clients.forget(gone))
-            clients.all.add(made)
+            made.read_all_pending = lambda _, gone=made, since=since: since < 0 and setattr(
+                gone, "is_idle", lambda: False
+            )
+            made.close_unless_unread = made.fail = lambda *_, gone=made, what=name: (
+                ended.append(what),
+                clients.client_disconnected(gone),
+            )
+            clients.connections.add(made)
             table[made] = 100.0 - since
-    clients.all.update(range(2 - len(clients.all)))
-    assert clients.shed(1) == len(goes)
+    clients.connections.update(range(2 - len(clients.connections)))
+    assert clients.close_idle_clients(1) == len(goes)
     assert ended == goes
 
 
@@ -335,16 +351,16 @@
 def test_a_machine_silent_on_one_connection_is_not_asked_on_its_others(heard, doubted):
     """Each would have to be found silent by itself, by visits that run out of time."""
     made, _, _, now = line()
-    other = UpstreamConnection(made.machine)
-    made.machine.lines.append(other)
-    other.up, other.transport, other.socket = True, Wire(), Wire()
+    other = UpstreamConnection(made.pool)
+    made.pool.connections.append(other)
+    other.is_up, other.transport, other.socket = True, Wire(), Wire()
     other.send(b"b", 2, b"x")
     now[0] += 0.1
     made.send(b"a", 1, b"x")
-    other.heard += heard
+    other.last_received_at += heard
     now[0] += 0.5
-    made.stop(b"a", 100.1)
-    assert made.doubted and other.doubted is doubted
+    made.cancel(b"a", 100.1)
+    assert made.is_suspect and other.is_suspect is doubted
 
 
 def test_an_answer_that_stops_short_ends_its_connection():
@@ -359,16 +375,16 @@
     assert ends == {}
     del made.socket.recv
     call(*told)
-    assert ends == {1: AttemptResult.UNREADABLE, 2: AttemptResult.UNREADABLE} and made.caches.pool.out == 0
+    assert ends == {1: AttemptResult.UNREADABLE, 2: AttemptResult.UNREADABLE} and made.pools.buffer_pool.in_use == 0
 
 
 def test_a_machine_gone_is_forgotten_when_nothing_is_out_there():
     made, *_ = line()
     made.send(b"a", 1, b"x")
-    made.machine.leave()
-    assert made.caches.machines
+    made.pool.retire()
+    assert made.pools.pools_by_id
     made.dataReceived(resp.pack(b"a", b"OK", b"-", b""))
-    assert not made.caches.machines
+    assert not made.pools.pools_by_id
 
 
 @pytest.mark.parametrize(
@@ -385,12 +401,12 @@
     ],
 )
 def test_a_word_that_does_not_fit_what_was_asked_is_unreadable(word, told, probe, good):
-    made, ended = line()[0].caches, []
+    made, ended = line()[0].pools, []
     forwards = attempts(made)
-    forwards.ended = lambda number, end, told, body: ended.append(end)
+    forwards.attempt_ended = lambda number, end, told, body: ended.append(end)
     door = None if probe else DownstreamRequest(SimpleNamespace(taken=1), None, 1, "a", make_request_class(), 0.0)
     number = forwards.slots.put(SentAttempt(door, None, None, 0.0, 1.0))
-    assert forwards.answered(number, word, told, Body(made.pool, b"x")) is good
+    assert forwards.response_received(number, word, told, Body(made.buffer_pool, b"x")) is good
     assert (ended == [AttemptResult.UNREADABLE]) is not good
 
 
@@ -418,15 +434,15 @@
 def test_what_lies_in_the_sockets_is_read_before_deadlines_that_a_standstill_made_late():
     clock, called = Clock(), []
     deadlines = Deadlines(clock, [].append)
-    clock.arrivals.returned = deadlines.now()
-    deadlines.after(-1.0, lambda: called.append(clock.caught_up))
+    clock.arrivals.poll_ended_at = deadlines.now()
+    deadlines.call_after(-1.0, lambda: called.append(clock.caught_up))
     deadlines.fire()
-    clock.arrivals.returned = deadlines.now() - 0.2
-    deadlines.after(-0.1, lambda: called.append(clock.caught_up))
+    clock.arrivals.poll_ended_at = deadlines.now() - 0.2
+    deadlines.call_after(-0.1, lambda: called.append(clock.caught_up))
     deadlines.fire()
-    clock.arrivals.returned = deadlines.now()
-    clock.arrivals.behind = True  # the poll was broken off, and told nothing
-    deadlines.after(-0.1, lambda: called.append(clock.caught_up))
+    clock.arrivals.poll_ended_at = deadlines.now()
+    clock.arrivals.is_behind = True  # the poll was broken off, and told nothing
+    deadlines.call_after(-0.1, lambda: called.append(clock.caught_up))
     deadlines.fire()
     assert called == [0, 1, 2]
 
@@ -452,27 +468,27 @@
         caches = ConnectionPools(
             deadlines, pool()[0], PoolSettings(5.0, 15.0, 100, 50), lambda *_, **told: ended.append(told)
         )
-        caches.listed(1, "1", address)
+        caches.add_or_move(1, "1", address)
         gc.collect()
         gc.disable()
         try:
-            made = UpstreamConnection(caches.machines[1])
-            made.machine.lines.append(made)
+            made = UpstreamConnection(caches.pools_by_id[1])
+            made.pool.connections.append(made)
             made.connect(address)
             seen = weakref.ref(made)
             if how == "given up":
                 for _ in range(5):
                     reactor.iterate(0.01)
-                made.overdue()
+                made.connect_timed_out()
             elif how != "refused":
-                while not made.up:
+                while not made.is_up:
                     reactor.iterate(0.01)
                 there = place.accept()[0]
                 made.close() if how == "closed by us" else there.close()
             end = time.monotonic() + 5.0
-            while not made.down and time.monotonic() < end:
+            while not made.has_ended and time.monotonic() < end:
                 reactor.iterate(0.01)
-            assert made.down and len(caches.machines[1].lines) == 0 == caches.held
+            assert made.has_ended and len(caches.pools_by_id[1].connections) == 0 == caches.open_descriptors
             del made
             reactor.iterate(0.0)  # what a turn of the loop still named
             deadlines.heap.clear()
@@ -483,8 +499,8 @@
 
 def test_a_visit_denied_at_once_is_freed_without_the_collector():
     """The collector is off in service: a circle would stay until the memory limit."""
-    clock = SimpleNamespace(now=lambda: 100.0, at=lambda *_: None)
-    client = SimpleNamespace(error=lambda call, word, fields: None)
+    clock = SimpleNamespace(now=lambda: 100.0, call_at=lambda *_: None)
+    client = SimpleNamespace(send_error=lambda call, word, fields: None)
     decisions = make_router(caches=0, parents=0, direct_to_source=False)
     forwards = SimpleNamespace(decisions=decisions, local_copies=None)
     visits = RequestTable(forwards, clock, pool()[0], {"t": make_request_class()}, lambda *_, **more: None, [].append)
@@ -492,8 +508,8 @@
     decisions.route = lambda *told: seen.append(weakref.ref(visit := take(*told))) or visit
     gc.disable()
     try:
-        visits.take(client, 1, "t", {"rid": "0" * 16, "budget": "3000", "obj": "0" * 16}, b"", 100.0)
+        visits.start_request(client, 1, "t", {"rid": "0" * 16, "budget": "3000", "obj": "0" * 16}, b"", 100.0)
         decisions.environment.timers.clear()
-        assert visits.answers == {"denied": 1} and seen[0]() is None
+        assert visits.answer_counts == {"denied": 1} and seen[0]() is None
     finally:
         gc.enable()
--- a/tests/store/test_store.py
+++ b/tests/store/test_store.py
@@ -275,8 +275,8 @@
     up = []
     made.listener.caught_up = lambda: up.append(made.is_unbroken)
     for number in (3, 4, 5, 6):
-        made.take_frame(number, 1, b"") if number in (3, 6) else made.take_frame(number, 4, b"\x00\x07" + bytes(8))
-    made.take_frame(6, 0, b"")
+        made.apply_frame(number, 1, b"") if number in (3, 6) else made.apply_frame(number, 4, b"\x00\x07" + bytes(8))
+    made.apply_frame(6, 0, b"")
     assert told == [(None, 7, 0), (None, 7, 0), (True, [])] and up == [True]
 
 
@@ -288,9 +288,9 @@
     made.resume_purges(remembered)
     if first:
         with pytest.raises(Exception, match="after"):
-            made.take_frame(first, 4, b"\x00\x07" + bytes(8))
-    made.take_frame(5, 0, b"")
-    made.take_frame(3, 0, b"")  # a service that lost its count: nothing is caught up with
+            made.apply_frame(first, 4, b"\x00\x07" + bytes(8))
+    made.apply_frame(5, 0, b"")
+    made.apply_frame(3, 0, b"")  # a service that lost its count: nothing is caught up with
     assert up == [False] and made.last_number == 5
 
 
@@ -420,14 +420,14 @@
     def now(self):
         return self.clock
 
-    def at(self, when, call, *args):
+    def call_at(self, when, call, *args):
         self.calls.append((when, call, args))
 
-    def after(self, delay, call, *args):
-        self.at(self.clock + delay, call, *args)
+    def call_after(self, delay, call, *args):
+        self.call_at(self.clock + delay, call, *args)
 
-    def soon(self, call, *args):
-        self.at(0.0, call, *args)
+    def call_soon(self, call, *args):
+        self.call_at(0.0, call, *args)
 
     def run(self, until):
         self.clock = until
@@ -440,13 +440,13 @@
     def __init__(self):
         self.had = []
 
-    def serve(self, call, body, fields):
+    def send_answer(self, call, body, fields):
         self.had.append((call, b"".join(body.views()) if body is not None else b"", fields))
 
-    def error(self, call, word, fields):
+    def send_error(self, call, word, fields):
         self.had.append((call, word, fields))
 
-    def awaits(self, call):
+    def is_request_open(self, call):
         return True
 
 
@@ -454,12 +454,14 @@
     world = started_world()
     heap, (buffers, _) = Heap(), pool(100)
     faults, sent = [], []
-    line = SimpleNamespace(leave=lambda tag: None, unwritten=())
+    line = SimpleNamespace(block_tag=lambda tag: None, unwritten_tags=())
     machine = SimpleNamespace(
-        send=lambda tag, number, payload: sent.append((tag, number, forwards.begin(number))) or line
+        send=lambda tag, number, payload: sent.append((tag, number, forwards.build_frame(number))) or line
     )
     caches = SimpleNamespace(
-        machines={mark: machine for mark in [1, 2, 3, 4, 100, 101, 200]}, deadlines=heap, report_to=lambda owner: None
+        pools_by_id={mark: machine for mark in [1, 2, 3, 4, 100, 101, 200]},
+        deadlines=heap,
+        set_owner=lambda owner: None,
     )
     made, copies = make_router(), None
     world.clock = heap.clock
@@ -489,18 +491,18 @@
 
 def ask(net, **more):
     fields = {"rid": f"{ASKED.getrandbits(64):016x}", "budget": "3000", "obj": f"{5:016x}", "block": "0", **more}
-    return net.visits.take(net.client, len(net.client.had), "t", fields, b"", net.heap.clock)
+    return net.visits.start_request(net.client, len(net.client.had), "t", fields, b"", net.heap.clock)
 
 
 def told(net):
     """The fields of what was sent last."""
     (items,) = resp.ReplyDecoder(pool()[0]).feed(net.sent[-1][2])
-    return resp.fields(items[2])
+    return resp.parse_fields(items[2])
 
 
 def served(net, word=b"OK", body=b"x" * 700, made=99_000):
     number = net.sent[-1][1]
-    net.forwards.answered(number, word, b"etag=00000000000000e1,made=%d" % made, Body(net.pool, body))
+    net.forwards.response_received(number, word, b"etag=00000000000000e1,made=%d" % made, Body(net.pool, body))
 
 
 @pytest.mark.parametrize("cached, have", [("00000000000000e1", "00000000000000e1"), ("zz,src=s-1", None), ("", None)])
@@ -508,7 +510,7 @@
     net = wired(with_store=False)
     ask(net, cached=cached)
     assert told(net).get("have") == have
-    assert net.forwards.answered(net.sent[-1][1], b"SAME", b"etag=e,made=9", None) is (have is not None)
+    assert net.forwards.response_received(net.sent[-1][1], b"SAME", b"etag=e,made=9", None) is (have is not None)
     if have:
         assert net.client.had == [(0, b"", {"keep": "1"})] and net.visits.slots.free
 
@@ -532,7 +534,7 @@
     assert not list(net.visits.slots) and not list(net.visits.local_copies.slots)
     ask(net, cached="00000000000000e1")
     net.heap.run(net.heap.clock)
-    assert net.client.had[3] == (3, b"", {"keep": "1"}) and net.visits.local_copies.served["told"] == 1
+    assert net.client.had[3] == (3, b"", {"keep": "1"}) and net.visits.local_copies.served_counts["told"] == 1
 
 
 def test_read_when_late_is_followed_by_a_forward_and_one_answer():
@@ -548,14 +550,14 @@
     net.world.lanes.stalled = set()
     net.world.lanes.go()
     net.heap.run(net.heap.clock + 1.0)
-    assert len(net.client.had) == 3 and not net.faults and net.visits.local_copies.served["late"] == 1
+    assert len(net.client.had) == 3 and not net.faults and net.visits.local_copies.served_counts["late"] == 1
 
 
 def test_client_when_gone_during_a_read_gets_no_answer():
     net = wired()
     visited(net), visited(net)
     door = ask(net)
-    net.visits.gone(door, "aborted")
+    net.visits.client_left(door, "aborted")
     net.world.lanes.go()
     net.heap.run(net.heap.clock + 5.0)
     assert len(net.client.had) == 2 and not list(net.visits.slots)
--- a/wickhinge/net/control/membership.py
+++ b/wickhinge/net/control/membership.py
@@ -72,7 +72,7 @@
         """Parameters as named; options: the `discovery` options."""
         self.node, self.settings = node, settings
         self.list_file, self.key, self.static = sources.list_file, sources.key, sources.static
-        self.now, self.after, self.log_event = node.deadlines.now, node.deadlines.after, node.log.event
+        self.now, self.after, self.log_event = node.deadlines.now, node.deadlines.call_after, node.log.event
         self.chance = RandomSource(node.seed ^ 0x5EED)
         self.controller = MembershipController(self, self.chance, settings)
         self.write_interval_s = 60.0 / options.writes_a_minute
@@ -145,7 +145,7 @@
         rows = []
         for listing in listings:
             one = listing.statement
-            self.node.pools.listed(one.endpoint_id, f"{one.endpoint_id:08x}", one.address)
+            self.node.pools.add_or_move(one.endpoint_id, f"{one.endpoint_id:08x}", one.address)
             rows.append(
                 Endpoint(
                     one.endpoint_id,
@@ -160,14 +160,14 @@
             )
         self.node.decisions.endpoints.update(rows, self.now(), complete=False)
         for listing in listings:
-            machine = self.node.pools.machines.get(listing.statement.endpoint_id)
+            machine = self.node.pools.pools_by_id.get(listing.statement.endpoint_id)
             if listing.state is EndpointState.GONE and machine is not None:
-                machine.leave()
+                machine.retire()
 
     def check_health(self, statement: Statement) -> None:
         """Begins a health check of an endpoint that nobody vouches for."""
         endpoint_id = statement.endpoint_id
-        self.node.pools.listed(endpoint_id, f"{endpoint_id:08x}", statement.address)
+        self.node.pools.add_or_move(endpoint_id, f"{endpoint_id:08x}", statement.address)
         self.node.attempts.probe(SimpleNamespace(id=endpoint_id), self.probed)
 
     def probed(self, cache: Any, up: bool) -> None:
@@ -202,16 +202,18 @@
         self.controller.live_caught_up(self.now(), watch.last_number, is_continuous=is_continuous)
         self.backoff.record_success()
 
-    def ended(self, sent: Any, outcome: Outcome) -> None:
+    def record_attempt_outcome(self, sent: Any, outcome: Outcome) -> None:
         """Called when an attempt ended: an answer proves that the endpoint is there."""
-        if sent.door.request_class.idempotency is Idempotency.IDEMPOTENT and (outcome.is_answer or outcome in FAILED):
-            self.controller.record_request(sent.cache.id, self.now(), answered=outcome.is_answer)
+        if sent.downstream_request.request_class.idempotency is Idempotency.IDEMPOTENT and (
+            outcome.is_answer or outcome in FAILED
+        ):
+            self.controller.record_request(sent.server.id, self.now(), answered=outcome.is_answer)
 
     def purge(self, key: int | None, group: int, stamp: float) -> None:
         """Called with each purge; stamp: Unix seconds."""
         self.controller.record_purge(PurgeRecord(key, group, stamp), self.now())
 
-    def oldest(self, bound: float | None) -> float | None:
+    def limit_copy_age(self, bound: float | None) -> float | None:
         """The greatest age in seconds of a copy that may answer: the bound, or less where purges may be unknown."""
         ours = self.controller.max_copy_age_s(self.now())
         return bound if ours is None else ours if bound is None else min(ours, bound)
@@ -259,7 +261,7 @@
         if not self.closed:
             self.after(delay_s, self.ask)
 
-    def figures(self) -> dict[str, Any]:
+    def report_fields(self) -> dict[str, Any]:
         """Its entry in the report."""
         return self.controller.figures(self.now())
 
