--- a/wickhinge/routing/object_counts.py
+++ b/wickhinge/routing/object_counts.py
@@ -1,24 +1,44 @@
 """gLRU: for each object, the count of leading parts to keep in the caches.
 
-After "Generalization of LRU Cache Replacement Policy with Applications to Video Streaming" (Friedlander and Aggarwal).
+The policy is that of "Generalization of LRU Cache Replacement Policy with Applications to Video Streaming" (Friedlander
+and Aggarwal).
 """
 
 from __future__ import annotations
 
 from collections import OrderedDict
 
-MAX_OBJECTS = 20000  # objects whose count is known
-IDLE_HALVING_TIME_S = 10.0  # in which a count halves, at a zone's only router
-FREQUENT_REQUEST_COUNT = 6.0  # recent requests, from which an object counts as frequently requested
-MIDDLE_RANK_WORK_SHARE = 0.15  # of the work that is kept
-LATER_PART_WEIGHT = 0.12  # of a request of part 0 at another router, for each later part seen here
-FORGET_AFTER_HALVINGS = 4  # the count is a sixteenth by then
+# Number of objects whose counts are kept.
+MAX_OBJECTS = 20000
+# Time without a request in which an object's count halves, in seconds, for a zone with one router.
+IDLE_HALVING_TIME_S = 10.0
+# Frequency from which an object counts as frequently requested. The frequency is the number of requests of part 0,
+# halved for each halving time that has passed since.
+FREQUENT_REQUEST_COUNT = 6.0
+# Largest share of the kept work that may have the middle retention rank.
+MIDDLE_RANK_WORK_SHARE = 0.15
+# Increase of the count at a request of a later part, for each other router of the zone. The request of part 0 went to
+# one of those routers.
+LATER_PART_WEIGHT = 0.12
+# An object is forgotten when its count has been halved this many times, to a sixteenth.
+FORGET_AFTER_HALVINGS = 4
+# Upper bound of the number of halvings that are computed.
 MAX_HALVINGS = 60.0
-KEPT_WORK_DECAY = 0.999  # of the kept work, at each part that is kept
+# Factor by which the sums of kept work decay at each part that is kept.
+KEPT_WORK_DECAY = 0.999
 
 
 class ObjectCount:
-    """One object: its count of leading parts to keep and its recent popularity."""
+    """One object: the count of its leading parts to keep, and its recent popularity.
+
+    Attributes:
+        key: The object's key.
+        leading_parts: Number of leading parts that caches should keep.
+        frequency: Number of requests of part 0, with older requests counting less.
+        last_request: Time of the latest request.
+        work: Seconds of transfer of one part; 0 before the first measured hit.
+        work_learned_at: Time of the latest hit that `work` was learned from.
+    """
 
     __slots__ = ("key", "leading_parts", "frequency", "last_request", "work", "work_learned_at")
 
@@ -27,23 +47,32 @@
         self.leading_parts = 0.0
         self.frequency = 0.0
         self.last_request = now
-        self.work = 0.0  # seconds to transfer one part; 0 before the first
-        self.work_learned_at = now  # when it was, last
+        self.work = 0.0
+        self.work_learned_at = now
 
 
 class ObjectCounts:
-    """The counts of all objects that were requested lately; bounded."""
+    """The counts of the most recently requested objects, up to a fixed number."""
 
     def __init__(self, routers: int = 1, max_objects: int = MAX_OBJECTS) -> None:
-        """Args: routers: how many the zone has; capacity: objects at the most."""
+        """Create an empty table.
+
+        Args:
+            routers: Number of routers in the zone.
+            max_objects: Number of objects whose counts are kept.
+        """
         self.routers = routers
         self.max_objects = max_objects
         self.halving_time = IDLE_HALVING_TIME_S * routers
-        self.entries: OrderedDict[int, ObjectCount] = OrderedDict()  # least recently requested first
+        self.entries: OrderedDict[int, ObjectCount] = OrderedDict()  # The least recently requested object is first.
         self.kept_work = self.middle_rank_work = 0.0
 
     def record_request(self, key: int, part: int, now: float) -> ObjectCount:
-        """Count a request: gLRU(1) raises the count by p at the p-th request, for each router of the zone."""
+        """Count a request of an object's part, and return the object's entry.
+
+        gLRU(1) raises the count by p at the p-th request. The increase is multiplied by the number of routers in the
+        zone, because each router sees only its own requests.
+        """
         entry = self.entries.pop(key) if key in self.entries else ObjectCount(key, now)
         self.entries[key] = entry
         self._forget_oldest(now)
@@ -53,7 +82,8 @@
         if part == 0:
             entry.frequency += 1
             entry.leading_parts += self.routers * round(entry.frequency)
-        else:  # its part 0 was requested, but at another router
+        else:
+            # The client's request of part 0 was probably counted by another router of the zone.
             entry.leading_parts += LATER_PART_WEIGHT * (self.routers - 1)
         return entry
 
@@ -64,7 +94,11 @@
             del self.entries[oldest.key]
 
     def retention_rank(self, entry: ObjectCount, part: int, work: float) -> int:
-        """Return 0 to pass the part unkept, 1 below the count, 2 where it is frequent and the middle rank has room."""
+        """Return the retention rank of a part's copy.
+
+        Rank 0 means that the copy is not kept, because the part is not below the count. Rank 1 means that it is kept.
+        Rank 2, the middle rank, is for frequently requested objects while the rank holds less than its share of work.
+        """
         if part >= entry.leading_parts:
             return 0
         self.kept_work = self.kept_work * KEPT_WORK_DECAY + work
