--- a/tests/routing/test_clocks.py
+++ b/tests/routing/test_clocks.py
@@ -4,7 +4,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from wickhinge.clocks import IMPROVED, RemoteClock, monotonic, steady_time
+from wickhinge.clocks import MIN_REPORTED_IMPROVEMENT_S, RemoteClock, monotonic, steady_time
 
 OFF = st.sampled_from([-3600.0, -3.0, 0.0, 3.0, 3600.0])
 AGES = st.lists(st.tuples(st.booleans(), st.floats(0.0, 5000.0)), max_size=12)
@@ -46,7 +46,7 @@
     others.observe_trusted(born, NOW)
     assert others.to_local_time(born, NOW) == EXACT(NOW)
     others.observe(NOW - off, NOW)
-    others.observe(NOW - off + 0.5 * IMPROVED, NOW + 0.5 * IMPROVED)
+    others.observe(NOW - off + 0.5 * MIN_REPORTED_IMPROVEMENT_S, NOW + 0.5 * MIN_REPORTED_IMPROVEMENT_S)
     assert others.to_local_time(born, NOW) == EXACT(NOW - 60.0) and len(told) == 1
 
 
--- a/wickhinge/__init__.py
+++ b/wickhinge/__init__.py
@@ -1,3 +1,3 @@
-"""A visit router for caches that fill from parents and an origin."""
+"""A request router for caches that are filled from parents and an origin."""
 
 __version__ = "0.2.0"
--- a/wickhinge/__main__.py
+++ b/wickhinge/__main__.py
@@ -1,4 +1,4 @@
-"""python -m wickhinge: one router on sockets; with arguments, the command line."""
+"""The program `python -m wickhinge`: without arguments it runs one router; otherwise it is the command line."""
 
 from __future__ import annotations
 
@@ -7,14 +7,15 @@
 
 from wickhinge.common.process_signals import received_signals
 
-# By the first arguments; other commands end by a signal as programs do.
-SERVERS = ([], ["run"], ["changelog", "replica"], ["changelog", "relay"])
+# First arguments of the commands that shut down gracefully on a signal. Other commands are ended by it at once.
+GRACEFUL_COMMANDS = ([], ["run"], ["changelog", "replica"], ["changelog", "relay"])
 
 
 def main() -> NoReturn:
-    """Ends the process with the exit code."""
-    if any(sys.argv[1 : 1 + max(len(words), 1)] == words for words in SERVERS):
-        received_signals.install()  # before the slow imports
+    """Run the command, and end the process with its exit code."""
+    if any(sys.argv[1 : 1 + max(len(words), 1)] == words for words in GRACEFUL_COMMANDS):
+        # Signals that arrive during the slow imports below must not be lost.
+        received_signals.install()
     if len(sys.argv) > 1:
         from wickhinge.cli import main as command
 
--- a/wickhinge/fields.py
+++ b/wickhinge/fields.py
@@ -1,7 +1,7 @@
-"""Checks on decoded fields, for both fronts: read with care, never guessed; milliseconds become seconds.
+"""Checks on the fields of decoded messages and settings, for both fronts. A malformed field is an error, never guessed.
 
-Each function takes the name of the message or place for the error's text, the decoded fields and the field's name, and
-raises MalformedError where the field is missing or not of its type.
+Each function takes a name of the message or object for error messages, the decoded fields, and the name of the field.
+It returns the field's value, or raises MalformedError if the field is missing or has another type.
 """
 
 from __future__ import annotations
@@ -10,23 +10,23 @@
 
 
 class MalformedError(Exception):
-    """Bad input; the text names the message and the field.
+    """Input that is malformed. The error message names the message and the field.
 
     Attributes:
-        router: the number of the router that the message was for, where it named one.
+        router: Number of the router that the message was addressed to; None if it gave none.
     """
 
-    def __init__(self, text: str, router: int | None = None) -> None:
-        super().__init__(text)
+    def __init__(self, error: str, router: int | None = None) -> None:
+        super().__init__(error)
         self.router = router
 
 
 class UnreadableFileError(MalformedError):
-    """A file is absent, cannot be read just now, is empty or cut off: it may be whole at the next try."""
+    """A file is missing, cannot be read, is empty or is truncated, so that a later attempt to read it may succeed."""
 
 
 def number(name: str, fields: dict[str, Any], field: str, default: float | None = None) -> float:
-    """Return a number; `default` where the field is missing."""
+    """Return a number, or `default` if the field is missing."""
     value = fields.get(field)
     if type(value) is float or type(value) is int:
         return value
@@ -36,7 +36,7 @@
 
 
 def integer(name: str, fields: dict[str, Any], field: str, default: int | None = None) -> int:
-    """Return a whole number; `default` where the field is missing."""
+    """Return an integer, or `default` if the field is missing. A float without a fraction is accepted."""
     value = fields.get(field)
     if type(value) is int:
         return value
@@ -48,37 +48,37 @@
 
 
 def seconds(name: str, fields: dict[str, Any], field: str, default: float | None = None) -> float:
-    """Return the seconds of a field in milliseconds; `default`, in milliseconds, where it is missing."""
+    """Return the value in seconds of a field in milliseconds, or of `default` milliseconds if the field is missing."""
     return number(name, fields, field, default) / 1000.0
 
 
 def text(name: str, fields: dict[str, Any], field: str) -> str:
-    """Return a text."""
+    """Return a string."""
     value = fields.get(field)
     if type(value) is str:
         return value
-    raise field_error(name, fields, field, "a text")
+    raise field_error(name, fields, field, "a string")
 
 
-def hexadecimal(name: str, fields: dict[str, Any], field: str, start: str = "") -> int:
-    """Return the value of hex digits, behind the prefix `start`."""
+def hexadecimal(name: str, fields: dict[str, Any], field: str, prefix: str = "") -> int:
+    """Return the integer that a string gives as hexadecimal digits, after an optional prefix."""
     value = text(name, fields, field)
     try:
-        return int(value.removeprefix(start), 16)
+        return int(value.removeprefix(prefix), 16)
     except ValueError:
         raise MalformedError(f"{name}: field {field} is not hex digits") from None
 
 
-def choice(name: str, fields: dict[str, Any], field: str, known: Any) -> Any:
-    """Return a text that is among the known ones."""
+def choice(name: str, fields: dict[str, Any], field: str, allowed: Any) -> Any:
+    """Return a string that is one of the allowed ones."""
     value = text(name, fields, field)
-    if value not in known:
-        raise MalformedError(f"{name}: field {field} holds an unknown word")
+    if value not in allowed:
+        raise MalformedError(f"{name}: field {field} is not one of the allowed values")
     return value
 
 
 def boolean(name: str, fields: dict[str, Any], field: str, default: bool | None = None) -> bool:
-    """Return true or false; `default` where the field is missing."""
+    """Return a boolean, or `default` if the field is missing."""
     value = fields.get(field)
     if type(value) is bool:
         return value
@@ -88,7 +88,7 @@
 
 
 def array(name: str, fields: dict[str, Any], field: str) -> list[Any]:
-    """Return a list."""
+    """Return a list of any values."""
     value = fields.get(field)
     if type(value) is list:
         return value
@@ -96,7 +96,7 @@
 
 
 def mappings(name: str, fields: dict[str, Any], field: str) -> list[dict[str, Any]]:
-    """Return a list of objects."""
+    """Return a list of dictionaries, one for each JSON object."""
     values = array(name, fields, field)
     if not all(type(value) is dict for value in values):
         raise field_error(name, fields, field, "a list of objects")
@@ -104,7 +104,7 @@
 
 
 def mapping(name: str, fields: dict[str, Any], field: str) -> dict[str, Any]:
-    """Return an object."""
+    """Return a dictionary, which is a JSON object."""
     value = fields.get(field)
     if type(value) is dict:
         return value
@@ -112,20 +112,20 @@
 
 
 def parse_host_port(text: str) -> tuple[str, int] | None:
-    """An IPv4 address and a port, as 127.0.0.1:10080; None for anything else."""
+    """Return the IPv4 address and the port of a string such as "127.0.0.1:10080"; None if it has another form."""
     host, _, port = text.rpartition(":")
     octets = host.split(".")
     if (
         len(octets) != 4
-        or not all(o.isdigit() and int(o) < 256 for o in octets)
+        or not all(octet.isdigit() and int(octet) < 256 for octet in octets)
         or not (port.isdigit() and 0 < int(port) < 65536)
     ):
         return None
     return host, int(port)
 
 
-def field_error(name: str, fields: dict[str, Any], field: str, wanted: str) -> MalformedError:
-    """Return the error for a field that is missing or not what was wanted."""
-    fault = "is missing" if fields.get(field) is None else f"is not {wanted}"
+def field_error(name: str, fields: dict[str, Any], field: str, expected: str) -> MalformedError:
+    """Return the error for a field that is missing or is not of the expected type."""
+    fault = "is missing" if fields.get(field) is None else f"is not {expected}"
     router = fields.get("router")
     return MalformedError(f"{name}: field {field} {fault}", router if type(router) is int else None)
--- a/wickhinge/interface.py
+++ b/wickhinge/interface.py
@@ -1,7 +1,8 @@
-"""What the routing decisions call out on, and the plain types that both sides share.
+"""The interfaces between the routing decisions and a front, and the plain types that both use.
 
-A front (the simulator adapter or the network router) implements RequestTransport and Environment, builds a router by
-`wickhinge.settings.build_router` and calls it. Times are seconds with fractions. Nothing here decides anything.
+A front, which is the network router or the simulator adapter, implements RequestTransport and Environment. It builds a
+router by `wickhinge.settings.build_router` and calls it. Times and durations are in seconds, with fractions. This
+module decides nothing.
 """
 
 from __future__ import annotations
@@ -17,23 +18,27 @@
 
 
 class Idempotency(Enum):
-    """What a second execution of a request would do."""
+    """Whether a request may be executed a second time."""
 
     IDEMPOTENT = "idempotent"
-    IDEMPOTENCY_KEY = "idempotency key"  # servers that share the key drop a repeat
+    IDEMPOTENCY_KEY = "idempotency key"  # A server drops a repeat of a request whose key it knows.
     NOT_IDEMPOTENT = "not idempotent"
 
 
 class Outcome(Enum):
-    """How an attempt, or a health check, ended."""
+    """How an attempt or a health check ended.
+
+    NOT_MODIFIED means success without a body: the copy whose tag was offered is current. After NOT_SENT, the request
+    was not executed, and nothing is known about the server.
+    """
 
     SUCCEEDED = "succeeded"
-    NOT_MODIFIED = "not modified"  # succeeded without a body: the copy that was offered is current
+    NOT_MODIFIED = "not modified"
     ERROR = "error"
     OVERLOADED = "overloaded"
     TIMED_OUT = "timed out"
     CONNECT_FAILED = "connect failed"
-    NOT_SENT = "not sent"  # it never ran, which says nothing about the server
+    NOT_SENT = "not sent"
     CONNECTION_LOST = "connection lost"
     CANCELLED = "cancelled"
     SUPERSEDED = "superseded"
@@ -41,7 +46,7 @@
 
     @property
     def is_answer(self) -> bool:
-        """Whether the server sent an answer."""
+        """Whether the server sent an answer, which may be an error."""
         return self in ANSWER_OUTCOMES
 
 
@@ -49,12 +54,15 @@
 
 
 class CacheStatus(Enum):
-    """What an answer says about the copy or the fill, where the deployment says it; the numbers are the wire's."""
+    """What an answer says about the copy or the fill, in deployments whose answers say it.
+
+    The values are the numbers on the wire. COLLAPSED means that the fill joined another one in progress.
+    """
 
     HIT = 1
     FILLED_BY_PARENT = 2
     FILLED_BY_ORIGIN = 3
-    COLLAPSED = 4  # the fill joined one that was in progress
+    COLLAPSED = 4
     STALE = 5
     SOURCE_REJECTED = 6
     SOURCE_UNREACHABLE = 7
@@ -64,7 +72,10 @@
 
 
 class RejectionReason(Enum):
-    """Why a request ended before any server answered it; for logs and counters, no decision depends on it."""
+    """Why a request ended before any server answered it.
+
+    The reason is used in logs and counters only; no decision depends on it.
+    """
 
     DEADLINE_EXCEEDED = "deadline exceeded"
     TOO_LATE = "an answer would be too late"
@@ -78,109 +89,184 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestClass:
-    """One class of requests, as the settings state it; times in seconds."""
+    """One class of requests, from the settings.
+
+    Attributes:
+        name: Name of the class.
+        latency_objective: Seconds within which an answer has its full value, before the stretch is added.
+        objective_stretch: Factor of the request's transfer time that is added to the latency objective.
+        timeout: Seconds until the client gives up.
+        priority_weight: Value of an answer in time, relative to other classes.
+        late_value: Share of the weight that an answer after the latency objective is worth.
+        idempotency: Whether a request of the class may be executed a second time.
+        deduplication_group: For requests with an idempotency key, the servers that share the keys: those of "all"
+            zones, of one "zone" or of one "cell".
+        deduplication_window: For requests with an idempotency key, the seconds for which servers remember the key.
+        freshness_lifetime: Seconds for which a copy is fresh; 0 if a copy is fresh until it is purged.
+        stale_grace: Seconds after the freshness lifetime for which a stale copy may still be served.
+        stale_value: Share of the weight that a stale answer is worth.
+        multipart: Whether objects consist of several parts, which clients request in order.
+        pass_through: Whether requests are executed at the origin and never cached.
+    """
 
     name: str
-    latency_objective: float  # answered within this plus objective_stretch times its transfer time, it has full value
+    latency_objective: float
     objective_stretch: float
     timeout: float
     priority_weight: float
-    late_value: float  # share of the weight for an answer after the objective
+    late_value: float
     idempotency: Idempotency
-    deduplication_group: str  # with an idempotency key: the caches that drop a repeat: "all", "zone" or "cell"
-    deduplication_window: float  # with an idempotency key: how long they remember it
-    freshness_lifetime: float  # 0: a copy is fresh until it is purged
-    stale_grace: float  # how long after its lifetime a copy may still be served
-    stale_value: float  # share of the weight for a stale answer
-    multipart: bool  # objects come in parts, requested in turn
-    pass_through: bool  # never cached: runs at the origin
+    deduplication_group: str
+    deduplication_window: float
+    freshness_lifetime: float
+    stale_grace: float
+    stale_value: float
+    multipart: bool
+    pass_through: bool
 
 
 @dataclass(frozen=True, slots=True)
 class Endpoint:
-    """One server as an endpoint list names it."""
-
-    server: int  # its id
+    """One server in an endpoint list.
+
+    Attributes:
+        server: Id of the server.
+        zone: Name of the server's zone.
+        kind: Kind of the server: the settings name the kinds of parents and of the origin, and all others are caches.
+        cell: Number of the server's cell.
+        state: "ready", "draining" or "gone".
+        weight: Capacity of the server, relative to the others.
+        started: Time at which the server started, by the clock of the list's source; None if it is not known.
+        is_verified: False if only an outdated list names the server and it has not passed a health check since.
+    """
+
+    server: int
     zone: str
     kind: str
     cell: int
-    state: str  # "ready", "draining" or "gone"
+    state: str
     weight: float
-    started: float | None  # seconds, by the clock of whoever keeps the list
-    is_verified: bool = True  # False: nobody vouches for it now, and it has yet to pass a health check
+    started: float | None
+    is_verified: bool = True
 
 
 @dataclass(frozen=True, slots=True)
 class Capabilities:
-    """What the settings let a router do."""
-
-    collapse_fills: bool  # a fill may join one that is in progress
-    direct_to_source: bool  # a request may go straight to a parent or the origin
-    hedging: bool  # a second attempt may go out while one is pending
-    cancellation: bool  # a pending attempt may be cancelled
+    """The optional features that the settings allow a router to use.
+
+    Attributes:
+        collapse_fills: A fill may join another fill of the same part that is in progress.
+        direct_to_source: A request may be sent straight to a parent or the origin.
+        hedging: A second attempt may be sent while one is pending.
+        cancellation: A pending attempt may be cancelled.
+        health_checks: Servers may be sent health checks.
+        load_reports: Answers to health checks contain the server's load.
+        polls_endpoints: The router polls the endpoint list; otherwise the list is pushed.
+    """
+
+    collapse_fills: bool
+    direct_to_source: bool
+    hedging: bool
+    cancellation: bool
     health_checks: bool
-    load_reports: bool  # health checks bring the servers' load
-    polls_endpoints: bool  # the endpoint list is polled, not pushed
+    load_reports: bool
+    polls_endpoints: bool
 
 
 @dataclass(slots=True)
 class Request:
-    """What a client asks for."""
-
-    key: int  # of the object
-    part: int  # of it, from 0
-    group: int  # of objects, purged together
-    size_kb: float  # 0 where it is not known
-    timeout: float  # seconds until the client gives up
-    is_retry: bool = False  # marked by the client as one
+    """What a client asks for.
+
+    Attributes:
+        key: Key of the object.
+        part: Number of the object's part, from 0.
+        group: Group of objects that can be purged together, to which the object belongs.
+        size_kb: Size of the part in KB; 0 if it is not known.
+        timeout: Seconds until the client gives up.
+        is_retry: Whether the client marked the request as a retry.
+    """
+
+    key: int
+    part: int
+    group: int
+    size_kb: float
+    timeout: float
+    is_retry: bool = False
 
 
 class AttemptParameters(NamedTuple):
-    """One attempt to be sent, and what the server is asked to do with it."""
-
-    attempt: Attempt  # handed back when the attempt ends
+    """An attempt that is to be sent, and what the server is asked to do.
+
+    Attributes:
+        attempt: The attempt, which the front passes back when it ends.
+        server: The server that the attempt goes to.
+        timeout: Seconds until the client gives up.
+        source: The server that fills a miss; `server` itself if a miss is not to be filled.
+        retention_rank: Rank with which the cache keeps the copy; 0 if it is not kept.
+        max_age: Maximum age in seconds of a copy that may answer; None for no limit.
+        collapse: Whether the fill may join another fill of the part that is in progress.
+        only_if_cached: Whether the source answers only from its cache.
+        revalidate: Whether the cache may renew a stale copy by asking the source.
+        begin_within: Seconds after which the attempt must no longer be sent; None for no limit.
+    """
+
+    attempt: Attempt
     server: Server
-    timeout: float  # seconds left to the client
-    source: Server  # fills a miss; the server itself: nobody does
-    retention_rank: int  # 0: the copy is not kept
-    max_age: float | None  # seconds; the oldest copy that may answer
-    collapse: bool  # the fill may join one in progress
-    only_if_cached: bool  # the source answers only out of its cache
-    revalidate: bool  # the cache may renew a stale copy
-    begin_within: float | None = None  # seconds, past which it must not be written any more; None: no such bound
+    timeout: float
+    source: Server
+    retention_rank: int
+    max_age: float | None
+    collapse: bool
+    only_if_cached: bool
+    revalidate: bool
+    begin_within: float | None = None
 
 
 class Completion(NamedTuple):
-    """How an attempt ended."""
+    """How an attempt ended.
+
+    Attributes:
+        outcome: How the attempt ended.
+        duration: Seconds since the attempt was sent.
+        is_answered: Whether the client has the final answer, by this attempt or an earlier one.
+        cache_status: What the answer says about the copy or the fill; None in deployments whose answers do not say it.
+        load: The server's load report; None if the answer contained none.
+    """
 
     outcome: Outcome
-    duration: float  # seconds since it was sent
-    is_answered: bool  # the request has its final answer, by this attempt or an earlier one
-    cache_status: CacheStatus | None = None  # where the deployment tells it
-    load: dict[str, float] | None = None  # the server's load report, where one came with the answer
+    duration: float
+    is_answered: bool
+    cache_status: CacheStatus | None = None
+    load: dict[str, float] | None = None
 
 
 class RequestTransport(Protocol):
-    """What a front does for one request. `reject` and `fail` are final answers."""
+    """The operations of a front for one request. `reject` and `fail` send a final answer."""
 
     def forward(self, parameters: AttemptParameters) -> None:
-        """Send the request to a server."""
+        """Send an attempt to a server."""
 
     def cancel(self, attempt: Attempt) -> None:
-        """Stop waiting for an attempt."""
+        """Cancel a pending attempt."""
 
     def serve_copy(self, copy: LocalCopy) -> None:
-        """Answer with a local copy; the result is a call of RoutedRequest.copy_read."""
+        """Answer with a local copy, and call RoutedRequest.copy_read when the copy has been read."""
 
     def reject(self, retry_after: float, reason: RejectionReason) -> None:
-        """Answer that a retry is harmless, best after so many seconds."""
+        """Answer that the request was rejected and that a retry is harmless after `retry_after` seconds."""
 
     def fail(self, reason: RejectionReason) -> None:
-        """Answer without any promise: the request may have run."""
+        """Answer that the request failed, without a promise about a retry, because it may have been executed."""
 
 
 class LocalCopy(Protocol):
-    """One part that this router holds itself: when the origin sent it (seconds), its length in bytes and its tag."""
+    """A copy of one part that this router stores itself.
+
+    Attributes:
+        created: Time at which the origin sent the copy.
+        size: Length in bytes.
+        etag: Entity tag of the copy.
+    """
 
     created: float
     size: int
@@ -188,47 +274,47 @@
 
 
 class LocalCopies(Protocol):
-    """The router's own copies, one table a router, where it has any."""
+    """The table of the copies that this router stores itself."""
 
     def record_request(self, key: int, part: int) -> None:
-        """Count a request that a copy could answer: admission goes by these counts."""
+        """Count a request that a copy could answer. These counts decide which copies are stored."""
 
     def find(self, key: int, part: int, now: float) -> LocalCopy | None:
-        """Return the copy, or None where there is none."""
+        """Return the copy of a part, or None if there is none."""
 
     def is_current(self, copy: LocalCopy, now: float) -> bool:
-        """Return whether its age is known and no purge of it has come or may have been missed."""
+        """Return whether the copy's age is known, it was not purged, and no purge of it may have been missed."""
 
     def age(self, copy: LocalCopy, now: float) -> float:
-        """Return the seconds since the origin sent it, at the most."""
+        """Return an upper bound of the seconds since the origin sent the copy."""
 
     def is_valid(self, copy: LocalCopy, now: float) -> bool:
-        """Return whether it is still there and has not been purged meanwhile."""
+        """Return whether the copy is still stored and has not been purged since it was found."""
 
     def transfer_end(self, copy: LocalCopy, now: float) -> float:
-        """Return when its last byte would have passed this router's own link."""
+        """Return the time at which the copy's last byte would have been sent over this router's link."""
 
 
 class Environment(Protocol):
-    """What a front does for the whole router."""
+    """The operations of a front for the whole router."""
 
     def call_later(self, delay: float, call: Callable[[float], None]) -> None:
-        """Call back after so many seconds with the time then; cannot be cancelled."""
+        """Call `call` with the time after `delay` seconds. The call cannot be cancelled."""
 
     def check_health(self, server: Server) -> None:
-        """Ask a server for its load; the answer is a call of Router.health_checked."""
+        """Send a health check to a server, and call Router.health_checked with its result."""
 
     def watch_endpoints(self) -> None:
         """Subscribe to changes of the endpoint list."""
 
     def fetch_endpoints(self) -> None:
-        """Ask for the whole endpoint list once."""
+        """Request the complete endpoint list once."""
 
     def close_idle(self, server: Server) -> None:
         """Close idle connections to a server."""
 
     def gossip(self, recipient: int, content: bytes) -> None:
-        """Send to another router, or to all (-1), where that is allowed."""
+        """Send a message to another router, or to all routers if `recipient` is -1, if the deployment allows it."""
 
     def log_line(self, text: str) -> None:
         """Write a line to the operators' log."""
--- a/wickhinge/settings.py
+++ b/wickhinge/settings.py
@@ -1,6 +1,7 @@
-"""The settings, checked and turned into a router and its request classes. Unknown keys are disregarded.
+"""The settings: checks them, and builds a router and its request classes from them. Unknown keys are ignored.
 
-Used by both fronts. The keys are the users' page's; docs/architecture.md has the table of terms.
+Both fronts use this module. The keys are those of the platform's settings; docs/architecture.md maps them to the terms
+of this code.
 """
 
 from __future__ import annotations
@@ -36,28 +37,28 @@
 }
 DEDUPLICATION_GROUPS = ("all", "zone", "cell")
 MS_PER_S = 1000.0
-# Where a field stands, for the messages.
+# Paths of the settings' objects, which error messages name.
 ROOT, CLASSES, RULES, LIMITS, STATS = "conf", "conf.classes", "conf.rules", "conf.limits", "conf.stats"
 FAMILY, ZONE_ROUTERS = "conf.familyInfo", "conf.familyInfo.zoneBalancers"
 
 
 def string_list(conf: Fields, field: str) -> list[str]:
-    """Return a list of names.
+    """Return a list of strings, such as the names of all zones.
 
     Raises:
-        MalformedError: the field is missing or holds anything else; the text names it.
+        MalformedError: The field is missing or is not a list of strings; the message names it.
     """
     values = array(ROOT, conf, field)
     if not all(type(value) is str for value in values):
-        raise MalformedError(f"conf: field {field} is not a list of texts")
+        raise MalformedError(f"conf: field {field} is not a list of strings")
     return values
 
 
 def request_classes(conf: Fields) -> dict[str, RequestClass]:
-    """Return the request classes by name.
+    """Return the request classes, by name.
 
     Raises:
-        MalformedError: a field is missing or not of its type; the text names it.
+        MalformedError: A field is missing or has another type; the message names it.
     """
     family, entries = mapping(ROOT, conf, "familyInfo"), mappings(ROOT, conf, "classes")
     columns = {field: _column(family, field, len(entries)) for field in _COLUMNS}
@@ -68,17 +69,18 @@
     return classes
 
 
-_COLUMNS = ("maxAgeMs", "staleForMs", "worthWhenOld", "multiPart", "passOn")  # of familyInfo: a value for each class
+# Fields of familyInfo that hold one value for each request class, in the order of the classes.
+_COLUMNS = ("maxAgeMs", "staleForMs", "worthWhenOld", "multiPart", "passOn")
 
 
 def _column(family: Fields, field: str, count: int) -> list[Any]:
     values = array(FAMILY, family, field)
     if len(values) != count:
-        raise MalformedError(f"conf.familyInfo: field {field} does not hold one value for each")
+        raise MalformedError(f"conf.familyInfo: field {field} does not hold one value for each class or zone")
     return values
 
 
-def _request_class(entry: Fields, of_family: Fields) -> RequestClass:
+def _request_class(entry: Fields, family_values: Fields) -> RequestClass:
     name = text(CLASSES, entry, "name")
     idempotency = IDEMPOTENCY[choice(CLASSES, entry, "effect", IDEMPOTENCY)]
     group, window = "all", 0.0
@@ -100,33 +102,33 @@
         idempotency=idempotency,
         deduplication_group=group,
         deduplication_window=window,
-        freshness_lifetime=of_family["maxAgeMs"] / MS_PER_S,
-        stale_grace=of_family["staleForMs"] / MS_PER_S,
-        stale_value=of_family["worthWhenOld"],
-        multipart=bool(of_family["multiPart"]),
-        pass_through=bool(of_family["passOn"]),
+        freshness_lifetime=family_values["maxAgeMs"] / MS_PER_S,
+        stale_grace=family_values["staleForMs"] / MS_PER_S,
+        stale_value=family_values["worthWhenOld"],
+        multipart=bool(family_values["multiPart"]),
+        pass_through=bool(family_values["passOn"]),
     )
 
 
 def build_router(
     conf: Fields, seed: int, environment: Environment, to_local_time: ToLocalTime = assume_same_clock
 ) -> tuple[Router, dict[str, RequestClass]]:
-    """Return the router and the request classes, by name.
+    """Return a new router, and the request classes by name.
 
     Args:
-        conf: the settings as decoded.
-        seed: of the router's random numbers.
-        environment: what the router calls out on.
-        to_local_time: others' times by our clock.
+        conf: The decoded settings.
+        seed: Seed of the router's random numbers.
+        environment: The operations of the front for the router.
+        to_local_time: Converts a remote time to this router's clock.
 
     Raises:
-        MalformedError: a field is missing or not of its type; the text names it.
+        MalformedError: A field is missing or has another type; the message names it.
     """
     family, rules = mapping(ROOT, conf, "familyInfo"), mapping(ROOT, conf, "rules")
     limits, stats = mapping(ROOT, conf, "limits"), mapping(ROOT, conf, "stats")
     topology = _topology(conf, family)
-    edge, upper = _edge_slow_start(rules), _parents_slow_start(family, rules)
-    endpoints = Endpoints(RandomSource(seed), topology, edge, upper, to_local_time)
+    cache_slow_start, parent_slow_start = _cache_slow_start(rules), _parent_slow_start(family, rules)
+    endpoints = Endpoints(RandomSource(seed), topology, cache_slow_start, parent_slow_start, to_local_time)
     settings = _router_settings(conf, family, rules, limits, stats)
     purges = Purges(seconds(FAMILY, family, "goneEverywhereMs"), to_local_time)
     router = Router(environment, endpoints, ObjectCounts(endpoints.routers), purges, settings)
@@ -137,7 +139,7 @@
     kinds, zones = array(ROOT, conf, "shapes"), array(ROOT, conf, "zones")
     zone, routers = text(ROOT, conf, "locality"), _column(family, "zoneBalancers", len(zones))
     if zone not in zones:
-        raise MalformedError("conf: field locality names no zone")
+        raise MalformedError("conf: field locality is not one of the zones")
     return Topology(
         zone=zone,
         routers=integer(ZONE_ROUTERS, dict(zip(zones, routers, strict=True)), zone),
@@ -148,14 +150,14 @@
 
 
 def _kind(family: Fields, field: str, kinds: list[Any]) -> str | None:
-    """Return the kind of servers that a field refers to by place; None where there is no such tier."""
-    place = integer(FAMILY, family, field)
-    if place >= len(kinds):
-        raise MalformedError(f"{FAMILY}: field {field} names no machine kind")
-    return kinds[place] if place >= 0 else None
+    """Return the kind of servers that a field gives as an index into all kinds; None if the index is negative."""
+    index = integer(FAMILY, family, field)
+    if index >= len(kinds):
+        raise MalformedError(f"{FAMILY}: field {field} is not an index of shapes")
+    return kinds[index] if index >= 0 else None
 
 
-def _edge_slow_start(rules: Fields) -> SlowStart:
+def _cache_slow_start(rules: Fields) -> SlowStart:
     return SlowStart(
         overload_factor=number(RULES, rules, "fallMultiple"),
         window=seconds(RULES, rules, "fallMs"),
@@ -164,7 +166,7 @@
     )
 
 
-def _parents_slow_start(family: Fields, rules: Fields) -> SlowStart:
+def _parent_slow_start(family: Fields, rules: Fields) -> SlowStart:
     return SlowStart(
         overload_factor=number(FAMILY, family, "upperFallMultiple"),
         window=seconds(RULES, rules, "fallMs"),
@@ -174,7 +176,7 @@
 
 
 def _router_settings(conf: Fields, family: Fields, rules: Fields, limits: Fields, stats: Fields) -> RouterSettings:
-    tells_retry_after = boolean(LIMITS, limits, "retryAfter")
+    has_retry_after = boolean(LIMITS, limits, "retryAfter")
     return RouterSettings(
         capabilities=Capabilities(
             collapse_fills=boolean(FAMILY, family, "joins"),
@@ -188,5 +190,5 @@
         transfer_kb_per_s=number(FAMILY, family, "oneFlowKbPerS"),
         max_attempts=integer(LIMITS, limits, "mostTries"),
         max_list_age=seconds(RULES, rules, "mustAskInMs", 0.0),
-        max_retry_after=seconds(LIMITS, limits, "maxRetryAfterMs") if tells_retry_after else 0.0,
+        max_retry_after=seconds(LIMITS, limits, "maxRetryAfterMs") if has_retry_after else 0.0,
     )
--- a/wickhinge/wirehost/__init__.py
+++ b/wickhinge/wirehost/__init__.py
@@ -1,1 +1,1 @@
-"""The bench's front: many instances of the decision module on one JSON wire."""
+"""The simulator adapter: many routers in one process, which speak the simulator's JSON protocol."""
--- a/wickhinge/wirehost/__main__.py
+++ b/wickhinge/wirehost/__main__.py
@@ -1,4 +1,4 @@
-"""python -m wickhinge.wirehost: batches on standard input, replies on standard output."""
+"""The program `python -m wickhinge.wirehost`: batches on standard input, replies on standard output."""
 
 import sys
 
@@ -7,6 +7,6 @@
 
 try:
     run(sys.stdin.buffer, sys.stdout.buffer)
-except MalformedError as problem:
-    sys.stderr.write(f"{problem}\n")
+except MalformedError as error:
+    sys.stderr.write(f"{error}\n")
     sys.exit(1)
--- a/wickhinge/wirehost/codec.py
+++ b/wickhinge/wirehost/codec.py
@@ -1,4 +1,4 @@
-"""The wire's lines: one JSON object with one key each."""
+"""The lines of the simulator's protocol. Each is a JSON object whose only key is the message's name."""
 
 from __future__ import annotations
 
@@ -9,16 +9,16 @@
 from wickhinge.fields import MalformedError
 
 
-def parse(line: bytes) -> tuple[str, dict[str, Any]]:
-    """Return the name and the fields of a message.
+def decode(line: bytes) -> tuple[str, dict[str, Any]]:
+    """Return the name and the fields of the message in a line.
 
     Raises:
-        MalformedError: the line is no JSON object of one message.
+        MalformedError: The line is not a JSON object with one message.
     """
     try:
         message = orjson.loads(line)
-    except orjson.JSONDecodeError as problem:
-        raise MalformedError(f"line is not JSON: {problem}") from None
+    except orjson.JSONDecodeError as error:
+        raise MalformedError(f"line is not JSON: {error}") from None
     if not isinstance(message, dict) or len(message) != 1:
         raise MalformedError("line is not an object with one key")
     ((name, fields),) = message.items()
@@ -27,6 +27,6 @@
     return name, fields
 
 
-def line(name: str, fields: dict[str, Any]) -> bytes:
-    """Return the line of a message."""
+def encode(name: str, fields: dict[str, Any]) -> bytes:
+    """Return the line that encodes a message."""
     return orjson.dumps({name: fields}) + b"\n"
--- a/wickhinge/wirehost/host.py
+++ b/wickhinge/wirehost/host.py
@@ -1,4 +1,8 @@
-"""Hosts many routers that share nothing: decoded fields go straight into calls, calls out become actions."""
+"""Runs many routers that share nothing in one process.
+
+Each message of the simulator becomes a call of a router, and each operation that a router requests becomes an action
+message. The names of messages and fields are those of the simulator's protocol.
+"""
 
 from __future__ import annotations
 
@@ -14,7 +18,8 @@
 from wickhinge.settings import build_router
 from wickhinge.wirehost import codec
 
-OUTCOMES = {
+# Outcomes by their code on the wire.
+OUTCOME_BY_CODE = {
     10: Outcome.SUCCEEDED,
     20: Outcome.ERROR,
     30: Outcome.OVERLOADED,
@@ -25,13 +30,22 @@
     80: Outcome.SUPERSEDED,
     90: Outcome.MISS,
 }
-STATES = {"U": "ready", "L": "draining", "D": "gone"}
-LISTS = {"incr": False, "total": True, "warm_copy": True}
-CACHE_STATUSES = {status.value: status for status in CacheStatus}
+# States of a server by their code on the wire.
+STATE_BY_CODE = {"U": "ready", "L": "draining", "D": "gone"}
+# Kinds of endpoint lists, and whether a list of the kind names every server.
+LIST_IS_COMPLETE = {"incr": False, "total": True, "warm_copy": True}
+CACHE_STATUS_BY_CODE = {status.value: status for status in CacheStatus}
 
 
 class WireRequest:
-    """The RequestTransport of one request: its ref on the wire, and its attempts by their number."""
+    """The RequestTransport of one request.
+
+    Attributes:
+        host: The instance that the request was sent to.
+        ref: The request's reference on the wire.
+        attempts: The request's attempts; the index of an attempt is its number on the wire.
+        routed: The request as the router has it.
+    """
 
     __slots__ = ("host", "ref", "attempts", "routed")
 
@@ -41,40 +55,50 @@
         self.routed: RoutedRequest | None = None
 
     def forward(self, parameters: AttemptParameters) -> None:
-        """Send an attempt, straight or through a cache."""
+        """Send an attempt to a server."""
         self.attempts.append(parameters.attempt)
         fields = {"ref": self.ref, "cache": parameters.server.id, "tryForMs": parameters.timeout * 1000.0}
         if parameters.source is None:
-            self.host.act("Try", fields)
+            self.host.add_action("Try", fields)
             return
         options = parameters.collapse | parameters.only_if_cached << 1 | parameters.revalidate << 3
         fields |= {"source": parameters.source.id, "admit": parameters.retention_rank, "opts": options}
         if parameters.max_age is not None:
             fields["howOldMs"] = parameters.max_age * 1000.0
-        self.host.act("PullVia", fields)
+        self.host.add_action("PullVia", fields)
 
     def cancel(self, attempt: Any) -> None:
-        """Stop waiting for an attempt."""
-        self.host.act("Abandon", {"ref": self.ref, "sendNo": self.attempts.index(attempt)})
+        """Cancel a pending attempt."""
+        self.host.add_action("Abandon", {"ref": self.ref, "sendNo": self.attempts.index(attempt)})
 
     def reject(self, retry_after: float, reason: RejectionReason) -> None:
-        """Answer that a retry is harmless."""
-        self.host.act("Refuse", {"ref": self.ref, "waitMs": retry_after * 1000.0})
+        """Answer that the request was rejected and that a retry is harmless."""
+        self.host.add_action("Refuse", {"ref": self.ref, "waitMs": retry_after * 1000.0})
         self.close()
 
     def fail(self, reason: RejectionReason) -> None:
-        """Answer without any promise."""
-        self.host.act("DropRequest", {"ref": self.ref})
+        """Answer that the request failed, without a promise about a retry."""
+        self.host.add_action("DropRequest", {"ref": self.ref})
         self.close()
 
     def close(self) -> None:
-        """The request is over: nothing will name it once no attempt is pending."""
+        """Forget the request after its end, unless an attempt is pending whose end will refer to it."""
         if not any(attempt.is_pending for attempt in self.attempts):
             self.host.requests.pop(self.ref, None)
 
 
 class Instance:
-    """One router and what the wire calls its things."""
+    """One router, which is the Environment of its own decisions, and what its references on the wire mean.
+
+    Attributes:
+        number: The router's number on the wire.
+        replies: Encoded actions, which are sent at the end of the batch.
+        requests: Requests in progress, by their reference.
+        timers: Calls that the simulator has been asked to trigger, by the number of their timer.
+        last_timer: Number of the newest timer.
+        router: The router; None until its settings have arrived.
+        request_classes: The request classes of the settings, by name.
+    """
 
     def __init__(self, number: int, replies: list[bytes]) -> None:
         self.number, self.replies = number, replies
@@ -84,54 +108,54 @@
         self.router: Any = None
         self.request_classes: dict[str, Any] = {}
 
-    def act(self, name: str, fields: dict[str, Any]) -> None:
+    def add_action(self, name: str, fields: dict[str, Any]) -> None:
         """Add an action to the batch's replies."""
         fields["router"] = self.number
-        self.replies.append(codec.line(name, fields))
+        self.replies.append(codec.encode(name, fields))
 
-    # Environment.
+    # Methods of Environment.
 
     def call_later(self, delay: float, call: Callable[[float], None]) -> None:
-        """Ask for a wake-up."""
+        """Ask the simulator for a call after a delay."""
         self.last_timer += 1
         self.timers[self.last_timer] = call
-        self.act("WakeMe", {"delayMs": max(delay, 0.0) * 1000.0, "handle": self.last_timer})
+        self.add_action("WakeMe", {"delayMs": max(delay, 0.0) * 1000.0, "handle": self.last_timer})
 
     def check_health(self, server: Any) -> None:
-        """Ask for a health check."""
-        self.act("Poll", {"cache": server.id})
+        """Ask the simulator to check the health of a server."""
+        self.add_action("Poll", {"cache": server.id})
 
     def watch_endpoints(self) -> None:
         """Subscribe to the endpoint list."""
-        self.act("Follow", {"want": True})
+        self.add_action("Follow", {"want": True})
 
     def fetch_endpoints(self) -> None:
         """Ask for the whole endpoint list."""
-        self.act("ReadList", {})
+        self.add_action("ReadList", {})
 
     def close_idle(self, server: Any) -> None:
         """Close idle connections to a server."""
-        self.act("HangUp", {"cache": server.id})
+        self.add_action("HangUp", {"cache": server.id})
 
     def gossip(self, recipient: int, content: bytes) -> None:
-        """Send to other routers."""
-        self.act("Say", {"to": recipient, "content": b64encode(content).decode()})
+        """Send a message to another router, or to all routers."""
+        self.add_action("Say", {"to": recipient, "content": b64encode(content).decode()})
 
     def log_line(self, text: str) -> None:
-        """Write a line to the log."""
-        self.act("NoteDown", {"line": text})
+        """Write a line to the simulator's log."""
+        self.add_action("NoteDown", {"line": text})
 
-    # Events.
+    # Handlers of messages, each with the name of its message.
 
     def power_on(self, name: str, fields: dict[str, Any], now: float) -> None:
-        """The router starts with these settings."""
+        """Build the router from the settings in the message, and start it."""
         seed, conf = checks.integer(name, fields, "initSeed"), checks.mapping(name, fields, "conf")
         self.router, self.request_classes = build_router(conf, seed, self)
         self.router.start()
 
     def announce(self, name: str, fields: dict[str, Any], now: float) -> None:
-        """An endpoint list, or the loss of the subscription."""
-        kind = checks.choice(name, fields, "kind", ("lost", *LISTS))
+        """Apply an endpoint list, or handle the loss of the subscription to it."""
+        kind = checks.choice(name, fields, "kind", ("lost", *LIST_IS_COMPLETE))
         if kind == "lost":
             self.router.watch_lost()
             return
@@ -143,15 +167,15 @@
                     checks.text(name, entry, "campus"),
                     checks.text(name, entry, "familyType"),
                     checks.integer(name, entry, "cluster", 0),
-                    STATES[checks.choice(name, entry, "availability", STATES)],
+                    STATE_BY_CODE[checks.choice(name, entry, "availability", STATE_BY_CODE)],
                     checks.number(name, entry, "share", 1.0),
                     checks.seconds(name, entry, "readyAtMs", 0.0) or None,
                 )
             )
-        self.router.endpoints.update(endpoints, now, complete=LISTS[kind])
+        self.router.endpoints.update(endpoints, now, complete=LIST_IS_COMPLETE[kind])
 
     def inbound(self, name: str, fields: dict[str, Any], now: float) -> None:
-        """A request."""
+        """Route a new request."""
         request_class = self.request_classes.get(checks.text(name, fields, "kind"))
         if request_class is None:
             raise MalformedError(f"{name}: field kind names no class of the settings", self.number)
@@ -168,45 +192,45 @@
         wire_request.routed = self.router.route(wire_request, request_class, request, now)
 
     def resolved(self, name: str, fields: dict[str, Any], now: float) -> None:
-        """An attempt has ended."""
+        """Handle the end of an attempt."""
         attempt, outcome = self.attempt(name, fields), self.outcome(name, fields)
         duration, is_answered = checks.seconds(name, fields, "timeTakenMs"), checks.boolean(name, fields, "doneFlag")
         if attempt is None:
             return
-        status = CACHE_STATUSES.get(checks.integer(name, fields, "detail", 0))
+        status = CACHE_STATUS_BY_CODE.get(checks.integer(name, fields, "detail", 0))
         load = None if fields.get("report") is None else checks.mapping(name, fields, "report")
         attempt.request.attempt_ended(attempt, Completion(outcome, duration, is_answered, status, load), now)
         if attempt.request.is_finished:
             attempt.request.transport.close()
 
     def ack_first(self, name: str, fields: dict[str, Any], now: float) -> None:
-        """An attempt's answer has begun."""
+        """Handle the first bytes of an attempt's answer."""
         attempt = self.attempt(name, fields)
         if attempt is not None:
             attempt.request.answer_began(attempt, now)
 
     def attempt(self, name: str, fields: dict[str, Any]) -> Any:
-        """Return the attempt that the message names, None where its request is long over."""
+        """Return the attempt that the message refers to; None if its request has been forgotten."""
         request = self.requests.get(checks.text(name, fields, "ref"))
         number = checks.integer(name, fields, "sendNo")
         return request.attempts[number] if request is not None and 0 <= number < len(request.attempts) else None
 
     def outcome(self, name: str, fields: dict[str, Any]) -> Outcome:
-        """Return the outcome that a message names."""
+        """Return the outcome that the message contains."""
         code = checks.integer(name, fields, "disposition")
-        if code not in OUTCOMES:
+        if code not in OUTCOME_BY_CODE:
             raise MalformedError(f"{name}: field disposition holds an unknown code", self.number)
-        return OUTCOMES[code]
+        return OUTCOME_BY_CODE[code]
 
     def gone(self, name: str, fields: dict[str, Any], now: float) -> None:
-        """The client has gone."""
+        """Handle the disconnection of a client."""
         request = self.requests.get(checks.text(name, fields, "ref"))
         if request is not None and request.routed is not None:
             request.routed.finish()
             request.close()
 
     def check_result(self, name: str, fields: dict[str, Any], now: float) -> None:
-        """A health check has ended."""
+        """Handle the result of a health check."""
         server = self.router.endpoints.servers.get(checks.integer(name, fields, "cache"))
         outcome = self.outcome(name, fields)
         load = {} if fields.get("report") is None else checks.mapping(name, fields, "report")
@@ -214,23 +238,23 @@
             self.router.health_checked(server, outcome, load, now)
 
     def expired_now(self, name: str, fields: dict[str, Any], now: float) -> None:
-        """A purge."""
+        """Record a purge."""
         key = None if fields.get("contentId") is None else checks.hexadecimal(name, fields, "contentId")
         created = now - checks.seconds(name, fields, "howOldMs")
         self.router.purges.record_purge(key, checks.integer(name, fields, "setNo", 0), created, now)
 
     def ring(self, name: str, fields: dict[str, Any], now: float) -> None:
-        """A wake-up that was asked for."""
+        """Make the call of an expired timer."""
         call = self.timers.pop(checks.integer(name, fields, "handle"), None)
         if call is not None:
             call(now)
 
     def from_peer(self, name: str, fields: dict[str, Any], now: float) -> None:
-        """A message of another router; routers share nothing, so it is checked alone."""
+        """Check a message from another router. It is not used, because the routers share nothing."""
         checks.text(name, fields, "content")
 
 
-EVENTS = {
+MESSAGE_HANDLERS = {
     "PowerOn": Instance.power_on,
     "Announce": Instance.announce,
     "Inbound": Instance.inbound,
@@ -245,42 +269,47 @@
 
 
 class Host:
-    """All routers of one process, by number."""
+    """All routers of the process.
+
+    Attributes:
+        instances: The running routers, by their number on the wire.
+        replies: Encoded actions of all routers, which are sent at the end of the batch.
+    """
 
     def __init__(self) -> None:
         self.instances: dict[int, Instance] = {}
         self.replies: list[bytes] = []
 
-    def event(self, name: str, fields: dict[str, Any], now: float) -> None:
-        """Take one message of a batch."""
+    def handle_message(self, name: str, fields: dict[str, Any], now: float) -> None:
+        """Pass one message of a batch to its router."""
         number = checks.integer(name, fields, "router")
         if name == "Kill":
             self.instances.pop(number, None)
             return
         if name == "PowerOn":
             self.instances[number] = Instance(number, self.replies)
-        elif name not in EVENTS:
+        elif name not in MESSAGE_HANDLERS:
             raise MalformedError(f"{name}: unknown message", number)
         instance = self.instances.get(number)
         if instance is None:
             raise MalformedError(f"{name}: field router names no running instance", number)
         try:
-            EVENTS[name](instance, name, fields, now)
-        except MalformedError as problem:
-            problem.router = number
+            MESSAGE_HANDLERS[name](instance, name, fields, now)
+        except MalformedError as error:
+            error.router = number
             if instance.router is None:
                 del self.instances[number]
             raise
 
 
 def run(source: BinaryIO, sink: BinaryIO) -> None:
-    """Read batches until the end of input; one reply for each."""
+    """Read batches until the end of the input, and write the actions of each batch as its reply."""
     host, now = Host(), None
-    for raw in source:
-        if not raw.strip():
+    for line in source:
+        if not line.strip():
             continue
         try:
-            name, fields = codec.parse(raw)
+            name, fields = codec.decode(line)
             if name == "Batch":
                 now = checks.seconds(name, fields, "timeMs")
             elif name == "Go":
@@ -290,8 +319,8 @@
             elif now is None:
                 raise MalformedError(f"{name}: comes before any Batch")
             else:
-                host.event(name, fields, now)
-        except MalformedError as problem:
-            if problem.router is None:
+                host.handle_message(name, fields, now)
+        except MalformedError as error:
+            if error.router is None:
                 raise
-            host.replies.append(codec.line("Broken", {"router": problem.router, "line": str(problem)}))
+            host.replies.append(codec.encode("Broken", {"router": error.router, "line": str(error)}))
