--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures that several files share."""
+"""Fixtures that tests of several packages use."""
 
 import pytest
 
@@ -8,30 +8,32 @@
 
 @pytest.fixture
 def stand(tmp_path):
-    made = []
+    """Return a function that starts a router process with its servers, which are stopped after the test."""
+    harnesses = []
 
-    def build(*told, **more):
-        made.append(RouterHarness(tmp_path, *told, **more))
-        return made[0]
+    def build(*arguments, **options):
+        harnesses.append(RouterHarness(tmp_path, *arguments, **options))
+        return harnesses[0]
 
     yield build
-    for one in made:
-        one.close()
+    for harness in harnesses:
+        harness.close()
 
 
 @pytest.fixture(scope="session")
 def shim_library(tmp_path_factory):
+    """Return the path of the library that intercepts system calls, built once for all tests."""
     return shim.build(tmp_path_factory.mktemp("shim"))
 
 
 @pytest.fixture
 def faulty_stand(stand, shim_library, tmp_path):
-    """A stand whose router's wall clock can be stepped and whose system calls can be made to fail."""
+    """Return a function like `stand` for a router whose wall clock can be stepped and whose system calls can fail."""
 
-    def build(*told, prepare=lambda shim: None, **more):
-        """before: what is done to the shim before the router is started."""
-        made = shim.Shim(shim_library, tmp_path / "shim.page", files=tmp_path)
-        prepare(made)
-        return stand(*told, environment=made.environment, **more), made
+    def build(*arguments, prepare=lambda shim: None, **options):
+        """Start the router after a call of `prepare` with the shim that intercepts its system calls."""
+        router_shim = shim.Shim(shim_library, tmp_path / "shim.page", files=tmp_path)
+        prepare(router_shim)
+        return stand(*arguments, environment=router_shim.environment, **options), router_shim
 
     return build
--- a/tests/routing/test_cold_sum.py
+++ b/tests/routing/test_cold_sum.py
@@ -13,9 +13,9 @@
 SEEDS = range(1, 13)
 
 
-def visit(made, promised):
+def routed(router, promised):
     """Of a class not measured yet: its visits are believed to take half of what is promised."""
-    return SimpleNamespace(router=made, request_class=replace(make_request_class(), latency_objective=promised))
+    return SimpleNamespace(router=router, request_class=replace(make_request_class(), latency_objective=promised))
 
 
 @pytest.mark.parametrize("limits, processes, budget", [(PARENT, 20, 4), (PARENT, 30, 9), (EDGE, 30, 4), (EDGE, 20, 9)])
@@ -40,16 +40,16 @@
 @pytest.mark.parametrize("work", [0.05, 0.3, 1.5])
 def test_what_is_owed_at_a_start_is_counted_in_visits(work):
     """So that it spreads first visits alike, whatever their size; two for the largest debt."""
-    made = make_router(caches=2, seed=11, routers=30)
-    made.endpoints.update([make_endpoint(9, started=100.0, weight=1.0)], 100.0, complete=False)
-    cold, asks = made.endpoints.servers[9], visit(made, 2 * work)
+    router = make_router(caches=2, seed=11, routers=30)
+    router.endpoints.update([make_endpoint(9, started=100.0, weight=1.0)], 100.0, complete=False)
+    cold, asks = router.endpoints.servers[9], routed(router, 2 * work)
     rate = 0.65 * 4.0 * 0.2 / 30  # before it has warmed much
     due = cold.initial_debt * MAX_INITIAL_DEBT_REQUESTS * work / rate
-    made.endpoints.cache_slow_start.duration = 1e9
-    assert not made.endpoints.admits(cold, asks, 100.0 + 0.98 * due)
-    assert made.endpoints.admits(cold, asks, 100.0 + 1.02 * due)
+    router.endpoints.cache_slow_start.duration = 1e9
+    assert not router.endpoints.admits(cold, asks, 100.0 + 0.98 * due)
+    assert router.endpoints.admits(cold, asks, 100.0 + 1.02 * due)
     cold.spend_tokens(work)
-    assert not made.endpoints.admits(cold, asks, 100.0 + 1.03 * due)
+    assert not router.endpoints.admits(cold, asks, 100.0 + 1.03 * due)
 
 
 def test_a_restart_in_the_ramp_refreshes_no_credit():
@@ -57,24 +57,24 @@
     sent = {True: 0, False: 0}
     for restarted in sent:
         for seed in range(200):
-            made = make_router(caches=2, seed=seed, routers=30)
-            made.endpoints.cache_slow_start.duration = 1e9
-            made.endpoints.update([make_endpoint(9, started=100.0, weight=30.0)], 100.0, complete=False)
-            cold, asks = made.endpoints.servers[9], visit(made, 2.0)
+            router = make_router(caches=2, seed=seed, routers=30)
+            router.endpoints.cache_slow_start.duration = 1e9
+            router.endpoints.update([make_endpoint(9, started=100.0, weight=30.0)], 100.0, complete=False)
+            cold, asks = router.endpoints.servers[9], routed(router, 2.0)
             for at in range(10000, 12100):
                 if at == 12000 and restarted:
                     cold.reset(at / 100)
-                if made.endpoints.admits(cold, asks, at / 100):
+                if router.endpoints.admits(cold, asks, at / 100):
                     cold.spend_tokens(1.0)
                     sent[restarted] += at >= 12000
     assert 0 < sent[True] <= sent[False]
 
 
 def test_where_no_load_topples_a_machine_all_may_go():
-    made = make_router(caches=2, routers=30)
-    made.endpoints.cache_slow_start = SlowStart(0.0, 1.0, 0.2, 10.0)
-    made.endpoints.update([make_endpoint(9, started=100.0)], 100.0, complete=False)
-    assert all(made.endpoints.admits(made.endpoints.servers[9], visit(made, 2.0), 100.0) for _ in range(1000))
+    router = make_router(caches=2, routers=30)
+    router.endpoints.cache_slow_start = SlowStart(0.0, 1.0, 0.2, 10.0)
+    router.endpoints.update([make_endpoint(9, started=100.0)], 100.0, complete=False)
+    assert all(router.endpoints.admits(router.endpoints.servers[9], routed(router, 2.0), 100.0) for _ in range(1000))
 
 
 def test_the_draws_tell_a_debt_of_half_a_second_from_one_of_two_visits():
@@ -91,16 +91,16 @@
 
 def test_what_all_have_saved_up_is_the_rules_root_while_the_machine_bears_less_than_a_warm_one_can_do():
     """At a tenth of its capacity a parent of 400 visits a span; each router's share is 1/20 of it."""
-    made = make_router(caches=2, routers=20)
-    tier = made.endpoints.cache_slow_start = SlowStart(2.0, 1.0, 0.1, 1e15)
-    made.endpoints.update([make_endpoint(9, started=100.0, weight=2000.0)], 100.0, complete=False)
-    cold, asks = made.endpoints.servers[9], visit(made, 2.0)
+    router = make_router(caches=2, routers=20)
+    tier = router.endpoints.cache_slow_start = SlowStart(2.0, 1.0, 0.1, 1e15)
+    router.endpoints.update([make_endpoint(9, started=100.0, weight=2000.0)], 100.0, complete=False)
+    cold, asks = router.endpoints.servers[9], routed(router, 2.0)
     for at in range(1, 1000):  # saves up, and sends nothing
-        assert made.endpoints.admits(cold, asks, 100.0 + at) or cold.initial_debt > 0.0
+        assert router.endpoints.admits(cold, asks, 100.0 + at) or cold.initial_debt > 0.0
     assert cold.tokens == pytest.approx(0.65 * 2 * 400**0.5 / 20)
     tier.initial_capacity = 0.6
-    made.endpoints.admits(cold, asks, 2000.0)
-    made.endpoints.admits(cold, asks, 3000.0)
+    router.endpoints.admits(cold, asks, 2000.0)
+    router.endpoints.admits(cold, asks, 3000.0)
     assert cold.tokens == pytest.approx(0.5 * 0.65 * 2400 / 20)
 
 
--- a/tests/routing/test_slow_start_unmeasured.py
+++ b/tests/routing/test_slow_start_unmeasured.py
@@ -11,21 +11,21 @@
 
 def attempts_after_a_start_while_all_are_down(routers, boxes=2):
     """The times of attempts, caches being down at first; nobody tells weights and there are no health checks."""
-    made = make_router(
+    router = make_router(
         caches=boxes, parents=0, has_weights=False, health_checks=False, direct_to_source=False, routers=routers
     )
     times, next_round = [], START
     for number in range(int((DOWN_S + UP_S) / INTERVAL_S)):
         now = START + number * INTERVAL_S
         if now >= next_round:
-            made.round(now)
+            router.round(now)
             next_round += ROUND_INTERVAL_S
-        visit, caller = route_request(made, key=number, size_kb=0.0, now=now)
-        times += [now] * len(caller.forwards)
+        routed, transport = route_request(router, key=number, size_kb=0.0, now=now)
+        times += [now] * len(transport.forwards)
         is_down = now < START + DOWN_S
-        while visit.pending_attempts():
-            end_attempt(caller, Outcome.CONNECT_FAILED if is_down else Outcome.SUCCEEDED, now + 0.01)
-            times += [now] * (len(visit.pending_attempts()))
+        while routed.pending_attempts():
+            end_attempt(transport, Outcome.CONNECT_FAILED if is_down else Outcome.SUCCEEDED, now + 0.01)
+            times += [now] * (len(routed.pending_attempts()))
     return times
 
 
--- a/tests/wirehost/test_wirehost.py
+++ b/tests/wirehost/test_wirehost.py
@@ -4,7 +4,7 @@
 import pytest
 
 from wickhinge.fields import MalformedError
-from wickhinge.wirehost.host import Instance, run
+from wickhinge.wirehost.host import HostedRouter, run
 
 CLASS = {"name": "t", "effect": "pure", "onTimeMs": 600, "aimStretch": 1.6, "hardLimitMs": 5000, "importance": 2}
 CONF = {
@@ -140,21 +140,21 @@
 @pytest.mark.parametrize("event", [TIMED, ("Gone", {"router": 0, "ref": "a"})])
 @pytest.mark.parametrize("patience, sent", [(5000, True), (1, False)])
 def test_a_visit_that_is_over_leaves_nothing_behind(patience, sent, event):
-    instance = Instance(0, [])
-    instance.power_on(*START[0], 1.0)
-    instance.announce(*START[1], 1.0)
-    instance.inbound("Inbound", {**VISIT[1], "expiresInMs": patience}, 1.0)
-    assert bool(instance.requests) is sent
-    (instance.resolved if event is TIMED else instance.gone)(*event, 1.1)
-    instance.resolved(*TIMED, 1.2)
-    assert not instance.requests
+    hosted = HostedRouter(0, [])
+    hosted.power_on(*START[0], 1.0)
+    hosted.announce(*START[1], 1.0)
+    hosted.inbound("Inbound", {**VISIT[1], "expiresInMs": patience}, 1.0)
+    assert bool(hosted.requests) is sent
+    (hosted.resolved if event is TIMED else hosted.gone)(*event, 1.1)
+    hosted.resolved(*TIMED, 1.2)
+    assert not hosted.requests
 
 
 def test_calls_the_module_does_not_make_yet_have_their_actions():
     replies = []
-    instance = Instance(3, replies)
-    instance.fetch_endpoints()
-    instance.gossip(-1, b"hi 7")
+    hosted = HostedRouter(3, replies)
+    hosted.fetch_endpoints()
+    hosted.gossip(-1, b"hi 7")
     assert [json.loads(line) for line in replies] == [
         {"ReadList": {"router": 3}},
         {"Say": {"to": -1, "content": "aGkgNw==", "router": 3}},
--- a/wickhinge/clocks.py
+++ b/wickhinge/clocks.py
@@ -53,9 +53,9 @@
     A time in a received message has already passed at its sender. So each one is a lower bound of the remote time at
     which the message arrives, and a recent time is a tight bound. Ages that are computed from the best bound are never
     too large. Therefore, if this machine's wall clock was ahead at the start, a purge is not taken for done too early,
-    and a server is not taken for warm too early. If it was behind, times from the discovery service raise the estimate. A time from any other
-    server may be corrupt, so it raises the estimate no further than this machine's clock or the discovery service's
-    times do.
+    and a server is not taken for warm too early. If the wall clock was behind, times from the discovery service raise
+    the estimate. A time from any other server may be corrupt, so it raises the estimate no further than this machine's
+    clock or the discovery service's times do.
 
     Arguments named `now` are times of the steady clock, and arguments named `unix` are remote times in Unix seconds.
 
--- a/wickhinge/wirehost/host.py
+++ b/wickhinge/wirehost/host.py
@@ -41,7 +41,7 @@
     """The RequestTransport of one request.
 
     Attributes:
-        host: The instance that the request was sent to.
+        host: The router that the request was sent to.
         ref: The request's reference on the wire.
         attempts: The request's attempts; the index of an attempt is its number on the wire.
         routed: The request as the router has it.
@@ -49,7 +49,7 @@
 
     __slots__ = ("host", "ref", "attempts", "routed")
 
-    def __init__(self, host: Instance, ref: str) -> None:
+    def __init__(self, host: HostedRouter, ref: str) -> None:
         self.host, self.ref = host, ref
         self.attempts: list[Attempt] = []
         self.routed: RoutedRequest | None = None
@@ -87,7 +87,7 @@
             self.host.requests.pop(self.ref, None)
 
 
-class Instance:
+class HostedRouter:
     """One router, which is the Environment of its own decisions, and what its references on the wire mean.
 
     Attributes:
@@ -255,56 +255,56 @@
 
 
 MESSAGE_HANDLERS = {
-    "PowerOn": Instance.power_on,
-    "Announce": Instance.announce,
-    "Inbound": Instance.inbound,
-    "Resolved": Instance.resolved,
-    "AckFirst": Instance.ack_first,
-    "Gone": Instance.gone,
-    "CheckResult": Instance.check_result,
-    "ExpiredNow": Instance.expired_now,
-    "Ring": Instance.ring,
-    "FromPeer": Instance.from_peer,
+    "PowerOn": HostedRouter.power_on,
+    "Announce": HostedRouter.announce,
+    "Inbound": HostedRouter.inbound,
+    "Resolved": HostedRouter.resolved,
+    "AckFirst": HostedRouter.ack_first,
+    "Gone": HostedRouter.gone,
+    "CheckResult": HostedRouter.check_result,
+    "ExpiredNow": HostedRouter.expired_now,
+    "Ring": HostedRouter.ring,
+    "FromPeer": HostedRouter.from_peer,
 }
 
 
-class Host:
+class RouterHost:
     """All routers of the process.
 
     Attributes:
-        instances: The running routers, by their number on the wire.
+        routers: The running routers, by their number on the wire.
         replies: Encoded actions of all routers, which are sent at the end of the batch.
     """
 
     def __init__(self) -> None:
-        self.instances: dict[int, Instance] = {}
+        self.routers: dict[int, HostedRouter] = {}
         self.replies: list[bytes] = []
 
     def handle_message(self, name: str, fields: dict[str, Any], now: float) -> None:
         """Pass one message of a batch to its router."""
         number = checks.integer(name, fields, "router")
         if name == "Kill":
-            self.instances.pop(number, None)
+            self.routers.pop(number, None)
             return
         if name == "PowerOn":
-            self.instances[number] = Instance(number, self.replies)
+            self.routers[number] = HostedRouter(number, self.replies)
         elif name not in MESSAGE_HANDLERS:
             raise MalformedError(f"{name}: unknown message", number)
-        instance = self.instances.get(number)
-        if instance is None:
+        hosted = self.routers.get(number)
+        if hosted is None:
             raise MalformedError(f"{name}: field router names no running instance", number)
         try:
-            MESSAGE_HANDLERS[name](instance, name, fields, now)
+            MESSAGE_HANDLERS[name](hosted, name, fields, now)
         except MalformedError as error:
             error.router = number
-            if instance.router is None:
-                del self.instances[number]
+            if hosted.router is None:
+                del self.routers[number]
             raise
 
 
 def run(source: BinaryIO, sink: BinaryIO) -> None:
     """Read batches until the end of the input, and write the actions of each batch as its reply."""
-    host, now = Host(), None
+    router_host, now = RouterHost(), None
     for line in source:
         if not line.strip():
             continue
@@ -313,14 +313,14 @@
             if name == "Batch":
                 now = checks.seconds(name, fields, "timeMs")
             elif name == "Go":
-                sink.write(b"".join(host.replies) + b'{"Finished":{}}\n')
+                sink.write(b"".join(router_host.replies) + b'{"Finished":{}}\n')
                 sink.flush()
-                host.replies.clear()
+                router_host.replies.clear()
             elif now is None:
                 raise MalformedError(f"{name}: comes before any Batch")
             else:
-                host.handle_message(name, fields, now)
+                router_host.handle_message(name, fields, now)
         except MalformedError as error:
             if error.router is None:
                 raise
-            host.replies.append(codec.encode("Broken", {"router": error.router, "line": str(error)}))
+            router_host.replies.append(codec.encode("Broken", {"router": error.router, "line": str(error)}))
