--- a/tests/routing/test_clocks.py
+++ b/tests/routing/test_clocks.py
@@ -1,4 +1,4 @@
-"""Others' times of day against our steady clock, whatever our wall clock was at the start."""
+"""Conversion of remote times to the steady clock, for any error of the wall clock at the start."""
 
 import pytest
 from hypothesis import given
@@ -6,56 +6,60 @@
 
 from wickhinge.clocks import MIN_REPORTED_IMPROVEMENT_S, RemoteClock, monotonic, steady_time
 
-OFF = st.sampled_from([-3600.0, -3.0, 0.0, 3.0, 3600.0])
+CLOCK_ERRORS_S = st.sampled_from([-3600.0, -3.0, 0.0, 3.0, 3600.0])
 AGES = st.lists(st.tuples(st.booleans(), st.floats(0.0, 5000.0)), max_size=12)
-NOW = 1_764_576_000.0  # by our clock
-EXACT = pytest.approx
+NOW = 1_764_576_000.0
+approximately = pytest.approx
 
 
-@given(off=OFF, ages=AGES, age=st.floats(0.0, 5000.0))
-def test_nothing_is_taken_for_older_than_it_is_and_nothing_for_later_than_now(off, ages, age):
-    """off: our clock less the true one. Each time that is named is as old as drawn, in steps of a second of ours."""
-    others, now = RemoteClock(), NOW
-    for by_service, old in ages:
+@given(clock_error_s=CLOCK_ERRORS_S, ages=AGES, age=st.floats(0.0, 5000.0))
+def test_local_time_is_never_before_the_true_time_and_never_after_now(clock_error_s, ages, age):
+    """Convert a time of a given age after a sequence of received times.
+
+    clock_error_s is the error of the local clock. Each received time has an age from the drawn list, and comes from the
+    discovery service or from another server. The local clock advances by one second before each.
+    """
+    remote_clock, now = RemoteClock(), NOW
+    for is_trusted, message_age in ages:
         now += 1.0
-        (others.observe_trusted if by_service else others.observe)(now - off - old, now)
-    others.observe_trusted(now - off - age, now)
-    instant = others.to_local_time(now - off - age, now)
-    assert now - age - 1e-3 <= instant <= now
-    assert others.earliest_local_time(now - off - age, now) <= instant
+        (remote_clock.observe_trusted if is_trusted else remote_clock.observe)(now - clock_error_s - message_age, now)
+    remote_clock.observe_trusted(now - clock_error_s - age, now)
+    local_time = remote_clock.to_local_time(now - clock_error_s - age, now)
+    assert now - age - 1e-3 <= local_time <= now
+    assert remote_clock.earliest_local_time(now - clock_error_s - age, now) <= local_time
 
 
-@given(off=OFF)
-def test_a_fresh_time_of_the_service_makes_the_estimate_exact(off):
-    others = RemoteClock()
-    others.observe_trusted(NOW - off, NOW)
-    assert others.to_local_time(NOW - off - 40.0, NOW + 1.0) == EXACT(NOW - 40.0)
+@given(clock_error_s=CLOCK_ERRORS_S)
+def test_estimate_after_a_recent_time_from_the_discovery_service_is_exact(clock_error_s):
+    remote_clock = RemoteClock()
+    remote_clock.observe_trusted(NOW - clock_error_s, NOW)
+    assert remote_clock.to_local_time(NOW - clock_error_s - 40.0, NOW + 1.0) == approximately(NOW - 40.0)
 
 
-def test_a_spoilt_time_in_an_answer_counts_up_to_our_clock_at_most():
-    others = RemoteClock()
-    others.observe(NOW * 1000, NOW)
-    assert others.to_local_time(NOW - 40.0, NOW) == EXACT(NOW - 40.0)
+def test_estimate_after_a_corrupt_time_from_a_server_is_at_most_the_local_clock():
+    remote_clock = RemoteClock()
+    remote_clock.observe(NOW * 1000, NOW)
+    assert remote_clock.to_local_time(NOW - 40.0, NOW) == approximately(NOW - 40.0)
 
 
-@pytest.mark.parametrize("off", [0.0, 3.0, 3600.0])
-def test_a_fresh_answer_corrects_a_clock_that_is_ahead_and_that_is_told_once(off):
-    others, told = RemoteClock(), []
-    others.on_improved = lambda: told.append(1)
-    born = NOW - off - 60.0
-    others.observe_trusted(born, NOW)
-    assert others.to_local_time(born, NOW) == EXACT(NOW)
-    others.observe(NOW - off, NOW)
-    others.observe(NOW - off + 0.5 * MIN_REPORTED_IMPROVEMENT_S, NOW + 0.5 * MIN_REPORTED_IMPROVEMENT_S)
-    assert others.to_local_time(born, NOW) == EXACT(NOW - 60.0) and len(told) == 1
+@pytest.mark.parametrize("clock_error_s", [0.0, 3.0, 3600.0])
+def test_estimate_when_the_local_clock_is_ahead_is_corrected_by_a_recent_answer_and_reported_once(clock_error_s):
+    remote_clock, reports = RemoteClock(), []
+    remote_clock.on_improved = lambda: reports.append(1)
+    started = NOW - clock_error_s - 60.0
+    remote_clock.observe_trusted(started, NOW)
+    assert remote_clock.to_local_time(started, NOW) == approximately(NOW)
+    remote_clock.observe(NOW - clock_error_s, NOW)
+    remote_clock.observe(NOW - clock_error_s + 0.5 * MIN_REPORTED_IMPROVEMENT_S, NOW + 0.5 * MIN_REPORTED_IMPROVEMENT_S)
+    assert remote_clock.to_local_time(started, NOW) == approximately(NOW - 60.0) and len(reports) == 1
 
 
-def test_a_copy_is_not_taken_for_younger_where_our_clock_is_behind_once_the_service_names_a_time():
-    others = RemoteClock()
-    others.observe_trusted(NOW + 3600.0, NOW)
-    assert others.earliest_local_time(NOW + 3500.0, NOW) == EXACT(NOW - 100.0)
+def test_earliest_local_time_when_the_local_clock_is_behind_is_corrected_by_the_discovery_service():
+    remote_clock = RemoteClock()
+    remote_clock.observe_trusted(NOW + 3600.0, NOW)
+    assert remote_clock.earliest_local_time(NOW + 3500.0, NOW) == approximately(NOW - 100.0)
 
 
-def test_the_steady_clock_runs_with_the_monotonic_one():
-    first = steady_time() - monotonic()
-    assert steady_time() - monotonic() == EXACT(first, abs=1e-3)
+def test_steady_time_keeps_its_offset_from_the_monotonic_clock():
+    offset = steady_time() - monotonic()
+    assert steady_time() - monotonic() == approximately(offset, abs=1e-3)
--- a/tests/routing/test_decide.py
+++ b/tests/routing/test_decide.py
@@ -1,3 +1,5 @@
+"""Routing decisions of one router: gLRU, rules about attempts, slow start, purges, rejection and failures."""
+
 from dataclasses import replace
 from types import SimpleNamespace
 
@@ -18,121 +20,127 @@
 from wickhinge.routing.random_source import RandomSource
 from wickhinge.routing.slow_start import SlowStart
 
-MISS, OK, FULL, TIMED = Outcome.MISS, Outcome.SUCCEEDED, Outcome.OVERLOADED, Outcome.TIMED_OUT
+MISS, SUCCEEDED, OVERLOADED, TIMED_OUT = Outcome.MISS, Outcome.SUCCEEDED, Outcome.OVERLOADED, Outcome.TIMED_OUT
 
 
-# The ordinary path.
+# The ordinary path: counts, hits, misses and fills.
 
 
-@pytest.mark.parametrize("times, routers, k", [(1, 1, 1), (2, 1, 3), (3, 1, 6), (1, 12, 12)])
-def test_requests_of_part_0_raise_k(times, routers, k):
+@pytest.mark.parametrize("requests, routers, count", [(1, 1, 1), (2, 1, 3), (3, 1, 6), (1, 12, 12)])
+def test_count_when_part_0_is_requested_rises_by_the_number_of_the_request(requests, routers, count):
     counts = ObjectCounts(routers)
-    for _ in range(times):
+    for _ in range(requests):
         entry = counts.record_request(5, 0, 1.0)
-    assert entry.leading_parts == k
+    assert entry.leading_parts == count
     counts.record_request(5, 1, 1.0)
-    assert (entry.leading_parts > k) is (routers > 1)  # its part 0 was seen by another
+    # Another router of the zone may have seen the request of part 0.
+    assert (entry.leading_parts > count) is (routers > 1)
 
 
-@pytest.mark.parametrize("idle, k", [(9.0, 8), (10.0, 4), (25.0, 2), (1000.0, 0.0)])
-def test_idle_object_has_k_halved(idle, k):
+@pytest.mark.parametrize("idle_s, count", [(9.0, 8), (10.0, 4), (25.0, 2), (1000.0, 0.0)])
+def test_count_when_the_object_is_idle_halves_each_halving_time(idle_s, count):
     counts = ObjectCounts()
     counts.record_request(5, 1, 0.0).leading_parts = 8
-    assert counts.record_request(5, 1, idle).leading_parts == pytest.approx(k, abs=1e-9)
+    assert counts.record_request(5, 1, idle_s).leading_parts == pytest.approx(count, abs=1e-9)
 
 
-def test_table_of_k_is_bounded_and_drops_the_least_lately_asked():
+def test_counts_when_the_table_is_full_drop_the_least_recently_requested_object():
     counts = ObjectCounts(max_objects=2)
     for key in (1, 2, 1, 3):
         counts.record_request(key, 0, 0.0)
     assert list(counts.entries) == [1, 3]
 
 
-@pytest.mark.parametrize("part, heat, rank", [(0, 1.0, 1), (2, 1.0, 1), (3, 50.0, 0), (0, 50.0, 2)])
-def test_parts_below_k_are_kept_and_those_asked_often_higher(part, heat, rank):
+@pytest.mark.parametrize("part, frequency, rank", [(0, 1.0, 1), (2, 1.0, 1), (3, 50.0, 0), (0, 50.0, 2)])
+def test_retention_rank_when_the_part_is_below_the_count_depends_on_the_frequency(part, frequency, rank):
     counts, entry = ObjectCounts(), ObjectCount(5, 0.0)
-    entry.leading_parts, entry.frequency = 3, heat
+    entry.leading_parts, entry.frequency = 3, frequency
     counts.kept_work = 1000.0
     assert counts.retention_rank(entry, part, 1.0) == rank
 
 
-def test_middle_rank_holds_a_small_share():
+def test_middle_rank_when_all_parts_are_frequent_gets_a_small_share_of_the_work():
     counts, entry = ObjectCounts(), ObjectCount(5, 0.0)
     entry.leading_parts, entry.frequency = 3, 50.0
     ranks = [counts.retention_rank(entry, 0, 1.0) for _ in range(1000)]
     assert 0 < ranks[-500:].count(2) <= 0.2 * 500
 
 
-def test_a_miss_is_filled_at_the_cache_on_the_hash_from_the_objects_parent():
+def test_miss_is_filled_at_the_same_cache_from_the_first_parent_of_the_object():
     router = make_router()
     for part in range(4):
         _, transport = route_request(router, part=part)
-        look = transport.forwards[0]
-        assert look.server is look.source
+        lookup = transport.forwards[0]
+        assert lookup.server is lookup.source
         end_attempt(transport, MISS, 100.01)
         fill = transport.forwards[1]
-        assert fill.server is look.server
+        assert fill.server is lookup.server
         assert fill.source is router.endpoints.in_order(router.endpoints.parents, 5, 100.0)[0]
         assert (fill.retention_rank > 0) == (part == 0)
 
 
-def test_losing_a_cache_moves_only_its_own_parts():
+def test_hash_order_when_a_cache_is_gone_keeps_the_order_of_the_others():
     endpoints = make_router(caches=5).endpoints
-    before = {salt: endpoints.in_order(endpoints.edge_caches, salt, 0.0) for salt in range(200)}
-    gone = endpoints.edge_caches[2]
-    endpoints.update([make_endpoint(gone.id, state="gone")], 0.0, complete=False)
-    for salt, order in before.items():
-        assert endpoints.in_order(endpoints.edge_caches, salt, 0.0) == [cache for cache in order if cache is not gone]
-
-
-@pytest.mark.parametrize("started, purged, k", [(None, False, 1), (99.0, False, 8), (None, True, 8)])
-def test_a_miss_below_k_shrinks_it_unless_nothing_was_pushed_out(started, purged, k):
-    router = make_router(extra=[make_endpoint(i + 1, started=started) for i in range(4)])
+    orders = {object_hash: endpoints.in_order(endpoints.edge_caches, object_hash, 0.0) for object_hash in range(200)}
+    lost = endpoints.edge_caches[2]
+    endpoints.update([make_endpoint(lost.id, state="gone")], 0.0, complete=False)
+    for object_hash, order in orders.items():
+        assert endpoints.in_order(endpoints.edge_caches, object_hash, 0.0) == [
+            cache for cache in order if cache is not lost
+        ]
+
+
+@pytest.mark.parametrize("started, is_purged, count", [(None, False, 1), (99.0, False, 8), (None, True, 8)])
+def test_count_when_a_part_below_it_is_missed_shrinks_unless_the_cache_is_new_or_the_object_was_purged(
+    started, is_purged, count
+):
+    router = make_router(extra=[make_endpoint(number + 1, started=started) for number in range(4)])
     routed, transport = route_request(router)
     routed.object_count.leading_parts = 8
-    if purged:
+    if is_purged:
         router.purges.record_purge(5, 3, 99.9, 100.0)
     end_attempt(transport, MISS, 100.01)
-    assert routed.object_count.leading_parts == k
+    assert routed.object_count.leading_parts == count
 
 
-def test_a_hit_at_or_above_k_raises_it():
+def test_count_when_a_part_above_it_is_hit_rises_to_include_the_part():
     routed, transport = route_request(make_router(), part=6)
-    end_attempt(transport, OK, 100.1, is_answered=True)
+    end_attempt(transport, SUCCEEDED, 100.1, is_answered=True)
     assert routed.object_count.leading_parts == 7
 
 
-def test_an_empty_cache_is_filled_without_a_look_and_keeps_parts_above_k():
+def test_new_cache_is_filled_without_a_lookup_and_keeps_parts_above_the_count():
     router = make_router(caches=0, extra=[make_endpoint(1, started=95.0, weight=200.0)])
     _, transport = route_request(router, part=6)
-    assert [(f.retention_rank, f.source.kind) for f in transport.forwards] == [(1, "parent")]
+    assert [(forward.retention_rank, forward.source.kind) for forward in transport.forwards] == [(1, "parent")]
 
 
-# The rules.
+# Rules that every attempt has to keep.
 
 
 @pytest.mark.parametrize("outcome", list(Outcome))
-@pytest.mark.parametrize("effect", list(Idempotency))
-def test_one_final_answer_at_the_end_of_patience_and_nothing_after(idempotency, outcome):
+@pytest.mark.parametrize("idempotency", list(Idempotency))
+def test_request_when_its_time_is_over_gets_one_final_answer_and_no_further_attempt(idempotency, outcome):
     routed, transport = route_request(make_router(), make_request_class(idempotency))
     routed.give_up(104.98)
-    harmless = idempotency is not Idempotency.NOT_IDEMPOTENT
-    assert [kind for kind, _ in transport.answers] == ["rejected" if harmless else "failed"]
-    sent = len(transport.forwards)
+    is_retry_harmless = idempotency is not Idempotency.NOT_IDEMPOTENT
+    assert [kind for kind, _ in transport.answers] == ["rejected" if is_retry_harmless else "failed"]
+    forwards = len(transport.forwards)
     end_attempt(transport, outcome, 105.0, is_answered=True)
     routed.finish()
     routed.give_up(105.1)
     for _, call in routed.router.environment.timers:
         call(106.0)
-    assert len(transport.answers) == 1 and len(transport.forwards) == sent
+    assert len(transport.answers) == 1 and len(transport.forwards) == forwards
 
 
-@pytest.mark.parametrize("outcome", [o for o in Outcome if o is not OK])
-def test_exclusive_goes_on_only_after_what_never_ran(outcome):
+@pytest.mark.parametrize("outcome", [outcome for outcome in Outcome if outcome is not SUCCEEDED])
+def test_request_that_is_not_idempotent_is_retried_only_after_an_attempt_that_was_not_executed(outcome):
     router = make_router()
     _, transport = route_request(router, make_request_class(Idempotency.NOT_IDEMPOTENT, pass_through=True))
     end_attempt(transport, outcome, 100.1)
-    router.serve_waiting(100.4)  # where the origin refuses or is gone it waits a little first
+    # After a rejection or a refused connection, the request waits for capacity before its next attempt.
+    router.serve_waiting(100.4)
     if outcome in NOT_EXECUTED_OUTCOMES:
         assert len(transport.forwards) == 2 and not transport.answers
     else:
@@ -140,7 +148,7 @@
 
 
 @pytest.mark.parametrize(
-    "group, cell, later, allowed",
+    "group, cell, delay_s, is_allowed",
     [
         ("all", 9, 1.0, True),
         ("zone", 9, 1.0, True),
@@ -149,109 +157,112 @@
         ("all", 0, 5.0, False),
     ],
 )
-def test_ticketed_repeats_only_in_its_group_and_window(group, cell, later, allowed):
+def test_request_with_an_idempotency_key_is_repeated_only_within_its_group_and_window(group, cell, delay_s, is_allowed):
     router = make_router(extra=[make_endpoint(9, cell=cell)])
     routed, transport = route_request(router, make_request_class(Idempotency.IDEMPOTENCY_KEY, group))
     first = transport.forwards[0].attempt
-    first.is_pending, first.outcome = False, TIMED
-    other = next(c for c in router.endpoints.edge_caches if c.id == 9)
-    assert routed.may_send(other, 100.0 + later) is allowed
+    first.is_pending, first.outcome = False, TIMED_OUT
+    other = next(cache for cache in router.endpoints.edge_caches if cache.id == 9)
+    assert routed.may_send(other, 100.0 + delay_s) is is_allowed
 
 
-def test_no_second_pending_copy_where_copies_are_barred():
+def test_second_attempt_without_hedging_may_not_be_sent_while_one_is_pending():
     router = make_router(hedging=False)
     routed, _ = route_request(router)
     assert not any(routed.may_send(cache, 100.1) for cache in router.endpoints.edge_caches)
 
 
 @pytest.mark.parametrize("state", ["draining", "gone"])
-def test_nothing_new_goes_to_what_drains_or_is_gone(state):
+def test_server_when_it_is_draining_or_gone_gets_no_new_attempts(state):
     router = make_router(caches=2, parents=2)
     lost = [router.endpoints.edge_caches[0], router.endpoints.parents[0]]
-    router.endpoints.update([make_endpoint(c.id, c.kind, c.zone, state=state) for c in lost], 99.0, complete=False)
+    router.endpoints.update(
+        [make_endpoint(server.id, server.kind, server.zone, state=state) for server in lost], 99.0, complete=False
+    )
     for key in range(60):
         _, transport = route_request(router, key=key)
         end_attempt(transport, MISS, 100.01)
-        assert not any(f.server in lost or f.source in lost for f in transport.forwards)
+        assert not any(forward.server in lost or forward.source in lost for forward in transport.forwards)
 
 
-def test_what_a_whole_list_leaves_out_is_gone():
+def test_server_when_a_complete_list_omits_it_is_gone():
     router = make_router(caches=2)
     router.endpoints.update([make_endpoint(1)], 50.0, complete=True)
     assert [cache.id for cache in router.endpoints.edge_caches] == [1] and not router.endpoints.parents
 
 
-@pytest.mark.parametrize("weighed", [True, False])
-def test_cold_machines_get_no_more_than_this_routers_share(weighed):
-    router = make_router(caches=2, has_weights=weighed)
+@pytest.mark.parametrize("has_weights", [True, False])
+def test_starting_server_gets_no_more_work_than_this_routers_share(has_weights):
+    router = make_router(caches=2, has_weights=has_weights)
     router.endpoints.update([make_endpoint(9, started=99.0)], 100.0, complete=False)
-    cold = next(c for c in router.endpoints.edge_caches if c.id == 9)
+    starting = next(cache for cache in router.endpoints.edge_caches if cache.id == 9)
     router.endpoints.cache_slow_start.usual_load = 5.0
     routed = SimpleNamespace(router=router, request_class=make_request_class())
     sent = sum(
-        router.endpoints.admits(cold, routed, at / 100.0) and not cold.spend_tokens(0.3) for at in range(10000, 10100)
+        router.endpoints.admits(starting, routed, hundredths / 100.0) and not starting.spend_tokens(0.3)
+        for hundredths in range(10000, 10100)
     )
-    assert 0 < sent * 0.3 <= 4.0 * 0.28 * (20.0 if weighed else 5.0)
+    assert 0 < sent * 0.3 <= 4.0 * 0.28 * (20.0 if has_weights else 5.0)
 
 
-def test_a_share_under_one_visit_is_spent_on_credit_and_not_by_all_routers_at_once():
-    routers, sent = [make_router(seed=seed, routers=100) for seed in range(100)], 0.0
-    visits = [
+def test_routers_whose_share_is_less_than_one_request_send_on_credit_but_not_all_at_once():
+    routers, sent_work = [make_router(seed=seed, routers=100) for seed in range(100)], 0.0
+    requests = [
         (router.endpoints, SimpleNamespace(router=router, request_class=make_request_class())) for router in routers
     ]
-    for endpoints, _ in visits:
+    for endpoints, _ in requests:
         endpoints.update([make_endpoint(9, started=100.0)], 100.0, complete=False)
-    for at in range(10000, 10100):
-        for endpoints, routed in visits:
-            if endpoints.admits(endpoints.servers[9], routed, at / 100.0):
+    for hundredths in range(10000, 10100):
+        for endpoints, routed in requests:
+            if endpoints.admits(endpoints.servers[9], routed, hundredths / 100.0):
                 endpoints.servers[9].spend_tokens(0.4)
-                sent += 0.4
-    assert 0.2 * 20.0 < sent < 4.0 * 0.2 * 20.0
+                sent_work += 0.4
+    assert 0.2 * 20.0 < sent_work < 4.0 * 0.2 * 20.0
 
 
 @pytest.mark.parametrize(
-    "strikes, outcome", [(1, Outcome.CONNECT_FAILED), (2, Outcome.TIMED_OUT), (8, Outcome.CONNECTION_LOST)]
+    "failures, outcome", [(1, Outcome.CONNECT_FAILED), (2, Outcome.TIMED_OUT), (8, Outcome.CONNECTION_LOST)]
 )
-def test_what_was_gone_and_answers_again_is_cold_before_the_list_says_so(strikes, outcome):
+def test_failed_server_that_answers_again_is_in_slow_start_before_the_list_shows_its_restart(failures, outcome):
     router = make_router()
     cache = router.endpoints.edge_caches[0]
-    for _ in range(strikes):
+    for _ in range(failures):
         cache.record_failure(99.0, outcome)
     assert router.endpoints.cache_slow_start.capacity_share(cache, 99.5) == pytest.approx(0.2)
     cache.record_answer(100.0)
     assert router.endpoints.cache_slow_start.capacity_share(cache, 105.0) == pytest.approx(0.6)
 
 
-def test_what_a_warm_parent_bears_is_remembered_when_all_have_started_anew():
+def test_usual_load_of_warm_parents_when_all_have_restarted_is_still_used():
     router = make_router(has_weights=False)
     for _ in range(50):
         for parent in router.endpoints.parents:
             parent.sent_work = 3.5
         router.endpoints.parent_slow_start.observe_load(router.endpoints.parents, 100.0)
     router.endpoints.update(
-        [make_endpoint(100 + i, "parent", "hub", started=100.0) for i in range(2)], 100.0, complete=False
+        [make_endpoint(100 + number, "parent", "hub", started=100.0) for number in range(2)], 100.0, complete=False
     )
     router.endpoints.parent_slow_start.observe_load(router.endpoints.parents, 105.0)
     assert router.choose_source(route_request(router, now=105.0)[0], 105.0) in router.endpoints.parents
 
 
-def test_a_parent_too_cold_leaves_its_fills_to_the_next():
+def test_fill_when_the_first_parent_is_in_slow_start_goes_to_the_next_parent():
     router = make_router(parents=1, extra=[make_endpoint(101, "parent", "hub", started=99.9, weight=0.01)])
     assert {router.choose_source(route_request(router, key=key)[0], 100.0).id for key in range(20)} == {100}
 
 
-def test_fills_count_against_a_cold_parent():
+def test_fills_use_up_the_slow_start_tokens_of_a_parent():
     router = make_router(caches=2, parents=1, extra=[make_endpoint(100, "parent", "hub", started=99.0, weight=2.0)])
     fills = 0
     for key in range(40):
         _, transport = route_request(router, key=key, now=100.0)
         end_attempt(transport, MISS, 100.0)
-        fills += sum(f.source.id == 100 for f in transport.forwards)
+        fills += sum(forward.source.id == 100 for forward in transport.forwards)
     assert 0 < fills * router.mean_work(make_request_class()) <= 2.0 * 0.19 * 2.0
 
 
 @pytest.mark.parametrize(
-    "told, key, group, now, oldest",
+    "recorded, key, group, now, max_age",
     [
         ([(5, 3, 90.0)], 5, 3, 92.0, 2.0),
         ([(5, 3, 90.0)], 6, 3, 92.0, None),
@@ -262,26 +273,26 @@
         ([(5, 3, 92.0)], 5, 3, 92.0, 0.001),
     ],
 )
-def test_the_youngest_purge_sets_the_oldest_copy(told, key, group, now, oldest):
+def test_maximum_age_when_purges_are_in_force_is_the_age_of_the_latest_one(recorded, key, group, now, max_age):
     purges = Purges(6.0)
-    for what, of, router in told:
-        purges.record_purge(what, of, router, now)
-    assert purges.max_age(key, group, now) == pytest.approx(oldest, abs=0.002)
+    for purged_key, purged_group, created in recorded:
+        purges.record_purge(purged_key, purged_group, created, now)
+    assert purges.max_age(key, group, now) == pytest.approx(max_age, abs=0.002)
 
 
 @pytest.mark.parametrize(
-    "limit, known, oldest",
+    "limit, purge_age, max_age",
     [(None, None, None), (2.0, None, 2.0), (None, 0.5, 0.5), (2.0, 0.5, 0.5), (0.2, 0.5, 0.2)],
 )
-def test_while_purges_may_be_missing_no_copy_is_older_than_the_limit(limit, known, oldest):
+def test_maximum_age_while_purges_may_be_missing_is_at_most_the_limit(limit, purge_age, max_age):
     purges = Purges(6.0)
     purges.set_age_limit(lambda now: limit)
-    if known is not None:
-        purges.record_purge(7, 0, 10.0 - known, 10.0)
-    assert purges.max_age(7, 0, 10.0) == pytest.approx(oldest, abs=0.002)
+    if purge_age is not None:
+        purges.record_purge(7, 0, 10.0 - purge_age, 10.0)
+    assert purges.max_age(7, 0, 10.0) == pytest.approx(max_age, abs=0.002)
 
 
-def test_every_forward_of_a_purged_object_carries_the_limit():
+def test_every_attempt_for_a_purged_object_has_the_maximum_age():
     router = make_router()
     router.purges.record_purge(5, 3, 99.0, 100.0)
     _, transport = route_request(router, make_request_class(freshness_lifetime=0.5), now=100.2)
@@ -291,10 +302,10 @@
     assert transport.forwards[0].max_age == pytest.approx(1.199)
 
 
-# Guards.
+# Rejection, failures and overload.
 
 
-def test_what_cannot_be_in_time_is_denied_at_once_with_a_time_to_come_back():
+def test_request_that_would_be_late_is_rejected_at_once_with_retry_after():
     router = make_router(caches=1, direct_to_source=False)
     router.endpoints.edge_caches[0].concurrency_limit = router.endpoints.edge_caches[0].max_concurrency_limit = 1.0
     transports = [route_request(router, key=key, size_kb=500.0)[1] for key in range(8)]
@@ -302,53 +313,60 @@
     assert not transports[-1].forwards and transports[-1].answers == [("rejected", 0.5)]
 
 
-@pytest.mark.parametrize("repeat, crowd, denied", [(True, 2.0, True), (False, 2.0, False), (True, 1.0, False)])
-def test_a_repeat_is_not_taken_into_a_crowd(repeat, crowd, denied):
-    routed, _ = route_request(make_router(), is_retry=repeat)
-    assert routed.would_be_late(crowd, 100.0) is denied
+@pytest.mark.parametrize("is_retry, utilization, is_late", [(True, 2.0, True), (False, 2.0, False), (True, 1.0, False)])
+def test_retry_when_the_server_is_above_full_load_would_be_late(is_retry, utilization, is_late):
+    routed, _ = route_request(make_router(), is_retry=is_retry)
+    assert routed.would_be_late(utilization, 100.0) is is_late
+
 
+@pytest.mark.parametrize("caches, size_kb, is_rejected", [(1, 2500.0, False), (1, 6000.0, True), (0, 2500.0, False)])
+def test_large_request_when_the_servers_are_idle_is_not_rejected(caches, size_kb, is_rejected):
+    """The predicted slowdown must be 1 on an idle server.
 
-@pytest.mark.parametrize("boxes, size, denied", [(1, 2500.0, False), (1, 6000.0, True), (0, 2500.0, False)])
-def test_the_largest_are_not_denied_where_nothing_is_crowded(boxes, size, denied):
-    """Stretched by a margin for crowds also alone, what takes its promised time over (2 - stretch) was always late."""
-    router = make_router(caches=boxes)
-    _, transport = route_request(router, replace(make_request_class(), objective_stretch=0.9), size_kb=size)
-    if not denied and boxes:
+    Before, a margin for load was added there as well. Then a request was always late if it took more than its latency
+    objective / (2 - objective_stretch).
+    """
+    router = make_router(caches=caches)
+    _, transport = route_request(router, replace(make_request_class(), objective_stretch=0.9), size_kb=size_kb)
+    if not is_rejected and caches:
         end_attempt(transport, MISS, 100.01)
-    assert bool(transport.answers) is denied and (len(transport.forwards) == 1 + boxes) is not denied
+    assert bool(transport.answers) is is_rejected and (len(transport.forwards) == 1 + caches) is not is_rejected
 
 
 @pytest.mark.parametrize("waited", [0.0, 0.01, 0.1])
-def test_a_tariff_whose_promise_does_not_stretch_is_served_before_its_mean_is_learned(waited):
-    """Guessed at half of the promised time and stretched by two, each was late, and none ever taught the mean."""
+def test_class_whose_objective_does_not_stretch_is_served_before_its_work_is_learned(waited):
+    """The initial assumption of the work must not make every request of a class late.
+
+    Otherwise no request of the class is sent, and its work is never learned.
+    """
     transport = RecordingTransport()
     short = replace(make_request_class(), latency_objective=0.3, objective_stretch=0.0)
     make_router().route(transport, short, Request(5, 0, 3, 0.0, 2.0), 100.0, waited)
     assert len(transport.forwards) == 1 and not transport.answers
 
 
-@pytest.mark.parametrize("load, denied", [(1.0, False), (30.0, True)])
-def test_a_fill_predicted_late_on_a_crowded_link_is_denied(load, denied):
+@pytest.mark.parametrize("load, is_rejected", [(1.0, False), (30.0, True)])
+def test_fill_that_would_be_late_on_a_loaded_zone_link_is_rejected(load, is_rejected):
     router = make_router()
     router.zone_link.reported_load = load
     _, transport = route_request(router, size_kb=400.0)
     end_attempt(transport, MISS, 100.01)
-    assert bool(transport.answers) is denied and (len(transport.forwards) == 1) is denied
+    assert bool(transport.answers) is is_rejected and (len(transport.forwards) == 1) is is_rejected
 
 
 @pytest.mark.parametrize("load", [0.0, 30.0])
-def test_the_links_load_is_learned_beside_answers_too(load):
-    """Where answers bring it, and probes may be barred, nothing was known of the link."""
+def test_zone_links_load_when_there_are_no_health_checks_is_learned_from_answers(load):
+    """Without health checks, the load reports in answers are the only source for the load of the zone's link."""
     router = make_router(health_checks=False)
     for key in range(20):
         _, transport = route_request(router, key=key, size_kb=10.0)
         forward = transport.forwards[0].attempt
-        forward.request.attempt_ended(forward, Completion(OK, 0.01, True, None, {"x1": load}), 100.0)
+        forward.request.attempt_ended(forward, Completion(SUCCEEDED, 0.01, True, None, {"x1": load}), 100.0)
     assert (router.link_utilization() > 1.0) is (load > 1.0)
 
 
 @pytest.mark.parametrize("ratio, grows", [(1.0, True), (4.0, False)])
-def test_capacity_is_learned_from_answer_times(ratio, grows):
+def test_concurrency_limit_is_learned_from_answer_times(ratio, grows):
     cache = make_router().endpoints.edge_caches[0]
     cache.concurrency_limit = cache.max_concurrency_limit = 2.0
     cache.pending_attempts = set(range(5))
@@ -357,7 +375,7 @@
     assert (cache.concurrency_limit > 2.0) is grows
 
 
-def test_a_silent_source_is_left_for_the_next_parent():
+def test_fill_from_a_silent_source_is_cancelled_and_sent_to_the_next_parent():
     router = make_router()
     for part in range(2):
         _, transport = route_request(router, key=5, part=part)
@@ -365,7 +383,8 @@
         fill = transport.forwards[1]
         fill.source.last_answer_at = 99.0
         fill.attempt.request.check_overdue(fill.attempt, 100.5)
-        assert bool(transport.cancelled) is (part > 0)  # alone it may only be slow
+        # While the fill is the only request at the source, the source may just be slow.
+        assert bool(transport.cancelled) is (part > 0)
         fill.source.pending_fills.add("another")
         fill.attempt.request.check_overdue(fill.attempt, 100.5)
         assert transport.cancelled[0] is fill.attempt
@@ -377,10 +396,13 @@
 
 
 @pytest.mark.parametrize(
-    "outcome, rests", [(Outcome.CONNECTION_LOST, False), (Outcome.NOT_SENT, False), (Outcome.CONNECT_FAILED, True)]
+    "outcome, has_failed", [(Outcome.CONNECTION_LOST, False), (Outcome.NOT_SENT, False), (Outcome.CONNECT_FAILED, True)]
 )
-def test_a_connection_that_broke_is_no_machine_that_went(outcome, rests):
-    """Taken for gone, every cache whose connections are reset was cold, and all went to the origin."""
+def test_cache_when_a_connection_to_it_is_lost_does_not_count_as_failed(outcome, has_failed):
+    """Resets of the connections to all caches must not put all of them into slow start.
+
+    Otherwise all requests would go to the origin.
+    """
     router = make_router()
     routed, transport = route_request(router)
     first = transport.forwards[0].server
@@ -388,17 +410,17 @@
         other = route_request(router, key=5)[1]
         assert other.forwards[0].server is first
     end_attempt(transport, outcome, 100.1)
-    assert first.has_failed is rests and (transport.forwards[1].server is first) is not rests
+    assert first.has_failed is has_failed and (transport.forwards[1].server is first) is not has_failed
 
 
-def test_the_parent_is_not_blamed_for_the_connection_to_the_cache():
+def test_fill_when_the_connection_to_the_cache_is_lost_is_repeated_from_the_same_parent():
     routed, transport = route_request(make_router())
     end_attempt(transport, Outcome.MISS, 100.1)
     end_attempt(transport, Outcome.CONNECTION_LOST, 100.2)
     assert transport.forwards[2].source is transport.forwards[1].source is not transport.forwards[1].server
 
 
-def test_caches_gone_and_objects_long_unasked_are_freed():
+def test_gone_caches_and_idle_objects_are_dropped():
     router = make_router()
     route_request(router, key=6, now=1.0)
     router.endpoints.update([make_endpoint(1, state="gone")], 1.0, complete=False)
@@ -406,7 +428,7 @@
     assert 1 not in router.endpoints.servers and list(router.object_counts.entries) == [7]
 
 
-def test_a_failed_machine_is_tried_by_one_visit_at_a_time():
+def test_failed_server_gets_one_request_at_a_time_until_it_answers():
     cache = make_router().endpoints.edge_caches[0]
     cache.record_failure(1.0)
     cache.record_failure(1.0)
@@ -418,14 +440,14 @@
 
 
 @pytest.mark.parametrize("routers, pending", [(1, 0.0), (12, 0.5)])
-def test_a_crowd_counts_what_the_other_routers_have_there(routers, pending):
+def test_expected_transfers_include_an_estimate_for_the_other_routers(routers, pending):
     endpoints = make_router(routers=routers).endpoints
     endpoints.mean_pending_attempts = pending * len(endpoints.edge_caches)
     endpoints.estimate_other_transfers()
     assert endpoints.edge_caches[0].expected_transfers() == pytest.approx(1 + (routers - 1) * pending, rel=0.11)
 
 
-def test_after_an_error_the_same_cache_is_asked_twice_more():
+def test_cache_after_an_error_is_asked_twice_more_before_the_next_cache():
     router = make_router()
     _, transport = route_request(router)
     for _ in range(3):
@@ -434,85 +456,95 @@
     assert others[:2] == [first, first] and others[2] is not first
 
 
-@pytest.mark.parametrize("size, learned", [(100.0, True), (0.0, False)])
-def test_a_guessed_size_tells_nothing_of_the_crowd(size, learned):
+@pytest.mark.parametrize("size_kb, is_learned", [(100.0, True), (0.0, False)])
+def test_concurrency_limit_when_the_size_is_not_known_is_not_learned_from_the_answer(size_kb, is_learned):
     router = make_router()
-    _, transport = route_request(router, size_kb=size)
-    before = transport.forwards[0].server.concurrency_limit
-    end_attempt(transport, OK, 103.0, is_answered=True, duration=3.0)
-    assert (transport.forwards[0].server.concurrency_limit != before) is learned
+    _, transport = route_request(router, size_kb=size_kb)
+    limit = transport.forwards[0].server.concurrency_limit
+    end_attempt(transport, SUCCEEDED, 103.0, is_answered=True, duration=3.0)
+    assert (transport.forwards[0].server.concurrency_limit != limit) is is_learned
 
 
-def refused(router, *then, key=5, now=100.0):
-    """A visit whose fill was refused, nobody says by whom; then these outcomes of what follows."""
+def route_with_rejected_fill(router, *next_outcomes, key=5, now=100.0):
+    """Route a request whose fill is rejected by an unknown server, and end the next attempts with these outcomes."""
     _, transport = route_request(router, key=key, now=now)
     end_attempt(transport, MISS, now + 0.01)
-    for place, outcome in enumerate((FULL, *then)):
-        end_attempt(transport, outcome, now + 0.02 + 0.01 * place, is_answered=outcome is OK)
+    for index, outcome in enumerate((OVERLOADED, *next_outcomes)):
+        end_attempt(transport, outcome, now + 0.02 + 0.01 * index, is_answered=outcome is SUCCEEDED)
     return transport
 
 
-def test_after_a_refused_fill_the_same_source_is_probed_and_asked_for_what_it_holds():
+def test_source_after_a_rejected_fill_gets_a_health_check_and_is_asked_for_its_cached_copy():
     router = make_router()
-    transport = refused(router)
-    look, fill, held = transport.forwards
+    transport = route_with_rejected_fill(router)
+    lookup, fill, cached_fill = transport.forwards
     assert router.environment.health_checked == [fill.source]
     assert (
-        held.source is fill.source
-        and held.server is fill.server
-        and (fill.only_if_cached, held.only_if_cached) == (False, True)
+        cached_fill.source is fill.source
+        and cached_fill.server is fill.server
+        and (fill.only_if_cached, cached_fill.only_if_cached) == (False, True)
     )
-    end_attempt(transport, FULL, 100.03)  # it refuses that as well, so it may be the one: the visit waits
+    # The source rejects this as well, so it may be what rejected the first fill. The request waits for capacity.
+    end_attempt(transport, OVERLOADED, 100.03)
     assert len(transport.forwards) == 3 and not transport.answers and not router.origin_pacing.interval
     router.serve_waiting(100.4)
     assert transport.forwards[3].source is fill.source and transport.forwards[3].only_if_cached
 
 
-def test_while_the_origin_refuses_parents_give_what_they_hold_and_fetches_go_in_turn():
-    """Else all that a parent holds is denied with what it lacks, and refused calls, each tried again by caches and
-    parents, push the origin until it stops (a day of a slow origin alone: 77% of visits refused).
+def test_cached_copies_of_parents_while_the_origin_rejects_are_served_and_fetches_are_paced():
+    """A slow origin must not cause the rejection of requests that a parent can answer from its cache.
+
+    Nor may rejected fetches overload the origin until it stops, because caches and parents retry each of them. In a
+    simulated day with only a slow origin, 77% of the requests were rejected before.
     """
     router = make_router()
-    transport = refused(router, MISS)  # the source is there and lacks it: the origin refused, fetched once more in turn
+    # The source answers that it has no copy, so the origin rejected the fill. It is fetched once more, as paced.
+    transport = route_with_rejected_fill(router, MISS)
     assert router.origin_pacing.interval > 0.0 and transport.forwards[-1].only_if_cached is False
-    end_attempt(transport, FULL, 100.05)
-    gap = router.origin_pacing.interval
-    _, held = route_request(router, key=6, now=100.06)
-    end_attempt(held, MISS, 100.07)
-    assert held.forwards[1].only_if_cached is True
-    end_attempt(held, OK, 100.1, is_answered=True)  # what the parent holds is served meanwhile
-    _, lacks = route_request(router, key=7, now=100.1)
-    end_attempt(lacks, MISS, 100.11)
-    end_attempt(lacks, MISS, 100.12)
-    assert lacks.answers == [("rejected", 0.5)]  # not its turn: at once
-    later = 100.2 + 1.5 * gap
+    end_attempt(transport, OVERLOADED, 100.05)
+    interval = router.origin_pacing.interval
+    _, cached = route_request(router, key=6, now=100.06)
+    end_attempt(cached, MISS, 100.07)
+    assert cached.forwards[1].only_if_cached is True
+    # A copy in the parent's cache is served while fetches from the origin are paced.
+    end_attempt(cached, SUCCEEDED, 100.1, is_answered=True)
+    _, uncached = route_request(router, key=7, now=100.1)
+    end_attempt(uncached, MISS, 100.11)
+    end_attempt(uncached, MISS, 100.12)
+    # The next fetch from the origin is not due, so the request is rejected at once.
+    assert uncached.answers == [("rejected", 0.5)]
+    later = 100.2 + 1.5 * interval
     router.endpoints.origin.fill_delays.clear()
-    _, turn = route_request(router, key=8, now=later)
-    end_attempt(turn, MISS, later)
-    end_attempt(turn, MISS, later)
-    assert turn.forwards[2].only_if_cached is False and router.origin_pacing.next_fetch_at >= later + 0.5 * gap
-    end_attempt(turn, OK, later + 0.2, is_answered=True, duration=0.2)
-    assert router.origin_pacing.interval < gap
+    _, paced = route_request(router, key=8, now=later)
+    end_attempt(paced, MISS, later)
+    end_attempt(paced, MISS, later)
+    assert paced.forwards[2].only_if_cached is False and router.origin_pacing.next_fetch_at >= later + 0.5 * interval
+    end_attempt(paced, SUCCEEDED, later + 0.2, is_answered=True, duration=0.2)
+    assert router.origin_pacing.interval < interval
     for _ in range(3):
         router.origin_pacing.fetch_succeeded()
-    assert router.origin_pacing.interval == 0.0  # and the ordinary path is back
+    # The ordinary path is used again.
+    assert router.origin_pacing.interval == 0.0
 
 
-@pytest.mark.parametrize("gap, strikes", [(0.0, 1.0), (1.0, 0)])
-def test_a_source_silent_to_a_fill_is_not_blamed_while_the_origin_refuses(gap, strikes):
+@pytest.mark.parametrize("interval, failures", [(0.0, 1.0), (1.0, 0)])
+def test_silent_source_of_a_fill_while_the_origin_rejects_does_not_count_as_failing(interval, failures):
     router = make_router()
-    router.origin_pacing.interval = gap
+    router.origin_pacing.interval = interval
     for key in (5, 5):
         routed, transport = route_request(router, key=key, part=key)
         end_attempt(transport, MISS, 100.01)
-    forward = transport.forwards[1].attempt
-    forward.only_if_cached, source = False, forward.source
-    routed.check_overdue(forward, 102.0)
-    assert source.consecutive_failures == strikes
+    attempt = transport.forwards[1].attempt
+    attempt.only_if_cached, source = False, attempt.source
+    routed.check_overdue(attempt, 102.0)
+    assert source.consecutive_failures == failures
 
 
-def test_the_origin_as_a_source_is_tried_again():
-    """Its lag never faded: once late by belief, nothing went there that could have shown it better."""
+def test_learned_fill_delay_of_the_origin_decays_with_the_rounds():
+    """A learned fill delay must decay without any fill.
+
+    Otherwise a delay that makes every fill late is never corrected, because no fill is sent any more.
+    """
     router = make_router(parents=0)
     router.endpoints.origin.fill_delays["t"] = 5.0
     for _ in range(40):
@@ -521,23 +553,25 @@
 
 
 @pytest.mark.parametrize("routers, least, most", [(1, 400, 400), (12, 50, 150)])
-def test_a_locations_routers_probe_its_caches_together(routers, least, most):
+def test_health_checks_of_a_cache_are_shared_among_the_routers_of_the_zone(routers, least, most):
     router = make_router(routers=routers)
     for _ in range(100):
         router.round(1.0)
     assert least <= len(router.environment.health_checked) <= most
 
 
-@pytest.mark.parametrize("outcome", [MISS, FULL, Outcome.ERROR])
-@pytest.mark.parametrize("gap", [0.0, 1.0])
-def test_a_visit_sent_straight_to_a_parent_has_it_fetch_from_the_origin_and_is_not_filled_there_by_another(
-    outcome, gap
-):
-    """A parent that refuses one is not a cache whose fill was refused: the bench ended a day on that."""
+@pytest.mark.parametrize("outcome", [MISS, OVERLOADED, Outcome.ERROR])
+@pytest.mark.parametrize("interval", [0.0, 1.0])
+def test_request_straight_to_a_parent_when_it_fails_is_not_filled_at_that_parent_from_another_parent(outcome, interval):
+    """A parent that rejects such a request must not be treated as a cache whose fill was rejected.
+
+    That fault once ended a simulated day early.
+    """
     router = make_router(caches=0)
-    router.origin_pacing.interval = gap
-    home = router.endpoints.in_order(router.endpoints.parents, 5, 100.0)[0]
-    home.ejected_until = 100.05  # so another takes it, and the home is back when that one's answer comes
+    router.origin_pacing.interval = interval
+    first_parent = router.endpoints.in_order(router.endpoints.parents, 5, 100.0)[0]
+    # Another parent gets the request, and the first one is available again when that attempt ends.
+    first_parent.ejected_until = 100.05
     _, transport = route_request(router)
     end_attempt(transport, outcome, 100.1)
     router.serve_waiting(100.5)
@@ -545,7 +579,7 @@
     assert all(forward.source in (forward.server, router.endpoints.origin) for forward in transport.forwards)
 
 
-def test_where_no_source_will_do_a_visit_waits_only_while_it_can_be_in_time():
+def test_request_without_an_available_source_waits_only_while_it_can_meet_its_objective():
     router = make_router()
     router.endpoints.parents, router.endpoints.origin = [], None
     routed, transport = route_request(router)
@@ -555,15 +589,19 @@
     assert transport.answers == [("rejected", 0.5)]
 
 
-@pytest.mark.parametrize("outcome, took, lags", [(OK, 0.11, False), (OK, 3.0, True), (FULL, 0.01, True)])
-def test_a_source_that_refused_or_was_slow_lately_is_asked_for_less(outcome, took, lags):
+@pytest.mark.parametrize(
+    "outcome, duration, is_avoided", [(SUCCEEDED, 0.11, False), (SUCCEEDED, 3.0, True), (OVERLOADED, 0.01, True)]
+)
+def test_source_that_recently_rejected_or_was_slow_gets_no_fills_until_its_delay_has_decayed(
+    outcome, duration, is_avoided
+):
     router = make_router()
     for _ in range(20):
         _, transport = route_request(router)
         end_attempt(transport, MISS, 100.01)
         if len(transport.forwards) > 1:
-            end_attempt(transport, outcome, 100.02, is_answered=outcome is OK, duration=took)
-    assert (transport.answers == [("rejected", 0.5)] and len(transport.forwards) == 1) is lags
+            end_attempt(transport, outcome, 100.02, is_answered=outcome is SUCCEEDED, duration=duration)
+    assert (transport.answers == [("rejected", 0.5)] and len(transport.forwards) == 1) is is_avoided
     for _ in range(20):
         router.round(101.0)
     _, transport = route_request(router)
@@ -571,31 +609,31 @@
     assert len(transport.forwards) == 2
 
 
-@pytest.mark.parametrize("lag, sent", [(0.1, 1), (5.0, 0)])
-def test_a_visit_straight_to_a_parent_is_held_to_its_lag(lag, sent):
+@pytest.mark.parametrize("fill_delay, sent", [(0.1, 1), (5.0, 0)])
+def test_request_straight_to_a_parent_is_rejected_when_the_parents_fill_delay_makes_it_late(fill_delay, sent):
     router = make_router(caches=0)
     for parent in router.endpoints.parents:
-        parent.fill_delays["t"] = lag
+        parent.fill_delays["t"] = fill_delay
     _, transport = route_request(router, size_kb=500.0)
     assert len(transport.forwards) == sent and len(transport.answers) == 1 - sent
 
 
-def test_chance_depends_on_the_seed_alone():
-    one, two = RandomSource(1), RandomSource(1)
-    draws = [one.draw() for _ in range(100)]
-    assert draws == [two.draw() for _ in range(100)] and len(set(draws)) > 90
+def test_random_source_depends_on_the_seed_alone():
+    first, second = RandomSource(1), RandomSource(1)
+    draws = [first.draw() for _ in range(100)]
+    assert draws == [second.draw() for _ in range(100)] and len(set(draws)) > 90
     assert all(0 <= draw < 1 for draw in draws) and draws[0] != RandomSource(2).draw()
 
 
-@pytest.mark.parametrize("age, part", [(0.0, 0.2), (5.0, 0.6), (10.0, 1.0)])
-def test_a_cold_machine_warms_in_a_line(age, part):
-    cold = SlowStart(4.0, 1.0, 0.2, 10.0)
+@pytest.mark.parametrize("age, capacity_share", [(0.0, 0.2), (5.0, 0.6), (10.0, 1.0)])
+def test_capacity_of_a_starting_server_grows_linearly_with_its_age(age, capacity_share):
+    slow_start = SlowStart(4.0, 1.0, 0.2, 10.0)
     cache = make_router(extra=[make_endpoint(9, started=100.0)]).endpoints.servers[9]
-    assert cold.capacity_share(cache, 100.0 + age) == pytest.approx(part)
+    assert slow_start.capacity_share(cache, 100.0 + age) == pytest.approx(capacity_share)
 
 
 @pytest.mark.parametrize("waited, sent", [(0.0, 1), (0.5, 1), (0.7, 0)])
-def test_a_visit_that_waited_too_long_to_be_read_is_denied_at_once(waited, sent):
+def test_request_that_waited_too_long_before_it_was_read_is_rejected_at_once(waited, sent):
     router, transport = make_router(), RecordingTransport()
     router.route(transport, make_request_class(), Request(5, 0, 3, 100.0, 5.0 - waited), 100.0, waited)
     assert len(transport.forwards) == sent and bool(transport.answers) is not bool(sent)
--- a/tests/support/routing.py
+++ b/tests/support/routing.py
@@ -57,7 +57,7 @@
         self.health_checked.append(server)
 
     def watch_endpoints(self):
-        self.answers.append(("follow", None))
+        self.answers.append(("subscribed", None))
 
     def log_line(self, text):
         pass
--- a/tests/wirehost/test_wirehost.py
+++ b/tests/wirehost/test_wirehost.py
@@ -1,3 +1,5 @@
+"""The simulator adapter: messages of its protocol become calls of a router, and decisions become actions."""
+
 import io
 import json
 
@@ -44,7 +46,7 @@
         "oneFlowKbPerS": 1000,
     },
 }
-BOX = {
+CACHE_ENTRY = {
     "cache": 7,
     "campus": "here",
     "familyType": "box",
@@ -53,11 +55,11 @@
     "share": 9,
     "readyAtMs": None,
 }
-START = [
+START_MESSAGES = [
     ("PowerOn", {"router": 0, "initSeed": 1, "conf": CONF}),
-    ("Announce", {"router": 0, "kind": "warm_copy", "serial": 1, "hosts": [BOX]}),
+    ("Announce", {"router": 0, "kind": "warm_copy", "serial": 1, "hosts": [CACHE_ENTRY]}),
 ]
-VISIT = (
+REQUEST_MESSAGE = (
     "Inbound",
     {
         "router": 0,
@@ -73,13 +75,14 @@
         "lengthKb": 10,
     },
 )
-TIMED = (
+TIMEOUT_MESSAGE = (
     "Resolved",
     {"router": 0, "ref": "a", "sendNo": 0, "cache": 7, "disposition": 40, "timeTakenMs": 5000.0, "doneFlag": True},
 )
 
 
-def play(*batches):
+def run_batches(*batches):
+    """Run batches of messages, and return the replies. The batches are one millisecond apart, from 1 s."""
     lines = []
     for now, batch in enumerate(batches):
         lines += [
@@ -92,28 +95,30 @@
     return [json.loads(line) for line in sink.getvalue().splitlines()]
 
 
-def test_a_visit_goes_out_with_its_ref_in_milliseconds_and_comes_back():
-    replies = play(START, [VISIT], [TIMED])
+def test_request_is_sent_with_its_reference_and_timeout_and_its_answer_is_accepted():
+    replies = run_batches(START_MESSAGES, [REQUEST_MESSAGE], [TIMEOUT_MESSAGE])
     sent = next(reply["PullVia"] for reply in replies if "PullVia" in reply)
     assert (sent["ref"], sent["cache"], sent["source"]) == ("a", 7, 7)
     assert sent["tryForMs"] == pytest.approx(5000.0) and "howOldMs" not in sent
     assert not any("Refuse" in reply for reply in replies) and replies[-1] == {"Finished": {}}
 
 
-def test_a_purge_by_group_reaches_the_wire_as_an_age():
+def test_attempt_after_the_purge_of_its_group_has_the_maximum_age_of_a_copy():
     purge = ("ExpiredNow", {"router": 0, "contentId": None, "setNo": 1, "howOldMs": 100.0})
-    sent = next(reply["PullVia"] for reply in play(START, [purge, VISIT]) if "PullVia" in reply)
+    sent = next(
+        reply["PullVia"] for reply in run_batches(START_MESSAGES, [purge, REQUEST_MESSAGE]) if "PullVia" in reply
+    )
     assert sent["howOldMs"] == pytest.approx(99.0)
 
 
-def test_kill_and_start_in_one_batch_forget_all():
-    late = [("Gone", {"router": 0, "ref": "a"}), ("Ring", {"router": 0, "handle": 99999})]
-    replies = play(START, [VISIT], [("Kill", {"router": 0}), *START, *late])
+def test_router_that_is_killed_and_started_in_one_batch_ignores_messages_about_earlier_requests():
+    outdated = [("Gone", {"router": 0, "ref": "a"}), ("Ring", {"router": 0, "handle": 99999})]
+    replies = run_batches(START_MESSAGES, [REQUEST_MESSAGE], [("Kill", {"router": 0}), *START_MESSAGES, *outdated])
     assert not any("Broken" in reply for reply in replies)
 
 
 @pytest.mark.parametrize(
-    "name, change, told",
+    "name, change, expected",
     [
         ("Inbound", {"kind": None}, "Inbound: field kind is missing"),
         ("Inbound", {"chunk": "x"}, "Inbound: field chunk is not a whole number"),
@@ -122,35 +127,35 @@
         ("Inbound", {"router": 5}, "Inbound: field router names no running instance"),
     ],
 )
-def test_bad_input_gets_a_plain_message(name, change, told):
-    replies = play(START, [(name, {**VISIT[1], **change})])
-    assert [reply["Broken"]["line"] for reply in replies if "Broken" in reply] == [told]
+def test_malformed_message_is_answered_with_its_error(name, change, expected):
+    replies = run_batches(START_MESSAGES, [(name, {**REQUEST_MESSAGE[1], **change})])
+    assert [reply["Broken"]["line"] for reply in replies if "Broken" in reply] == [expected]
 
 
 @pytest.mark.parametrize(
-    "part, key", [(None, "locality"), ("rules", "fallMultiple"), ("limits", "mostTries"), ("familyInfo", "joins")]
+    "section, key", [(None, "locality"), ("rules", "fallMultiple"), ("limits", "mostTries"), ("familyInfo", "joins")]
 )
-def test_a_missing_setting_is_named_at_start(part, key):
+def test_start_with_a_missing_setting_is_answered_with_the_name_of_the_setting(section, key):
     conf = json.loads(json.dumps(CONF))
-    del (conf[part] if part else conf)[key]
-    replies = play([("PowerOn", {"router": 0, "initSeed": 1, "conf": conf})])
+    del (conf[section] if section else conf)[key]
+    replies = run_batches([("PowerOn", {"router": 0, "initSeed": 1, "conf": conf})])
     assert any(key in reply["Broken"]["line"] for reply in replies if "Broken" in reply)
 
 
-@pytest.mark.parametrize("event", [TIMED, ("Gone", {"router": 0, "ref": "a"})])
-@pytest.mark.parametrize("patience, sent", [(5000, True), (1, False)])
-def test_a_visit_that_is_over_leaves_nothing_behind(patience, sent, event):
+@pytest.mark.parametrize("event", [TIMEOUT_MESSAGE, ("Gone", {"router": 0, "ref": "a"})])
+@pytest.mark.parametrize("expires_in_ms, is_sent", [(5000, True), (1, False)])
+def test_request_when_it_and_its_attempts_have_ended_is_forgotten(expires_in_ms, is_sent, event):
     hosted = HostedRouter(0, [])
-    hosted.power_on(*START[0], 1.0)
-    hosted.announce(*START[1], 1.0)
-    hosted.inbound("Inbound", {**VISIT[1], "expiresInMs": patience}, 1.0)
-    assert bool(hosted.requests) is sent
-    (hosted.resolved if event is TIMED else hosted.gone)(*event, 1.1)
-    hosted.resolved(*TIMED, 1.2)
+    hosted.power_on(*START_MESSAGES[0], 1.0)
+    hosted.announce(*START_MESSAGES[1], 1.0)
+    hosted.inbound("Inbound", {**REQUEST_MESSAGE[1], "expiresInMs": expires_in_ms}, 1.0)
+    assert bool(hosted.requests) is is_sent
+    (hosted.resolved if event is TIMEOUT_MESSAGE else hosted.gone)(*event, 1.1)
+    hosted.resolved(*TIMEOUT_MESSAGE, 1.2)
     assert not hosted.requests
 
 
-def test_calls_the_module_does_not_make_yet_have_their_actions():
+def test_operations_that_routers_do_not_use_yet_are_encoded_as_actions():
     replies = []
     hosted = HostedRouter(3, replies)
     hosted.fetch_endpoints()
@@ -161,6 +166,6 @@
     ]
 
 
-def test_what_is_not_json_ends_the_run_with_a_message():
+def test_line_that_is_not_json_ends_the_run_with_an_error():
     with pytest.raises(MalformedError, match="not JSON"):
         run(io.BytesIO(b"nonsense\n"), io.BytesIO())
