--- a/wickhinge/net/downstream/client_connection.py
+++ b/wickhinge/net/downstream/client_connection.py
@@ -1,4 +1,11 @@
-"""One client's connection: requests read and begun, answers written as fast as the client reads them."""
+"""The connection of one client: reads its requests, begins them, and writes the answers as fast as the client reads.
+
+Reading and beginning are separate steps. A cancellation ("abort") or the end of the connection may follow a request in
+the same socket, so the socket is read to its end before a request begins and before each attempt at a cache.
+
+A hold is a time during which the connection is still read but none of its requests begins: for a while after an invalid
+request, and as long as the buffers of the router are exhausted.
+"""
 
 from __future__ import annotations
 
@@ -16,105 +23,133 @@
 from wickhinge.net.runtime.buffers import Body
 from wickhinge.net.runtime.deadlines import Deadlines
 
-MAX_OPEN_REQUESTS = 32  # on a connection, as clients are told
-MAX_WRITE_STALL_S = 5.0  # without a byte taken by a client that has answers to read
-INITIAL_HOLD_S, MAX_HOLD_S = 0.05, 1.0  # in which nothing is begun after a bad request, doubled for each, and the most
-MAX_QUEUED_BYTES_PER_CLIENT = 8192  # of requests read in a hold that each client may keep here
-MAX_TOTAL_QUEUED_BYTES = 1 << 20  # past which a request beyond a client's own share is refused
-MAX_UNREAD_S = 0.05  # that an abort or a close may lie unread when an attempt begins; 0.1 counts as too late
-MAX_UNPROVEN_S = 0.02  # that data may have lain unread before a read that was not full is proven to be the last
-MAX_READ_BYTES = 65536  # that one read gives at most, as the transport's own
-MAX_READS_PER_CALL = 32  # of a socket in one look: as much as a client's open requests may take
+# Requests that a client may have open on one connection; the protocol states this number to clients.
+MAX_OPEN_REQUESTS = 32
+# Seconds for which a client may take no byte of an answer before its connection is given up.
+MAX_WRITE_STALL_S = 5.0
+# Seconds for which no request begins after an invalid request: the initial value is doubled with each further invalid
+# request, up to the maximum.
+INITIAL_HOLD_S, MAX_HOLD_S = 0.05, 1.0
+# Bytes of requests read during a hold that each client may always have queued.
+MAX_QUEUED_BYTES_PER_CLIENT = 8192
+# Bytes of requests read during holds, of all clients together; over both limits a request is rejected.
+MAX_TOTAL_QUEUED_BYTES = 1 << 20
+# Seconds for which a cancellation or a close may be unread when an attempt begins. After 0.1 s the attempt counts as
+# begun too late.
+MAX_UNREAD_S = 0.05
+# A short read proves that the socket is empty only if its data arrived at most this many seconds ago. Older data is
+# followed by another read, since a read may return less than there is.
+MAX_SHORT_READ_AGE_S = 0.02
+# Bytes that one read returns at most; the Twisted transport has the same limit.
+MAX_READ_BYTES = 65536
+# Reads in a row of one socket: enough for as many requests as a client may have open.
+MAX_READS_PER_CALL = 32
 
 
 class QueuedRequest:
-    """A request that was read and has not begun yet."""
+    """A request that was read and has not begun yet.
+
+    Attributes:
+        arrived_at: Earliest time at which the request may have arrived.
+        size: Bytes that count against the limits on queued requests.
+    """
 
-    __slots__ = ("method", "params", "since", "size")
+    __slots__ = ("method", "params", "arrived_at", "size")
 
-    def __init__(self, method: str, params: list[Any], since: float, size: int) -> None:
-        self.method, self.params, self.since, self.size = method, params, since, size
+    def __init__(self, method: str, params: list[Any], arrived_at: float, size: int) -> None:
+        self.method, self.params, self.arrived_at, self.size = method, params, arrived_at, size
 
 
 class ConnectionOwner(Protocol):
-    """What a connection asks of all of them together, and tells them."""
+    """The set of all client connections, as one connection uses it and reports to it."""
 
     request_table: RequestTable
     deadlines: Deadlines
     arrivals: Arrivals
     log: Callable[..., None]
-    is_shutting_down: bool  # the router ends
-    is_paused: bool  # nothing new begins
-    queued_bytes: int  # bytes of requests that clients keep here in holds
+    is_shutting_down: bool  # True once the graceful shutdown has begun; pings are answered with it.
+    is_paused: bool  # True while the buffers are exhausted, so that no request may begin.
+    queued_bytes: int  # Bytes of requests queued during holds, of all clients.
 
     def client_connected(self, client: ClientConnection) -> None:
-        """Called when it is up."""
+        """Record a connection; called when it is established."""
 
-    def data_received(self, client: ClientConnection, whole: bool) -> None:
-        """Called when something has come, and at least one whole message where so said."""
+    def data_received(self, client: ClientConnection, has_message: bool) -> None:
+        """Record that a client sent data; has_message: whether the data completed at least one message."""
 
     def update_idle(self, client: ClientConnection) -> None:
-        """Called when it may rest from now on, or no more."""
+        """Record whether a connection is idle; called whenever that may have changed."""
 
     def client_disconnected(self, client: ClientConnection) -> None:
-        """Called when it has ended."""
+        """Forget a connection; called when it has ended."""
 
-    def count_fault(self, why: str) -> None:
-        """Called with each fault of the client."""
+    def count_fault(self, reason: str) -> None:
+        """Count a protocol violation or stall of a client by its reason."""
 
 
 class ClientConnection(TwistedProtocol):
-    """Reads, begins and answers; `clients` is told of all that concerns the others."""
+    """The protocol instance of one client connection; reports to `clients`, the set of all connections."""
 
     def __init__(self, clients: ConnectionOwner) -> None:
         self.clients = clients
-        self.stream = msgpack.MessageDecoder()
+        self.decoder = msgpack.MessageDecoder()
+        # Open requests by their ids. The value is the DownstreamRequest, or None while the request is being started.
         self.open_requests: dict[int, Any] = {}
+        # Parts of answers that are not written yet, in order.
         self.write_queue: deque[bytes | Body] = deque()
-        self.queued_requests: dict[int, QueuedRequest] = {}  # requests read and not begun, by their ids, in order
-        self.queued_bytes = 0  # bytes of those read in a hold
-        self.queued_pings: list[int] = []  # to be answered when what came before them has begun
+        # Requests that were read and have not begun, by their ids, in the order in which they were read.
+        self.queued_requests: dict[int, QueuedRequest] = {}
+        self.queued_bytes = 0  # Bytes of the queued requests that were read during a hold.
+        # Ids of pings; each is answered when the requests read before it have begun.
+        self.queued_pings: list[int] = []
         self.is_write_blocked = self.is_on_hold = self.has_ended = False
-        self.is_socket_drained = True  # nothing lay in the socket behind what was read last
+        self.is_socket_drained = True  # Whether the last read left nothing in the socket.
         self.last_write_at = self.hold_until = self.connected_at = self.last_drained_at = 0.0
-        self.drained_until = 0.0  # all that came before this has been read
-        self.earliest_arrival_at = 0.0  # when what is being read came, at the earliest
+        # All data that arrived before this time has been read.
+        self.drained_until = 0.0
+        # Earliest time at which the data that was read last may have arrived.
+        self.earliest_arrival_at = 0.0
         self.invalid_request_count = 0
         self.socket: Any = None
 
     def connectionMade(self) -> None:
-        """Called by Twisted when the connection is up."""
+        """Register the connection; called by Twisted when it is established."""
         self.connected_at = self.clients.deadlines.now()
         self.clients.client_connected(self)
         self.transport.setTcpNoDelay(True)
         self.socket = self.transport.getHandle()
         self.update_hold()
 
-    def read_on_accept(self, waiting_since: float) -> None:
-        """Just taken from the listener, where it may have waited since then with all that came on it."""
-        self.drained_until = waiting_since
-        self.read_all_pending(waiting_since)
+    def read_on_accept(self, pending_since: float) -> None:
+        """Read the data that arrived before the connection was accepted.
+
+        Args:
+            pending_since: Earliest time at which the connection may have entered the backlog of the listener.
+        """
+        self.drained_until = pending_since
+        self.read_all_pending(pending_since)
 
     def dataReceived(self, data: bytes) -> None:
-        """Called by Twisted with what was read."""
-        arrival, returned = self.earliest_unread_arrival(), self.clients.arrivals.poll_ended_at
+        """Handle data and begin the requests in it; called by Twisted with what it read."""
+        arrival, poll_ended_at = self.earliest_unread_arrival(), self.clients.arrivals.poll_ended_at
         self.is_socket_drained = len(data) < MAX_READ_BYTES
         if self.is_socket_drained:
-            self.drained_until = max(self.drained_until, returned)
+            self.drained_until = max(self.drained_until, poll_ended_at)
         self.handle_data(data, arrival)
-        if self.is_socket_drained and returned - arrival > MAX_UNPROVEN_S and not self.has_ended:
-            self.read_all_pending(
-                arrival
-            )  # a read may give less than there is, and what is left came before the stop as well
-        self.begin_queued()  # all of this read, also beside a bad request, which holds back what comes next
+        if self.is_socket_drained and poll_ended_at - arrival > MAX_SHORT_READ_AGE_S and not self.has_ended:
+            # A read may return less than there is. After a stall of the process, the remaining data may be as old as the
+            # data that was read.
+            self.read_all_pending(arrival)
+        # All requests of one read begin, also those that follow an invalid request: its hold applies to later reads.
+        self.begin_queued()
         self.update_hold()
 
     def read_failed(self) -> None:
-        """Called by the transport: a read failed for a moment, and what lies there is as old as it was."""
+        """Keep the arrival time of the unread data; called by the transport when a read fails transiently."""
         self.earliest_arrival_at, self.is_socket_drained = self.earliest_unread_arrival(), False
 
     def earliest_unread_arrival(self) -> float:
-        """What is read from its socket now came then at the earliest, or what the last read left over."""
+        """Return the earliest time at which the data now unread in the socket may have arrived."""
         return (
             max(self.clients.arrivals.earliest_arrival_at, self.drained_until)
             if self.is_socket_drained
@@ -122,44 +157,55 @@
         )
 
     def handle_data(self, data: bytes, arrival: float) -> None:
-        """Heed what was read, and begin nothing: a request's abort may have come beside it. arrival: when it came, at
-        the earliest.
+        """Decode data and handle its messages, but begin no request: its cancellation may be in the same data.
+
+        Args:
+            data: The bytes that were read.
+            arrival: Earliest time at which they may have arrived.
         """
         self.earliest_arrival_at = arrival
         try:
-            messages = self.stream.feed(data)
+            messages = self.decoder.feed(data)
             if len(messages) > 1:
                 self.check_open_limit(messages)
             for message in messages:
                 self.handle_message(message)
             self.clients.data_received(self, bool(messages))
-        except msgpack.MalformedMessageError as problem:
-            self.fail(str(problem))
+        except msgpack.MalformedMessageError as error:
+            self.fail(str(error))
 
     def read_if_stale(self) -> None:
-        """Read the socket to its end where an abort, a close or a reset may lie unread there for long: the reactor
-        was busy, or more came than one read gives. Called before each attempt, so it begins no request itself.
+        """Read the socket to its end if a cancellation, a close or a reset may have been unread for too long.
+
+        That happens when the reactor was busy, or when more data arrived than one read returns. The method is called
+        before each attempt, so it begins no request itself.
         """
-        settled = self.clients.arrivals.handled_until
-        known = max(self.last_drained_at, settled if settled > self.connected_at else 0.0)
-        if not self.has_ended and not (self.is_socket_drained and self.clients.deadlines.now() - known <= MAX_UNREAD_S):
+        handled_until = self.clients.arrivals.handled_until
+        known_at = max(self.last_drained_at, handled_until if handled_until > self.connected_at else 0.0)
+        if not self.has_ended and not (
+            self.is_socket_drained and self.clients.deadlines.now() - known_at <= MAX_UNREAD_S
+        ):
             self.read_all_pending(self.earliest_unread_arrival())
 
     def read_all_pending(self, arrival: float) -> None:
-        """Read the socket to its end and begin nothing; what was read begins on the next turn."""
+        """Read the socket to its end; the requests that were read begin on the next turn of the event loop.
+
+        Args:
+            arrival: Earliest time at which the unread data may have arrived.
+        """
         self.last_drained_at = self.clients.deadlines.now()
-        proofs = (
-            2 if self.last_drained_at - arrival > MAX_UNPROVEN_S else 1
-        )  # a read that gives nothing may have failed
+        # A read that returns nothing may have failed transiently, so after a stall of the process two of them in a row are
+        # needed to prove that the socket is empty.
+        empty_reads_needed = 2 if self.last_drained_at - arrival > MAX_SHORT_READ_AGE_S else 1
         for _ in range(MAX_READS_PER_CALL):
             try:
                 data = receive(self.socket, MAX_READ_BYTES)
-            except OSError as problem:
-                self.connection_ended(str(problem))
+            except OSError as error:
+                self.connection_ended(str(error))
                 return
             if data is None:
-                proofs -= 1
-                if proofs:
+                empty_reads_needed -= 1
+                if empty_reads_needed:
                     continue
                 self.is_socket_drained, self.drained_until = True, self.last_drained_at
                 break
@@ -170,57 +216,75 @@
             if self.has_ended:
                 return
         else:
-            self.is_socket_drained = False  # there may be more, as old as this
+            # The read limit is reached, so data with the same earliest arrival time may still be unread.
+            self.is_socket_drained = False
         if self.queued_requests or self.queued_pings:
             self.clients.deadlines.call_soon(self.update_hold)
 
-    def is_request_open(self, call: int) -> bool:
-        """Whether it is known to be there still, and not to have given this request up."""
+    def is_request_open(self, call_id: int) -> bool:
+        """Return whether the client is still connected and has not cancelled this request."""
         self.read_if_stale()
-        return call in self.open_requests
+        return call_id in self.open_requests
 
     def check_open_limit(self, messages: list[Any]) -> None:
-        """Hundreds at once are refused whole, before the first of them costs a cache anything."""
-        asked = [
+        """Check the number of open requests before any message of one read is handled.
+
+        A client that sends hundreds of requests at once is rejected before the first of them costs a cache anything.
+
+        Raises:
+            msgpack.MalformedMessageError: The messages would open more than MAX_OPEN_REQUESTS requests.
+        """
+        message_types = [
             message[0] for message in messages if type(message) is list and len(message) > 2 and message[2] != "ping"
         ]
-        if len(self.open_requests) + len(self.queued_requests) + asked.count(0) - asked.count(2) > MAX_OPEN_REQUESTS:
-            raise msgpack.MalformedMessageError(f"more than {MAX_OPEN_REQUESTS} requests open")
+        if (
+            len(self.open_requests) + len(self.queued_requests) + message_types.count(0) - message_types.count(2)
+            > MAX_OPEN_REQUESTS
+        ):
+            raise msgpack.MalformedMessageError(f"more than {MAX_OPEN_REQUESTS} requests are open on the connection")
 
     def handle_message(self, message: Any) -> None:
-        """Heed one decoded message. Raises msgpack.MalformedMessageError."""
+        """Queue a request or a ping, or apply a cancellation.
+
+        Raises:
+            msgpack.MalformedMessageError: The message is none of these, or opens a request that may not be opened.
+        """
         if self.has_ended:
             return
         kind = message[0] if type(message) is list and 3 <= len(message) <= 4 else None
         params = message[-1] if kind is not None else None
         if type(kind) is not int or type(params) is not list or not params:
-            raise msgpack.MalformedMessageError("a message that is no request and no abort")
-        call, first = message[1], params[0]
-        if kind == 0 and len(message) == 4 and type(call) is int and type(first) is dict:
+            raise msgpack.MalformedMessageError("the message is neither a request nor an abort notification")
+        call_id, first = message[1], params[0]
+        if kind == 0 and len(message) == 4 and type(call_id) is int and type(first) is dict:
             if message[2] == "ping":
-                self.queued_pings.append(call)
+                self.queued_pings.append(call_id)
                 return
             if (
-                call in self.open_requests
-                or call in self.queued_requests
+                call_id in self.open_requests
+                or call_id in self.queued_requests
                 or type(message[2]) is not str
                 or len(self.open_requests) + len(self.queued_requests) >= MAX_OPEN_REQUESTS
             ):
-                raise msgpack.MalformedMessageError("a request with an id in use, one too many, or with no method")
-            self.queue_request(call, message[2], params)
-        elif kind == 2 and call == "abort" and type(first) is int:
-            door = self.open_requests.pop(first, None)
-            if door is not None:
-                self.clients.request_table.client_left(door, "aborted")
+                raise msgpack.MalformedMessageError(
+                    "the request id is in use, the method is not a string, or too many requests are open"
+                )
+            self.queue_request(call_id, message[2], params)
+        elif kind == 2 and call_id == "abort" and type(first) is int:
+            open_request = self.open_requests.pop(first, None)
+            if open_request is not None:
+                self.clients.request_table.client_left(open_request, "aborted")
             elif first in self.queued_requests:
                 self.dequeue_request(first)
                 self.clients.request_table.request_log.count("aborted before it began")
         else:
-            raise msgpack.MalformedMessageError("a message that is no request and no abort")
+            raise msgpack.MalformedMessageError("the message is neither a request nor an abort notification")
+
+    def queue_request(self, call_id: int, method: str, params: list[Any]) -> None:
+        """Queue a request until the other messages of the same read are handled, or until the hold ends.
 
-    def queue_request(self, call: int, method: str, params: list[Any]) -> None:
-        """To begin when all that came with it has been heeded, or after the hold. In a hold it is kept in memory
-        that all clients share; past that it is refused, since unread it would hide an abort behind it.
+        During a hold, queued requests count against limits on memory that all clients share. Over these limits a
+        request is rejected; if it were left unread instead, a cancellation behind it would be unread too.
         """
         size = 0
         if self.is_on_hold:
@@ -229,104 +293,106 @@
                 self.queued_bytes + size > MAX_QUEUED_BYTES_PER_CLIENT
                 and self.clients.queued_bytes + size > MAX_TOTAL_QUEUED_BYTES
             ):
-                self.send_error(call, "Overloaded", {})
-                self.clients.request_table.request_log.count("refused in a hold")
+                self.send_error(call_id, "Overloaded", {})
+                self.clients.request_table.request_log.count("rejected during a hold")
                 return
-        self.queued_requests[call] = QueuedRequest(method, params, self.earliest_arrival_at, size)
+        self.queued_requests[call_id] = QueuedRequest(method, params, self.earliest_arrival_at, size)
         self.queued_bytes += size
         self.clients.queued_bytes += size
 
-    def dequeue_request(self, call: int) -> QueuedRequest:
-        """Take a request that has not begun out of the queue."""
-        request = self.queued_requests.pop(call)
+    def dequeue_request(self, call_id: int) -> QueuedRequest:
+        """Remove a request that has not begun from the queue and return it."""
+        request = self.queued_requests.pop(call_id)
         self.queued_bytes -= request.size
         self.clients.queued_bytes -= request.size
         return request
 
     def begin_queued(self) -> None:
-        """What has waited, in order, until something holds it."""
+        """Begin the queued requests in order until a hold starts."""
         if self.queued_requests and not self.is_on_hold:
             self.read_if_stale()
         while self.queued_requests and not self.is_on_hold:
             self.begin_oldest()
 
     def begin_oldest(self) -> None:
-        """Begin the request that has waited for longest."""
-        call = next(iter(self.queued_requests))
-        request = self.dequeue_request(call)
-        self.begin_request(call, request.method, request.params, request.since)
+        """Begin the request that has been queued for longest."""
+        call_id = next(iter(self.queued_requests))
+        request = self.dequeue_request(call_id)
+        self.begin_request(call_id, request.method, request.params, request.arrived_at)
 
-    def begin_request(self, call: int, method: str, params: list[Any], arrival: float) -> None:
-        """Begin a request; one that cannot be used is answered at once, and the next ones wait for a while."""
+    def begin_request(self, call_id: int, method: str, params: list[Any], arrival: float) -> None:
+        """Begin a request; an invalid one is answered with an error and starts a hold."""
         fields = params[0]
         try:
             body = params[1] if len(params) > 1 else b""
             if len(params) > 2 or type(body) is not bytes:
-                raise InvalidRequestError("the body is not bytes")
+                raise InvalidRequestError("the request body is not bytes")
             for name in fields:
                 if type(name) is not str or type(fields[name]) is not str:
                     raise InvalidRequestError(f"field {name!s:.40} is not a string")
-            self.open_requests[call] = None
-            door = self.clients.request_table.start_request(self, call, method, fields, body, arrival)
-        except InvalidRequestError as problem:
-            self.open_requests.pop(call, None)
-            self.clients.count_fault(str(problem))
+            self.open_requests[call_id] = None
+            open_request = self.clients.request_table.start_request(self, call_id, method, fields, body, arrival)
+        except InvalidRequestError as error:
+            self.open_requests.pop(call_id, None)
+            self.clients.count_fault(str(error))
             self.clients.request_table.request_log.count("unusable")
-            self.send_error(call, "BadRequest", {"why": str(problem)})
-            # Against one that asks the same again as soon as it is answered: it waits, nobody else does.
+            self.send_error(call_id, "BadRequest", {"why": str(error)})
+            # The hold slows down a client that repeats an invalid request as soon as it is answered. Other clients are not
+            # affected.
             self.invalid_request_count += 1
             hold = min(INITIAL_HOLD_S * 2 ** min(self.invalid_request_count, 9), MAX_HOLD_S)
             self.hold_until = self.clients.deadlines.now() + hold
             self.clients.deadlines.call_after(hold + 0.001, self.update_hold)
             return
-        if call in self.open_requests:
-            self.open_requests[call] = door
+        if call_id in self.open_requests:
+            self.open_requests[call_id] = open_request
 
     # Answers.
 
-    def send_answer(self, call: int, body: Body | None, fields: dict[str, str]) -> None:
-        """Write the answer of a request that was served; body None: the client's own copy holds."""
-        self.open_requests.pop(call, None)
+    def send_answer(self, call_id: int, body: Body | None, fields: dict[str, str]) -> None:
+        """Write the answer of a request that was served; body None means that the client's own copy is still valid."""
+        self.open_requests.pop(call_id, None)
         size = body.length if body is not None else 0
-        self.write_queue.append(b"\x94\x01" + msgpack.pack(call) + b"\xc0\x92" + msgpack.bin_head(size))
+        self.write_queue.append(b"\x94\x01" + msgpack.pack(call_id) + b"\xc0\x92" + msgpack.bin_head(size))
         if size:
             self.write_queue.append(body)
         self.write(msgpack.pack(fields))
         self.clients.update_idle(self)
 
-    def send_error(self, call: int, word: str, fields: dict[str, str]) -> None:
-        """Write the answer of a request that was not served."""
-        self.open_requests.pop(call, None)
-        self.write(b"\x94\x01" + msgpack.pack(call) + msgpack.failure(word, *fields.items()))
+    def send_error(self, call_id: int, error: str, fields: dict[str, str]) -> None:
+        """Write the error that answers a request."""
+        self.open_requests.pop(call_id, None)
+        self.write(b"\x94\x01" + msgpack.pack(call_id) + msgpack.pack_error(error, *fields.items()))
         self.clients.update_idle(self)
 
     def answer_pings(self) -> None:
-        """Answer all pings whose turn has come."""
+        """Answer all queued pings: True while the router accepts new clients, False during shutdown."""
         pings, self.queued_pings = self.queued_pings, []
-        for call in pings:
-            self.write(msgpack.pack([1, call, None, [not self.clients.is_shutting_down, {}]]))
+        for call_id in pings:
+            self.write(msgpack.pack([1, call_id, None, [not self.clients.is_shutting_down, {}]]))
 
     def write(self, data: bytes) -> None:
-        """Write bytes behind what waits to be written."""
+        """Append bytes to the write queue and write them if the client reads."""
         self.write_queue.append(data)
         if not self.is_write_blocked and not self.has_ended:
             self.write_to_socket()
 
     def write_to_socket(self) -> None:
-        """Straight into the socket; the rest goes by the transport, a buffer at a time as it is taken."""
+        """Write as much of the queue as the socket takes, and have the transport ask for the rest, buffer by buffer."""
         views: list[Any] = []
         for item in self.write_queue:
             views += [item] if isinstance(item, bytes) else item.views()
         try:
             size = self.socket.sendmsg(views)
-        except OSError:  # full for now, or broken: the transport will wait, or tell
+        except OSError:
+            # The socket is full or broken. The transport handles both: it waits, or it reports the lost connection.
             size = 0
         while self.write_queue:
             item = self.write_queue[0]
-            left = len(item) if isinstance(item, bytes) else item.length
-            if left > size:
+            remaining = len(item) if isinstance(item, bytes) else item.length
+            if remaining > size:
                 break
-            size -= left
+            size -= remaining
             self.drop_written_item(item)
         if self.write_queue:
             if isinstance(item, bytes):
@@ -338,13 +404,13 @@
             self.transport.registerProducer(self, False)
 
     def drop_written_item(self, item: bytes | Body) -> None:
-        """The first item that waited has been written."""
+        """Remove the first item of the write queue, which has been written."""
         self.write_queue.popleft()
         if not isinstance(item, bytes):
             item.release()
 
     def resumeProducing(self) -> None:
-        """Called by the transport when it takes more."""
+        """Write the next buffer; called by the transport when it can take more."""
         self.last_write_at = self.clients.deadlines.now()
         if not self.write_queue:
             self.is_write_blocked = False
@@ -360,22 +426,24 @@
             item.drop_written(len(piece))
 
     def stopProducing(self) -> None:
-        """Called by the transport at the end."""
+        """Do nothing; called by the transport when the connection ends."""
 
     def check_write_stall(self) -> None:
-        """Give up a client that has taken no byte for too long."""
+        """End the connection if the client has taken no byte for MAX_WRITE_STALL_S."""
         if not self.is_write_blocked or self.has_ended:
             return
-        still = self.clients.deadlines.now() - self.last_write_at
-        if still >= MAX_WRITE_STALL_S - 0.01:
-            self.fail("reads nothing")
+        stalled_s = self.clients.deadlines.now() - self.last_write_at
+        if stalled_s >= MAX_WRITE_STALL_S - 0.01:
+            self.fail("client reads no answers")
         else:
-            self.clients.deadlines.call_after(MAX_WRITE_STALL_S - still, self.check_write_stall)
+            self.clients.deadlines.call_after(MAX_WRITE_STALL_S - stalled_s, self.check_write_stall)
 
     def update_hold(self) -> None:
-        """In a hold it is read on and nothing new is begun: unread, one that leaves or gives a request up is not
-        seen to, and what waits for it would still be sent on. Its answers are bounded by what it may have open, so
-        one that reads slowly is no reason for a hold: its requests would run out.
+        """Start or end a hold; without one, begin the queued requests. Answer the pings in either case.
+
+        The connection is still read during a hold. Otherwise a disconnect or a cancellation would go unnoticed, and
+        requests that the client has abandoned would still be sent to caches. A client that reads slowly is not put on
+        hold, because its requests would time out; the limit on open requests bounds the size of its answers.
         """
         if self.has_ended:
             return
@@ -388,78 +456,86 @@
             self.is_on_hold = self.clients.is_paused or self.hold_until > now
         self.answer_pings()
 
-    # Ends.
+    # End of the connection.
 
     def has_unread_requests(self) -> bool:
-        """Whether something of it was not looked at yet: closed now, that request would be lost."""
+        """Return whether a request is queued or data is unread, so that closing now would lose a request."""
         return bool(self.queued_requests) or has_unread_data(self.socket) is True
 
     def is_idle(self) -> bool:
-        """Whether nothing of it is open here, waits to begin, or waits to be written."""
+        """Return whether no request is open or queued and no answer is waiting to be written."""
         return not (
             self.open_requests or self.queued_requests or self.queued_pings or self.write_queue or self.is_write_blocked
         )
 
-    def close_unless_unread(self, why: str) -> bool:
-        """It rests, and its socket was read to the end just now. Closed in this call, since a turn of the loop may last
-        long: a request on its way crosses the close and is sent again. False where one has come meanwhile.
+    def close_unless_unread(self, reason: str) -> bool:
+        """Close an idle connection whose socket was just read to its end, unless data has arrived since.
+
+        The connection is closed before this method returns, since a turn of the event loop may last long. A request that
+        crosses the close on the network is sent again by its client.
+
+        Returns:
+            Whether the connection was closed.
         """
         transport = self.transport
         if not transport.end_unless_unread():
             return False
-        self.release(why)
+        self.release(reason)
         transport.close_ended()
         return True
 
-    def fail(self, why: str) -> None:
-        """What it sent cannot be read on, or it takes nothing. What was read before is answered, if it takes that."""
-        self.clients.count_fault(why)
+    def fail(self, reason: str) -> None:
+        """End the connection because of a malformed message or a write stall.
+
+        The requests that were read before are answered if the client still takes the answers.
+        """
+        self.clients.count_fault(reason)
         self.reject_all()
         transport, unwritten = self.transport, bool(self.write_queue or self.is_write_blocked)
-        self.release(why)
+        self.release(reason)
         if unwritten:
             transport.abortConnection()
         else:
             transport.loseConnection()
 
     def reject_all(self) -> None:
-        """Answer all that has begun or waits to begin."""
-        for call in list(self.queued_requests):
-            self.dequeue_request(call)
-            self.clients.request_table.request_log.count("connection ended before it began")
-            self.send_error(call, "Overloaded", {})
-        for door in list(self.open_requests.values()):
-            if door is not None:
-                self.clients.request_table.reject_for_client_error(door)
+        """Answer all open and queued requests with an error."""
+        for call_id in list(self.queued_requests):
+            self.dequeue_request(call_id)
+            self.clients.request_table.request_log.count("connection ended before the request began")
+            self.send_error(call_id, "Overloaded", {})
+        for open_request in list(self.open_requests.values()):
+            if open_request is not None:
+                self.clients.request_table.reject_for_client_error(open_request)
 
     def connectionLost(self, reason: Failure) -> None:
-        """Called by Twisted when the connection is over."""
+        """Release the connection; called by Twisted when it has ended."""
         self.connection_ended(reason.getErrorMessage())
 
-    def connection_ended(self, why: str) -> None:
-        """The connection has ended, whoever ended it; what was open is logged."""
+    def connection_ended(self, reason: str) -> None:
+        """Log the lost requests and release the connection, whichever side ended it."""
         if (self.open_requests or self.queued_requests) and not self.has_ended:
             self.clients.log(
                 "client_connection_lost",
-                reason=why,
+                reason=reason,
                 open_requests=len(self.open_requests),
                 queued_requests=len(self.queued_requests),
             )
-        self.release(why)
+        self.release(reason)
 
-    def release(self, why: str) -> None:
-        """Forget the client and give up what was open."""
+    def release(self, reason: str) -> None:
+        """Forget the connection and abandon its open and queued requests; does nothing the second time."""
         if self.has_ended:
             return
         self.has_ended = True
         self.clients.client_disconnected(self)
-        for call in list(self.queued_requests):
-            self.dequeue_request(call)
-            self.clients.request_table.request_log.count("connection ended before it began")
-        doors, self.open_requests = self.open_requests, {}
-        for door in doors.values():
-            if door is not None:
-                self.clients.request_table.client_left(door, f"connection ended: {why}")
+        for call_id in list(self.queued_requests):
+            self.dequeue_request(call_id)
+            self.clients.request_table.request_log.count("connection ended before the request began")
+        abandoned, self.open_requests = self.open_requests, {}
+        for open_request in abandoned.values():
+            if open_request is not None:
+                self.clients.request_table.client_left(open_request, f"connection ended: {reason}")
         for item in self.write_queue:
             if isinstance(item, Body):
                 item.release()
--- a/wickhinge/net/downstream/client_connections.py
+++ b/wickhinge/net/downstream/client_connections.py
@@ -89,7 +89,7 @@
             self.without_request.pop(client, None)
             self.with_partial_message.pop(client, None)
             self.idle.pop(client, None)
-        if client.stream.rest:
+        if client.decoder.incomplete:
             self.with_partial_message.setdefault(client, self.deadlines.now())
         self.update_idle(client)
 
--- a/wickhinge/net/downstream/msgpack.py
+++ b/wickhinge/net/downstream/msgpack.py
@@ -131,12 +131,12 @@
 
 class MessageDecoder:
     def __init__(self, limit: int = LIMIT) -> None:
-        self.rest, self.limit = b"", limit
+        self.incomplete, self.limit = b"", limit
 
     def feed(self, data: bytes) -> list[Any]:
         """The messages that are whole now. What is short is read again from its start: frames are small."""
         messages: list[Any] = []
-        data = self.rest + data
+        data = self.incomplete + data
         reader, whole = Reader(data, self.limit), 0
         try:
             while whole < len(data):
@@ -145,7 +145,7 @@
         except IncompleteMessageError:
             if len(data) - whole > self.limit:
                 raise MalformedMessageError(f"a message of over {self.limit} bytes") from None
-        self.rest = data[whole:]
+        self.incomplete = data[whole:]
         return messages
 
 
@@ -164,9 +164,9 @@
 
 
 @lru_cache(256)
-def failure(word: str, *fields: tuple[str, str]) -> bytes:
+def pack_error(error: str, *fields: tuple[str, str]) -> bytes:
     """The end of a refusal or an error; a busy router sends the same ones by the thousand."""
-    return pack([word, dict(fields)]) + b"\xc0"
+    return pack([error, dict(fields)]) + b"\xc0"
 
 
 def pack(value: Any) -> bytes:
