--- a/bench/soak/planted.py
+++ b/bench/soak/planted.py
@@ -61,23 +61,23 @@
 
 def forgotten_reload() -> None:
     """Reloads are noted and never done."""
-    from wickhinge.common.owed_reload import OwedReload
+    from wickhinge.common.config_reload import ConfigReload
 
-    OwedReload.request = lambda self, number: None
+    ConfigReload.request = lambda self, number: None
 
 
 def deaf_to_the_last_reload() -> None:
     """A reload that follows another is taken for the same one."""
-    from wickhinge.common.owed_reload import OwedReload
+    from wickhinge.common.config_reload import ConfigReload
 
-    request, last = OwedReload.request, [0.0]
+    request, last = ConfigReload.request, [0.0]
 
     def deaf(self, number):
         now, last[0] = last[0], time.monotonic()
         if last[0] - now > 0.5:
             request(self, number)
 
-    OwedReload.request = deaf
+    ConfigReload.request = deaf
 
 
 def attempt_after_the_end() -> None:
@@ -100,7 +100,7 @@
     """What may not be repeated is taken for what may."""
     from wickhinge import interface, settings
 
-    build = settings.build
+    build = settings.build_router
 
     def all_idempotent(*arguments):
         decisions, classes = build(*arguments)
@@ -108,7 +108,7 @@
             object.__setattr__(request_class, "idempotency", interface.Idempotency.IDEMPOTENT)  # it is frozen
         return decisions, classes
 
-    settings.build = all_idempotent
+    settings.build_router = all_idempotent
 
 
 def whole_budget() -> None:
@@ -144,7 +144,7 @@
     """Purges are read and forgotten."""
     from wickhinge.routing.purges import Purges
 
-    Purges.notify = lambda self, key, group, stamp, now: None
+    Purges.record_purge = lambda self, key, group, stamp, now: None
 
 
 def cold_ignored() -> None:
@@ -204,8 +204,8 @@
     """The shutdown gives up a second before the end of the last requests."""
     from wickhinge.net.control import graceful_shutdown
 
-    graceful_shutdown.GIVE_UP_AFTER_S = -0.4
-    graceful_shutdown.LAST_ANSWER_S = -0.4
+    graceful_shutdown.GIVE_UP_AFTER_DEADLINE_S = -0.4
+    graceful_shutdown.LAST_ANSWER_AFTER_DEADLINE_S = -0.4
 
 
 def closed_listener() -> None:
--- a/tests/net/test_net.py
+++ b/tests/net/test_net.py
@@ -14,7 +14,7 @@
 from twisted.python.failure import Failure
 
 from tests.support.connections import Wire, attempts, line, pool, reading
-from tests.support.routing import request_class, router
+from tests.support.routing import make_request_class, make_router
 from wickhinge.fields import MalformedError
 from wickhinge.interface import Outcome
 from wickhinge.net.control import config, endpoint_watch
@@ -27,8 +27,13 @@
 from wickhinge.net.runtime.loop import Reactor
 from wickhinge.net.runtime.slots import Slots
 from wickhinge.net.upstream import resp
-from wickhinge.net.upstream.attempt_results import OUTCOMES_BY_RESULT, RESULTS_BY_STATUS, AttemptResult, unconnected
-from wickhinge.net.upstream.attempts import NOTES, SentAttempt
+from wickhinge.net.upstream.attempt_results import (
+    OUTCOMES_BY_RESULT,
+    RESULTS_BY_STATUS,
+    AttemptResult,
+    connect_failure_result,
+)
+from wickhinge.net.upstream.attempts import CACHE_STATUS_BY_CODE, SentAttempt
 from wickhinge.net.upstream.connection_pools import ConnectionPools, PoolSettings, UpstreamConnection
 
 
@@ -143,8 +148,8 @@
     ],
 )
 def test_fields_of_answers(data, fields):
-    assert resp.fields(data) == fields
-    assert resp.loads(fields.get("use", "")) == ({"x1": 0.5} if "use" in fields else {})
+    assert resp.parse_fields(data) == fields
+    assert resp.parse_load_report(fields.get("use", "")) == ({"x1": 0.5} if "use" in fields else {})
 
 
 def frame(number, kind, payload=b""):
@@ -163,8 +168,8 @@
     )
     for split in range(len(data) + 1):
         made, told = reading()
-        made.read(made.connection, data[:split])
-        made.read(made.connection, data[split:])
+        made.receive_data(made.connection, data[:split])
+        made.receive_data(made.connection, data[split:])
         assert (
             told == [(True, endpoint_watch.endpoint_records(RECORD)), (9, 0, 8), (None, 17, 6)]
             and made.last_number == 43
@@ -176,14 +181,14 @@
 )
 def test_journal_never_guesses_over_a_gap_or_a_bad_frame(data):
     made, told = reading()
-    made.read(made.connection, data)
+    made.receive_data(made.connection, data)
     assert told == ["dropped"] and made.last_number == 40 and made.connection is None
 
 
 def test_an_event_written_twice_is_heard_once_and_costs_nothing():
     made, told = reading()
     for number in (40, 41, 41, 42, 41):
-        made.read(made.connection, frame(number, 4, endpoint_watch.GROUP_PURGE.pack(number, 6)))
+        made.receive_data(made.connection, frame(number, 4, endpoint_watch.GROUP_PURGE.pack(number, 6)))
     assert told == [(None, 41, 6), (None, 42, 6)] and made.last_number == 42
 
 
@@ -191,10 +196,10 @@
     made, told = reading()
     made.reactor = SimpleNamespace(connectTCP=lambda host, port, *_, **__: told.append(port))
     old = made.connection
-    made.move(("127.0.0.1", 9))
-    made.lost(old, "closed")
-    made.read(old, frame(41, 4, endpoint_watch.GROUP_PURGE.pack(41, 6)))
-    made.move(("127.0.0.1", 9))
+    made.change_address(("127.0.0.1", 9))
+    made.handle_lost(old, "closed")
+    made.receive_data(old, frame(41, 4, endpoint_watch.GROUP_PURGE.pack(41, 6)))
+    made.change_address(("127.0.0.1", 9))
     assert told == ["dropped", 9] and made.last_number == 40
 
 
@@ -220,33 +225,33 @@
     }
     assert never == {
         AttemptResult.REFUSED,
-        AttemptResult.NO_CONNECT,
-        AttemptResult.RESET_NEW,
+        AttemptResult.CONNECT_FAILED,
+        AttemptResult.RESET_WHILE_CONNECTING,
         AttemptResult.NO_DESCRIPTOR,
-        AttemptResult.NOT_BEGUN,
+        AttemptResult.CONNECT_NOT_STARTED,
         AttemptResult.NO_ROUTE,
         AttemptResult.LOST_UNWRITTEN,
         AttemptResult.RECALLED,
         AttemptResult.BUSY,
         AttemptResult.MISS,
-        AttemptResult.VOID,
+        AttemptResult.SUPERSEDED,
     }
-    assert b"".join(NOTES) == b"hfojsrblnx"
+    assert b"".join(CACHE_STATUS_BY_CODE) == b"hfojsrblnx"
 
 
 @pytest.mark.parametrize(
     "reason, end",
     [
         (error.ConnectionRefusedError(), AttemptResult.REFUSED),
-        (error.TimeoutError(), AttemptResult.NO_CONNECT),
-        (error.ConnectingCancelledError(None), AttemptResult.NO_CONNECT),
+        (error.TimeoutError(), AttemptResult.CONNECT_FAILED),
+        (error.ConnectingCancelledError(None), AttemptResult.CONNECT_FAILED),
         (error.ConnectBindError(), AttemptResult.NO_DESCRIPTOR),
-        (error.NoRouteError(), AttemptResult.NO_CONNECT),
-        (error.ConnectError(osError=104), AttemptResult.RESET_NEW),
+        (error.NoRouteError(), AttemptResult.CONNECT_FAILED),
+        (error.ConnectError(osError=104), AttemptResult.RESET_WHILE_CONNECTING),
     ],
 )
 def test_why_no_connection_came_up(reason, end):
-    assert unconnected(Failure(reason)) is end
+    assert connect_failure_result(Failure(reason)) is end
 
 
 class Clock:
@@ -283,7 +288,7 @@
     made, ends, soon, _ = line(room)
     made.send(b"a", 1, resp.pack(b"REQ"))
     made.send(b"b", 2, resp.pack(b"REQ"))
-    made.stop(b"a", 100.0)
+    made.cancel(b"a", 100.0)
     made.socket.room = 1 << 20
     made.resumeProducing()
     made.resumeProducing()
@@ -293,7 +298,7 @@
         call(*told)
         assert ends == {2: AttemptResult.LOST_UNWRITTEN} and "abortConnection" in made.socket.calls
     else:
-        assert made.socket.data == resp.pack(b"REQ") and not made.unwritten
+        assert made.socket.data == resp.pack(b"REQ") and not made.unwritten_tags
 
 
 @pytest.mark.parametrize(
@@ -346,16 +351,16 @@
 def test_a_machine_silent_on_one_connection_is_not_asked_on_its_others(heard, doubted):
     """Each would have to be found silent by itself, by visits that run out of time."""
     made, _, _, now = line()
-    other = UpstreamConnection(made.machine)
-    made.machine.lines.append(other)
-    other.up, other.transport, other.socket = True, Wire(), Wire()
+    other = UpstreamConnection(made.pool)
+    made.pool.connections.append(other)
+    other.is_up, other.transport, other.socket = True, Wire(), Wire()
     other.send(b"b", 2, b"x")
     now[0] += 0.1
     made.send(b"a", 1, b"x")
-    other.heard += heard
+    other.last_received_at += heard
     now[0] += 0.5
-    made.stop(b"a", 100.1)
-    assert made.doubted and other.doubted is doubted
+    made.cancel(b"a", 100.1)
+    assert made.is_suspect and other.is_suspect is doubted
 
 
 def test_an_answer_that_stops_short_ends_its_connection():
@@ -370,16 +375,16 @@
     assert ends == {}
     del made.socket.recv
     call(*told)
-    assert ends == {1: AttemptResult.UNREADABLE, 2: AttemptResult.UNREADABLE} and made.caches.pool.in_use == 0
+    assert ends == {1: AttemptResult.UNREADABLE, 2: AttemptResult.UNREADABLE} and made.pools.buffer_pool.in_use == 0
 
 
 def test_a_machine_gone_is_forgotten_when_nothing_is_out_there():
     made, *_ = line()
     made.send(b"a", 1, b"x")
-    made.machine.leave()
-    assert made.caches.machines
+    made.pool.retire()
+    assert made.pools.pools_by_id
     made.dataReceived(resp.pack(b"a", b"OK", b"-", b""))
-    assert not made.caches.machines
+    assert not made.pools.pools_by_id
 
 
 @pytest.mark.parametrize(
@@ -396,12 +401,12 @@
     ],
 )
 def test_a_word_that_does_not_fit_what_was_asked_is_unreadable(word, told, probe, good):
-    made, ended = line()[0].caches, []
+    made, ended = line()[0].pools, []
     forwards = attempts(made)
-    forwards.ended = lambda number, end, told, body: ended.append(end)
-    door = None if probe else DownstreamRequest(SimpleNamespace(taken=1), None, 1, "a", request_class(), 0.0)
+    forwards.attempt_ended = lambda number, end, told, body: ended.append(end)
+    door = None if probe else DownstreamRequest(SimpleNamespace(taken=1), None, 1, "a", make_request_class(), 0.0)
     number = forwards.slots.put(SentAttempt(door, None, None, 0.0, 1.0))
-    assert forwards.answered(number, word, told, Body(made.pool, b"x")) is good
+    assert forwards.response_received(number, word, told, Body(made.buffer_pool, b"x")) is good
     assert (ended == [AttemptResult.UNREADABLE]) is not good
 
 
@@ -463,27 +468,27 @@
         caches = ConnectionPools(
             deadlines, pool()[0], PoolSettings(5.0, 15.0, 100, 50), lambda *_, **told: ended.append(told)
         )
-        caches.listed(1, "1", address)
+        caches.add_or_move(1, "1", address)
         gc.collect()
         gc.disable()
         try:
-            made = UpstreamConnection(caches.machines[1])
-            made.machine.lines.append(made)
+            made = UpstreamConnection(caches.pools_by_id[1])
+            made.pool.connections.append(made)
             made.connect(address)
             seen = weakref.ref(made)
             if how == "given up":
                 for _ in range(5):
                     reactor.iterate(0.01)
-                made.overdue()
+                made.connect_timed_out()
             elif how != "refused":
-                while not made.up:
+                while not made.is_up:
                     reactor.iterate(0.01)
                 there = place.accept()[0]
                 made.close() if how == "closed by us" else there.close()
             end = time.monotonic() + 5.0
-            while not made.down and time.monotonic() < end:
+            while not made.has_ended and time.monotonic() < end:
                 reactor.iterate(0.01)
-            assert made.down and len(caches.machines[1].lines) == 0 == caches.held
+            assert made.has_ended and len(caches.pools_by_id[1].connections) == 0 == caches.open_descriptors
             del made
             reactor.iterate(0.0)  # what a turn of the loop still named
             deadlines.heap.clear()
@@ -496,15 +501,15 @@
     """The collector is off in service: a circle would stay until the memory limit."""
     clock = SimpleNamespace(now=lambda: 100.0, call_at=lambda *_: None)
     client = SimpleNamespace(send_error=lambda call, word, fields: None)
-    decisions = router(boxes=0, parents=0, direct=False)
+    decisions = make_router(caches=0, parents=0, direct_to_source=False)
     forwards = SimpleNamespace(decisions=decisions, local_copies=None)
-    visits = RequestTable(forwards, clock, pool()[0], {"t": request_class()}, lambda *_, **more: None, [].append)
+    visits = RequestTable(forwards, clock, pool()[0], {"t": make_request_class()}, lambda *_, **more: None, [].append)
     seen, take = [], decisions.route
     decisions.route = lambda *told: seen.append(weakref.ref(visit := take(*told))) or visit
     gc.disable()
     try:
         visits.start_request(client, 1, "t", {"rid": "0" * 16, "budget": "3000", "obj": "0" * 16}, b"", 100.0)
-        decisions.environment.alarms.clear()
+        decisions.environment.timers.clear()
         assert visits.answer_counts == {"denied": 1} and seen[0]() is None
     finally:
         gc.enable()
--- a/wickhinge/net/control/process_report.py
+++ b/wickhinge/net/control/process_report.py
@@ -22,7 +22,7 @@
 class Reporting(typing.Protocol):
     """An optional subsystem with figures of its own in the report."""
 
-    def figures(self) -> dict[str, Any]:
+    def report_fields(self) -> dict[str, Any]:
         """Its entry in the report."""
 
 
@@ -40,8 +40,8 @@
         """Parameters as named; optional: the subsystems that are on, by their names in the report."""
         self._clients, self._decisions, self._log, self._optional = clients, decisions, log, optional
         self._requests = clients.request_table
-        self._attempts = self._requests.attempts
-        self._pools = self._attempts.caches
+        self._attempts = self._requests.forwards
+        self._pools = self._attempts.pools
         self._deadlines: Deadlines = clients.deadlines
         self._loop: Any = self._deadlines.reactor  # the loop's own Reactor
         self._collect_over_kb = int(memory_mb * 1000 * COLLECT_OVER_SHARE)
@@ -64,7 +64,7 @@
             event_loop_stalls=self._loop.stalls.report(),
             **self._client_figures(),
             **self._server_figures(),
-            **{name: subsystem.figures() for name, subsystem in self._optional.items()},
+            **{name: subsystem.report_fields() for name, subsystem in self._optional.items()},
         )
         self._deadlines.call_after(REPORT_INTERVAL_S, self._report)
 
@@ -76,8 +76,8 @@
             "clients": len(clients.connections),
             "client_descriptors": clients.admission.open_descriptors,
             "answers": requests.answer_counts,
-            "unserved": requests.request_log.reasons,
-            "unlogged": requests.request_log.unlogged,
+            "unserved": requests.request_log.unserved_by_reason,
+            "unlogged": requests.request_log.unlogged_count,
             "closed": clients.close_counts,
             "faults": clients.take_fault_counts(),
         }
@@ -85,12 +85,12 @@
     def _server_figures(self) -> dict[str, Any]:
         pools = self._pools
         return {
-            "lines": sum(len(pool.lines) for pool in pools.machines.values()),
-            "line_descriptors": pools.held,
-            "buffers": pools.pool.peak_in_use,
-            "late_answers": pools.lates,
+            "lines": sum(len(pool.connections) for pool in pools.pools_by_id.values()),
+            "line_descriptors": pools.open_descriptors,
+            "buffers": pools.buffer_pool.peak_in_use,
+            "late_answers": pools.late_responses,
             "known": len(self._decisions.endpoints.servers),
-            "machines": len(pools.machines),
+            "machines": len(pools.pools_by_id),
             "objects": len(self._decisions.object_counts.entries),
         }
 
--- a/wickhinge/net/downstream/client_connection.py
+++ b/wickhinge/net/downstream/client_connection.py
@@ -276,7 +276,7 @@
                 self.clients.request_table.client_left(open_request, "aborted")
             elif first in self.queued_requests:
                 self.dequeue_request(first)
-                self.clients.request_table.request_log.count("aborted before it began")
+                self.clients.request_table.request_log.count_unserved("aborted before it began")
         else:
             raise msgpack.MalformedMessageError("the message is neither a request nor an abort notification")
 
@@ -294,7 +294,7 @@
                 and self.clients.queued_bytes + size > MAX_TOTAL_QUEUED_BYTES
             ):
                 self.send_error(call_id, "Overloaded", {})
-                self.clients.request_table.request_log.count("rejected during a hold")
+                self.clients.request_table.request_log.count_unserved("rejected during a hold")
                 return
         self.queued_requests[call_id] = QueuedRequest(method, params, self.earliest_arrival_at, size)
         self.queued_bytes += size
@@ -335,7 +335,7 @@
         except InvalidRequestError as error:
             self.open_requests.pop(call_id, None)
             self.clients.count_fault(str(error))
-            self.clients.request_table.request_log.count("unusable")
+            self.clients.request_table.request_log.count_unserved("unusable")
             self.send_error(call_id, "BadRequest", {"why": str(error)})
             # The hold slows down a client that repeats an invalid request as soon as it is answered. Other clients are not
             # affected.
@@ -502,7 +502,7 @@
         """Answer all open and queued requests with an error."""
         for call_id in list(self.queued_requests):
             self.dequeue_request(call_id)
-            self.clients.request_table.request_log.count("connection ended before the request began")
+            self.clients.request_table.request_log.count_unserved("connection ended before the request began")
             self.send_error(call_id, "Overloaded", {})
         for open_request in list(self.open_requests.values()):
             if open_request is not None:
@@ -531,7 +531,7 @@
         self.clients.client_disconnected(self)
         for call_id in list(self.queued_requests):
             self.dequeue_request(call_id)
-            self.clients.request_table.request_log.count("connection ended before the request began")
+            self.clients.request_table.request_log.count_unserved("connection ended before the request began")
         abandoned, self.open_requests = self.open_requests, {}
         for open_request in abandoned.values():
             if open_request is not None:
--- a/wickhinge/net/downstream/request_table.py
+++ b/wickhinge/net/downstream/request_table.py
@@ -11,7 +11,7 @@
 from wickhinge.net.runtime.deadlines import Deadlines
 from wickhinge.net.runtime.slots import Slots
 from wickhinge.net.upstream.attempts import Attempts
-from wickhinge.net.upstream.request_log import SERVED, RequestLog, RequestTrace, Step
+from wickhinge.net.upstream.request_log import SERVED_RESULT, RequestLog, RequestTrace, Step
 
 HEX = re.compile(r"[0-9a-f]{16}\Z").match
 IDEMPOTENCY_KEY = re.compile(r"[0-9A-Za-z_-]{1,64}\Z").match  # nothing that parts fields on the way to a server
@@ -107,7 +107,7 @@
                 body.release()
             return
         fields = {"keep": "1"} if same else {}
-        self.end(SERVED, "", lambda client: client.send_answer(self.call_id, body, fields))
+        self.end(SERVED_RESULT, "", lambda client: client.send_answer(self.call_id, body, fields))
 
     def end_with_internal_error(self) -> None:
         """A fault of ours: nothing is known of what ran, so nothing is promised."""
@@ -223,7 +223,7 @@
         for forward in list(request_entry.open_attempts.values()) if request_entry is not None else ():
             self.attempts.expire(forward)
         if request_entry is not None and not request_entry.has_ended:
-            self.log("request_overdue", rid=request_entry.rid.decode(), steps=request_entry.trace.lines())
+            self.log("request_overdue", rid=request_entry.rid.decode(), steps=request_entry.trace.log_steps())
             request_entry.end_with_internal_error()
 
     def client_left(self, request_entry: DownstreamRequest, why: str) -> None:
@@ -265,7 +265,7 @@
         if visit is not None:
             visit.attempts.clear()  # they name the visit: a circle that only the collector would find
         self.answer_counts[request_entry.answer] = self.answer_counts.get(request_entry.answer, 0) + 1
-        self.request_log.ended(
+        self.request_log.log_end(
             self.deadlines.now(),
             request_entry.rid,
             request_entry.answer,
