--- a/wickhinge/net/downstream/client_connection.py
+++ b/wickhinge/net/downstream/client_connection.py
@@ -137,8 +137,8 @@
             self.drained_until = max(self.drained_until, poll_ended_at)
         self.handle_data(data, arrival)
         if self.is_socket_drained and poll_ended_at - arrival > MAX_SHORT_READ_AGE_S and not self.has_ended:
-            # A read may return less than there is. After a stall of the process, the remaining data may be as old as the
-            # data that was read.
+            # A read may return less than there is. After a stall of the process, the remaining data may be as old as
+            # the data that was read.
             self.read_all_pending(arrival)
         # All requests of one read begin, also those that follow an invalid request: its hold applies to later reads.
         self.begin_queued()
@@ -194,8 +194,8 @@
             arrival: Earliest time at which the unread data may have arrived.
         """
         self.last_drained_at = self.clients.deadlines.now()
-        # A read that returns nothing may have failed transiently, so after a stall of the process two of them in a row are
-        # needed to prove that the socket is empty.
+        # A read that returns nothing may have failed transiently, so after a stall of the process two of them in a row
+        # are needed to prove that the socket is empty.
         empty_reads_needed = 2 if self.last_drained_at - arrival > MAX_SHORT_READ_AGE_S else 1
         for _ in range(MAX_READS_PER_CALL):
             try:
@@ -337,8 +337,8 @@
             self.clients.count_fault(str(error))
             self.clients.request_table.request_log.count_unserved("unusable")
             self.send_error(call_id, "BadRequest", {"why": str(error)})
-            # The hold slows down a client that repeats an invalid request as soon as it is answered. Other clients are not
-            # affected.
+            # The hold slows down a client that repeats an invalid request as soon as it is answered. Other clients are
+            # not affected.
             self.invalid_request_count += 1
             hold = min(INITIAL_HOLD_S * 2 ** min(self.invalid_request_count, 9), MAX_HOLD_S)
             self.hold_until = self.clients.deadlines.now() + hold
@@ -471,8 +471,8 @@
     def close_unless_unread(self, reason: str) -> bool:
         """Close an idle connection whose socket was just read to its end, unless data has arrived since.
 
-        The connection is closed before this method returns, since a turn of the event loop may last long. A request that
-        crosses the close on the network is sent again by its client.
+        The connection is closed before this method returns, since a turn of the event loop may last long. A request
+        that crosses the close on the network is sent again by its client.
 
         Returns:
             Whether the connection was closed.
--- a/wickhinge/net/downstream/request_table.py
+++ b/wickhinge/net/downstream/request_table.py
@@ -1,4 +1,7 @@
-"""Visits under way, in numbered slots; a door is the module's Caller for one of them."""
+"""The open requests of clients, in numbered slots.
+
+A DownstreamRequest is the transport through which the routing decisions of one request send attempts and answer.
+"""
 
 from __future__ import annotations
 
@@ -13,23 +16,47 @@
 from wickhinge.net.upstream.attempts import Attempts
 from wickhinge.net.upstream.request_log import SERVED_RESULT, RequestLog, RequestTrace, Step
 
-HEX = re.compile(r"[0-9a-f]{16}\Z").match
-IDEMPOTENCY_KEY = re.compile(r"[0-9A-Za-z_-]{1,64}\Z").match  # nothing that parts fields on the way to a server
+HEX_ID = re.compile(r"[0-9a-f]{16}\Z").match
+# Idempotency keys contain no character that separates fields in the protocol to the caches.
+IDEMPOTENCY_KEY = re.compile(r"[0-9A-Za-z_-]{1,64}\Z").match
 MIN_BUDGET_MS = 1
-MAX_BUDGET_MS_PER_S = 2000  # for each second of the request class's own timeout
+# Milliseconds of budget that a client may ask for, for each second of the timeout of the request class.
+MAX_BUDGET_MS_PER_S = 2000
 MAX_BODY_BYTES = 48_000
-MAX_RIDS = 2048  # in each of the two sets of latest ids
+# Request ids in each of the two sets that detect ids used twice.
+MAX_RIDS_PER_SET = 2048
 MAX_GROUP = 255
 MAX_PART = 1 << 31
-SLACK_S = 0.001  # an attempt that may run as long as its request has no deadline of its own
-ANSWERED_WITHIN_S = 0.01  # past a request's timeout: by then the decisions have answered, or they never will
+# Seconds by which the recorded deadline of a request precedes its timeout. An attempt that may last past that deadline
+# gets no timer of its own, since it expires together with its request.
+DEADLINE_SLACK_S = 0.001
+# Seconds after the timeout of a request at which a missing answer counts as a fault of the routing decisions.
+OVERDUE_AFTER_S = 0.01
 
 
 class InvalidRequestError(Exception):
-    """A request that can be read but not used: the text names the field."""
+    """A well-formed request has an invalid method, field or body; the message names it."""
 
 
 class DownstreamRequest:
+    """One request of a client, from its start until its last attempt has ended.
+
+    Attributes:
+        call_id: The id of the request on its connection.
+        rid: The id of the request in all logs and on the servers.
+        upstream_fields: Fields of the request that are forwarded unchanged to the servers.
+        started_at: Time at which the router began the request.
+        has_ended: Whether the client has been answered or has left; attempts may still be open.
+        answer: The kind of the answer, as the log and the report name it.
+        reason: Why the request ended unserved; empty if it was served.
+        routed_request: The state of the request in the routing decisions.
+        open_attempts: The numbers of the open attempts, by attempt.
+        number: The slot number of the request in the table.
+        deadline: Time at which the request times out, less DEADLINE_SLACK_S.
+        client_etag: The entity tag of the client's own copy; empty if it has none.
+        missed_connection: The connection to a cache on which the last miss of this request was received.
+    """
+
     __slots__ = (
         "request_table",
         "client",
@@ -59,7 +86,7 @@
         rid: str,
         request_class: Any,
         started_at: float,
-        unread: float = 0.0,
+        unread_s: float = 0.0,
     ) -> None:
         self.request_table, self.client, self.call_id, self.request_class, self.started_at = (
             request_table,
@@ -69,92 +96,110 @@
             started_at,
         )
         self.rid = rid.encode()
-        self.upstream_fields = ""  # what goes on unchanged
-        self.client_etag = ""  # the tag of the client's own copy
+        self.upstream_fields = ""
+        self.client_etag = ""
         self.body, self.has_ended, self.answer, self.number, self.deadline = None, False, "", 0, 0.0
         self.routed_request: Any = None
-        self.missed_connection: Any = None  # the connection on which a look missed last
+        self.missed_connection: Any = None
         self.open_attempts: dict[Any, int] = {}
-        self.trace = RequestTrace(started_at, unread)
-        self.reason = ""  # why it ended unserved
+        self.trace = RequestTrace(started_at, unread_s)
+        self.reason = ""
 
-    # RequestTransport.
+    # Methods of the RequestTransport interface, called by the routing decisions.
 
     def forward(self, parameters: AttemptParameters) -> None:
+        """Send an attempt to a cache or origin."""
         self.routed_request = parameters.attempt.request
         self.request_table.attempts.send(self, parameters)
 
     def cancel(self, attempt: Any) -> None:
+        """Cancel an open attempt."""
         number = self.open_attempts.get(attempt)
         if number is not None:
             self.request_table.attempts.cancel(number)
 
     def serve_copy(self, copy: Any) -> None:
+        """Read a local copy and answer with it."""
         self.request_table.local_copies.read(self, copy)
 
     def reject(self, retry_after: float, reason: RejectionReason) -> None:
+        """Answer that the request was not executed; retry_after: seconds the client should wait, 0 for none."""
         fields = {"backoff": str(int(retry_after * 1000))} if retry_after > 0 else {}
         self.end("denied", reason.value, lambda client: client.send_error(self.call_id, "Overloaded", fields))
 
     def fail(self, reason: RejectionReason) -> None:
+        """Answer that the request ended without a result and may have been executed."""
         self.end("abandoned", reason.value, lambda client: client.send_error(self.call_id, "Abandoned", {}))
 
-    # What happens to it.
+    # Called by attempts, local copies and the table.
 
-    def serve(self, body: Any, same: bool) -> None:
+    def serve(self, body: Any, is_unchanged: bool) -> None:
+        """Answer with a body, or, if is_unchanged, with the note that the client's own copy is still valid."""
         if self.has_ended:
             if body is not None:
                 body.release()
             return
-        fields = {"keep": "1"} if same else {}
+        fields = {"keep": "1"} if is_unchanged else {}
         self.end(SERVED_RESULT, "", lambda client: client.send_answer(self.call_id, body, fields))
 
     def end_with_internal_error(self) -> None:
-        """A fault of ours: nothing is known of what ran, so nothing is promised."""
+        """End the request after a fault of the router; the answer leaves open whether it was executed."""
         if not self.has_ended:
-            self.end("broken", "a fault of ours", lambda client: client.send_error(self.call_id, "Internal", {}))
+            self.end("broken", "internal error", lambda client: client.send_error(self.call_id, "Internal", {}))
         if self.routed_request is not None:
             self.routed_request.is_finished = True
         for number in list(self.open_attempts.values()):
             self.request_table.attempts.cancel(number)
 
-    def end(self, answer: str, reason: str, tell: Callable[[Any], None]) -> None:
+    def end(self, answer: str, reason: str, send: Callable[[Any], None]) -> None:
+        """Answer the client, once, and withdraw the attempts that are not sent yet.
+
+        Args:
+            answer: The kind of the answer, as the log names it.
+            reason: Why the request was not served; empty if it was.
+            send: Called with the connection of the client to write the answer.
+        """
         if self.has_ended:
             return
         self.has_ended, self.answer, self.reason = True, answer, reason
         client, self.client = self.client, None
         if client is not None:
-            tell(client)
+            send(client)
         self.recall_attempts()
         self.release_if_settled()
 
     def check_ended(self) -> bool:
-        """Whether it is over, or its client has closed or given it up: read from its socket if that may lie there."""
+        """Return whether the request has ended, after reading a cancellation or close that may be in the socket."""
         client = self.client
         if client is not None and not client.is_request_open(self.call_id):
-            self.request_table.client_left(self, "found gone before an attempt")
+            self.request_table.client_left(self, "client gone before an attempt")
         return self.has_ended
 
     def recall_attempts(self) -> None:
-        """It is over: what of it still waits to be written is not sent, also where nothing may be withdrawn."""
+        """Stop attempts that are not completely written from being sent, even if cancellation is disabled."""
         for number in list(self.open_attempts.values()):
             self.request_table.attempts.recall(number, True)
 
-    def is_valid_answer(self, told: bytes, body: Any) -> bool:
-        """Whether this can be the answer: a copy carries its tag and its age."""
-        return body is not None and (self.request_class.pass_through or b"etag=" in told and b"made=" in told)
+    def is_valid_answer(self, response_fields: bytes, body: Any) -> bool:
+        """Return whether a response answers the request: a copy of an object has an entity tag and a creation time."""
+        return body is not None and (
+            self.request_class.pass_through or b"etag=" in response_fields and b"made=" in response_fields
+        )
 
-    def attempt_ended(self, forward: Any) -> None:
-        self.open_attempts.pop(forward, None)
+    def attempt_ended(self, attempt: Any) -> None:
+        """Forget an attempt; called when it has ended."""
+        self.open_attempts.pop(attempt, None)
         self.release_if_settled()
 
     def release_if_settled(self) -> None:
-        """The slot is free again once the visit is answered and nothing of it is out."""
+        """Free the slot once the request has ended and none of its attempts is open."""
         if self.has_ended and not self.open_attempts and self.request_table.slots.drop(self.number) is self:
             self.request_table.request_ended(self)
 
 
 class RequestTable:
+    """All open requests: starts them and ends them, also when their client leaves or the router shuts down."""
+
     def __init__(
         self,
         attempts: Attempts,
@@ -169,7 +214,9 @@
         self.request_log = RequestLog(log)
         self.slots = Slots()
         self.decisions, self.local_copies = attempts.decisions, attempts.local_copies
-        self.recent_rids: set[str] = set()  # the latest: an id is new with every visit, also with a repeat
+        # The latest request ids, in two sets that replace each other. A client uses a new id for each request, also
+        # when it repeats one.
+        self.recent_rids: set[str] = set()
         self.older_rids: set[str] = set()
         self.started_count = 0
         self.answer_counts: dict[str, int] = {}
@@ -177,133 +224,176 @@
     def start_request(
         self, client: Any, call_id: int, method: str, fields: dict[str, str], body: bytes, arrival: float
     ) -> DownstreamRequest:
-        """arrival: when its last byte came, at the earliest; its time counts from then."""
+        """Check a request, route it and return it.
+
+        Args:
+            client: The connection that the request arrived on.
+            call_id: The id of the request on that connection.
+            method: The name of the request class.
+            fields: The fields of the request.
+            body: The body of the request.
+            arrival: Earliest time at which its last byte may have arrived; its timeout counts from then.
+
+        Raises:
+            InvalidRequestError: The method, a field or the body is invalid.
+        """
         now = self.deadlines.now()
-        waited = max(now - arrival, 0.0)
+        waited_s = max(now - arrival, 0.0)
         request_class = self.request_classes.get(method)
         if request_class is None:
-            raise InvalidRequestError("method names no tariff")
+            raise InvalidRequestError("method is not the name of a request class")
         rid = hex_field(fields, "rid")
-        request = parse_request(fields, request_class, waited)
+        request = parse_request(fields, request_class, waited_s)
         check_body_and_key(fields, body)
         self._remember_rid(rid)
-        request_entry = DownstreamRequest(self, client, call_id, rid, request_class, now, waited)
-        request_entry.body = Body(self.pool, body) if body else None
-        request_entry.upstream_fields = forwarded_fields(method, fields)
-        if not request_class.pass_through and HEX(fields.get("cached", "")):
-            request_entry.client_etag = fields["cached"]
-        request_entry.number = self.slots.put(request_entry)
+        downstream_request = DownstreamRequest(self, client, call_id, rid, request_class, now, waited_s)
+        downstream_request.body = Body(self.pool, body) if body else None
+        downstream_request.upstream_fields = forwarded_fields(method, fields)
+        if not request_class.pass_through and HEX_ID(fields.get("cached", "")):
+            downstream_request.client_etag = fields["cached"]
+        downstream_request.number = self.slots.put(downstream_request)
         self.started_count += 1
-        request_entry.deadline = now + request.timeout - SLACK_S
-        self._route(request_entry, request, now, waited)
-        if not request_entry.has_ended:
-            self.deadlines.call_at(now + request.timeout + ANSWERED_WITHIN_S, self.expire_request, request_entry.number)
-        return request_entry
+        downstream_request.deadline = now + request.timeout - DEADLINE_SLACK_S
+        self._route(downstream_request, request, now, waited_s)
+        if not downstream_request.has_ended:
+            self.deadlines.call_at(
+                now + request.timeout + OVERDUE_AFTER_S, self.expire_request, downstream_request.number
+            )
+        return downstream_request
 
     def _remember_rid(self, rid: str) -> None:
-        """Raises InvalidRequestError for one of the latest ids; of them at least MAX_RIDS are known."""
+        """Record a request id; at least the latest MAX_RIDS_PER_SET ids are known.
+
+        Raises:
+            InvalidRequestError: The id was used before.
+        """
         if rid in self.recent_rids or rid in self.older_rids:
             raise InvalidRequestError("field rid was used before")
         self.recent_rids.add(rid)
-        if len(self.recent_rids) >= MAX_RIDS:
+        if len(self.recent_rids) >= MAX_RIDS_PER_SET:
             self.older_rids, self.recent_rids = self.recent_rids, set()
 
-    def _route(self, request_entry: DownstreamRequest, request: Request, now: float, waited: float) -> None:
-        """Hands the request to the decisions; a fault of theirs ends this request alone."""
+    def _route(self, downstream_request: DownstreamRequest, request: Request, now: float, waited_s: float) -> None:
+        """Route the request; an exception of the routing decisions ends this request and no other."""
         try:
-            visit = self.decisions.route(request_entry, request_entry.request_class, request, now, waited)
-            if not request_entry.has_ended:  # over already, it would only close the circle that ended() opens
-                request_entry.routed_request = visit
+            routed_request = self.decisions.route(
+                downstream_request, downstream_request.request_class, request, now, waited_s
+            )
+            if not downstream_request.has_ended:
+                # An ended request must not refer to its routed request: request_ended() has broken that reference
+                # cycle.
+                downstream_request.routed_request = routed_request
         except Exception:
             self.fault("visit")
-            request_entry.end_with_internal_error()
+            downstream_request.end_with_internal_error()
 
     def expire_request(self, number: int) -> None:
-        request_entry = self.slots.get(number)
-        for forward in list(request_entry.open_attempts.values()) if request_entry is not None else ():
-            self.attempts.expire(forward)
-        if request_entry is not None and not request_entry.has_ended:
-            self.log("request_overdue", rid=request_entry.rid.decode(), steps=request_entry.trace.log_steps())
-            request_entry.end_with_internal_error()
-
-    def client_left(self, request_entry: DownstreamRequest, why: str) -> None:
-        """The client has left, or given the request up: nothing is owed."""
-        request_entry.client = None
-        if request_entry.has_ended:
+        """End a request that the routing decisions have not answered by its timeout, with its open attempts."""
+        downstream_request = self.slots.get(number)
+        for attempt_number in list(downstream_request.open_attempts.values()) if downstream_request is not None else ():
+            self.attempts.expire(attempt_number)
+        if downstream_request is not None and not downstream_request.has_ended:
+            self.log("request_overdue", rid=downstream_request.rid.decode(), steps=downstream_request.trace.log_steps())
+            downstream_request.end_with_internal_error()
+
+    def client_left(self, downstream_request: DownstreamRequest, reason: str) -> None:
+        """End a request without an answer; called when its client has disconnected or cancelled it."""
+        downstream_request.client = None
+        if downstream_request.has_ended:
             return
-        request_entry.has_ended, request_entry.answer, request_entry.reason = True, "gone", why
-        request_entry.trace.add(self.deadlines.now(), Step.CLIENT_LEFT, 0, why)
-        if request_entry.routed_request is not None:
-            request_entry.routed_request.finish()
-        request_entry.recall_attempts()
-        request_entry.release_if_settled()
-
-    def reject_for_client_error(self, request_entry: DownstreamRequest) -> None:
-        """Its connection ends by the client's fault: answered while that is still there."""
-        if not request_entry.has_ended and request_entry.routed_request is not None:
-            request_entry.routed_request.give_up(self.deadlines.now(), RejectionReason.CLIENT_ERROR)
+        downstream_request.has_ended, downstream_request.answer, downstream_request.reason = True, "gone", reason
+        downstream_request.trace.add(self.deadlines.now(), Step.CLIENT_LEFT, 0, reason)
+        if downstream_request.routed_request is not None:
+            downstream_request.routed_request.finish()
+        downstream_request.recall_attempts()
+        downstream_request.release_if_settled()
+
+    def reject_for_client_error(self, downstream_request: DownstreamRequest) -> None:
+        """Reject a request whose client violated the protocol; called before its connection is closed."""
+        if not downstream_request.has_ended and downstream_request.routed_request is not None:
+            downstream_request.routed_request.give_up(self.deadlines.now(), RejectionReason.CLIENT_ERROR)
 
     def give_up_open_requests(self, ending_after: float = 0.0) -> None:
-        """The router ends: what is still open, and would be until after that time, is answered while somebody can hear
-        it.
+        """Answer open requests before the router shuts down, while their clients are still connected.
+
+        Args:
+            ending_after: Only requests whose deadline is later than this time are given up.
         """
-        for request_entry in self.slots:
+        for downstream_request in self.slots:
             if (
-                not request_entry.has_ended
-                and request_entry.routed_request is not None
-                and request_entry.deadline > ending_after
+                not downstream_request.has_ended
+                and downstream_request.routed_request is not None
+                and downstream_request.deadline > ending_after
             ):
-                request_entry.routed_request.give_up(self.deadlines.now(), RejectionReason.SHUTTING_DOWN)
+                downstream_request.routed_request.give_up(self.deadlines.now(), RejectionReason.SHUTTING_DOWN)
 
     def open_count(self) -> int:
-        return sum(not request_entry.has_ended for request_entry in self.slots)
-
-    def request_ended(self, request_entry: DownstreamRequest) -> None:
-        if request_entry.body is not None:
-            request_entry.body.release()
-        visit, request_entry.routed_request = request_entry.routed_request, None
-        if visit is not None:
-            visit.attempts.clear()  # they name the visit: a circle that only the collector would find
-        self.answer_counts[request_entry.answer] = self.answer_counts.get(request_entry.answer, 0) + 1
+        """Return how many requests have not ended."""
+        return sum(not downstream_request.has_ended for downstream_request in self.slots)
+
+    def request_ended(self, downstream_request: DownstreamRequest) -> None:
+        """Release a request, count its answer and log it; called when none of its attempts is open."""
+        if downstream_request.body is not None:
+            downstream_request.body.release()
+        routed_request, downstream_request.routed_request = downstream_request.routed_request, None
+        if routed_request is not None:
+            # The attempts refer to the routed request. This breaks the reference cycle, since the garbage collector is
+            # off.
+            routed_request.attempts.clear()
+        self.answer_counts[downstream_request.answer] = self.answer_counts.get(downstream_request.answer, 0) + 1
         self.request_log.log_end(
             self.deadlines.now(),
-            request_entry.rid,
-            request_entry.answer,
-            request_entry.reason,
-            request_entry.trace,
-            request_class=request_entry.request_class.name,
-            timeout_ms=round((request_entry.deadline - request_entry.started_at) * 1000),
-            repeat=visit.is_retry if visit else None,
-            part=visit.part if visit else None,
-            work=round(visit.work * 1000) if visit else None,
-            exclusive=request_entry.request_class.idempotency is Idempotency.NOT_IDEMPOTENT,
+            downstream_request.rid,
+            downstream_request.answer,
+            downstream_request.reason,
+            downstream_request.trace,
+            request_class=downstream_request.request_class.name,
+            timeout_ms=round((downstream_request.deadline - downstream_request.started_at) * 1000),
+            repeat=routed_request.is_retry if routed_request else None,
+            part=routed_request.part if routed_request else None,
+            work=round(routed_request.work * 1000) if routed_request else None,
+            exclusive=downstream_request.request_class.idempotency is Idempotency.NOT_IDEMPOTENT,
         )
 
 
-def parse_request(fields: dict[str, str], request_class: Any, waited: float) -> Request:
-    """What the decisions need to know; waited: seconds of its time that are over. Raises InvalidRequestError."""
+def parse_request(fields: dict[str, str], request_class: Any, waited_s: float) -> Request:
+    """Return the request as the routing decisions need it.
+
+    Args:
+        fields: The fields of the request.
+        request_class: The class of the request.
+        waited_s: Seconds of its timeout that have passed.
+
+    Raises:
+        InvalidRequestError: A field is missing or invalid.
+    """
     max_budget_ms = int(MAX_BUDGET_MS_PER_S * request_class.timeout)
-    timeout = whole_field(fields, "budget", MIN_BUDGET_MS, max_budget_ms) / 1000.0 - waited
-    part = whole_field(fields, "block", 0, MAX_PART, 0)
-    group = whole_field(fields, "family", 0, MAX_GROUP, 0)
+    timeout = integer_field(fields, "budget", MIN_BUDGET_MS, max_budget_ms) / 1000.0 - waited_s
+    part = integer_field(fields, "block", 0, MAX_PART, 0)
+    group = integer_field(fields, "family", 0, MAX_GROUP, 0)
     has_no_object = request_class.pass_through and "obj" not in fields
     key = 0 if has_no_object else int(hex_field(fields, "obj"), 16)
     return Request(key, part, group, 0.0, timeout, "again" in fields)
 
 
 def check_body_and_key(fields: dict[str, str], body: bytes) -> None:
-    """Raises InvalidRequestError for a body or an idempotency key that no server is to get."""
+    """Check the size of the body and the form of the idempotency key.
+
+    Raises:
+        InvalidRequestError: One of them is invalid.
+    """
     if len(body) > MAX_BODY_BYTES:
-        raise InvalidRequestError(f"the body holds over {MAX_BODY_BYTES} bytes")
+        raise InvalidRequestError(f"the request body is longer than {MAX_BODY_BYTES} bytes")
     if not IDEMPOTENCY_KEY(fields.get("token", "-")):
-        raise InvalidRequestError("field token is no mark of up to 64 letters and digits")
+        raise InvalidRequestError("field token is not 1 to 64 letters, digits, hyphens or underscores")
 
 
 def forwarded_fields(method: str, fields: dict[str, str]) -> str:
-    """What goes on to the servers unchanged, in their words."""
+    """Return the fields that are forwarded unchanged, under their names in the protocol to the servers."""
     forwarded = f"queue={method}"
     if "token" in fields:
-        # By it the origin drops a repeat: without its key a request would have its effect twice.
+        # The origin recognizes a repeated request by its idempotency key; without it the request would take effect
+        # twice.
         forwarded += f",uniq={fields['token']}"
     if "obj" in fields:
         forwarded += f",path={fields['obj']}"
@@ -313,22 +403,30 @@
 
 
 def hex_field(fields: dict[str, str], field: str) -> str:
-    """A field of 16 hex digits. Raises InvalidRequestError."""
+    """Return a field of 16 hexadecimal digits.
+
+    Raises:
+        InvalidRequestError: The field is missing or has another form.
+    """
     value = fields.get(field)
     if value is None:
         raise InvalidRequestError(f"field {field} is missing")
-    if not HEX(value):
+    if not HEX_ID(value):
         raise InvalidRequestError(f"field {field} is not 16 hex digits")
     return value
 
 
-def whole_field(fields: dict[str, str], field: str, least: int, most: int, default: int | None = None) -> int:
-    """A whole number within bounds; default: where the field is missing. Raises InvalidRequestError."""
+def integer_field(fields: dict[str, str], field: str, minimum: int, maximum: int, default: int | None = None) -> int:
+    """Return a field as an integer within bounds; a missing field has the default value, if there is one.
+
+    Raises:
+        InvalidRequestError: The field is out of bounds or not a number, or it is missing and has no default.
+    """
     value = fields.get(field)
     if value is None and default is not None:
         return default
     if value is None:
         raise InvalidRequestError(f"field {field} is missing")
-    if not value.isascii() or not value.isdigit() or len(value) > 12 or not least <= int(value) <= most:
-        raise InvalidRequestError(f"field {field} is not a whole number from {least} to {most}")
+    if not value.isascii() or not value.isdigit() or len(value) > 12 or not minimum <= int(value) <= maximum:
+        raise InvalidRequestError(f"field {field} is not a whole number from {minimum} to {maximum}")
     return int(value)
