--- a/tests/net/test_descriptors.py
+++ b/tests/net/test_descriptors.py
@@ -290,10 +290,10 @@
 
     client = Named(open_requests=(), queued_requests=(), write_queue=(), has_ended=False, is_write_blocked=True)
     clients.update_idle(client)
-    assert not clients.idle
+    assert not clients.idle_since
     client.is_write_blocked = False
     clients.update_idle(client)
-    assert client in clients.idle
+    assert client in clients.idle_since
 
 
 class Reading:
--- a/tests/net/test_net.py
+++ b/tests/net/test_net.py
@@ -322,7 +322,7 @@
 
         earliest_unread_arrival = is_idle = lambda self: True
 
-    for name, table, since in (("silent", clients.without_request, silent), ("idle", clients.idle, idle)):
+    for name, table, since in (("silent", clients.no_request_since, silent), ("idle", clients.idle_since, idle)):
         if since is not None:
             made = Named()
             made.open_requests, made.write_queue, made.queued_requests, made.is_write_blocked, made.has_ended = (
--- a/wickhinge/net/downstream/client_connections.py
+++ b/wickhinge/net/downstream/client_connections.py
@@ -1,4 +1,4 @@
-"""All connections of clients: who is there, who rests for longest, and who goes when there is no room."""
+"""All connections of clients, and which of them the router closes: after a time limit, or to free a descriptor."""
 
 from __future__ import annotations
 
@@ -13,115 +13,153 @@
 from wickhinge.net.downstream.request_table import RequestTable
 from wickhinge.net.runtime.deadlines import Deadlines
 
-FIRST_REQUEST_S = 2.2  # from connecting to a first request, and from the first byte of any to its last
-MAX_IDLE_S = 5.0  # with nothing open: clients themselves close after 4
+# Seconds that a client has from connecting to its first request, and from the first byte of a request to the last.
+MAX_REQUEST_WAIT_S = 2.2
+# Seconds after which an idle connection is closed; clients close it themselves after 4 seconds.
+MAX_IDLE_S = 5.0
 SWEEP_INTERVAL_S = 0.25
-MIN_AGE_FOR_ROOM_S = 0.25  # after connecting, in which nobody is hung up on for room: what it asks may be on its way
-MAX_FAULT_KINDS = 32  # told apart between two reports
-MAX_CANDIDATES = 8  # connections looked at for one to hang up on
+# Seconds for which a new connection, or one with an incomplete request, is not closed to free a descriptor, because its
+# request may be on the way.
+MIN_AGE_TO_CLOSE_S = 0.25
+# Kinds of client faults that are counted separately between two reports; all others are counted together.
+MAX_FAULT_KINDS = 32
+# Connections that are checked in each table in search of one to close.
+MAX_CANDIDATES = 8
 
 
 class ClientConnections(Factory):
-    """All connections of clients. Three tables in order of time say which must go: those that have asked
-    nothing, those with half a request, and those with nothing open.
+    """The set of all client connections, and the Twisted factory that creates them.
+
+    Three tables, ordered by time, hold the connections that may be closed. A busy connection is in none of them.
+
+    Attributes:
+        connections: All connections.
+        no_request_since: Connections that have sent no request yet, with the times at which they were established.
+        partial_message_since: Connections with an incomplete message, with the times at which it began.
+        idle_since: Connections without an open request or unwritten answer, with the times at which they became idle.
+        is_shutting_down: Whether the graceful shutdown has begun.
+        is_paused: Whether no request may begin, because the buffers are exhausted.
+        queued_bytes: Bytes of requests that are queued during holds, of all clients.
+        fault_counts: Number of client faults since the last report, by reason.
+        close_counts: Number of connections that the router has closed, by reason.
     """
 
     noisy = False
 
-    def __init__(self, request_table: RequestTable, deadlines: Deadlines, most: int, log: Callable[..., None]) -> None:
+    def __init__(
+        self, request_table: RequestTable, deadlines: Deadlines, max_connections: int, log: Callable[..., None]
+    ) -> None:
         self.request_table, self.deadlines, self.log = request_table, deadlines, log
         self.arrivals = deadlines.arrivals
-        self.admission = Admission(most)
+        self.admission = Admission(max_connections)
         self.listener: Any = None
-        self.is_resume_scheduled = False  # the listener is to look again on the next turn
+        self.is_resume_scheduled = False  # Whether the listener resumes on the next turn of the event loop.
         self.connections: set[ClientConnection] = set()
-        self.without_request: dict[ClientConnection, float] = {}
-        self.with_partial_message: dict[ClientConnection, float] = {}
-        self.idle: dict[ClientConnection, float] = {}
+        self.no_request_since: dict[ClientConnection, float] = {}
+        self.partial_message_since: dict[ClientConnection, float] = {}
+        self.idle_since: dict[ClientConnection, float] = {}
         self.is_shutting_down = self.is_paused = False
-        self.queued_bytes = 0  # bytes of requests that clients keep here in holds
+        self.queued_bytes = 0
         self.fault_counts: dict[str, int] = {}
-        self.close_counts: dict[str, int] = {}  # connections that the router has ended, by why
+        self.close_counts: dict[str, int] = {}
 
     def client_connected(self, client: ClientConnection) -> None:
-        """Called by a connection that is up."""
+        """Add a connection; called when it is established."""
         self.connections.add(client)
-        self.without_request[client] = self.deadlines.now()
+        self.no_request_since[client] = self.deadlines.now()
 
     def close_idle_clients(self, count: int) -> int:
-        """Hang up on so many at most, for connections that wait to be accepted. Returns how many went."""
-        gone = 0
-        while gone < count and self.close_longest_idle():
-            gone += 1
-        return gone
+        """Close up to `count` idle connections to free descriptors for new ones; return how many were closed."""
+        closed = 0
+        while closed < count and self.close_longest_idle():
+            closed += 1
+        return closed
 
     def close_longest_idle(self) -> bool:
-        """The one that rests for longest: one that has asked nothing, else one that had its answers, else one with
-        half a request. Never one that came just now: what it asks may be on its way, and the others can wait.
+        """Close one connection to free its descriptor.
+
+        Connections that have sent no request go first, then idle ones, then those with an incomplete request; within a
+        group the oldest goes first. A connection that is just established is kept, since its request may be on the way.
+
+        Returns:
+            Whether a connection was closed.
         """
         now = self.deadlines.now()
-        for table, least in (
-            (self.without_request, MIN_AGE_FOR_ROOM_S),
-            (self.idle, 0.0),
-            (self.with_partial_message, MIN_AGE_FOR_ROOM_S),
+        for table, min_age_s in (
+            (self.no_request_since, MIN_AGE_TO_CLOSE_S),
+            (self.idle_since, 0.0),
+            (self.partial_message_since, MIN_AGE_TO_CLOSE_S),
         ):
-            oldest = [client for client, since in islice(table.items(), MAX_CANDIDATES) if now - since >= least]
-            if any(self.close_if_idle(client, for_room=True) for client in oldest):
+            oldest = [client for client, since in islice(table.items(), MAX_CANDIDATES) if now - since >= min_age_s]
+            if any(self.close_if_idle(client, to_free_descriptor=True) for client in oldest):
                 return True
         return False
 
     def schedule_listener_resume(self) -> None:
-        """On the next turn, so that no client is hung up on within a call of its own."""
+        """Resume a paused listener on the next turn; closing a connection within a call of its own methods is unsafe."""
         if self.listener is not None and self.listener.is_paused and not self.is_resume_scheduled:
             self.is_resume_scheduled = True
             self.deadlines.call_soon(self.resume_listener)
 
     def resume_listener(self) -> None:
-        """Let the listener look again."""
+        """Let the listener accept connections again; called on the turn after schedule_listener_resume()."""
         self.is_resume_scheduled = False
         self.listener.resume()
 
-    def data_received(self, client: ClientConnection, whole: bool) -> None:
-        """Something has come from it, and at least one whole message where so said."""
+    def data_received(self, client: ClientConnection, has_message: bool) -> None:
+        """Update the tables after a client sent data; has_message: whether it completed at least one message."""
         if client.has_ended:
             return
-        if whole:
-            self.without_request.pop(client, None)
-            self.with_partial_message.pop(client, None)
-            self.idle.pop(client, None)
+        if has_message:
+            self.no_request_since.pop(client, None)
+            self.partial_message_since.pop(client, None)
+            self.idle_since.pop(client, None)
         if client.decoder.incomplete:
-            self.with_partial_message.setdefault(client, self.deadlines.now())
+            self.partial_message_since.setdefault(client, self.deadlines.now())
         self.update_idle(client)
 
     def update_idle(self, client: ClientConnection) -> None:
-        """Note whether a connection rests from now on."""
+        """Record whether a connection is idle, and let the listener know of a newly idle one."""
         busy = client.open_requests or client.queued_requests or client.write_queue or client.is_write_blocked
-        if busy or client.has_ended or client in self.without_request:
-            self.idle.pop(client, None)
-        elif client not in self.idle:
-            self.idle[client] = self.deadlines.now()
+        if busy or client.has_ended or client in self.no_request_since:
+            self.idle_since.pop(client, None)
+        elif client not in self.idle_since:
+            self.idle_since[client] = self.deadlines.now()
             self.schedule_listener_resume()
 
     def sweep(self) -> None:
-        """Hang up on those that have rested for too long; called each SWEEP_INTERVAL_S."""
+        """Close the connections that have exceeded a time limit; runs every SWEEP_INTERVAL_S."""
         now = self.deadlines.now()
-        for table, most in (
-            (self.without_request, FIRST_REQUEST_S),
-            (self.with_partial_message, FIRST_REQUEST_S),
-            (self.idle, MAX_IDLE_S),
+        for table, max_age_s in (
+            (self.no_request_since, MAX_REQUEST_WAIT_S),
+            (self.partial_message_since, MAX_REQUEST_WAIT_S),
+            (self.idle_since, MAX_IDLE_S),
         ):
             for client, since in list(table.items()):
-                if now - since < most:
+                if now - since < max_age_s:
                     break
                 self.close_if_idle(client)
         self.admission.raise_limit()
         self.schedule_listener_resume()
         self.deadlines.call_after(SWEEP_INTERVAL_S, self.sweep)
 
-    def close_if_idle(self, client: ClientConnection, for_room: bool = False) -> bool:
-        """Hang up on it, unless it has asked meanwhile: its socket is read to the end first. Whether it went."""
+    def close_if_idle(self, client: ClientConnection, to_free_descriptor: bool = False) -> bool:
+        """Close a connection after reading its socket to the end, unless a request has arrived meanwhile.
+
+        Args:
+            client: The connection.
+            to_free_descriptor: Whether it is closed to make room for another, not for exceeding a time limit.
+
+        Returns:
+            Whether the connection has ended.
+        """
         table = next(
-            (table for table in (self.without_request, self.with_partial_message, self.idle) if client in table), None
+            (
+                table
+                for table in (self.no_request_since, self.partial_message_since, self.idle_since)
+                if client in table
+            ),
+            None,
         )
         client.read_all_pending(client.earliest_unread_arrival())
         if client.has_ended:
@@ -129,82 +167,91 @@
         if table is None or client not in table or not client.is_idle():
             self.update_idle(client)
             return False
-        why = "idle" if table is self.idle else "half a request" if table is self.with_partial_message else "no request"
-        reason = f"{why}, for room" if for_room else why
+        cause = (
+            "idle"
+            if table is self.idle_since
+            else "incomplete request"
+            if table is self.partial_message_since
+            else "no request"
+        )
+        reason = f"{cause}, to free a descriptor" if to_free_descriptor else cause
         if not client.close_unless_unread(reason):
             return False
         self.close_counts[reason] = self.close_counts.get(reason, 0) + 1
-        if table is not self.idle:
-            self.count_fault(why)
+        if table is not self.idle_since:
+            self.count_fault(cause)
         return True
 
     def client_disconnected(self, client: ClientConnection) -> None:
-        """Called by a connection that has ended."""
+        """Remove a connection; called when it has ended."""
         self.connections.discard(client)
-        for table in (self.without_request, self.with_partial_message, self.idle):
+        for table in (self.no_request_since, self.partial_message_since, self.idle_since):
             table.pop(client, None)
 
-    def count_fault(self, why: str) -> None:
-        """The first of a kind is told at once, the others are counted: a flood may not cost a line each."""
-        if why not in self.fault_counts:
+    def count_fault(self, reason: str) -> None:
+        """Count a client fault, and log the first one of its kind since the last report.
+
+        The others are only counted, so that a flood of faults does not cost a log line each.
+        """
+        if reason not in self.fault_counts:
             if len(self.fault_counts) < MAX_FAULT_KINDS:
-                self.log("client_fault", reason=why)
+                self.log("client_fault", reason=reason)
             else:
-                why = "others"
-        self.fault_counts[why] = self.fault_counts.get(why, 0) + 1
+                reason = "others"
+        self.fault_counts[reason] = self.fault_counts.get(reason, 0) + 1
 
     def buildProtocol(self, addr: Any) -> ClientConnection:
-        """Called for each accepted connection."""
+        """Return the protocol instance of an accepted connection."""
         return ClientConnection(self)
 
     def drain(self) -> None:
-        """The router leaves: `ping` says so from now on."""
+        """Answer pings with False from now on; called when the graceful shutdown begins."""
         self.is_shutting_down = True
 
     def take_fault_counts(self) -> dict[str, int]:
-        """How often clients made which fault since the last call."""
+        """Return the number of client faults by reason since the last call."""
         faults, self.fault_counts = self.fault_counts, {}
         return faults
 
     def pause(self) -> None:
-        """Nothing new begins: the buffers are used up."""
+        """Let no request begin; called when the buffers are exhausted."""
         self.is_paused = True
         self.update_holds()
 
     def resume(self) -> None:
-        """There are buffers again."""
+        """Let requests begin again; called when buffers are available."""
         self.is_paused = False
         self.update_holds()
 
     def update_holds(self) -> None:
-        """Begin what has waited, where nothing holds it."""
+        """Begin the queued requests of all connections that are not on hold."""
         for client in list(self.connections):
             client.update_hold()
 
     def begin_all_queued(self) -> None:
-        """The router ends: holds too."""
+        """End all holds and begin all queued requests; called at the end of the graceful shutdown."""
         self.is_paused = False
         for client in list(self.connections):
             client.hold_until = 0.0
             client.update_hold()
 
     def read_all_pending(self) -> None:
-        """Read each socket to its end."""
+        """Read the socket of each connection to its end."""
         for client in list(self.connections):
             client.read_all_pending(client.earliest_unread_arrival())
 
     def close_all_idle(self) -> bool:
-        """Close those that rest, each right after a look; whether all have gone."""
+        """Close the idle connections, each right after reading its socket; return whether no connection is left."""
         for client in list(self.connections):
             client.read_all_pending(client.earliest_unread_arrival())
             if not client.has_ended and client.is_idle():
-                client.close_unless_unread("the router ends")
+                client.close_unless_unread("router is shutting down")
         return not self.connections
 
     def has_unread_requests(self) -> bool:
-        """Whether something of a client was not looked at yet."""
+        """Return whether a request of any client is queued or unread."""
         return any(client.has_unread_requests() for client in self.connections)
 
     def has_unwritten_answers(self) -> bool:
-        """Whether an answer waits for a client to take it."""
+        """Return whether any answer is not completely written."""
         return any(client.write_queue or client.is_write_blocked for client in self.connections)
