--- a/tests/net/test_descriptors.py
+++ b/tests/net/test_descriptors.py
@@ -232,7 +232,7 @@
     for _ in range(100):
         admission.connection_accepted()
     assert admission.available_count() == 0
-    assert admission.close_count_for_room() == 1
+    assert admission.wanted_close_count() == 1
     admission.clients_closed(1)
     assert admission.available_count() == 0  # the one that was hung up on is not closed yet
     admission.descriptor_freed()
@@ -245,14 +245,14 @@
         admission.connection_accepted()
     steps = []
     for _ in range(7):
-        steps.append(admission.close_count_for_room())
+        steps.append(admission.wanted_close_count())
         admission.clients_closed(steps[-1])
         for _ in range(steps[-1]):
             admission.descriptor_freed()
             admission.connection_accepted()
     assert steps == [1, 2, 4, 8, 16, 16, 16]
     admission.backlog_emptied()
-    assert admission.close_count_for_room() == 1
+    assert admission.wanted_close_count() == 1
 
 
 def test_one_that_ended_by_itself_and_holds_its_descriptor_on_does_not_keep_others_from_going(listening):
@@ -260,7 +260,7 @@
     made, connect, _ = listening
     client = fill(made, connect)
     made.clients.client_disconnected(client)
-    assert made.admission.open_descriptors == 1 and made.admission.close_count_for_room() == 1
+    assert made.admission.open_descriptors == 1 and made.admission.wanted_close_count() == 1
 
 
 def test_a_turn_accepts_few_and_a_system_without_descriptors_lowers_the_bound_for_a_time():
@@ -269,7 +269,7 @@
     for _ in range(60):
         admission.connection_accepted()
     admission.system_limit_reached()
-    assert admission.available_count() == 0 and admission.close_count_for_room() == LIMIT_REDUCTION + 1
+    assert admission.available_count() == 0 and admission.wanted_close_count() == LIMIT_REDUCTION + 1
     for _ in range(LIMIT_REDUCTION):
         admission.raise_limit()
     assert admission.available_count() == 0
--- a/wickhinge/net/__init__.py
+++ b/wickhinge/net/__init__.py
@@ -1,1 +1,1 @@
-"""The front on sockets: it carries and times; every decision is made in wickhinge.routing."""
+"""The router on sockets: it transports and times requests, while wickhinge.routing makes all decisions."""
--- a/wickhinge/net/downstream/__init__.py
+++ b/wickhinge/net/downstream/__init__.py
@@ -1,1 +1,1 @@
-"""Clients: their connections, the requests on them, and the answers."""
+"""The client side of the router: the listener, client connections, and the requests on them."""
--- a/wickhinge/net/downstream/client_connection.py
+++ b/wickhinge/net/downstream/client_connection.py
@@ -353,7 +353,7 @@
         """Write the answer of a request that was served; body None means that the client's own copy is still valid."""
         self.open_requests.pop(call_id, None)
         size = body.length if body is not None else 0
-        self.write_queue.append(b"\x94\x01" + msgpack.pack(call_id) + b"\xc0\x92" + msgpack.bin_head(size))
+        self.write_queue.append(b"\x94\x01" + msgpack.pack(call_id) + b"\xc0\x92" + msgpack.bytes_header(size))
         if size:
             self.write_queue.append(body)
         self.write(msgpack.pack(fields))
--- a/wickhinge/net/downstream/client_connections.py
+++ b/wickhinge/net/downstream/client_connections.py
@@ -96,7 +96,7 @@
         return False
 
     def schedule_listener_resume(self) -> None:
-        """Resume a paused listener on the next turn; closing a connection within a call of its own methods is unsafe."""
+        """Resume a paused listener on the next turn, so that no client is closed within a call of its own methods."""
         if self.listener is not None and self.listener.is_paused and not self.is_resume_scheduled:
             self.is_resume_scheduled = True
             self.deadlines.call_soon(self.resume_listener)
--- a/wickhinge/net/downstream/listener.py
+++ b/wickhinge/net/downstream/listener.py
@@ -1,12 +1,14 @@
-"""The listening socket: connections are accepted while clients have descriptors left, and wait in the system otherwise.
+"""The listening socket: accepts connections while client descriptors are free; others wait in the kernel's backlog.
 
-Twisted's own port accepts a hundred and more in one turn, and where the system has no descriptor left it accepts and
-closes all that wait, with the requests on them. A listener that is read while nothing can be accepted stays readable,
-and the loop would spin: so it is not read until a descriptor may be free.
+It replaces the accept loop of Twisted's port, which accepts more than a hundred connections in one turn. When the
+system has no descriptor left, that loop accepts and closes all waiting connections, and loses the requests on them.
 
-A failed accept says little: accept(2) hands out errors of the network that belong to the connection that waited, to be
-treated like EAGAIN, and a moment's want of memory or descriptors passes. Only a want of descriptors that lasts is one,
-and only then does anybody have to make room.
+A listener that cannot accept a waiting connection stays readable, and the event loop would spin on it. It is therefore
+paused until a descriptor may be free.
+
+A single failed accept proves little. accept(2) also reports network errors of the waiting connection, which are to be
+treated like EAGAIN, and a lack of memory or descriptors may pass at once. Idle clients are closed only when the lack of
+descriptors lasts.
 """
 
 from __future__ import annotations
@@ -22,52 +24,63 @@
 from wickhinge.net.downstream.client_connections import ClientConnections
 from wickhinge.net.runtime.transport import Incoming
 
-MAX_FAILED_ACCEPTS = 4  # in a row, after which the loop goes on first
-RETRY_INTERVAL_S = 0.01  # where the system had no memory or no descriptor
-MAX_STARVED_TRIES = 3  # in a row without a descriptor: others hold more than they were promised
+# Accepts that may fail in a row before the event loop serves other sockets.
+MAX_FAILED_ACCEPTS = 4
+# Seconds until the next accept after the system had no memory or no descriptor.
+ACCEPT_RETRY_S = 0.01
+# Retries in a row that found no descriptor, after which other roles are taken to hold more descriptors than planned.
+MAX_RETRIES_WITHOUT_DESCRIPTOR = 3
 
 
-class Accepted(Incoming):
-    """A client's connection that tells when its descriptor is free again, and when a read has failed."""
+class AcceptedConnection(Incoming):
+    """The transport of a client connection; reports freed descriptors to the listener, failed reads to the protocol."""
 
     def nothing_read(self) -> None:
-        """As the base class."""
+        """Tell the protocol that data is still unread after a read that returned nothing."""
         if has_unread_data(self.socket):
             self.protocol.read_failed()
 
     def connectionLost(self, reason: Failure) -> None:
+        """Close the socket and tell the listener, once, that the descriptor is free."""
         listener, self.server = self.server, None
         try:
             super().connectionLost(reason)
         finally:
-            if listener is not None:  # else it is called a second time
+            if listener is not None:  # None when Twisted calls this method a second time.
                 listener.descriptor_freed()
 
 
 class Listener(Port):
-    """Twisted's port, with its own way to accept."""
+    """A Twisted port that accepts only as many connections as the Admission allows.
+
+    Attributes:
+        is_paused: Whether the event loop does not watch the listening socket.
+        failed_accepts: Accepts that have failed in a row, with any error.
+        retries_without_descriptor: Scheduled retries in a row because the system had no descriptor.
+        backlog_since: Earliest time since which connections are waiting in the backlog; None if none is.
+    """
 
-    transport = Accepted
+    transport = AcceptedConnection
 
     def __init__(self, reactor: Any, listening: socket, clients: ClientConnections) -> None:
-        """Takes a socket that listens already, and owns it from now on."""
+        """Take ownership of a socket that is already listening."""
         super().__init__(None, clients, reactor=reactor)
         self.clients, self.admission = clients, clients.admission
         self.deadlines, self.arrivals = clients.deadlines, clients.arrivals
         self._preexistingSocket = listening
         self.is_paused = False
-        self.failed_accepts = 0  # in a row, of any kind
-        self.accepts_without_descriptor = 0  # times in a row that it came to a wait, the system having no descriptor
-        self.backlog_since: float | None = None  # connections were left in the system then; None: none were
+        self.failed_accepts = 0
+        self.retries_without_descriptor = 0
+        self.backlog_since: float | None = None
         clients.listener = self
 
     def doRead(self) -> None:
-        """Called by the loop when a connection waits."""
+        """Accept waiting connections; called by the event loop when there are any."""
         room = self.admission.available_count()
         if not room:
             self.note_backlog()
             self.pause()
-            self.deadlines.call_soon(self.make_room)
+            self.deadlines.call_soon(self.free_descriptors)
             return
         while room:
             try:
@@ -76,72 +89,82 @@
                 self.admission.backlog_emptied()
                 self.backlog_since, self.failed_accepts = None, 0
                 return
-            except OSError as problem:
-                failed_calls.count("accept", problem.errno)
+            except OSError as error:
+                failed_calls.count("accept", error.errno)
                 self.failed_accepts += 1
                 if self.failed_accepts < MAX_FAILED_ACCEPTS:
                     continue
-                self.retry_accept_later(problem)
+                self.retry_accept_later(error)
                 return
-            self.accepts_without_descriptor = self.failed_accepts = 0
+            self.retries_without_descriptor = self.failed_accepts = 0
             self.serve_connection(connection, address)
             room -= 1
         self.note_backlog()
 
     def serve_connection(self, connection: socket, address: tuple[str, int]) -> None:
-        """Begins to serve a connection."""
+        """Create the protocol and transport of an accepted connection."""
         protocol = self.clients.buildProtocol(self._buildAddr(address))
         self.sessionno += 1
         transport = self.transport(connection, protocol, address, self, self.sessionno, self.reactor)
         self.admission.connection_accepted()
-        arrived = self.arrivals.earliest_arrival_at
+        arrival = self.arrivals.earliest_arrival_at
         try:
             protocol.makeConnection(transport)
-            protocol.read_on_accept(arrived if self.backlog_since is None else min(arrived, self.backlog_since))
-        except Exception:  # the loop would close the listener for it
+            protocol.read_on_accept(arrival if self.backlog_since is None else min(arrival, self.backlog_since))
+        except Exception:
+            # Raised further, the exception would make the event loop close the listener.
             self.clients.request_table.fault("accept")
             transport.abortConnection()
 
     def note_backlog(self) -> None:
-        """What waits in the system from here on may be read much later, and is as old then."""
+        """Remember since when connections are waiting, since their data is at least as old when it is read."""
         if self.backlog_since is None:
             self.backlog_since = self.arrivals.earliest_arrival_at
 
-    def retry_accept_later(self, problem: OSError) -> None:
-        """It failed again and again. Where the system has no descriptor and that lasts, clients that rest make room;
-        what waits is tried again soon, and with the next descriptor that is free.
+    def retry_accept_later(self, error: OSError) -> None:
+        """Pause after several failed accepts; the next one follows soon, or when a descriptor is freed.
+
+        If the system has had no descriptor for several retries, idle clients are closed to free some.
         """
         self.note_backlog()
         self.pause()
-        self.deadlines.call_after(RETRY_INTERVAL_S, self.resume)
-        self.accepts_without_descriptor = (
-            self.accepts_without_descriptor + 1 if problem.errno in NO_DESCRIPTOR_ERRNOS else 0
+        self.deadlines.call_after(ACCEPT_RETRY_S, self.resume)
+        self.retries_without_descriptor = (
+            self.retries_without_descriptor + 1 if error.errno in NO_DESCRIPTOR_ERRNOS else 0
         )
-        if self.accepts_without_descriptor >= MAX_STARVED_TRIES:
-            self.accepts_without_descriptor = 0
+        if self.retries_without_descriptor >= MAX_RETRIES_WITHOUT_DESCRIPTOR:
+            self.retries_without_descriptor = 0
             self.admission.system_limit_reached()
             self.clients.log(
                 "listener_accept_failed",
-                reason=problem.strerror,
+                reason=error.strerror,
                 clients=self.admission.open_descriptors,
                 allowed=self.admission.current_limit,
             )
-            self.deadlines.call_soon(self.make_room)
+            self.deadlines.call_soon(self.free_descriptors)
+
+    def free_descriptors(self) -> None:
+        """Close idle clients to free descriptors, or resume if there are free ones.
 
-    def make_room(self) -> None:
-        """On a turn of its own: a descriptor that is closed within a poll's events might be used again among them."""
+        Runs on a turn of its own, because a descriptor that is closed while the events of a poll are handled might be
+        used again before the remaining events are handled.
+        """
         if self.admission.available_count():
             self.resume()
         else:
-            self.admission.clients_closed(self.clients.close_idle_clients(self.admission.close_count_for_room()))
+            self.admission.clients_closed(self.clients.close_idle_clients(self.admission.wanted_close_count()))
 
     def descriptor_freed(self) -> None:
-        """Called when the descriptor of a connection is free again."""
+        """Resume accepting; called when the descriptor of a connection is free."""
         self.admission.descriptor_freed()
         self.resume()
 
     def close_when_drained(self) -> bool:
-        """The program ends: closed in the call in which nothing waits any more. Whether it is closed."""
+        """Accept what is waiting, and close the listener if nothing is left in the backlog; called during shutdown.
+
+        Returns:
+            Whether the listener is closed.
+        """
         if self.connected:
             self.doRead()
             if self.backlog_since is not None:
@@ -150,12 +173,12 @@
         return True
 
     def pause(self) -> None:
-        """Reads no more: what waits stays in the system."""
+        """Stop accepting; further connections wait in the backlog of the kernel."""
         self.is_paused = True
         self.stopReading()
 
     def resume(self) -> None:
-        """A descriptor may be free, or a client may be hung up on."""
+        """Accept again; called when a descriptor may be free or an idle client may be closed."""
         if self.is_paused and self.connected and not self.disconnecting:
             self.is_paused = False
             self.startReading()
--- a/wickhinge/net/downstream/msgpack.py
+++ b/wickhinge/net/downstream/msgpack.py
@@ -1,4 +1,4 @@
-"""MessagePack-RPC, from the public specification: bytes in at any split, whole messages out."""
+"""Encoding and decoding of MessagePack-RPC by its public specification; messages may arrive in pieces of any size."""
 
 from __future__ import annotations
 
@@ -6,11 +6,13 @@
 from struct import Struct
 from typing import Any
 
-LIMIT = 65536  # of one message: a body of 48,000 and its fields
-DEPTH = 6
-ITEMS = 64
+# Bytes of one message: enough for a body of 48,000 bytes and its fields.
+MAX_MESSAGE_BYTES = 65536
+MAX_DEPTH = 6
+MAX_ITEMS = 64
 
-FORMS = {
+# Type codes of numbers that follow their code in a fixed format.
+NUMBER_FORMATS = {
     0xCC: Struct(">B"),
     0xCD: Struct(">H"),
     0xCE: Struct(">I"),
@@ -22,154 +24,188 @@
     0xCA: Struct(">f"),
     0xCB: Struct(">d"),
 }
-HEADS = {
-    0xC4: ("bin", FORMS[0xCC]),
-    0xC5: ("bin", FORMS[0xCD]),
-    0xC6: ("bin", FORMS[0xCE]),
-    0xD9: ("str", FORMS[0xCC]),
-    0xDA: ("str", FORMS[0xCD]),
-    0xDB: ("str", FORMS[0xCE]),
-    0xDC: ("array", FORMS[0xCD]),
-    0xDD: ("array", FORMS[0xCE]),
-    0xDE: ("map", FORMS[0xCD]),
-    0xDF: ("map", FORMS[0xCE]),
+# Type codes of values whose code is followed by their size.
+SIZED_TYPES = {
+    0xC4: ("bin", NUMBER_FORMATS[0xCC]),
+    0xC5: ("bin", NUMBER_FORMATS[0xCD]),
+    0xC6: ("bin", NUMBER_FORMATS[0xCE]),
+    0xD9: ("str", NUMBER_FORMATS[0xCC]),
+    0xDA: ("str", NUMBER_FORMATS[0xCD]),
+    0xDB: ("str", NUMBER_FORMATS[0xCE]),
+    0xDC: ("array", NUMBER_FORMATS[0xCD]),
+    0xDD: ("array", NUMBER_FORMATS[0xCE]),
+    0xDE: ("map", NUMBER_FORMATS[0xCD]),
+    0xDF: ("map", NUMBER_FORMATS[0xCE]),
 }
-PLAIN = {0xC0: None, 0xC2: False, 0xC3: True}
+CONSTANTS = {0xC0: None, 0xC2: False, 0xC3: True}
 
 
 class MalformedMessageError(Exception):
-    """Not MessagePack, or over a bound; the text names the fault."""
+    """Data is not a MessagePack-RPC message, or exceeds a limit; the message names the problem."""
 
 
 class IncompleteMessageError(Exception):
-    """The message has not come whole yet."""
+    """The rest of the message has not been received yet."""
 
 
-class Reader:
-    """One value after another from bytes that may end too early."""
+class ValueReader:
+    """Reads one value after another from data that may end within a value.
 
-    def __init__(self, data: bytes, limit: int = LIMIT) -> None:
-        self.data, self.place, self.end, self.limit = data, 0, len(data), limit
+    Its methods raise IncompleteMessageError if the data ends too early, and MalformedMessageError if a value is
+    invalid.
+    """
 
-    def take(self, size: int) -> int:
-        start = self.place
+    def __init__(self, data: bytes, limit: int = MAX_MESSAGE_BYTES) -> None:
+        self.data, self.position, self.end, self.limit = data, 0, len(data), limit
+
+    def skip(self, size: int) -> int:
+        """Advance by `size` bytes and return the position of the first one."""
+        start = self.position
         if size > self.limit:
-            raise MalformedMessageError(f"a value of {size} bytes")
+            raise MalformedMessageError(f"a value of {size} bytes exceeds the limit")
         if start + size > self.end:
             raise IncompleteMessageError
-        self.place = start + size
+        self.position = start + size
         return start
 
-    def unpack(self, form: Struct) -> Any:
-        return form.unpack_from(self.data, self.take(form.size))[0]
+    def read_number(self, number_format: Struct) -> Any:
+        """Read a number in a fixed format."""
+        return number_format.unpack_from(self.data, self.skip(number_format.size))[0]
 
-    def value(self, depth: int = 0) -> Any:
-        start = self.place
+    def read_value(self, depth: int = 0) -> Any:
+        """Read a value of any type; depth: the number of arrays and maps around it."""
+        start = self.position
         if start >= self.end:
             raise IncompleteMessageError
         code = self.data[start]
-        self.place = start + 1
+        self.position = start + 1
         if 0xA0 <= code < 0xC0:
-            return self.text(code & 31)
+            return self.read_string(code & 31)
         if code < 0x80:
             return code
-        if depth > DEPTH:
-            raise MalformedMessageError("nested too deep")
+        if depth > MAX_DEPTH:
+            raise MalformedMessageError("arrays and maps are nested too deeply")
         if code < 0x90:
-            return self.pairs(code & 15, depth)
+            return self.read_map(code & 15, depth)
         if code < 0xA0:
-            return [self.value(depth + 1) for _ in range(code & 15)]
+            return [self.read_value(depth + 1) for _ in range(code & 15)]
         if code >= 0xE0:
             return code - 256
-        if code in PLAIN:
-            return PLAIN[code]
-        if code in FORMS:
-            return self.unpack(FORMS[code])
-        if code not in HEADS:
-            raise MalformedMessageError(f"a value of unknown kind {code:#x}")
-        kind, form = HEADS[code]
-        size = self.unpack(form)
-        if kind == "bin":
-            start = self.take(size)
-            return self.data[start : self.place]
-        if kind == "str":
-            return self.text(size)
-        if size > ITEMS:
-            raise MalformedMessageError(f"{kind} of {size} items")
-        return self.pairs(size, depth) if kind == "map" else [self.value(depth + 1) for _ in range(size)]
-
-    def text(self, size: int) -> str:
-        start = self.take(size)
+        if code in CONSTANTS:
+            return CONSTANTS[code]
+        if code in NUMBER_FORMATS:
+            return self.read_number(NUMBER_FORMATS[code])
+        if code not in SIZED_TYPES:
+            raise MalformedMessageError(f"a value is of unknown kind {code:#x}")
+        type_name, number_format = SIZED_TYPES[code]
+        size = self.read_number(number_format)
+        if type_name == "bin":
+            start = self.skip(size)
+            return self.data[start : self.position]
+        if type_name == "str":
+            return self.read_string(size)
+        if size > MAX_ITEMS:
+            raise MalformedMessageError(f"{type_name} of {size} items exceeds the limit")
+        return self.read_map(size, depth) if type_name == "map" else [self.read_value(depth + 1) for _ in range(size)]
+
+    def read_string(self, size: int) -> str:
+        """Read a string of `size` bytes."""
+        start = self.skip(size)
         try:
-            return self.data[start : self.place].decode()
+            return self.data[start : self.position].decode()
         except UnicodeDecodeError:
             raise MalformedMessageError("a string is not UTF-8") from None
 
-    def pairs(self, size: int, depth: int) -> dict[Any, Any]:
-        """Nearly all are short strings, so these are read here and not by a call each."""
+    def read_map(self, size: int, depth: int) -> dict[Any, Any]:
+        """Read a map of `size` pairs.
+
+        Nearly all keys and values are short strings, so these are read here without a call for each.
+        """
         data, end, result, key = self.data, self.end, {}, None
         for turn in range(2 * size):
-            start = self.place
+            start = self.position
             code = data[start] if start < end else 0
             if 0xA0 <= code < 0xC0 and start + code - 0x9F <= end:
-                self.place = start + code - 0x9F
+                self.position = start + code - 0x9F
                 try:
-                    value = data[start + 1 : self.place].decode()
+                    value = data[start + 1 : self.position].decode()
                 except UnicodeDecodeError:
                     raise MalformedMessageError("a string is not UTF-8") from None
             else:
-                value = self.value(depth + 1)
+                value = self.read_value(depth + 1)
             if turn & 1:
                 try:
                     result[key] = value
                 except TypeError:
-                    raise MalformedMessageError("a map's key is no plain value") from None
+                    raise MalformedMessageError("a map key is an array or a map") from None
             else:
                 key = value
         return result
 
 
 class MessageDecoder:
-    def __init__(self, limit: int = LIMIT) -> None:
+    """Splits a stream of bytes into messages.
+
+    Attributes:
+        incomplete: The bytes of the message that is not complete yet.
+    """
+
+    def __init__(self, limit: int = MAX_MESSAGE_BYTES) -> None:
         self.incomplete, self.limit = b"", limit
 
     def feed(self, data: bytes) -> list[Any]:
-        """The messages that are whole now. What is short is read again from its start: frames are small."""
+        """Return the messages that `data` completes.
+
+        An incomplete message is decoded again from its start with the next data, which is cheap since messages are
+        small.
+
+        Raises:
+            MalformedMessageError: The data is not MessagePack, or a message is too long.
+        """
         messages: list[Any] = []
         data = self.incomplete + data
-        reader, whole = Reader(data, self.limit), 0
+        reader, complete_until = ValueReader(data, self.limit), 0
         try:
-            while whole < len(data):
-                messages.append(reader.value())
-                whole = reader.place
+            while complete_until < len(data):
+                messages.append(reader.read_value())
+                complete_until = reader.position
         except IncompleteMessageError:
-            if len(data) - whole > self.limit:
+            if len(data) - complete_until > self.limit:
                 raise MalformedMessageError(f"a message of over {self.limit} bytes") from None
-        self.incomplete = data[whole:]
+        self.incomplete = data[complete_until:]
         return messages
 
 
-def head(small: int, bits: int, codes: tuple[int, ...], size: int) -> bytes:
-    """The shortest head for a size; codes for one, two and four bytes, 0 where there is none."""
-    if size <= bits:
-        return bytes([small | size])
+def size_header(short_code: int, max_short_size: int, codes: tuple[int, ...], size: int) -> bytes:
+    """Return the shortest header of a value with this size.
+
+    Args:
+        short_code: The code that contains a small size in its lower bits.
+        max_short_size: The largest size that fits into that code; -1 if there is no such code.
+        codes: The codes that are followed by a size of one, two and four bytes; 0 for one that does not exist.
+        size: The size, or a number that is encoded like one.
+    """
+    if size <= max_short_size:
+        return bytes([short_code | size])
     for code, width in zip(codes, (1, 2, 4), strict=True):
         if code and size < 1 << 8 * width:
             return bytes([code]) + size.to_bytes(width, "big")
-    raise ValueError(f"a size of {size}")
+    raise ValueError(f"no header can encode the size {size}")
 
 
-def bin_head(size: int) -> bytes:
-    return head(0, -1, (0xC4, 0xC5, 0xC6), size)
+def bytes_header(size: int) -> bytes:
+    """Return the header of a byte string of this size."""
+    return size_header(0, -1, (0xC4, 0xC5, 0xC6), size)
 
 
 @lru_cache(256)
 def pack_error(error: str, *fields: tuple[str, str]) -> bytes:
-    """The end of a refusal or an error; a busy router sends the same ones by the thousand."""
+    """Return the last two elements of an error response; cached, since a busy router sends the same ones often."""
     return pack([error, dict(fields)]) + b"\xc0"
 
 
 def pack(value: Any) -> bytes:
+    """Encode a value; anything that is none of the basic types and no dictionary is encoded as an array."""
     if value is None:
         return b"\xc0"
     if isinstance(value, bool):
@@ -177,14 +213,14 @@
     if isinstance(value, int):
         if value < 0:
             return b"\xd3" + value.to_bytes(8, "big", signed=True)
-        return head(0, 0x7F, (0xCC, 0xCD, 0xCE), value) if value < 1 << 32 else b"\xcf" + value.to_bytes(8)
+        return size_header(0, 0x7F, (0xCC, 0xCD, 0xCE), value) if value < 1 << 32 else b"\xcf" + value.to_bytes(8)
     if isinstance(value, str):
         data = value.encode()
-        return head(0xA0, 31, (0xD9, 0xDA, 0xDB), len(data)) + data
+        return size_header(0xA0, 31, (0xD9, 0xDA, 0xDB), len(data)) + data
     if isinstance(value, bytes):
-        return bin_head(len(value)) + value
+        return bytes_header(len(value)) + value
     if isinstance(value, dict):
-        return head(0x80, 15, (0, 0xDE, 0xDF), len(value)) + b"".join(
-            pack(key) + pack(held) for key, held in value.items()
+        return size_header(0x80, 15, (0, 0xDE, 0xDF), len(value)) + b"".join(
+            pack(key) + pack(item) for key, item in value.items()
         )
-    return head(0x90, 15, (0, 0xDC, 0xDD), len(value)) + b"".join(pack(held) for held in value)
+    return size_header(0x90, 15, (0, 0xDC, 0xDD), len(value)) + b"".join(pack(item) for item in value)
--- a/wickhinge/net/runtime/__init__.py
+++ b/wickhinge/net/runtime/__init__.py
@@ -1,1 +1,1 @@
-"""The event loop, timers, buffers and the log, below all else in `net`."""
+"""The event loop, timers, buffers and the log, on which all other packages of `wickhinge.net` are built."""
