--- a/tests/net/test_arrivals.py
+++ b/tests/net/test_arrivals.py
@@ -4,7 +4,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from wickhinge.net.runtime.arrivals import FRESH_POLL_S, LATE_WAIT_S, MAX_WAIT_S, Arrivals
+from wickhinge.net.runtime.arrivals import FRESH_POLL_S, LATE_OVERRUN_S, MAX_WAIT_S, Arrivals
 
 MOST = 8
 TURNS = st.lists(
@@ -61,7 +61,7 @@
             if returned - entered <= FRESH_POLL_S:
                 break
         handed = self.wait(limit, standstill, broken)
-        self.arrivals.record_wait(entered, limit, self.now, len(handed), asked=asked)
+        self.arrivals.record_wait(entered, limit, self.now, len(handed), was_polled=asked)
         self.take(handed)
 
 
@@ -77,7 +77,7 @@
 @given(TURNS)
 def test_nothing_is_taken_for_fresher_than_it_is_by_more_than_a_wait(turns):
     for came, bound, _ in play(turns).read:
-        assert bound <= came + MAX_WAIT_S + LATE_WAIT_S + FRESH_POLL_S
+        assert bound <= came + MAX_WAIT_S + LATE_OVERRUN_S + FRESH_POLL_S
 
 
 @given(TURNS)
@@ -101,9 +101,9 @@
 @pytest.mark.parametrize("standstill", [0.2, 0.5])
 def test_after_a_standstill_within_a_wait_all_may_have_come_at_its_begin(standstill):
     arrivals = Arrivals(0.0, MOST)
-    arrivals.record_wait(10.0, 0.05, 10.05, 0, asked=False)
+    arrivals.record_wait(10.0, 0.05, 10.05, 0, was_polled=False)
     arrivals.mark_handled()
-    arrivals.record_wait(10.06, 0.05, 10.06 + standstill, 3, asked=False)
+    arrivals.record_wait(10.06, 0.05, 10.06 + standstill, 3, was_polled=False)
     assert arrivals.earliest_arrival_at == 10.06
 
 
@@ -118,7 +118,7 @@
 
 def test_a_router_is_behind_from_a_standstill_until_all_that_there_was_is_read():
     arrivals = Arrivals(0.0, MOST)
-    arrivals.record_wait(10.0, 0.05, 10.7, 0, asked=False)  # broken off, and the system not asked any more
+    arrivals.record_wait(10.0, 0.05, 10.7, 0, was_polled=False)  # broken off, and the system not asked any more
     arrivals.mark_handled()
     assert arrivals.is_behind
     arrivals.record_poll(10.71, 10.71, MOST)
--- a/wickhinge/net/runtime/arrivals.py
+++ b/wickhinge/net/runtime/arrivals.py
@@ -1,70 +1,108 @@
-"""When what is read now came: a bound that no standstill of the process can hide.
+"""A lower bound on the time at which data that is read now arrived, even if the process was stalled in between.
 
-The process may stand still at any line, for 10 to 500 ms where others share its core. What it reads after that has lain
-in its sockets meanwhile, and no timer tells so before the read. What does tell is the poll for events itself: what had
-reached a socket before a poll began is among what that poll hands out, or what the next ones do while each is full. So
-data that is read now came after the last poll began that left nothing over. Waits are short (`MAX_WAIT_S`); one that
-ended in time was ended by what came, so that came as it ended; of one that ended late, nothing is known but when it
-began.
+The process may be stalled at any line, for 10 to 500 ms if others share its core. Data that it reads afterwards was in
+its sockets during the stall, and no timer shows that before the read.
 
-Pure: told of polls, asked for times; all are seconds of the steady clock.
+The poll for events does show it. An event that was pending before a poll began is returned by that poll, or by the
+following ones as long as each returns as many events as it can. So data that is read now arrived after the start of the
+last poll that returned all pending events.
+
+Waits for events are short (MAX_WAIT_S). A wait that ended in time was ended by the arrival itself, so the data arrived
+at its end. Of a wait that ended late, only the start is known to precede the arrival.
+
+This module makes no system calls: it is told of polls and asked for times. All times are seconds of the steady clock.
 """
 
 from __future__ import annotations
 
-MAX_EVENTS_PER_POLL = 8  # before the deadlines have their turn again; the kernel goes on in order
-MAX_WAIT_S = 0.06  # seconds of one wait for events: what a standstill within it can hide
-LATE_WAIT_S = 0.01  # seconds past its time from which a wait counts as late
-STALL_S = 0.05  # seconds from one poll to the next, from which much may lie unread
-PUNCTUAL_WAIT_S = 0.002  # seconds past its time within which one that brought nothing has asked the system
-FRESH_POLL_S = 0.005  # seconds since the last poll that left nothing over, within which it need not be asked first
+# Events that one poll returns, so that deadlines are served in between; the kernel returns the others in order.
+MAX_EVENTS_PER_POLL = 8
+# Seconds that one wait for events lasts at most. A stall during a wait can stay hidden for as long.
+MAX_WAIT_S = 0.06
+# Seconds after its limit at which a wait that has not ended counts as late.
+LATE_OVERRUN_S = 0.01
+# Seconds between two polls from which on the process counts as stalled, so that much data may be unread.
+STALL_THRESHOLD_S = 0.05
+# Seconds after its limit within which a wait without events proves that the kernel had none. A later one may have been
+# interrupted by a signal.
+PUNCTUAL_OVERRUN_S = 0.002
+# Seconds after the last poll that returned all pending events, within which a wait may begin without another poll.
+FRESH_POLL_S = 0.005
 
 
 class Arrivals:
-    """When what is read came, at the earliest."""
+    """The earliest times at which unread data may have arrived, derived from the polls of the event loop.
+
+    Attributes:
+        earliest_arrival_at: Earliest arrival of the events of the latest poll, and of any data unread in a socket.
+        handled_until: All data that arrived before this time has certainly been read and handled.
+        poll_ended_at: Time at which the latest poll or wait ended.
+        is_behind: Whether the process was stalled and data that arrived meanwhile may be unread.
+    """
 
-    def __init__(self, began: float, max_events: int = MAX_EVENTS_PER_POLL) -> None:
-        """began: nothing can have come before; max_events: that one poll hands out."""
+    def __init__(self, started_at: float, max_events: int = MAX_EVENTS_PER_POLL) -> None:
+        """Start with no data unread.
+
+        Args:
+            started_at: A time before which no data can have arrived.
+            max_events: The number of events that one poll returns at most.
+        """
         self._max_events = max_events
-        self.earliest_arrival_at = (
-            began  # what the latest poll handed out, or any socket holds, came then at the earliest
-        )
-        self.handled_until = began  # all that came before this has been read and handled, without any doubt
-        self.poll_ended_at = began  # when the latest poll did
-        self.is_behind = False  # the process stood still, and what came meanwhile may not all have been read
-        self._next_earliest_arrival_at = began  # the same as `arrived`, for what the next poll hands out
-        self._next_handled_until = began  # the same as `settled`, once what the latest poll handed out is handled
+        self.earliest_arrival_at = started_at
+        self.handled_until = started_at
+        self.poll_ended_at = started_at
+        self.is_behind = False
+        # Value of earliest_arrival_at for the events of the next poll.
+        self._next_earliest_arrival_at = started_at
+        # Value of handled_until once the events of the latest poll are handled.
+        self._next_handled_until = started_at
 
     def needs_poll_before_wait(self, now: float) -> bool:
-        """Whether it matters that a poll tells what lies there already from what comes while it waits."""
+        """Return whether a poll is needed to tell pending events from those that arrive during the next wait."""
         return now - self._next_earliest_arrival_at > FRESH_POLL_S
 
-    def record_poll(self, entered: float, returned: float, count: int) -> None:
-        """A poll that does not wait handed out so many events."""
-        self.is_behind |= entered - self.poll_ended_at > STALL_S
+    def record_poll(self, began_at: float, ended_at: float, count: int) -> None:
+        """Record a poll that did not wait.
+
+        Args:
+            began_at: Time at which it began.
+            ended_at: Time at which it ended.
+            count: Number of events that it returned.
+        """
+        self.is_behind |= began_at - self.poll_ended_at > STALL_THRESHOLD_S
         self.earliest_arrival_at = self._next_earliest_arrival_at
         if 0 < count < self._max_events:
-            # No event at all is no proof: a signal may have come, and the system was not asked.
-            self._next_earliest_arrival_at = self._next_handled_until = entered
-        self.poll_ended_at = returned
+            # A poll without events proves nothing: a signal may have interrupted it before the kernel looked for
+            # events.
+            self._next_earliest_arrival_at = self._next_handled_until = began_at
+        self.poll_ended_at = ended_at
 
-    def record_wait(self, entered: float, limit: float, returned: float, count: int, *, asked: bool) -> None:
-        """A wait of up to `limit` seconds ended with so many events.
+    def record_wait(self, began_at: float, limit_s: float, ended_at: float, count: int, *, was_polled: bool) -> None:
+        """Record a wait for events.
 
-        asked: a poll just before it found none; else something may have come within FRESH_POLL_S before it began.
+        Args:
+            began_at: Time at which it began.
+            limit_s: Seconds that it should last at most.
+            ended_at: Time at which it ended.
+            count: Number of events that it returned.
+            was_polled: Whether a poll just before found no events. Otherwise, data may have arrived up to FRESH_POLL_S
+                before the wait began.
         """
-        if count == self._max_events and not asked:
-            self.record_poll(entered, returned, count)
+        if count == self._max_events and not was_polled:
+            self.record_poll(began_at, ended_at, count)
             return
-        took = returned - entered
-        self.is_behind |= took > limit + LATE_WAIT_S or entered - self.poll_ended_at > STALL_S
-        self.earliest_arrival_at = self._next_earliest_arrival_at = returned if took <= limit + LATE_WAIT_S else entered
-        # One that a signal broke off past its time asks the system no more, and looks as if nothing had come.
-        if 0 < count < self._max_events or not count and took <= limit + PUNCTUAL_WAIT_S:
-            self._next_handled_until = entered
-        self.poll_ended_at = returned
+        duration_s = ended_at - began_at
+        self.is_behind |= duration_s > limit_s + LATE_OVERRUN_S or began_at - self.poll_ended_at > STALL_THRESHOLD_S
+        self.earliest_arrival_at = self._next_earliest_arrival_at = (
+            ended_at if duration_s <= limit_s + LATE_OVERRUN_S else began_at
+        )
+        # A wait that a signal interrupts after its limit does not ask the kernel again, and returns no events either
+        # way.
+        if 0 < count < self._max_events or not count and duration_s <= limit_s + PUNCTUAL_OVERRUN_S:
+            self._next_handled_until = began_at
+        self.poll_ended_at = ended_at
 
     def mark_handled(self) -> None:
-        """What the latest poll handed out has been read."""
+        """Record that the events of the latest poll are handled."""
         self.is_behind &= self.handled_until == self._next_handled_until
         self.handled_until = self._next_handled_until
--- a/wickhinge/net/runtime/deadlines.py
+++ b/wickhinge/net/runtime/deadlines.py
@@ -1,4 +1,4 @@
-"""All deadlines in one heap under one reactor timer, by the clock that nobody steps."""
+"""All deadlines of the process, in one heap and with one timer of the reactor, by the steady clock."""
 
 from __future__ import annotations
 
@@ -8,85 +8,100 @@
 from typing import Any, Protocol
 
 from wickhinge.clocks import steady_time
-from wickhinge.net.runtime.arrivals import STALL_S, Arrivals
+from wickhinge.net.runtime.arrivals import STALL_THRESHOLD_S, Arrivals
 
-MIN_TICK_S = 0.002  # seconds; the kernel's timer counts in milliseconds
+# Seconds between two runs of due deadlines; the timer of the kernel has a resolution of milliseconds.
+MIN_TICK_S = 0.002
 
 
 class TimerLoop(Protocol):
-    """What Deadlines need of the event loop: a Reactor, not any of Twisted's."""
+    """The event loop as Deadlines needs it; the Reactor of this package implements it, Twisted's own ones do not."""
 
     arrivals: Arrivals
 
     def callLater(self, delay: float, call: Callable[[], None]) -> Any:
-        """Returns a timer with `active` and `reset`, as Twisted's."""
+        """Return a timer that has the methods `active` and `reset` of Twisted's timers."""
 
     def catch_up(self) -> None:
-        """Reads what lies in the sockets."""
+        """Read the sockets until no data is unread."""
 
 
 class Deadlines:
-    """Calls at times of the steady clock, in order; those of equal times in the order in which they were set."""
+    """Calls functions at times of the steady clock, in the order of the times, and of scheduling for equal times.
 
-    def __init__(self, reactor: TimerLoop, fault: Callable[[str], None]) -> None:
-        """fault: called with a name, within the handling of an exception that a deadline's call raised."""
-        self.reactor, self.fault = reactor, fault
+    Attributes:
+        max_lateness_s: The most seconds by which a call was late since the last report.
+    """
+
+    def __init__(self, reactor: TimerLoop, report_fault: Callable[[str], None]) -> None:
+        """Start without deadlines.
+
+        Args:
+            reactor: The event loop that provides the timer.
+            report_fault: Called with "deadline" while an exception that a deadline raised is being handled.
+        """
+        self.reactor, self._report_fault = reactor, report_fault
         self.heap: list[tuple[float, int, Callable[..., None], tuple[Any, ...]]] = []
-        self.serial = 0
-        self.timer: Any = None
-        self.due = inf  # when the timer rings
-        self.late = 0.0  # the most that a deadline was late
+        self._last_serial = 0
+        self._timer: Any = None
+        self._timer_due_at = inf  # Time at which the timer fires; infinity if it is not set.
+        self.max_lateness_s = 0.0
         self.arrivals = reactor.arrivals
 
     def take_max_lateness(self) -> float:
-        """The most seconds that a deadline was late since the last call."""
-        late, self.late = self.late, 0.0
-        return late
+        """Return the most seconds by which a call was late since the last report."""
+        lateness_s, self.max_lateness_s = self.max_lateness_s, 0.0
+        return lateness_s
 
     @staticmethod
     def now() -> float:
-        """Seconds of the steady clock."""
+        """Return the time of the steady clock in seconds."""
         return steady_time()
 
     def call_at(self, when: float, call: Callable[..., None], *args: Any) -> None:
-        """Calls at a time of the steady clock; cannot be cancelled."""
-        self.serial += 1
-        heappush(self.heap, (when, self.serial, call, args))
-        if when < self.due:
-            self.arm()
+        """Call a function at a time of the steady clock; the call cannot be cancelled."""
+        self._last_serial += 1
+        heappush(self.heap, (when, self._last_serial, call, args))
+        if when < self._timer_due_at:
+            self.set_timer()
 
     def call_after(self, delay: float, call: Callable[..., None], *args: Any) -> None:
-        """Calls after so many seconds; cannot be cancelled."""
+        """Call a function after `delay` seconds; the call cannot be cancelled."""
         self.call_at(self.now() + delay, call, *args)
 
     def call_soon(self, call: Callable[..., None], *args: Any) -> None:
-        """Calls on the next turn of the loop: what the decisions started must return before they hear of its end."""
+        """Call a function on the next turn of the event loop.
+
+        The routing decisions rely on it: a method that starts an attempt must return before they learn of its end.
+        """
         self.call_at(0.0, call, *args)
 
-    def arm(self) -> None:
-        """Sets the timer to the first deadline."""
-        self.due = self.heap[0][0]
-        # Never sooner than a tick from the last: thousands of deadlines a second share a few hundred turns.
-        delay = max(self.due - self.now(), 0.0 if self.due == 0.0 else MIN_TICK_S)
-        if self.timer is not None and self.timer.active():
-            self.timer.reset(delay)
+    def set_timer(self) -> None:
+        """Set the timer to the first deadline."""
+        self._timer_due_at = self.heap[0][0]
+        # A delay of at least one tick lets thousands of deadlines a second share a few hundred turns.
+        delay = max(self._timer_due_at - self.now(), 0.0 if self._timer_due_at == 0.0 else MIN_TICK_S)
+        if self._timer is not None and self._timer.active():
+            self._timer.reset(delay)
         else:
-            self.timer = self.reactor.callLater(delay, self.fire)
+            self._timer = self.reactor.callLater(delay, self.fire)
 
     def fire(self) -> None:
-        """Called by the timer: calls what is due, after what lies in the sockets has been read."""
-        if self.arrivals.is_behind or self.now() - self.arrivals.poll_ended_at > STALL_S:
+        """Make the due calls, after reading the sockets if the process was stalled; called by the timer."""
+        if self.arrivals.is_behind or self.now() - self.arrivals.poll_ended_at > STALL_THRESHOLD_S:
             self.reactor.catch_up()
-        heap, now, last = self.heap, self.now(), self.serial
-        self.due = -1.0  # calls made from here add to the heap; the timer is set once, at the end
-        while heap and heap[0][0] <= now and heap[0][1] <= last:
+        heap, now, last_serial = self.heap, self.now(), self._last_serial
+        self._timer_due_at = (
+            -1.0
+        )  # Keeps calls that are scheduled from here from setting the timer; it is set once, below.
+        while heap and heap[0][0] <= now and heap[0][1] <= last_serial:
             when, _, call, args = heappop(heap)
             if when:
-                self.late = max(self.late, now - when)
+                self.max_lateness_s = max(self.max_lateness_s, now - when)
             try:
                 call(*args)
-            except Exception:  # noqa: BLE001  the guard of the loop: one fault may not stop the others' deadlines
-                self.fault("deadline")
-        self.due = inf
+            except Exception:  # noqa: BLE001  one failing call must not stop the other deadlines
+                self._report_fault("deadline")
+        self._timer_due_at = inf
         if heap:
-            self.arm()
+            self.set_timer()
--- a/wickhinge/net/runtime/event_loop_stalls.py
+++ b/wickhinge/net/runtime/event_loop_stalls.py
@@ -1,54 +1,64 @@
-"""How long the process stood still: in a turn of its loop that took long, or in a wait that ended past its time.
+"""Stalls of the event loop: a turn that took long, or a wait for events that ended after its timeout.
 
-Another process had the core, or a signal had stopped this one. The router cannot tell that from a turn that had much to
-do; either way what came meanwhile lay unread for so long.
+A stall is caused by another process that has the core, by a signal that stopped this process, or by a turn with much
+work. The router cannot tell these apart, and in each case the data that arrived meanwhile was unread for as long.
 """
 
 from __future__ import annotations
 
 from collections.abc import Callable
 
-MIN_COUNTED_S = 0.1  # seconds from which a standstill is counted
-MIN_LOGGED_S = 0.25  # and from which it leaves a line; one that long comes a few times a second at most
+# Seconds from which on a stall is counted.
+MIN_COUNTED_S = 0.1
+# Seconds from which on a stall is also logged. Stalls of this length cannot occur more than a few times a second.
+MIN_LOGGED_S = 0.25
 
 
 class EventLoopStalls:
-    """Hears of each wait of the loop; all times are seconds of the monotonic clock."""
+    """Counts and logs the stalls of the event loop; all times are seconds of the monotonic clock."""
 
     def __init__(self) -> None:
-        self.longest = self.total = 0.0  # since the last report
+        # Seconds of the longest stall and of all stalls since the last report, and their number.
+        self.longest_s = self.total_s = 0.0
         self.count = 0
-        self._log: Callable[..., None] | None = None  # until there is one, stalls are only counted
-        self._returned: float | None = None  # from the last wait
+        self._log: Callable[..., None] | None = None  # None until log_to() is called; stalls are only counted then.
+        self._wait_ended_at: float | None = None
 
     def log_to(self, log: Callable[..., None]) -> None:
-        """Long stalls leave a line there from now on."""
+        """Log long stalls from now on."""
         self._log = log
 
-    def record_wait(self, entered: float, timeout: float | None, returned: float) -> None:
-        """A wait for events of up to `timeout` seconds (None: without end) began and ended."""
-        if self._returned is not None:
-            self._note("turn", entered - self._returned)
+    def record_wait(self, began_at: float, timeout: float | None, ended_at: float) -> None:
+        """Record a wait for events, and the turn of the event loop before it.
+
+        Args:
+            began_at: Time at which the wait began.
+            timeout: Seconds that it should last at most; None for no limit.
+            ended_at: Time at which it ended.
+        """
+        if self._wait_ended_at is not None:
+            self._record_stall("turn", began_at - self._wait_ended_at)
         if timeout is not None:
-            self._note("wait", returned - entered - timeout)
-        self._returned = returned
+            self._record_stall("wait", ended_at - began_at - timeout)
+        self._wait_ended_at = ended_at
 
-    def _note(self, where: str, seconds: float) -> None:
-        if seconds < MIN_COUNTED_S:
+    def _record_stall(self, where: str, duration_s: float) -> None:
+        """Count a stall in a "turn" or a "wait", unless it is too short."""
+        if duration_s < MIN_COUNTED_S:
             return
         self.count += 1
-        self.total += seconds
-        self.longest = max(self.longest, seconds)
-        if seconds >= MIN_LOGGED_S and self._log is not None:
-            self._log("event_loop_stalled", where=where, duration_ms=round(seconds * 1000))
+        self.total_s += duration_s
+        self.longest_s = max(self.longest_s, duration_s)
+        if duration_s >= MIN_LOGGED_S and self._log is not None:
+            self._log("event_loop_stalled", where=where, duration_ms=round(duration_s * 1000))
 
     def report(self) -> dict[str, int]:
-        """What there was since the last report; counted anew from here."""
-        figures = {
+        """Return the number and length of the stalls since the last report."""
+        fields = {
             "count": self.count,
-            "longest_ms": round(self.longest * 1000),
-            "total_ms": round(self.total * 1000),
+            "longest_ms": round(self.longest_s * 1000),
+            "total_ms": round(self.total_s * 1000),
         }
-        self.longest = self.total = 0.0
+        self.longest_s = self.total_s = 0.0
         self.count = 0
-        return figures
+        return fields
