--- a/tests/net/test_net.py
+++ b/tests/net/test_net.py
@@ -213,7 +213,7 @@
     first = slots.put("a")
     assert slots.drop(first) == "a" and slots.drop(first) is None
     second = slots.put("b")
-    assert len(slots.things) == 1 and slots.get(first) is None and slots.get(second) == "b"
+    assert len(slots.items) == 1 and slots.get(first) is None and slots.get(second) == "b"
 
 
 def test_every_end_has_its_outcome_and_what_never_ran_is_known_as_such():
--- a/wickhinge/net/runtime/buffers.py
+++ b/wickhinge/net/runtime/buffers.py
@@ -1,20 +1,31 @@
-"""A pool of buffers of one size, used again: the bound on all bytes of bodies that the router holds."""
+"""A pool of reusable buffers of one size, which bounds the memory for all bodies that the router holds."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
 
-BUFFER_BYTES = 32768  # most bodies are 5 to 40 KB, and a buffer half used counts whole
+# Most bodies have 5 to 40 KB. A larger buffer would waste memory, since a partly used one counts in full.
+BUFFER_BYTES = 32768
 
 
 class BufferPool:
-    """Gives buffers beyond its limit too, so that what is half read can end, but tells its readers to stop."""
+    """A pool that has a limit, at which its owner stops reading.
+
+    Buffers are also handed out beyond the limit, so that bodies that are partly read can be completed.
+
+    Attributes:
+        free: Buffers that are not in use.
+        in_use: The number of buffers that are in use.
+        peak_in_use: The largest number of buffers that were in use at a time.
+    """
 
     def __init__(self, limit: int, on_exhausted: Callable[[], None], on_available: Callable[[], None]) -> None:
-        """Parameters as named, and these.
+        """Start with no buffers.
 
-        on_exhausted: called when `limit` buffers are out.
-        on_available: called once a quarter of them is back.
+        Args:
+            limit: The number of buffers that should be in use at most.
+            on_exhausted: Called when `limit` buffers are in use.
+            on_available: Called after that, as soon as a quarter of the limit is available again.
         """
         self.limit, self._on_exhausted, self._on_available = limit, on_exhausted, on_available
         self.free: list[bytearray] = []
@@ -22,7 +33,7 @@
         self._is_exhausted = False
 
     def acquire(self) -> bytearray:
-        """A buffer of BUFFER_BYTES; what it holds is old."""
+        """Return a buffer of BUFFER_BYTES with arbitrary content."""
         self.in_use += 1
         self.peak_in_use = max(self.peak_in_use, self.in_use)
         if self.in_use >= self.limit and not self._is_exhausted:
@@ -31,7 +42,7 @@
         return self.free.pop() if self.free else bytearray(BUFFER_BYTES)
 
     def give_back(self, buffer: bytearray) -> None:
-        """Takes a buffer back."""
+        """Return a buffer to the pool."""
         self.in_use -= 1
         if len(self.free) < self.limit:
             self.free.append(buffer)
@@ -41,7 +52,12 @@
 
 
 class Body:
-    """Bytes spread over buffers of the pool."""
+    """The bytes of a body, stored in buffers of a pool; those that have been written are dropped from the front.
+
+    Attributes:
+        length: The number of bytes that are left.
+        start: The position of the first byte in the first buffer.
+    """
 
     __slots__ = ("pool", "buffers", "length", "start")
 
@@ -52,7 +68,7 @@
             self.append(memoryview(data))
 
     def append(self, data: memoryview) -> None:
-        """Appends a copy of the bytes."""
+        """Append a copy of the data."""
         while data:
             start = self.length % BUFFER_BYTES
             if not start:
@@ -63,17 +79,17 @@
             data = data[len(piece) :]
 
     def views(self) -> list[memoryview]:
-        """What is left, for a write that copies at once, since the buffers are used again afterwards."""
-        views, left, start = [], self.length, self.start
+        """Return views of the bytes that are left; a view must be copied before the body is changed or released."""
+        views, remaining, start = [], self.length, self.start
         for buffer in self.buffers:
-            end = min(start + left, BUFFER_BYTES)
+            end = min(start + remaining, BUFFER_BYTES)
             views.append(memoryview(buffer)[start:end])
-            left -= end - start
+            remaining -= end - start
             start = 0
         return views
 
     def drop_written(self, size: int) -> None:
-        """Drops the first `size` bytes, which were written."""
+        """Drop the first `size` bytes after they were written."""
         self.length -= size
         self.start += size
         while self.buffers and (self.start >= BUFFER_BYTES or not self.length):
@@ -81,7 +97,7 @@
             self.start -= BUFFER_BYTES
 
     def release(self) -> None:
-        """Gives all buffers back; may be called twice."""
+        """Give all buffers back to the pool; does nothing the second time."""
         buffers, self.buffers, self.length = self.buffers, [], 0
         for buffer in buffers:
             self.pool.give_back(buffer)
--- a/wickhinge/net/runtime/deferred_imports.py
+++ b/wickhinge/net/runtime/deferred_imports.py
@@ -1,9 +1,10 @@
-"""Puts off modules that Twisted imports and a router never uses: a fifth of the CPU of a start.
+"""Deferred imports of modules that Twisted imports and a router never uses, which take a fifth of the CPU of a start.
 
-`twisted.python.compat` imports `http.cookiejar`, and with it `urllib.request`, `http.client`, `email` and `ssl`;
-`twisted.internet.defer` imports all of `asyncio` for three names, and others bring modules that only error paths
-use. All are loaded as usual as soon as anything of them is used. Where a Python version has asyncio laid out
-differently, it is imported as usual at once.
+`twisted.python.compat` imports `http.cookiejar`, and with it `urllib.request`, `http.client`, `email` and `ssl`.
+`twisted.internet.defer` imports all of `asyncio` for three names. Other modules are only needed in case of errors.
+
+A deferred module is loaded as soon as any of its attributes is used. If a Python version has a different layout of
+asyncio, the package is imported at once as usual.
 """
 
 from __future__ import annotations
@@ -13,13 +14,13 @@
 from types import ModuleType
 from typing import Any
 
-UNUSED = ("concurrent.futures", "http.cookiejar", "locale", "pickle", "pty", "textwrap")
+DEFERRED_MODULES = ("concurrent.futures", "http.cookiejar", "locale", "pickle", "pty", "textwrap")
 ASYNCIO = "asyncio"
 
 
 def install() -> None:
-    """To be called before Twisted is imported; a module that is loaded already is left alone."""
-    for name in UNUSED:
+    """Defer the modules that are not loaded yet; must be called before Twisted is imported."""
+    for name in DEFERRED_MODULES:
         if name not in sys.modules:
             defer_module(name)
     if ASYNCIO not in sys.modules:
@@ -30,7 +31,7 @@
 
 
 def defer_module(name: str) -> None:
-    """Registers a module that is executed at the first use of an attribute (importlib's LazyLoader)."""
+    """Register a module that is executed when one of its attributes is first used (importlib's LazyLoader)."""
     spec = importlib.util.find_spec(name)
     if spec is None or spec.loader is None:
         return
@@ -44,9 +45,10 @@
 
 
 def defer_asyncio() -> None:
-    """Registers the package with the three names that Twisted takes from it; any other name executes it.
+    """Register asyncio with the three names that Twisted imports; the use of any other name executes the package.
 
-    Raises ImportError where this Python keeps those names elsewhere.
+    Raises:
+        ImportError: This Python version has those names in other modules.
     """
     spec = importlib.util.find_spec(ASYNCIO)
     if spec is None:
@@ -60,17 +62,17 @@
     package.AbstractEventLoop = AbstractEventLoop  # type: ignore[attr-defined]
     package.Future = Future  # type: ignore[attr-defined]
     package.iscoroutine = iscoroutine  # type: ignore[attr-defined]
-    package.__getattr__ = lambda name: execute(package, name)  # type: ignore[method-assign]
+    package.__getattr__ = lambda name: execute_package(package, name)  # type: ignore[method-assign]
 
 
-def execute(package: ModuleType, name: str) -> Any:
-    """The rest of the package, at the first use of a name that is not there yet."""
+def execute_package(package: ModuleType, name: str) -> Any:
+    """Execute a deferred package and return its attribute; called at the first use of an attribute it lacks."""
     del package.__getattr__
     package.__spec__.loader.exec_module(package)  # type: ignore[union-attr]
     return getattr(package, name)
 
 
 def forget_asyncio() -> None:
-    """Takes a half registered package out again."""
+    """Remove a partly registered asyncio, so that it is imported as usual."""
     for name in [name for name in sys.modules if name.partition(".")[0] == ASYNCIO]:
         del sys.modules[name]
--- a/wickhinge/net/runtime/log.py
+++ b/wickhinge/net/runtime/log.py
@@ -1,4 +1,4 @@
-"""One JSON line an event, written without ever waiting for whoever reads it."""
+"""The log of the process: one JSON line for each event, written without ever waiting for the reader."""
 
 from __future__ import annotations
 
@@ -9,21 +9,28 @@
 
 import orjson
 
-MAX_QUEUED_LINES = 2000  # lines that wait for a slow reader; what comes on top is counted and dropped
+# Lines that are queued for a slow reader; further lines are dropped and counted.
+MAX_QUEUED_LINES = 2000
 
 
 class Log:
-    """The process's log; lines that wait for the reader are kept in memory."""
+    """Writes log lines to a descriptor, and queues them in memory while the descriptor takes no more."""
 
     def __init__(self, descriptor: int, name: str, now: Callable[[], float]) -> None:
-        """descriptor: of the file written to; name: the router's; now: seconds for each line's `t`."""
+        """Open a log on a descriptor, which becomes non-blocking.
+
+        Args:
+            descriptor: The file descriptor to write to.
+            name: The name of the router, written into each line.
+            now: Returns the time in seconds that is written into each line as `t`.
+        """
         self.descriptor, self.name, self.now = descriptor, name, now
         self.lines: deque[bytes] = deque()
         self.dropped = 0
         os.set_blocking(descriptor, False)
 
     def event(self, event: str, **fields: Any) -> None:
-        """Writes one line, or counts it as dropped; never raises for the file's sake."""
+        """Write or queue one line, or drop it if the queue is full; raise no error of the file."""
         if len(self.lines) >= MAX_QUEUED_LINES:
             self.dropped += 1
         else:
@@ -32,14 +39,14 @@
         self.flush()
 
     def flush(self) -> None:
-        """Writes as many lines as the file takes now."""
+        """Write as many queued lines as the descriptor takes now."""
         while self.lines:
             line = self.lines[0]
             try:
                 written = os.write(self.descriptor, line)
             except BlockingIOError:
                 return
-            except OSError:  # nobody reads any more; serving goes on
+            except OSError:  # The reader is gone; the router goes on without a log.
                 self.lines.clear()
                 return
             if written < len(line):
--- a/wickhinge/net/runtime/loop.py
+++ b/wickhinge/net/runtime/loop.py
@@ -17,7 +17,7 @@
 from wickhinge.net.runtime.event_loop_stalls import EventLoopStalls
 from wickhinge.net.runtime.transport import Connector
 
-# Seconds for which sockets may have been unread before the callback of read_first_after_stall() is called.
+# Seconds for which data may have been unread, after which the callback of read_first_after_stall() precedes all events.
 READ_FIRST_AFTER_S = 0.1
 # Polls in a row after a stall of the process, before the deadlines are served.
 MAX_CATCH_UP_POLLS = 64
--- a/wickhinge/net/runtime/slots.py
+++ b/wickhinge/net/runtime/slots.py
@@ -1,48 +1,50 @@
-"""Numbered places that are used again; a number carries its generation, so a stale one finds nothing."""
+"""Reusable numbered slots. A number contains the generation of its slot, so a stale number finds nothing."""
 
 from __future__ import annotations
 
 from collections.abc import Iterator
 from typing import Any
 
+# Numbers consist of the generation of a slot, multiplied by this value, plus the index of the slot.
 MAX_SLOTS = 1 << 20
 
 
 class Slots:
-    """Things by numbers; the place of one that was dropped is used again under another number."""
+    """Items by number; the slot of a removed item is reused under another number."""
 
     def __init__(self) -> None:
-        self.things: list[Any] = []
-        self.rounds: list[int] = []
+        self.items: list[Any] = []
+        self.generations: list[int] = []
         self.free: list[int] = []
 
-    def put(self, thing: Any) -> int:
-        """Returns the number under which it stands."""
+    def put(self, item: Any) -> int:
+        """Store an item and return its number."""
         if self.free:
-            place = self.free.pop()
-            self.things[place] = thing
+            index = self.free.pop()
+            self.items[index] = item
         else:
-            place = len(self.things)
-            self.things.append(thing)
-            self.rounds.append(0)
-        return self.rounds[place] * MAX_SLOTS + place
+            index = len(self.items)
+            self.items.append(item)
+            self.generations.append(0)
+        return self.generations[index] * MAX_SLOTS + index
 
     def get(self, number: int) -> Any:
-        """The thing, None where it was dropped."""
-        generation, place = divmod(number, MAX_SLOTS)
-        if place < len(self.things) and self.rounds[place] == generation:
-            return self.things[place]
+        """Return the item with this number; None if it was removed."""
+        generation, index = divmod(number, MAX_SLOTS)
+        if index < len(self.items) and self.generations[index] == generation:
+            return self.items[index]
         return None
 
     def drop(self, number: int) -> Any:
-        """Removes the thing and returns it, None where it was dropped before."""
-        thing = self.get(number)
-        if thing is not None:
-            place = number % MAX_SLOTS
-            self.things[place] = None
-            self.rounds[place] += 1
-            self.free.append(place)
-        return thing
+        """Remove the item with this number and return it; None if it was removed before."""
+        item = self.get(number)
+        if item is not None:
+            index = number % MAX_SLOTS
+            self.items[index] = None
+            self.generations[index] += 1
+            self.free.append(index)
+        return item
 
     def __iter__(self) -> Iterator[Any]:
-        return iter([thing for thing in self.things if thing is not None])
+        """Iterate over a copy of the items, so that items may be removed meanwhile."""
+        return iter([item for item in self.items if item is not None])
--- a/wickhinge/net/runtime/transport.py
+++ b/wickhinge/net/runtime/transport.py
@@ -1,4 +1,4 @@
-"""Connections whose calls may fail for a moment, on both sides: Twisted's, with reads and writes of their own."""
+"""Twisted connections, incoming and outgoing, whose reads and writes are retried after transient errors."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 from wickhinge.common.failed_calls import call_with_retries, failed_calls, receive
 
 
-class Enduring(tcp.Connection):
-    """Mixed into a Twisted connection: a failed call is tried again, at once and then at the next turn of the loop."""
+class RetryingConnection(tcp.Connection):
+    """Mixin of Twisted connections: a failed call is retried at once, and then on the next turn of the event loop."""
 
     def doRead(self) -> Any:
-        """Called by the loop when there is something to read."""
+        """Read data and hand it to the protocol; called by the event loop when data is available."""
         try:
             data = receive(self.socket, self.bufferSize)
         except OSError:
@@ -27,10 +27,10 @@
         return self._dataReceived(data)
 
     def nothing_read(self) -> None:
-        """Called where a read that was to give something gave nothing: it failed for a moment, or nothing was there."""
+        """Called after a read that returned nothing: it failed transiently, or no data was available after all."""
 
     def writeSomeData(self, data: bytes) -> Any:
-        """Called by Twisted: the bytes taken, or the reason why the connection is over."""
+        """Write data; return the number of bytes that the socket took, or the reason why the connection has ended."""
         try:
             size = call_with_retries("send", self.socket.send, memoryview(data)[: self.SEND_LIMIT])
         except OSError:
@@ -38,9 +38,13 @@
         return size or 0
 
     def end_unless_unread(self) -> bool:
-        """Ends the connection, unless something lies unread there, or that cannot be told just now.
+        """Shut the connection down, unless data is unread or the check for unread data fails.
 
-        The check and the end are one step: the process may stand still between any two. Nothing may wait to be written.
+        The check and the shutdown are adjacent, since the process may be stalled between any two steps. All data must
+        have been written before.
+
+        Returns:
+            Whether the connection was shut down.
         """
         socket = self.socket
         try:
@@ -48,30 +52,30 @@
                 return False
         except BlockingIOError:
             pass
-        except OSError as problem:
-            failed_calls.count("recv", problem.errno)
+        except OSError as error:
+            failed_calls.count("recv", error.errno)
             return False
         try:
             socket.shutdown(SHUT_RDWR)
-        except OSError as problem:  # the peer has ended it already
-            failed_calls.count("shutdown", problem.errno)
+        except OSError as error:  # The peer has ended the connection already.
+            failed_calls.count("shutdown", error.errno)
         return True
 
     def close_ended(self) -> None:
-        """Gives the descriptor of a connection back that has ended, in this call."""
+        """Close the descriptor of a connection that was shut down, before returning."""
         self.connectionLost(Failure(ConnectionDone()))  # type: ignore[no-untyped-call]
 
 
-class Outgoing(Enduring, tcp.Client):
-    """A connection that this program made."""
+class Outgoing(RetryingConnection, tcp.Client):
+    """A connection to a server, established by this process."""
 
 
-class Incoming(Enduring, tcp.Server):
-    """A connection that was accepted."""
+class Incoming(RetryingConnection, tcp.Server):
+    """A connection of a client, accepted by this process."""
 
 
 class Connector(tcp.Connector):
-    """Twisted's connector for outgoing connections of this module."""
+    """A Twisted connector that creates Outgoing connections."""
 
     def _makeTransport(self) -> Outgoing:
         return Outgoing(  # type: ignore[no-untyped-call]
