--- a/tests/net/test_net.py
+++ b/tests/net/test_net.py
@@ -102,11 +102,11 @@
     made, told = pool(limit=3)
     body = bytes(range(256)) * (BUFFER_BYTES // 256 * 7 // 2)
     (items,) = resp.ReplyDecoder(made).feed(resp.pack(b"a", b"OK", b"-", body))
-    assert plain(items)[3] == body and made.out == 4 and told == ["stop"]
-    items[3].spend(BUFFER_BYTES + 5)
-    assert b"".join(items[3].views()) == body[BUFFER_BYTES + 5 :] and made.out == 3
+    assert plain(items)[3] == body and made.in_use == 4 and told == ["stop"]
+    items[3].drop_written(BUFFER_BYTES + 5)
+    assert b"".join(items[3].views()) == body[BUFFER_BYTES + 5 :] and made.in_use == 3
     items[3].release()
-    assert made.out == 0 and told == ["stop", "go"] and made.free
+    assert made.in_use == 0 and told == ["stop", "go"] and made.free
 
 
 @pytest.mark.parametrize(
@@ -128,7 +128,7 @@
 def test_body_of_a_visit_is_given_whole_again_for_each_forward():
     made, _ = pool()
     body = Body(made, b"ab" * BUFFER_BYTES)
-    assert b"".join(body.views()) == b"".join(body.views()) == b"ab" * BUFFER_BYTES and made.out == 2
+    assert b"".join(body.views()) == b"".join(body.views()) == b"ab" * BUFFER_BYTES and made.in_use == 2
 
 
 def test_half_read_answer_of_a_lost_connection_gives_its_buffers_back():
@@ -136,7 +136,7 @@
     stream = resp.ReplyDecoder(made)
     stream.feed(resp.pack(b"a", b"OK", b"-", b"x" * 100)[:-40])
     stream.close()
-    assert made.out == 0
+    assert made.in_use == 0
 
 
 @pytest.mark.parametrize(
--- a/wickhinge/net/control/process_report.py
+++ b/wickhinge/net/control/process_report.py
@@ -40,7 +40,7 @@
         """Parameters as named; optional: the subsystems that are on, by their names in the report."""
         self._clients, self._decisions, self._log, self._optional = clients, decisions, log, optional
         self._requests = clients.request_table
-        self._attempts = self._requests.forwards
+        self._attempts = self._requests.attempts
         self._pools = self._attempts.pools
         self._deadlines: Deadlines = clients.deadlines
         self._loop: Any = self._deadlines.reactor  # the loop's own Reactor
