--- a/tests/net/conftest.py
+++ b/tests/net/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures of the tests of a router as a whole."""
+"""Fixtures for tests of a complete router process."""
 
 import pytest
 
@@ -7,6 +7,7 @@
 
 @pytest.fixture
 def router(tmp_path):
-    made = RunningRouter(tmp_path)
-    yield made
-    made.close()
+    """A running router process, which is closed after the test."""
+    running_router = RunningRouter(tmp_path)
+    yield running_router
+    running_router.close()
--- a/tests/net/test_arrivals.py
+++ b/tests/net/test_arrivals.py
@@ -1,4 +1,4 @@
-"""When what is read now came: against a system that is played with standstills at every line of the loop."""
+"""The bound on arrival times, checked on a simulated kernel and event loop with stalls at every step of the loop."""
 
 import pytest
 from hypothesis import given
@@ -6,126 +6,147 @@
 
 from wickhinge.net.runtime.arrivals import FRESH_POLL_S, LATE_OVERRUN_S, MAX_WAIT_S, Arrivals
 
-MOST = 8
+MAX_EVENTS = 8
+# Turns of the event loop, as tuples of the parameters of play().
 TURNS = st.lists(
     st.tuples(
-        st.lists(st.floats(0.0, 1.0), max_size=12),  # what comes within the next second, each at its time
-        st.sampled_from([0.0, 0.0, 0.0, 0.002, 0.08, 0.3, 0.6]),  # standstill as the poll begins
-        st.sampled_from([0.0, 0.0, 0.0, 0.002, 0.08, 0.3, 0.6]),  # within it
-        st.sampled_from([0.0, 0.0005, 0.02]),  # what a turn takes
-        st.sampled_from([0.0, 0.03, 0.25]),  # until the next deadline
-        st.booleans(),  # a signal breaks the wait off: past its time, the system is not asked
+        st.lists(st.floats(0.0, 1.0), max_size=12),  # arrival_delays
+        st.sampled_from([0.0, 0.0, 0.0, 0.002, 0.08, 0.3, 0.6]),  # stall_before_poll
+        st.sampled_from([0.0, 0.0, 0.0, 0.002, 0.08, 0.3, 0.6]),  # stall_in_poll
+        st.sampled_from([0.0, 0.0005, 0.02]),  # turn_duration
+        st.sampled_from([0.0, 0.03, 0.25]),  # wait_limit
+        st.booleans(),  # is_interrupted
     ),
     max_size=25,
 )
 
 
-class System:
-    """One socket for each piece of data, handed out in the order in which it came, and the loop's side of it."""
+class SimulatedLoop:
+    """An event loop on a simulated kernel, in which each piece of data arrives on a socket of its own.
+
+    Attributes:
+        pending: Arrival times of the data that is not read yet.
+        reads: For each piece of data its arrival time, the bound that Arrivals gave for it, and the time of the read.
+    """
 
     def __init__(self):
-        self.now, self.coming, self.arrivals, self.read = 100.0, [], Arrivals(100.0, MOST), []
+        self.now, self.pending, self.arrivals, self.reads = 100.0, [], Arrivals(100.0, MAX_EVENTS), []
 
-    def ready(self):
-        return sorted(when for when in self.coming if when <= self.now)[:MOST]
+    def available(self):
+        """Return the arrival times that a poll returns now: the oldest ones, up to MAX_EVENTS."""
+        return sorted(arrival for arrival in self.pending if arrival <= self.now)[:MAX_EVENTS]
 
-    def take(self, handed):
-        for when in handed:
-            self.coming.remove(when)
-            self.read.append((when, self.arrivals.earliest_arrival_at, self.now))
+    def read(self, events):
+        """Read the data of all events of a poll."""
+        for arrival in events:
+            self.pending.remove(arrival)
+            self.reads.append((arrival, self.arrivals.earliest_arrival_at, self.now))
         self.arrivals.mark_handled()
 
-    def wait(self, limit, standstill, broken):
-        """Wakes with what comes; stands still within the wait, and then hands out what there is by then."""
-        began = self.now
-        first = min((when for when in self.coming if when <= began + limit), default=began + limit)
-        self.now = max(began, first) + standstill
-        if broken and standstill > limit:
+    def wait(self, limit, stall, is_interrupted):
+        """Wait until data arrives, with a stall within the wait, and return the events available after it.
+
+        If a signal interrupts the wait after its limit, the kernel is not asked, and no events are returned.
+        """
+        began_at = self.now
+        wake_at = min((arrival for arrival in self.pending if arrival <= began_at + limit), default=began_at + limit)
+        self.now = max(began_at, wake_at) + stall
+        if is_interrupted and stall > limit:
             return []
-        return self.ready()
+        return self.available()
+
+    def run_turn(self, limit, stall_in_poll, stall_before_poll, is_interrupted):
+        """Run one turn of the loop, as Reactor.poll() does.
 
-    def turn(self, limit, standstill, before, broken):
-        """before: a standstill between the look at the clock and the system's answer."""
+        Args:
+            limit: Seconds until the next deadline.
+            stall_in_poll: Seconds of a stall within the wait, or between a poll and the read.
+            stall_before_poll: Seconds of a stall between reading the clock and the poll.
+            is_interrupted: Whether a signal interrupts the wait if it is stalled beyond its limit.
+        """
         limit = min(limit, MAX_WAIT_S)
         while True:
-            entered = self.now
-            asked = limit <= 0.0 or self.arrivals.needs_poll_before_wait(entered)
-            self.now, before = self.now + before, 0.0
-            if not asked:
+            began_at = self.now
+            is_poll_needed = limit <= 0.0 or self.arrivals.needs_poll_before_wait(began_at)
+            self.now, stall_before_poll = self.now + stall_before_poll, 0.0
+            if not is_poll_needed:
                 break
-            handed, returned = self.ready(), self.now
-            if handed or limit <= 0.0:
-                self.arrivals.record_poll(entered, returned, len(handed))
-                self.now += standstill  # between the poll and the read
-                return self.take(handed)
-            if returned - entered <= FRESH_POLL_S:
+            events, ended_at = self.available(), self.now
+            if events or limit <= 0.0:
+                self.arrivals.record_poll(began_at, ended_at, len(events))
+                self.now += stall_in_poll
+                return self.read(events)
+            if ended_at - began_at <= FRESH_POLL_S:
                 break
-        handed = self.wait(limit, standstill, broken)
-        self.arrivals.record_wait(entered, limit, self.now, len(handed), was_polled=asked)
-        self.take(handed)
+        events = self.wait(limit, stall_in_poll, is_interrupted)
+        self.arrivals.record_wait(began_at, limit, self.now, len(events), was_polled=is_poll_needed)
+        self.read(events)
 
 
 def play(turns):
-    system = System()
-    for coming, before, within, took, limit, broken in turns:
-        system.coming += [system.now + when for when in coming]
-        system.turn(limit, within, before, broken)
-        system.now += took
-    return system
+    """Run turns of a simulated loop; arrival_delays are seconds from the beginning of a turn to arrivals of data."""
+    loop = SimulatedLoop()
+    for arrival_delays, stall_before_poll, stall_in_poll, turn_duration, wait_limit, is_interrupted in turns:
+        loop.pending += [loop.now + delay for delay in arrival_delays]
+        loop.run_turn(wait_limit, stall_in_poll, stall_before_poll, is_interrupted)
+        loop.now += turn_duration
+    return loop
 
 
 @given(TURNS)
-def test_nothing_is_taken_for_fresher_than_it_is_by_more_than_a_wait(turns):
-    for came, bound, _ in play(turns).read:
-        assert bound <= came + MAX_WAIT_S + LATE_OVERRUN_S + FRESH_POLL_S
+def test_arrival_bound_when_stalled_anywhere_is_late_by_at_most_one_wait(turns):
+    for arrival, bound, _ in play(turns).reads:
+        assert bound <= arrival + MAX_WAIT_S + LATE_OVERRUN_S + FRESH_POLL_S
 
 
 @given(TURNS)
-def test_what_is_settled_has_been_read(turns):
-    system = play(turns)
-    assert all(when >= system.arrivals.handled_until for when in system.coming)
+def test_data_that_arrived_before_handled_until_has_been_read(turns):
+    loop = play(turns)
+    assert all(arrival >= loop.arrivals.handled_until for arrival in loop.pending)
 
 
 @given(st.lists(st.floats(0.0, 2.0), min_size=1, max_size=40))
-def test_without_standstills_what_comes_one_by_one_is_fresh(times):
-    """Nobody is denied for an age that is not there."""
-    system = System()
-    system.coming = [100.0 + when for when in times]
-    while system.coming:
-        system.turn(0.25, 0.0, 0.0, False)
-        system.now += 0.0005
-    for came, bound, _ in system.read:
-        assert bound >= came - FRESH_POLL_S
-
-
-@pytest.mark.parametrize("standstill", [0.2, 0.5])
-def test_after_a_standstill_within_a_wait_all_may_have_come_at_its_begin(standstill):
-    arrivals = Arrivals(0.0, MOST)
+def test_arrival_bound_without_stalls_is_close_to_the_arrival(times):
+    """A bound that is too early would make requests look old, and they would be rejected for their age."""
+    loop = SimulatedLoop()
+    loop.pending = [100.0 + delay for delay in times]
+    while loop.pending:
+        loop.run_turn(0.25, 0.0, 0.0, False)
+        loop.now += 0.0005
+    for arrival, bound, _ in loop.reads:
+        assert bound >= arrival - FRESH_POLL_S
+
+
+@pytest.mark.parametrize("stall", [0.2, 0.5])
+def test_arrival_bound_after_a_stall_within_a_wait_is_the_beginning_of_the_wait(stall):
+    arrivals = Arrivals(0.0, MAX_EVENTS)
     arrivals.record_wait(10.0, 0.05, 10.05, 0, was_polled=False)
     arrivals.mark_handled()
-    arrivals.record_wait(10.06, 0.05, 10.06 + standstill, 3, was_polled=False)
+    arrivals.record_wait(10.06, 0.05, 10.06 + stall, 3, was_polled=False)
     assert arrivals.earliest_arrival_at == 10.06
 
 
-def test_what_a_full_poll_leaves_over_is_as_old_as_the_last_poll_that_was_not_full():
-    arrivals = Arrivals(0.0, MOST)
+def test_arrival_bound_after_full_polls_is_the_last_poll_that_was_not_full():
+    arrivals = Arrivals(0.0, MAX_EVENTS)
     arrivals.record_poll(1.0, 1.0, 3)
     for turn in range(5):
-        arrivals.record_poll(2.0 + turn, 2.0 + turn, MOST)
+        arrivals.record_poll(2.0 + turn, 2.0 + turn, MAX_EVENTS)
         arrivals.mark_handled()
         assert arrivals.earliest_arrival_at == 1.0 == arrivals.handled_until
 
 
-def test_a_router_is_behind_from_a_standstill_until_all_that_there_was_is_read():
-    arrivals = Arrivals(0.0, MOST)
-    arrivals.record_wait(10.0, 0.05, 10.7, 0, was_polled=False)  # broken off, and the system not asked any more
+def test_loop_is_behind_from_a_stall_until_all_pending_events_are_handled():
+    arrivals = Arrivals(0.0, MAX_EVENTS)
+    # A stalled wait without events: a signal interrupted it, and the kernel was not asked.
+    arrivals.record_wait(10.0, 0.05, 10.7, 0, was_polled=False)
     arrivals.mark_handled()
     assert arrivals.is_behind
-    arrivals.record_poll(10.71, 10.71, MOST)
+    arrivals.record_poll(10.71, 10.71, MAX_EVENTS)
     arrivals.mark_handled()
     assert arrivals.is_behind
     arrivals.record_poll(10.72, 10.72, 2)
     arrivals.mark_handled()
     assert not arrivals.is_behind
-    arrivals.record_poll(10.9, 10.9, MOST)  # a turn of 0.18 s
+    # The turn before this poll lasted 0.18 s, which counts as a stall.
+    arrivals.record_poll(10.9, 10.9, MAX_EVENTS)
     assert arrivals.is_behind
