--- a/tests/net/test_client_gone.py
+++ b/tests/net/test_client_gone.py
@@ -1,7 +1,7 @@
-"""A client that closes or cancels has gone: no attempt for it begins later than 0.1 s after that reached the socket.
+"""A client that disconnects or cancels: no attempt for it begins later than 0.1 s after that reaches its socket.
 
-Machines are the test itself and count the attempts that come to them. Each test takes one place where a request waits
-before it is sent; `docs/notes/crossings.md` lists them.
+The caches are played by the test, which counts the attempts that reach them. Each test covers one place where a request
+waits in the router before it is sent; `docs/notes/crossings.md` lists these places.
 """
 
 import os
@@ -16,15 +16,21 @@
 from tests.support.router_process import OK_FIELDS
 from wickhinge.net.downstream import msgpack
 
-LATE = 0.15  # seconds; past the 0.1 in which an attempt may still begin
-AT_ONCE = 0.03  # seconds; a fill that has room goes in the turn of its miss
-FAR = 0.7 + LATE  # seconds in which what waits in the router is looked at once
-EVERY_WAY = ["abort", "pieces", "close", "half", "reset"]
-LARGE = b"x" * 47_000  # two of them are more than one read of a socket gives
-
-
-def leave(client, call, way):
-    abort = msgpack.pack([2, "abort", [call]])
+# Seconds after which no attempt may begin any more; the limit is 0.1.
+TOO_LATE_S = 0.15
+# Seconds within which a fill that is not held back reaches the cache after its miss.
+IMMEDIATE_S = 0.03
+# Seconds within which a request that waits in the router is due: such requests are checked every 0.7 s.
+DUE_WITHIN_S = 0.7 + TOO_LATE_S
+# Ways in which a client gives a request up: an abort message, one in pieces of a byte, a close, a half close, a reset.
+WAYS_TO_LEAVE = ["abort", "pieces", "close", "half", "reset"]
+# A body so large that two of them exceed one read of a socket.
+LARGE_BODY = b"x" * 47_000
+
+
+def leave(client, call_id, way):
+    """Cancel a request, or end the connection of its client, in one of WAYS_TO_LEAVE."""
+    abort = msgpack.pack([2, "abort", [call_id]])
     if way == "abort":
         client.socket.sendall(abort)
     elif way == "pieces":
@@ -38,185 +44,197 @@
         client.socket.close()
 
 
-def request(call, request_class="pages", body=b"", **fields):
-    told = {"rid": os.urandom(8).hex(), "budget": "3000", "obj": "00000000000000aa", **fields}
-    return msgpack.pack([0, call, request_class, [told, body]])
+def encoded_request(call_id, request_class="pages", body=b"", **fields):
+    """Return a request as the client sends it."""
+    all_fields = {"rid": os.urandom(8).hex(), "budget": "3000", "obj": "00000000000000aa", **fields}
+    return msgpack.pack([0, call_id, request_class, [all_fields, body]])
 
 
-def hold(client):
-    """Bad requests in one write: nothing of this client is begun for the next second."""
-    calls = range(101, 106)
-    client.socket.sendall(b"".join(request(call, rid="bad") for call in calls))
-    for call in calls:
-        assert client.answer(call)[2][0] == "BadRequest"
+def put_on_hold(client):
+    """Send invalid requests in one write, after which the router begins no request of this client for a second."""
+    call_ids = range(101, 106)
+    client.socket.sendall(b"".join(encoded_request(call_id, rid="bad") for call_id in call_ids))
+    for call_id in call_ids:
+        assert client.answer(call_id)[2][0] == "BadRequest"
 
 
-# A reactor that was busy.
+# The router process is suspended while the client leaves.
 
 
-@pytest.mark.parametrize("way", EVERY_WAY)
-def test_a_first_attempt_is_not_begun_where_the_end_lies_behind_its_request(stand, way):
-    made = stand()
-    client, other = made.client(), made.client()
-    warmed(made, other)
-    with made.suspended():
-        call = client.ask()
-        leave(client, call, way)
-        time.sleep(LATE)
+@pytest.mark.parametrize("way", WAYS_TO_LEAVE)
+def test_first_attempt_when_the_client_leaves_right_after_its_request_is_not_sent(stand, way):
+    harness = stand()
+    client, other = harness.client(), harness.client()
+    warmed(harness, other)
+    with harness.suspended():
+        call_id = client.ask()
+        leave(client, call_id, way)
+        time.sleep(TOO_LATE_S)
     assert other.ping() and other.ping()
-    assert made.close_and_count_attempts() == 0
-
-
-@pytest.mark.parametrize("way", EVERY_WAY)
-def test_a_fill_is_not_begun_where_the_miss_is_read_before_the_end(stand, way):
-    made = stand()
-    client, other = made.client(), made.client()
-    call = client.ask()
-    asked = made.accept_connection(0).next_request()
-    with made.suspended():
-        asked.answer("MISS")
-        leave(client, call, way)
-        time.sleep(LATE)
+    assert harness.close_and_count_attempts() == 0
+
+
+@pytest.mark.parametrize("way", WAYS_TO_LEAVE)
+def test_fill_when_the_miss_is_read_before_the_client_leaving_is_not_sent(stand, way):
+    harness = stand()
+    client, other = harness.client(), harness.client()
+    call_id = client.ask()
+    cache_request = harness.accept_connection(0).next_request()
+    with harness.suspended():
+        cache_request.answer("MISS")
+        leave(client, call_id, way)
+        time.sleep(TOO_LATE_S)
     assert other.ping() and other.ping()
-    assert made.close_and_count_attempts() == 0
+    assert harness.close_and_count_attempts() == 0
 
 
-@pytest.mark.parametrize("way", EVERY_WAY)
-def test_what_waits_for_its_connection_is_not_sent_where_that_comes_up_before_the_end_is_read(stand, way):
-    made = stand(change=patient)
-    late, client, other = made.stop_accepting(0), made.client(), made.client()
-    call = client.ask()
+@pytest.mark.parametrize("way", WAYS_TO_LEAVE)
+def test_attempt_waiting_for_a_connection_when_it_is_established_before_the_client_leaving_is_read_is_not_sent(
+    stand, way
+):
+    harness = stand(change=patient)
+    accept_again, client, other = harness.stop_accepting(0), harness.client(), harness.client()
+    call_id = client.ask()
     assert client.ping() and other.ping()
-    with made.suspended_while_connecting(0):
-        late()
-        leave(client, call, way)
-        time.sleep(LATE)
+    with harness.suspended_while_connecting(0):
+        accept_again()
+        leave(client, call_id, way)
+        time.sleep(TOO_LATE_S)
     assert other.ping() and other.ping()
-    assert made.close_and_count_attempts() == 0
+    assert harness.close_and_count_attempts() == 0
 
 
-@pytest.mark.parametrize("way", EVERY_WAY)
+@pytest.mark.parametrize("way", WAYS_TO_LEAVE)
 @pytest.mark.parametrize("waits", ["retry", "fill", "cold"])
-def test_what_waits_in_the_router_is_not_sent_where_its_time_comes_before_the_end_is_read(stand, waits, way):
-    """Deadlines have their turn between two reads of eight descriptors each."""
-    made = waiting_stand(stand, waits)
-    client, others = made.client(), [made.client() for _ in range(24)]
-    wait_for_room(made, client, waits)
-    call = client.calls
+def test_request_waiting_in_the_router_when_due_before_the_client_leaving_is_read_is_not_sent(stand, waits, way):
+    """The router serves its deadlines between polls of 8 descriptors each, so a request may be due before the read."""
+    harness = harness_for(stand, waits)
+    client, others = harness.client(), [harness.client() for _ in range(24)]
+    make_request_wait(harness, client, waits)
+    call_id = client.calls
     assert others[0].ping()
-    with made.suspended():
+    with harness.suspended():
         for other in others:
             other.calls += 1
             other.socket.sendall(msgpack.pack([0, other.calls, "ping", [{}]]))
-        leave(client, call, way)
-        time.sleep(FAR)
+        leave(client, call_id, way)
+        time.sleep(DUE_WITHIN_S)
     for other in others:
         assert other.answer(other.calls)[2] is None
     assert others[0].ping()
-    assert made.close_and_count_attempts() == 0
+    assert harness.close_and_count_attempts() == 0
 
 
-def waiting_stand(stand, waits):
+def harness_for(stand, waits):
+    """Return a router on which make_request_wait() works."""
     if waits != "cold":
         return stand(change=patient)
-    return stand(("box", "parent"), change=patient, list_change=cold_parent)
+    return stand(("box", "parent"), change=patient, list_change=make_parent_cold)
 
 
-def cold_parent(hosts):
+def make_parent_cold(hosts):
+    """Change the endpoint list so that its second entry, a parent, has just started."""
     hosts[1] |= {"born_ms": int(time.time() * 1000), "share": 8}
 
 
-def wait_for_room(made, client, waits):
-    """A request that waits in the router: for a pause before its retry, after a refused fill, for a cold parent."""
+def make_request_wait(harness, client, waits):
+    """Send a request that then waits in the router.
+
+    Args:
+        harness: The router.
+        client: The client of the request.
+        waits: "retry": for the backoff after a rejection by the origin. "fill": for the backoff after a rejected fill.
+            "cold": for the quota of a parent in slow start.
+    """
     if waits == "cold":
         client.ask(block="1")
-        spend_room(client, made.accept_connection(0))
+        use_up_parent_quota(client, harness.accept_connection(0))
         return
-    # Where it was refused, no id comes again: the other connection is up, or the attempt would wait for that.
-    lines = two_lines(made, client, waits)
+    # A request is not sent again on the connection where it was rejected. The second connection is already established,
+    # or the attempt would wait for it instead.
+    connections = open_two_connections(harness, client, waits)
     client.ask("results" if waits == "retry" else "pages", b"mark")
     if waits == "fill":
-        next_of(lines).answer("MISS")
-    next_of(lines).answer("BUSY")
+        next_request_on(connections).answer("MISS")
+    next_request_on(connections).answer("BUSY")
 
 
-def spend_room(client, box):
-    """The client's last request is one whose fill has no room at the cold parent: that has gone to earlier ones."""
-    box.next_request().answer("MISS")
-    fill = box.next_request()  # after the parent's first debt
+def use_up_parent_quota(client, cache):
+    """Send requests until the fill of the last one has to wait, because earlier fills used up the parent's quota."""
+    cache.next_request().answer("MISS")
+    fill = cache.next_request()  # The quota of the parent delays the first fill.
     for block in range(2, 12):
         fill.answer("OK", OK_FIELDS, b"x")
         assert client.answer(client.calls)[2] is None
         client.ask(block=str(block))
-        box.next_request().answer("MISS")
-        fill = box.next_request(AT_ONCE)
+        cache.next_request().answer("MISS")
+        fill = cache.next_request(IMMEDIATE_S)
         if fill is None:
             return
-    raise AssertionError("the cold parent's room has no end")
+    raise AssertionError("the quota of the cold parent is not used up by 10 fills")
 
 
-def two_lines(made, client, waits):
-    """Both connections to a machine that three requests at once need."""
+def open_two_connections(harness, client, waits):
+    """Return the two connections to a cache that the router opens for three concurrent requests."""
     place, request_class = (1, "results") if waits == "retry" else (0, "pages")
-    calls = [client.ask(request_class, block=str(block)) for block in range(1, 4)]
-    lines = [made.accept_connection(place), made.accept_connection(place)]
-    for _ in calls:
-        next_of(lines).answer("OK", OK_FIELDS, b"x")
-    for call in calls:
-        assert client.answer(call)[2] is None
-    return lines
+    call_ids = [client.ask(request_class, block=str(block)) for block in range(1, 4)]
+    connections = [harness.accept_connection(place), harness.accept_connection(place)]
+    for _ in call_ids:
+        next_request_on(connections).answer("OK", OK_FIELDS, b"x")
+    for call_id in call_ids:
+        assert client.answer(call_id)[2] is None
+    return connections
 
 
-def next_of(lines):
-    """The next attempt on one of these connections."""
+def next_request_on(connections):
+    """Return the next request on any of these connections."""
     end = time.monotonic() + PATIENT
     while time.monotonic() < end:
-        for line in lines:
-            if (asked := line.next_request(0.02)) is not None:
-                return asked
-    raise AssertionError("no attempt")
+        for connection in connections:
+            if (cache_request := connection.next_request(0.02)) is not None:
+                return cache_request
+    raise AssertionError("no request arrived on any of the connections")
 
 
 @pytest.mark.parametrize("waits", ["retry", "fill", "cold"])
-def test_what_waits_in_the_router_is_sent_while_its_client_is_there(stand, waits):
-    """Else the test above would prove nothing."""
-    made = waiting_stand(stand, waits)
-    client = made.client()
-    wait_for_room(made, client, waits)
-    assert next_of(made.connections)
+def test_request_waiting_in_the_router_when_its_client_stays_is_sent(stand, waits):
+    """Control for the tests in which the client leaves: while the client stays, the waiting request is sent."""
+    harness = harness_for(stand, waits)
+    client = harness.client()
+    make_request_wait(harness, client, waits)
+    assert next_request_on(harness.connections)
 
 
-# A client in a hold: what it sends is read on, however much that is.
+# During a hold, the router still reads all data of the client.
 
 
-@pytest.mark.parametrize("way", EVERY_WAY)
-def test_a_fill_is_not_begun_where_much_lies_before_the_end_in_a_hold(stand, way):
-    made = stand()
-    client, other = made.client(), made.client()
-    call = client.ask()
-    asked = made.accept_connection(0).next_request()
-    hold(client)
+@pytest.mark.parametrize("way", WAYS_TO_LEAVE)
+def test_fill_when_the_client_leaves_behind_much_unread_data_during_a_hold_is_not_sent(stand, way):
+    harness = stand()
+    client, other = harness.client(), harness.client()
+    call_id = client.ask()
+    cache_request = harness.accept_connection(0).next_request()
+    put_on_hold(client)
     for _ in range(4):
-        client.ask("results", LARGE)
-    leave(client, call, way)
-    time.sleep(LATE)
-    asked.answer("MISS")
+        client.ask("results", LARGE_BODY)
+    leave(client, call_id, way)
+    time.sleep(TOO_LATE_S)
+    cache_request.answer("MISS")
     assert other.ping() and other.ping()
-    assert made.close_and_count_attempts() == 0
-
-
-def test_what_is_asked_and_given_up_in_a_hold_is_never_begun(stand):
-    """The others of it are, after the hold."""
-    made = stand()
-    client, other = made.client(), made.client()
-    line = warmed(made, other, 1)
-    hold(client)
-    calls = [client.ask("results", LARGE) for _ in range(6)]
-    for call in calls[::2]:
-        leave(client, call, "abort")
-    lines = [line, made.accept_connection(1)]  # two share the first, the third has another
-    for _ in calls[1::2]:
-        next_of(lines).answer("OK", "-", b"x")
-    for call in calls[1::2]:
-        assert client.answer(call)[2] is None
-    assert made.close_and_count_attempts() == 0
+    assert harness.close_and_count_attempts() == 0
+
+
+def test_requests_cancelled_during_a_hold_are_never_sent_and_the_others_are_sent_after_it(stand):
+    harness = stand()
+    client, other = harness.client(), harness.client()
+    connection = warmed(harness, other, 1)
+    put_on_hold(client)
+    call_ids = [client.ask("results", LARGE_BODY) for _ in range(6)]
+    for call_id in call_ids[::2]:
+        leave(client, call_id, "abort")
+    connections = [connection, harness.accept_connection(1)]  # Two requests share the first connection.
+    for _ in call_ids[1::2]:
+        next_request_on(connections).answer("OK", "-", b"x")
+    for call_id in call_ids[1::2]:
+        assert client.answer(call_id)[2] is None
+    assert harness.close_and_count_attempts() == 0
