--- a/tests/net/test_descriptors.py
+++ b/tests/net/test_descriptors.py
@@ -1,8 +1,8 @@
-"""Idle clients fill the descriptors: who still gets one, who is hung up on, and when connections are accepted again.
+"""Idle clients that hold all client descriptors: which of them are closed, and when connections are accepted again.
 
-The system's own limit is set to the number that the configuration names, and descriptors that the router's process
-inherits stand for the connections to machines that it does not make here. All that is counted is counted outside of
-it: connections and their ends by the test, descriptors and CPU time from /proc of the process that it started.
+The descriptor limit of the system is set to the configured number. Descriptors that the router process inherits stand
+for connections to servers that the tests do not make. All figures are taken from outside of the router: connections and
+their ends by the test, descriptors and CPU time from /proc.
 """
 
 import errno
@@ -41,63 +41,70 @@
 from wickhinge.net.upstream import resp
 from wickhinge.net.upstream.connection_pools import ConnectionPools, PoolSettings
 
-LIMITS = [256, 512, 640, 672]  # as the bench's days name them
-SMALL = 64  # the least that a configuration may name
-RECONNECT_WITHIN = 1.0  # seconds: a try each 0.15 s, and the turns of a busy machine
-WATCHED = 0.5  # seconds of CPU time looked at
-SPINNING = 0.5  # of a core, in which a loop that spins would use one
-TICK = 1 / os.sysconf("SC_CLK_TCK")
+# Descriptor limits that the benchmark scenarios configure.
+LIMITS = [256, 512, 640, 672]
+# The smallest descriptor limit that a configuration may have.
+MIN_LIMIT = 64
+# Seconds within which the router reconnects to the discovery service: it tries every 0.15 s, and the host may be busy.
+RECONNECT_WITHIN_S = 1.0
+# Seconds for which the CPU time of the router is measured.
+CPU_WINDOW_S = 0.5
+# CPU time, as a share of a core, that the router must not use while it waits; a spinning event loop uses all of it.
+MAX_CPU_SHARE = 0.5
+# Seconds of one clock tick in /proc.
+CLOCK_TICK_S = 1 / os.sysconf("SC_CLK_TCK")
 
 
 @pytest.fixture
 def stand(tmp_path):
-    """A router with so many descriptors, of which others hold some."""
-    made = []
+    """Start a router with a descriptor limit, of which inherited descriptors may take a part."""
+    started = []
 
     def build(limit, held_by_others=0, system_limit=None):
-        others = [os.open(os.devnull, os.O_RDONLY) for _ in range(held_by_others)]
+        inherited = [os.open(os.devnull, os.O_RDONLY) for _ in range(held_by_others)]
         try:
-            made.append(
+            started.append(
                 RouterHarness(
                     tmp_path,
                     change=lambda conf: conf["limits"].update(connectTimeoutMs=400),
                     limits={"memory_mb": 64, "sockets": limit},
-                    pass_fds=others,
+                    pass_fds=inherited,
                     preexec_fn=lambda: resource.setrlimit(resource.RLIMIT_NOFILE, [system_limit or limit] * 2),
                 )
             )
         finally:
-            for descriptor in others:
+            for descriptor in inherited:
                 os.close(descriptor)
-        return made[0]
+        return started[0]
 
     yield build
-    for one in made:
-        one.close()
+    for harness in started:
+        harness.close()
 
 
-def descriptors(made):
-    return len(os.listdir(f"/proc/{made.router.child.pid}/fd"))
+def count_descriptors(harness):
+    """Return how many descriptors the router process holds."""
+    return len(os.listdir(f"/proc/{harness.router.child.pid}/fd"))
 
 
-def cpu_time(made):
-    """Seconds of a core that the router has used."""
-    with open(f"/proc/{made.router.child.pid}/stat") as stat:
+def cpu_time(harness):
+    """Return the seconds of CPU time that the router process has used."""
+    with open(f"/proc/{harness.router.child.pid}/stat") as stat:
         fields = stat.read().rpartition(")")[2].split()
-    return (int(fields[11]) + int(fields[12])) * TICK
+    return (int(fields[11]) + int(fields[12])) * CLOCK_TICK_S
 
 
-def connect_and_ping(made, count):
-    """So many new connections with a ping on each, none of which is waited for."""
+def connect_and_ping(harness, count):
+    """Open `count` connections, send a ping on each, and return the clients without waiting for answers."""
     new = []
     for _ in range(count):
-        new.append(made.client())
+        new.append(harness.client())
         new[-1].socket.sendall(msgpack.pack([0, 1, "ping", [{}]]))
     return new
 
 
-def answered(client):
-    """Whether its ping is answered; False where the connection ends with no answer."""
+def is_ping_answered(client):
+    """Wait for the answer to the first ping of a client; return False if the connection ends without one."""
     try:
         return client.answer(1)[3][0] is True
     except (AssertionError, ConnectionError):
@@ -105,141 +112,145 @@
 
 
 def readable(clients, within=0.0):
-    look = select.poll()
-    found = {client.socket.fileno(): client for client in clients}
-    for number in found:
-        look.register(number, select.POLLIN)
-    return [found[number] for number, _ in look.poll(within * 1000)]
-
-
-def service_goes(made):
-    """The discovery service ends, and its address refuses."""
-    address = made.discovery_listener.getsockname()
-    made.discovery_listener.close()
-    made.watch_connection.close()
-    made.router.wait("endpoint_watch_lost")
+    """Return the clients with an answer or a closed connection to read, waiting up to `within` seconds for one."""
+    poller = select.poll()
+    clients_by_descriptor = {client.socket.fileno(): client for client in clients}
+    for descriptor in clients_by_descriptor:
+        poller.register(descriptor, select.POLLIN)
+    return [clients_by_descriptor[descriptor] for descriptor, _ in poller.poll(within * 1000)]
+
+
+def stop_discovery_service(harness):
+    """End the discovery service, so that its address refuses connections; return the address."""
+    address = harness.discovery_listener.getsockname()
+    harness.discovery_listener.close()
+    harness.watch_connection.close()
+    harness.router.wait("endpoint_watch_lost")
     return address
 
 
-def service_returns(made, address):
-    """Seconds from its return until the router has come back to it with its last number."""
-    made.discovery_listener = made.stack.enter_context(socket.create_server(address))
-    made.discovery_listener.settimeout(PATIENT)
+def restart_discovery_service(harness, address):
+    """Start the discovery service again; return the seconds until the router resumes with its last event number."""
+    harness.discovery_listener = harness.stack.enter_context(socket.create_server(address))
+    harness.discovery_listener.settimeout(PATIENT)
     start = time.monotonic()
-    made.watch_connection = made.accept_on(made.discovery_listener)
-    assert int.from_bytes(made.watch_connection.recv(8)) == made.last_event_number
+    harness.watch_connection = harness.accept_on(harness.discovery_listener)
+    assert int.from_bytes(harness.watch_connection.recv(8)) == harness.last_event_number
     return time.monotonic() - start
 
 
-def visit_is_served(made, client):
-    call = client.ask()
-    asked = made.accept_connection(0).next_request()
-    asked.answer("OK", OK_FIELDS, b"x")
-    kind, _, error, _ = client.answer(call)
+def is_request_served(harness, client):
+    """Send a request, answer it as the cache, and return whether the client gets the answer."""
+    call_id = client.ask()
+    cache_request = harness.accept_connection(0).next_request()
+    cache_request.answer("OK", OK_FIELDS, b"x")
+    kind, _, error, _ = client.answer(call_id)
     return kind == 1 and error is None
 
 
 @pytest.mark.parametrize("limit", LIMITS)
-def test_who_comes_while_idle_clients_fill_the_descriptors_is_answered(stand, limit):
-    """All machines' descriptors are held as well. Many connect in one turn, as after a pause of the router."""
+def test_new_clients_when_idle_clients_hold_all_descriptors_are_answered(stand, limit):
+    """All descriptors for servers are taken as well, and many clients connect in one turn, as after a stall."""
     most, new_clients = descriptor_limits(limit), 120
-    made = stand(limit, held_by_others=most.upstream)
-    address = service_goes(made)
-    without_clients = descriptors(made)
+    harness = stand(limit, held_by_others=most.upstream)
+    address = stop_discovery_service(harness)
+    without_clients = count_descriptors(harness)
     idle = []
-    for _ in range(most.clients):  # one after the other, so that it is known who has rested for longest
-        idle += connect_and_ping(made, 1)
-        assert answered(idle[-1])
-    assert readable(idle) == []  # all of them are kept
-    made.router.child.send_signal(signal.SIGSTOP)
-    new = connect_and_ping(made, new_clients)
-    made.router.child.send_signal(signal.SIGCONT)
+    for _ in range(most.clients):  # The clients become idle in this order.
+        idle += connect_and_ping(harness, 1)
+        assert is_ping_answered(idle[-1])
+    assert readable(idle) == []  # No idle client is closed yet.
+    harness.router.child.send_signal(signal.SIGSTOP)
+    new = connect_and_ping(harness, new_clients)
+    harness.router.child.send_signal(signal.SIGCONT)
     counts = []
     for client in new:
-        counts.append(descriptors(made))
-        assert answered(client)
-    assert max(counts) <= without_clients + most.clients + 1  # a try to reach the discovery service
+        counts.append(count_descriptors(harness))
+        assert is_ping_answered(client)
+    # The router may also hold a descriptor of an attempt to connect to the discovery service.
+    assert max(counts) <= without_clients + most.clients + 1
     assert max(counts) < limit - CLOSING_DESCRIPTORS
     closed = [client in readable([client]) for client in idle]
-    shed = closed.index(False)
-    assert new_clients <= shed < new_clients + MAX_CLOSES_PER_STEP and not any(closed[shed:])  # the oldest, and no more
-    assert visit_is_served(made, new[-1])
-    assert service_returns(made, address) < RECONNECT_WITHIN
+    closed_count = closed.index(False)
+    # Only the clients that have been idle for longest are closed.
+    assert new_clients <= closed_count < new_clients + MAX_CLOSES_PER_STEP and not any(closed[closed_count:])
+    assert is_request_served(harness, new[-1])
+    assert restart_discovery_service(harness, address) < RECONNECT_WITHIN_S
 
 
 @pytest.mark.parametrize("limit", LIMITS)
-def test_where_others_hold_more_than_promised_idle_clients_make_room(stand, limit):
-    """The system has no descriptor for a connection that it has accepted, though the budget has."""
+def test_idle_clients_when_other_descriptors_exceed_their_share_are_closed(stand, limit):
+    """The system has no descriptor for a waiting connection, although the router's own limit allows it."""
     most = descriptor_limits(limit)
-    made = stand(limit, held_by_others=most.upstream + 2 * RESERVED_DESCRIPTORS)
-    address = service_goes(made)
-    clients = connect_and_ping(made, most.clients)
-    assert all(answered(client) for client in clients)
-    assert descriptors(made) <= limit - WATCH_DESCRIPTORS
-    assert visit_is_served(made, clients[-1])
-    assert service_returns(made, address) < RECONNECT_WITHIN
-
-
-@pytest.mark.parametrize("system_limit", [SMALL, SMALL // 2], ids=["budget", "system"])
-def test_while_nobody_can_go_connections_wait_and_the_loop_does_not_spin(stand, system_limit):
-    """Each client has a visit open, so that none may be hung up on, and the listener stays readable."""
-    made = stand(SMALL, system_limit=system_limit)
+    harness = stand(limit, held_by_others=most.upstream + 2 * RESERVED_DESCRIPTORS)
+    address = stop_discovery_service(harness)
+    clients = connect_and_ping(harness, most.clients)
+    assert all(is_ping_answered(client) for client in clients)
+    assert count_descriptors(harness) <= limit - WATCH_DESCRIPTORS
+    assert is_request_served(harness, clients[-1])
+    assert restart_discovery_service(harness, address) < RECONNECT_WITHIN_S
+
+
+@pytest.mark.parametrize("system_limit", [MIN_LIMIT, MIN_LIMIT // 2], ids=["budget", "system"])
+def test_new_connections_when_no_client_is_idle_wait_without_a_spinning_loop(stand, system_limit):
+    """Each client has an open request, so that none may be closed, and the listener stays readable."""
+    harness = stand(MIN_LIMIT, system_limit=system_limit)
     clients = []
-    while len(clients) < descriptor_limits(SMALL).clients:
-        client = made.client()
-        client.visit = client.ask(budget="6000")
-        if system_limit < SMALL and descriptors(made) >= system_limit - 1:
+    while len(clients) < descriptor_limits(MIN_LIMIT).clients:
+        client = harness.client()
+        client.call_id = client.ask(budget="6000")
+        if system_limit < MIN_LIMIT and count_descriptors(harness) >= system_limit - 1:
             break
         clients.append(client)
-    box = made.accept_connection(0)
-    first = box.next_request()
-    new = connect_and_ping(made, 3)
-    start = cpu_time(made)
-    assert readable(new, WATCHED) == []  # neither answered nor closed
-    assert cpu_time(made) - start < WATCHED * SPINNING
-    clients.pop().socket.close()  # a descriptor is free
-    assert all(answered(client) for client in new)  # the new ones make room for one another once they are answered
+    cache = harness.accept_connection(0)
+    first = cache.next_request()
+    new = connect_and_ping(harness, 3)
+    start = cpu_time(harness)
+    assert readable(new, CPU_WINDOW_S) == []  # The new connections are neither answered nor closed.
+    assert cpu_time(harness) - start < CPU_WINDOW_S * MAX_CPU_SHARE
+    clients.pop().socket.close()  # The closed connection frees a descriptor.
+    assert all(is_ping_answered(client) for client in new)  # An answered client is closed for the next one.
     first.answer("OK", OK_FIELDS, b"x")
     assert readable(clients, PATIENT)
 
 
-def test_a_client_with_its_answer_makes_room_for_one_that_waits(stand):
-    made = stand(SMALL)
-    clients = [made.client() for _ in range(descriptor_limits(SMALL).clients)]
-    calls = [client.ask(budget="6000") for client in clients]
-    box = made.accept_connection(0)
-    asked = box.next_request()
-    [new] = connect_and_ping(made, 1)
+def test_client_when_answered_is_closed_for_a_waiting_connection(stand):
+    harness = stand(MIN_LIMIT)
+    clients = [harness.client() for _ in range(descriptor_limits(MIN_LIMIT).clients)]
+    call_ids = [client.ask(budget="6000") for client in clients]
+    cache = harness.accept_connection(0)
+    cache_request = cache.next_request()
+    [new] = connect_and_ping(harness, 1)
     assert readable([new], 0.1) == []
-    asked.answer("OK", OK_FIELDS, b"x")
-    assert answered(new)
+    cache_request.answer("OK", OK_FIELDS, b"x")
+    assert is_ping_answered(new)
     [served] = readable(clients)
-    assert served.answer(calls[clients.index(served)])[2] is None
+    assert served.answer(call_ids[clients.index(served)])[2] is None
 
 
-# Without sockets.
+# Tests of single objects without a router process.
 
 
-@pytest.mark.parametrize("limit", [SMALL, 256, 384, 512, 640, 672, 1024])
-def test_the_roles_never_hold_more_than_the_limit(limit):
+@pytest.mark.parametrize("limit", [MIN_LIMIT, 256, 384, 512, 640, 672, 1024])
+def test_descriptor_limits_of_all_roles_add_up_to_the_limit(limit):
     most = descriptor_limits(limit)
     assert most.upstream + most.clients + RESERVED_DESCRIPTORS == limit
-    assert most.upstream == limit // 3 <= most.clients or limit == SMALL
+    assert most.upstream == limit // 3 <= most.clients or limit == MIN_LIMIT
 
 
-def test_connections_being_closed_count_until_their_descriptors_are_free():
+def test_closed_connections_count_until_their_descriptors_are_free():
     admission = Admission(100)
     for _ in range(100):
         admission.connection_accepted()
     assert admission.available_count() == 0
     assert admission.wanted_close_count() == 1
     admission.clients_closed(1)
-    assert admission.available_count() == 0  # the one that was hung up on is not closed yet
+    assert admission.available_count() == 0  # The closed connection still holds its descriptor.
     admission.descriptor_freed()
     assert admission.available_count() == 1
 
 
-def test_more_are_shed_each_time_as_long_as_connections_wait():
+def test_close_count_while_connections_wait_is_doubled_each_time():
     admission = Admission(100)
     for _ in range(100):
         admission.connection_accepted()
@@ -255,15 +266,15 @@
     assert admission.wanted_close_count() == 1
 
 
-def test_one_that_ended_by_itself_and_holds_its_descriptor_on_does_not_keep_others_from_going(listening):
-    """As one that still has to take an answer: others make room all the same."""
-    made, connect, _ = listening
-    client = fill(made, connect)
-    made.clients.client_disconnected(client)
-    assert made.admission.open_descriptors == 1 and made.admission.wanted_close_count() == 1
+def test_ended_connection_that_still_holds_its_descriptor_does_not_stop_others_from_being_closed(listening):
+    """The connection may hold its descriptor because an answer is still being written on it."""
+    listener, connect, _ = listening
+    client = fill(listener, connect)
+    listener.clients.client_disconnected(client)
+    assert listener.admission.open_descriptors == 1 and listener.admission.wanted_close_count() == 1
 
 
-def test_a_turn_accepts_few_and_a_system_without_descriptors_lowers_the_bound_for_a_time():
+def test_accepts_per_turn_are_bounded_and_a_lack_of_descriptors_lowers_the_limit_for_a_time():
     admission = Admission(100)
     assert admission.available_count() == MAX_ACCEPTS_PER_TURN
     for _ in range(60):
@@ -280,15 +291,17 @@
     assert admission.current_limit == 100
 
 
-def test_a_client_that_has_not_taken_its_answer_is_not_idle():
-    """Hung up on, it would hold its descriptor for as long as it reads nothing."""
+def test_client_with_an_unwritten_answer_is_not_idle():
+    """Closing it would not free its descriptor as long as the client reads nothing."""
     clock = SimpleNamespace(now=lambda: 100.0, arrivals=Arrivals(0.0))
     clients = ClientConnections(None, clock, 9, lambda *_, **more: None)
 
-    class Named(SimpleNamespace):
+    class HashableNamespace(SimpleNamespace):
         __hash__ = object.__hash__
 
-    client = Named(open_requests=(), queued_requests=(), write_queue=(), has_ended=False, is_write_blocked=True)
+    client = HashableNamespace(
+        open_requests=(), queued_requests=(), write_queue=(), has_ended=False, is_write_blocked=True
+    )
     clients.update_idle(client)
     assert not clients.idle_since
     client.is_write_blocked = False
@@ -296,18 +309,18 @@
     assert client in clients.idle_since
 
 
-class Reading:
-    """A reactor that only knows what it is told to read."""
+class ReadingReactor:
+    """A reactor that only records which descriptors it is told to watch for reading."""
 
     def __init__(self):
-        self.read = set()
-        self.addReader, self.removeReader = self.read.add, self.read.discard
+        self.reading = set()
+        self.addReader, self.removeReader = self.reading.add, self.reading.discard
         self.addWriter = self.removeWriter = lambda _: None
 
 
 @pytest.fixture
 def listening():
-    """A listener with room for one client, a function that connects, and the calls for the next turn."""
+    """A listener for one client at most, a function that connects a client, and the calls for the next turn."""
     soon = []
     clock = SimpleNamespace(
         now=lambda: 100.0,
@@ -316,218 +329,225 @@
         arrivals=Arrivals(0.0),
     )
     clients = ClientConnections(None, clock, 1, lambda *_, **more: None)
-    place = socket.create_server(("127.0.0.1", 0))
-    address = place.getsockname()
-    place.setblocking(False)
-    made = Listener(Reading(), place, clients)
-    made.startListening()
+    server_socket = socket.create_server(("127.0.0.1", 0))
+    address = server_socket.getsockname()
+    server_socket.setblocking(False)
+    listener = Listener(ReadingReactor(), server_socket, clients)
+    listener.startListening()
     peers = []
 
     def connect():
         peers.append(socket.create_connection(address))
 
-    yield made, connect, soon
-    for one in peers:
-        one.close()
-    place.close()
+    yield listener, connect, soon
+    for peer in peers:
+        peer.close()
+    server_socket.close()
 
 
-def fill(made, connect):
-    """The one client that there is room for, and a second that waits."""
+def fill(listener, connect):
+    """Connect the one client that the listener accepts and a second one that waits; return the first."""
     connect()
     connect()
-    made.doRead()
-    assert made in made.reactor.read
-    made.doRead()
-    assert made not in made.reactor.read
-    [client] = made.clients.connections
+    listener.doRead()
+    assert listener in listener.reactor.reading
+    listener.doRead()
+    assert listener not in listener.reactor.reading
+    [client] = listener.clients.connections
     return client
 
 
-def test_accept_goes_on_as_soon_as_a_descriptor_is_free(listening):
-    made, connect, _ = listening
-    client = fill(made, connect)
+def test_listener_when_a_descriptor_is_freed_accepts_again(listening):
+    listener, connect, _ = listening
+    client = fill(listener, connect)
     client.transport.connectionLost(Failure(ConnectionDone()))
-    assert made in made.reactor.read
-    made.doRead()
-    assert len(made.clients.connections) == 1 and client not in made.clients.connections
-    assert made.admission.open_descriptors == 1
-
-
-def test_accept_looks_again_as_soon_as_a_client_rests(listening):
-    made, connect, soon = listening
-    client = fill(made, connect)
-    made.clients.data_received(client, True)  # it had its answer
-    assert made not in made.reactor.read  # not within a call of its own
-    [make_room, look] = soon
+    assert listener in listener.reactor.reading
+    listener.doRead()
+    assert len(listener.clients.connections) == 1 and client not in listener.clients.connections
+    assert listener.admission.open_descriptors == 1
+
+
+def test_listener_when_a_client_becomes_idle_accepts_again(listening):
+    listener, connect, soon = listening
+    client = fill(listener, connect)
+    listener.clients.data_received(client, True)  # This message makes the client idle: it has no open request.
+    assert listener not in listener.reactor.reading  # The listener does not resume within a call of the client.
+    [free_descriptors, resume_listener] = soon
     soon.clear()
-    make_room()  # as nobody rested yet; now one does
-    assert client.has_ended and made.admission.open_descriptors == 0 and made in made.reactor.read
-    look()
-    made.doRead()
-    assert len(made.clients.connections) == 1 == made.admission.open_descriptors
+    free_descriptors()  # It was scheduled when no client was idle; now one is.
+    assert client.has_ended and listener.admission.open_descriptors == 0 and listener in listener.reactor.reading
+    resume_listener()
+    listener.doRead()
+    assert len(listener.clients.connections) == 1 == listener.admission.open_descriptors
 
 
-def test_where_nobody_can_go_the_next_step_is_one_again(listening):
-    """Else all that come to rest after a wait would go for one that waits."""
-    made, connect, _ = listening
-    fill(made, connect)
+def test_close_count_when_no_client_could_be_closed_is_one_again(listening):
+    """Otherwise all clients that become idle after a long wait would be closed for one waiting connection."""
+    listener, connect, _ = listening
+    fill(listener, connect)
     for _ in range(5):
-        made.resume()
-        made.doRead()
-    assert made.admission.next_close_count == 1
+        listener.resume()
+        listener.doRead()
+    assert listener.admission.next_close_count == 1
 
 
-def test_a_sweep_looks_again_once(listening):
-    made, connect, soon = listening
-    fill(made, connect)
+def test_two_sweeps_resume_the_listener_once(listening):
+    listener, connect, soon = listening
+    fill(listener, connect)
     soon.clear()
-    made.clients.sweep()
-    made.clients.sweep()
+    listener.clients.sweep()
+    listener.clients.sweep()
     assert len(soon) == 1
 
 
 @pytest.mark.parametrize("number", [errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EIO])
-def test_a_system_that_gives_no_connection_is_not_asked_again_at_once(listening, number):
-    """Left readable, the loop would ask again without end."""
-    made, _, _ = listening
+def test_accept_when_it_keeps_failing_is_not_retried_at_once(listening, number):
+    """If the listener were still watched, the event loop would call accept without end."""
+    listener, _, _ = listening
 
     def accept():
         raise OSError(number, "no")
 
-    made.socket = SimpleNamespace(accept=accept, fileno=made.socket.fileno)
-    made.doRead()
-    assert made not in made.reactor.read
-    made.clients.schedule_listener_resume()
-    made.clients.resume_listener()
-    assert made in made.reactor.read
+    listener.socket = SimpleNamespace(accept=accept, fileno=listener.socket.fileno)
+    listener.doRead()
+    assert listener not in listener.reactor.reading
+    listener.clients.schedule_listener_resume()
+    listener.clients.resume_listener()
+    assert listener in listener.reactor.reading
 
 
-def test_a_connection_that_is_none_any_more_does_not_stop_the_next(listening):
-    made, connect, _ = listening
+def test_accept_when_one_connection_was_aborted_goes_on_with_the_next(listening):
+    listener, connect, _ = listening
     connect()
-    real, ends = made.socket, [ConnectionAbortedError(errno.ECONNABORTED, "gone")]
+    real, ends = listener.socket, [ConnectionAbortedError(errno.ECONNABORTED, "gone")]
 
     def accept():
         if ends:
             raise ends.pop()
         return real.accept()
 
-    made.admission.current_limit = 2
-    made.socket = SimpleNamespace(accept=accept, fileno=real.fileno)
-    made.doRead()
-    assert len(made.clients.connections) == 1
+    listener.admission.current_limit = 2
+    listener.socket = SimpleNamespace(accept=accept, fileno=real.fileno)
+    listener.doRead()
+    assert len(listener.clients.connections) == 1
 
 
-def test_a_fault_with_one_connection_does_not_close_the_listener(listening):
-    made, connect, _ = listening
+def test_listener_when_serving_a_connection_raises_stays_open(listening):
+    listener, connect, _ = listening
     faults = []
-    made.clients.request_table = SimpleNamespace(fault=faults.append)
-    made.clients.client_connected = lambda client: 1 / 0
+    listener.clients.request_table = SimpleNamespace(fault=faults.append)
+    listener.clients.client_connected = lambda client: 1 / 0
     aborted = []
-    made.reactor.callLater = lambda delay, call, *told: aborted.append((call, told))
+    listener.reactor.callLater = lambda delay, call, *told: aborted.append((call, told))
     connect()
-    made.doRead()
-    assert faults == ["accept"] and made in made.reactor.read
+    listener.doRead()
+    assert faults == ["accept"] and listener in listener.reactor.reading
     [(call, told)] = aborted
-    assert made.admission.open_descriptors == 1
+    assert listener.admission.open_descriptors == 1
     call(*told)
-    assert made.admission.open_descriptors == 0
+    assert listener.admission.open_descriptors == 0
 
 
-class Connecting:
-    """A reactor whose connections never come up."""
+class ConnectingReactor:
+    """A reactor whose connections are never established."""
 
     def connectTCP(self, host, port, factory, timeout):
         return SimpleNamespace(state="connecting", stopConnecting=lambda: None, transport=None)
 
 
-def caches_with(most, machines):
+def pools_with(max_connections, server_count):
+    """Return the pools of some servers, which share a limit on connections, and their clock."""
     clock = SimpleNamespace(
-        now=lambda: clock.time, call_after=lambda *_: None, call_soon=lambda *_: None, time=100.0, reactor=Connecting()
+        now=lambda: clock.time,
+        call_after=lambda *_: None,
+        call_soon=lambda *_: None,
+        time=100.0,
+        reactor=ConnectingReactor(),
     )
-    made = ConnectionPools(clock, pool()[0], PoolSettings(0.4, 15.0, 100, most), lambda *_, **more: None)
-    for mark in range(machines):
-        made.add_or_move(mark, str(mark), ("127.0.0.1", 1))
-    return made, clock
+    pools = ConnectionPools(clock, pool()[0], PoolSettings(0.4, 15.0, 100, max_connections), lambda *_, **more: None)
+    for server_id in range(server_count):
+        pools.add_or_move(server_id, str(server_id), ("127.0.0.1", 1))
+    return pools, clock
 
 
-def connected(caches, clock, mark):
-    """A connection to a machine that is up, with nothing open."""
+def establish_connection(pools, clock, server_id):
+    """Return an idle connection to a server, which becomes idle a second later than the one before it."""
     clock.time += 1.0
-    line = caches.pools_by_id[mark].send(b"a", mark, b"")
-    line.transport = Wire()
-    line.transport.getHandle = lambda: line.transport
-    line.connectionMade()
-    line.pending.clear()
-    return line
-
-
-def test_the_machine_line_that_rests_for_longest_goes_for_an_attempt_at_a_machine_without_one():
-    """Before, the attempt and the probe had no descriptor as long as other machines' connections rested."""
-    caches, clock = caches_with(3, machines=4)
-    lines = [connected(caches, clock, mark) for mark in range(3)]
-    lines[0].pending[b"b"] = 9  # in use
-    attempt = caches.pools_by_id[3].send(b"c", 10, b"")
-    assert attempt is not None and caches.pools_by_id[3].connections == [attempt]
-    assert [line.is_closing for line in lines] == [False, True, False]
-    assert caches.open_descriptors == 4  # the one that goes is not closed yet
-    lines[1].connectionLost(SimpleNamespace(getErrorMessage=str))
-    assert caches.open_descriptors == 3
-
-
-def test_a_line_whose_peer_takes_nothing_gives_its_descriptor_back():
-    """Closed in the ordinary way it waited for its last word to be written, for good."""
-    caches, clock = caches_with(3, machines=1)
-    line = connected(caches, clock, 0)
-    line.transport.room = 0
-    line.enqueue(b"", b"STOP")
-    line.close()
-    assert "abortConnection" in line.transport.calls and "loseConnection" not in line.transport.calls
-
-
-def test_on_sockets_the_line_that_rests_for_longest_goes_and_the_attempt_arrives():
+    connection = pools.pools_by_id[server_id].send(b"a", server_id, b"")
+    connection.transport = Wire()
+    connection.transport.getHandle = lambda: connection.transport
+    connection.connectionMade()
+    connection.pending.clear()
+    return connection
+
+
+def test_longest_idle_server_connection_is_closed_for_an_attempt_at_a_server_without_one():
+    """Otherwise attempts and probes fail for lack of a descriptor while connections to other servers are idle."""
+    pools, clock = pools_with(3, server_count=4)
+    connections = [establish_connection(pools, clock, server_id) for server_id in range(3)]
+    connections[0].pending[b"b"] = 9  # This connection has an open request.
+    attempt = pools.pools_by_id[3].send(b"c", 10, b"")
+    assert attempt is not None and pools.pools_by_id[3].connections == [attempt]
+    assert [connection.is_closing for connection in connections] == [False, True, False]
+    assert pools.open_descriptors == 4  # The connection being closed still counts.
+    connections[1].connectionLost(SimpleNamespace(getErrorMessage=str))
+    assert pools.open_descriptors == 3
+
+
+def test_server_connection_when_its_peer_reads_nothing_is_aborted_on_close():
+    """A regular close would wait forever for the last message to be written."""
+    pools, clock = pools_with(3, server_count=1)
+    connection = establish_connection(pools, clock, 0)
+    connection.transport.room = 0
+    connection.enqueue(b"", b"STOP")
+    connection.close()
+    assert "abortConnection" in connection.transport.calls and "loseConnection" not in connection.transport.calls
+
+
+def test_longest_idle_server_connection_on_real_sockets_is_closed_and_the_attempt_arrives():
     reactor = Reactor()
     with ExitStack() as stack:
-        places = [stack.enter_context(socket.create_server(("127.0.0.1", 0))) for _ in range(4)]
+        listeners = [stack.enter_context(socket.create_server(("127.0.0.1", 0))) for _ in range(4)]
         deadlines = Deadlines(reactor, [].append)
-        caches = ConnectionPools(deadlines, pool()[0], PoolSettings(5.0, 15.0, 100, 3), lambda *_, **more: None)
-        for mark, place in enumerate(places):
-            caches.add_or_move(mark, str(mark), place.getsockname())
+        pools = ConnectionPools(deadlines, pool()[0], PoolSettings(5.0, 15.0, 100, 3), lambda *_, **more: None)
+        for server_id, listener in enumerate(listeners):
+            pools.add_or_move(server_id, str(server_id), listener.getsockname())
 
-        def until(told):
+        def wait_until(is_true):
             end = time.monotonic() + PATIENT
-            while not told() and time.monotonic() < end:
+            while not is_true() and time.monotonic() < end:
                 reactor.iterate(0.01)
-            assert told()
-
-        def exchange(mark):
-            """A request and its answer on a new connection, as the machine has it."""
-            line = caches.pools_by_id[mark].send(b"%d" % mark, mark, resp.pack(b"REQ", b"%d" % mark, b"-", b""))
-            until(lambda: line.is_up)
-            made = stack.enter_context(places[mark].accept()[0])
-            made.settimeout(PATIENT)
-            assert b"REQ" in made.recv(4096)
-            made.sendall(resp.pack(b"%d" % mark, b"OK", b"-", b""))
-            until(lambda: not line.pending)
-            return made
-
-        peers = [exchange(mark) for mark in range(4)]
-        until(lambda: caches.open_descriptors == 3)
-        assert peers[0].recv(1) == b""  # the first was closed
+            assert is_true()
+
+        def exchange(server_id):
+            """Exchange a request and its answer on a new connection; return the server's end of the connection."""
+            connection = pools.pools_by_id[server_id].send(
+                b"%d" % server_id, server_id, resp.pack(b"REQ", b"%d" % server_id, b"-", b"")
+            )
+            wait_until(lambda: connection.is_up)
+            server_end = stack.enter_context(listeners[server_id].accept()[0])
+            server_end.settimeout(PATIENT)
+            assert b"REQ" in server_end.recv(4096)
+            server_end.sendall(resp.pack(b"%d" % server_id, b"OK", b"-", b""))
+            wait_until(lambda: not connection.pending)
+            return server_end
+
+        peers = [exchange(server_id) for server_id in range(4)]
+        wait_until(lambda: pools.open_descriptors == 3)
+        assert peers[0].recv(1) == b""  # The first connection was closed.
         for peer in peers[1:]:
             peer.setblocking(False)
             with pytest.raises(BlockingIOError):
                 peer.recv(1)
 
 
-def test_lines_being_closed_and_tried_are_bounded_too():
-    caches, clock = caches_with(3, machines=20)
-    for mark in range(3):
-        connected(caches, clock, mark)
-    attempts = [caches.pools_by_id[mark].send(b"c", mark, b"") for mark in range(3, 20)]
-    assert sum(attempt is not None for attempt in attempts) == 3  # none of those in use goes for another
-    assert caches.open_descriptors == 6 <= caches.max_connections + CLOSING_DESCRIPTORS
-    caches.open_descriptors = caches.max_connections + CLOSING_DESCRIPTORS
-    caches.pools_by_id[3].connections.clear()
-    assert caches.pools_by_id[3].send(b"d", 30, b"") is None
+def test_server_connections_being_closed_or_established_are_bounded():
+    pools, clock = pools_with(3, server_count=20)
+    for server_id in range(3):
+        establish_connection(pools, clock, server_id)
+    attempts = [pools.pools_by_id[server_id].send(b"c", server_id, b"") for server_id in range(3, 20)]
+    assert sum(attempt is not None for attempt in attempts) == 3  # No connection in use is closed for another.
+    assert pools.open_descriptors == 6 <= pools.max_connections + CLOSING_DESCRIPTORS
+    pools.open_descriptors = pools.max_connections + CLOSING_DESCRIPTORS
+    pools.pools_by_id[3].connections.clear()
+    assert pools.pools_by_id[3].send(b"d", 30, b"") is None
