--- a/tests/net/test_stalls.py
+++ b/tests/net/test_stalls.py
@@ -1,6 +1,7 @@
-"""The router's process stands still for a while at any line, as where others have its core: what it reads then is old.
+"""Stalls of the router process: what it reads after a stall has been in its sockets for as long.
 
-It is stopped by signal; what reaches its sockets meanwhile lies unread. Judged from outside, by the test's clock.
+A signal suspends the process, as if others had its core, while data arrives at its sockets. The tests judge by what
+clients and caches see, and by their own clock.
 """
 
 import errno
@@ -20,183 +21,194 @@
 from tests.support.router_process import OK_FIELDS, CacheConnection
 from wickhinge.net.downstream import msgpack
 
-SLACK = 0.15  # seconds that the deadline passed on may be more than what is left
-BUDGET = 2.0  # seconds; with 0.6 less there is time enough for an answer, so that the request is sent
-PAUSES = [0.3, 0.6]
+# Seconds by which the budget that is passed on to a cache may exceed the time that the client has left.
+BUDGET_SLACK_S = 0.15
+# Seconds of budget of a request. It leaves enough time for an answer after a stall of 0.6 s, so that the request is
+# sent.
+BUDGET_S = 2.0
+STALLS_S = [0.3, 0.6]
 
 
-def left_of(sent, budget=BUDGET):
-    return sent + budget - time.monotonic()
+def remaining_budget(sent_at, budget=BUDGET_S):
+    """Return the seconds that the client has left for a request that it sent at this time."""
+    return sent_at + budget - time.monotonic()
 
 
-def passed_on(asked):
-    """Seconds of budget that a request brought."""
-    return int(asked.fields["budget"]) / 1000
+def budget_passed_on(cache_request):
+    """Return the seconds of budget in a request that reached a cache."""
+    return int(cache_request.fields["budget"]) / 1000
 
 
 def ask(client):
-    client.ask("pages", budget=str(round(BUDGET * 1000)))
+    """Send a request with a budget of BUDGET_S."""
+    client.ask("pages", budget=str(round(BUDGET_S * 1000)))
 
 
-@pytest.mark.parametrize("pause", PAUSES)
+@pytest.mark.parametrize("stall", STALLS_S)
 @pytest.mark.parametrize("connection", ["open", "new"])
-def test_the_budget_passed_on_is_what_the_client_has_left(stand, connection, pause):
-    made = stand()
-    client = made.client()
-    line = warmed(made, client)
-    with made.suspended():
+def test_budget_passed_on_after_a_stall_is_what_the_client_has_left(stand, connection, stall):
+    harness = stand()
+    client = harness.client()
+    cache_connection = warmed(harness, client)
+    with harness.suspended():
         if connection == "new":
-            client = made.client()
-        sent = time.monotonic()
+            client = harness.client()
+        sent_at = time.monotonic()
         ask(client)
-        time.sleep(pause)
-    asked = line.next_request(BUDGET)
-    assert asked is not None
-    assert passed_on(asked) <= left_of(sent) + SLACK
+        time.sleep(stall)
+    cache_request = cache_connection.next_request(BUDGET_S)
+    assert cache_request is not None
+    assert budget_passed_on(cache_request) <= remaining_budget(sent_at) + BUDGET_SLACK_S
 
 
-class Collector:
-    """All requests that come to a machine, with the time at which each did."""
+class RequestCollector:
+    """Collects all requests that reach a cache, with the time at which each arrived."""
 
-    def __init__(self, made, place=0):
-        self.made, self.place, self.had = made, made.listeners[place], queue.Queue()
+    def __init__(self, harness, place=0):
+        self.harness, self.listener, self.received = harness, harness.listeners[place], queue.Queue()
         threading.Thread(target=self.accept, daemon=True).start()
 
     def accept(self):
+        """Read from each connection that the router opens; runs in a thread."""
         with suppress(OSError):
             while True:
-                self.follow(CacheConnection(self.place.accept()[0]))
+                self.follow(CacheConnection(self.listener.accept()[0]))
 
-    def follow(self, line):
-        threading.Thread(target=self.read, args=(line,), daemon=True).start()
+    def follow(self, connection):
+        """Read from a connection in a thread of its own."""
+        threading.Thread(target=self.read, args=(connection,), daemon=True).start()
 
-    def read(self, line):
+    def read(self, connection):
+        """Collect the requests of a connection until it ends; runs in a thread."""
         with suppress(OSError):
-            while (asked := line.next_request()) is not None:
-                self.had.put((time.monotonic(), asked))
+            while (cache_request := connection.next_request()) is not None:
+                self.received.put((time.monotonic(), cache_request))
 
 
 @pytest.mark.parametrize("count", [2, 8])
-def test_each_of_several_requests_in_one_read_is_as_old_as_it_is(stand, count):
-    """They came one by one while the router stood still."""
-    made = stand()
-    client = made.client()
-    line = warmed(made, client)
-    collector = Collector(made)
-    collector.follow(line)
-    sent = {}
-    with made.suspended():
+def test_budgets_of_several_requests_that_arrive_during_a_stall_count_their_own_ages(stand, count):
+    """The requests arrive one by one while the router process is suspended, and are read together."""
+    harness = stand()
+    client = harness.client()
+    connection = warmed(harness, client)
+    collector = RequestCollector(harness)
+    collector.follow(connection)
+    sent_at = {}
+    with harness.suspended():
         for part in range(count):
-            sent[str(part)] = time.monotonic()
-            client.ask("pages", budget=str(round(BUDGET * 1000)), block=str(part))
+            sent_at[str(part)] = time.monotonic()
+            client.ask("pages", budget=str(round(BUDGET_S * 1000)), block=str(part))
             time.sleep(0.5 / count)
     for _ in range(count):
-        came, asked = collector.had.get(timeout=BUDGET)
-        left = sent[asked.fields["blk"]] + BUDGET - came
-        assert passed_on(asked) <= left + SLACK
+        arrived_at, cache_request = collector.received.get(timeout=BUDGET_S)
+        remaining = sent_at[cache_request.fields["blk"]] + BUDGET_S - arrived_at
+        assert budget_passed_on(cache_request) <= remaining + BUDGET_SLACK_S
 
 
-def test_the_budget_is_what_is_left_when_a_connection_has_come_up_late(stand):
-    made = stand(change=patient)
-    late, client = made.stop_accepting(0), made.client()
-    sent = time.monotonic()
+def test_budget_passed_on_when_the_connection_is_established_late_is_what_is_left(stand):
+    harness = stand(change=patient)
+    accept_again, client = harness.stop_accepting(0), harness.client()
+    sent_at = time.monotonic()
     client.ask("pages", budget="2500")
     time.sleep(0.8)
-    asked = late().next_request()
-    assert passed_on(asked) <= left_of(sent, 2.5) + SLACK
+    cache_request = accept_again().next_request()
+    assert budget_passed_on(cache_request) <= remaining_budget(sent_at, 2.5) + BUDGET_SLACK_S
 
 
-def test_nothing_begins_after_the_end_of_its_request(stand):
-    made = stand()
-    client = made.client()
-    line = warmed(made, client)
-    with made.suspended():
+def test_request_that_expired_during_a_stall_is_not_sent(stand):
+    harness = stand()
+    client = harness.client()
+    connection = warmed(harness, client)
+    with harness.suspended():
         ask(client)
-        time.sleep(BUDGET + 0.1)
-    assert line.next_request(0.3) is None
+        time.sleep(BUDGET_S + 0.1)
+    assert connection.next_request(0.3) is None
     assert client.answer(client.calls)[2] is not None
 
 
-@pytest.mark.parametrize("pause", [0.15, 0.3, 0.45])
-def test_what_was_written_before_a_stop_within_the_shutdown_is_answered(stand, pause):
-    """A router that ends stands still just as its last waits run out, with requests in its sockets."""
-    made = stand()
-    client, other = made.client(), made.client()
-    warmed(made, client)
+@pytest.mark.parametrize("stall", [0.15, 0.3, 0.45])
+def test_requests_written_during_a_stall_in_the_shutdown_are_answered(stand, stall):
+    """The process is suspended at the end of the time in which it accepts clients, 0.75 s after SIGTERM."""
+    harness = stand()
+    client, other = harness.client(), harness.client()
+    warmed(harness, client)
     assert other.ping()
-    os.kill(made.router.child.pid, signal.SIGTERM)
-    time.sleep(0.7)  # 0.75 is the time in which clients still come
-    with made.suspended():
-        new = made.client()
-        calls = [(one, one.ask("pages", block="9")) for one in (client, other, new)]
-        time.sleep(pause)
-    for one, call in calls:
-        assert one.answer(call)[0] == 1
-
-
-def test_a_client_that_wrote_while_the_router_stood_still_is_not_hung_up_on(stand):
-    """It had half a request here for longer than it may, twice over; the other half came in time."""
-    made = stand()
-    client, other = made.client(), made.client()
-    whole = msgpack.pack([0, 1, "ping", [{}]])
-    client.socket.sendall(whole[:3])
+    os.kill(harness.router.child.pid, signal.SIGTERM)
+    time.sleep(0.7)
+    with harness.suspended():
+        new = harness.client()
+        requests = [(sender, sender.ask("pages", block="9")) for sender in (client, other, new)]
+        time.sleep(stall)
+    for sender, call_id in requests:
+        assert sender.answer(call_id)[0] == 1
+
+
+def test_client_that_completes_its_message_during_a_stall_is_not_disconnected(stand):
+    """The second half of its message arrives in time, but is read after twice the limit for an incomplete message."""
+    harness = stand()
+    client, other = harness.client(), harness.client()
+    message = msgpack.pack([0, 1, "ping", [{}]])
+    client.socket.sendall(message[:3])
     assert other.ping()
     time.sleep(1.0)
-    with made.suspended():
-        client.socket.sendall(whole[3:])
+    with harness.suspended():
+        client.socket.sendall(message[3:])
         time.sleep(3.6)
     assert client.answer(1)[3][0] is True
 
 
-def serve_forever(line, stop):
+def serve_until_stopped(connection, stop):
+    """Answer all requests on a connection until the event `stop` is set; runs in a thread."""
     with suppress(OSError):
         while not stop.is_set():
-            asked = line.next_request(0.05)
-            if asked is not None:
-                asked.answer("OK", OK_FIELDS, b"x" * 2000)
+            cache_request = connection.next_request(0.05)
+            if cache_request is not None:
+                cache_request.answer("OK", OK_FIELDS, b"x" * 2000)
 
 
-def test_stops_at_any_moment_lose_nothing(stand):
-    """A hundred short stops, drawn, under load."""
-    made = stand()
+def test_short_stalls_under_load_lose_no_request(stand):
+    """The process is suspended 30 times for 20 to 60 ms, while four clients send requests."""
+    harness = stand()
     stop = threading.Event()
-    clients = [made.client() for _ in range(4)]
-    threads = [threading.Thread(target=serve_forever, args=(warmed(made, clients[0]), stop), daemon=True)]
+    clients = [harness.client() for _ in range(4)]
+    threads = [threading.Thread(target=serve_until_stopped, args=(warmed(harness, clients[0]), stop), daemon=True)]
     threads[0].start()
-    made.listeners[0].settimeout(0.05)
+    harness.listeners[0].settimeout(0.05)
     for turn in range(30):
-        with made.suspended():
-            calls = [(client, client.ask("pages", budget="1500")) for client in clients]
+        with harness.suspended():
+            requests = [(client, client.ask("pages", budget="1500")) for client in clients]
             time.sleep(0.02 + 0.01 * (turn % 5))
-        for client, call in calls:
-            client.answer(call)
+        for client, call_id in requests:
+            client.answer(call_id)
         try:
-            thread = threading.Thread(target=serve_forever, args=(made.accept_connection(0), stop), daemon=True)
+            thread = threading.Thread(
+                target=serve_until_stopped, args=(harness.accept_connection(0), stop), daemon=True
+            )
             thread.start()
         except TimeoutError:
             pass
     stop.set()
 
 
-def test_a_request_is_decided_by_what_was_told_while_the_router_stood_still(stand):
-    """It lies behind the drain in time, whichever socket the system names first."""
-    made = stand(machines=("box", "box", "origin"))
-    clients = [made.client() for _ in range(12)]
+def test_requests_that_arrive_with_a_drain_event_during_a_stall_avoid_the_draining_cache(stand):
+    """The drain event is read before the requests, whichever socket the kernel returns first."""
+    harness = stand(machines=("box", "box", "origin"))
+    clients = [harness.client() for _ in range(12)]
     for client in clients:
         assert client.ping()
-    with made.suspended():
+    with harness.suspended():
         for client in clients:
             for part in range(4):
                 client.ask("pages", block=str(part))
-        made.send_drain_event(0)
+        harness.send_drain_event(0)
         time.sleep(1.2)
-    made.listeners[0].settimeout(0.5)
+    harness.listeners[0].settimeout(0.5)
     with pytest.raises(TimeoutError):
-        made.accept_connection(0)
+        harness.accept_connection(0)
 
 
 def has_ended(client):
-    """Whether the router has closed it, as far as has come here."""
+    """Return whether the end of the connection has reached the client."""
     client.socket.setblocking(False)
     try:
         return client.socket.recv(1, socket.MSG_PEEK) == b""
@@ -209,83 +221,84 @@
 
 
 def test_a_request_within_the_stop_of_an_idle_close_is_answered(stand):
-    """Idle connections are closed 5 s after their last answer, found by a sweep each 0.25 s. The router stands still
-    again and again about then; nothing that is written on a connection that has not ended is lost.
+    """Idle connections are closed 5 s after their last answer, by a sweep every 0.25 s.
+
+    The process is suspended several times around then. No request on a connection that has not ended may be lost.
     """
-    made = stand()
-    clients = [made.client() for _ in range(200)]
+    harness = stand()
+    clients = [harness.client() for _ in range(200)]
     for client in clients:
         assert client.ping()
     time.sleep(5.0)
     lost = 0
     for _ in range(10):
-        with made.suspended():
-            time.sleep(0.02)  # what was closed before the stop has come here
-            some = [client for client in clients if not has_ended(client)][:20]
-            written = [(client, client.ask("pages", budget="3000")) for client in some]
+        with harness.suspended():
+            time.sleep(0.02)  # Closes from before the stall reach the clients meanwhile.
+            open_clients = [client for client in clients if not has_ended(client)][:20]
+            written = [(client, client.ask("pages", budget="3000")) for client in open_clients]
             time.sleep(0.12)
-        for client, call in written:
+        for client, call_id in written:
             try:
-                client.answer(call)
+                client.answer(call_id)
             except (AssertionError, ConnectionError):
                 lost += 1
-        clients = [client for client in clients if client not in some]
+        clients = [client for client in clients if client not in open_clients]
     assert lost == 0
 
 
-def test_an_answer_that_came_in_time_is_not_given_up_on(stand):
-    """Deadlines that ran out while the router stood still ring after what lies in its sockets has been read."""
-    made = stand()
-    client = made.client()
-    line = warmed(made, client)
-    call = client.ask("pages", budget="600")
-    asked = line.next_request()
-    with made.suspended():
-        asked.answer("OK", OK_FIELDS, b"x")
+def test_response_that_arrives_in_time_during_a_stall_is_passed_on(stand):
+    """Deadlines that expire during a stall are served after the data in the sockets has been read."""
+    harness = stand()
+    client = harness.client()
+    connection = warmed(harness, client)
+    call_id = client.ask("pages", budget="600")
+    cache_request = connection.next_request()
+    with harness.suspended():
+        cache_request.answer("OK", OK_FIELDS, b"x")
         time.sleep(0.7)
-    assert client.answer(call)[2] is None
+    assert client.answer(call_id)[2] is None
 
 
-@pytest.mark.parametrize("pause", [0.3, 0.6])
-def test_the_deadline_passed_on_counts_a_stop_though_reads_are_short(faulty_stand, pause):
-    """Found by the soak, seed 4: a read that gave less than it might was taken for all that there was.
+@pytest.mark.parametrize("stall", [0.3, 0.6])
+def test_the_deadline_passed_on_counts_a_stop_though_reads_are_short(faulty_stand, stall):
+    """A read that returns less than there is (see recv(2)) must not be taken for the last one.
 
-    What lay behind it in the socket was read a turn later and taken for fresh: of eleven requests that had lain there
-    for 0.2 s and more, the log had `unread_ms` of 265 for four and of 3 for the others (recv(2) may give less).
+    Otherwise the rest of the data, read a turn later, counts as fresh. In the soak with seed 4, eleven requests were
+    unread for 0.2 s and more, and the log gave 265 ms for four of them and 3 ms for the others.
     """
-    made, shim = faulty_stand()
-    client = made.client()
-    line = warmed(made, client)
+    harness, shim = faulty_stand()
+    client = harness.client()
+    connection = warmed(harness, client)
     shim.fail(Call.SHORT_READ, 1.0)
-    with made.suspended():
+    with harness.suspended():
         asked_at = [time.monotonic()]
-        client.ask("pages", budget=str(round(BUDGET * 1000)), block="1")
+        client.ask("pages", budget=str(round(BUDGET_S * 1000)), block="1")
         asked_at.append(time.monotonic())
-        client.ask("pages", budget=str(round(BUDGET * 1000)), block="2")
-        time.sleep(pause)
+        client.ask("pages", budget=str(round(BUDGET_S * 1000)), block="2")
+        time.sleep(stall)
     for _ in range(2):
-        asked = line.next_request()
-        left = asked_at[int(asked.fields["blk"]) - 1] + BUDGET - time.monotonic()
-        assert float(asked.fields["budget"]) / 1000 <= left + SLACK
-        asked.answer("OK", OK_FIELDS, b"x")
+        cache_request = connection.next_request()
+        remaining = asked_at[int(cache_request.fields["blk"]) - 1] + BUDGET_S - time.monotonic()
+        assert float(cache_request.fields["budget"]) / 1000 <= remaining + BUDGET_SLACK_S
+        cache_request.answer("OK", OK_FIELDS, b"x")
     shim.calm()
 
 
 @pytest.mark.parametrize("failures", [1, 4])
 def test_the_deadline_passed_on_counts_a_stop_though_the_first_read_fails(faulty_stand, failures):
-    """Found by the soak, seed 1: what a poll has handed out was taken for read, though the read had failed.
+    """An event that a poll returned must not count as read if the read fails transiently.
 
-    A read that fails for a moment leaves the request where it lies. It was read a turn later and taken for fresh:
-    1.489 s were passed on with 1.300 s left, after a stop of 0.4 s.
+    Otherwise the request, read a turn later, counts as fresh. In the soak with seed 1, a budget of 1.489 s was passed
+    on with 1.300 s left, after a stall of 0.4 s.
     """
-    made, shim = faulty_stand()
-    client = made.client()
-    line = warmed(made, client)
-    with made.suspended():
+    harness, shim = faulty_stand()
+    client = harness.client()
+    connection = warmed(harness, client)
+    with harness.suspended():
         asked_at = time.monotonic()
-        client.ask("pages", budget=str(round(BUDGET * 1000)), block="1")
+        client.ask("pages", budget=str(round(BUDGET_S * 1000)), block="1")
         time.sleep(0.5)
         shim.fail_next(Call.CLIENT_READ, failures, errno.ENOMEM if failures > 1 else errno.EAGAIN)
-    asked = line.next_request()
-    assert float(asked.fields["budget"]) / 1000 <= asked_at + BUDGET - time.monotonic() + SLACK
+    cache_request = connection.next_request()
+    assert float(cache_request.fields["budget"]) / 1000 <= asked_at + BUDGET_S - time.monotonic() + BUDGET_SLACK_S
     assert shim.failed(Call.CLIENT_READ) == failures
