--- a/tests/net/test_net.py
+++ b/tests/net/test_net.py
@@ -1,4 +1,4 @@
-"""The sockets' side without a socket: parsers, tables, the map of ends."""
+"""Parsers, tables, timers, connections and settings of wickhinge.net; most tests use no real sockets."""
 
 import gc
 import json
@@ -37,7 +37,8 @@
 from wickhinge.net.upstream.connection_pools import ConnectionPools, PoolSettings, UpstreamConnection
 
 
-def plain(items):
+def with_bytes(items):
+    """Return the items of a RESP array, with bodies as bytes."""
     return [b"".join(item.views()) if isinstance(item, Body) else item for item in items]
 
 
@@ -63,15 +64,15 @@
 
 
 @pytest.mark.parametrize("value", VALUES)
-def test_msgpack_reads_what_it_writes_at_every_split(value):
+def test_msgpack_decodes_what_it_encodes_when_split_anywhere(value):
     data = msgpack.pack(value) + msgpack.pack([2, "abort", [7]])
     for split in range(len(data) + 1):
-        stream = msgpack.MessageDecoder()
-        assert stream.feed(data[:split]) + stream.feed(data[split:]) == [value, [2, "abort", [7]]]
+        decoder = msgpack.MessageDecoder()
+        assert decoder.feed(data[:split]) + decoder.feed(data[split:]) == [value, [2, "abort", [7]]]
 
 
 @pytest.mark.parametrize(
-    "data, told",
+    "data, message",
     [
         (b"\xc1", "unknown kind"),
         (b"\x91" * 9 + b"\x01", "too deep"),
@@ -83,34 +84,34 @@
     ],
     ids=range(7),
 )
-def test_msgpack_names_what_it_cannot_read(data, told):
-    with pytest.raises(msgpack.MalformedMessageError, match=told):
+def test_msgpack_when_malformed_raises_an_error_that_names_the_problem(data, message):
+    with pytest.raises(msgpack.MalformedMessageError, match=message):
         msgpack.MessageDecoder().feed(data)
 
 
 ANSWERS = [[b"9b1f03aa5c7e2d41", b"OK", b"etag=a,made=5", b"x\r\n" * 9], [b"p1", b"UP", b"-", b""], [b"a"]]
 
 
-def test_resp_reads_what_it_writes_at_every_split():
+def test_resp_decodes_what_it_encodes_when_split_anywhere():
     data = b"".join(resp.pack(*items) for items in ANSWERS)
     for split in range(len(data) + 1):
-        stream = resp.ReplyDecoder(pool()[0])
-        assert [plain(items) for items in stream.feed(data[:split]) + stream.feed(data[split:])] == ANSWERS
+        decoder = resp.ReplyDecoder(pool()[0])
+        assert [with_bytes(items) for items in decoder.feed(data[:split]) + decoder.feed(data[split:])] == ANSWERS
 
 
-def test_resp_body_over_several_buffers_goes_back_to_the_pool():
-    made, told = pool(limit=3)
+def test_resp_body_in_several_buffers_gives_them_back_to_the_pool():
+    buffer_pool, calls = pool(limit=3)
     body = bytes(range(256)) * (BUFFER_BYTES // 256 * 7 // 2)
-    (items,) = resp.ReplyDecoder(made).feed(resp.pack(b"a", b"OK", b"-", body))
-    assert plain(items)[3] == body and made.in_use == 4 and told == ["stop"]
+    (items,) = resp.ReplyDecoder(buffer_pool).feed(resp.pack(b"a", b"OK", b"-", body))
+    assert with_bytes(items)[3] == body and buffer_pool.in_use == 4 and calls == ["stop"]
     items[3].drop_written(BUFFER_BYTES + 5)
-    assert b"".join(items[3].views()) == body[BUFFER_BYTES + 5 :] and made.in_use == 3
+    assert b"".join(items[3].views()) == body[BUFFER_BYTES + 5 :] and buffer_pool.in_use == 3
     items[3].release()
-    assert made.in_use == 0 and told == ["stop", "go"] and made.free
+    assert buffer_pool.in_use == 0 and calls == ["stop", "go"] and buffer_pool.free
 
 
 @pytest.mark.parametrize(
-    "data, told",
+    "data, message",
     [
         (b"+OK\r\n", "line"),
         (b"*9\r\n", "array of 9"),
@@ -120,23 +121,23 @@
         (b"*" + b"1" * 40, "does not end"),
     ],
 )
-def test_resp_names_what_it_cannot_read(data, told):
-    with pytest.raises(resp.MalformedReplyError, match=told):
+def test_resp_when_malformed_raises_an_error_that_names_the_problem(data, message):
+    with pytest.raises(resp.MalformedReplyError, match=message):
         resp.ReplyDecoder(pool()[0]).feed(data)
 
 
-def test_body_of_a_visit_is_given_whole_again_for_each_forward():
-    made, _ = pool()
-    body = Body(made, b"ab" * BUFFER_BYTES)
-    assert b"".join(body.views()) == b"".join(body.views()) == b"ab" * BUFFER_BYTES and made.in_use == 2
+def test_request_body_can_be_read_completely_for_each_attempt():
+    buffer_pool, _ = pool()
+    body = Body(buffer_pool, b"ab" * BUFFER_BYTES)
+    assert b"".join(body.views()) == b"".join(body.views()) == b"ab" * BUFFER_BYTES and buffer_pool.in_use == 2
 
 
-def test_half_read_answer_of_a_lost_connection_gives_its_buffers_back():
-    made, _ = pool()
-    stream = resp.ReplyDecoder(made)
-    stream.feed(resp.pack(b"a", b"OK", b"-", b"x" * 100)[:-40])
-    stream.close()
-    assert made.in_use == 0
+def test_partly_read_response_of_a_lost_connection_gives_its_buffers_back():
+    buffer_pool, _ = pool()
+    decoder = resp.ReplyDecoder(buffer_pool)
+    decoder.feed(resp.pack(b"a", b"OK", b"-", b"x" * 100)[:-40])
+    decoder.close()
+    assert buffer_pool.in_use == 0
 
 
 @pytest.mark.parametrize(
@@ -147,19 +148,20 @@
         (b"etag=a=b", {"etag": "a=b"}),
     ],
 )
-def test_fields_of_answers(data, fields):
+def test_response_fields_are_parsed_with_their_load_report(data, fields):
     assert resp.parse_fields(data) == fields
     assert resp.parse_load_report(fields.get("use", "")) == ({"x1": 0.5} if "use" in fields else {})
 
 
 def frame(number, kind, payload=b""):
+    """Return a frame of the discovery service."""
     return endpoint_watch.FRAME_HEADER.pack(9 + len(payload), number, kind) + payload
 
 
 RECORD = endpoint_watch.ENDPOINT_RECORD.pack(0xC41F7A, 0x7F000009, 10080, 1, 2, 0, 3, 4500, 1764576000123)
 
 
-def test_journal_frames_at_every_split():
+def test_discovery_frames_when_split_anywhere_are_applied_in_order():
     data = (
         frame(41, 1, RECORD)
         + frame(41, 0)
@@ -167,48 +169,48 @@
         + frame(43, 4, endpoint_watch.GROUP_PURGE.pack(17, 6))
     )
     for split in range(len(data) + 1):
-        made, told = reading()
-        made.receive_data(made.connection, data[:split])
-        made.receive_data(made.connection, data[split:])
+        watch, events = reading()
+        watch.receive_data(watch.connection, data[:split])
+        watch.receive_data(watch.connection, data[split:])
         assert (
-            told == [(True, endpoint_watch.endpoint_records(RECORD)), (9, 0, 8), (None, 17, 6)]
-            and made.last_number == 43
+            events == [(True, endpoint_watch.endpoint_records(RECORD)), (9, 0, 8), (None, 17, 6)]
+            and watch.last_number == 43
         )
 
 
 @pytest.mark.parametrize(
     "data", [frame(42, 0) + frame(42, 2), frame(41, 9), frame(41, 2, b"x"), frame(41, 3, b"x"), b"\x00\x00\x00\x01x"]
 )
-def test_journal_never_guesses_over_a_gap_or_a_bad_frame(data):
-    made, told = reading()
-    made.receive_data(made.connection, data)
-    assert told == ["dropped"] and made.last_number == 40 and made.connection is None
+def test_endpoint_watch_after_a_gap_or_a_malformed_frame_drops_the_connection(data):
+    watch, events = reading()
+    watch.receive_data(watch.connection, data)
+    assert events == ["dropped"] and watch.last_number == 40 and watch.connection is None
 
 
-def test_an_event_written_twice_is_heard_once_and_costs_nothing():
-    made, told = reading()
+def test_discovery_event_when_sent_twice_is_applied_once():
+    watch, events = reading()
     for number in (40, 41, 41, 42, 41):
-        made.receive_data(made.connection, frame(number, 4, endpoint_watch.GROUP_PURGE.pack(number, 6)))
-    assert told == [(None, 41, 6), (None, 42, 6)] and made.last_number == 42
+        watch.receive_data(watch.connection, frame(number, 4, endpoint_watch.GROUP_PURGE.pack(number, 6)))
+    assert events == [(None, 41, 6), (None, 42, 6)] and watch.last_number == 42
 
 
-def test_a_journal_that_moved_is_asked_there_at_once_and_its_old_place_is_not_heard():
-    made, told = reading()
-    made.reactor = SimpleNamespace(connectTCP=lambda host, port, *_, **__: told.append(port))
-    old = made.connection
-    made.change_address(("127.0.0.1", 9))
-    made.handle_lost(old, "closed")
-    made.receive_data(old, frame(41, 4, endpoint_watch.GROUP_PURGE.pack(41, 6)))
-    made.change_address(("127.0.0.1", 9))
-    assert told == ["dropped", 9] and made.last_number == 40
+def test_endpoint_watch_when_the_address_changes_reconnects_and_ignores_the_old_connection():
+    watch, events = reading()
+    watch.reactor = SimpleNamespace(connectTCP=lambda host, port, *_, **__: events.append(port))
+    old = watch.connection
+    watch.change_address(("127.0.0.1", 9))
+    watch.handle_lost(old, "closed")
+    watch.receive_data(old, frame(41, 4, endpoint_watch.GROUP_PURGE.pack(41, 6)))
+    watch.change_address(("127.0.0.1", 9))
+    assert events == ["dropped", 9] and watch.last_number == 40
 
 
 @pytest.mark.parametrize("limits", [{"memory_mb": 32, "sockets": 256}, {"memory_mb": 192, "sockets": 1024}])
-def test_limits_of_every_day_are_taken(limits):
+def test_usual_process_limits_are_accepted(limits):
     assert config.process_limits({"limits": limits}) == tuple(limits.values())
 
 
-def test_a_stale_number_finds_nothing():
+def test_slot_number_of_a_removed_item_finds_nothing():
     slots = Slots()
     first = slots.put("a")
     assert slots.drop(first) == "a" and slots.drop(first) is None
@@ -216,14 +218,14 @@
     assert len(slots.items) == 1 and slots.get(first) is None and slots.get(second) == "b"
 
 
-def test_every_end_has_its_outcome_and_what_never_ran_is_known_as_such():
+def test_every_attempt_result_has_an_outcome_and_unexecuted_ones_are_known_as_such():
     assert set(OUTCOMES_BY_RESULT) == set(AttemptResult) and set(RESULTS_BY_STATUS.values()) <= set(AttemptResult)
-    never = {
-        end
-        for end, outcome in OUTCOMES_BY_RESULT.items()
+    unexecuted = {
+        result
+        for result, outcome in OUTCOMES_BY_RESULT.items()
         if outcome in (Outcome.CONNECT_FAILED, Outcome.NOT_SENT, Outcome.OVERLOADED, Outcome.MISS, Outcome.SUPERSEDED)
     }
-    assert never == {
+    assert unexecuted == {
         AttemptResult.REFUSED,
         AttemptResult.CONNECT_FAILED,
         AttemptResult.RESET_WHILE_CONNECTING,
@@ -240,7 +242,7 @@
 
 
 @pytest.mark.parametrize(
-    "reason, end",
+    "reason, result",
     [
         (error.ConnectionRefusedError(), AttemptResult.REFUSED),
         (error.TimeoutError(), AttemptResult.CONNECT_FAILED),
@@ -250,12 +252,12 @@
         (error.ConnectError(osError=104), AttemptResult.RESET_WHILE_CONNECTING),
     ],
 )
-def test_why_no_connection_came_up(reason, end):
-    assert connect_failure_result(Failure(reason)) is end
+def test_connect_failure_is_classified_by_its_error(reason, result):
+    assert connect_failure_result(Failure(reason)) is result
 
 
-class Clock:
-    """A reactor that only keeps its timers."""
+class RecordingReactor:
+    """A reactor that only records its timers, and how often it is told to catch up."""
 
     def __init__(self):
         self.timers, self.arrivals, self.caught_up = [], Arrivals(0.0), 0
@@ -268,9 +270,9 @@
         return SimpleNamespace(active=lambda: True, reset=lambda delay: self.timers.append((delay, call)))
 
 
-def test_deadlines_share_one_timer_come_in_order_and_outlive_a_fault():
-    clock, called, faults = Clock(), [], []
-    deadlines = Deadlines(clock, faults.append)
+def test_deadlines_share_one_timer_run_in_order_and_survive_an_exception():
+    reactor, called, faults = RecordingReactor(), [], []
+    deadlines = Deadlines(reactor, faults.append)
     deadlines.call_after(-1.0, called.append, "b")
     deadlines.call_after(-2.0, called.append, "a")
     deadlines.call_after(-1.5, lambda: 1 / 0)
@@ -279,30 +281,31 @@
     deadlines.fire()
     assert called == ["a", "b"] and faults == ["deadline"]
     deadlines.fire()
-    assert called == ["a", "b", "next turn"] and len({id(call.__func__) for _, call in clock.timers}) == 1
+    assert called == ["a", "b", "next turn"] and len({id(call.__func__) for _, call in reactor.timers}) == 1
 
 
 @pytest.mark.parametrize("room, written", [(0, b""), (4, b"*1\r\n")])
-def test_what_is_given_up_before_the_socket_took_it_is_never_sent_on(room, written):
-    """Held by the transport it went out after its visit's final answer, while the router stood still."""
-    made, ends, soon, _ = line(room)
-    made.send(b"a", 1, resp.pack(b"REQ"))
-    made.send(b"b", 2, resp.pack(b"REQ"))
-    made.cancel(b"a", 100.0)
-    made.socket.room = 1 << 20
-    made.resumeProducing()
-    made.resumeProducing()
-    if room:  # the rest of it must not follow, and nothing can without it
-        assert made.socket.data == written
-        call, told = soon.pop()
-        call(*told)
-        assert ends == {2: AttemptResult.LOST_UNWRITTEN} and "abortConnection" in made.socket.calls
+def test_request_cancelled_before_it_is_written_is_never_sent(room, written):
+    """Data held by the transport could be sent after its request was answered, while the router was stalled."""
+    connection, results, soon, _ = line(room)
+    connection.send(b"a", 1, resp.pack(b"REQ"))
+    connection.send(b"b", 2, resp.pack(b"REQ"))
+    connection.cancel(b"a", 100.0)
+    connection.socket.room = 1 << 20
+    connection.resumeProducing()
+    connection.resumeProducing()
+    if room:
+        # The rest of the cancelled request must not be written, so nothing else can be written on the connection.
+        assert connection.socket.data == written
+        call, arguments = soon.pop()
+        call(*arguments)
+        assert results == {2: AttemptResult.LOST_UNWRITTEN} and "abortConnection" in connection.socket.calls
     else:
-        assert made.socket.data == resp.pack(b"REQ") and not made.unwritten_tags
+        assert connection.socket.data == resp.pack(b"REQ") and not connection.unwritten_tags
 
 
 @pytest.mark.parametrize(
-    "silent, idle, goes",
+    "silent, idle, expected",
     [
         (0.0, 4.0, ["idle"]),
         (1.0, 4.0, ["silent"]),
@@ -311,84 +314,95 @@
         (None, 4.0, ["idle"]),
         (None, -1.0, []),
     ],
-)  # -1: it has asked again, which lies unread
-def test_who_has_its_answer_goes_before_who_may_not_have_been_read_yet(silent, idle, goes):
-    """Evicted first, new clients of a router in a pause lost their only request."""
+)  # idle = -1.0: the idle client has sent another request, which is unread.
+def test_client_closed_for_room_is_an_idle_one_before_a_new_one_without_request(silent, idle, expected):
+    """If new clients were closed first, they would lose the request that a stalled router has not read yet."""
     clock = SimpleNamespace(now=lambda: 100.0, arrivals=Arrivals(0.0))
-    clients, ended = ClientConnections(None, clock, 2, lambda *_, **more: None), []
+    clients, closed_kinds = ClientConnections(None, clock, 2, lambda *_, **more: None), []
 
-    class Named:
-        """A client that tells when it is hung up on."""
+    class RecordedClient:
+        """A client connection that records when it is closed."""
 
         earliest_unread_arrival = is_idle = lambda self: True
 
     for name, table, since in (("silent", clients.no_request_since, silent), ("idle", clients.idle_since, idle)):
         if since is not None:
-            made = Named()
-            made.open_requests, made.write_queue, made.queued_requests, made.is_write_blocked, made.has_ended = (
+            client = RecordedClient()
+            (
+                client.open_requests,
+                client.write_queue,
+                client.queued_requests,
+                client.is_write_blocked,
+                client.has_ended,
+            ) = (
                 (),
                 (),
                 (),
                 False,
                 False,
             )
-            # What lies unread is a request, as its socket is read.
-            made.read_all_pending = lambda _, gone=made, since=since: since < 0 and setattr(
-                gone, "is_idle", lambda: False
+            # A negative age stands for an unread request: reading it makes the client busy.
+            client.read_all_pending = lambda _, closed=client, since=since: since < 0 and setattr(
+                closed, "is_idle", lambda: False
             )
-            made.close_unless_unread = made.fail = lambda *_, gone=made, what=name: (
-                ended.append(what),
-                clients.client_disconnected(gone),
+            client.close_unless_unread = client.fail = lambda *_, closed=client, kind=name: (
+                closed_kinds.append(kind),
+                clients.client_disconnected(closed),
             )
-            clients.connections.add(made)
-            table[made] = 100.0 - since
+            clients.connections.add(client)
+            table[client] = 100.0 - since
     clients.connections.update(range(2 - len(clients.connections)))
-    assert clients.close_idle_clients(1) == len(goes)
-    assert ended == goes
-
-
-@pytest.mark.parametrize("heard, doubted", [(0.0, True), (0.2, False)])
-def test_a_machine_silent_on_one_connection_is_not_asked_on_its_others(heard, doubted):
-    """Each would have to be found silent by itself, by visits that run out of time."""
-    made, _, _, now = line()
-    other = UpstreamConnection(made.pool)
-    made.pool.connections.append(other)
+    assert clients.close_idle_clients(1) == len(expected)
+    assert closed_kinds == expected
+
+
+@pytest.mark.parametrize("received_later_s, is_other_suspect", [(0.0, True), (0.2, False)])
+def test_server_that_is_silent_on_one_connection_makes_its_other_connections_suspect(
+    received_later_s, is_other_suspect
+):
+    """Otherwise each connection would be found silent by requests of its own that time out."""
+    connection, _, _, now = line()
+    other = UpstreamConnection(connection.pool)
+    connection.pool.connections.append(other)
     other.is_up, other.transport, other.socket = True, Wire(), Wire()
     other.send(b"b", 2, b"x")
     now[0] += 0.1
-    made.send(b"a", 1, b"x")
-    other.last_received_at += heard
+    connection.send(b"a", 1, b"x")
+    other.last_received_at += received_later_s
     now[0] += 0.5
-    made.cancel(b"a", 100.1)
-    assert made.is_suspect and other.is_suspect is doubted
+    connection.cancel(b"a", 100.1)
+    assert connection.is_suspect and other.is_suspect is is_other_suspect
 
 
-def test_an_answer_that_stops_short_ends_its_connection():
-    made, ends, soon, now = line()
-    made.send(b"a", 1, b"x")
-    made.send(b"b", 2, b"x")
-    made.dataReceived(resp.pack(b"a", b"OK", b"-", b"x" * 50)[:-9])
-    ((call, told),) = soon
+def test_response_that_stops_halfway_ends_its_connection():
+    connection, results, soon, now = line()
+    connection.send(b"a", 1, b"x")
+    connection.send(b"b", 2, b"x")
+    connection.dataReceived(resp.pack(b"a", b"OK", b"-", b"x" * 50)[:-9])
+    ((call, arguments),) = soon
     now[0] += 0.5
-    made.socket.recv = lambda size, flags: b"x"  # the rest lies unread: the router is behind, not the cache
-    call(*told)
-    assert ends == {}
-    del made.socket.recv
-    call(*told)
-    assert ends == {1: AttemptResult.UNREADABLE, 2: AttemptResult.UNREADABLE} and made.pools.buffer_pool.in_use == 0
+    connection.socket.recv = lambda size, flags: b"x"  # The rest is unread: the router is late, not the cache.
+    call(*arguments)
+    assert results == {}
+    del connection.socket.recv
+    call(*arguments)
+    assert (
+        results == {1: AttemptResult.UNREADABLE, 2: AttemptResult.UNREADABLE}
+        and connection.pools.buffer_pool.in_use == 0
+    )
 
 
-def test_a_machine_gone_is_forgotten_when_nothing_is_out_there():
-    made, *_ = line()
-    made.send(b"a", 1, b"x")
-    made.pool.retire()
-    assert made.pools.pools_by_id
-    made.dataReceived(resp.pack(b"a", b"OK", b"-", b""))
-    assert not made.pools.pools_by_id
+def test_retired_server_pool_is_removed_when_no_request_is_pending():
+    connection, *_ = line()
+    connection.send(b"a", 1, b"x")
+    connection.pool.retire()
+    assert connection.pools.pools_by_id
+    connection.dataReceived(resp.pack(b"a", b"OK", b"-", b""))
+    assert not connection.pools.pools_by_id
 
 
 @pytest.mark.parametrize(
-    "word, told, probe, good",
+    "status, fields, is_probe, is_valid",
     [
         (b"OK", b"etag=a,made=1", False, True),
         (b"OK", b"etag=a", False, False),
@@ -400,18 +414,22 @@
         (b"OK", b"etag=a,made=1", True, False),
     ],
 )
-def test_a_word_that_does_not_fit_what_was_asked_is_unreadable(word, told, probe, good):
-    made, ended = line()[0].pools, []
-    forwards = attempts(made)
-    forwards.attempt_ended = lambda number, end, told, body: ended.append(end)
-    door = None if probe else DownstreamRequest(SimpleNamespace(taken=1), None, 1, "a", make_request_class(), 0.0)
-    number = forwards.slots.put(SentAttempt(door, None, None, 0.0, 1.0))
-    assert forwards.response_received(number, word, told, Body(made.buffer_pool, b"x")) is good
-    assert (ended == [AttemptResult.UNREADABLE]) is not good
+def test_response_status_that_does_not_fit_the_request_is_unreadable(status, fields, is_probe, is_valid):
+    pools, results = line()[0].pools, []
+    attempt_table = attempts(pools)
+    attempt_table.attempt_ended = lambda number, result, fields, body: results.append(result)
+    downstream_request = (
+        None
+        if is_probe
+        else DownstreamRequest(SimpleNamespace(started_count=1), None, 1, "a", make_request_class(), 0.0)
+    )
+    number = attempt_table.slots.put(SentAttempt(downstream_request, None, None, 0.0, 1.0))
+    assert attempt_table.response_received(number, status, fields, Body(pools.buffer_pool, b"x")) is is_valid
+    assert (results == [AttemptResult.UNREADABLE]) is not is_valid
 
 
 @pytest.mark.parametrize(
-    "change, told",
+    "change, message",
     [
         ({"listen": None}, "field listen"),
         ({"listen": "here:80"}, "field listen"),
@@ -422,94 +440,98 @@
         ({"known": {"pos": 1, "entries": [{"hosts": {"whole": True, "hosts": [{"host": "s-1"}]}}]}}, "field dial"),
     ],
 )
-def test_bad_configuration_is_named_by_its_key(tmp_path, change, told):
+def test_malformed_configuration_raises_an_error_that_names_its_field(tmp_path, change, message):
     conf = {"name": "n3", "listen": "127.0.0.1:5", "seed": "ab", "known": {"pos": 0, "entries": []}}
     (tmp_path / "c").write_text(json.dumps({**conf, **change}))
-    with pytest.raises(MalformedError, match=told):
-        made = config.read({"RELAY_CONFIG": str(tmp_path / "c"), "RELAY_NAME": "n3"})
+    with pytest.raises(MalformedError, match=message):
+        configuration = config.read({"RELAY_CONFIG": str(tmp_path / "c"), "RELAY_NAME": "n3"})
         for read in (config.listen_address, config.seed, config.process_limits, config.known_events):
-            read(made)
+            read(configuration)
 
 
-def test_what_lies_in_the_sockets_is_read_before_deadlines_that_a_standstill_made_late():
-    clock, called = Clock(), []
-    deadlines = Deadlines(clock, [].append)
-    clock.arrivals.poll_ended_at = deadlines.now()
-    deadlines.call_after(-1.0, lambda: called.append(clock.caught_up))
+def test_deadlines_that_a_stall_delayed_run_after_the_sockets_are_read():
+    reactor, called = RecordingReactor(), []
+    deadlines = Deadlines(reactor, [].append)
+    reactor.arrivals.poll_ended_at = deadlines.now()
+    deadlines.call_after(-1.0, lambda: called.append(reactor.caught_up))
     deadlines.fire()
-    clock.arrivals.poll_ended_at = deadlines.now() - 0.2
-    deadlines.call_after(-0.1, lambda: called.append(clock.caught_up))
+    reactor.arrivals.poll_ended_at = deadlines.now() - 0.2
+    deadlines.call_after(-0.1, lambda: called.append(reactor.caught_up))
     deadlines.fire()
-    clock.arrivals.poll_ended_at = deadlines.now()
-    clock.arrivals.is_behind = True  # the poll was broken off, and told nothing
-    deadlines.call_after(-0.1, lambda: called.append(clock.caught_up))
+    reactor.arrivals.poll_ended_at = deadlines.now()
+    reactor.arrivals.is_behind = True  # A signal interrupted the poll, which returned no events.
+    deadlines.call_after(-0.1, lambda: called.append(reactor.caught_up))
     deadlines.fire()
     assert called == [0, 1, 2]
 
 
 @pytest.mark.parametrize("how", ["closed by its peer", "closed by us", "refused", "given up"])
-def test_a_connection_that_has_ended_is_freed_without_the_collector(how):
-    """The collector is off in service: 4 KB a connection, two of them a second, crashed a router in half an hour."""
-    reactor, ended, errors = Reactor(), [], []
+def test_ended_server_connection_is_freed_without_the_garbage_collector(how):
+    """The collector is off in service: leaked connections of 4 KB, two a second, used up the memory in 30 minutes."""
+    reactor, log_lines, errors = Reactor(), [], []
     with ExitStack() as stack:
-        watch = lambda event: event["isError"] and errors.append(event)  # noqa: E731
-        log.addObserver(watch)
-        stack.callback(log.removeObserver, watch)
-        place = stack.enter_context(socket.create_server(("127.0.0.1", 0), backlog=1))
-        place.settimeout(5.0)
-        address = place.getsockname()
+        observe_errors = lambda event: event["isError"] and errors.append(event)  # noqa: E731
+        log.addObserver(observe_errors)
+        stack.callback(log.removeObserver, observe_errors)
+        server_socket = stack.enter_context(socket.create_server(("127.0.0.1", 0), backlog=1))
+        server_socket.settimeout(5.0)
+        address = server_socket.getsockname()
         if how == "refused":
-            place.close()
-        for _ in range(4 if how == "given up" else 0):  # no room for one more: it hears nothing
+            server_socket.close()
+        for _ in range(4 if how == "given up" else 0):  # These fill the backlog, so that one more gets no reply.
             other = stack.enter_context(socket.socket())
             other.setblocking(False)
             other.connect_ex(address)
-        deadlines = Deadlines(reactor, ended.append)
-        caches = ConnectionPools(
-            deadlines, pool()[0], PoolSettings(5.0, 15.0, 100, 50), lambda *_, **told: ended.append(told)
+        deadlines = Deadlines(reactor, log_lines.append)
+        pools = ConnectionPools(
+            deadlines, pool()[0], PoolSettings(5.0, 15.0, 100, 50), lambda *_, **fields: log_lines.append(fields)
         )
-        caches.add_or_move(1, "1", address)
+        pools.add_or_move(1, "1", address)
         gc.collect()
         gc.disable()
         try:
-            made = UpstreamConnection(caches.pools_by_id[1])
-            made.pool.connections.append(made)
-            made.connect(address)
-            seen = weakref.ref(made)
+            connection = UpstreamConnection(pools.pools_by_id[1])
+            connection.pool.connections.append(connection)
+            connection.connect(address)
+            reference = weakref.ref(connection)
             if how == "given up":
                 for _ in range(5):
                     reactor.iterate(0.01)
-                made.connect_timed_out()
+                connection.connect_timed_out()
             elif how != "refused":
-                while not made.is_up:
+                while not connection.is_up:
                     reactor.iterate(0.01)
-                there = place.accept()[0]
-                made.close() if how == "closed by us" else there.close()
+                server_end = server_socket.accept()[0]
+                connection.close() if how == "closed by us" else server_end.close()
             end = time.monotonic() + 5.0
-            while not made.has_ended and time.monotonic() < end:
+            while not connection.has_ended and time.monotonic() < end:
                 reactor.iterate(0.01)
-            assert made.has_ended and len(caches.pools_by_id[1].connections) == 0 == caches.open_descriptors
-            del made
-            reactor.iterate(0.0)  # what a turn of the loop still named
+            assert connection.has_ended and len(pools.pools_by_id[1].connections) == 0 == pools.open_descriptors
+            del connection
+            reactor.iterate(0.0)  # Runs a turn that drops the last references.
             deadlines.heap.clear()
-            assert seen() is None and gc.collect() == 0 and errors == []
+            assert reference() is None and gc.collect() == 0 and errors == []
         finally:
             gc.enable()
 
 
-def test_a_visit_denied_at_once_is_freed_without_the_collector():
-    """The collector is off in service: a circle would stay until the memory limit."""
+def test_request_rejected_at_once_is_freed_without_the_garbage_collector():
+    """The collector is off in service, so a reference cycle would stay until the memory limit is reached."""
     clock = SimpleNamespace(now=lambda: 100.0, call_at=lambda *_: None)
-    client = SimpleNamespace(send_error=lambda call, word, fields: None)
+    client = SimpleNamespace(send_error=lambda call_id, error, fields: None)
     decisions = make_router(caches=0, parents=0, direct_to_source=False)
-    forwards = SimpleNamespace(decisions=decisions, local_copies=None)
-    visits = RequestTable(forwards, clock, pool()[0], {"t": make_request_class()}, lambda *_, **more: None, [].append)
-    seen, take = [], decisions.route
-    decisions.route = lambda *told: seen.append(weakref.ref(visit := take(*told))) or visit
+    attempt_table = SimpleNamespace(decisions=decisions, local_copies=None)
+    request_table = RequestTable(
+        attempt_table, clock, pool()[0], {"t": make_request_class()}, lambda *_, **more: None, [].append
+    )
+    references, route = [], decisions.route
+    decisions.route = (
+        lambda *arguments: references.append(weakref.ref(routed_request := route(*arguments))) or routed_request
+    )
     gc.disable()
     try:
-        visits.start_request(client, 1, "t", {"rid": "0" * 16, "budget": "3000", "obj": "0" * 16}, b"", 100.0)
+        request_table.start_request(client, 1, "t", {"rid": "0" * 16, "budget": "3000", "obj": "0" * 16}, b"", 100.0)
         decisions.environment.timers.clear()
-        assert visits.answer_counts == {"denied": 1} and seen[0]() is None
+        assert request_table.answer_counts == {"denied": 1} and references[0]() is None
     finally:
         gc.enable()
