--- a/tests/wirehost/test_wirehost.py
+++ b/tests/wirehost/test_wirehost.py
@@ -146,12 +146,12 @@
 @pytest.mark.parametrize("expires_in_ms, is_sent", [(5000, True), (1, False)])
 def test_request_when_it_and_its_attempts_have_ended_is_forgotten(expires_in_ms, is_sent, event):
     hosted = HostedRouter(0, [])
-    hosted.power_on(*START_MESSAGES[0], 1.0)
-    hosted.announce(*START_MESSAGES[1], 1.0)
-    hosted.inbound("Inbound", {**REQUEST_MESSAGE[1], "expiresInMs": expires_in_ms}, 1.0)
+    hosted.handle_power_on(*START_MESSAGES[0], 1.0)
+    hosted.handle_announce(*START_MESSAGES[1], 1.0)
+    hosted.handle_inbound("Inbound", {**REQUEST_MESSAGE[1], "expiresInMs": expires_in_ms}, 1.0)
     assert bool(hosted.requests) is is_sent
-    (hosted.resolved if event is TIMEOUT_MESSAGE else hosted.gone)(*event, 1.1)
-    hosted.resolved(*TIMEOUT_MESSAGE, 1.2)
+    (hosted.handle_resolved if event is TIMEOUT_MESSAGE else hosted.handle_gone)(*event, 1.1)
+    hosted.handle_resolved(*TIMEOUT_MESSAGE, 1.2)
     assert not hosted.requests
 
 
--- a/wickhinge/clocks.py
+++ b/wickhinge/clocks.py
@@ -18,7 +18,7 @@
 # Returns the current Unix time of the system's clock, which may be stepped.
 wall_time: Callable[[], float] = time.time
 
-_OFFSET = wall_time() - monotonic()
+_STEADY_OFFSET_S = wall_time() - monotonic()
 # An estimate of remote clocks that improves by less than this many seconds is not reported.
 MIN_REPORTED_IMPROVEMENT_S = 0.1
 # If the wall clock moves against the monotonic clock by less than this many seconds, that is drift and not a step.
@@ -30,7 +30,7 @@
 
     It shows Unix time if the wall clock was right when this module was imported.
     """
-    return monotonic() + _OFFSET
+    return monotonic() + _STEADY_OFFSET_S
 
 
 class WallClockWatch:
--- a/wickhinge/routing/routed_request.py
+++ b/wickhinge/routing/routed_request.py
@@ -101,35 +101,35 @@
             return False
         if self.pending_attempts() and not self.router.capabilities.hedging:
             return False
-        earlier = self.attempts_that_may_have_run()
+        earlier_attempts = self.attempts_that_may_have_run()
         idempotency = self.request_class.idempotency
-        if not earlier or idempotency is Idempotency.IDEMPOTENT:
+        if not earlier_attempts or idempotency is Idempotency.IDEMPOTENT:
             return True
         if idempotency is Idempotency.NOT_IDEMPOTENT:
             return False
         time_left = self._deduplication_time_left(now)
         if time_left is not None and time_left <= 0.0:
             return False
-        return self._deduplicates_repeat_of(server, earlier)
+        return self._deduplicates_repeat_of(server, earlier_attempts)
 
     def _deduplication_time_left(self, now: float) -> float | None:
         """Return for how many seconds servers still recognize a repeat of this request by its idempotency key.
 
         None: no attempt may have run, or the request has no idempotency key.
         """
-        earlier = self.attempts_that_may_have_run()
-        if not earlier or self.request_class.idempotency is not Idempotency.IDEMPOTENCY_KEY:
+        earlier_attempts = self.attempts_that_may_have_run()
+        if not earlier_attempts or self.request_class.idempotency is not Idempotency.IDEMPOTENCY_KEY:
             return None
-        return earlier[0].sent_at + self.request_class.deduplication_window - DEDUPLICATION_MARGIN_S - now
+        return earlier_attempts[0].sent_at + self.request_class.deduplication_window - DEDUPLICATION_MARGIN_S - now
 
-    def _deduplicates_repeat_of(self, server: Server, earlier: list[Attempt]) -> bool:
+    def _deduplicates_repeat_of(self, server: Server, earlier_attempts: list[Attempt]) -> bool:
         """Return whether the server shares its idempotency keys with the servers of all these attempts."""
         group = self.request_class.deduplication_group
         if group == "all":
             return True
-        if any(attempt.server.zone != server.zone for attempt in earlier):
+        if any(attempt.server.zone != server.zone for attempt in earlier_attempts):
             return False
-        return group == "zone" or all(attempt.server.cell == server.cell for attempt in earlier)
+        return group == "zone" or all(attempt.server.cell == server.cell for attempt in earlier_attempts)
 
     def _is_trusted(self, server: Server) -> bool:
         # A request that is not idempotent goes to no server that is known only from an outdated endpoint list.
@@ -166,11 +166,11 @@
         if self.is_work_known and now - self.object_count.work_learned_at <= OBJECT_EVIDENCE_LIFETIME_S:
             return False
         evidence = self.router.work_evidence(self.request_class)
-        times = evidence.fills if is_fill else evidence.hits
-        answer_time = times.recent_mean(now)
+        answer_times = evidence.fill_times if is_fill else evidence.hit_times
+        answer_time = answer_times.recent_mean(now)
         if answer_time is not None and now + answer_time * _predicted_slowdown(utilization) > self.objective_deadline:
             return False
-        if times.has_enough_answers(now):
+        if answer_times.has_enough_answers(now):
             return True
         has_time = self.deadline - now >= MIN_TRIAL_TIME_S
         if self.request_class.idempotency is not Idempotency.IDEMPOTENT or not has_time:
@@ -193,17 +193,17 @@
         copy, copies = self.local_copy, self.router.local_copies
         if copy is None or copies is None:
             return False
-        answers = copies.is_current(copy, now)
-        if answers and self.request_class.freshness_lifetime:
+        may_answer = copies.is_current(copy, now)
+        if may_answer and self.request_class.freshness_lifetime:
             grace = self.request_class.stale_grace if is_last_resort else 0.0
-            answers = copies.age(copy, now) <= self.request_class.freshness_lifetime + grace
-        answers = answers and copies.transfer_end(copy, now) <= (
+            may_answer = copies.age(copy, now) <= self.request_class.freshness_lifetime + grace
+        may_answer = may_answer and copies.transfer_end(copy, now) <= (
             self.deadline if is_last_resort else self.objective_deadline
         )
-        self.local_copy = None if answers or is_last_resort else copy
-        if answers:
+        self.local_copy = None if may_answer or is_last_resort else copy
+        if may_answer:
             self.transport.serve_copy(copy)
-        return answers
+        return may_answer
 
     def copy_read(self, copy: LocalCopy, now: float, *, is_complete: bool) -> bool:
         """Handle the end of RequestTransport.serve_copy, and return whether the copy is the final answer.
@@ -212,15 +212,15 @@
         server, or given up if too little time is left.
         """
         copies = self.router.local_copies
-        answers = is_complete and not self.is_finished and copies is not None and copies.is_valid(copy, now)
-        if answers:
+        may_answer = is_complete and not self.is_finished and copies is not None and copies.is_valid(copy, now)
+        if may_answer:
             self.finish()
         elif not self.is_finished:
             if now + 2 * ANSWER_MARGIN_S < self.deadline:
                 self.try_edge_cache(now)
             else:
                 self.give_up(now)
-        return answers
+        return may_answer
 
     # The ordinary path: edge cache, then a fill from the object's parent or the origin.
 
@@ -310,8 +310,8 @@
         pacing, origin = self.router.origin_pacing, self.router.endpoints.origin
         is_origin_fetch = source is origin or source in self.sources_without_copy
         only_if_cached = not is_origin_fetch and bool(pacing.interval or self.rejecting_sources)
-        delaying = (origin or source) if is_origin_fetch else source
-        delay = delaying.fill_delay(self, only_if_cached=only_if_cached)
+        delaying_server = (origin or source) if is_origin_fetch else source
+        delay = delaying_server.fill_delay(self, only_if_cached=only_if_cached)
         delay = max(delay, source.fill_delay(self, only_if_cached=True))
         if self._is_too_late(utilization, now + delay, is_fill=True) or is_origin_fetch and now < pacing.next_fetch_at:
             # The source's link is full, the origin behind it is slow or rejects, or the next paced fetch is not due.
@@ -393,16 +393,16 @@
         The silent server is the cache, or else the source, if it has answered no request since the attempt was sent. It
         counts as failed, and an idempotent request with enough time left is retried.
         """
-        silent = attempt.server if attempt.server.last_answer_at < attempt.sent_at else attempt.source
-        if not attempt.is_pending or self.is_finished or silent.last_answer_at >= attempt.sent_at:
+        silent_server = attempt.server if attempt.server.last_answer_at < attempt.sent_at else attempt.source
+        if not attempt.is_pending or self.is_finished or silent_server.last_answer_at >= attempt.sent_at:
             return
         # With no other request in progress at the server, the silence may only mean that this one is slow.
-        if len(silent.pending_attempts) + len(silent.pending_fills) < 2:
+        if len(silent_server.pending_attempts) + len(silent_server.pending_fills) < 2:
             self.router.environment.call_later(0.3, lambda then: self.check_overdue(attempt, then))
             return
         # While the origin rejects or hangs, a silent parent may only be waiting for it. That is not its failure.
-        if silent is attempt.server or attempt.only_if_cached or not self.router.origin_pacing.interval:
-            silent.record_failure(now)
+        if silent_server is attempt.server or attempt.only_if_cached or not self.router.origin_pacing.interval:
+            silent_server.record_failure(now)
         if self.request_class.idempotency is Idempotency.IDEMPOTENT and now + self.work < self.objective_deadline:
             if self.router.capabilities.cancellation:
                 self.transport.cancel(attempt)
@@ -436,7 +436,7 @@
 
     def _observe_work(self, duration: float, now: float, *, is_fill: bool) -> None:
         evidence = self.router.work_evidence(self.request_class)
-        (evidence.fills if is_fill else evidence.hits).observe(duration, now)
+        (evidence.fill_times if is_fill else evidence.hit_times).observe(duration, now)
         if self.is_on_trial:
             evidence.end_trial()
 
--- a/wickhinge/routing/router.py
+++ b/wickhinge/routing/router.py
@@ -34,8 +34,8 @@
 CLASS_WORK_GAIN = 0.02
 # Share of a sample's excess over the shortest sample that is added to an object's work.
 OBJECT_WORK_GAIN = 0.05
-# Weight of one sample in a router's other moving averages, multiplied by the number of routers of the zone up to
-# MAX_GAIN_ROUTERS: with more routers, each of them sees fewer samples.
+# Weight of one sample in a router's other moving averages, multiplied by the number of routers of the zone. The weight
+# grows with that number, up to MAX_GAIN_ROUTERS, because each router then sees fewer samples.
 GAIN_PER_ROUTER = 0.1
 MAX_GAIN_ROUTERS = 3
 # Largest learned delay of a fill, relative to the time that the transfer alone takes.
@@ -62,7 +62,7 @@
     Attributes:
         capabilities: The optional features that the router may use.
         transfer_kb_per_s: Rate of a transfer at a server that transfers nothing else, in KB per second.
-        max_attempts: Most attempts of one request.
+        max_attempts: Largest number of attempts of one request.
         max_list_age: Seconds within which the endpoint list must be polled again; 0 for no limit.
         max_retry_after: Seconds that a rejected client is told to wait before it retries.
     """
@@ -106,14 +106,14 @@
         self.origin_pacing = OriginPacing(self.random_source)
 
     def start(self) -> None:
-        """Subscribe to the endpoint list if it is polled, and schedule the first round."""
+        """Start to watch the endpoint list unless it is pushed, and schedule the first round."""
         if self.capabilities.polls_endpoints:
             self.environment.watch_endpoints()
         spread = MAX_FIRST_ROUND_DELAY_S - MIN_FIRST_ROUND_DELAY_S
         self.environment.call_later(MIN_FIRST_ROUND_DELAY_S + spread * self.random_source.draw(), self.round)
 
     def watch_lost(self) -> None:
-        """Called when a poll of the endpoint list has failed: schedule another one."""
+        """Called when a poll of the endpoint list has failed: watch the list again after a random delay."""
         delay = self.poll_interval * (0.5 + self.random_source.draw())
         self.environment.call_later(delay, lambda _: self.environment.watch_endpoints())
 
@@ -315,7 +315,7 @@
         self.endpoints.cache_slow_start.observe_load(self.endpoints.edge_caches, now)
         self.endpoints.parent_slow_start.observe_load(self.endpoints.parents, now)
         if self.endpoints.origin:
-            self.endpoints.origin.decay()
+            self.endpoints.origin.decay_learned_values()
         self.serve_waiting(now)
 
     def _check_cache_health(self) -> None:
--- a/wickhinge/routing/server.py
+++ b/wickhinge/routing/server.py
@@ -18,7 +18,7 @@
 INITIAL_CONCURRENCY_LIMIT = 12.0
 # Lower bound of the concurrency limit that is learned from slow answers.
 MIN_LEARNED_CONCURRENCY_LIMIT = 0.3
-# A transfer that takes at least this many times as long as on an idle server was slowed down by other transfers.
+# A transfer that takes more than this many times as long as on an idle server was slowed down by other transfers.
 MIN_SLOWDOWN_RATIO = 1.25
 # Consecutive failures after which a server is ejected.
 FAILURES_BEFORE_EJECTION = 2
@@ -122,7 +122,7 @@
         delays = self.cached_fill_delays if only_if_cached else self.fill_delays
         return delays.get(request.request_class.name, 0.0) * (request.work + 0.1)
 
-    def decay(self) -> None:
+    def decay_learned_values(self) -> None:
         """Move learned delays and limits back towards their defaults; called once per round.
 
         Otherwise a server that gets no requests because of a learned value could never correct it.
--- a/wickhinge/routing/slow_start.py
+++ b/wickhinge/routing/slow_start.py
@@ -62,7 +62,7 @@
         self.usual_load += LOAD_GAIN * (sum(loads) / len(loads) - self.usual_load) if loads else 0.0
         for server in servers:
             server.sent_work = 0.0
-            server.decay()
+            server.decay_learned_values()
 
     def admits(  # noqa: PLR0913
         self, server: Server, own_capacity: float, share: float, work: float, now: float, *, min_requests: float = 0.0
@@ -73,9 +73,9 @@
         debt is earned.
 
         At most half a window's tokens can be saved. While the server's limit is below the capacity of a warm server,
-        savings are also bounded by this router's share of 2 * sqrt(N) requests, where N is the number of requests that
-        the limit allows per window. The reason is that a router which does not know of the restart yet sends a warm
-        server's load, on top of what all other routers have saved.
+        savings are also bounded by SPENDABLE_SHARE_OF_LIMIT of this router's share of 2 * sqrt(N) requests, where N is
+        the number of requests that the limit allows per window. The reason is that a router which does not know of the
+        restart yet sends a warm server's load, on top of what all other routers have saved.
 
         Args:
             server: The starting server.
--- a/wickhinge/routing/work_evidence.py
+++ b/wickhinge/routing/work_evidence.py
@@ -61,7 +61,7 @@
     """The answer times of one request class, and its request that is on trial."""
 
     def __init__(self) -> None:
-        self.hits, self.fills = AnswerTimes(), AnswerTimes()
+        self.hit_times, self.fill_times = AnswerTimes(), AnswerTimes()
         self._trial: RoutedRequest | None = None
         self._next_trial_at, self._retry_interval = DISTANT_PAST_S, FIRST_TRIAL_RETRY_INTERVAL_S
 
--- a/wickhinge/settings.py
+++ b/wickhinge/settings.py
@@ -1,4 +1,4 @@
-"""The settings: checks them, and builds a router and its request classes from them. Unknown keys are ignored.
+"""Checks the settings, and builds a router and its request classes from them. Unknown keys are ignored.
 
 Both fronts use this module. The keys are those of the platform's settings; docs/architecture.md maps them to the terms
 of this code.
--- a/wickhinge/wirehost/host.py
+++ b/wickhinge/wirehost/host.py
@@ -145,15 +145,15 @@
         """Write a line to the simulator's log."""
         self.add_action("NoteDown", {"line": text})
 
-    # Handlers of messages, each with the name of its message.
+    # Handlers of messages, named after their messages.
 
-    def power_on(self, name: str, fields: dict[str, Any], now: float) -> None:
+    def handle_power_on(self, name: str, fields: dict[str, Any], now: float) -> None:
         """Build the router from the settings in the message, and start it."""
         seed, conf = checks.integer(name, fields, "initSeed"), checks.mapping(name, fields, "conf")
         self.router, self.request_classes = build_router(conf, seed, self)
         self.router.start()
 
-    def announce(self, name: str, fields: dict[str, Any], now: float) -> None:
+    def handle_announce(self, name: str, fields: dict[str, Any], now: float) -> None:
         """Apply an endpoint list, or handle the loss of the subscription to it."""
         kind = checks.choice(name, fields, "kind", ("lost", *LIST_IS_COMPLETE))
         if kind == "lost":
@@ -174,7 +174,7 @@
             )
         self.router.endpoints.update(endpoints, now, complete=LIST_IS_COMPLETE[kind])
 
-    def inbound(self, name: str, fields: dict[str, Any], now: float) -> None:
+    def handle_inbound(self, name: str, fields: dict[str, Any], now: float) -> None:
         """Route a new request."""
         request_class = self.request_classes.get(checks.text(name, fields, "kind"))
         if request_class is None:
@@ -191,9 +191,9 @@
         )
         wire_request.routed = self.router.route(wire_request, request_class, request, now)
 
-    def resolved(self, name: str, fields: dict[str, Any], now: float) -> None:
+    def handle_resolved(self, name: str, fields: dict[str, Any], now: float) -> None:
         """Handle the end of an attempt."""
-        attempt, outcome = self.attempt(name, fields), self.outcome(name, fields)
+        attempt, outcome = self.find_attempt(name, fields), self.read_outcome(name, fields)
         duration, is_answered = checks.seconds(name, fields, "timeTakenMs"), checks.boolean(name, fields, "doneFlag")
         if attempt is None:
             return
@@ -203,68 +203,68 @@
         if attempt.request.is_finished:
             attempt.request.transport.close()
 
-    def ack_first(self, name: str, fields: dict[str, Any], now: float) -> None:
+    def handle_ack_first(self, name: str, fields: dict[str, Any], now: float) -> None:
         """Handle the first bytes of an attempt's answer."""
-        attempt = self.attempt(name, fields)
+        attempt = self.find_attempt(name, fields)
         if attempt is not None:
             attempt.request.answer_began(attempt, now)
 
-    def attempt(self, name: str, fields: dict[str, Any]) -> Any:
+    def find_attempt(self, name: str, fields: dict[str, Any]) -> Any:
         """Return the attempt that the message refers to; None if its request has been forgotten."""
         request = self.requests.get(checks.text(name, fields, "ref"))
         number = checks.integer(name, fields, "sendNo")
         return request.attempts[number] if request is not None and 0 <= number < len(request.attempts) else None
 
-    def outcome(self, name: str, fields: dict[str, Any]) -> Outcome:
+    def read_outcome(self, name: str, fields: dict[str, Any]) -> Outcome:
         """Return the outcome that the message contains."""
         code = checks.integer(name, fields, "disposition")
         if code not in OUTCOME_BY_CODE:
             raise MalformedError(f"{name}: field disposition holds an unknown code", self.number)
         return OUTCOME_BY_CODE[code]
 
-    def gone(self, name: str, fields: dict[str, Any], now: float) -> None:
+    def handle_gone(self, name: str, fields: dict[str, Any], now: float) -> None:
         """Handle the disconnection of a client."""
         request = self.requests.get(checks.text(name, fields, "ref"))
         if request is not None and request.routed is not None:
             request.routed.finish()
             request.close()
 
-    def check_result(self, name: str, fields: dict[str, Any], now: float) -> None:
+    def handle_check_result(self, name: str, fields: dict[str, Any], now: float) -> None:
         """Handle the result of a health check."""
         server = self.router.endpoints.servers.get(checks.integer(name, fields, "cache"))
-        outcome = self.outcome(name, fields)
+        outcome = self.read_outcome(name, fields)
         load = {} if fields.get("report") is None else checks.mapping(name, fields, "report")
         if server is not None:
             self.router.health_checked(server, outcome, load, now)
 
-    def expired_now(self, name: str, fields: dict[str, Any], now: float) -> None:
+    def handle_expired_now(self, name: str, fields: dict[str, Any], now: float) -> None:
         """Record a purge."""
         key = None if fields.get("contentId") is None else checks.hexadecimal(name, fields, "contentId")
         created = now - checks.seconds(name, fields, "howOldMs")
         self.router.purges.record_purge(key, checks.integer(name, fields, "setNo", 0), created, now)
 
-    def ring(self, name: str, fields: dict[str, Any], now: float) -> None:
+    def handle_ring(self, name: str, fields: dict[str, Any], now: float) -> None:
         """Make the call of an expired timer."""
         call = self.timers.pop(checks.integer(name, fields, "handle"), None)
         if call is not None:
             call(now)
 
-    def from_peer(self, name: str, fields: dict[str, Any], now: float) -> None:
+    def handle_from_peer(self, name: str, fields: dict[str, Any], now: float) -> None:
         """Check a message from another router. It is not used, because the routers share nothing."""
         checks.text(name, fields, "content")
 
 
 MESSAGE_HANDLERS = {
-    "PowerOn": HostedRouter.power_on,
-    "Announce": HostedRouter.announce,
-    "Inbound": HostedRouter.inbound,
-    "Resolved": HostedRouter.resolved,
-    "AckFirst": HostedRouter.ack_first,
-    "Gone": HostedRouter.gone,
-    "CheckResult": HostedRouter.check_result,
-    "ExpiredNow": HostedRouter.expired_now,
-    "Ring": HostedRouter.ring,
-    "FromPeer": HostedRouter.from_peer,
+    "PowerOn": HostedRouter.handle_power_on,
+    "Announce": HostedRouter.handle_announce,
+    "Inbound": HostedRouter.handle_inbound,
+    "Resolved": HostedRouter.handle_resolved,
+    "AckFirst": HostedRouter.handle_ack_first,
+    "Gone": HostedRouter.handle_gone,
+    "CheckResult": HostedRouter.handle_check_result,
+    "ExpiredNow": HostedRouter.handle_expired_now,
+    "Ring": HostedRouter.handle_ring,
+    "FromPeer": HostedRouter.handle_from_peer,
 }
 
 
