--- a/tests/net/test_crossings.py
+++ b/tests/net/test_crossings.py
@@ -268,8 +268,8 @@
         self.written = b""
         clock = SimpleNamespace(
             now=lambda: self.now,
-            call_after=lambda delay, call, *told: self.scheduled_calls.append(call),
-            call_soon=lambda call, *told: self.scheduled_calls.append(call),
+            call_after=lambda delay, call, *arguments: self.scheduled_calls.append(call),
+            call_soon=lambda call, *arguments: self.scheduled_calls.append(call),
             arrivals=Arrivals(self.now),
         )
         self.arrivals = clock.arrivals
@@ -426,7 +426,7 @@
     made.socket.room = 1 << 20
     made.resumeProducing()
     made.resumeProducing()
-    assert len(made.socket.data) == room and (AttemptResult.RECALLED in [told[-1] for _, told in soon])
+    assert len(made.socket.data) == room and (AttemptResult.RECALLED in [arguments[-1] for _, arguments in soon])
 
 
 def test_response_when_the_request_with_its_id_is_unwritten_is_ignored():
@@ -444,11 +444,11 @@
     for turn in range(12):
         if turn == 4:
             made.cancel(b"a", 100.0)
-        call, told = next(item for item in soon if item[0] == made.check_progress)
+        call, arguments = next(item for item in soon if item[0] == made.check_progress)
         soon.clear()
         now[0] += 0.2
         made.dataReceived(b"x")
-        call(*told)
+        call(*arguments)
         if turn == 3:
             assert not made.is_suspect and ends == {}  # The response is slow, but still waited for.
         if made.has_ended:
--- a/tests/net/test_request_log.py
+++ b/tests/net/test_request_log.py
@@ -107,9 +107,9 @@
     assert json.loads(line)["reason"] == "deadline exceeded"
     log = tmp_path / "router.log"
     log.write_text("cut off in the mid\n" + line)
-    told = CliRunner().invoke(main, ["trace", rid, str(log)])
-    assert told.exit_code == 0
-    assert "denied deadline exceeded" in told.output and "sent" in told.output and "000000a1" in told.output
+    result = CliRunner().invoke(main, ["trace", rid, str(log)])
+    assert result.exit_code == 0
+    assert "denied deadline exceeded" in result.output and "sent" in result.output and "000000a1" in result.output
     assert json.loads(CliRunner().invoke(main, ["trace", rid, str(log), "--json"]).output)[0]["rid"] == rid
     assert CliRunner().invoke(main, ["trace", "0" * 16, str(log)]).exit_code == 1
 
@@ -129,5 +129,5 @@
 
 def test_trace_command_when_a_log_has_the_old_field_names_prints_them(tmp_path):
     (tmp_path / "log").write_text(json.dumps({"event": "request", "rid": "00a1", "tariff": "pages", "patience": 3000}))
-    told = CliRunner().invoke(main, ["trace", "00a1", str(tmp_path / "log")])
-    assert told.exit_code == 0 and "tariff pages, patience 3000" in told.output
+    result = CliRunner().invoke(main, ["trace", "00a1", str(tmp_path / "log")])
+    assert result.exit_code == 0 and "tariff pages, patience 3000" in result.output
--- a/wickhinge/common/process_signals.py
+++ b/wickhinge/common/process_signals.py
@@ -83,9 +83,8 @@
     def _call_soon(self) -> None:
         if self._loop is not None and not self._is_call_pending:
             self._is_call_pending = True
-            with suppress(
-                OSError
-            ):  # The loop records the call before it wakes itself, and the wake descriptor has woken it.
+            # If waking the loop fails, the call is recorded all the same, and the wake descriptor has woken the loop.
+            with suppress(OSError):
                 self._loop.callFromThread(self._call)
 
     def _call(self) -> None:
