--- a/wickhinge/net/upstream/connection_pools.py
+++ b/wickhinge/net/upstream/connection_pools.py
@@ -267,7 +267,7 @@
             self.abandoned_response = (tag, now)
             self.is_suspect = True
         elif now - self.abandoned_response[1] >= MAX_ABANDONED_RESPONSE_S and not self.pools.is_paused:
-            self.end(AttemptResult.UNREADABLE, "a response to a cancelled request did not end in time")
+            self.end(AttemptResult.UNREADABLE, "a response that no request waits for did not end in time")
             return
         # Where this router is slow or has paused reading, the rest of the response may lie unread in the socket.
         if now - self.last_received_at < RESPONSE_STALL_S or self.pools.is_paused or has_unread_data(self.socket):
