--- a/wickhinge/net/control/endpoint_watch.py
+++ b/wickhinge/net/control/endpoint_watch.py
@@ -406,7 +406,7 @@
             self.deadlines.call_after(SILENCE_LIMIT_S - silence_s, self._check_silence, connection)
 
     def _confirm(self, connection: WatchConnection) -> None:
-        """Connect anew to learn at once whether there are more events.
+        """Open a new connection to learn at once whether there are more events.
 
         On an open connection, the frame that says that there are no more events may take a second to come. A new
         connection that requests the events after the last one gets this frame at once. The cost is one additional
