--- a/tests/net/test_descriptors.py
+++ b/tests/net/test_descriptors.py
@@ -435,7 +435,7 @@
 def test_listener_when_serving_a_connection_raises_stays_open(listening):
     listener, connect, _ = listening
     faults = []
-    listener.clients.request_table = SimpleNamespace(fault=faults.append)
+    listener.clients.request_table = SimpleNamespace(report_fault=faults.append)
     listener.clients.client_connected = lambda client: 1 / 0
     aborted = []
     listener.reactor.callLater = lambda delay, call, *told: aborted.append((call, told))
--- a/wickhinge/net/downstream/client_connection.py
+++ b/wickhinge/net/downstream/client_connection.py
@@ -67,7 +67,7 @@
     deadlines: Deadlines
     arrivals: Arrivals
     log: Callable[..., None]
-    is_shutting_down: bool  # True once the graceful shutdown has begun; pings are answered with it.
+    is_shutting_down: bool  # True once the graceful shutdown has begun; pings are answered with False then.
     is_paused: bool  # True while the buffers are exhausted, so that no request may begin.
     queued_bytes: int  # Bytes of requests queued during holds, of all clients.
 
@@ -251,12 +251,12 @@
         """
         if self.has_ended:
             return
-        kind = message[0] if type(message) is list and 3 <= len(message) <= 4 else None
-        params = message[-1] if kind is not None else None
-        if type(kind) is not int or type(params) is not list or not params:
+        message_type = message[0] if type(message) is list and 3 <= len(message) <= 4 else None
+        params = message[-1] if message_type is not None else None
+        if type(message_type) is not int or type(params) is not list or not params:
             raise msgpack.MalformedMessageError("the message is neither a request nor an abort notification")
-        call_id, first = message[1], params[0]
-        if kind == 0 and len(message) == 4 and type(call_id) is int and type(first) is dict:
+        call_id, first_param = message[1], params[0]
+        if message_type == 0 and len(message) == 4 and type(call_id) is int and type(first_param) is dict:
             if message[2] == "ping":
                 self.queued_pings.append(call_id)
                 return
@@ -270,12 +270,12 @@
                     "the request id is in use, the method is not a string, or too many requests are open"
                 )
             self.queue_request(call_id, message[2], params)
-        elif kind == 2 and call_id == "abort" and type(first) is int:
-            open_request = self.open_requests.pop(first, None)
+        elif message_type == 2 and call_id == "abort" and type(first_param) is int:
+            open_request = self.open_requests.pop(first_param, None)
             if open_request is not None:
                 self.clients.request_table.client_left(open_request, "aborted")
-            elif first in self.queued_requests:
-                self.dequeue_request(first)
+            elif first_param in self.queued_requests:
+                self.dequeue_request(first_param)
                 self.clients.request_table.request_log.count_unserved("aborted before it began")
         else:
             raise msgpack.MalformedMessageError("the message is neither a request nor an abort notification")
@@ -340,9 +340,9 @@
             # The hold slows down a client that repeats an invalid request as soon as it is answered. Other clients are
             # not affected.
             self.invalid_request_count += 1
-            hold = min(INITIAL_HOLD_S * 2 ** min(self.invalid_request_count, 9), MAX_HOLD_S)
-            self.hold_until = self.clients.deadlines.now() + hold
-            self.clients.deadlines.call_after(hold + 0.001, self.update_hold)
+            hold_s = min(INITIAL_HOLD_S * 2 ** min(self.invalid_request_count, 9), MAX_HOLD_S)
+            self.hold_until = self.clients.deadlines.now() + hold_s
+            self.clients.deadlines.call_after(hold_s + 0.001, self.update_hold)
             return
         if call_id in self.open_requests:
             self.open_requests[call_id] = open_request
--- a/wickhinge/net/downstream/client_connections.py
+++ b/wickhinge/net/downstream/client_connections.py
@@ -18,8 +18,8 @@
 # Seconds after which an idle connection is closed; clients close it themselves after 4 seconds.
 MAX_IDLE_S = 5.0
 SWEEP_INTERVAL_S = 0.25
-# Seconds for which a new connection, or one with an incomplete request, is not closed to free a descriptor, because its
-# request may be on the way.
+# Seconds for which a new connection, or one with an incomplete request, is not closed to free a descriptor, because the
+# (rest of the) request may be on the way.
 MIN_AGE_TO_CLOSE_S = 0.25
 # Kinds of client faults that are counted separately between two reports; all others are counted together.
 MAX_FAULT_KINDS = 32
--- a/wickhinge/net/downstream/descriptors.py
+++ b/wickhinge/net/downstream/descriptors.py
@@ -1,4 +1,4 @@
-"""The division of file descriptors by role, and the admission of client connections. Opens no sockets itself."""
+"""The division of the file descriptors of the process by role, and the admission of client connections."""
 
 from __future__ import annotations
 
@@ -13,13 +13,14 @@
 # Descriptors of connections to servers that are given up and not closed yet.
 CLOSING_DESCRIPTORS = 8
 RESERVED_DESCRIPTORS = PROCESS_DESCRIPTORS + WATCH_DESCRIPTORS + CLOSING_DESCRIPTORS
-# Connections to servers may hold one descriptor for each this many of the limit, that is a third of it.
+# Connections to servers may hold the descriptor limit of the process divided by this number.
 LIMIT_PER_UPSTREAM_DESCRIPTOR = 3
 # Client connections that are accepted in one turn of the event loop.
 MAX_ACCEPTS_PER_TURN = 16
 # Idle clients that are closed at once, before the descriptors of those closed earlier are free.
 MAX_CLOSES_PER_STEP = 16
-# Connections by which the limit on clients is lowered when the system has no descriptor although the division has one.
+# Number by which the limit on client connections is lowered when the system has no descriptor left although the limits
+# of all roles are kept.
 LIMIT_REDUCTION = WATCH_DESCRIPTORS + CLOSING_DESCRIPTORS
 
 
--- a/wickhinge/net/downstream/listener.py
+++ b/wickhinge/net/downstream/listener.py
@@ -113,11 +113,11 @@
             protocol.read_on_accept(arrival if self.backlog_since is None else min(arrival, self.backlog_since))
         except Exception:
             # Raised further, the exception would make the event loop close the listener.
-            self.clients.request_table.fault("accept")
+            self.clients.request_table.report_fault("accept")
             transport.abortConnection()
 
     def note_backlog(self) -> None:
-        """Remember since when connections are waiting, since their data is at least as old when it is read."""
+        """Record the time since which connections are waiting, because their data may be as old when it is read."""
         if self.backlog_since is None:
             self.backlog_since = self.arrivals.earliest_arrival_at
 
--- a/wickhinge/net/downstream/msgpack.py
+++ b/wickhinge/net/downstream/msgpack.py
@@ -8,7 +8,9 @@
 
 # Bytes of one message: enough for a body of 48,000 bytes and its fields.
 MAX_MESSAGE_BYTES = 65536
+# Arrays and maps that may be nested in each other.
 MAX_DEPTH = 6
+# Items of one array, or pairs of one map.
 MAX_ITEMS = 64
 
 # Type codes of numbers that follow their code in a fixed format.
@@ -37,6 +39,7 @@
     0xDE: ("map", NUMBER_FORMATS[0xCD]),
     0xDF: ("map", NUMBER_FORMATS[0xCE]),
 }
+# Type codes of values without further bytes.
 CONSTANTS = {0xC0: None, 0xC2: False, 0xC3: True}
 
 
--- a/wickhinge/net/downstream/request_table.py
+++ b/wickhinge/net/downstream/request_table.py
@@ -25,8 +25,8 @@
 MAX_BODY_BYTES = 48_000
 # Request ids in each of the two sets that detect ids used twice.
 MAX_RIDS_PER_SET = 2048
-MAX_GROUP = 255
-MAX_PART = 1 << 31
+MAX_GROUP_NUMBER = 255
+MAX_PART_NUMBER = 1 << 31
 # Seconds by which the recorded deadline of a request precedes its timeout. An attempt that may last past that deadline
 # gets no timer of its own, since it expires together with its request.
 DEADLINE_SLACK_S = 0.001
@@ -123,12 +123,12 @@
         self.request_table.local_copies.read(self, copy)
 
     def reject(self, retry_after: float, reason: RejectionReason) -> None:
-        """Answer that the request was not executed; retry_after: seconds the client should wait, 0 for none."""
+        """Reject the request; retry_after: seconds that the client should wait before the next try, 0 for none."""
         fields = {"backoff": str(int(retry_after * 1000))} if retry_after > 0 else {}
         self.end("denied", reason.value, lambda client: client.send_error(self.call_id, "Overloaded", fields))
 
     def fail(self, reason: RejectionReason) -> None:
-        """Answer that the request ended without a result and may have been executed."""
+        """Answer that the outcome of the request is unknown, since an attempt may have taken effect."""
         self.end("abandoned", reason.value, lambda client: client.send_error(self.call_id, "Abandoned", {}))
 
     # Called by attempts, local copies and the table.
@@ -204,13 +204,28 @@
         self,
         attempts: Attempts,
         deadlines: Deadlines,
-        pool: BufferPool,
+        buffer_pool: BufferPool,
         request_classes: dict[str, Any],
         log: Callable[..., None],
-        fault: Callable[[str], None],
+        report_fault: Callable[[str], None],
     ) -> None:
-        self.attempts, self.deadlines, self.pool, self.request_classes = attempts, deadlines, pool, request_classes
-        self.log, self.fault = log, fault
+        """Start with no requests.
+
+        Args:
+            attempts: Sends the attempts of all requests.
+            deadlines: The timers and the clock.
+            buffer_pool: The buffers for request bodies.
+            request_classes: The request classes by name.
+            log: Writes a log line.
+            report_fault: Called with a name while an exception is being handled.
+        """
+        self.attempts, self.deadlines, self.buffer_pool, self.request_classes = (
+            attempts,
+            deadlines,
+            buffer_pool,
+            request_classes,
+        )
+        self.log, self.report_fault = log, report_fault
         self.request_log = RequestLog(log)
         self.slots = Slots()
         self.decisions, self.local_copies = attempts.decisions, attempts.local_copies
@@ -247,7 +262,7 @@
         check_body_and_key(fields, body)
         self._remember_rid(rid)
         downstream_request = DownstreamRequest(self, client, call_id, rid, request_class, now, waited_s)
-        downstream_request.body = Body(self.pool, body) if body else None
+        downstream_request.body = Body(self.buffer_pool, body) if body else None
         downstream_request.upstream_fields = forwarded_fields(method, fields)
         if not request_class.pass_through and HEX_ID(fields.get("cached", "")):
             downstream_request.client_etag = fields["cached"]
@@ -284,11 +299,11 @@
                 # cycle.
                 downstream_request.routed_request = routed_request
         except Exception:
-            self.fault("visit")
+            self.report_fault("visit")
             downstream_request.end_with_internal_error()
 
     def expire_request(self, number: int) -> None:
-        """End a request that the routing decisions have not answered by its timeout, with its open attempts."""
+        """Expire the open attempts of a request at its timeout, and end it if it has not been answered by then."""
         downstream_request = self.slots.get(number)
         for attempt_number in list(downstream_request.open_attempts.values()) if downstream_request is not None else ():
             self.attempts.expire(attempt_number)
@@ -369,8 +384,8 @@
     """
     max_budget_ms = int(MAX_BUDGET_MS_PER_S * request_class.timeout)
     timeout = integer_field(fields, "budget", MIN_BUDGET_MS, max_budget_ms) / 1000.0 - waited_s
-    part = integer_field(fields, "block", 0, MAX_PART, 0)
-    group = integer_field(fields, "family", 0, MAX_GROUP, 0)
+    part = integer_field(fields, "block", 0, MAX_PART_NUMBER, 0)
+    group = integer_field(fields, "family", 0, MAX_GROUP_NUMBER, 0)
     has_no_object = request_class.pass_through and "obj" not in fields
     key = 0 if has_no_object else int(hex_field(fields, "obj"), 16)
     return Request(key, part, group, 0.0, timeout, "again" in fields)
--- a/wickhinge/net/runtime/deadlines.py
+++ b/wickhinge/net/runtime/deadlines.py
@@ -23,7 +23,7 @@
         """Return a timer that has the methods `active` and `reset` of Twisted's timers."""
 
     def catch_up(self) -> None:
-        """Read the sockets until no data is unread."""
+        """Handle the pending events of all sockets."""
 
 
 class Deadlines:
@@ -91,9 +91,8 @@
         if self.arrivals.is_behind or self.now() - self.arrivals.poll_ended_at > STALL_THRESHOLD_S:
             self.reactor.catch_up()
         heap, now, last_serial = self.heap, self.now(), self._last_serial
-        self._timer_due_at = (
-            -1.0
-        )  # Keeps calls that are scheduled from here from setting the timer; it is set once, below.
+        # Until the end of this method, newly scheduled calls do not set the timer; it is set once, below.
+        self._timer_due_at = -1.0
         while heap and heap[0][0] <= now and heap[0][1] <= last_serial:
             when, _, call, args = heappop(heap)
             if when:
--- a/wickhinge/net/runtime/event_loop_stalls.py
+++ b/wickhinge/net/runtime/event_loop_stalls.py
@@ -28,18 +28,18 @@
         """Log long stalls from now on."""
         self._log = log
 
-    def record_wait(self, began_at: float, timeout: float | None, ended_at: float) -> None:
+    def record_wait(self, began_at: float, timeout_s: float | None, ended_at: float) -> None:
         """Record a wait for events, and the turn of the event loop before it.
 
         Args:
             began_at: Time at which the wait began.
-            timeout: Seconds that it should last at most; None for no limit.
+            timeout_s: Seconds that it should last at most; None for no limit.
             ended_at: Time at which it ended.
         """
         if self._wait_ended_at is not None:
             self._record_stall("turn", began_at - self._wait_ended_at)
-        if timeout is not None:
-            self._record_stall("wait", ended_at - began_at - timeout)
+        if timeout_s is not None:
+            self._record_stall("wait", ended_at - began_at - timeout_s)
         self._wait_ended_at = ended_at
 
     def _record_stall(self, where: str, duration_s: float) -> None:
