--- a/tests/net/test_client_gone.py
+++ b/tests/net/test_client_gone.py
@@ -162,7 +162,7 @@
 def use_up_parent_quota(client, cache):
     """Send requests until the fill of the last one has to wait, because earlier fills used up the parent's quota."""
     cache.next_request().answer("MISS")
-    fill = cache.next_request()  # The quota of the parent delays the first fill.
+    fill = cache.next_request()  # The quota of the cold parent delays the first fill.
     for block in range(2, 12):
         fill.answer("OK", OK_FIELDS, b"x")
         assert client.answer(client.calls)[2] is None
--- a/tests/net/test_descriptors.py
+++ b/tests/net/test_descriptors.py
@@ -310,7 +310,7 @@
 
 
 class ReadingReactor:
-    """A reactor that only records which descriptors it is told to watch for reading."""
+    """A reactor that only records which descriptors are to be watched for reading."""
 
     def __init__(self):
         self.reading = set()
@@ -325,7 +325,7 @@
     clock = SimpleNamespace(
         now=lambda: 100.0,
         call_after=lambda *_: None,
-        call_soon=lambda call, *told: soon.append(call),
+        call_soon=lambda call, *arguments: soon.append(call),
         arrivals=Arrivals(0.0),
     )
     clients = ClientConnections(None, clock, 1, lambda *_, **more: None)
@@ -374,7 +374,7 @@
     assert listener not in listener.reactor.reading  # The listener does not resume within a call of the client.
     [free_descriptors, resume_listener] = soon
     soon.clear()
-    free_descriptors()  # It was scheduled when no client was idle; now one is.
+    free_descriptors()  # One client is idle now, and is closed.
     assert client.has_ended and listener.admission.open_descriptors == 0 and listener in listener.reactor.reading
     resume_listener()
     listener.doRead()
@@ -419,15 +419,15 @@
 def test_accept_when_one_connection_was_aborted_goes_on_with_the_next(listening):
     listener, connect, _ = listening
     connect()
-    real, ends = listener.socket, [ConnectionAbortedError(errno.ECONNABORTED, "gone")]
+    real_socket, errors = listener.socket, [ConnectionAbortedError(errno.ECONNABORTED, "gone")]
 
     def accept():
-        if ends:
-            raise ends.pop()
-        return real.accept()
+        if errors:
+            raise errors.pop()
+        return real_socket.accept()
 
     listener.admission.current_limit = 2
-    listener.socket = SimpleNamespace(accept=accept, fileno=real.fileno)
+    listener.socket = SimpleNamespace(accept=accept, fileno=real_socket.fileno)
     listener.doRead()
     assert len(listener.clients.connections) == 1
 
@@ -438,13 +438,13 @@
     listener.clients.request_table = SimpleNamespace(report_fault=faults.append)
     listener.clients.client_connected = lambda client: 1 / 0
     aborted = []
-    listener.reactor.callLater = lambda delay, call, *told: aborted.append((call, told))
+    listener.reactor.callLater = lambda delay, call, *arguments: aborted.append((call, arguments))
     connect()
     listener.doRead()
     assert faults == ["accept"] and listener in listener.reactor.reading
-    [(call, told)] = aborted
+    [(call, arguments)] = aborted
     assert listener.admission.open_descriptors == 1
-    call(*told)
+    call(*arguments)
     assert listener.admission.open_descriptors == 0
 
 
@@ -489,7 +489,7 @@
     attempt = pools.pools_by_id[3].send(b"c", 10, b"")
     assert attempt is not None and pools.pools_by_id[3].connections == [attempt]
     assert [connection.is_closing for connection in connections] == [False, True, False]
-    assert pools.open_descriptors == 4  # The connection being closed still counts.
+    assert pools.open_descriptors == 4  # The connection being closed counts until its descriptor is free.
     connections[1].connectionLost(SimpleNamespace(getErrorMessage=str))
     assert pools.open_descriptors == 3
 
--- a/tests/net/test_net.py
+++ b/tests/net/test_net.py
@@ -257,7 +257,7 @@
 
 
 class RecordingReactor:
-    """A reactor that only records its timers, and how often it is told to catch up."""
+    """A reactor that only records its timers and the number of calls of catch_up()."""
 
     def __init__(self):
         self.timers, self.arrivals, self.caught_up = [], Arrivals(0.0), 0
@@ -314,8 +314,8 @@
         (None, 4.0, ["idle"]),
         (None, -1.0, []),
     ],
-)  # idle = -1.0: the idle client has sent another request, which is unread.
-def test_client_closed_for_room_is_an_idle_one_before_a_new_one_without_request(silent, idle, expected):
+)  # An age of -1.0 means that the idle client has sent another request, which is unread.
+def test_client_closed_to_free_a_descriptor_is_not_one_that_just_connected(silent, idle, expected):
     """If new clients were closed first, they would lose the request that a stalled router has not read yet."""
     clock = SimpleNamespace(now=lambda: 100.0, arrivals=Arrivals(0.0))
     clients, closed_kinds = ClientConnections(None, clock, 2, lambda *_, **more: None), []
@@ -478,7 +478,9 @@
         address = server_socket.getsockname()
         if how == "refused":
             server_socket.close()
-        for _ in range(4 if how == "given up" else 0):  # These fill the backlog, so that one more gets no reply.
+        for _ in range(
+            4 if how == "given up" else 0
+        ):  # They fill the backlog, so that a further connection gets no reply.
             other = stack.enter_context(socket.socket())
             other.setblocking(False)
             other.connect_ex(address)
@@ -508,7 +510,7 @@
                 reactor.iterate(0.01)
             assert connection.has_ended and len(pools.pools_by_id[1].connections) == 0 == pools.open_descriptors
             del connection
-            reactor.iterate(0.0)  # Runs a turn that drops the last references.
+            reactor.iterate(0.0)  # The reactor refers to the events of its latest turn.
             deadlines.heap.clear()
             assert reference() is None and gc.collect() == 0 and errors == []
         finally:
--- a/wickhinge/net/runtime/arrivals.py
+++ b/wickhinge/net/runtime/arrivals.py
@@ -10,7 +10,7 @@
 Waits for events are short (MAX_WAIT_S). A wait that ended in time was ended by the arrival itself, so the data arrived
 at its end. Of a wait that ended late, only the start is known to precede the arrival.
 
-This module makes no system calls: it is told of polls and asked for times. All times are seconds of the steady clock.
+This module makes no system calls; the event loop records its polls here. All times are seconds of the steady clock.
 """
 
 from __future__ import annotations
