--- a/wickhinge/net/downstream/client_connections.py
+++ b/wickhinge/net/downstream/client_connections.py
@@ -170,11 +170,11 @@
         cause = (
             "idle"
             if table is self.idle_since
-            else "incomplete request"
+            else "half a request"
             if table is self.partial_message_since
             else "no request"
         )
-        reason = f"{cause}, to free a descriptor" if to_free_descriptor else cause
+        reason = f"{cause}, for room" if to_free_descriptor else cause
         if not client.close_unless_unread(reason):
             return False
         self.close_counts[reason] = self.close_counts.get(reason, 0) + 1
@@ -245,7 +245,7 @@
         for client in list(self.connections):
             client.read_all_pending(client.earliest_unread_arrival())
             if not client.has_ended and client.is_idle():
-                client.close_unless_unread("router is shutting down")
+                client.close_unless_unread("the router ends")
         return not self.connections
 
     def has_unread_requests(self) -> bool:
--- a/wickhinge/net/downstream/request_table.py
+++ b/wickhinge/net/downstream/request_table.py
@@ -145,7 +145,7 @@
     def end_with_internal_error(self) -> None:
         """End the request after a fault of the router; the answer leaves open whether it was executed."""
         if not self.has_ended:
-            self.end("broken", "internal error", lambda client: client.send_error(self.call_id, "Internal", {}))
+            self.end("broken", "a fault of ours", lambda client: client.send_error(self.call_id, "Internal", {}))
         if self.routed_request is not None:
             self.routed_request.is_finished = True
         for number in list(self.open_attempts.values()):
@@ -172,7 +172,7 @@
         """Return whether the request has ended, after reading a cancellation or close that may be in the socket."""
         client = self.client
         if client is not None and not client.is_request_open(self.call_id):
-            self.request_table.client_left(self, "client gone before an attempt")
+            self.request_table.client_left(self, "found gone before an attempt")
         return self.has_ended
 
     def recall_attempts(self) -> None:
@@ -256,7 +256,7 @@
         waited_s = max(now - arrival, 0.0)
         request_class = self.request_classes.get(method)
         if request_class is None:
-            raise InvalidRequestError("method is not the name of a request class")
+            raise InvalidRequestError("method names no tariff")
         rid = hex_field(fields, "rid")
         request = parse_request(fields, request_class, waited_s)
         check_body_and_key(fields, body)
@@ -398,9 +398,9 @@
         InvalidRequestError: One of them is invalid.
     """
     if len(body) > MAX_BODY_BYTES:
-        raise InvalidRequestError(f"the request body is longer than {MAX_BODY_BYTES} bytes")
+        raise InvalidRequestError(f"the body holds over {MAX_BODY_BYTES} bytes")
     if not IDEMPOTENCY_KEY(fields.get("token", "-")):
-        raise InvalidRequestError("field token is not 1 to 64 letters, digits, hyphens or underscores")
+        raise InvalidRequestError("field token is no mark of up to 64 letters and digits")
 
 
 def forwarded_fields(method: str, fields: dict[str, str]) -> str:
