--- a/tests/changelog/test_router_changes.py
+++ b/tests/changelog/test_router_changes.py
@@ -73,7 +73,7 @@
     assert changes.told[:2] == [(7, 3, 5, 0), (None, 4, 6, 0)] and changes.told[3] == "changelog_reset"
     waiting = [
         SimpleNamespace(
-            forward=SimpleNamespace(request=SimpleNamespace(object_count=SimpleNamespace(key=key), group=group))
+            attempt=SimpleNamespace(request=SimpleNamespace(object_count=SimpleNamespace(key=key), group=group))
         )
         for key, group in ((7, 0), (8, 4), (8, 3))
     ]
@@ -90,7 +90,7 @@
     holds, event = changes.told
     assert event == "changelog_uninformed"
     assert not holds(
-        SimpleNamespace(forward=SimpleNamespace(request=SimpleNamespace(request_class=SimpleNamespace(pass_through=0))))
+        SimpleNamespace(attempt=SimpleNamespace(request=SimpleNamespace(request_class=SimpleNamespace(pass_through=0))))
     )
 
 
