--- a/bench/discovery.py
+++ b/bench/discovery.py
@@ -372,27 +372,27 @@
         port = HerdPort(self, made)
         settings = MembershipSettings(
             deployment="d",
-            routers=routers,
-            upper_kinds=("parent", "origin"),
+            router_count=routers,
+            upper_tier_kinds=("parent", "origin"),
             fallback_delay_s=0.5,
             hint_age_s=86400.0,
             max_uninformed_copy_age_s=0.0,
             quiet_s=3.0,
-            purge_done_s=6.0,
+            purge_completion_s=6.0,
         )
         members = port.members = MembershipController(port, RandomSource(number + 1000), settings)
         members.start(self.stored, [], self.now)
         if self.blind:
-            adopt = members.adopt
+            adopt = members.adopt_fallback_list
 
             def all_of_it(*words: Any) -> None:
                 adopt(*words)
                 members.probation.clear()
-                port.list_endpoints(
+                port.apply_listings(
                     [EndpointListing(one, one.state, is_trusted=True) for one in members.statements.endpoints.values()]
                 )
 
-            members.adopt = all_of_it
+            members.adopt_fallback_list = all_of_it
         made.start()
         self.routers.append((made, members))
         self.ticking(members)
@@ -458,7 +458,7 @@
         self.herd, self.router = herd, router
         self.members: MembershipController
 
-    def list_endpoints(self, listings: list[EndpointListing]) -> None:
+    def apply_listings(self, listings: list[EndpointListing]) -> None:
         rows = []
         for one in listings:
             told = one.statement
@@ -481,7 +481,7 @@
         herd.cells[mark].probes.append(herd.now)
         herd.at(herd.now + 0.005, lambda: self.members.record_health_check(mark, herd.now, healthy=True))
 
-    def recover_purge(self, purge: Any) -> None:
+    def apply_purge(self, purge: Any) -> None:
         pass
 
     def log_event(self, event: str, /, **fields: object) -> None:
--- a/bench/planted.py
+++ b/bench/planted.py
@@ -19,16 +19,16 @@
         from wickhinge.membership.controller import MembershipController
         from wickhinge.membership.port import EndpointListing
 
-        adopt = MembershipController.adopt
+        adopt = MembershipController.adopt_fallback_list
 
         def all_of_it(self, statements, source, age_s, now):
             adopt(self, statements, source, age_s, now)
             self.probation.clear()
-            self._port.list_endpoints(
+            self._port.apply_listings(
                 [EndpointListing(one, one.state, is_trusted=True) for one in self.statements.endpoints.values()]
             )
 
-        MembershipController.adopt = all_of_it
+        MembershipController.adopt_fallback_list = all_of_it
     elif fault == "drains":
         from wickhinge.routing.endpoints import Endpoints
 
--- a/tests/membership/test_comparison.py
+++ b/tests/membership/test_comparison.py
@@ -3,7 +3,7 @@
 import pytest
 
 from tests.support.statements import statement
-from wickhinge.membership.comparison import compare
+from wickhinge.membership.comparison import compare_lists
 
 
 @pytest.mark.parametrize(
@@ -17,6 +17,6 @@
 )
 def test_compare_when_the_list_is_suspiciously_small_warns(new, doubts):
     old = [statement(mark) for mark in range(1, 6)] + [statement(100, kind="parent", zone="hub")]
-    answer = compare(old, new)
+    answer = compare_lists(old, new)
     assert doubts in "; ".join(answer.warnings) and bool(answer.warnings) == bool(doubts)
     assert len(answer.gone) == len(old) - len(new)
--- a/tests/membership/test_controller.py
+++ b/tests/membership/test_controller.py
@@ -5,7 +5,7 @@
 from tests.support.statements import statement
 from wickhinge.membership import stored_list
 from wickhinge.membership.controller import MembershipController
-from wickhinge.membership.list_exchange import ReplicaAnswer
+from wickhinge.membership.list_exchange import ListAnswer
 from wickhinge.membership.port import MembershipSettings
 from wickhinge.membership.recent_purges import PurgeRecord
 from wickhinge.membership.statement_table import (
@@ -19,13 +19,13 @@
 
 SETTINGS = MembershipSettings(
     deployment="d",
-    routers=1,
-    upper_kinds=("parent", "origin"),
+    router_count=1,
+    upper_tier_kinds=("parent", "origin"),
     fallback_delay_s=0.5,
     hint_age_s=DAY,
     max_uninformed_copy_age_s=0.0,
     quiet_s=3.0,
-    purge_done_s=6.0,
+    purge_completion_s=6.0,
 )
 
 
@@ -41,14 +41,14 @@
         self.stored = StoredList("d", since, since, 7, rows, [(9, 5.0)], purges) if memory else None
         self.controller.start(self.stored, list(static), 1000.0)
 
-    def list_endpoints(self, listings):
+    def apply_listings(self, listings):
         for listing in listings:
             self.listings.setdefault(listing.statement.endpoint_id, []).append((listing.state, listing.is_trusted))
 
     def check_health(self, statement):
         self.health_checks.append(statement)
 
-    def recover_purge(self, purge):
+    def apply_purge(self, purge):
         self.purges.append(purge)
 
     def log_event(self, event, /, **fields):
@@ -131,8 +131,8 @@
     world = World()
     world.pass_health_checks(1000.6)
     rows = [to_record(statement(1, "draining", when=2.0))] if state == "draining" else []
-    answer = ReplicaAnswer("d", 5000.0, 3, rows, [1] if state == "gone" else [], [PurgeRecord(8, 0, 999.0)])
-    assert world.controller.apply_replica_answer(answer, 1001.0)
+    answer = ListAnswer("d", 5000.0, 3, rows, [1] if state == "gone" else [], [PurgeRecord(8, 0, 999.0)])
+    assert world.controller.apply_list_answer(answer, 1001.0)
     assert world.listings[1][-1] == (state, False) and (8, 0, 999.0) in world.purges
     world.pass_health_checks(1002.0)
     assert world.listings[1][-1] == (state, False)
@@ -142,10 +142,10 @@
     world = World(age=10.0)
     world.pass_health_checks(1000.6)
     rows = [to_record(statement(mark, when=50.0)) for mark in (1, 77)]
-    assert world.controller.apply_replica_answer(ReplicaAnswer("d", 5000.0, 3, rows), 1001.0)
+    assert world.controller.apply_list_answer(ListAnswer("d", 5000.0, 3, rows), 1001.0)
     assert 77 not in world.controller.statements.endpoints and world.sources() == ["remembered"]
-    assert not world.controller.apply_replica_answer(ReplicaAnswer("x", 1.0, 3, rows), 1001.0)
-    assert world.controller.apply_replica_answer(ReplicaAnswer("d", 2.0, 3, rows), 1001.0)
+    assert not world.controller.apply_list_answer(ListAnswer("x", 1.0, 3, rows), 1001.0)
+    assert world.controller.apply_list_answer(ListAnswer("d", 2.0, 3, rows), 1001.0)
     assert 77 in world.controller.statements.endpoints and world.sources() == ["remembered", "sibling"]
 
 
@@ -172,7 +172,7 @@
     for turn in range(20):
         now = 1001.0 + turn / 10
         world.controller.apply_live(live([1, 2, 3], now), now, is_complete=True)
-        world.controller.live_caught_up(now, 4, is_continuous=False)
+        world.controller.handle_live_caught_up(now, 4, is_continuous=False)
         world.controller.tick(now + 0.05)
     assert world.sources() == ["remembered", "live"] and len(world.log) <= 2 + 5 + 1
 
@@ -181,7 +181,7 @@
     world = World()
     world.controller.apply_live(live([2], 1000.1, "draining"), 1000.1, is_complete=False)
     assert world.controller.max_copy_age_s(1000.1) is not None
-    world.controller.live_caught_up(1000.2, 8, is_continuous=True)
+    world.controller.handle_live_caught_up(1000.2, 8, is_continuous=True)
     assert world.sources() == ["live"] and world.controller.max_copy_age_s(1000.2) is None
     assert world.listings[1] == [("ready", True)] and world.listings[2] == [("draining", True)]
 
@@ -190,7 +190,7 @@
     world = World(memory=False)
     assert world.controller.snapshot(1000.0, (0.0, 0.0)) is None
     world.controller.apply_live(live([1, 2], 1000.0), 1000.0, is_complete=True)
-    world.controller.live_caught_up(1000.1, 9, is_continuous=False)
+    world.controller.handle_live_caught_up(1000.1, 9, is_continuous=False)
     world.controller.record_purge(PurgeRecord(7, 0, 999.0), 1000.2)
     world.controller.record_purge(PurgeRecord(8, 0, 900.0), 1000.2)
     stored = world.controller.snapshot(1001.0, (0.0, 0.0))
--- a/tests/membership/test_list_exchange.py
+++ b/tests/membership/test_list_exchange.py
@@ -5,7 +5,7 @@
 from tests.support.statements import statement
 from wickhinge.membership import list_exchange
 from wickhinge.membership.errors import ListExchangeError
-from wickhinge.membership.list_exchange import ReplicaAnswer
+from wickhinge.membership.list_exchange import ListAnswer
 from wickhinge.membership.recent_purges import PurgeRecord
 from wickhinge.membership.stored_list import EndpointRecord, to_record
 
@@ -27,7 +27,7 @@
 
 def sealed_answer(key=KEY, nonce=b"n" * 16, rows=2):
     rows = [to_record(statement(mark)) for mark in range(rows)]
-    return list_exchange.encode_answer(key, nonce, ReplicaAnswer("d", 1.0, 2, rows))
+    return list_exchange.encode_answer(key, nonce, ListAnswer("d", 1.0, 2, rows))
 
 
 def test_an_answer_when_split_anywhere_is_read():
@@ -73,7 +73,7 @@
         EndpointRecord(0xB1, "127.0.0.1", 9003, "draining", "hub", "parent", 1, 40.0, 1699990000.0, 3.0, "sibling"),
     ]
     purges = [PurgeRecord(7, 0, 1699999999.0), PurgeRecord(None, 3, 1699999998.0)]
-    answer = ReplicaAnswer("d", 2.5, 41, records, [9], purges)
+    answer = ListAnswer("d", 2.5, 41, records, [9], purges)
     assert list_exchange.decode_request(key, STORED_REQUEST, 1700000001.0) == nonce
     assert list_exchange.encode_request(key, nonce, 1700000000.9) == STORED_REQUEST
     assert list_exchange.AnswerReader(key, nonce).feed(STORED_ANSWER) == answer
--- a/tests/membership/test_probation.py
+++ b/tests/membership/test_probation.py
@@ -27,7 +27,7 @@
 
 def probation_of(age=1.0, count=6, routers=1):
     probation = Probation(RandomSource(3), routers, DAY, ("parent", "origin"))
-    probation.adopt(
+    probation.adopt_list(
         [statement(mark) for mark in range(1, count + 1)]
         + [statement(100, kind="parent"), statement(200, kind="origin")],
         age,
@@ -77,7 +77,7 @@
     rests = [after - before for before, after in zip(seen, seen[1:], strict=False)]
     assert len(seen) == 6 and rests == sorted(rests) and probation.entries[1].state is TrustState.DROPPED
     assert probation.listing(1) == ("draining", False) and max(rests) <= 2 * MAX_REST_S
-    probation.adopt([statement(1, when=now)], 1.0, now + 1)
+    probation.adopt_list([statement(1, when=now)], 1.0, now + 1)
     assert probation.entries[1].state is TrustState.UNPROVEN
 
 
@@ -92,7 +92,7 @@
         False,
     )
     probation.record_health_check(endpoint.endpoint_id, 103.0, healthy=True)
-    probation.adopt([statement(endpoint.endpoint_id, port=9999, when=200.0)], 1.0, 200.0)
+    probation.adopt_list([statement(endpoint.endpoint_id, port=9999, when=200.0)], 1.0, 200.0)
     assert probation.entries[endpoint.endpoint_id].state is TrustState.UNPROVEN
 
 
@@ -100,6 +100,6 @@
     times = []
     for number in range(100):
         probation = Probation(RandomSource(number), 100, DAY, ())
-        probation.adopt([statement(1)], 1.0, 100.0)
+        probation.adopt_list([statement(1)], 1.0, 100.0)
         times.append(probation.entries[1].due_at - 100.0)
     assert max(times) > 1.5 and max(sum(t <= u < t + 0.1 for u in times) for t in times) < 20
--- a/wickhinge/cli/remembered_list.py
+++ b/wickhinge/cli/remembered_list.py
@@ -114,12 +114,12 @@
 @JSON_OPTION
 def diff(file: str, other: str, as_json: bool) -> None:
     """What changed from one list to another, and what looks like a mistake; 1 if anything did."""
-    from wickhinge.membership.comparison import compare
+    from wickhinge.membership.comparison import compare_lists
     from wickhinge.membership.stored_list import to_statement
 
     lists = [[to_statement(endpoint) for endpoint in read_list(path).endpoints] for path in (file, other)]
-    comparison = compare(*lists)
-    answer = {name: [f"s-{mark:08x}" for mark in marks] for name, marks in comparison.changes().items()}
+    comparison = compare_lists(*lists)
+    answer = {name: [f"s-{mark:08x}" for mark in marks] for name, marks in comparison.ids_by_change().items()}
     answer["doubts"] = comparison.warnings
     print_answer(answer, as_json)
     sys.exit(WRONG if any(answer.values()) else 0)
--- a/wickhinge/membership/comparison.py
+++ b/wickhinge/membership/comparison.py
@@ -26,7 +26,7 @@
     changed: list[int] = field(default_factory=list)  # another zone, kind, cell, weight or start
     warnings: list[str] = field(default_factory=list)
 
-    def changes(self) -> dict[str, list[int]]:
+    def ids_by_change(self) -> dict[str, list[int]]:
         """The lists of ids by their names."""
         return {
             "new": self.new,
@@ -38,7 +38,7 @@
         }
 
 
-def compare(known: Iterable[Statement], update: Iterable[Statement]) -> ListComparison:
+def compare_lists(known: Iterable[Statement], update: Iterable[Statement]) -> ListComparison:
     """Compares the known list with one that replaces it."""
     before = {statement.endpoint_id: statement for statement in known}
     after = {statement.endpoint_id: statement for statement in update if statement.state != EndpointState.GONE}
--- a/wickhinge/membership/controller.py
+++ b/wickhinge/membership/controller.py
@@ -5,8 +5,8 @@
 from dataclasses import replace
 
 from wickhinge.common.random_source import RandomSource
-from wickhinge.membership.comparison import compare
-from wickhinge.membership.list_exchange import ReplicaAnswer
+from wickhinge.membership.comparison import compare_lists
+from wickhinge.membership.list_exchange import ListAnswer
 from wickhinge.membership.port import EndpointListing, MembershipPort, MembershipSettings
 from wickhinge.membership.probation import Probation, TrustState
 from wickhinge.membership.purge_gap import PurgeGap
@@ -28,10 +28,10 @@
     def __init__(self, port: MembershipPort, random_source: RandomSource, settings: MembershipSettings) -> None:
         self._port, self._settings = port, settings
         self.statements = StatementTable()
-        self.probation = Probation(random_source, settings.routers, settings.hint_age_s, settings.upper_kinds)
+        self.probation = Probation(random_source, settings.router_count, settings.hint_age_s, settings.upper_tier_kinds)
         self._purge_gap = PurgeGap(settings.max_uninformed_copy_age_s, settings.quiet_s)
-        self._purges = RecentPurges(settings.purge_done_s)
-        self.stored: StoredList | None = None  # as read at the start, if it is of this deployment
+        self._purges = RecentPurges(settings.purge_completion_s)
+        self.stored_list: StoredList | None = None  # as read at the start, if it is of this deployment
         self._static: list[Statement] = []
         self._started_at = 0.0
         self.source, self._source_since, self._source_reason = ListSource.NONE, 0.0, "started"
@@ -51,21 +51,21 @@
         if stored.deployment != self._settings.deployment:
             self._port.log_event("membership_list_unusable", reason="it is the list of another deployment")
             return
-        self.stored = stored
+        self.stored_list = stored
         self._purge_gap.open(stored.last_update_at)
         for endpoint_id, gone_at in stored.gone:
             self.statements.remember_gone(endpoint_id, gone_at)
         self._purges.restore(stored.purges)
         for purge in stored.purges:
-            self._port.recover_purge(purge)
+            self._port.apply_purge(purge)
 
     def _stored_age_s(self, now: float) -> float | None:
         """Seconds since the live service last vouched for the stored list; None where that can't be known."""
-        if self.stored is None or self.stored.written_at > now + _MAX_CLOCK_SKEW_S:
+        if self.stored_list is None or self.stored_list.written_at > now + _MAX_CLOCK_SKEW_S:
             return None
-        if not 0.0 < self.stored.last_update_at <= now + _MAX_CLOCK_SKEW_S:
+        if not 0.0 < self.stored_list.last_update_at <= now + _MAX_CLOCK_SKEW_S:
             return None
-        return now - self.stored.last_update_at
+        return now - self.stored_list.last_update_at
 
     def tick(self, now: float) -> None:
         """To be called several times a second."""
@@ -77,18 +77,20 @@
                 self._port.check_health(statement)
 
     def _fall_back(self, now: float) -> None:
-        if self.stored is not None:
-            statements = [to_statement(record) for record in self.stored.endpoints]
-            self.adopt(statements, ListSource.REMEMBERED, self._stored_age_s(now), now)
+        if self.stored_list is not None:
+            statements = [to_statement(record) for record in self.stored_list.endpoints]
+            self.adopt_fallback_list(statements, ListSource.REMEMBERED, self._stored_age_s(now), now)
         elif self._static:
-            self.adopt(self._static, ListSource.STATIC, None, now)
+            self.adopt_fallback_list(self._static, ListSource.STATIC, None, now)
 
-    def adopt(self, statements: list[Statement], source: ListSource, age_s: float | None, now: float) -> None:
+    def adopt_fallback_list(
+        self, statements: list[Statement], source: ListSource, age_s: float | None, now: float
+    ) -> None:
         """Takes a list that is not the live one; its endpoints are then proven one by one."""
         before = dict(self.statements.endpoints)
         for statement in statements:
             self.statements.merge(statement)
-        self.probation.adopt(list(self.statements.endpoints.values()), age_s, now)
+        self.probation.adopt_list(list(self.statements.endpoints.values()), age_s, now)
         self._change_source(source, now, "no live list", age_s)
         for endpoint_id, old in before.items():  # what is gone, draining or moved by this list: at once
             new = self.statements.endpoints.get(endpoint_id)
@@ -113,7 +115,7 @@
         )
 
     def _list(self, statement: Statement, state: EndpointState, *, is_trusted: bool) -> None:
-        self._port.list_endpoints([EndpointListing(statement, state, is_trusted)])
+        self._port.apply_listings([EndpointListing(statement, state, is_trusted)])
 
     def _list_gone(self, statement: Statement) -> None:
         self._list(replace(statement, state=EndpointState.GONE), EndpointState.GONE, is_trusted=False)
@@ -130,10 +132,10 @@
             self.probation.remove(statement.endpoint_id)
 
     def _apply_complete_list(self, statements: list[Statement], now: float) -> None:
-        comparison = compare(self.statements.endpoints.values(), statements)
+        comparison = compare_lists(self.statements.endpoints.values(), statements)
         is_takeover = self.source != ListSource.LIVE
         if self.statements.endpoints and is_takeover or comparison.warnings:
-            counts = {name: len(endpoint_ids) for name, endpoint_ids in comparison.changes().items()}
+            counts = {name: len(endpoint_ids) for name, endpoint_ids in comparison.ids_by_change().items()}
             self._port.log_event("membership_list_compared", warnings=comparison.warnings, **counts)
         for endpoint_id in self.statements.replace_all(statements, now):
             self._answered_at.pop(endpoint_id, None)
@@ -143,7 +145,7 @@
         if is_takeover:
             self._change_source(ListSource.LIVE, now, "complete live list")
 
-    def live_caught_up(self, now: float, last_event: int, *, is_continuous: bool) -> None:
+    def handle_live_caught_up(self, now: float, last_event: int, *, is_continuous: bool) -> None:
         """The live service has nothing more to tell for now.
 
         Args:
@@ -152,12 +154,12 @@
             is_continuous: it went on from the stored list's event, so that list and its changes are the live list.
         """
         self._last_update_at, self._last_event = now, last_event
-        if is_continuous and not self._is_complete and self.stored is not None:
-            for record in self.stored.endpoints:
+        if is_continuous and not self._is_complete and self.stored_list is not None:
+            for record in self.stored_list.endpoints:
                 self.statements.merge(to_statement(record))
             self._is_complete = True
             self.probation.clear()
-            self._port.list_endpoints(
+            self._port.apply_listings(
                 [
                     EndpointListing(statement, statement.state, is_trusted=True)
                     for statement in self.statements.endpoints.values()
@@ -173,7 +175,7 @@
 
     # The list exchange.
 
-    def apply_replica_answer(self, answer: ReplicaAnswer, now: float) -> bool:
+    def apply_list_answer(self, answer: ListAnswer, now: float) -> bool:
         """Takes another router's list; whether it was of use. `draining` and `gone` count whatever its age."""
         if answer.deployment != self._settings.deployment:
             self._port.log_event("membership_exchange_unusable", reason="it is of another deployment")
@@ -196,7 +198,7 @@
         if stored_age_s is not None and (age_s is None or age_s > stored_age_s):
             statements = [statement for statement in statements if statement.state != EndpointState.READY]
             age_s = stored_age_s
-        self.adopt(statements, ListSource.SIBLING if statements else self.source, age_s, now)
+        self.adopt_fallback_list(statements, ListSource.SIBLING if statements else self.source, age_s, now)
         return True
 
     def _apply_gone(self, endpoint_ids: list[int], now: float) -> None:
@@ -210,16 +212,16 @@
         for purge in purges:
             if self._purges.is_news(purge):
                 self._purges.record(purge, now)
-                self._port.recover_purge(purge)
+                self._port.apply_purge(purge)
 
-    def replica_answer(self, now: float) -> ReplicaAnswer:
+    def make_list_answer(self, now: float) -> ListAnswer:
         """What other routers are answered, with ages in place of times."""
         age_s: float | None = None
         if self._last_update_at:
             age_s = now - self._last_update_at
-        elif self.stored is not None:
+        elif self.stored_list is not None:
             age_s = self._stored_age_s(now)
-        return ReplicaAnswer(
+        return ListAnswer(
             deployment=self._settings.deployment,
             last_update_age_s=-1.0 if age_s is None else age_s,
             last_event=self._last_event,
@@ -267,7 +269,7 @@
                 source=statement.source.value,
             )
 
-    def wants_connection(self, endpoint_id: int) -> bool:
+    def needs_connection(self, endpoint_id: int) -> bool:
         """Whether connections to an endpoint are still wanted, though the fleet may not know it yet."""
         return endpoint_id in self.probation.entries
 
@@ -310,7 +312,7 @@
             return entry.state.value
         return "vouched" if self.source == ListSource.LIVE else "unknown"
 
-    def figures(self, now: float) -> dict[str, object]:
+    def report_fields(self, now: float) -> dict[str, object]:
         """What the router's `report` event holds as `list`."""
         return {
             "source": self.source.value,
--- a/wickhinge/membership/list_exchange.py
+++ b/wickhinge/membership/list_exchange.py
@@ -29,7 +29,7 @@
 _MAX_CLOCK_SKEW_S = 30.0  # that the clocks of one installation may differ by
 
 
-class ReplicaAnswer(msgspec.Struct):
+class ListAnswer(msgspec.Struct):
     """Another router's endpoint list. The names of the wire stand in the `name=` arguments."""
 
     deployment: str
@@ -67,7 +67,7 @@
     return nonce
 
 
-def encode_answer(key: bytes, nonce: bytes, answer: ReplicaAnswer) -> bytes:
+def encode_answer(key: bytes, nonce: bytes, answer: ListAnswer) -> bytes:
     """The answer to the request that had this nonce."""
     return seal_payload(key, nonce, msgspec.msgpack.encode(answer))
 
@@ -83,7 +83,7 @@
     def __init__(self, key: bytes, nonce: bytes) -> None:
         self._key, self._nonce, self._data = key, nonce, bytearray()
 
-    def feed(self, data: bytes) -> ReplicaAnswer | None:
+    def feed(self, data: bytes) -> ListAnswer | None:
         """Takes further bytes; the answer once it is complete, None until then.
 
         Raises:
@@ -104,9 +104,9 @@
         return _decode_payload(payload)
 
 
-def _decode_payload(payload: bytes) -> ReplicaAnswer:
+def _decode_payload(payload: bytes) -> ListAnswer:
     try:
-        answer = msgspec.msgpack.decode(payload, type=ReplicaAnswer)
+        answer = msgspec.msgpack.decode(payload, type=ListAnswer)
     except msgspec.MsgspecError as error:
         raise ListExchangeError(f"an answer of another form: {error}") from None
     if len(answer.endpoints) > MAX_ENDPOINTS:
--- a/wickhinge/membership/list_exchange_tcp.py
+++ b/wickhinge/membership/list_exchange_tcp.py
@@ -13,13 +13,13 @@
 from wickhinge.common.log_event import LogEvent
 from wickhinge.membership import list_exchange
 from wickhinge.membership.errors import ListExchangeError
-from wickhinge.membership.list_exchange import ReplicaAnswer
+from wickhinge.membership.list_exchange import ListAnswer
 
 _TIMEOUT_S = 2.0  # for a whole exchange
 _MAX_CONNECTIONS = 8  # answered at a time; when a whole fleet restarts, its routers ask again
 
 CallLater = Callable[[float, Callable[[], None]], object]
-ResultCallback = Callable[[ReplicaAnswer | None, str], None]  # (answer, "") or (None, reason)
+ResultCallback = Callable[[ListAnswer | None, str], None]  # (answer, "") or (None, reason)
 
 
 class ListServerProtocol(Protocol):
@@ -72,7 +72,7 @@
         key: bytes,
         now: Callable[[], float],
         call_later: CallLater,
-        current_answer: Callable[[], ReplicaAnswer],
+        current_answer: Callable[[], ListAnswer],
         log_event: LogEvent,
     ) -> None:
         self._key, self._now, self._current_answer, self._log_event = key, now, current_answer, log_event
@@ -118,7 +118,7 @@
         if answer is not None:
             self.finish(answer, "")
 
-    def finish(self, answer: ReplicaAnswer | None, reason: str) -> None:
+    def finish(self, answer: ListAnswer | None, reason: str) -> None:
         """Ends the exchange and reports its result, the first time it is called."""
         on_result, self._on_result = self._on_result, None
         if on_result is None:
--- a/wickhinge/membership/port.py
+++ b/wickhinge/membership/port.py
@@ -21,13 +21,13 @@
 class MembershipPort(Protocol):
     """What the controller needs of the router; called from within the controller's methods."""
 
-    def list_endpoints(self, listings: list[EndpointListing]) -> None:
+    def apply_listings(self, listings: list[EndpointListing]) -> None:
         """Lists endpoints for the routing fleet, beside those listed already."""
 
     def check_health(self, statement: Statement) -> None:
         """Starts a health check; its result goes to `MembershipController.record_health_check`."""
 
-    def recover_purge(self, purge: PurgeRecord) -> None:
+    def apply_purge(self, purge: PurgeRecord) -> None:
         """Carries out a purge that was stored, or that another router told."""
 
     def log_event(self, event: str, /, **fields: object) -> None:
@@ -39,10 +39,10 @@
     """What the controller takes from the settings. Spans are seconds."""
 
     deployment: str  # fingerprint of the settings' names
-    routers: int  # how many may start at the same moment
-    upper_kinds: tuple[str | None, ...]  # kinds of parents and origins
+    router_count: int  # how many may start at the same moment
+    upper_tier_kinds: tuple[str | None, ...]  # kinds of parents and origins
     fallback_delay_s: float  # how long a start waits for the live list
     hint_age_s: float  # past this age a list only says whom to check
     max_uninformed_copy_age_s: float  # 0: no bound
     quiet_s: float  # after so long without an update the live service counts as lost
-    purge_done_s: float  # after so long all servers have carried out a purge
+    purge_completion_s: float  # after so long all servers have carried out a purge
--- a/wickhinge/membership/probation.py
+++ b/wickhinge/membership/probation.py
@@ -83,16 +83,16 @@
     """All endpoints of one list that is not the live one. `now` is Unix seconds everywhere."""
 
     def __init__(
-        self, random_source: RandomSource, routers: int, hint_age_s: float, upper_kinds: tuple[str | None, ...]
+        self, random_source: RandomSource, routers: int, hint_age_s: float, upper_tier_kinds: tuple[str | None, ...]
     ) -> None:
-        """upper_kinds: kinds of parents and origins; routers: how many may start at the same moment."""
-        self._random_source, self._hint_age_s, self._upper_kinds = random_source, hint_age_s, upper_kinds
+        """upper_tier_kinds: kinds of parents and origins; routers: how many may start at the same moment."""
+        self._random_source, self._hint_age_s, self._upper_tier_kinds = random_source, hint_age_s, upper_tier_kinds
         self._spread_s = _START_SPREAD_S * max(routers, 1)
         self.entries: dict[int, ProbationEntry] = {}
         self.terms = ProbationTerms.of_age(None, 0, hint_age_s)
         self.health_checks = 0  # asked for so far
 
-    def adopt(self, statements: list[Statement], age_s: float | None, now: float) -> None:
+    def adopt_list(self, statements: list[Statement], age_s: float | None, now: float) -> None:
         """Takes a list, or a newer one; what was proven in this run stays so unless its address changed."""
         self.terms = ProbationTerms.of_age(age_s, len(statements), self._hint_age_s)
         for index, statement in enumerate(sorted(statements, key=self._order)):
@@ -110,7 +110,7 @@
 
     def _order(self, statement: Statement) -> tuple[bool, float]:
         """By chance; unless the list is recent, parents and origins first, since they change less often."""
-        is_cache = statement.kind not in self._upper_kinds
+        is_cache = statement.kind not in self._upper_tier_kinds
         return is_cache != self.terms.is_recent, self._random_source.draw()
 
     def start_due_checks(self, now: float) -> list[Statement]:
--- a/wickhinge/net/control/membership.py
+++ b/wickhinge/net/control/membership.py
@@ -19,7 +19,7 @@
 from wickhinge.membership.controller import MembershipController
 from wickhinge.membership.endpoint_list_file import EndpointListFile
 from wickhinge.membership.errors import ListDirectoryError
-from wickhinge.membership.list_exchange import ReplicaAnswer
+from wickhinge.membership.list_exchange import ListAnswer
 from wickhinge.membership.list_exchange_tcp import ListClient, ListServerFactory
 from wickhinge.membership.port import EndpointListing, MembershipSettings
 from wickhinge.membership.recent_purges import PurgeRecord
@@ -127,10 +127,12 @@
                 self.log_event("membership_list_unusable", reason=problem)
         self.controller.start(stored, self.static_statements, self.now())
         fleet = self.node.decisions.endpoints
-        if self.controller.stored is not None:
-            fleet.cache_slow_start.usual_load, fleet.parent_slow_start.usual_load = self.controller.stored.usual_loads
+        if self.controller.stored_list is not None:
+            fleet.cache_slow_start.usual_load, fleet.parent_slow_start.usual_load = (
+                self.controller.stored_list.usual_loads
+            )
             if options.journal.continues:
-                watch.resume_list(self.controller.stored.last_event)
+                watch.resume_list(self.controller.stored_list.last_event)
 
     def start(self) -> None:
         """Listen for list requests of other routers if the options say so, and start to tick.
@@ -144,7 +146,7 @@
                 self.exchange_key,
                 self.now,
                 self.call_after,
-                lambda: self.controller.replica_answer(self.now()),
+                lambda: self.controller.make_list_answer(self.now()),
                 self.log_event,
             )
             try:
@@ -168,7 +170,7 @@
 
     # Methods of the MembershipPort, which the controller calls.
 
-    def list_endpoints(self, listings: list[EndpointListing]) -> None:
+    def apply_listings(self, listings: list[EndpointListing]) -> None:
         """Apply endpoints of a list that does not come from the live discovery service."""
         rows = []
         for listing in listings:
@@ -202,7 +204,7 @@
         """Pass the result of a health check to the controller."""
         self.controller.record_health_check(server.id, self.now(), healthy=is_healthy)
 
-    def recover_purge(self, purge: PurgeRecord) -> None:
+    def apply_purge(self, purge: PurgeRecord) -> None:
         """Apply a purge from the stored list or from another router's list."""
         self.node.decisions.purges.record_purge(purge.object_key, purge.group, purge.stamp, self.now())
         if self.node.local_copies is not None:
@@ -230,7 +232,7 @@
     def caught_up(self, watch: EndpointWatch) -> None:
         """Tell the controller that all events of the discovery service have been received."""
         is_continuous = watch.is_unbroken and watch.is_list_resumed
-        self.controller.live_caught_up(self.now(), watch.last_number, is_continuous=is_continuous)
+        self.controller.handle_live_caught_up(self.now(), watch.last_number, is_continuous=is_continuous)
         self.service_backoff.record_success()
 
     def record_attempt_outcome(self, sent: Any, outcome: Outcome) -> None:
@@ -255,7 +257,7 @@
 
     def needs_connection(self, endpoint_id: int) -> bool:
         """Return whether connections to an endpoint must be kept open."""
-        return self.controller.wants_connection(endpoint_id)
+        return self.controller.needs_connection(endpoint_id)
 
     # The stored list and the exchange of lists with other routers.
 
@@ -285,7 +287,7 @@
             return
         self.list_client.request(self.exchange_backoff.address, self.now(), self.handle_list_answer)
 
-    def handle_list_answer(self, answer: ReplicaAnswer | None, reason: str) -> None:
+    def handle_list_answer(self, answer: ListAnswer | None, reason: str) -> None:
         """Pass another router's list to the controller and schedule the next request.
 
         Args:
@@ -295,7 +297,7 @@
         _, delay_s = self.exchange_backoff.record_failure()
         if answer is None:
             self.log_event("membership_exchange_failed", reason=reason)
-        elif self.controller.apply_replica_answer(answer, self.now()):
+        elif self.controller.apply_list_answer(answer, self.now()):
             self.exchange_backoff.record_success()
             delay_s = 1.0
         if not self.is_closed:
@@ -303,7 +305,7 @@
 
     def report_fields(self) -> dict[str, Any]:
         """Return the membership's entry in the report."""
-        return self.controller.figures(self.now())
+        return self.controller.report_fields(self.now())
 
     def close(self) -> None:
         """Stop the worker thread and close the file."""
@@ -354,13 +356,13 @@
             list_file = None
     membership_settings = MembershipSettings(
         deployment=deployment_fingerprint(node.names.zones, node.names.kinds, sorted(settings.request_classes(conf))),
-        routers=discovery_options.routers or fleet.routers,
-        upper_kinds=(fleet.parent_kind, fleet.origin_kind),
+        router_count=discovery_options.routers or fleet.routers,
+        upper_tier_kinds=(fleet.parent_kind, fleet.origin_kind),
         fallback_delay_s=discovery_options.after_s,
         hint_age_s=discovery_options.hint_after_s,
         max_uninformed_copy_age_s=discovery_options.untold_s,
         quiet_s=options.journal.quiet_s,
-        purge_done_s=node.decisions.purges.retention,
+        purge_completion_s=node.decisions.purges.retention,
     )
     return MembershipClient(
         node, membership_settings, discovery_options, ListSources(list_file, exchange_key, static_statements)
