--- a/tests/membership/test_comparison.py
+++ b/tests/membership/test_comparison.py
@@ -19,4 +19,4 @@
     old = [statement(mark) for mark in range(1, 6)] + [statement(100, kind="parent", zone="hub")]
     answer = compare_lists(old, new)
     assert doubts in "; ".join(answer.warnings) and bool(answer.warnings) == bool(doubts)
-    assert len(answer.gone) == len(old) - len(new)
+    assert len(answer.gone_ids) == len(old) - len(new)
--- a/tests/membership/test_purge_gap.py
+++ b/tests/membership/test_purge_gap.py
@@ -22,5 +22,5 @@
     last_update_at, max_uninformed_age_s, now, max_age_s
 ):
     gap = PurgeGap(max_uninformed_age_s, 3.0)
-    gap.open(last_update_at) if last_update_at is not None else gap.close(1000.0)
+    gap.set_start(last_update_at) if last_update_at is not None else gap.end(1000.0)
     assert gap.max_copy_age_s(now) == max_age_s
--- a/wickhinge/membership/backoff.py
+++ b/wickhinge/membership/backoff.py
@@ -1,4 +1,4 @@
-"""Which address of a service is tried next, and after how long."""
+"""Choice of the service address to try next, and of the delay before it is tried."""
 
 from __future__ import annotations
 
@@ -6,13 +6,14 @@
 
 Address = tuple[str, int]
 
-_MAX_DOUBLINGS = 16
+_MAX_DELAY_DOUBLINGS = 16  # Bounds the power of two, however long a service is unreachable.
 
 
 class AddressBackoff:
-    """Goes through a service's addresses in turn and waits longer after each round in which all failed.
+    """Round robin over the addresses of a service with exponential backoff.
 
-    Delays are drawn between half and one and a half times the nominal one, so that many routers do not retry at once.
+    The delay doubles after each round in which all addresses failed. Each delay is drawn between half and one and a
+    half times its nominal value, so that many routers do not retry at the same moment.
     """
 
     def __init__(
@@ -20,26 +21,26 @@
     ) -> None:
         self._addresses, self._random_source = addresses, random_source
         self._min_delay_s, self._max_delay_s = min_delay_s, max_delay_s
-        self._index = self._failures = 0
+        self._address_index = self._failure_count = 0
 
     @property
     def address(self) -> Address:
         """The address to try now."""
-        return self._addresses[self._index]
+        return self._addresses[self._address_index]
 
     def record_failure(self) -> tuple[Address, float]:
-        """Moves on to the next address; returns it and the seconds until it is to be tried."""
-        self._failures += 1
-        self._index = (self._index + 1) % len(self._addresses)
-        failed_rounds = self._failures // len(self._addresses)
-        delay_s = min(self._min_delay_s * 2 ** min(failed_rounds, _MAX_DOUBLINGS), self._max_delay_s)
+        """Select the next address; return it with the delay in seconds before it is to be tried."""
+        self._failure_count += 1
+        self._address_index = (self._address_index + 1) % len(self._addresses)
+        failed_rounds = self._failure_count // len(self._addresses)
+        delay_s = min(self._min_delay_s * 2 ** min(failed_rounds, _MAX_DELAY_DOUBLINGS), self._max_delay_s)
         return self.address, delay_s * (0.5 + self._random_source.draw())
 
     def record_success(self) -> None:
-        """Starts again from the shortest delay; the address stays."""
-        self._failures = 0
+        """Reset the delay to the shortest; the selected address stays."""
+        self._failure_count = 0
 
     def replace_first_address(self, address: Address) -> None:
-        """Puts another address in place of the first and starts again from it."""
+        """Replace the first address, select it, and reset the delay to the shortest."""
         self._addresses = [address, *self._addresses[1:]]
-        self._index = self._failures = 0
+        self._address_index = self._failure_count = 0
--- a/wickhinge/membership/controller.py
+++ b/wickhinge/membership/controller.py
@@ -52,9 +52,9 @@
             self._port.log_event("membership_list_unusable", reason="it is the list of another deployment")
             return
         self.stored_list = stored
-        self._purge_gap.open(stored.last_update_at)
+        self._purge_gap.set_start(stored.last_update_at)
         for endpoint_id, gone_at in stored.gone:
-            self.statements.remember_gone(endpoint_id, gone_at)
+            self.statements.restore_gone(endpoint_id, gone_at)
         self._purges.restore(stored.purges)
         for purge in stored.purges:
             self._port.apply_purge(purge)
@@ -167,7 +167,7 @@
             )
             self._change_source(ListSource.LIVE, now, "stored list, and caught up")
         if self._is_complete:
-            self._purge_gap.close(now)
+            self._purge_gap.end(now)
 
     def is_live(self, now: float) -> bool:
         """Whether the live list is in force and the service was heard a moment ago."""
@@ -210,7 +210,7 @@
 
     def _apply_purges(self, purges: list[PurgeRecord], now: float) -> None:
         for purge in purges:
-            if self._purges.is_news(purge):
+            if self._purges.is_newer(purge):
                 self._purges.record(purge, now)
                 self._port.apply_purge(purge)
 
@@ -230,7 +230,7 @@
                 for statement in self.statements.endpoints.values()
             ],
             gone=list(self.statements.gone)[-_MAX_GONE_EXCHANGED:],
-            purges=self._purges.all(),
+            purges=self._purges.all_purges(),
         )
 
     # Results of health checks and requests.
@@ -302,7 +302,7 @@
                 for endpoint_id, statement in self.statements.endpoints.items()
             ],
             gone=list(self.statements.gone.items())[-_MAX_GONE_STORED:],
-            purges=self._purges.unfinished(now),
+            purges=self._purges.unfinished_purges(now),
             usual_loads=usual_loads,
         )
 
--- a/wickhinge/membership/errors.py
+++ b/wickhinge/membership/errors.py
@@ -1,14 +1,14 @@
-"""What can go wrong with endpoint lists that are stored or exchanged."""
+"""Errors of endpoint lists that are stored or exchanged with other routers."""
 
 from __future__ import annotations
 
 
 class MembershipError(Exception):
-    """Any error of this package."""
+    """Base class of the errors of this package."""
 
 
 class ListDirectoryError(MembershipError):
-    """The directory can't hold an endpoint list; `path` is the directory."""
+    """The directory `path` cannot hold an endpoint list."""
 
     def __init__(self, path: str, reason: str) -> None:
         super().__init__(f"{path} {reason}")
@@ -16,8 +16,8 @@
 
 
 class CorruptListError(MembershipError):
-    """The bytes are no complete endpoint list of this format; the message continues the name of the file."""
+    """A file does not hold a complete endpoint list of this format."""
 
 
 class ListExchangeError(MembershipError):
-    """A request or an answer of the list exchange is malformed, or not sealed with our key."""
+    """A request or an answer of the list exchange is malformed or not sealed with the exchange key."""
--- a/wickhinge/membership/purge_gap.py
+++ b/wickhinge/membership/purge_gap.py
@@ -1,40 +1,48 @@
-"""Bounds the age of copies that a purge may have missed while this router was not informed."""
+"""Age limit for copies that may lack a purge because this router did not receive it."""
 
 from __future__ import annotations
 
-_MIN_AGE_S = 0.001  # 0 would mean no limit
-_NEVER = -1e9
+_MIN_LIMIT_S = 0.001  # Smallest limit that is returned; 0 would mean no limit.
+_NEVER_UNIX_S = -1e9  # Stands for an event that has not happened; earlier than any time of the clock.
 
 
 class PurgeGap:
-    """The time between the last update that a stored list knew of and the first one of this run.
+    """Time between the last update of a stored list and the first complete update in this run.
 
-    Until the discovery service has told everything, a copy made before the stored list's last update is not asked for:
-    it may be older than a purge since then. A copy made later may be too old as well, at a server that no purge
-    reached. Servers hear of purges by themselves on the users' platform; where they do not, `max_uninformed_age_s`
-    (0: no bound) limits the age of all copies for as long as the service is not heard. That is always correct, and
-    costs most hits.
+    Purges of this time are unknown here until the discovery service has sent all its events. Until then, requests must
+    not be answered with a copy that was made before the stored list's last update: a purge since then may concern it.
+
+    A copy made after that update may be out of date as well, if its server did not receive a purge. On the users'
+    platform, servers receive purges without the router. On other platforms, `max_uninformed_age_s` limits the age of
+    all copies while the discovery service is silent. This limit is always correct, but costs most cache hits.
     """
 
     def __init__(self, max_uninformed_age_s: float, quiet_s: float) -> None:
+        """Create a gap that begins at an unknown time.
+
+        Args:
+            max_uninformed_age_s: Age limit of all copies while the discovery service is silent; 0 for no limit.
+            quiet_s: Seconds without a complete update after which the discovery service counts as silent.
+        """
         self._max_uninformed_age_s, self._quiet_s = max_uninformed_age_s, quiet_s
-        self._last_update_at: float | None = 0.0  # as remembered; 0: unknown; None: informed in this run
-        self._informed_at = _NEVER
+        self._gap_start_at: float | None = 0.0  # Unix seconds; 0 if unknown, None if the gap has ended.
+        self._informed_at = _NEVER_UNIX_S
 
-    def open(self, last_update_at: float) -> None:
-        """A stored list was read whose last update was then (Unix seconds)."""
-        self._last_update_at = last_update_at
+    def set_start(self, last_update_at: float) -> None:
+        """Set the begin of the gap to the last update of a stored list, in Unix seconds."""
+        self._gap_start_at = last_update_at
 
-    def close(self, now: float) -> None:
-        """The service has nothing more to tell as of now."""
-        self._last_update_at, self._informed_at = None, now
+    def end(self, now: float) -> None:
+        """End the gap: the discovery service has sent all its events."""
+        self._gap_start_at, self._informed_at = None, now
 
     def max_copy_age_s(self, now: float) -> float | None:
-        """The age in seconds past which a copy must not be asked for; None for no bound, never 0."""
-        bounds = []
+        """Return the greatest permitted age of a copy in seconds, which is never 0; None for no limit."""
+        limits = []
         if self._max_uninformed_age_s and not -1.0 <= now - self._informed_at <= self._quiet_s:
-            bounds.append(self._max_uninformed_age_s)
-        if self._last_update_at is not None:
-            is_known = 0.0 < self._last_update_at <= now  # a clock that was set back tells as little as no list
-            bounds.append(now - self._last_update_at if is_known else self._quiet_s)
-        return max(min(bounds), _MIN_AGE_S) if bounds else None
+            limits.append(self._max_uninformed_age_s)
+        if self._gap_start_at is not None:
+            # A start in the future means that the clock was set back, so the length of the gap is unknown.
+            is_known = 0.0 < self._gap_start_at <= now
+            limits.append(now - self._gap_start_at if is_known else self._quiet_s)
+        return max(min(limits), _MIN_LIMIT_S) if limits else None
--- a/wickhinge/membership/statement_table.py
+++ b/wickhinge/membership/statement_table.py
@@ -1,4 +1,4 @@
-"""What several sources state about the same endpoints, and which statement is in force."""
+"""Statements of several sources about the same endpoints, and the choice of the statement in force."""
 
 from __future__ import annotations
 
@@ -6,14 +6,14 @@
 from dataclasses import dataclass
 from enum import StrEnum
 
-MAX_ENDPOINTS = 20_000  # a longer list is no list of a deployment that this router is part of
-MAX_GONE_ENDPOINTS = 20_000  # ids that are remembered as gone, so that no older statement brings them back
+MAX_ENDPOINTS = 20_000  # A longer list cannot be that of this router's deployment.
+MAX_GONE_ENDPOINTS = 20_000  # Greatest number of ids kept as gone, to reject older statements about them.
 
 Address = tuple[str, int]
 
 
 class EndpointState(StrEnum):
-    """What a source states of an endpoint."""
+    """State of an endpoint as a source states it; `gone` endpoints have left the deployment for good."""
 
     READY = "ready"
     DRAINING = "draining"
@@ -21,7 +21,10 @@
 
 
 class ListSource(StrEnum):
-    """Where a statement, or the endpoint list in force, comes from."""
+    """Source of a statement or of the endpoint list in force, in order of increasing trust.
+
+    `remembered` is the stored list, `sibling` another router, `live` the discovery service in this run.
+    """
 
     NONE = "none"
     STATIC = "static"
@@ -30,14 +33,15 @@
     LIVE = "live"
 
 
-_RANK = {source: rank for rank, source in enumerate(ListSource)}  # the more trusted, the higher
+_TRUST_RANK = {source: rank for rank, source in enumerate(ListSource)}  # A more trusted source has a higher rank.
 
 
 @dataclass(frozen=True, slots=True)
 class Statement:
-    """One endpoint as one source stated it.
+    """One source's description of one endpoint.
 
-    `stated_at` and `started_at` are Unix seconds. The address may be another endpoint's by now.
+    `stated_at` (when the source stated it) and `started_at` (when the server started) are in Unix seconds. Another
+    endpoint may have taken over the address since.
     """
 
     endpoint_id: int
@@ -51,8 +55,8 @@
     stated_at: float
     source: ListSource
 
-    def same_attributes(self, other: Statement) -> bool:
-        """Whether both state the same zone, kind, cell, weight and start."""
+    def has_same_attributes(self, other: Statement) -> bool:
+        """Return whether both state the same zone, kind, cell, weight and start time."""
         return (self.zone, self.kind, self.cell, self.weight, self.started_at) == (
             other.zone,
             other.kind,
@@ -61,30 +65,31 @@
             other.started_at,
         )
 
-    def same_facts(self, other: Statement) -> bool:
-        """Whether both say the same of the endpoint, whoever stated it and when."""
+    def has_same_content(self, other: Statement) -> bool:
+        """Return whether both describe the endpoint alike; the source and the time of the statements do not count."""
         return (
             self.endpoint_id == other.endpoint_id
             and self.address == other.address
             and self.state == other.state
-            and self.same_attributes(other)
+            and self.has_same_attributes(other)
         )
 
 
 class StatementTable:
-    """The statement in force for each endpoint.
+    """Table of the statement in force for each endpoint.
 
-    `gone` is final: an id never comes back, unless the live service names it. `draining` yields only to a later
-    statement of the live service, since a source that merely remembers may not know. Of two statements that say
-    `ready` the later counts, then the one of the more trusted source.
+    A `gone` endpoint stays gone unless the complete list of the discovery service names it again. A `draining`
+    statement is replaced by a `ready` one only if that comes from the discovery service and is not older, since
+    other sources may not know of the drain. Of two `ready` statements the later one is in force; of two with the same
+    time, that of the more trusted source.
     """
 
     def __init__(self) -> None:
         self.endpoints: dict[int, Statement] = {}
-        self.gone: dict[int, float] = {}  # when each id was stated as gone
+        self.gone: dict[int, float] = {}  # Unix seconds at which each id was stated as gone.
 
     def merge(self, new: Statement) -> bool:
-        """Takes a statement in; whether it changes what is in force."""
+        """Add a statement; return whether it changes the description of the endpoint that is in force."""
         if new.state == EndpointState.GONE:
             return self.remove(new.endpoint_id, new.stated_at)
         old = self.endpoints.get(new.endpoint_id)
@@ -93,7 +98,7 @@
         if old is None and len(self.endpoints) >= MAX_ENDPOINTS:
             return False
         self.endpoints[new.endpoint_id] = new
-        return old is None or not new.same_facts(old)
+        return old is None or not new.has_same_content(old)
 
     def _supersedes(self, new: Statement, old: Statement | None) -> bool:
         if old is None:
@@ -104,34 +109,38 @@
             return old.source != ListSource.LIVE or new.stated_at > old.stated_at
         if old.state == EndpointState.DRAINING:
             return False
-        return (new.stated_at, _RANK[new.source]) > (old.stated_at, _RANK[old.source])
+        return (new.stated_at, _TRUST_RANK[new.source]) > (old.stated_at, _TRUST_RANK[old.source])
 
-    def remember_gone(self, endpoint_id: int, gone_at: float) -> None:
-        """Notes an id that a stored list names as gone, unless an endpoint of that id is in force."""
+    def restore_gone(self, endpoint_id: int, gone_at: float) -> None:
+        """Mark an id of a stored list as gone, unless the table has a statement about it."""
         if endpoint_id not in self.endpoints:
             self.gone[endpoint_id] = gone_at
 
     def remove(self, endpoint_id: int, gone_at: float) -> bool:
-        """Marks an endpoint as gone; whether it was in force until now."""
+        """Mark an endpoint as gone; return whether the table had a statement about it."""
         self.gone[endpoint_id] = gone_at
         while len(self.gone) > MAX_GONE_ENDPOINTS:
             del self.gone[next(iter(self.gone))]
         return self.endpoints.pop(endpoint_id, None) is not None
 
     def replace_all(self, statements: Iterable[Statement], now: float) -> list[int]:
-        """Takes the live service's complete list: what it does not name is gone. Returns the ids that went."""
+        """Apply the complete list of the discovery service.
+
+        Returns:
+            Ids of the endpoints that the list does not name; they are now marked as gone.
+        """
         statements = list(statements)
-        named = {statement.endpoint_id for statement in statements}
-        removed = [endpoint_id for endpoint_id in self.endpoints if endpoint_id not in named]
-        for endpoint_id in removed:
+        listed_ids = {statement.endpoint_id for statement in statements}
+        removed_ids = [endpoint_id for endpoint_id in self.endpoints if endpoint_id not in listed_ids]
+        for endpoint_id in removed_ids:
             self.remove(endpoint_id, now)
         for statement in statements:
-            self.gone.pop(statement.endpoint_id, None)  # the live service overrules all others
+            self.gone.pop(statement.endpoint_id, None)  # The discovery service overrules the other sources.
             self.merge(statement)
-        return removed
+        return removed_ids
 
     def ids_by_address(self) -> dict[Address, list[int]]:
-        """Endpoint ids by address. Where two share one, at most one of their statements still holds."""
+        """Return the endpoint ids by address; of several ids at one address, at most one has it still."""
         ids: dict[Address, list[int]] = {}
         for statement in self.endpoints.values():
             ids.setdefault(statement.address, []).append(statement.endpoint_id)
