--- a/tests/membership/test_controller.py
+++ b/tests/membership/test_controller.py
@@ -123,7 +123,7 @@
     )
     world.controller.tick(1001.0)
     assert world.sources() == ([] if proofs is None else ["remembered"])
-    assert proofs is None or world.controller.probation.terms.proofs_needed == proofs
+    assert proofs is None or world.controller.probation.policy.required_successes == proofs
 
 
 @pytest.mark.parametrize("state", ["draining", "gone"])
--- a/tests/membership/test_endpoint_list_file.py
+++ b/tests/membership/test_endpoint_list_file.py
@@ -49,12 +49,12 @@
 @pytest.mark.parametrize(
     "damage, problem",
     [
-        (lambda data: data[:-1], "not as it was written"),
-        (lambda data: data[:10], "shorter"),
-        (lambda data: b"", "shorter"),
-        (lambda data: b"x" * len(data), "no remembered"),
-        (lambda data: data[:9] + b"\x09" + data[10:], "format 9"),
-        (lambda data: data[:80] + bytes([data[80] ^ 1]) + data[81:], "not as it was written"),
+        (lambda data: data[:-1], "length or checksum does not match"),
+        (lambda data: data[:10], "shorter than its header"),
+        (lambda data: b"", "shorter than its header"),
+        (lambda data: b"x" * len(data), "does not start with the mark"),
+        (lambda data: data[:9] + b"\x09" + data[10:], "format version 9"),
+        (lambda data: data[:80] + bytes([data[80] ^ 1]) + data[81:], "length or checksum does not match"),
     ],
 )
 def test_read_when_a_generation_is_damaged_takes_the_other(tmp_path, damage, problem):
--- a/tests/membership/test_stored_list.py
+++ b/tests/membership/test_stored_list.py
@@ -47,7 +47,10 @@
 def test_a_list_of_the_version_before_when_the_newest_is_damaged_gives_the_older(tmp_path):
     shutil.copytree(STORED, tmp_path, dirs_exist_ok=True)
     (tmp_path / "list-a.wh").write_bytes(b"")
-    assert EndpointListFile(Files(), str(tmp_path)).read() == (OLDER, ["list-a.wh is shorter than its head"])
+    assert EndpointListFile(Files(), str(tmp_path)).read() == (
+        OLDER,
+        ["list-a.wh: the file is shorter than its header"],
+    )
 
 
 def test_a_list_that_is_written_again_when_read_from_the_version_before_has_the_same_bytes():
--- a/wickhinge/membership/controller.py
+++ b/wickhinge/membership/controller.py
@@ -254,7 +254,7 @@
         statement = self.statements.endpoints.get(endpoint_id)
         if statement is None:
             return
-        state, is_trusted = self.probation.listing(endpoint_id)
+        state, is_trusted = self.probation.listing_state(endpoint_id)
         if is_trusted and endpoint_id not in self._listed:
             # However soon it was proven, it begins as one that may be warming up.
             self._list(statement, state, is_trusted=False)
@@ -320,7 +320,7 @@
             "reason": self._source_reason,
             "endpoints": len(self.statements.endpoints),
             "gone": len(self.statements.gone),
-            "health_checks": self.probation.health_checks,
+            "health_checks": self.probation.health_check_count,
             "last_update_s": round(now - self._last_update_at, 1) if self._last_update_at else None,
-            **self.probation.counts(),
+            **self.probation.count_by_state(),
         }
--- a/wickhinge/membership/endpoint_list_file.py
+++ b/wickhinge/membership/endpoint_list_file.py
@@ -1,4 +1,4 @@
-"""The two files of the stored endpoint list: written on a worker's thread, read once at the start."""
+"""The two files of the stored endpoint list, written by a worker thread and read once at the start."""
 
 from __future__ import annotations
 
@@ -7,36 +7,39 @@
 from wickhinge.membership.stored_list import StoredList
 from wickhinge.store.files import Files, replace_file
 
-_LOCK_NAME = "lock"
+_LOCK_FILE_NAME = "lock"
 
 
 class EndpointListFile:
-    """A directory with two generations of a list, of which one is complete at every moment.
+    """Directory with the two latest versions of the stored list, of which at least one is complete at any time.
 
-    The older generation is replaced by a rename. All calls may block.
+    A write replaces the older version by renaming a new file. All calls may block.
     """
 
-    def __init__(self, files: Files, path: str) -> None:
-        self._files, self._path, self._sequence = files, path, 0
-        self._lock: int | None = None
+    def __init__(self, files: Files, directory: str) -> None:
+        self._files, self._directory, self._sequence = files, directory, 0
+        self._lock_handle: int | None = None
 
     def open(self) -> None:
-        """Makes the directory where it is missing, and locks it until `close`.
+        """Create the directory if it is missing, and lock it until `close`.
 
         Raises:
-            ListDirectoryError: it can't be used, or another process uses it.
+            ListDirectoryError: The directory cannot be used, or another process uses it.
         """
         try:
-            self._files.make_directory(self._path)
-            self._lock = self._files.lock(self._path_of(_LOCK_NAME))
+            self._files.make_directory(self._directory)
+            self._lock_handle = self._files.lock(self._file_path(_LOCK_FILE_NAME))
         except OSError as error:
-            raise ListDirectoryError(self._path, f"can't be used: {error.strerror or error}") from None
-        if self._lock is None:
-            raise ListDirectoryError(self._path, "is in use by another process")
+            raise ListDirectoryError(self._directory, f"cannot be used: {error.strerror or error}") from None
+        if self._lock_handle is None:
+            raise ListDirectoryError(self._directory, "is in use by another process")
 
     def read(self) -> tuple[StoredList | None, list[str]]:
-        """The newest complete list, and what was wrong with each file that holds none."""
-        newest: tuple[int, StoredList] | None = None
+        """Return the newest complete list, and an error message for each file that holds none.
+
+        The list is None if neither file holds a complete one.
+        """
+        newest_file: tuple[int, StoredList] | None = None
         problems = []
         for name in stored_list.FILE_NAMES:
             try:
@@ -45,38 +48,42 @@
                     continue
                 sequence, stored = stored_list.decode(data)
             except (OSError, CorruptListError) as error:
-                problems.append(f"{name} {error}")
+                problems.append(f"{name}: {error}")
                 continue
             self._sequence = max(self._sequence, sequence)
-            if newest is None or sequence > newest[0]:
-                newest = sequence, stored
-        return newest[1] if newest else None, problems
+            if newest_file is None or sequence > newest_file[0]:
+                newest_file = sequence, stored
+        return newest_file[1] if newest_file else None, problems
 
     def _read_file(self, name: str) -> bytes | None:
-        """None where there is no such file."""
+        """Return the content of a file of the directory, or None if it does not exist."""
         try:
-            handle = self._files.open(self._path_of(name))
+            handle = self._files.open(self._file_path(name))
         except FileNotFoundError:
             return None
         except OSError as error:
-            raise CorruptListError(f"can't be read: {error.strerror or error}") from None
+            raise CorruptListError(f"the file cannot be read: {error.strerror or error}") from None
         try:
             return self._files.read(handle, stored_list.MAX_FILE_BYTES + 1, 0)
         finally:
             self._files.close(handle)
 
     def write(self, stored: StoredList) -> None:
-        """Replaces the older generation; lasting when it returns. May raise OSError."""
+        """Replace the older version of the list; the new one is on disk when this returns.
+
+        Raises:
+            OSError: The file cannot be written. The newer version is intact.
+        """
         sequence = self._sequence + 1
         name = stored_list.FILE_NAMES[sequence % len(stored_list.FILE_NAMES)]
-        replace_file(self._files, self._path, name, stored_list.encode(stored, sequence))
+        replace_file(self._files, self._directory, name, stored_list.encode(stored, sequence))
         self._sequence = sequence
 
     def close(self) -> None:
-        """Gives the directory free."""
-        if self._lock is not None:
-            self._files.close(self._lock)
-            self._lock = None
+        """Unlock the directory."""
+        if self._lock_handle is not None:
+            self._files.close(self._lock_handle)
+            self._lock_handle = None
 
-    def _path_of(self, name: str) -> str:
-        return f"{self._path}/{name}"
+    def _file_path(self, name: str) -> str:
+        return f"{self._directory}/{name}"
--- a/wickhinge/membership/stored_list.py
+++ b/wickhinge/membership/stored_list.py
@@ -1,6 +1,7 @@
-"""The stored endpoint list as bytes: complete, with version, sequence and checksum, or not accepted at all.
+"""File format of the stored endpoint list, with a format version, a sequence number and a checksum.
 
-The names of the file's format stand only in the `name=` arguments here. Times are Unix seconds.
+A file that does not hold a complete list is rejected as a whole. Names in the file that differ from the names in the
+program are given by the `name=` arguments. Times are in Unix seconds.
 """
 
 from __future__ import annotations
@@ -15,15 +16,20 @@
 from wickhinge.membership.statement_table import MAX_ENDPOINTS, EndpointState, ListSource, Statement
 
 FORMAT_VERSION = 1
-FILE_NAMES = ("list-a.wh", "list-b.wh")  # by the sequence's remainder
+FILE_NAMES = ("list-a.wh", "list-b.wh")  # A list is in the file whose index is its sequence number modulo 2.
 _MAGIC = b"WHLIST\x00\x00"
-_HEADER = Struct(">8sHQIQ")  # magic, version, sequence, length, checksum of all that follows and of the sequence
+_HEADER = Struct(
+    ">8sHQIQ"
+)  # Magic, version, sequence number, body length, checksum of the body and of the sequence number.
 _MAX_BODY_BYTES = 8 << 20
 MAX_FILE_BYTES = _HEADER.size + _MAX_BODY_BYTES
 
 
 class EndpointRecord(msgspec.Struct, array_like=True):
-    """One endpoint as it is stored or exchanged; in an exchange `stated_at` is an age in seconds."""
+    """One endpoint in a stored or exchanged list.
+
+    In an exchanged list, `stated_at` is not a time but the age of the statement in seconds.
+    """
 
     endpoint_id: int = msgspec.field(name="mark")
     host: str
@@ -36,68 +42,74 @@
     started_at: float | None = msgspec.field(name="started")
     stated_at: float = msgspec.field(name="said")
     source: ListSource
-    trust: str = msgspec.field(default="", name="stage")  # when it was written, for whoever reads the file
-    answered_at: float = msgspec.field(default=0.0, name="proven")  # when it last answered this router
+    trust: str = msgspec.field(default="", name="stage")  # Trust at the time of writing; for information only.
+    answered_at: float = msgspec.field(default=0.0, name="proven")  # Time of the last answer to this router; 0 if none.
 
 
 class StoredList(msgspec.Struct):
-    """All that a start without the discovery service can know."""
+    """Content of the file: what the router knows when it starts while the discovery service is unavailable."""
 
-    deployment: str  # fingerprint of the settings' names: a list of another deployment is not used
+    deployment: str  # Fingerprint of the deployment's settings; the list of another deployment is not used.
     written_at: float = msgspec.field(name="written")
-    last_update_at: float = msgspec.field(name="heard")  # when the live service had nothing more to tell; 0: never
-    last_event: int = msgspec.field(name="number")  # the service's event number at that time
+    last_update_at: float = msgspec.field(name="heard")  # When all events had last been received; 0 if never.
+    last_event: int = msgspec.field(name="number")  # Number of the last event that had been received then.
     endpoints: list[EndpointRecord] = msgspec.field(name="machines")
-    gone: list[tuple[int, float]] = []  # id, since when
-    purges: list[PurgeRecord] = []  # not yet carried out everywhere
+    gone: list[tuple[int, float]] = []  # Pairs of endpoint id and time at which it was gone.
+    purges: list[PurgeRecord] = []  # Purges that some servers may not have carried out yet.
     usual_loads: tuple[float, float] = msgspec.field(default=(0.0, 0.0), name="usual")
-    """Work a second to a warm server of each tier: caches, then parents."""
+    """Seconds of work per second that this router usually sends to one warm cache, and to one warm parent."""
 
 
 def deployment_fingerprint(zones: list[str], kinds: list[str], tariffs: list[str]) -> str:
-    """Sixteen hex digits that differ where the settings name other zones, kinds or tariffs."""
+    """Return 16 hex digits that identify the zones, kinds and tariffs of the settings."""
     text = "\x00".join(["zones", *zones, "kinds", *kinds, "tariffs", *tariffs])
     return f"{xxh3_64_intdigest(text.encode()):016x}"
 
 
 def encode(stored: StoredList, sequence: int) -> bytes:
-    """A whole file; `sequence` tells the newer of two files."""
+    """Return the bytes of a file; of two files, the one with the higher `sequence` is newer."""
     body = msgspec.msgpack.encode(stored)
     return _HEADER.pack(_MAGIC, FORMAT_VERSION, sequence, len(body), xxh3_64_intdigest(body, sequence)) + body
 
 
 def decode(data: bytes) -> tuple[int, StoredList]:
-    """The sequence and the list of a file.
+    """Return the sequence number and the list in the bytes of a file.
 
     Raises:
-        CorruptListError: it is anything but a complete list of this format.
+        CorruptListError: The bytes are not a complete list of this format.
     """
     if len(data) < _HEADER.size:
-        raise CorruptListError("is shorter than its head")
+        raise CorruptListError("the file is shorter than its header")
     magic, version, sequence, length, checksum = _HEADER.unpack_from(data)
     if magic != _MAGIC:
-        raise CorruptListError("is no remembered list")
+        raise CorruptListError("the file does not start with the mark of a stored endpoint list")
     if version != FORMAT_VERSION:
-        raise CorruptListError(f"has format {version}; this program reads {FORMAT_VERSION}")
+        raise CorruptListError(f"the file has format version {version}; this program reads version {FORMAT_VERSION}")
     body = data[_HEADER.size :]
     if length > _MAX_BODY_BYTES or len(body) != length or xxh3_64_intdigest(body, sequence) != checksum:
-        raise CorruptListError("is not as it was written")
+        raise CorruptListError("the file is damaged: its length or checksum does not match its header")
     try:
         stored = msgspec.msgpack.decode(body, type=StoredList)
     except msgspec.MsgspecError as error:
-        raise CorruptListError(f"holds something else: {error}") from None
+        raise CorruptListError(f"the file content is not an endpoint list: {error}") from None
     if len(stored.endpoints) > MAX_ENDPOINTS:
-        raise CorruptListError(f"names over {MAX_ENDPOINTS} machines")
+        raise CorruptListError(f"the file lists more than {MAX_ENDPOINTS} endpoints")
     return sequence, stored
 
 
 def record_fields(record: EndpointRecord) -> dict[str, object]:
-    """A record as a map, by the names of the file's format."""
+    """Return the fields of a record by their names in the file."""
     return {field.encode_name: getattr(record, field.name) for field in msgspec.structs.fields(record)}
 
 
 def to_record(statement: Statement, trust: str = "", answered_at: float = 0.0) -> EndpointRecord:
-    """A statement as it is stored or exchanged."""
+    """Return the record for a statement.
+
+    Args:
+        statement: Statement to be stored or exchanged.
+        trust: Name of the trust in the endpoint, or empty.
+        answered_at: Time of the endpoint's last answer to this router; 0 if none.
+    """
     host, port = statement.address
     return EndpointRecord(
         endpoint_id=statement.endpoint_id,
@@ -119,7 +131,13 @@
 def to_statement(
     record: EndpointRecord, source: ListSource = ListSource.REMEMBERED, stated_at: float | None = None
 ) -> Statement:
-    """A record as a statement of `source`, stated at `stated_at` or, where that is None, when the record says."""
+    """Return the statement in a record.
+
+    Args:
+        record: Stored or exchanged record.
+        source: Source of the statement.
+        stated_at: Time of the statement; None for the time in the record.
+    """
     return Statement(
         endpoint_id=record.endpoint_id,
         address=(record.host, record.port),
