--- a/tests/membership/test_discovery.py
+++ b/tests/membership/test_discovery.py
@@ -97,7 +97,7 @@
                 first.settimeout(PATIENT)
                 assert first.recv(100)[:4] == b"WHL1"
                 first.sendall(b"\x00\x00\x10\x00half")
-                assert "did not finish" in other.wait('"event":"membership_exchange_failed"')
+                assert "exchange did not finish" in other.wait('"event":"membership_exchange_failed"')
                 silent.accept()[0].close()
         finally:
             other.close()
--- a/tests/membership/test_list_exchange.py
+++ b/tests/membership/test_list_exchange.py
@@ -41,11 +41,11 @@
 @pytest.mark.parametrize(
     "data, reason",
     [
-        (sealed_answer(key=b"another key 1234"), "not under our key"),
-        (sealed_answer(nonce=b"m" * 16), "not under our key"),
-        (b"\xff\xff\xff\xff", "bytes"),
-        (sealed_answer(rows=20_001), "list of 20001 machines"),
-        (list_exchange.seal_payload(KEY, b"n" * 16, b"\x05"), "another form"),
+        (sealed_answer(key=b"another key 1234"), "not sealed with the exchange key"),
+        (sealed_answer(nonce=b"m" * 16), "not sealed with the exchange key"),
+        (b"\xff\xff\xff\xff", "payload of 4294967295 bytes"),
+        (sealed_answer(rows=20_001), "lists 20001 endpoints"),
+        (list_exchange.seal_payload(KEY, b"n" * 16, b"\x05"), "payload is malformed"),
     ],
     ids=["key", "replayed", "length", "machines", "form"],
 )
@@ -55,11 +55,14 @@
 
 
 def test_an_answer_when_overlong_is_refused_by_its_length_alone():
-    with pytest.raises(ListExchangeError, match="bytes"):
+    with pytest.raises(ListExchangeError, match="payload of [0-9]+ bytes"):
         list_exchange.AnswerReader(KEY, b"n" * 16).feed(sealed_answer(rows=100_000)[:4])
 
 
-@pytest.mark.parametrize("key, when, reason", [(b"another key 1234", 100.0, "key"), (KEY, 900.0, "another time")])
+@pytest.mark.parametrize(
+    "key, when, reason",
+    [(b"another key 1234", 100.0, "sealed with the exchange key"), (KEY, 900.0, "its time differs")],
+)
 def test_a_request_when_of_another_key_or_time_is_refused(key, when, reason):
     assert list_exchange.decode_request(KEY, list_exchange.encode_request(KEY, b"n" * 16, 100.0), 101.0) == b"n" * 16
     with pytest.raises(ListExchangeError, match=reason):
--- a/wickhinge/membership/port.py
+++ b/wickhinge/membership/port.py
@@ -1,4 +1,4 @@
-"""What the controller is given: the router's side that it calls, and its settings."""
+"""Interfaces of the membership controller: the methods of the router that it calls, and its settings."""
 
 from __future__ import annotations
 
@@ -11,38 +11,50 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointListing:
-    """An endpoint as the routing fleet is to list it."""
+    """Description of an endpoint for the routing fleet."""
 
     statement: Statement
     state: EndpointState
-    is_trusted: bool  # with requests that have effects
+    is_trusted: bool  # Whether requests with effects may go to the endpoint.
 
 
 class MembershipPort(Protocol):
-    """What the controller needs of the router; called from within the controller's methods."""
+    """Methods of the router that the controller calls, always within one of its own methods."""
 
     def apply_listings(self, listings: list[EndpointListing]) -> None:
-        """Lists endpoints for the routing fleet, beside those listed already."""
+        """Add endpoints to the routing fleet or update them; the other endpoints of the fleet stay."""
 
     def check_health(self, statement: Statement) -> None:
-        """Starts a health check; its result goes to `MembershipController.record_health_check`."""
+        """Start a health check, whose result is passed to `MembershipController.record_health_check`."""
 
     def apply_purge(self, purge: PurgeRecord) -> None:
-        """Carries out a purge that was stored, or that another router told."""
+        """Carry out a purge from the stored list or from another router's list."""
 
     def log_event(self, event: str, /, **fields: object) -> None:
-        """Writes an event to the router's log."""
+        """Write an event to the router's log."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class MembershipSettings:
-    """What the controller takes from the settings. Spans are seconds."""
-
-    deployment: str  # fingerprint of the settings' names
-    router_count: int  # how many may start at the same moment
-    upper_tier_kinds: tuple[str | None, ...]  # kinds of parents and origins
-    fallback_delay_s: float  # how long a start waits for the live list
-    hint_age_s: float  # past this age a list only says whom to check
-    max_uninformed_copy_age_s: float  # 0: no bound
-    quiet_s: float  # after so long without an update the live service counts as lost
-    purge_completion_s: float  # after so long all servers have carried out a purge
+    """Settings of the controller.
+
+    Attributes:
+        deployment: Fingerprint of the deployment's settings (see stored_list.deployment_fingerprint).
+        router_count: Number of routers that may start at the same moment.
+        upper_tier_kinds: Kinds of parents and origins.
+        fallback_delay_s: Seconds after the start for which the live list is awaited before another list is used.
+        hint_age_s: Age in seconds past which a list only tells which addresses to check.
+        max_uninformed_copy_age_s: Age limit in seconds of all copies while the discovery service is silent; 0 for no
+            limit.
+        quiet_s: Seconds without a complete update after which the discovery service counts as silent.
+        purge_completion_s: Seconds after which all servers have carried out a purge.
+    """
+
+    deployment: str
+    router_count: int
+    upper_tier_kinds: tuple[str | None, ...]
+    fallback_delay_s: float
+    hint_age_s: float
+    max_uninformed_copy_age_s: float
+    quiet_s: float
+    purge_completion_s: float
--- a/wickhinge/membership/stored_list.py
+++ b/wickhinge/membership/stored_list.py
@@ -18,9 +18,8 @@
 FORMAT_VERSION = 1
 FILE_NAMES = ("list-a.wh", "list-b.wh")  # A list is in the file whose index is its sequence number modulo 2.
 _MAGIC = b"WHLIST\x00\x00"
-_HEADER = Struct(
-    ">8sHQIQ"
-)  # Magic, version, sequence number, body length, checksum of the body and of the sequence number.
+# Header fields: magic, version, sequence number, body length, checksum of the body and of the sequence number.
+_HEADER = Struct(">8sHQIQ")
 _MAX_BODY_BYTES = 8 << 20
 MAX_FILE_BYTES = _HEADER.size + _MAX_BODY_BYTES
 
