--- a/tests/membership/test_endpoint_list_file.py
+++ b/tests/membership/test_endpoint_list_file.py
@@ -1,11 +1,11 @@
-"""The stored list under faults of the disk and of its bytes."""
+"""The stored list when calls to the disk fail or its files are damaged."""
 
 import errno
 
 import pytest
 
 from tests.support.faulty_disk import Crash, Disk
-from tests.support.statements import statement
+from tests.support.statements import make_statement
 from wickhinge.membership import stored_list
 from wickhinge.membership.endpoint_list_file import EndpointListFile
 from wickhinge.membership.errors import ListDirectoryError
@@ -14,16 +14,21 @@
 
 @pytest.mark.parametrize("failure", ["crash", "tear", errno.ENOSPC, errno.EIO])
 @pytest.mark.parametrize("lost", [False, True])
-def test_write_when_any_call_fails_leaves_a_complete_list(failure, lost):
+def test_write_when_any_call_to_the_disk_fails_leaves_a_complete_list(failure, lost):
     def stored_list_of(number):
+        """Return a list with the given event number, and a length that depends on it."""
         return StoredList(
-            "d", float(number), float(number), number, [to_record(statement(mark)) for mark in range(number * 20)]
+            "d",
+            float(number),
+            float(number),
+            number,
+            [to_record(make_statement(endpoint_id)) for endpoint_id in range(number * 20)],
         )
 
-    call, written_counts = 0, []
+    failing_call, written_counts = 0, []
     while True:
-        call += 1
-        disk, last_written = Disk((call, failure)), 0
+        failing_call += 1
+        disk, last_written = Disk((failing_call, failure)), 0
         try:
             list_file = EndpointListFile(disk, "d")
             list_file.open()
@@ -36,13 +41,13 @@
         except (Crash, ListDirectoryError):
             pass
         written_counts.append(last_written)
-        if disk.calls < call:
+        if disk.calls < failing_call:
             break
-        after = EndpointListFile(disk.restarted(call, lost), "d")
-        after.open()
-        memory, _ = after.read()
-        assert (memory.last_event if memory else 0) >= last_written
-        assert memory is None or memory == stored_list_of(memory.last_event)
+        reopened = EndpointListFile(disk.restarted(failing_call, lost), "d")
+        reopened.open()
+        stored, _ = reopened.read()
+        assert (stored.last_event if stored else 0) >= last_written
+        assert stored is None or stored == stored_list_of(stored.last_event)
     assert len(set(written_counts)) > 2
 
 
@@ -57,16 +62,16 @@
         (lambda data: data[:80] + bytes([data[80] ^ 1]) + data[81:], "length or checksum does not match"),
     ],
 )
-def test_read_when_a_generation_is_damaged_takes_the_other(tmp_path, damage, problem):
+def test_read_when_one_file_is_damaged_returns_the_other(tmp_path, damage, problem):
     from wickhinge.store.files import Files
 
     list_file = EndpointListFile(Files(), str(tmp_path))
     list_file.open()
     for number in (1, 2):
-        list_file.write(StoredList("d", 1.0, 1.0, number, [to_record(statement(5))]))
+        list_file.write(StoredList("d", 1.0, 1.0, number, [to_record(make_statement(5))]))
     path = tmp_path / stored_list.FILE_NAMES[0]
     path.write_bytes(damage(path.read_bytes()))
-    memory, wrong = list_file.read()
-    assert memory.last_event == 1 and problem in wrong[0]
+    stored, problems = list_file.read()
+    assert stored.last_event == 1 and problem in problems[0]
     with pytest.raises(ListDirectoryError, match="in use"):
         EndpointListFile(Files(), str(tmp_path)).open()
--- a/tests/membership/test_list_exchange.py
+++ b/tests/membership/test_list_exchange.py
@@ -1,8 +1,8 @@
-"""Lists between routers: split, forged, replayed and overlong messages."""
+"""Messages of the list exchange that are split, forged, replayed or too long."""
 
 import pytest
 
-from tests.support.statements import statement
+from tests.support.statements import make_statement
 from wickhinge.membership import list_exchange
 from wickhinge.membership.errors import ListExchangeError
 from wickhinge.membership.list_exchange import ListAnswer
@@ -10,7 +10,7 @@
 from wickhinge.membership.stored_list import EndpointRecord, to_record
 
 KEY = b"0123456789abcdef"
-# Written by version 0.2.0 before its names were changed, under the key b"k" * 32.
+# Messages that version 0.2.0 wrote, sealed with the key b"k" * 32; its program had other names for the same fields.
 STORED_REQUEST = bytes.fromhex(
     "57484c316e6e6e6e6e6e6e6e6e6e6e6e6e6e6e6e000000006553f100d4c7baaf4ed844807dc47316f145285ec9b1718462bb"
     "b6dcf14a870fd24a36d6"
@@ -25,17 +25,18 @@
 )
 
 
-def sealed_answer(key=KEY, nonce=b"n" * 16, rows=2):
-    rows = [to_record(statement(mark)) for mark in range(rows)]
-    return list_exchange.encode_answer(key, nonce, ListAnswer("d", 1.0, 2, rows))
+def sealed_answer(key=KEY, nonce=b"n" * 16, record_count=2):
+    """Return the bytes of an answer that lists `record_count` endpoints."""
+    records = [to_record(make_statement(endpoint_id)) for endpoint_id in range(record_count)]
+    return list_exchange.encode_answer(key, nonce, ListAnswer("d", 1.0, 2, records))
 
 
-def test_an_answer_when_split_anywhere_is_read():
+def test_answer_when_it_arrives_in_two_pieces_is_read():
     data = sealed_answer()
     for split in range(0, len(data), 7):
-        stream = list_exchange.AnswerReader(KEY, b"n" * 16)
-        first = stream.feed(data[:split])
-        assert (first or stream.feed(data[split:])).last_event == 2
+        reader = list_exchange.AnswerReader(KEY, b"n" * 16)
+        early_answer = reader.feed(data[:split])
+        assert (early_answer or reader.feed(data[split:])).last_event == 2
 
 
 @pytest.mark.parametrize(
@@ -44,32 +45,32 @@
         (sealed_answer(key=b"another key 1234"), "not sealed with the exchange key"),
         (sealed_answer(nonce=b"m" * 16), "not sealed with the exchange key"),
         (b"\xff\xff\xff\xff", "payload of 4294967295 bytes"),
-        (sealed_answer(rows=20_001), "lists 20001 endpoints"),
+        (sealed_answer(record_count=20_001), "lists 20001 endpoints"),
         (list_exchange.seal_payload(KEY, b"n" * 16, b"\x05"), "payload is malformed"),
     ],
     ids=["key", "replayed", "length", "machines", "form"],
 )
-def test_an_answer_when_wrong_is_refused_with_the_reason(data, reason):
+def test_answer_when_forged_replayed_or_malformed_is_rejected_with_the_reason(data, reason):
     with pytest.raises(ListExchangeError, match=reason):
         list_exchange.AnswerReader(KEY, b"n" * 16).feed(data)
 
 
-def test_an_answer_when_overlong_is_refused_by_its_length_alone():
+def test_answer_when_too_long_is_rejected_before_the_payload_arrives():
     with pytest.raises(ListExchangeError, match="payload of [0-9]+ bytes"):
-        list_exchange.AnswerReader(KEY, b"n" * 16).feed(sealed_answer(rows=100_000)[:4])
+        list_exchange.AnswerReader(KEY, b"n" * 16).feed(sealed_answer(record_count=100_000)[:4])
 
 
 @pytest.mark.parametrize(
-    "key, when, reason",
+    "key, sent_at, reason",
     [(b"another key 1234", 100.0, "sealed with the exchange key"), (KEY, 900.0, "its time differs")],
 )
-def test_a_request_when_of_another_key_or_time_is_refused(key, when, reason):
+def test_request_when_of_another_key_or_time_is_rejected(key, sent_at, reason):
     assert list_exchange.decode_request(KEY, list_exchange.encode_request(KEY, b"n" * 16, 100.0), 101.0) == b"n" * 16
     with pytest.raises(ListExchangeError, match=reason):
-        list_exchange.decode_request(KEY, list_exchange.encode_request(key, b"n" * 16, when), 100.0)
+        list_exchange.decode_request(KEY, list_exchange.encode_request(key, b"n" * 16, sent_at), 100.0)
 
 
-def test_messages_when_of_the_version_before_are_read_and_written_alike():
+def test_messages_when_written_by_version_0_2_0_are_read_and_written_without_a_difference():
     key, nonce = b"k" * 32, b"n" * 16
     records = [
         EndpointRecord(0xA1, "127.0.0.1", 9001, "ready", "here", "box", 0, 4.0, None, 12.5, "live"),
--- a/tests/membership/test_purge_gap.py
+++ b/tests/membership/test_purge_gap.py
@@ -1,4 +1,4 @@
-"""How old a copy may be while purges may be missing."""
+"""Age limit of copies while purges may be unknown to the router."""
 
 import pytest
 
@@ -18,7 +18,7 @@
         (None, 4.0, 1009.0, 4.0),
     ],
 )
-def test_max_copy_age_when_purges_may_be_missing_reaches_back_to_the_gap(
+def test_max_copy_age_when_purges_may_be_unknown_excludes_copies_from_before_the_gap(
     last_update_at, max_uninformed_age_s, now, max_age_s
 ):
     gap = PurgeGap(max_uninformed_age_s, 3.0)
--- a/tests/membership/test_stored_list.py
+++ b/tests/membership/test_stored_list.py
@@ -1,6 +1,6 @@
-"""Remembered endpoint lists that an earlier version wrote are read as they were meant.
+"""Stored endpoint lists that an earlier version wrote can be read.
 
-tests/data/membership/remembered-list holds both generations of a list, as version 0.2.0 wrote them.
+tests/data/membership/remembered-list holds both files of a stored list, as version 0.2.0 wrote them.
 """
 
 import shutil
@@ -10,9 +10,9 @@
 from wickhinge.membership.stored_list import EndpointRecord, StoredList, decode, encode
 from wickhinge.store.files import Files
 
-STORED = Path(__file__).parents[1] / "data/membership/remembered-list"
+STORED_LIST_DIRECTORY = Path(__file__).parents[1] / "data/membership/remembered-list"
 DEPLOYMENT = "5655ac8b6d28a37c"
-ROWS = [
+RECORDS = [
     EndpointRecord(
         0xA1, "127.0.0.1", 9001, "ready", "here", "box", 0, 4.0, None, 1700000000.0, "live", "vouched", 1700000001.5
     ),
@@ -26,34 +26,34 @@
         0xC1, "origin.example.net", 9004, "ready", "hub", "origin", 0, 1e6, None, 0.0, "static", "dropped", 0.0
     ),
 ]
-NEWEST = StoredList(
+NEWEST_LIST = StoredList(
     DEPLOYMENT,
     1700000200.0,
     1700000199.0,
     42,
-    ROWS,
+    RECORDS,
     [(0xA9, 1699999999.0)],
     [(7, 0, 1700000150.0), (None, 3, 1700000160.0)],
     (12.5, 3.25),
 )
-OLDER = StoredList(DEPLOYMENT, 1700000100.0, 1700000099.0, 41, ROWS[:1])
+OLDER_LIST = StoredList(DEPLOYMENT, 1700000100.0, 1700000099.0, 41, RECORDS[:1])
 
 
-def test_a_list_of_the_version_before_when_both_generations_are_whole_gives_the_newest(tmp_path):
-    shutil.copytree(STORED, tmp_path, dirs_exist_ok=True)
-    assert EndpointListFile(Files(), str(tmp_path)).read() == (NEWEST, [])
+def test_read_when_version_0_2_0_wrote_both_files_returns_the_newest_list(tmp_path):
+    shutil.copytree(STORED_LIST_DIRECTORY, tmp_path, dirs_exist_ok=True)
+    assert EndpointListFile(Files(), str(tmp_path)).read() == (NEWEST_LIST, [])
 
 
-def test_a_list_of_the_version_before_when_the_newest_is_damaged_gives_the_older(tmp_path):
-    shutil.copytree(STORED, tmp_path, dirs_exist_ok=True)
+def test_read_when_the_newest_file_of_version_0_2_0_is_damaged_returns_the_older_list(tmp_path):
+    shutil.copytree(STORED_LIST_DIRECTORY, tmp_path, dirs_exist_ok=True)
     (tmp_path / "list-a.wh").write_bytes(b"")
     assert EndpointListFile(Files(), str(tmp_path)).read() == (
-        OLDER,
+        OLDER_LIST,
         ["list-a.wh: the file is shorter than its header"],
     )
 
 
-def test_a_list_that_is_written_again_when_read_from_the_version_before_has_the_same_bytes():
-    data = (STORED / "list-a.wh").read_bytes()
+def test_encode_when_the_list_was_read_from_a_file_of_version_0_2_0_returns_the_same_bytes():
+    data = (STORED_LIST_DIRECTORY / "list-a.wh").read_bytes()
     sequence, stored = decode(data)
     assert sequence == 2 and encode(stored, sequence) == data
--- a/tests/membership/test_untrusted_endpoints.py
+++ b/tests/membership/test_untrusted_endpoints.py
@@ -1,4 +1,4 @@
-"""What the routing does with endpoints that no live list vouches for."""
+"""Routing of requests to endpoints that are not verified because they come from a list other than the live one."""
 
 import pytest
 
@@ -7,7 +7,7 @@
 
 
 @pytest.mark.parametrize(
-    "class_of_request, sent",
+    "request_class, forward_count",
     [
         (make_request_class(), 1),
         (make_request_class(Idempotency.NOT_IDEMPOTENT), 0),
@@ -15,26 +15,28 @@
         (make_request_class(Idempotency.NOT_IDEMPOTENT, pass_through=True), 0),
     ],
 )
-def test_a_request_with_effects_when_only_an_old_list_names_a_server_is_not_sent_there(class_of_request, sent):
+def test_request_with_effects_when_all_endpoints_are_unverified_is_not_forwarded(request_class, forward_count):
     routing = make_router(caches=0, parents=0)
     endpoints = [make_endpoint(1), make_endpoint(100, "parent", "hub"), make_endpoint(200, "origin", "hub")]
     routing.endpoints.update(
         [
-            endpoint.__class__(**{**{n: getattr(endpoint, n) for n in endpoint.__slots__}, "is_verified": False})
+            endpoint.__class__(
+                **{**{name: getattr(endpoint, name) for name in endpoint.__slots__}, "is_verified": False}
+            )
             for endpoint in endpoints
         ],
         99.0,
         complete=True,
     )
-    _, caller = route_request(routing, class_of_request)
-    assert len(caller.forwards) == sent and len(caller.answers) == 1 - sent
+    _, caller = route_request(routing, request_class)
+    assert len(caller.forwards) == forward_count and len(caller.answers) == 1 - forward_count
     routing.endpoints.update(endpoints, 101.0, complete=True)
     routing.endpoints.servers[1].record_answer(101.0), routing.endpoints.servers[200].record_answer(101.0)
-    _, caller = route_request(routing, class_of_request, now=112.0)
+    _, caller = route_request(routing, request_class, now=112.0)
     assert len(caller.forwards) == 1
 
 
-def test_an_untrusted_server_when_tried_gets_one_request_at_a_time_and_starts_cold():
+def test_unverified_endpoint_when_first_used_gets_one_request_at_a_time_and_a_slow_start():
     routing = make_router(caches=0)
     endpoint = make_endpoint(1)
     unverified = endpoint.__class__(1, "here", "box", 0, "ready", 20.0, None, False)
