--- a/tests/membership/test_controller.py
+++ b/tests/membership/test_controller.py
@@ -170,7 +170,7 @@
     assert (
         not harness.listings
         and set(harness.controller.statements.endpoints) == {2, 3, 50}
-        and 1 in harness.controller.statements.gone
+        and 1 in harness.controller.statements.gone_times
     )
     harness.controller.tick(1001.0)
     assert harness.logged_sources() == ["remembered", "live"] and len(harness.health_checks) == len(checks)
--- a/tests/membership/test_discovery.py
+++ b/tests/membership/test_discovery.py
@@ -30,9 +30,9 @@
     assert min(share for shares in result["served_share"].values() for share in shares) > 0.5
 
 
-@pytest.mark.parametrize("plant", ["trust", "drains"])
-def test_measurement_when_a_fault_is_planted_finds_it(measurements, plant):
-    assert measurements[plant]["wrong_sends"] > 0
+@pytest.mark.parametrize("planted_fault", ["trust", "drains"])
+def test_measurement_when_a_fault_is_planted_finds_it(measurements, planted_fault):
+    assert measurements[planted_fault]["wrong_sends"] > 0
 
 
 def test_100_routers_when_they_restart_together_with_the_servers_overload_no_server(measurements):
--- a/tests/membership/test_endpoint_list_file.py
+++ b/tests/membership/test_endpoint_list_file.py
@@ -13,8 +13,8 @@
 
 
 @pytest.mark.parametrize("failure", ["crash", "tear", errno.ENOSPC, errno.EIO])
-@pytest.mark.parametrize("lost", [False, True])
-def test_write_when_any_call_to_the_disk_fails_leaves_a_complete_list(failure, lost):
+@pytest.mark.parametrize("is_machine_restarted", [False, True])
+def test_write_when_any_call_to_the_disk_fails_leaves_a_complete_list(failure, is_machine_restarted):
     def stored_list_of(number):
         """Return a list with the given event number, and a length that depends on it."""
         return StoredList(
@@ -43,7 +43,7 @@
         written_counts.append(last_written)
         if disk.calls < failing_call:
             break
-        reopened = EndpointListFile(disk.restarted(failing_call, lost), "d")
+        reopened = EndpointListFile(disk.restarted(failing_call, is_machine_restarted), "d")
         reopened.open()
         stored, _ = reopened.read()
         assert (stored.last_event if stored else 0) >= last_written
--- a/tests/membership/test_statement_table.py
+++ b/tests/membership/test_statement_table.py
@@ -81,7 +81,7 @@
     assert set(table.endpoints) == {2, 4} and not table.merge(make_statement(1, stated_at=300))
     for endpoint_id in range(10, MAX_GONE_ENDPOINTS + 50):
         table.remove(endpoint_id, 1.0)
-    assert len(table.gone) == MAX_GONE_ENDPOINTS
+    assert len(table.gone_times) == MAX_GONE_ENDPOINTS
 
 
 def test_replace_all_when_two_endpoints_swapped_addresses_identifies_them_by_id():
--- a/tests/membership/test_untrusted_endpoints.py
+++ b/tests/membership/test_untrusted_endpoints.py
@@ -28,12 +28,12 @@
         99.0,
         complete=True,
     )
-    _, caller = route_request(routing, request_class)
-    assert len(caller.forwards) == forward_count and len(caller.answers) == 1 - forward_count
+    _, transport = route_request(routing, request_class)
+    assert len(transport.forwards) == forward_count and len(transport.answers) == 1 - forward_count
     routing.endpoints.update(endpoints, 101.0, complete=True)
     routing.endpoints.servers[1].record_answer(101.0), routing.endpoints.servers[200].record_answer(101.0)
-    _, caller = route_request(routing, request_class, now=112.0)
-    assert len(caller.forwards) == 1
+    _, transport = route_request(routing, request_class, now=112.0)
+    assert len(transport.forwards) == 1
 
 
 def test_unverified_endpoint_when_first_used_gets_one_request_at_a_time_and_a_slow_start():
@@ -41,8 +41,8 @@
     endpoint = make_endpoint(1)
     unverified = endpoint.__class__(1, "here", "box", 0, "ready", 20.0, None, False)
     routing.endpoints.update([unverified], 99.0, complete=False)
-    _, first = route_request(routing, key=1)
+    _, first_transport = route_request(routing, key=1)
     route_request(routing, key=2)
-    assert first.forwards[0].server.id == 1 and len(routing.endpoints.servers[1].pending_attempts) == 1
-    end_attempt(first, Outcome.MISS, 100.01)
+    assert first_transport.forwards[0].server.id == 1 and len(routing.endpoints.servers[1].pending_attempts) == 1
+    end_attempt(first_transport, Outcome.MISS, 100.01)
     assert routing.endpoints.servers[1].started == 100.01 and not routing.endpoints.servers[1].has_failed
--- a/wickhinge/membership/comparison.py
+++ b/wickhinge/membership/comparison.py
@@ -12,7 +12,7 @@
 
 from wickhinge.membership.statement_table import EndpointState, Statement
 
-_MIN_SIZE_RATIO = 0.5  # A list shorter than this share of the known list is suspicious.
+_MIN_SIZE_RATIO = 0.5  # A new list is suspicious if it has fewer endpoints than this share of the known ones.
 
 
 @dataclass(slots=True)
--- a/wickhinge/membership/controller.py
+++ b/wickhinge/membership/controller.py
@@ -270,7 +270,7 @@
                 to_record(replace(statement, stated_at=max(now - statement.stated_at, 0.0)))
                 for statement in self.statements.endpoints.values()
             ],
-            gone=list(self.statements.gone)[-_MAX_EXCHANGED_GONE_IDS:],
+            gone=list(self.statements.gone_times)[-_MAX_EXCHANGED_GONE_IDS:],
             purges=self._recent_purges.all_purges(),
         )
 
@@ -347,7 +347,7 @@
                 to_record(statement, self._trust_name(endpoint_id), self._last_answer_at.get(endpoint_id, 0.0))
                 for endpoint_id, statement in self.statements.endpoints.items()
             ],
-            gone=list(self.statements.gone.items())[-_MAX_STORED_GONE_IDS:],
+            gone=list(self.statements.gone_times.items())[-_MAX_STORED_GONE_IDS:],
             purges=self._recent_purges.unfinished_purges(now),
             usual_loads=usual_loads,
         )
@@ -365,7 +365,7 @@
             "since_s": round(now - self._source_since, 1),
             "reason": self._source_reason,
             "endpoints": len(self.statements.endpoints),
-            "gone": len(self.statements.gone),
+            "gone": len(self.statements.gone_times),
             "health_checks": self.probation.health_check_count,
             "last_update_s": round(now - self._last_update_at, 1) if self._last_update_at else None,
             **self.probation.count_by_state(),
--- a/wickhinge/membership/list_exchange.py
+++ b/wickhinge/membership/list_exchange.py
@@ -1,6 +1,6 @@
 """Wire format of the list exchange, in which one router asks another of the same deployment for its endpoint list.
 
-The options enable the exchange. A request and its answer are authenticated with a shared key:
+The options enable the exchange. A request and its answer are sealed, that is, authenticated with a shared key:
 
     request = "WHL1" nonce:16 time:8 mac:32            mac over all bytes before it
     answer  = length:4 payload mac:32                  mac over the nonce of the request and the payload
@@ -38,11 +38,11 @@
     Names on the wire that differ from the names in the program are given by the `name=` arguments.
     """
 
-    deployment: str
+    deployment: str  # Fingerprint of the deployment's settings.
     last_update_age_s: float = msgspec.field(name="heard")  # Age of its last complete update in seconds; -1 if none.
     last_event: int = msgspec.field(name="number")
     endpoints: list[EndpointRecord] = msgspec.field(name="machines")  # `stated_at` is an age in seconds.
-    gone: list[int] = []
+    gone: list[int] = []  # Ids of endpoints that have left the deployment.
     purges: list[PurgeRecord] = []
 
 
--- a/wickhinge/membership/statement_table.py
+++ b/wickhinge/membership/statement_table.py
@@ -86,14 +86,14 @@
 
     def __init__(self) -> None:
         self.endpoints: dict[int, Statement] = {}
-        self.gone: dict[int, float] = {}  # Unix seconds at which each id was stated as gone.
+        self.gone_times: dict[int, float] = {}  # Unix seconds at which each endpoint was stated as gone, by id.
 
     def merge(self, new: Statement) -> bool:
         """Add a statement; return whether it changes the description of the endpoint that is in force."""
         if new.state == EndpointState.GONE:
             return self.remove(new.endpoint_id, new.stated_at)
         old = self.endpoints.get(new.endpoint_id)
-        if new.endpoint_id in self.gone or not self._supersedes(new, old):
+        if new.endpoint_id in self.gone_times or not self._supersedes(new, old):
             return False
         if old is None and len(self.endpoints) >= MAX_ENDPOINTS:
             return False
@@ -114,13 +114,13 @@
     def restore_gone(self, endpoint_id: int, gone_at: float) -> None:
         """Mark an id of a stored list as gone, unless the table has a statement about it."""
         if endpoint_id not in self.endpoints:
-            self.gone[endpoint_id] = gone_at
+            self.gone_times[endpoint_id] = gone_at
 
     def remove(self, endpoint_id: int, gone_at: float) -> bool:
         """Mark an endpoint as gone; return whether the table had a statement about it."""
-        self.gone[endpoint_id] = gone_at
-        while len(self.gone) > MAX_GONE_ENDPOINTS:
-            del self.gone[next(iter(self.gone))]
+        self.gone_times[endpoint_id] = gone_at
+        while len(self.gone_times) > MAX_GONE_ENDPOINTS:
+            del self.gone_times[next(iter(self.gone_times))]
         return self.endpoints.pop(endpoint_id, None) is not None
 
     def replace_all(self, statements: Iterable[Statement], now: float) -> list[int]:
@@ -135,7 +135,7 @@
         for endpoint_id in removed_ids:
             self.remove(endpoint_id, now)
         for statement in statements:
-            self.gone.pop(statement.endpoint_id, None)  # The discovery service overrules the other sources.
+            self.gone_times.pop(statement.endpoint_id, None)  # The discovery service overrules the other sources.
             self.merge(statement)
         return removed_ids
 
