--- a/bench/scale/fleet_log_run.py
+++ b/bench/scale/fleet_log_run.py
@@ -141,13 +141,13 @@
 
     def _measure(self) -> None:
         names = [machine.name for machine in [*self._plan.replicas, *self._plan.relays]]
-        machines = self._client.servers(name for name in names if name in self._processes.running)
+        machines = self._client.query_servers(name for name in names if name in self._processes.running)
         statuses = {machine.name: machine.status for machine in machines if machine.status is not None}
         self._moments.append(Moment(time.monotonic(), usages(self._processes.pids()), statuses))
 
     def _replicas(self, leads: bool) -> list[str]:
         names = [one.name for one in self._plan.replicas if one.name in self._processes.running]
-        found = [one.status for one in self._client.servers(names) if one.status is not None]
+        found = [one.status for one in self._client.query_servers(names) if one.status is not None]
         return [status.name for status in found if (status.state == "leader") is leads]
 
     def _kill_leader(self) -> None:
--- a/tests/changelog/test_replicas_on_processes.py
+++ b/tests/changelog/test_replicas_on_processes.py
@@ -38,7 +38,7 @@
     number = fleet.purge(0xD3).number
 
     def caught_up():
-        status = fleet.client.server(leader).status
+        status = fleet.client.query_server(leader).status
         return status is not None and status.number >= number and status.state == "follower"
 
     eventually(caught_up)
--- a/tests/support/changelog_fleet.py
+++ b/tests/support/changelog_fleet.py
@@ -16,7 +16,7 @@
 from tests.support.processes import PATIENT, ROOT, Process
 from tests.support.router_process import OK_FIELDS, CacheConnection, RouterHarness
 from wickhinge.changelog.entries import Purge, Setting
-from wickhinge.cli.changelog_client import Client, NotAppendedError, routers_of
+from wickhinge.cli.changelog_client import Client, NotAppendedError, list_routers
 from wickhinge.options import load
 
 REPLICAS = [f"replica-{number}" for number in range(1, 6)]
@@ -193,7 +193,7 @@
     # What the test asks.
 
     def servers(self):
-        return self.client.servers([*REPLICAS, *RELAYS])
+        return self.client.query_servers([*REPLICAS, *RELAYS])
 
     def leader(self):
         def found():
@@ -204,7 +204,7 @@
 
     def router(self):
         """The row of the router, or None."""
-        return next(iter(routers_of(self.servers())), None)
+        return next(iter(list_routers(self.servers())), None)
 
     def purge(self, key, timeout_s=PATIENT):
         """Returns once the router has it."""
--- a/wickhinge/changelog/daemon.py
+++ b/wickhinge/changelog/daemon.py
@@ -46,7 +46,7 @@
     on_storage_failure: Callable[[StorageFailedError], None],
 ) -> ReplicaEndpoint:
     """The endpoint of the replica `name`."""
-    replicas, relays = options_of.addresses(options.replicas), options_of.addresses(options.relays)
+    replicas, relays = options_of.addresses_by_name(options.replicas), options_of.addresses_by_name(options.relays)
     config = EndpointConfig(name, replicas[name], replicas, options_of.read_keys(options), relays)
     settings = ReplicaSettings(purge_horizon_s=options.purge_horizon_s)
     return ReplicaEndpoint(config, runtime, storage, settings, on_storage_failure)
@@ -54,7 +54,7 @@
 
 def relay_endpoint(name: str, options: Changelog, runtime: Runtime) -> RelayEndpoint:
     """The endpoint of the relay `name`."""
-    replicas, relays = options_of.addresses(options.replicas), options_of.addresses(options.relays)
+    replicas, relays = options_of.addresses_by_name(options.replicas), options_of.addresses_by_name(options.relays)
     preferred = rotate_preference(replicas, list(relays).index(name))
     config = EndpointConfig(name, relays[name], preferred, options_of.read_keys(options))
     follow = msgspec.structs.replace(RelaySettings().follow, bound_s=options.bound_s)
--- a/wickhinge/cli/changelog.py
+++ b/wickhinge/cli/changelog.py
@@ -245,11 +245,11 @@
     """Where each replica, relay and router stands; 1 if something is not well."""
     import msgspec
 
-    from wickhinge.cli.changelog_client import faults_of, routers_of
+    from wickhinge.cli.changelog_client import faults_of, list_routers
 
     client = make_client(options)
-    servers = client.servers([*client.replicas, *client.relays])
-    routers = routers_of(servers)
+    servers = client.query_servers([*client.replicas, *client.relays])
+    routers = list_routers(servers)
     faults = faults_of(servers, routers)
     if as_json:
         statuses = [server.status or {"name": server.name, "error": server.error} for server in servers]
@@ -344,7 +344,7 @@
         fail(f"{file}: {error}")
     if snapshot.epoch >= epoch:
         fail(f"restore: --epoch: the backup is of epoch {snapshot.epoch}, a higher one is needed")
-    for server in make_client(options).servers(replica.name for replica in read_settings(options).replicas):
+    for server in make_client(options).query_servers(replica.name for replica in read_settings(options).replicas):
         if server.status is not None and server.status.epoch >= epoch:
             fail(f"restore: --epoch: {server.name} runs in epoch {server.status.epoch}; a higher one is needed")
     snapshot = msgspec.structs.replace(snapshot, epoch=epoch, term=0)
--- a/wickhinge/cli/changelog_client.py
+++ b/wickhinge/cli/changelog_client.py
@@ -87,15 +87,15 @@
 
     def __init__(self, options: Changelog) -> None:
         self._key = options_of.read_keys(options)[0]
-        self.replicas = options_of.addresses(options.replicas)
-        self.relays = options_of.addresses(options.relays)
+        self.replicas = options_of.addresses_by_name(options.replicas)
+        self.relays = options_of.addresses_by_name(options.relays)
 
     def _ask(self, name: str, word: str, more: bytes, attempts: int) -> bytes:
         """Raises NoAnswerError."""
         address = self.replicas.get(name) or self.relays[name]
         return ask(self._key, name, address, Question(word, more, attempts))
 
-    def server(self, name: str) -> Server:
+    def query_server(self, name: str) -> Server:
         """What one replica or relay says of itself."""
         role = "replica" if name in self.replicas else "relay"
         try:
@@ -114,10 +114,10 @@
                 break
         return rows
 
-    def servers(self, names: Iterable[str]) -> list[Server]:
+    def query_servers(self, names: Iterable[str]) -> list[Server]:
         """What several of them say, asked at the same time."""
         with ThreadPoolExecutor(MAX_CONCURRENT_QUESTIONS) as executor:
-            return list(executor.map(self.server, names))
+            return list(executor.map(self.query_server, names))
 
     def append(self, change: Change, timeout_s: float) -> AppendAnswer:
         """Returns once the change is committed, stamped by the leader no earlier than ingest_s before that.
@@ -156,7 +156,7 @@
         """Waits until each router that a relay knows has the log up to `number`, or the time is over."""
         deadline = time.monotonic() + timeout_s
         while True:
-            servers = self.servers(self.relays)
+            servers = self.query_servers(self.relays)
             silent_relays = [server.name for server in servers if server.status is None]
             has_entry: dict[str, bool] = {}
             for row in (row for server in servers for row in server.rows):
@@ -170,7 +170,7 @@
             time.sleep(POLL_INTERVAL_S)
 
 
-def routers_of(servers: Iterable[Server]) -> list[Router]:
+def list_routers(servers: Iterable[Server]) -> list[Router]:
     """One row a router: by the relay that it follows, else by its secondary one."""
     best_rows: dict[str, tuple[bool, float, Router]] = {}
     for server in servers:
@@ -254,7 +254,7 @@
     config = EndpointConfig(
         f"backup-{os.getpid()}",
         ("0.0.0.0", 0),
-        options_of.addresses(options.relays),
+        options_of.addresses_by_name(options.relays),
         options_of.read_keys(options),
     )
     settings = FollowSettings(bound_s=options.bound_s)
--- a/wickhinge/cli/peers.py
+++ b/wickhinge/cli/peers.py
@@ -32,7 +32,7 @@
         fail("give --options or set WICKHINGE_OPTIONS")
     try:
         settings = load(path).peers
-        key = keys.read("peers.key_file", settings.key_file)
+        key = keys.read_key("peers.key_file", settings.key_file)
         rows: list[Any] = list(settings.roster)  # frozen records, where RosterRow asks for attributes that can be set
         addresses = {peer.name: peer.address for peer in read_entries(rows)}
     except (OptionsError, MalformedError) as problem:
--- a/wickhinge/net/control/changelog_client.py
+++ b/wickhinge/net/control/changelog_client.py
@@ -69,7 +69,7 @@
             EndpointConfig(
                 name,
                 parse_host_port(options.bind) or ANY_ADDRESS,
-                changelog_options.addresses(options.relays),
+                changelog_options.addresses_by_name(options.relays),
                 changelog_options.read_keys(options),
             ),
             Runtime(node.reactor, log=self._log, call_later=node.deadlines.call_after),
--- a/wickhinge/net/control/membership.py
+++ b/wickhinge/net/control/membership.py
@@ -325,7 +325,9 @@
         MalformedError: The key file cannot be read, or a static endpoint has an unknown zone or kind.
     """
     discovery_options, fleet = options.discovery, node.decisions.endpoints
-    exchange_key = keys.read("discovery.key_file", discovery_options.key_file) if discovery_options.key_file else b""
+    exchange_key = (
+        keys.read_key("discovery.key_file", discovery_options.key_file) if discovery_options.key_file else b""
+    )
     static_statements = []
     for index, server in enumerate(discovery_options.static):
         if server.zone not in node.names.zones or server.kind not in node.names.kinds:
--- a/wickhinge/net/control/peer_transport.py
+++ b/wickhinge/net/control/peer_transport.py
@@ -297,8 +297,10 @@
         roster = Roster(read_entries(peer_options.roster), name)
     except RosterError as problem:
         raise MalformedError(f"peers.roster: {problem}") from None
-    further_keys = [keys.read("peers.also_key_file", peer_options.also_key_file)] if peer_options.also_key_file else []
-    return roster, [keys.read("peers.key_file", peer_options.key_file), *further_keys]
+    further_keys = (
+        [keys.read_key("peers.also_key_file", peer_options.also_key_file)] if peer_options.also_key_file else []
+    )
+    return roster, [keys.read_key("peers.key_file", peer_options.key_file), *further_keys]
 
 
 def quota_division(options: Any, roster: Roster, zone: str) -> Any:
--- a/wickhinge/options/changelog.py
+++ b/wickhinge/options/changelog.py
@@ -62,7 +62,7 @@
         yield SettingFault("grace_s", reason)
 
 
-def addresses(servers: Iterable[ChangelogServer]) -> dict[str, Address]:
+def addresses_by_name(servers: Iterable[ChangelogServer]) -> dict[str, Address]:
     """The servers' addresses by name, in their order."""
     parsed = {server.name: parse_host_port(server.address) for server in servers}
     return {name: address for name, address in parsed.items() if address is not None}
@@ -72,5 +72,5 @@
     """The fleet's keys, of which the first one seals. Raises MalformedError with the faulty setting."""
     if not options.key_file:
         raise MalformedError("changelog.key_file: is missing")
-    also = [keys.read("changelog.also_key_file", options.also_key_file)] if options.also_key_file else []
-    return [keys.read("changelog.key_file", options.key_file), *also]
+    also = [keys.read_key("changelog.also_key_file", options.also_key_file)] if options.also_key_file else []
+    return [keys.read_key("changelog.key_file", options.key_file), *also]
--- a/wickhinge/options/keys.py
+++ b/wickhinge/options/keys.py
@@ -8,7 +8,7 @@
 MAX_KEY_FILE_BYTES = 4096  # what is behind is not read
 
 
-def read(setting: str, path: str) -> bytes:
+def read_key(setting: str, path: str) -> bytes:
     """The key in the file that `setting` names, without surrounding whitespace.
 
     Raises:
