--- a/wickhinge/options/__init__.py
+++ b/wickhinge/options/__init__.py
@@ -1,9 +1,11 @@
-"""Our own settings: a file of CUE-like typed records, unified with schema.cue and handed on as records.
+"""Wickhinge's own settings file: text in a subset of CUE, unified with schema.cue and returned as typed records.
 
-Entered by `load`, called by the command line and by a router whose environment names such a file; never by
-a router that has none. Opens that one file and the schema beside this one, and nothing else.
+The entry point is `load`. The command line calls it, and so does a router whose environment variable WICKHINGE_OPTIONS
+names a settings file; a router without that variable never imports this package. `load` opens only the settings file
+and schema.cue, which lies in this package.
 
-`syntax` parses, `unify` applies the schema, `validate` and `changelog` check what types cannot say, `load` does it all.
+`syntax` parses the text, `unify` applies the schema's types, bounds and defaults, `validate` and `changelog` check
+the rules that span several settings, and `load` runs these steps in order.
 """
 
 from wickhinge.options.errors import OptionsError, UnreadableOptionsError
--- a/wickhinge/options/errors.py
+++ b/wickhinge/options/errors.py
@@ -1,4 +1,4 @@
-"""The faults of a settings file."""
+"""Errors that reading and checking a settings file can raise or report."""
 
 from __future__ import annotations
 
@@ -6,13 +6,13 @@
 
 
 class OptionsError(Exception):
-    """A fault in a settings file; the text names file, line and dotted key as far as they are known.
+    """A fault in a settings file. The message names the file and, if known, the line and the dotted key.
 
     Attributes:
-        file: The file's name as it was given.
-        line: The line, None where the fault is in no single one.
-        key: The dotted key, "" where the fault is in no single one.
-        reason: What is wrong, or what was expected.
+        file: The file's name as the caller gave it.
+        line: The line number from 1, or None if the fault belongs to no single line.
+        key: The dotted key, or "" if the fault belongs to no single key.
+        reason: What was found or expected, without file, line and key.
     """
 
     def __init__(self, file: str, reason: str, *, key: str = "", line: int | None = None) -> None:
@@ -22,12 +22,12 @@
 
 
 class UnreadableOptionsError(OptionsError):
-    """The file is absent, cannot be read just now, or is no whole text of the language: it may be at the next try."""
+    """The file is absent, unreadable or cut off, as while it is being written; a later attempt may succeed."""
 
 
 @dataclass(frozen=True, slots=True)
 class SettingFault:
-    """A setting that does not fit the others: its dotted key, and why."""
+    """A setting that breaks a rule beyond its type and bounds: the dotted key and the reason."""
 
     key: str
     reason: str
--- a/wickhinge/options/load.py
+++ b/wickhinge/options/load.py
@@ -1,4 +1,4 @@
-"""Loads a settings file: reads it, unifies it with the schema, and checks what types and bounds cannot say."""
+"""Loading of a settings file: read, unify with the schema, and check the rules beyond types and bounds."""
 
 from __future__ import annotations
 
@@ -17,20 +17,26 @@
 
 
 def unify_with_schema(package: str, schema: str, source: str, name: str) -> dict[str, Any]:
-    """A file's text with the schema file of a package, defaults and all.
+    """Unify the text of a settings file with a schema and return all values, the schema's defaults included.
+
+    Args:
+        package: The package that holds the schema file.
+        schema: The schema's file name in the package.
+        source: The text of the settings file.
+        name: The settings file's name, for error messages.
 
     Raises:
-        OptionsError: The text does not fit; it names file, line and dotted key.
+        OptionsError: The text does not fit the schema; the message names file, line and dotted key.
     """
     schema_record = parse(resources.files(package).joinpath(schema).read_text(), schema)
     return Unifier(schema_record, name).unify(parse(source, name))
 
 
 def parse_options(source: str, name: str) -> Options:
-    """The options of a file's text.
+    """Parse and check the text of a settings file; `name` is the file's name in error messages.
 
     Raises:
-        OptionsError: The text does not fit; it names file, line and dotted key.
+        OptionsError: The text does not fit the schema or the further checks; the message names the dotted key.
     """
     options = msgspec.convert(unify_with_schema("wickhinge.options", "schema.cue", source, name), Options)
     fault = validate.first_fault(options)
@@ -40,11 +46,11 @@
 
 
 def read_text(path: str) -> str:
-    """A settings file's text.
+    """Read the text of a settings file.
 
     Raises:
-        OptionsError: The file is too long.
-        UnreadableOptionsError: It cannot be read, or is not UTF-8.
+        OptionsError: The file is longer than MAX_FILE_BYTES.
+        UnreadableOptionsError: The file cannot be read, or is not UTF-8.
     """
     try:
         with open(path, "rb") as file:
@@ -60,5 +66,9 @@
 
 
 def load(path: str) -> Options:
-    """The options of a file. Raises OptionsError."""
+    """Load and check the settings file at `path`.
+
+    Raises:
+        OptionsError: The file cannot be read, parsed or used; see `read_text` and `parse_options`.
+    """
     return parse_options(read_text(path), path)
--- a/wickhinge/options/records.py
+++ b/wickhinge/options/records.py
@@ -1,6 +1,6 @@
-"""What the settings become: one record a subsystem, field by field as in schema.cue, units in the names of the keys.
+"""Typed records of the settings, one per subsystem, with the fields of schema.cue. Suffixes of the keys give units.
 
-docs/operate has a page on each subsystem that says what its keys do.
+The directory docs/operate has a page on each subsystem that describes its settings for operators.
 """
 
 from __future__ import annotations
@@ -9,30 +9,30 @@
 
 
 class Store(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """The router's own copies on disk."""
+    """Settings of the store: copies of objects that the router itself keeps on disk."""
 
     mode: str
     dir: str
     size_mb: int
     segment_mb: int
     memory_mb: int
-    objects: int  # whose requests are counted, far more than are stored
-    waiting_mb: float  # bytes that may wait to be written
+    objects: int  # Objects whose requests are counted; far more than those that are stored.
+    waiting_mb: float  # Megabytes that may be queued for writing.
     write_mb_s: float
-    read_within_s: float  # a read that takes longer counts as slow, and the request goes to the caches
-    reads_at_once: int
-    snapshot_s: float
+    read_within_s: float  # A disk read that takes longer counts as slow, and the request goes to the caches.
+    reads_at_once: int  # Maximum number of concurrent disk reads.
+    snapshot_s: float  # Interval between snapshots of the index.
 
 
 class Journal(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """The journal service."""
+    """Settings that describe the journal service, which announces endpoints and purges to routers."""
 
-    continues: bool  # the service keeps its numbers across our restarts
-    quiet_s: float  # own copies are still served so long after its last message
+    continues: bool  # Whether the service continues its event numbers across restarts of a router.
+    quiet_s: float  # Stored copies are served for this long after the service's last message.
 
 
 class StaticServer(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A cache server that the settings name."""
+    """A cache server of the fixed list in the settings."""
 
     id: str
     dial: str
@@ -43,26 +43,26 @@
 
 
 class Discovery(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Where the endpoint list comes from at a start without the journal service."""
+    """Settings of the sources of the endpoint list when a router starts without the journal service."""
 
     mode: str
     dir: str
-    after_s: float  # the live list is waited for so long
-    hint_after_s: float  # past this age a list says only whom to ask
-    untold_s: float  # 0, or the oldest copy asked for while the service cannot be reached
+    after_s: float  # How long a start waits for the live list before it uses another source.
+    hint_after_s: float  # A list older than this is only a hint: its endpoints are checked before they are used.
+    untold_s: float  # Maximum age of requested copies while the service is unreachable; 0 sets no maximum.
     writes_a_minute: float
-    addresses: list[str]  # further ones of the journal service
+    addresses: list[str]  # Further addresses of the journal service.
     backoff_s: float
     longest_backoff_s: float
     static: list[StaticServer]
-    listen: str  # where siblings are answered; "": nowhere
+    listen: str  # Address on which sibling routers may ask for the list; "" if they may not.
     siblings: list[str]
     key_file: str
-    routers: int  # that may start at the same moment; 0: as the settings say
+    routers: int  # Routers that may start at the same moment; 0 takes the number of the platform's configuration.
 
 
 class Peer(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A router of the roster."""
+    """A roster entry: one router's name, address and zone."""
 
     name: str
     address: str
@@ -70,16 +70,16 @@
 
 
 class Peers(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Routers that know each other."""
+    """Settings of the messages between the routers of a roster."""
 
     mode: str
     key_file: str
-    also_key_file: str  # opens messages, never seals them
+    also_key_file: str  # A key that opens received messages and never seals any.
     roster: list[Peer]
 
 
 class Shared(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """What routers that know each other share."""
+    """Settings of what the routers of a roster share: quotas, verdicts on servers, and request counts."""
 
     mode: str
     names: int
@@ -89,18 +89,18 @@
 
 
 class ChangelogServer(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A replica or a relay of the change log."""
+    """Name and address of a replica or relay of the change log."""
 
     name: str
     address: str
 
 
 class Changelog(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """The change log, for routers, replicas, relays and operators."""
+    """Settings of the change log, for routers, replicas, relays and operators' commands."""
 
     mode: str
     key_file: str
-    also_key_file: str  # opens messages, never seals them
+    also_key_file: str  # A key that opens received messages and never seals any.
     relays: list[ChangelogServer]
     replicas: list[ChangelogServer]
     bind: str
@@ -112,7 +112,7 @@
 
 
 class Options(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A settings file."""
+    """All settings of a settings file, defaults included."""
 
     store: Store
     journal: Journal
--- a/wickhinge/options/schema.cue
+++ b/wickhinge/options/schema.cue
@@ -1,8 +1,8 @@
-// Every setting of ours: its type, its bounds and its default. Operators' files hold values for these keys.
+// Every setting of Wickhinge's own: its type, bounds and default. Operators' files give values for these keys.
 
 #Store: {
 	mode: *"off" | "on"
-	// a directory on a disk that lasts; one router at a time
+	// A directory on a persistent disk, used by one router at a time.
 	dir:           string | *""
 	size_mb:       int & >=8 & <=16777216 | *4096
 	segment_mb:    int & >=1 & <=1024 | *64
@@ -31,7 +31,7 @@
 
 #Discovery: {
 	mode: *"off" | "on"
-	// where the list is remembered; may be the store's directory's neighbour, never the store's own
+	// The directory in which the endpoint list is stored; must differ from store.dir.
 	dir:               string | *""
 	after_s:           number & >=0 & <=60 | *0.5
 	hint_after_s:      number & >=60 | *86400
@@ -41,7 +41,7 @@
 	backoff_s:         number & >=0.01 & <=60 | *0.15
 	longest_backoff_s: number & >=0.01 & <=600 | *2
 	static:            [...#Machine] | *[]
-	// talk between instances: only where the installation allows it, and only with a key
+	// Messages between instances: only if the installation allows them, and only with a key.
 	listen:   string | *""
 	siblings: [...string] | *[]
 	key_file: string | *""
@@ -49,31 +49,32 @@
 }
 
 #Fellow: {
-	// as in the platform's configuration, RELAY_NAME
+	// The router's name in the platform's configuration or in its RELAY_NAME.
 	name:    string & !=""
 	address: string & !=""
 	zone:    string | *""
 }
 
 #Peers: {
-	// talk between instances over UDP: only where the installation allows it
+	// Messages between instances over UDP: only if the installation allows them.
 	mode:     *"off" | "on"
 	key_file: string | *""
-	// what comes under this one is read too, while the fleet changes its key
+	// Received messages sealed with this key are accepted, too, while the fleet changes its key.
 	also_key_file: string | *""
 	roster:   [...#Fellow] | *[]
 }
 
 #Shared: {
-	// cold machines' limits dealt among the routers by need; needs peers
+	// Divides the request limits of cold servers among the routers by need; requires peers.mode on.
 	mode: *"off" | "on"
-	// names that all rosters in use hold together at most; 0: as many as ours
+	// Maximum number of distinct names in all rosters in use; 0 takes the length of peers.roster.
 	names: int & >=0 & <=5000 | *0
-	// processes that run at once at most, names and those started twice or not ended yet; 0: names and 2
+	// Maximum number of concurrent router processes, also counting duplicates and old processes that have not ended;
+	// 0 takes the number of names plus 2.
 	processes: int & >=0 & <=10000 | *0
-	// what routers saw of machines themselves, told to each other as evidence
+	// Routers send each other their own observations of servers' health as evidence.
 	judgements: *"off" | "on"
-	// how many forwards each router of a zone has out at its caches
+	// Routers of a zone send each other their numbers of open attempts at the zone's caches.
 	counts: *"off" | "on"
 }
 
@@ -83,26 +84,26 @@
 }
 
 #Changelog: {
-	// for routers: purges and settings come from the change log, too
+	// For routers: purges and settings also come from the change log.
 	mode:     *"off" | "on"
 	key_file: string | *""
-	// what comes under this one is read too, while the fleet changes its key
+	// Received messages sealed with this key are accepted, too, while the fleet changes its key.
 	also_key_file: string | *""
-	// in order of preference: a router follows the first that it hears
+	// Relays in order of preference: a router follows the first one that it receives messages from.
 	relays: [...#ChangelogMachine] | *[]
-	// the same list at each replica and relay; routers need none
+	// The replicas, the same list at each replica and relay; routers need none.
 	replicas: [...#ChangelogMachine] | *[]
-	// where a router hears its relays over UDP; "": any address and port
+	// The address on which a router receives its relays' UDP messages; "" takes any address and port.
 	bind: string | *""
-	// a copy older than a purge may be served for so long after the purge
+	// Seconds for which a copy older than a purge may still be served after the purge.
 	grace_s: number & >=0.5 & <=3600 | *6
-	// a router that knows less than all up to so long ago limits the age of copies
+	// A router whose knowledge of the log is older than this many seconds limits the age of copies that it serves.
 	bound_s: number & >=0.5 & <=600 | *3.1
-	// from a purge's stamp to a majority of the replicas, at most; later ones are stamped anew
+	// Maximum seconds from a purge's time stamp until a majority of replicas has it; a later purge gets a new stamp.
 	ingest_s: number & >=0.05 & <=60 | *0.5
-	// purges of so long are told to a router that starts
+	// A router that starts receives the purges of this many last seconds.
 	purge_horizon_s: number & >=10 & <=3600 | *120
-	// a replica's files are in a directory of its name in this one
+	// The directory that holds one directory per replica, under the replica's name, for its files.
 	dir: string | *""
 }
 
