--- a/wickhinge/cli/__init__.py
+++ b/wickhinge/cli/__init__.py
@@ -1,6 +1,6 @@
-"""One command line over all of it. Entered by `main`, the console script and `python -m wickhinge WORD`.
+"""The command line of Wickhinge. Its entry point `main` is the console script and serves `python -m wickhinge COMMAND`.
 
-Exit codes: 0 done, 1 something is wrong with what was looked at, 2 wrong arguments, settings or directory.
+Exit codes: 0 success; 1 the command ran and found a fault; 2 arguments, settings or a directory cannot be used.
 """
 
 from wickhinge.cli import changelog, lab, peers, remembered_list, store, trace
--- a/wickhinge/cli/changelog.py
+++ b/wickhinge/cli/changelog.py
@@ -1,4 +1,4 @@
-"""Commands of the change log: its replicas and relays as processes, changes for it, its status, backups."""
+"""Commands of the change log: run a replica or relay, append changes, show the status, back up and restore."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 import click
 
 from wickhinge.cli.commands import main
-from wickhinge.cli.output import JSON_OPTION, OPTIONS_FILE, WRONG, fail, print_json
+from wickhinge.cli.output import EXIT_FAULT_FOUND, JSON_OPTION, SETTINGS_FILE_PATH, fail, print_json
 
 if TYPE_CHECKING:
     from wickhinge.changelog.daemon import Daemon
@@ -20,19 +20,26 @@
     from wickhinge.cli.changelog_client import Client, Router, Server
     from wickhinge.options.records import Changelog
 
-STANDARD_OUTPUT = 1  # the descriptor
-NAME = click.option("--name", required=True, help="Which of the settings' machines this one is.")
-FILE = click.option("--options", type=OPTIONS_FILE, help="Our own settings; else WICKHINGE_OPTIONS names them.")
-TIMEOUT = click.option("--timeout", "timeout_s", type=click.FloatRange(0.1, 600), default=10.0, show_default=True)
+STDOUT_DESCRIPTOR = 1
+NAME_OPTION = click.option("--name", required=True, help="Name of this replica or relay in the settings.")
+SETTINGS_FILE_OPTION = click.option(
+    "--options", type=SETTINGS_FILE_PATH, help="Wickhinge's own settings; by default the file in WICKHINGE_OPTIONS."
+)
+TIMEOUT_OPTION = click.option(
+    "--timeout", "timeout_s", type=click.FloatRange(0.1, 600), default=10.0, show_default=True
+)
 
 
 @main.group()
 def changelog() -> None:
-    """An ordered log of purges and settings, handed down to all routers."""
+    """Manage the change log, an ordered log of purges and settings that all routers receive."""
 
 
-def read_settings(path: str | None) -> Changelog:
-    """The settings' `changelog`; ends the process where they cannot be used."""
+def load_settings_or_exit(path: str | None) -> Changelog:
+    """Return the change log's settings in the file at `path`, by default the one in WICKHINGE_OPTIONS.
+
+    Exit if the settings cannot be used.
+    """
     from wickhinge.options import OptionsError, load
 
     path = path or os.environ.get("WICKHINGE_OPTIONS")
@@ -44,12 +51,12 @@
         fail(str(error))
 
 
-def make_client(path: str | None) -> Client:
-    """A client by the settings; ends the process where they cannot be used."""
+def make_client_or_exit(path: str | None) -> Client:
+    """Return a client of the replicas and relays in the settings; exit if the settings cannot be used."""
     from wickhinge.cli.changelog_client import Client
     from wickhinge.fields import MalformedError
 
-    settings = read_settings(path)
+    settings = load_settings_or_exit(path)
     for key in ("replicas", "relays"):
         if not getattr(settings, key):
             fail(f"changelog.{key}: is empty")
@@ -59,8 +66,8 @@
         fail(str(error))
 
 
-def directory_of(settings: Changelog, name: str) -> str:
-    """Where the replica `name` has its files; ends the process where the settings do not say."""
+def replica_directory(settings: Changelog, name: str) -> str:
+    """Return the directory of the replica `name`; exit if the settings do not give it."""
     if name not in {server.name for server in settings.replicas}:
         fail(f"changelog.replicas: none is named {name}")
     if not settings.dir:
@@ -69,7 +76,12 @@
 
 
 def load_settings(path: str) -> Changelog:
-    """The settings' `changelog`. Raises MalformedError; UnreadableFileError where the file may be whole soon."""
+    """Return the change log's settings in the file at `path`.
+
+    Raises:
+        UnreadableFileError: The file is absent, unreadable or cut off; a later attempt may succeed.
+        MalformedError: The settings cannot be used.
+    """
     from wickhinge.fields import MalformedError, UnreadableFileError
     from wickhinge.options import OptionsError, UnreadableOptionsError, load
 
@@ -82,9 +94,12 @@
 
 
 def run_daemon(name: str, options: str | None, open_storage: Callable[[Changelog], Storage | None]) -> NoReturn:
-    """Runs a replica or a relay until SIGTERM; exit code 1 where its storage failed.
+    """Run a replica or relay until SIGTERM, then exit, with code 1 if its storage failed.
 
-    open_storage: checks the settings and opens the files, if the process has any.
+    Args:
+        name: The name of the replica or relay in the settings.
+        options: The settings file, or None for the one in WICKHINGE_OPTIONS.
+        open_storage: Checks the settings and opens a replica's files; returns None for a relay, which has none.
     """
     from wickhinge.common.process_signals import received_signals
     from wickhinge.common.start_attempts import ShutdownRequestedError, StartAttempts, StartFailedError
@@ -110,14 +125,19 @@
 def make_daemon(
     name: str, settings: Changelog, reload_settings: Callable[[], Changelog], storage: Storage | None
 ) -> Daemon:
-    """A replica, where there is a storage, or a relay. Raises MalformedError, UnreadableFileError."""
+    """Return a replica if there is a storage, or else a relay.
+
+    Raises:
+        UnreadableFileError: A key file cannot be read; a later attempt may succeed.
+        MalformedError: The settings cannot be used.
+    """
     from twisted.internet import reactor
 
     from wickhinge.changelog.context import Runtime
     from wickhinge.changelog.daemon import Daemon
     from wickhinge.net.runtime.log import Log
 
-    log = Log(STANDARD_OUTPUT, name, time.time)
+    log = Log(STDOUT_DESCRIPTOR, name, time.time)
 
     def write_event(event: str, /, **fields: object) -> None:
         log.event(event, **fields)
@@ -126,18 +146,18 @@
 
 
 @changelog.command()
-@FILE
-@NAME
-@click.option("--new", is_flag=True, help="Begin a new log: at the first start of all replicas, and never else.")
+@SETTINGS_FILE_OPTION
+@NAME_OPTION
+@click.option("--new", is_flag=True, help="Begin a new log; only for the very first start of all replicas.")
 def replica(options: str | None, name: str, new: bool) -> None:
-    """Run a replica until SIGTERM. One that has lost its files must stay away until the next `restore`."""
+    """Run a replica until SIGTERM. A replica that has lost its files must not run until the next `restore`."""
     from wickhinge.changelog.errors import StorageError, StorageMissingError
     from wickhinge.changelog.storage import FileStorage
     from wickhinge.changelog.stored import Stored
     from wickhinge.store.files import Files
 
     def open_storage(settings: Changelog) -> Storage:
-        directory = directory_of(settings, name)
+        directory = replica_directory(settings, name)
         try:
             files = Files()
             return FileStorage.create(directory, Stored(), files) if new else FileStorage.open(directory, files)
@@ -150,63 +170,67 @@
 
 
 @changelog.command()
-@FILE
-@NAME
+@SETTINGS_FILE_OPTION
+@NAME_OPTION
 def relay(options: str | None, name: str) -> None:
-    """Run a relay until SIGTERM. It keeps nothing on disk."""
+    """Run a relay until SIGTERM. A relay stores nothing on disk."""
 
-    def check(settings: Changelog) -> None:
+    def check_settings(settings: Changelog) -> None:
         if name not in {server.name for server in settings.relays}:
             fail(f"changelog.relays: none is named {name}")
         if not settings.replicas:
             fail("changelog.replicas: is empty")
 
-    run_daemon(name, options, check)
+    run_daemon(name, options, check_settings)
 
 
-def append(options: str | None, change: Change, timeout_s: float, as_json: bool) -> NoReturn:
-    """Appends a change, waits for the routers and prints who has it."""
+def append_and_report(options: str | None, change: Change, timeout_s: float, as_json: bool) -> NoReturn:
+    """Append a change, wait for the routers, print which of them have it, and exit."""
     from wickhinge.changelog.entries import validate
     from wickhinge.changelog.errors import InvalidChangeError
     from wickhinge.cli.changelog_client import NotAppendedError
 
-    client = make_client(options)
+    client = make_client_or_exit(options)
     try:
         validate(change)
         answer = client.append(change, timeout_s)
     except (InvalidChangeError, NotAppendedError) as error:
-        fail(str(error), WRONG)
+        fail(str(error), EXIT_FAULT_FOUND)
     routers = client.wait_for_routers(answer.number, timeout_s)
-    figures = {
+    summary = {
         "epoch": answer.epoch,
         "number": answer.number,
         "stamp_ms": answer.stamp_ms,
         "routers": len(routers.having),
     }
     if as_json:
-        print_json({**figures, "lack": routers.lacking, "silent_relays": routers.silent_relays})
+        print_json({**summary, "lack": routers.lacking, "silent_relays": routers.silent_relays})
     else:
-        click.echo(", ".join(f"{name} {value}" for name, value in figures.items()))
+        click.echo(", ".join(f"{name} {value}" for name, value in summary.items()))
         for name in routers.lacking:
             click.echo(f"router {name} lacks it")
         for name in routers.silent_relays:
             click.echo(f"relay {name} does not answer")
         if not routers.having and not routers.lacking:
             click.echo("no relay knows of a router")
-    sys.exit(0 if routers.are_complete else WRONG)
+    sys.exit(0 if routers.is_complete else EXIT_FAULT_FOUND)
 
 
 @changelog.command("append-purge")
 @click.argument("key", required=False)
-@click.option("--group", type=click.IntRange(0, 65535), help="All objects of this group; with KEY: the object's.")
-@FILE
-@TIMEOUT
+@click.option(
+    "--group",
+    type=click.IntRange(0, 65535),
+    help="Purge all objects of this group; with KEY, the group of that object.",
+)
+@SETTINGS_FILE_OPTION
+@TIMEOUT_OPTION
 @JSON_OPTION
 def append_purge(key: str | None, group: int | None, options: str | None, timeout_s: float, as_json: bool) -> None:
-    """Void all copies of the object KEY (16 hex digits), or of a group, that were made before now.
+    """Purge all copies of the object KEY (16 hex digits), or of a group, that were made before now.
 
-    Returns when all routers that the relays know have it; 1 and their names where some lack it, or if it is not known
-    to be in the log.
+    The command returns once all routers that the relays know have the purge. It exits with 1 if some routers lack it,
+    whose names it prints, or if the purge is not known to be in the log.
     """
     from wickhinge.changelog.entries import Purge
 
@@ -216,17 +240,17 @@
         number = None if key is None else int(key, 16)
     except ValueError:
         fail(f"append-purge: {key} is not hex digits")
-    append(options, Purge(number, group or 0, 0), timeout_s, as_json)
+    append_and_report(options, Purge(number, group or 0, 0), timeout_s, as_json)
 
 
 @changelog.command("append-setting")
 @click.argument("setting")
 @click.argument("value")
-@FILE
-@TIMEOUT
+@SETTINGS_FILE_OPTION
+@TIMEOUT_OPTION
 @JSON_OPTION
 def append_setting(setting: str, value: str, options: str | None, timeout_s: float, as_json: bool) -> None:
-    """Put SETTING in force with VALUE at all routers; returns as append-purge does."""
+    """Set SETTING to VALUE at all routers; return and exit code are those of append-purge."""
     from wickhinge.changelog.entries import Setting
     from wickhinge.changelog.settings_table import check_value
     from wickhinge.fields import MalformedError
@@ -235,37 +259,37 @@
         check_value(setting, value.encode())
     except MalformedError as error:
         fail(f"append-setting: {setting}: {error}")
-    append(options, Setting(setting, value.encode(), 0), timeout_s, as_json)
+    append_and_report(options, Setting(setting, value.encode(), 0), timeout_s, as_json)
 
 
 @changelog.command()
-@FILE
+@SETTINGS_FILE_OPTION
 @JSON_OPTION
 def show(options: str | None, as_json: bool) -> None:
-    """Where each replica, relay and router stands; 1 if something is not well."""
+    """Show the state of each replica, relay and router; exit with 1 if there is a fault."""
     import msgspec
 
-    from wickhinge.cli.changelog_client import faults_of, list_routers
+    from wickhinge.cli.changelog_client import find_faults, list_routers
 
-    client = make_client(options)
-    servers = client.query_servers([*client.replicas, *client.relays])
+    client = make_client_or_exit(options)
+    servers = client.query_servers([*client.replica_addresses, *client.relay_addresses])
     routers = list_routers(servers)
-    faults = faults_of(servers, routers)
+    faults = find_faults(servers, routers)
     if as_json:
         statuses = [server.status or {"name": server.name, "error": server.error} for server in servers]
         click.echo(msgspec.json.encode({"machines": statuses, "routers": routers, "faults": faults}).decode())
     else:
         for server in servers:
-            click.echo(server_line(server))
+            click.echo(format_server(server))
         for router in routers:
-            click.echo(router_line(router))
+            click.echo(format_router(router))
         for fault in faults:
             click.echo(f"NOT WELL: {fault}")
-    sys.exit(WRONG if faults else 0)
+    sys.exit(EXIT_FAULT_FOUND if faults else 0)
 
 
-def server_line(server: Server) -> str:
-    """One replica or relay in words."""
+def format_server(server: Server) -> str:
+    """Return a line of text on the state of one replica or relay."""
     status = server.status
     if status is None:
         return f"{server.role:<8} {server.name:<16} does not answer"
@@ -277,8 +301,8 @@
     )
 
 
-def router_line(router: Router) -> str:
-    """One router in words."""
+def format_router(router: Router) -> str:
+    """Return a line of text on the state of one router."""
     from wickhinge.cli.changelog_client import describe_uninformed
 
     uninformed = describe_uninformed(router)
@@ -291,42 +315,48 @@
 
 
 @changelog.command()
-@FILE
-@TIMEOUT
+@SETTINGS_FILE_OPTION
+@TIMEOUT_OPTION
 @click.argument("file", type=click.Path(dir_okay=False))
 def backup(options: str | None, timeout_s: float, file: str) -> None:
-    """Write the log's state, settings and latest purges, to FILE, for `restore`."""
+    """Write a backup of the log, its settings and latest purges, to FILE, for `restore`."""
     from twisted.internet import reactor
 
     from wickhinge.cli.changelog_client import fetch_backup
     from wickhinge.fields import MalformedError
     from wickhinge.store.files import Files, replace_file
 
-    def write(data: bytes, number: int) -> None:
+    def write_backup(data: bytes, number: int) -> None:
         replace_file(Files(), os.path.dirname(os.path.abspath(file)), os.path.basename(file), data)
         click.echo(f"number {number}, {len(data)} bytes")
 
-    settings = read_settings(options)
+    settings = load_settings_or_exit(options)
     if not settings.relays:
         fail("changelog.relays: is empty")
     try:
-        reason = fetch_backup(settings, timeout_s, write, reactor)
+        reason = fetch_backup(settings, timeout_s, write_backup, reactor)
     except (MalformedError, OSError) as error:
         fail(str(error))
     if reason:
-        fail(reason, WRONG)
+        fail(reason, EXIT_FAULT_FOUND)
 
 
 @changelog.command()
-@FILE
-@NAME
-@click.option("--epoch", type=click.IntRange(2), required=True, help="Higher than any that `show` has shown.")
+@SETTINGS_FILE_OPTION
+@NAME_OPTION
+@click.option(
+    "--epoch",
+    type=click.IntRange(2),
+    required=True,
+    help="The new epoch; must be higher than any that `show` has shown.",
+)
 @click.argument("file", type=click.Path(dir_okay=False, exists=True))
 def restore(options: str | None, name: str, epoch: int, file: str) -> None:
-    """Make a replica's files out of the backup FILE, in a new epoch.
+    """Create a replica's files from the backup FILE, in a new epoch.
 
-    The same at a majority of the replicas, all of them stopped, their old files moved away. Refused while a replica
-    answers that is in this epoch already: what the others promised would be forgotten here.
+    Stop all replicas, move their old files away, and restore a majority of them from the same backup in the same
+    epoch. The command refuses an epoch in which a replica already runs, because the restored files would lack what
+    replicas have promised each other in that epoch.
     """
     import msgspec
 
@@ -336,15 +366,17 @@
     from wickhinge.changelog.stored import Stored
     from wickhinge.store.files import Files
 
-    directory = directory_of(read_settings(options), name)
+    directory = replica_directory(load_settings_or_exit(options), name)
     try:
-        with open(file, "rb") as opened:
-            snapshot = decode_snapshot(opened.read())
+        with open(file, "rb") as backup_file:
+            snapshot = decode_snapshot(backup_file.read())
     except (OSError, MalformedMessageError) as error:
         fail(f"{file}: {error}")
     if snapshot.epoch >= epoch:
         fail(f"restore: --epoch: the backup is of epoch {snapshot.epoch}, a higher one is needed")
-    for server in make_client(options).query_servers(replica.name for replica in read_settings(options).replicas):
+    for server in make_client_or_exit(options).query_servers(
+        replica.name for replica in load_settings_or_exit(options).replicas
+    ):
         if server.status is not None and server.status.epoch >= epoch:
             fail(f"restore: --epoch: {server.name} runs in epoch {server.status.epoch}; a higher one is needed")
     snapshot = msgspec.structs.replace(snapshot, epoch=epoch, term=0)
--- a/wickhinge/cli/changelog_client.py
+++ b/wickhinge/cli/changelog_client.py
@@ -1,4 +1,4 @@
-"""The operator's side of the change log: asks replicas and relays over their sockets, appends, waits, takes backups."""
+"""Operators' client of the change log: status requests to replicas and relays, appends, and backups."""
 
 from __future__ import annotations
 
@@ -31,21 +31,21 @@
 from wickhinge.changelog.settings import FollowSettings
 from wickhinge.changelog.snapshots import encode_snapshot
 from wickhinge.cli.question import NoAnswerError, Question, ask
-from wickhinge.options import changelog as options_of
+from wickhinge.options import changelog as changelog_options
 from wickhinge.options.records import Changelog
 
 MAX_CONCURRENT_QUESTIONS = 16
 POLL_INTERVAL_S = 0.05
-SHOW_ATTEMPTS, APPEND_ATTEMPTS = 3, 2
-MAX_PAGES = 100
+STATUS_ATTEMPTS, APPEND_ATTEMPTS = 3, 2  # How often a status or append request is sent to a server before it fails.
+MAX_PAGES = 100  # Bound on the pages of subscriber rows that are requested from one server.
 
 
 class NotAppendedError(Exception):
-    """No replica took the change, or it is not known to be committed; the text says why."""
+    """No replica accepted the change, or it is not known to be committed; the message gives the reason."""
 
 
 class Server(msgspec.Struct):
-    """A replica or a relay as it answered: `status` is None, and `error` not "", where it did not."""
+    """A replica or relay and its answer. If it did not answer, `status` is None and `error` gives the reason."""
 
     name: str
     role: str
@@ -55,9 +55,17 @@
 
 
 class Router(msgspec.Struct):
-    """A router as the relay that it follows, or has as its secondary source, reports it.
-
-    `uninformed_s` is 0 where it is informed, None where it never was.
+    """A router as reported by the relay that it follows, or by the relay that is its secondary source.
+
+    Attributes:
+        name: The router's name.
+        relay: The name of the relay that reports it.
+        number: The number of the last entry that the router acknowledged.
+        lag: The number of entries that the router lacks.
+        heard_s: Seconds since the relay received the router's last subscription.
+        uninformed_s: Age in seconds of the router's knowledge of the log if that is over its bound; 0 if the router is
+            informed, None if it never was.
+        agrees: Whether the router's log up to `number` has the same digest as the relay's; None if not known.
     """
 
     name: str
@@ -70,65 +78,75 @@
 
 
 class RouterProgress(msgspec.Struct):
-    """The routers that have an entry, those that lack it, and the relays that do not answer."""
+    """Names of the routers that have an entry, of those that lack it, and of the relays that do not answer."""
 
     having: list[str]
     lacking: list[str]
     silent_relays: list[str]
 
     @property
-    def are_complete(self) -> bool:
-        """Whether there are routers, and all of them have the entry."""
+    def is_complete(self) -> bool:
+        """Whether at least one router is known and all known routers have the entry."""
         return bool(self.having) and not self.lacking
 
 
 class Client:
-    """Asks the replicas and relays of the settings. Raises MalformedError where a key cannot be read."""
+    """Client of the replicas and relays that the settings name."""
 
     def __init__(self, options: Changelog) -> None:
-        self._key = options_of.read_keys(options)[0]
-        self.replicas = options_of.addresses_by_name(options.replicas)
-        self.relays = options_of.addresses_by_name(options.relays)
+        """Read the fleet's key and the servers' addresses.
+
+        Raises:
+            MalformedError: A key cannot be read.
+        """
+        self._key = changelog_options.read_keys(options)[0]
+        self.replica_addresses = changelog_options.addresses_by_name(options.replicas)
+        self.relay_addresses = changelog_options.addresses_by_name(options.relays)
 
-    def _ask(self, name: str, word: str, more: bytes, attempts: int) -> bytes:
-        """Raises NoAnswerError."""
-        address = self.replicas.get(name) or self.relays[name]
-        return ask(self._key, name, address, Question(word, more, attempts))
+    def _ask(self, name: str, command: str, payload: bytes, attempts: int) -> bytes:
+        """Send a request to the server `name` and return its answer.
+
+        Raises:
+            NoAnswerError: No attempt got an answer.
+        """
+        address = self.replica_addresses.get(name) or self.relay_addresses[name]
+        return ask(self._key, name, address, Question(command, payload, attempts))
 
     def query_server(self, name: str) -> Server:
-        """What one replica or relay says of itself."""
-        role = "replica" if name in self.replicas else "relay"
+        """Return one replica or relay with its status and subscriber rows, or with the error if it does not answer."""
+        role = "replica" if name in self.replica_addresses else "relay"
         try:
-            status = msgspec.json.decode(self._ask(name, STATUS, b"", SHOW_ATTEMPTS), type=Status)
-            return Server(name, role, status, self._rows(name))
+            status = msgspec.json.decode(self._ask(name, STATUS, b"", STATUS_ATTEMPTS), type=Status)
+            return Server(name, role, status, self._fetch_rows(name))
         except (NoAnswerError, msgspec.MsgspecError) as error:
             return Server(name, role, None, [], str(error))
 
-    def _rows(self, name: str) -> list[SubscriberRow]:
+    def _fetch_rows(self, name: str) -> list[SubscriberRow]:
+        """Fetch the rows of a server's subscribers, page by page."""
         rows: list[SubscriberRow] = []
         for _ in range(MAX_PAGES):
-            more = msgspec.json.encode(len(rows))
-            page = msgspec.msgpack.decode(self._ask(name, ROWS, more, SHOW_ATTEMPTS), type=RowsPage)
+            offset = msgspec.json.encode(len(rows))
+            page = msgspec.msgpack.decode(self._ask(name, ROWS, offset, STATUS_ATTEMPTS), type=RowsPage)
             rows += page.rows
             if not page.rows or len(rows) >= page.total:
                 break
         return rows
 
     def query_servers(self, names: Iterable[str]) -> list[Server]:
-        """What several of them say, asked at the same time."""
+        """Query several replicas and relays concurrently; see `query_server`."""
         with ThreadPoolExecutor(MAX_CONCURRENT_QUESTIONS) as executor:
             return list(executor.map(self.query_server, names))
 
     def append(self, change: Change, timeout_s: float) -> AppendAnswer:
-        """Returns once the change is committed, stamped by the leader no earlier than ingest_s before that.
+        """Append a change and return once it is committed, at most ingest_s after the leader stamped it.
 
         Raises:
-            NotAppendedError: It is refused, or not known to be committed after `timeout_s`.
+            NotAppendedError: The change is refused, or is not known to be committed after `timeout_s`.
         """
         deadline = time.monotonic() + timeout_s
         reason = "no replica answers"
         request = AppendRequest(os.urandom(REQUEST_ID_BYTES), encode_change(change))
-        names = list(self.replicas)
+        names = list(self.replica_addresses)
         while time.monotonic() < deadline:
             name = names.pop(0)
             names.append(name)
@@ -143,7 +161,7 @@
             if answer.state is AppendState.REFUSED:
                 raise NotAppendedError(answer.reason)
             reason = f"{name}: {answer.reason or answer.state.value}"
-            if answer.state is AppendState.FAILED:  # a new stamp
+            if answer.state is AppendState.FAILED:  # A new request id makes the leader stamp the change anew.
                 request = AppendRequest(os.urandom(REQUEST_ID_BYTES), request.change)
             preferred = answer.leader if answer.state is AppendState.NOT_LEADER else name
             if preferred in names:
@@ -153,25 +171,25 @@
         raise NotAppendedError(f"not committed within {timeout_s} s: {reason}")
 
     def wait_for_routers(self, number: int, timeout_s: float) -> RouterProgress:
-        """Waits until each router that a relay knows has the log up to `number`, or the time is over."""
+        """Wait until each router that a relay knows has the log up to `number`, or until `timeout_s` is over."""
         deadline = time.monotonic() + timeout_s
         while True:
-            servers = self.query_servers(self.relays)
+            servers = self.query_servers(self.relay_addresses)
             silent_relays = [server.name for server in servers if server.status is None]
             has_entry: dict[str, bool] = {}
             for row in (row for server in servers for row in server.rows):
-                is_there = row.number >= number and row.agrees is True
-                has_entry[row.name] = has_entry.get(row.name, False) or is_there
-            having = sorted(name for name, is_there in has_entry.items() if is_there)
-            lacking = sorted(name for name, is_there in has_entry.items() if not is_there)
+                row_has_entry = row.number >= number and row.agrees is True
+                has_entry[row.name] = has_entry.get(row.name, False) or row_has_entry
+            having = sorted(name for name, is_present in has_entry.items() if is_present)
+            lacking = sorted(name for name, is_present in has_entry.items() if not is_present)
             progress = RouterProgress(having, lacking, silent_relays)
-            if progress.are_complete or time.monotonic() >= deadline:
+            if progress.is_complete or time.monotonic() >= deadline:
                 return progress
             time.sleep(POLL_INTERVAL_S)
 
 
 def list_routers(servers: Iterable[Server]) -> list[Router]:
-    """One row a router: by the relay that it follows, else by its secondary one."""
+    """Return each router once, as reported by the relay that it follows, or else by its secondary source."""
     best_rows: dict[str, tuple[bool, float, Router]] = {}
     for server in servers:
         for row in server.rows if server.role == "relay" else []:
@@ -183,8 +201,8 @@
     return [best_rows[name][2] for name in sorted(best_rows)]
 
 
-def faults_of(servers: list[Server], routers: list[Router]) -> list[str]:
-    """What an operator has to look at, in words; empty where all is well."""
+def find_faults(servers: list[Server], routers: list[Router]) -> list[str]:
+    """Return descriptions of the faults that an operator has to examine; empty if there are none."""
     faults = [f"{server.role} {server.name}: {server.error}" for server in servers if server.status is None]
     statuses = [server.status for server in servers if server.status is not None]
     replicas = [status for status in statuses if status.role == "replica"]
@@ -201,61 +219,68 @@
 
 
 def describe_uninformed(router: Router) -> str:
-    """For how long a router has been uninformed, in words; "" where it is informed."""
+    """Return a text that says how long a router has been uninformed, or "" if it is informed."""
     if router.uninformed_s is None:
         return "never informed"
     return f"uninformed for {router.uninformed_s:.1f} s" if router.uninformed_s else ""
 
 
 class BackupConsumer:
-    """Takes the log from a follower until all of it is known, then hands its snapshot on."""
+    """Consumer that collects the log from a follower and passes on a snapshot once the log is complete."""
 
-    def __init__(self, purge_horizon_s: float, done: Callable[[bytes, int], None], stop: Callable[[], None]) -> None:
+    def __init__(
+        self, purge_horizon_s: float, on_complete: Callable[[bytes, int], None], stop: Callable[[], None]
+    ) -> None:
+        """Take the callbacks: `on_complete` gets the encoded snapshot and its number, then `stop` is called."""
         self._log = Log(purge_horizon_s=purge_horizon_s)
-        self._done, self._stop = done, stop
+        self._on_complete, self._stop = on_complete, stop
         self._follower: FollowerEndpoint | None = None
-        self.reason = "no relay told the whole log in time"  # why there is no backup; "" once there is one
+        self.reason = "no relay sent the complete log in time"  # Why there is no backup yet; "" once there is one.
 
     def follow(self, follower: FollowerEndpoint) -> None:
-        """Begins to take the log from `follower`."""
+        """Start the follower whose log is collected."""
         self._follower = follower
         follower.start()
 
     def apply_entry(self, entry: Entry) -> None:
-        """As of ChangeConsumer."""
+        """Append an entry to the collected log; called by the follower (see ChangeConsumer)."""
         self._log.append(entry, self._now())
 
     def load_snapshot(self, snapshot: Snapshot) -> None:
-        """As of ChangeConsumer."""
+        """Replace the collected log by a snapshot; called by the follower (see ChangeConsumer)."""
         self._log.load(snapshot, self._now())
 
     def after_tick(self) -> None:
-        """As of ChangeConsumer: ends once the follower is informed."""
+        """Pass on the snapshot and stop once the follower is informed; called by the follower at each tick."""
         follower = self._follower
         if follower is None or follower.state_machine.uninformed(follower.clock()) or not self.reason:
             return
         self.reason = ""
-        self._done(encode_snapshot(self._log.snapshot(self._now())), self._log.last)
+        self._on_complete(encode_snapshot(self._log.snapshot(self._now())), self._log.last)
         follower.close()
         self._stop()
 
     def _now(self) -> float:
-        assert self._follower is not None  # nothing comes before `follow`
+        assert self._follower is not None  # The consumer's methods are called only after `follow`.
         return self._follower.clock()
 
 
-def fetch_backup(options: Changelog, timeout_s: float, done: Callable[[bytes, int], None], reactor: Any) -> str:
-    """Follows the relays until the complete log is known, then calls done(encoded snapshot, its number).
+def fetch_backup(options: Changelog, timeout_s: float, on_complete: Callable[[bytes, int], None], reactor: Any) -> str:
+    """Follow the relays until the complete log is known, then call on_complete(encoded snapshot, its number).
+
+    Returns:
+        The reason if no backup was fetched within `timeout_s`, or "".
 
-    Returns why it failed, "" where it did not. Raises MalformedError where a key cannot be read, OSError where no
-    socket can be had.
+    Raises:
+        MalformedError: A key cannot be read.
+        OSError: No socket can be opened.
     """
-    consumer = BackupConsumer(options.purge_horizon_s, done, reactor.stop)
+    consumer = BackupConsumer(options.purge_horizon_s, on_complete, reactor.stop)
     config = EndpointConfig(
         f"backup-{os.getpid()}",
         ("0.0.0.0", 0),
-        options_of.addresses_by_name(options.relays),
-        options_of.read_keys(options),
+        changelog_options.addresses_by_name(options.relays),
+        changelog_options.read_keys(options),
     )
     settings = FollowSettings(bound_s=options.bound_s)
     consumer.follow(FollowerEndpoint(config, Runtime(reactor), consumer, settings))
--- a/wickhinge/cli/commands.py
+++ b/wickhinge/cli/commands.py
@@ -1,4 +1,4 @@
-"""The command line's group, and the commands that start a router or check its settings."""
+"""The command line's top-level group, and the commands that start a router or check its settings."""
 
 from __future__ import annotations
 
@@ -7,35 +7,39 @@
 import click
 
 from wickhinge import __version__
-from wickhinge.cli.output import OPTIONS_FILE, fail, print_json
+from wickhinge.cli.output import SETTINGS_FILE_PATH, fail, print_json
 
 
 @click.group(context_settings={"help_option_names": ["-h", "--help"]})
 @click.version_option(__version__, prog_name="wickhinge", message="%(prog)s %(version)s")
 def main() -> None:
-    """A visit router for caches that fill from parents and an origin."""
+    """Route requests to caches that fill from parents and an origin."""
 
 
 @main.command()
 @click.option(
     "--options",
-    type=OPTIONS_FILE,
+    type=SETTINGS_FILE_PATH,
     envvar="WICKHINGE_OPTIONS",
-    help="Our own settings, as deploy/wickhinge.cue; none: all of them off.",
+    help="Wickhinge's own settings, as in deploy/wickhinge.cue; without a file all its subsystems are off.",
 )
 def run(options: str | None) -> None:
-    """Start one router, told what it is by RELAY_CONFIG."""
+    """Start one router with the platform's configuration that RELAY_CONFIG names."""
     from wickhinge.net.control import start
 
     start.exit_process(start.main(options))
 
 
 @main.command("check-config")
-@click.option("--options", type=OPTIONS_FILE, help="A file of our own settings.")
-@click.option("--config", type=OPTIONS_FILE, help="A platform's configuration, as RELAY_CONFIG names it.")
-@click.option("--json", "as_json", is_flag=True, help="The settings in force, as one JSON object.")
+@click.option("--options", type=SETTINGS_FILE_PATH, help="A file of Wickhinge's own settings.")
+@click.option(
+    "--config",
+    type=SETTINGS_FILE_PATH,
+    help="A file of the platform's configuration, like the one that RELAY_CONFIG names.",
+)
+@click.option("--json", "as_json", is_flag=True, help="Print the settings in force as one JSON object.")
 def check_config(options: str | None, config: str | None, as_json: bool) -> None:
-    """Check settings without starting anything; 2 and the faulty key if they can't be used."""
+    """Check settings without starting a router; if they cannot be used, name the faulty key and exit with 2."""
     import msgspec
 
     from wickhinge import settings
@@ -50,26 +54,28 @@
         if options:
             answer["options"] = msgspec.to_builtins(load(options))
         if config:
-            conf = platform.read({"RELAY_CONFIG": config})
-            nothing_outside = cast(Any, None)  # the router that is built decides nothing
-            router, tariffs = settings.build_router(platform.settings(conf), platform.seed(conf), nothing_outside)
-            platform.process_limits(conf)
-            platform.connection_limits(conf)
-            platform.known_events(conf)
-            platform.link_limits(conf)
+            platform_config = platform.read({"RELAY_CONFIG": config})
+            no_environment = cast(Any, None)  # The router built here routes no request, so it needs no environment.
+            router, tariffs = settings.build_router(
+                platform.settings(platform_config), platform.seed(platform_config), no_environment
+            )
+            platform.process_limits(platform_config)
+            platform.connection_limits(platform_config)
+            platform.known_events(platform_config)
+            platform.link_limits(platform_config)
             answer["config"] = {
-                "name": platform.name(conf),
-                "listen": ":".join(map(str, platform.listen_address(conf))),
-                "journal": ":".join(map(str, platform.discovery_address(conf))),
+                "name": platform.name(platform_config),
+                "listen": ":".join(map(str, platform.listen_address(platform_config))),
+                "journal": ":".join(map(str, platform.discovery_address(platform_config))),
                 "location": router.endpoints.zone,
                 "tariffs": list(tariffs),
             }
-    except (OptionsError, MalformedError) as problem:
-        fail(str(problem))
+    except (OptionsError, MalformedError) as error:
+        fail(str(error))
     if as_json:
         print_json(answer)
         return
-    for part in answer.values():
-        for name, value in part.items():
-            for inner, more in value.items() if isinstance(value, dict) else [("", value)]:
-                click.echo(f"{name}{'.' * bool(inner)}{inner} = {more}")
+    for section in answer.values():
+        for key, value in section.items():
+            for subkey, setting in value.items() if isinstance(value, dict) else [("", value)]:
+                click.echo(f"{key}{'.' * bool(subkey)}{subkey} = {setting}")
--- a/wickhinge/cli/lab.py
+++ b/wickhinge/cli/lab.py
@@ -1,4 +1,4 @@
-"""wickhinge lab: scenarios played, compared, searched for faults and reported."""
+"""Commands of the laboratory: they run scenarios, compare them, search for failures and report results."""
 
 from __future__ import annotations
 
@@ -11,26 +11,35 @@
 import click
 
 from wickhinge.cli.commands import main
-from wickhinge.cli.output import JSON_OPTION, UNUSABLE, WRONG, fail, print_answer, print_json, print_line, with_values
+from wickhinge.cli.output import (
+    EXIT_FAULT_FOUND,
+    EXIT_UNUSABLE_INPUT,
+    JSON_OPTION,
+    fail,
+    print_answer,
+    print_json,
+    print_line,
+    with_values,
+)
 
 if TYPE_CHECKING:
     from wickhinge.lab.many.schedule import Schedule
     from wickhinge.lab.scenario import Scenario
 
 MAX_DEFAULT_WORKERS = 8
-MAX_SHOWN_RUNS = 5  # of a search
-MAX_SAVED_RUNS = 3  # of a search
-MAX_SHOWN_FAULTS = 8  # of a schedule
-MIN_LOSS_SHARE = 0.7  # of the requests that the worst run lost, that one made smaller still loses
+MAX_SHOWN_RUNS = 5  # Number of the worst runs that `lab hunt` prints.
+MAX_SAVED_RUNS = 3  # Number of the worst runs whose scenarios `lab hunt` shrinks and saves.
+MAX_SHOWN_FAULTS = 8  # Number of faults that `lab many` prints for a schedule.
+MIN_SHARE_OF_LOSS = 0.7  # A shrunk scenario must lose at least this share of the requests that the original loses.
 
 
 @main.group()
 def lab() -> None:
-    """The laboratory: a fleet emulated in virtual time, failures as data, rules judged by what passed."""
+    """Emulate a fleet in virtual time, inject failures, and check rules on the messages that pass."""
 
 
 def read_scenario(name: str) -> tuple[Scenario, str]:
-    """The scenario of a file, or a bundled one by its name, and its text; ends the process where there is none."""
+    """Return the scenario in a file, or the bundled scenario of that name, and its text; exit if there is neither."""
     from wickhinge.lab import scenario
     from wickhinge.options.errors import OptionsError
     from wickhinge.options.load import read_text
@@ -41,14 +50,14 @@
             return scenario.check(text, name), text
         bundled = scenario.bundled()
         if name not in bundled:
-            fail(f"{name}: is no file, and none of {', '.join(bundled)}")
+            fail(f"{name}: is neither a file nor one of {', '.join(bundled)}")
         return scenario.check(bundled[name], name), bundled[name]
     except OptionsError as error:
         fail(str(error))
 
 
 def progress_counter(total: int) -> Callable[[int], None]:
-    """A function that is called after each run with how many are done."""
+    """Return a callback that prints how many of the runs are done; it is called after each run."""
 
     def show_progress(done: int) -> None:
         if sys.stderr.isatty():
@@ -57,7 +66,7 @@
     return show_progress
 
 
-WORKERS = click.option(
+WORKERS_OPTION = click.option(
     "--workers",
     default=min(os.cpu_count() or 1, MAX_DEFAULT_WORKERS),
     show_default=True,
@@ -67,7 +76,7 @@
 
 @lab.command("list")
 def list_scenarios() -> None:
-    """The scenarios that come along."""
+    """List the bundled scenarios."""
     from wickhinge.lab.scenario import bundled
 
     for name, text in bundled().items():
@@ -76,7 +85,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RunValues:
-    """The arguments and options of `lab run`."""
+    """Arguments and options of `lab run`."""
 
     name: str
     seed: int | None
@@ -88,14 +97,14 @@
 
 @lab.command()
 @click.argument("name")
-@click.option("--seed", type=click.IntRange(0), help="In place of the scenario's.")
-@click.option("--policy", help="In place of the scenario's.")
-@click.option("--records", type=click.Path(dir_okay=False), help="One row a visit, as Parquet.")
-@click.option("--report", type=click.Path(dir_okay=False), help="One HTML file with pictures.")
+@click.option("--seed", type=click.IntRange(0), help="Replaces the scenario's seed.")
+@click.option("--policy", help="Replaces the scenario's policy.")
+@click.option("--records", type=click.Path(dir_okay=False), help="Write one row per request to this Parquet file.")
+@click.option("--report", type=click.Path(dir_okay=False), help="Write a report with charts to this HTML file.")
 @JSON_OPTION
 @with_values(RunValues)
 def run(values: RunValues) -> None:
-    """Play a scenario; 1 if a rule was broken."""
+    """Run a scenario; exit with 1 if a rule was broken."""
     import msgspec
 
     from wickhinge.lab.play import Play
@@ -120,17 +129,20 @@
     except OSError as error:
         fail(f"{error.filename}: cannot be written: {error.strerror}")
     print_answer(result, values.as_json)
-    sys.exit(WRONG if result["rules_broken"] else 0)
+    sys.exit(EXIT_FAULT_FOUND if result["rules_broken"] else 0)
 
 
 @lab.command()
 @click.argument("first")
 @click.argument("second")
 @click.option("--seeds", default=8, show_default=True, type=click.IntRange(2))
-@WORKERS
+@WORKERS_OPTION
 @JSON_OPTION
 def compare(first: str, second: str, seeds: int, workers: int, as_json: bool) -> None:
-    """Two scenarios, or one and a policy (NAME and policy:random), on the same seeds, with a verdict a figure."""
+    """Compare two scenarios on the same seeds, with a verdict for each metric.
+
+    SECOND may be a policy for the first scenario in place of its own, for example policy:random.
+    """
     import msgspec
 
     from wickhinge.lab import experiments
@@ -143,19 +155,19 @@
     results = experiments.many(
         [*experiments.seeds(scenario, seeds), *experiments.seeds(other, seeds)], workers, progress_counter(2 * seeds)
     )
-    figures = experiments.compare(results[:seeds], results[seeds:])
+    metrics = experiments.compare(results[:seeds], results[seeds:])
     if as_json:
-        print_json(figures)
+        print_json(metrics)
         return
-    for name, figure in figures.items():
-        is_compared = isinstance(figure, dict)
-        text = ", ".join(f"{key} {value}" for key, value in figure.items()) if is_compared else str(figure)
+    for name, metric in metrics.items():
+        is_compared = isinstance(metric, dict)
+        text = ", ".join(f"{key} {value}" for key, value in metric.items()) if is_compared else str(metric)
         click.echo(f"{name:<20} {text}")
 
 
 @dataclass(frozen=True, slots=True)
 class HuntValues:
-    """The arguments and options of `lab hunt`."""
+    """Arguments and options of `lab hunt`."""
 
     name: str
     seeds: int
@@ -169,61 +181,64 @@
 @click.argument("name", default="calm")
 @click.option("--seeds", default=32, show_default=True, type=click.IntRange(1))
 @click.option("--first", default=1, show_default=True, help="The first seed.")
-@click.option("--out", type=click.Path(file_okay=False), help="Where what was found is written, made small.")
-@WORKERS
+@click.option("--out", type=click.Path(file_okay=False), help="Write the worst scenarios, shrunk, to this directory.")
+@WORKERS_OPTION
 @JSON_OPTION
 @with_values(HuntValues)
 def hunt(values: HuntValues) -> None:
-    """Random failures on a scenario: the seeds on which rules break or most visits get nothing; 1 if a rule broke."""
+    """Search random failures of a scenario for seeds that break rules or lose the most requests.
+
+    The exit code is 1 if a rule was broken.
+    """
     from wickhinge.lab import experiments
 
     scenario = read_scenario(values.name)[0]
-    tried = [experiments.rough(scenario, values.first + number) for number in range(values.seeds)]
-    results = experiments.many(tried, values.workers, progress_counter(values.seeds))
-    worst_first = sorted(range(values.seeds), key=lambda place: experiments.worse(results[place]), reverse=True)
+    scenarios = [experiments.rough(scenario, values.first + number) for number in range(values.seeds)]
+    results = experiments.many(scenarios, values.workers, progress_counter(values.seeds))
+    worst_first = sorted(range(values.seeds), key=lambda index: experiments.worse(results[index]), reverse=True)
     rows = [
         {
-            "seed": tried[place].seed,
-            "honoured_share": results[place].get("honoured_share"),
-            "rules_broken": results[place].get("rules_broken"),
-            "failed": results[place].get("failed"),
-            "failures": [failure.kind for failure in tried[place].failures],
+            "seed": scenarios[index].seed,
+            "honoured_share": results[index].get("honoured_share"),
+            "rules_broken": results[index].get("rules_broken"),
+            "failed": results[index].get("failed"),
+            "failures": [failure.kind for failure in scenarios[index].failures],
         }
-        for place in worst_first[:MAX_SHOWN_RUNS]
+        for index in worst_first[:MAX_SHOWN_RUNS]
     ]
     broken = sum(bool(result.get("rules_broken")) for result in results)
     if values.out:
         os.makedirs(values.out, exist_ok=True)
-        for place in worst_first[:MAX_SAVED_RUNS]:
-            save_shrunk(tried[place], results[place], values.out)
+        for index in worst_first[:MAX_SAVED_RUNS]:
+            save_shrunk_scenario(scenarios[index], results[index], values.out)
     if values.as_json:
         print_json({"seeds": values.seeds, "broken": broken, "widest": rows})
     else:
         for row in rows:
             print_line(row)
-    sys.exit(WRONG if broken else 0)
+    sys.exit(EXIT_FAULT_FOUND if broken else 0)
 
 
-def save_shrunk(scenario: Scenario, result: dict[str, Any], directory: str) -> None:
-    """Writes a scenario with the fewest failures that still break what broke, or still lose most requests."""
+def save_shrunk_scenario(scenario: Scenario, result: dict[str, Any], directory: str) -> None:
+    """Write a scenario with as few failures as still break a rule that broke, or lose most of the lost requests."""
     from wickhinge.lab import experiments
 
-    rules = set(result.get("rules_broken") or ())
+    broken_rules = set(result.get("rules_broken") or ())
     worst_loss = experiments.worse(result)[1]
 
-    def is_still_bad(other: dict[str, Any]) -> bool:
-        if rules:
-            return bool(rules & set(other["rules_broken"]))
-        return bool(1.0 - other["honoured_share"] >= MIN_LOSS_SHARE * worst_loss)
+    def still_fails(smaller_result: dict[str, Any]) -> bool:
+        if broken_rules:
+            return bool(broken_rules & set(smaller_result["rules_broken"]))
+        return bool(1.0 - smaller_result["honoured_share"] >= MIN_SHARE_OF_LOSS * worst_loss)
 
-    small = experiments.shrink(scenario, is_still_bad)
-    with open(os.path.join(directory, f"{small.name}.cue"), "w", encoding="utf-8") as file:
-        file.write(experiments.text(small))
+    shrunk = experiments.shrink(scenario, still_fails)
+    with open(os.path.join(directory, f"{shrunk.name}.cue"), "w", encoding="utf-8") as file:
+        file.write(experiments.text(shrunk))
 
 
 @dataclass(frozen=True, slots=True)
 class ManyValues:
-    """The options of `lab many`."""
+    """Options of `lab many`."""
 
     seed: int
     count: int
@@ -235,23 +250,41 @@
 
 
 @lab.command()
-@click.option("--seed", default=1, show_default=True, type=click.IntRange(0), help="Of the first schedule drawn.")
-@click.option("--count", default=1, show_default=True, type=click.IntRange(1), help="Schedules, seeds in a row.")
-@click.option("--routers", default=0, type=click.IntRange(0, 500), help="In place of a number drawn.")
-@click.option("--schedule", "path", type=click.Path(exists=True, dir_okay=False), help="Play this one, as printed.")
-@click.option("--sockets", is_flag=True, help="Real processes behind relays, in real time; else virtual time.")
-@click.option("--shrink", is_flag=True, help="Find the least faults that still break what broke (virtual time).")
+@click.option(
+    "--seed", default=1, show_default=True, type=click.IntRange(0), help="The seed of the first drawn schedule."
+)
+@click.option(
+    "--count", default=1, show_default=True, type=click.IntRange(1), help="Number of schedules, with consecutive seeds."
+)
+@click.option("--routers", default=0, type=click.IntRange(0, 500), help="Number of routers; 0 draws it.")
+@click.option(
+    "--schedule",
+    "path",
+    type=click.Path(exists=True, dir_okay=False),
+    help="Run the schedule in this file, in the form that is printed.",
+)
+@click.option(
+    "--sockets", is_flag=True, help="Run real processes in real time behind network relays; otherwise, virtual time."
+)
+@click.option(
+    "--shrink",
+    is_flag=True,
+    help="Reduce broken schedules to the fewest faults that still break a rule (virtual time only).",
+)
 @JSON_OPTION
 @with_values(ManyValues)
 def many(values: ManyValues) -> None:
-    """Routers that know each other and share budgets, under drawn faults; 1 if a rule broke, with its schedule."""
+    """Run routers that exchange messages and share quotas under randomly drawn faults.
+
+    If a rule was broken, its schedule is printed and the exit code is 1.
+    """
     schedules = read_schedules(values)
     broken: list[dict[str, Any]] = []
     try:
         for schedule in schedules:
             broken += play_schedule(schedule, values)
     except KeyboardInterrupt:
-        fail("stopped", WRONG)
+        fail("stopped", EXIT_FAULT_FOUND)
     answer = {
         "schedules": len(schedules),
         "sockets": values.sockets,
@@ -265,15 +298,15 @@
         click.echo(f"{len(schedules)} schedules, {len(broken)} broken")
         for row in broken:
             click.echo("\n".join([f"seed {row['seed']}", *row["faults"], row["schedule"]]))
-    sys.exit(WRONG if broken else 0)
+    sys.exit(EXIT_FAULT_FOUND if broken else 0)
 
 
 def read_schedules(values: ManyValues) -> list[Schedule]:
-    """The schedule of a file, or drawn ones; ends the process where the file cannot be used."""
+    """Return the schedule in the given file, or drawn ones; exit if the file cannot be used."""
     from wickhinge.lab.many import schedule
 
     if not values.path:
-        return [schedule.draw(values.seed + place, values.routers) for place in range(values.count)]
+        return [schedule.draw(values.seed + index, values.routers) for index in range(values.count)]
     try:
         with open(values.path, encoding="utf-8") as file:
             return [schedule.read(file.read())]
@@ -282,23 +315,23 @@
 
 
 def play_schedule(schedule: Schedule, values: ManyValues) -> list[dict[str, Any]]:
-    """Plays one schedule; a row about it where a rule broke."""
+    """Run one schedule; return a list with one row about it if a rule was broken, and an empty list otherwise."""
     from wickhinge.lab.many import schedule as schedules
     from wickhinge.lab.many import trial
 
-    played = trial.on_sockets(schedule) if values.sockets else trial.virtual(schedule)
-    if not played.faults:
+    result = trial.on_sockets(schedule) if values.sockets else trial.virtual(schedule)
+    if not result.faults:
         return []
-    shown = trial.shrink(schedule) if values.shrink and not values.sockets else schedule
-    faults = played.faults[:MAX_SHOWN_FAULTS]
-    return [{"seed": schedule.seed, "faults": faults, "schedule": schedules.text(shown)}]
+    printed_schedule = trial.shrink(schedule) if values.shrink and not values.sockets else schedule
+    faults = result.faults[:MAX_SHOWN_FAULTS]
+    return [{"seed": schedule.seed, "faults": faults, "schedule": schedules.text(printed_schedule)}]
 
 
 @lab.command()
 @click.argument("records", type=click.Path(exists=True, dir_okay=False))
 @JSON_OPTION
 def show(records: str, as_json: bool) -> None:
-    """What a file of records holds, in figures."""
+    """Print the number of requests, results and routers in a file of records."""
     import pyarrow.compute as pc  # type: ignore[import-untyped]
 
     from wickhinge.lab.records import read
@@ -306,7 +339,9 @@
     try:
         table = read(records)
     except (ValueError, OSError) as error:
-        fail(str(error), UNUSABLE)
-    words = {row["values"]: row["counts"] for row in pc.value_counts(table["word"].cast("string")).to_pylist()}
-    routers = pc.count_distinct(table["router"]).as_py()
-    print_answer({"visits": table.num_rows, **words, "routers": routers}, as_json)
+        fail(str(error), EXIT_UNUSABLE_INPUT)
+    counts_by_result = {
+        row["values"]: row["counts"] for row in pc.value_counts(table["word"].cast("string")).to_pylist()
+    }
+    router_count = pc.count_distinct(table["router"]).as_py()
+    print_answer({"visits": table.num_rows, **counts_by_result, "routers": router_count}, as_json)
--- a/wickhinge/cli/peers.py
+++ b/wickhinge/cli/peers.py
@@ -1,4 +1,4 @@
-"""Commands about routers that know each other: what a running one, or all of them, hear and hold."""
+"""Commands that show what running routers of a roster know about each other and which quotas they hold."""
 
 from __future__ import annotations
 
@@ -11,18 +11,26 @@
 import orjson
 
 from wickhinge.cli.commands import main
-from wickhinge.cli.output import JSON_OPTION, OPTIONS_FILE, WRONG, fail, print_answer, print_json, print_line
+from wickhinge.cli.output import (
+    EXIT_FAULT_FOUND,
+    JSON_OPTION,
+    SETTINGS_FILE_PATH,
+    fail,
+    print_answer,
+    print_json,
+    print_line,
+)
 
 MAX_CONCURRENT_QUESTIONS = 16
 
 
 @main.group()
 def peers() -> None:
-    """Routers that know each other."""
+    """Inspect the routers of a roster, which exchange messages with each other."""
 
 
 def read_roster(path: str | None) -> tuple[bytes, dict[str, tuple[str, int]]]:
-    """The fleet's key, and the routers' addresses by name; ends the process where the settings cannot be used."""
+    """Return the fleet's key and the routers' addresses by name; exit if the settings cannot be used."""
     from wickhinge.fields import MalformedError
     from wickhinge.options import OptionsError, keys, load
     from wickhinge.peers.roster import read_entries
@@ -33,17 +41,18 @@
     try:
         settings = load(path).peers
         key = keys.read_key("peers.key_file", settings.key_file)
-        rows: list[Any] = list(settings.roster)  # frozen records, where RosterRow asks for attributes that can be set
+        # The rows are typed Any because RosterRow declares attributes that can be set, and these records are frozen.
+        rows: list[Any] = list(settings.roster)
         addresses = {peer.name: peer.address for peer in read_entries(rows)}
-    except (OptionsError, MalformedError) as problem:
-        fail(str(problem))
+    except (OptionsError, MalformedError) as error:
+        fail(str(error))
     if not addresses:
         fail(f"{path}: peers.roster: is empty")
     return key, addresses
 
 
 def ask_router(key: bytes, name: str, address: tuple[str, int]) -> dict[str, Any]:
-    """What that router shows; {"name", "error"} where it does not answer."""
+    """Return a router's status, or a dict with its name and the error if it does not answer."""
     from wickhinge.cli.question import NoAnswerError, Question, ask
 
     try:
@@ -53,51 +62,58 @@
     return answer
 
 
-def summary(answer: dict[str, Any]) -> dict[str, Any]:
-    """One router in a line, and whether all is well there."""
-    if "error" in answer:
-        return {"router": answer["name"], "well": False, "error": answer["error"]}
-    well = answer["settled"] and answer["cut_s"] is None and not answer["unheard"] and not answer["twin"]
+def summarize_status(status: dict[str, Any]) -> dict[str, Any]:
+    """Return the main fields of a router's status, and whether the router reports no fault (`well`)."""
+    if "error" in status:
+        return {"router": status["name"], "well": False, "error": status["error"]}
+    well = status["settled"] and status["cut_s"] is None and not status["unheard"] and not status["twin"]
     line = {
-        "router": answer["name"],
-        "zone": answer["zone"],
+        "router": status["name"],
+        "zone": status["zone"],
         "well": well,
-        "heard": answer["share"],
-        "cut_s": answer["cut_s"],
-        "unheard": answer["unheard"],
-        "twin": answer["twin"],
-        "epoch": answer["epoch"],
-        "roster": answer["roster"],
+        "heard": status["share"],
+        "cut_s": status["cut_s"],
+        "unheard": status["unheard"],
+        "twin": status["twin"],
+        "epoch": status["epoch"],
+        "roster": status["roster"],
     }
-    if "shared" in answer:
-        line["shares"] = [budget["share"] for budget in answer["shared"]["budgets"]]
-        line["vouched_s"] = answer["shared"]["vouched_s"]
+    if "shared" in status:
+        line["shares"] = [budget["share"] for budget in status["shared"]["budgets"]]
+        line["vouched_s"] = status["shared"]["vouched_s"]
     return line
 
 
 @peers.command()
-@click.option("--options", type=OPTIONS_FILE, help="Our own settings, with peers.roster and peers.key_file.")
-@click.option("--router", help="The name of the one to ask; the first of the roster where none is given.")
-@click.option("--all", "every", is_flag=True, help="Ask each router of the roster, one line each.")
+@click.option(
+    "--options", type=SETTINGS_FILE_PATH, help="Wickhinge's own settings, with peers.roster and peers.key_file."
+)
+@click.option("--router", help="The name of the router to ask; without it, the first of the roster.")
+@click.option("--all", "every", is_flag=True, help="Ask each router of the roster and print one line for each.")
 @JSON_OPTION
 def show(options: str | None, router: str | None, every: bool, as_json: bool) -> None:
-    """Who hears whom, since when, and by what shares cold machines' limits are spent; 1 if somebody is not well."""
-    key, places = read_roster(options)
-    if router is not None and router not in places:
+    """Show which routers receive messages from which, since when, and their shares of cold servers' request limits.
+
+    The exit code is 1 if a router reports a fault or does not answer.
+    """
+    key, addresses = read_roster(options)
+    if router is not None and router not in addresses:
         fail(f"{router} is not on the roster")
     if every:
         with ThreadPoolExecutor(MAX_CONCURRENT_QUESTIONS) as executor:
-            summaries = list(executor.map(lambda name: summary(ask_router(key, name, places[name])), places))
+            summaries = list(
+                executor.map(lambda name: summarize_status(ask_router(key, name, addresses[name])), addresses)
+            )
         if as_json:
             print_json({"routers": summaries})
         else:
             for line in summaries:
                 print_line(line)
-        sys.exit(0 if all(line["well"] for line in summaries) else WRONG)
-    name = router or next(iter(places))
-    answer = ask_router(key, name, places[name])
+        sys.exit(0 if all(line["well"] for line in summaries) else EXIT_FAULT_FOUND)
+    name = router or next(iter(addresses))
+    answer = ask_router(key, name, addresses[name])
     if "error" in answer:
-        fail(answer["error"], WRONG)
+        fail(answer["error"], EXIT_FAULT_FOUND)
     if as_json:
         print_json(answer)
     else:
@@ -108,4 +124,4 @@
         for peer in peer_rows:
             ages = "" if peer["since_s"] is None else f" since {peer['since_s']} s, last word {peer['word_s']} s ago"
             click.echo(f"{peer['name']:<16} {peer['state']}{ages}{'' if peer['roster'] else ', another roster'}")
-    sys.exit(0 if summary(answer)["well"] else WRONG)
+    sys.exit(0 if summarize_status(answer)["well"] else EXIT_FAULT_FOUND)
--- a/wickhinge/cli/question.py
+++ b/wickhinge/cli/question.py
@@ -1,4 +1,4 @@
-"""Asks a running process a question over its UDP socket; the question is repeated where an answer is lost."""
+"""Client for status requests to a running process over UDP; a request without an answer is sent again."""
 
 from __future__ import annotations
 
@@ -9,19 +9,19 @@
 
 from wickhinge.peers.status_client import StatusClient
 
-RETRY_INTERVAL_S = 0.3  # without a datagram, after which the question is sent again
-REFUSED_WAIT_S = RETRY_INTERVAL_S / 3  # where nobody listens
+RETRY_INTERVAL_S = 0.3  # Wait for an answer before the request is sent again.
+REFUSED_RETRY_DELAY_S = RETRY_INTERVAL_S / 3  # Delay before the next attempt if no process listens at the address.
 MAX_ATTEMPTS = 5
 MAX_DATAGRAM_BYTES = 65536
 NONCE_BYTES = 7
 
 
 class NoAnswerError(Exception):
-    """A process did not answer.
+    """A process did not answer a status request.
 
     Attributes:
         name: The process's name.
-        address: Where it was asked.
+        address: The address that the request was sent to.
     """
 
     def __init__(self, name: str, address: tuple[str, int], reason: str) -> None:
@@ -31,30 +31,30 @@
 
 @dataclass(frozen=True, slots=True)
 class Question:
-    """What is asked: a word that the process knows, and what belongs to it."""
+    """A status request: a command that the process knows, its payload, and how often it is sent at most."""
 
-    word: str
-    more: bytes = b""
+    command: str
+    payload: bytes = b""
     attempts: int = MAX_ATTEMPTS
 
 
 def ask(key: bytes, name: str, address: tuple[str, int], question: Question) -> bytes:
-    """The answer of the process `name` at `address`, under the fleet's key.
+    """Ask the process `name` at `address` a question sealed with the fleet's key and return the answer.
 
     Raises:
-        NoAnswerError: All attempts were without an answer.
+        NoAnswerError: No attempt got an answer.
     """
     reason = ""
-    client = StatusClient(key, name, int.from_bytes(os.urandom(NONCE_BYTES)), question.word, question.more)
+    client = StatusClient(key, name, int.from_bytes(os.urandom(NONCE_BYTES)), question.command, question.payload)
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as udp_socket:
         udp_socket.connect(address)
         for _ in range(question.attempts):
             try:
-                answer = attempt(udp_socket, client)
+                answer = ask_once(udp_socket, client)
             except TimeoutError:
                 continue
-            except OSError as error:  # refused: nobody listens there
-                time.sleep(REFUSED_WAIT_S)
+            except OSError as error:  # Most often "connection refused": no process listens at the address.
+                time.sleep(REFUSED_RETRY_DELAY_S)
                 reason = f": {error.strerror}"
                 continue
             if answer is not None:
@@ -62,8 +62,16 @@
     raise NoAnswerError(name, address, reason)
 
 
-def attempt(udp_socket: socket.socket, client: StatusClient) -> bytes | None:
-    """Sends the question once, and once more with the cookie that comes first. Raises TimeoutError, OSError."""
+def ask_once(udp_socket: socket.socket, client: StatusClient) -> bytes | None:
+    """Send the request, and again with the cookie that the process answers first; return the answer.
+
+    Returns:
+        The answer, or None if only a part of it or other datagrams arrived in time.
+
+    Raises:
+        TimeoutError: No datagram arrived in time.
+        OSError: The socket failed, most often because no process listens at the address.
+    """
     udp_socket.send(client.datagram())
     deadline = time.monotonic() + RETRY_INTERVAL_S
     while (remaining_s := deadline - time.monotonic()) > 0:
--- a/wickhinge/cli/remembered_list.py
+++ b/wickhinge/cli/remembered_list.py
@@ -1,4 +1,4 @@
-"""Commands about remembered lists of cache servers."""
+"""Commands for stored endpoint lists, which a router remembers for a start without the journal service."""
 
 from __future__ import annotations
 
@@ -9,22 +9,22 @@
 import orjson
 
 from wickhinge.cli.commands import main
-from wickhinge.cli.output import JSON_OPTION, WRONG, fail, print_answer, print_json
+from wickhinge.cli.output import EXIT_FAULT_FOUND, JSON_OPTION, fail, print_answer, print_json
 
 if TYPE_CHECKING:
     from wickhinge.membership.stored_list import StoredList
 
-CLOCK_TOLERANCE_S = 5  # a list from so far in the future still has an age
-MAX_AGE_S = 86400
+CLOCK_TOLERANCE_S = 5  # A list's last update may be this far in the future before its age counts as unknown.
+MAX_AGE_S = 86400  # `list age` exits with 1 for a list older than a day.
 
 
 @main.group("list")
 def lists() -> None:
-    """Look at remembered lists of machines."""
+    """Inspect stored endpoint lists."""
 
 
 def read_list(path: str) -> StoredList:
-    """The newest complete list of a directory, or that of one file; ends the process where there is none."""
+    """Read the newest complete list of a directory, or the list in a file; exit if there is none."""
     import os
 
     from wickhinge.membership import stored_list
@@ -34,52 +34,52 @@
 
     try:
         if os.path.isdir(path):
-            stored, problems = EndpointListFile(Files(), path).read()
-            for problem in problems:
-                click.echo(f"wickhinge: {path}: {problem}", err=True)
+            stored, errors = EndpointListFile(Files(), path).read()
+            for error in errors:
+                click.echo(f"wickhinge: {path}: {error}", err=True)
             if stored is None:
                 fail(f"{path}: holds no list")
             return stored
         with open(path, "rb") as file:
             return stored_list.decode(file.read(stored_list.MAX_FILE_BYTES + 1))[1]
-    except CorruptListError as problem:
-        fail(f"{path}: {problem}")
-    except OSError as problem:
-        fail(f"{path}: cannot be read: {problem.strerror}")
+    except CorruptListError as error:
+        fail(f"{path}: {error}")
+    except OSError as error:
+        fail(f"{path}: cannot be read: {error.strerror}")
 
 
 def endpoint_rows(stored: StoredList) -> list[dict[str, Any]]:
-    """The endpoints of a list, as they are printed."""
+    """Return the printed fields of each endpoint of a list."""
     from wickhinge.membership.stored_list import record_fields
 
     return [{**record_fields(endpoint), "mark": f"s-{endpoint.endpoint_id:08x}"} for endpoint in stored.endpoints]
 
 
-def complete_list(stored: StoredList) -> dict[str, Any]:
-    """All that a list holds, as it is exported."""
+def list_fields(stored: StoredList) -> dict[str, Any]:
+    """Return all contents of a list in the form that is exported."""
     return {
         "deployment": stored.deployment,
         "written": stored.written_at,
         "heard": stored.last_update_at,
         "number": stored.last_event,
         "machines": endpoint_rows(stored),
-        "gone": [[f"s-{mark:08x}", when] for mark, when in stored.gone],
+        "gone": [[f"s-{endpoint_id:08x}", gone_at] for endpoint_id, gone_at in stored.gone],
         "purges": [[None if key is None else f"{key:016x}", group, stamp] for key, group, stamp in stored.purges],
         "usual": stored.usual_loads,
     }
 
 
-LIST_FILE = click.argument("file", type=click.Path(exists=True))
+LIST_FILE_ARGUMENT = click.argument("file", type=click.Path(exists=True))
 
 
 @lists.command()
-@LIST_FILE
+@LIST_FILE_ARGUMENT
 @JSON_OPTION
 def show(file: str, as_json: bool) -> None:
-    """The machines of a list, with their states, sources and trust when it was written."""
+    """Print a list's endpoints, with the state, source and trust that each had when the list was written."""
     stored = read_list(file)
     if as_json:
-        print_json(complete_list(stored))
+        print_json(list_fields(stored))
         return
     click.echo(
         f"event {stored.last_event}, heard {stored.last_update_at:.0f}, {len(stored.endpoints)} machines, "
@@ -94,45 +94,48 @@
 
 
 @lists.command()
-@LIST_FILE
+@LIST_FILE_ARGUMENT
 @JSON_OPTION
 def age(file: str, as_json: bool) -> None:
-    """Seconds since the service last vouched for a list; 1 if that is over a day, or not known."""
+    """Print the seconds since the live service last confirmed a list; exit with 1 if over a day or unknown."""
     import time
 
     stored = read_list(file)
-    seconds = (
+    age_s = (
         time.time() - stored.last_update_at if 0 < stored.last_update_at <= time.time() + CLOCK_TOLERANCE_S else None
     )
-    print_answer({"age_s": None if seconds is None else round(seconds, 1), "number": stored.last_event}, as_json)
-    sys.exit(WRONG if seconds is None or seconds > MAX_AGE_S else 0)
+    print_answer({"age_s": None if age_s is None else round(age_s, 1), "number": stored.last_event}, as_json)
+    sys.exit(EXIT_FAULT_FOUND if age_s is None or age_s > MAX_AGE_S else 0)
 
 
 @lists.command()
-@LIST_FILE
+@LIST_FILE_ARGUMENT
 @click.argument("other", type=click.Path(exists=True))
 @JSON_OPTION
 def diff(file: str, other: str, as_json: bool) -> None:
-    """What changed from one list to another, and what looks like a mistake; 1 if anything did."""
+    """Print the changes between two lists, and changes that look like mistakes; exit with 1 if there are any."""
     from wickhinge.membership.comparison import compare
     from wickhinge.membership.stored_list import to_statement
 
-    lists = [[to_statement(endpoint) for endpoint in read_list(path).endpoints] for path in (file, other)]
-    comparison = compare(*lists)
-    answer = {name: [f"s-{mark:08x}" for mark in marks] for name, marks in comparison.changes().items()}
+    statements = [[to_statement(endpoint) for endpoint in read_list(path).endpoints] for path in (file, other)]
+    comparison = compare(*statements)
+    answer = {
+        name: [f"s-{endpoint_id:08x}" for endpoint_id in endpoint_ids]
+        for name, endpoint_ids in comparison.changes().items()
+    }
     answer["doubts"] = comparison.warnings
     print_answer(answer, as_json)
-    sys.exit(WRONG if any(answer.values()) else 0)
+    sys.exit(EXIT_FAULT_FOUND if any(answer.values()) else 0)
 
 
 @lists.command()
-@LIST_FILE
+@LIST_FILE_ARGUMENT
 @click.argument("to", type=click.Path(dir_okay=False))
 def export(file: str, to: str) -> None:
-    """A list as one JSON object in a file; - for standard output."""
-    data = orjson.dumps(complete_list(read_list(file)), option=orjson.OPT_INDENT_2) + b"\n"
+    """Write a list as one JSON object to the file TO, or to standard output if TO is -."""
+    data = orjson.dumps(list_fields(read_list(file)), option=orjson.OPT_INDENT_2) + b"\n"
     try:
-        with click.open_file(to, "wb") as out:
-            out.write(data)
-    except OSError as problem:
-        fail(f"{to}: cannot be written: {problem.strerror}")
+        with click.open_file(to, "wb") as output:
+            output.write(data)
+    except OSError as error:
+        fail(f"{to}: cannot be written: {error.strerror}")
