--- a/bench/scale/one_router.py
+++ b/bench/scale/one_router.py
@@ -38,9 +38,9 @@
     """As after both have spoken to each other."""
     detector.sessions[name].epoch, detector.sessions[name].incarnation = EPOCH, life
     member = detector.members[name]
-    detector.members.accept(member, Gossip(name, EPOCH, life, 0, MemberState.ALIVE), 0.0)
+    detector.members.adopt_belief(member, Gossip(name, EPOCH, life, 0, MemberState.ALIVE), 0.0)
     member.last_evidence_at = 0.0
-    detector.members.gossip_pending.discard(name)
+    detector.members.names_to_gossip.discard(name)
 
 
 def introduce(one: FailureDetector, other: FailureDetector) -> None:
@@ -124,7 +124,7 @@
                     data = wire.encode(KEY, message)
                 self.sent += 1
                 self.bytes_sent += len(data)
-                self.peers[message.to].receive(wire.decode(KEY, data), self.now)
+                self.peers[message.receiver].receive(wire.decode(KEY, data), self.now)
 
     def run(self, seconds: float) -> None:
         until = self.now + seconds
--- a/tests/bench/test_scale.py
+++ b/tests/bench/test_scale.py
@@ -107,7 +107,7 @@
 def test_one_router_among_peers_hears_them_all_and_sends_what_a_fleet_sends():
     router = OneRouter(40, 7)
     router.run(30.0)
-    assert router.share_heard() == 1.0 and router.detector.health.doubt == 0
+    assert router.share_heard() == 1.0 and router.detector.health.degradation == 0
     assert router.sent == pytest.approx(120, abs=4)  # a probe and an answer a period
 
 
--- a/tests/changelog/test_administration.py
+++ b/tests/changelog/test_administration.py
@@ -50,11 +50,11 @@
         asking = StatusClient(key, "a", 7, word, more)
         for _ in range(2):
             before = len(self.node.reactor.sent)
-            self.node.datagramReceived(asking.datagram(), address)
+            self.node.datagramReceived(asking.request_datagram(), address)
             for data, to in self.node.reactor.sent[before:]:
                 assert to == address
                 asking.receive(data)
-        return asking.answer()
+        return asking.complete_answer()
 
     def append(self, change, request_id=b"i" * 16):
         more = msgspec.msgpack.encode(AppendRequest(request_id, encode_change(change)))
@@ -115,7 +115,7 @@
     assert leader.ask(STATUS, key=NEXT_KEY) is None
     more = msgspec.msgpack.encode(AppendRequest(b"i" * 16, encode_change(Purge(5, 0, 0))))
     asking = StatusClient(KEY, "a", 7, APPEND, more)
-    leader.node.datagramReceived(asking.datagram(), THERE)
+    leader.node.datagramReceived(asking.request_datagram(), THERE)
     assert leader.proposed == []
 
 
--- a/tests/peers/test_detector.py
+++ b/tests/peers/test_detector.py
@@ -4,7 +4,7 @@
 
 from tests.support.peers import roster_entries
 from wickhinge.peers.detector import FailureDetector
-from wickhinge.peers.health import ISOLATED_AFTER_PERIODS, MAX_DOUBT, PROBE_PERIOD_S
+from wickhinge.peers.health import ISOLATED_AFTER_PERIODS, MAX_DEGRADATION, PROBE_PERIOD_S
 from wickhinge.peers.messages import Belief, MemberState
 from wickhinge.peers.roster import Roster
 from wickhinge.routing.random_source import RandomSource
@@ -37,9 +37,9 @@
                 for message in arrived:
                     for name, detector in self.detectors.items():  # n2' is another process under the name n2
                         if (
-                            name.rstrip("'") == message.to
+                            name.rstrip("'") == message.receiver
                             and name not in still
-                            and self.way(message.sender, message.to)
+                            and self.way(message.sender, message.receiver)
                         ):
                             detector.receive(message, self.now)
 
@@ -97,7 +97,7 @@
     fleet.way = (lambda one, to: one != "n0") if hears else (lambda one, to: to != "n0")
     fleet.run(20.0)
     view = fleet.detectors["n0"].view(fleet.now)
-    assert view.isolated_since is not None and view.is_thought_gone is hears
+    assert view.isolated_since is not None and view.is_reported_gone is hears
     assert set(fleet.states("n0").values()) == {MemberState.GONE}
 
 
@@ -114,7 +114,7 @@
     fleet.run(6.0)
     detector = fleet.detectors["n0"]
     detector.tick(fleet.now + 5.0)
-    assert detector.health.doubt == MAX_DOUBT and {entry.state for entry in detector.members.values()} == {
+    assert detector.health.degradation == MAX_DEGRADATION and {entry.state for entry in detector.members.values()} == {
         MemberState.ALIVE
     }
     assert detector.view(fleet.now + 5.0).isolated_since == pytest.approx(detector.health.last_answer_at)
--- a/tests/peers/test_status_exchange.py
+++ b/tests/peers/test_status_exchange.py
@@ -29,14 +29,14 @@
 
 def exchange(server, client, sender=HERE, now=100.0, lose=()):
     """Datagrams both ways until nothing more comes; those of the answers that are named are lost."""
-    to_send, received = [client.datagram()], 0
+    to_send, received = [client.request_datagram()], 0
     while to_send:
         answers = server.receive(to_send.pop(), sender, now)
         for answer in answers:
             received += 1
             if received not in lose and client.receive(answer):
-                to_send.append(client.datagram())
-    return client.answer()
+                to_send.append(client.request_datagram())
+    return client.complete_answer()
 
 
 @pytest.mark.parametrize("size", [0, 1, 400, 1100, 1101, 20000])
@@ -62,11 +62,11 @@
 
     server.add_command("do", do)
     client = StatusClient(KEY, "n1", 7, "do")
-    first = client.datagram()
+    first = client.request_datagram()
     (answer,) = server.receive(first, HERE, 100.0)
     assert not done and len(answer) <= len(first)
     assert client.receive(answer) and not client.receive(answer)
-    again = client.datagram()
+    again = client.request_datagram()
     for sender, now in ((THERE, 100.0), (HERE, 100.0 + 2.1 * COOKIE_SLOT_S)):  # another's address, a later time
         assert len(server.receive(again, sender, now)) == 1 and not done
     assert len(server_of().receive(again, HERE, 100.0)) == 1  # the same secret; a new process has another
@@ -79,15 +79,15 @@
 
 def test_a_request_when_not_for_it_unknown_or_too_long_is_refused():
     server = server_of()
-    assert server.receive(StatusClient(KEY, "n2", 7, "say").datagram(), HERE, 100.0) == []
+    assert server.receive(StatusClient(KEY, "n2", 7, "say").request_datagram(), HERE, 100.0) == []
     assert b"nothing that this router answers" in exchange(server, StatusClient(KEY, "n1", 7, "fly"))
     server.add_command("huge", lambda more: b"x" * (status_messages.MAX_PART_BYTES * status_messages.MAX_PARTS + 1))
     assert b"is longer than" in exchange(server, StatusClient(KEY, "n1", 7, "huge"))
     for data in (
         b"",
         b"WP?",
-        StatusClient(OTHER, "n1", 7, "say").datagram(),
-        StatusClient(KEY, "n1", 7, "say").datagram()[:-1],
+        StatusClient(OTHER, "n1", 7, "say").request_datagram(),
+        StatusClient(KEY, "n1", 7, "say").request_datagram()[:-1],
     ):
         with pytest.raises(DatagramError):
             server.receive(data, HERE, 100.0)
@@ -99,7 +99,7 @@
 def test_a_flood_when_it_comes_is_answered_at_a_bounded_rate():
     server = server_of()
     parts_sent = sum(
-        len(server.receive(StatusClient(KEY, "n1", number, "say").datagram(), HERE, 100.0 + number / 1e4))
+        len(server.receive(StatusClient(KEY, "n1", number, "say").request_datagram(), HERE, 100.0 + number / 1e4))
         for number in range(10_000)
     )
     assert MAX_PARTS_PER_S <= parts_sent <= 2 * MAX_PARTS_PER_S + 1
@@ -116,7 +116,7 @@
         assert not client.receive(status_messages.encode_part(KEY, part))
     assert (
         not client.receive(status_messages.encode_part(OTHER, StatusPart(7, b"c", 1, 1, b"x")))
-        and client.answer() is None
+        and client.complete_answer() is None
     )
 
 
--- a/tests/peers/test_wire.py
+++ b/tests/peers/test_wire.py
@@ -48,7 +48,7 @@
 
 def test_a_datagram_when_of_the_version_before_is_read_and_written_alike():
     message = Message(
-        to="n1",
+        receiver="n1",
         sender="n0",
         epoch=3,
         incarnation=1 << 61,
--- a/tests/shared/test_quota_lending.py
+++ b/tests/shared/test_quota_lending.py
@@ -254,11 +254,13 @@
         0.0,
         lambda item: None,
     )
-    detector.identity.answers["n1"] = detector.identity.answers["n2"] = NameAnswer(1, 5, MemberState.ALIVE, 0.0)
+    detector.identity.name_answers["n1"] = detector.identity.name_answers["n2"] = NameAnswer(
+        1, 5, MemberState.ALIVE, 0.0
+    )
     detector.reload(Roster([RosterEntry(f"n{place}", ("127.0.0.1", place + 1), "") for place in (0, 2)], "n0"), 0.1)
     for turn in range(60):
         detector.tick(0.2 + turn * 0.1)
-    assert set(detector.identity.answers) <= {"n2"}
+    assert set(detector.identity.name_answers) <= {"n2"}
 
 
 def used_share(routers, wants, plants=()):
--- a/wickhinge/cli/question.py
+++ b/wickhinge/cli/question.py
@@ -64,14 +64,14 @@
 
 def attempt(udp_socket: socket.socket, client: StatusClient) -> bytes | None:
     """Sends the question once, and once more with the cookie that comes first. Raises TimeoutError, OSError."""
-    udp_socket.send(client.datagram())
+    udp_socket.send(client.request_datagram())
     deadline = time.monotonic() + RETRY_INTERVAL_S
     while (remaining_s := deadline - time.monotonic()) > 0:
         udp_socket.settimeout(remaining_s)
         if client.receive(udp_socket.recv(MAX_DATAGRAM_BYTES)):
-            udp_socket.send(client.datagram())
+            udp_socket.send(client.request_datagram())
             deadline = time.monotonic() + RETRY_INTERVAL_S
-        answer: bytes | None = client.answer()
+        answer: bytes | None = client.complete_answer()
         if answer is not None:
             return answer
     return None
--- a/wickhinge/lab/many/play.py
+++ b/wickhinge/lab/many/play.py
@@ -120,7 +120,7 @@
                     self.fleet.sent[machine.id].append((self.fleet.now, self.name, work))
 
     def send(self, item: Message) -> None:
-        self.fleet.carry(self, self.fleet.places.get(item.to), wire.encode(KEY, item))
+        self.fleet.carry(self, self.fleet.places.get(item.receiver), wire.encode(KEY, item))
 
     def take(self, data: bytes) -> None:
         if self.dead:
@@ -134,12 +134,12 @@
             self.fleet.unreadable += 1
             return
         line = self.detector.sessions.get(item.sender)
-        was = (line.epoch, line.incarnation, line.heard_at) if line is not None else None
+        was = (line.epoch, line.incarnation, line.last_accepted_at) if line is not None else None
         self.detector.receive(item, self.clock)
         if (
             line is not None
             and (line.epoch, line.incarnation) == (item.epoch, item.incarnation)
-            and ((line.epoch, line.incarnation, line.heard_at) != was)
+            and ((line.epoch, line.incarnation, line.last_accepted_at) != was)
         ):
             self.fleet.write(
                 self, "believed", of=item.sender, epoch=item.epoch, incarnation=item.incarnation, counter=item.counter
--- a/wickhinge/lab/many/rig.py
+++ b/wickhinge/lab/many/rig.py
@@ -331,7 +331,7 @@
         for when, place, data in self.seen:
             item = wire.decode(KEY, data)
             told = item.belief[:2]
-            if told < top[place, item.incarnation, item.to]:
-                faults.append(f"{when:.3f} {item.sender}: believes {item.to} in an earlier life, epoch {told[0]}")
-            top[place, item.incarnation, item.to] = told
+            if told < top[place, item.incarnation, item.receiver]:
+                faults.append(f"{when:.3f} {item.sender}: believes {item.receiver} in an earlier life, epoch {told[0]}")
+            top[place, item.incarnation, item.receiver] = told
         return faults
--- a/wickhinge/net/control/peer_transport.py
+++ b/wickhinge/net/control/peer_transport.py
@@ -161,7 +161,9 @@
     def send(self, message: Message) -> None:
         """Send a message of the detector; a datagram that the system does not accept is counted as lost."""
         try:
-            self.transport.write(wire.encode(self.keys[0], message), self.detector.roster.entries[message.to].address)
+            self.transport.write(
+                wire.encode(self.keys[0], message), self.detector.roster.entries[message.receiver].address
+            )
         except OSError:
             # The send buffer is full or there is no route. The detector tolerates lost datagrams.
             self.unsent_datagrams += 1
@@ -210,13 +212,13 @@
             "share": round(view.alive_fraction, 3),
             "zones": {zone: round(fraction, 3) for zone, fraction in view.alive_fraction_by_zone.items()},
             "cut_s": None if view.isolated_since is None else round(now - view.isolated_since, 1),
-            "unheard": view.is_thought_gone,
-            "oldest_s": round(view.oldest_evidence_s, 1),
+            "unheard": view.is_reported_gone,
+            "oldest_s": round(view.oldest_evidence_age_s, 1),
             "epoch": detector.epoch,
             "twin": view.has_duplicate,
-            "rosters": view.other_rosters,
-            "doubt": detector.health.doubt,
-            "sent": detector.sent,
+            "rosters": view.peers_with_other_roster,
+            "doubt": detector.health.degradation,
+            "sent": detector.sent_datagrams,
             "unreadable": self.unreadable_datagrams,
             "unsent": self.unsent_datagrams,
             "left": self.ignored_datagrams,
--- a/wickhinge/peers/detector.py
+++ b/wickhinge/peers/detector.py
@@ -39,11 +39,11 @@
     alive_fraction: float  # of the roster
     alive_fraction_by_zone: dict[str, float]
     isolated_since: float | None  # since when none of our probes was answered
-    is_thought_gone: bool  # peers say again and again that we are gone, though we hear them
-    oldest_evidence_s: float  # since the last evidence of the peer heard least lately of those alive, 0 for none
+    is_reported_gone: bool  # peers say again and again that we are gone, though we hear them
+    oldest_evidence_age_s: float  # since the last evidence of the peer heard least lately of those alive, 0 for none
     has_claimed_name: bool
     has_duplicate: bool  # another incarnation of our name is alive
-    other_rosters: int  # how many of those alive have another roster
+    peers_with_other_roster: int  # how many of those alive have another roster
 
     def summary(self) -> dict[str, object]:
         """What is logged where it changes; the laboratory judges by it."""
@@ -75,7 +75,7 @@
         self.roster_versions: dict[str, int] = {}  # as peers told
         self._hello_sent_at: dict[str, float] = {}  # when a peer that does not know us was last answered
         self._ticked_at = self._started_at = now
-        self.sent = 0  # datagrams
+        self.sent_datagrams = 0  # datagrams
         self._piggyback_for: Callable[[str], bytes] | None = None
         self._on_piggyback: Callable[[str, bytes, float], None] | None = None
         self.roster = roster
@@ -140,7 +140,7 @@
             self._probe_failed(failed, now)
         if not self.health.is_isolated(now):
             self.members.end_suspicions(now)
-        self._prober.tick(now, [] if self.identity.epoch else list(self.identity.answers))
+        self._prober.tick(now, [] if self.identity.epoch else list(self.identity.name_answers))
 
     def _probe_failed(self, name: str, now: float) -> None:
         self.health.probe_failed()
@@ -154,9 +154,9 @@
         """Sends a datagram to a peer, with the gossip and the piggyback that are due."""
         session, member, identity = self.sessions[to], self.members[to], self.identity
         token = session.challenge(self.random_source, now)
-        self.sent += 1
+        self.sent_datagrams += 1
         message = Message(
-            to=to,
+            receiver=to,
             sender=self.roster.local.name,
             epoch=identity.epoch,
             incarnation=identity.incarnation,
@@ -177,7 +177,7 @@
     def receive(self, message: Message, now: float) -> None:
         """Takes a datagram that was sealed with the fleet's key; all else of it is judged here."""
         session = self.sessions.get(message.sender)
-        if session is None or message.to != self.roster.local.name:
+        if session is None or message.receiver != self.roster.local.name:
             return  # not on our roster, or not yet
         verdict = session.judge(message.stamp, now, self.random_source)
         if verdict in (Verdict.FRESH, Verdict.ADOPTED):
@@ -241,7 +241,7 @@
         member, session = self.members[name], self.sessions[name]
         if not member.is_up():
             return
-        if session.heard_at >= member.claimant_since or now - member.claimant_since > 4 * _REPLACED_AFTER_S:
+        if session.last_accepted_at >= member.claimant_since or now - member.claimant_since > 4 * _REPLACED_AFTER_S:
             member.claimant_since = now
             self._prober.probe_next(name)
         elif now - member.claimant_since >= _REPLACED_AFTER_S:
@@ -255,18 +255,18 @@
         isolated_since = None
         if self.roster.peer_names and self.health.is_isolated(now):
             isolated_since = max(self.health.last_answer_at, self._started_at)
-            alive = {name for name in alive if now - self.sessions[name].heard_at <= _ISOLATED_AFTER_S}
+            alive = {name for name in alive if now - self.sessions[name].last_accepted_at <= _ISOLATED_AFTER_S}
         accusations = sum(now - accused_at <= 2 * _ISOLATED_AFTER_S for accused_at in self.identity.accusers.values())
         version = self.roster.version
         return FleetView(
             alive_fraction=(len(alive) + 1) / len(self.roster),
             alive_fraction_by_zone=self._alive_fraction_by_zone(alive),
             isolated_since=isolated_since,
-            is_thought_gone=2 * accusations > len(alive) > 0,
-            oldest_evidence_s=max((now - self.members[name].last_evidence_at for name in alive), default=0.0),
+            is_reported_gone=2 * accusations > len(alive) > 0,
+            oldest_evidence_age_s=max((now - self.members[name].last_evidence_at for name in alive), default=0.0),
             has_claimed_name=self.identity.epoch > 0,
             has_duplicate=self.identity.has_duplicate,
-            other_rosters=sum(self.roster_versions.get(name, version) != version for name in alive),
+            peers_with_other_roster=sum(self.roster_versions.get(name, version) != version for name in alive),
         )
 
     def _alive_fraction_by_zone(self, alive: set[str]) -> dict[str, float]:
--- a/wickhinge/peers/identity.py
+++ b/wickhinge/peers/identity.py
@@ -46,7 +46,7 @@
         self._name, self._peer_count = roster.local.name, len(roster.peer_names)
         self.incarnation, self.epoch, self.refutations = draw_number(self._random_source), 0, 0
         self._asking_since = now
-        self.answers: dict[str, NameAnswer] = {}
+        self.name_answers: dict[str, NameAnswer] = {}
         self._larger: dict[str, tuple[int, int]] = {}  # who believes a larger incarnation of our name than ours
         self.has_duplicate = False  # another incarnation of our name is alive
         if not roster.peer_names:
@@ -56,33 +56,37 @@
         """Takes another roster: whom it does not name has told nothing."""
         self._peer_count = len(roster.peer_names)
         roster.drop_strangers(self.accusers)
-        roster.drop_strangers(self.answers)
+        roster.drop_strangers(self.name_answers)
         roster.drop_strangers(self._larger)
 
     def try_claim(self, now: float) -> None:
         """Claims the name once peers agree that no incarnation of it is alive."""
         if self.epoch:
             return
-        self.answers = {name: answer for name, answer in self.answers.items() if now - answer.at <= _ANSWER_LIFETIME_S}
-        if now - self._asking_since < _MIN_ASKING_S or not self.answers:
+        self.name_answers = {
+            name: answer for name, answer in self.name_answers.items() if now - answer.at <= _ANSWER_LIFETIME_S
+        }
+        if now - self._asking_since < _MIN_ASKING_S or not self.name_answers:
             return
         # One peer may call an incarnation gone that another still hears: alive anywhere is alive.
-        answers = self.answers.values()
+        answers = self.name_answers.values()
         newest = max((answer.epoch, answer.incarnation) for answer in answers)
         newest_states = {answer.state for answer in answers if (answer.epoch, answer.incarnation) == newest}
         if newest_states & {MemberState.ALIVE, MemberState.SUSPECT}:
             if not self.has_duplicate:
                 self.has_duplicate = True
-                self._log_event("duplicate_name", name=self._name, reported_by=sorted(self.answers)[:_MAX_LOGGED_NAMES])
+                self._log_event(
+                    "duplicate_name", name=self._name, reported_by=sorted(self.name_answers)[:_MAX_LOGGED_NAMES]
+                )
             return
         self.epoch, self.has_duplicate = newest[0] + 1, False
-        self._log_event("name_claimed", name=self._name, epoch=self.epoch, answers=len(self.answers))
+        self._log_event("name_claimed", name=self._name, epoch=self.epoch, answers=len(self.name_answers))
 
     def receive_belief(self, sender: str, belief: Belief, now: float) -> bool:
         """Takes what a peer believes of our name; whether a larger incarnation has replaced this one."""
         epoch, incarnation, refutations, state = belief
         if not self.epoch:
-            self.answers[sender] = NameAnswer(epoch, incarnation, state, now)
+            self.name_answers[sender] = NameAnswer(epoch, incarnation, state, now)
             return False
         if (epoch, incarnation) == (self.epoch, self.incarnation):
             self._larger.pop(sender, None)
--- a/wickhinge/peers/member_table.py
+++ b/wickhinge/peers/member_table.py
@@ -57,18 +57,18 @@
         self._log_event = log_event
         self._fleet_size = 1  # this router included
         self._suspects: set[str] = set()
-        self.gossip_pending: set[str] = set()  # whose belief has not gone out often enough
+        self.names_to_gossip: set[str] = set()  # whose belief has not gone out often enough
 
     def reload(self, roster: Roster, now: float) -> None:
         """Takes another roster; who stands in both keeps what is known of it."""
         self._fleet_size = len(roster)
         roster.drop_strangers(self)
         self._suspects &= set(roster.peer_names)
-        self.gossip_pending &= set(roster.peer_names)
+        self.names_to_gossip &= set(roster.peer_names)
         for name in roster.peer_names:
             self.setdefault(name, Member(name, state_since=now))
 
-    def accept(self, member: Member, gossip: Gossip, now: float) -> None:
+    def adopt_belief(self, member: Member, gossip: Gossip, now: float) -> None:
         """Believes this of the member from now on, and passes it on."""
         _, epoch, incarnation, refutations, state = gossip
         has_changed = state != member.state or incarnation != member.incarnation
@@ -83,12 +83,12 @@
         else:
             self._suspects.discard(member.name)
         member.times_gossiped = 0
-        self.gossip_pending.add(member.name)
+        self.names_to_gossip.add(member.name)
         member.unconfirmed.clear()
 
     def set_state(self, member: Member, state: MemberState, now: float) -> None:
         """Believes another state of the known incarnation."""
-        self.accept(member, Gossip(member.name, member.epoch, member.incarnation, member.refutations, state), now)
+        self.adopt_belief(member, Gossip(member.name, member.epoch, member.incarnation, member.refutations, state), now)
 
     def suspect(self, member: Member, witness: str, now: float) -> None:
         """Notes one more witness of a suspicion: the more, the sooner the member is gone."""
@@ -124,7 +124,7 @@
         is_newer = message.refutations > member.refutations or member.refutations - message.refutations > _MAX_LAG
         if stated > known or stated == known and (is_newer or member.state == MemberState.UNKNOWN):
             belief = Gossip(member.name, message.epoch, message.incarnation, message.refutations, MemberState.ALIVE)
-            self.accept(member, belief, now)
+            self.adopt_belief(member, belief, now)
 
     def receive_gossip(self, gossip: Gossip, witness: str, now: float) -> bool:
         """Takes what one peer says of another.
@@ -144,7 +144,7 @@
             return False
         if state == MemberState.ALIVE and refutations > member.refutations:
             member.last_evidence_at = now
-            self.accept(member, gossip, now)
+            self.adopt_belief(member, gossip, now)
         elif state == MemberState.SUSPECT and refutations >= member.refutations and member.is_up():
             self._receive_suspicion(member, refutations, witness, now)
         elif state == MemberState.GONE and refutations >= member.refutations and member.is_up():
@@ -161,7 +161,7 @@
         witnesses.add(witness)
         if len(witnesses) < _MIN_WITNESSES:
             return True
-        self.accept(member, gossip._replace(refutations=min(gossip.refutations, MAX_RISE)), now)
+        self.adopt_belief(member, gossip._replace(refutations=min(gossip.refutations, MAX_RISE)), now)
         member.last_evidence_at = now
         return False
 
@@ -185,12 +185,12 @@
     def next_gossip(self, to: str) -> tuple[Gossip, ...]:
         """What the next datagram to a name passes on; the beliefs that went out least often come first."""
         max_times = _SPREAD_FACTOR * ceil(log2(self._fleet_size + 1))
-        pending = [self[name] for name in self.gossip_pending if name != to]
+        pending = [self[name] for name in self.names_to_gossip if name != to]
         pending.sort(key=lambda member: (member.times_gossiped, member.name))
         gossip = []
         for member in pending[:_MAX_GOSSIP]:
             member.times_gossiped += 1
             if member.times_gossiped >= max_times:
-                self.gossip_pending.discard(member.name)
+                self.names_to_gossip.discard(member.name)
             gossip.append(Gossip(member.name, member.epoch, member.incarnation, member.refutations, member.state))
         return tuple(gossip)
--- a/wickhinge/peers/messages.py
+++ b/wickhinge/peers/messages.py
@@ -64,7 +64,7 @@
 class Message:
     """One datagram between peers. The fields of its Stamp come first after the names."""
 
-    to: str
+    receiver: str
     sender: str
     epoch: int
     incarnation: int
--- a/wickhinge/peers/peer_session.py
+++ b/wickhinge/peers/peer_session.py
@@ -51,7 +51,7 @@
         "incarnation",
         "token",
         "peer_token",
-        "heard_at",
+        "last_accepted_at",
         "refused",
         "_highest_counter",
         "_seen",
@@ -64,7 +64,7 @@
         self.epoch = self.incarnation = 0  # of the process that is accepted, 0 for none
         self.token = 0  # that an unknown incarnation has to echo; 0: none is drawn
         self.peer_token = 0  # the last token of theirs, which we echo
-        self.heard_at = -1e9  # when the last datagram was accepted
+        self.last_accepted_at = -1e9  # when the last datagram was accepted
         self.refused = 0  # datagrams not accepted, of all kinds
         self._highest_counter = self._seen = 0  # of theirs, and a bit for each counter of the window below
         self._token_drawn_at = -1e9
@@ -78,7 +78,7 @@
         if identity == known:
             if not self.accept_counter(stamp.counter):
                 return self._refuse(Verdict.REPLAYED)
-            self.heard_at, self.peer_token = now, stamp.token
+            self.last_accepted_at, self.peer_token = now, stamp.token
             return Verdict.FRESH
         self.peer_token = stamp.token
         if stamp.epoch > 0 and identity < known:
@@ -99,7 +99,7 @@
     def _adopt(self, stamp: Stamp, now: float) -> None:
         self.epoch, self.incarnation = stamp.epoch, stamp.incarnation
         self._highest_counter, self._seen = stamp.counter, 0
-        self.token, self.heard_at = 0, now
+        self.token, self.last_accepted_at = 0, now
 
     def accept_counter(self, counter: int) -> bool:
         """Whether a counter of the known incarnation is new; it is not from then on."""
--- a/wickhinge/peers/status_client.py
+++ b/wickhinge/peers/status_client.py
@@ -18,7 +18,7 @@
         self._pieces: dict[int, bytes] = {}
         self._total = 0
 
-    def datagram(self) -> bytes:
+    def request_datagram(self) -> bytes:
         """What to send to the router, now and after each time-out."""
         return encode_request(self._key, self._request)
 
@@ -43,7 +43,7 @@
             self._pieces[part.index] = part.payload
         return False
 
-    def answer(self) -> bytes | None:
+    def complete_answer(self) -> bytes | None:
         """The answer, or None while a part of it is missing."""
         if not self._total or len(self._pieces) < self._total:
             return None
--- a/wickhinge/peers/wire.py
+++ b/wickhinge/peers/wire.py
@@ -50,7 +50,7 @@
 def _encode_body(message: Message, gossip: tuple[Gossip, ...], piggyback: bytes) -> bytes:
     return _encoder.encode(
         (
-            message.to,
+            message.receiver,
             message.sender,
             message.epoch,
             message.incarnation,
@@ -77,7 +77,7 @@
     """
     body = decode_body(_decoder, unseal(key, MAGIC, datagram))
     return Message(
-        to=body[0],
+        receiver=body[0],
         sender=body[1],
         epoch=body[2],
         incarnation=body[3],
