--- a/tests/peers/test_wire.py
+++ b/tests/peers/test_wire.py
@@ -1,4 +1,4 @@
-"""Datagrams between peers as bytes."""
+"""Tests of the wire format of datagrams between peers."""
 
 from dataclasses import replace
 
@@ -13,22 +13,23 @@
 from wickhinge.routing.random_source import RandomSource
 
 KEY = b"k" * 32
-# Written by version 0.2.0 before its names were changed.
-STORED = bytes.fromhex(
+# A datagram that version 0.2.0 wrote under the key KEY; every version must read and write the same bytes.
+STORED_DATAGRAM = bytes.fromhex(
     "5750319fa26e31a26e3003cf2000000000000000110509cf80000000000000070294012c0002020ca26e329295a26e320105"
     "000395a26e3302060101c4036162636651844d693414b99ab8946300b4924b"
 )
 
 
-def sent_message():
+def sample_message():
+    """Return a message that a failure detector sent."""
     sent = []
     detector = FailureDetector(Roster(roster_entries(3), "n0"), RandomSource(4), 0.0, sent.append)
     detector.tick(1.0)
     return sent[0]
 
 
-def test_decode_when_any_byte_is_changed_or_missing_refuses():
-    message = replace(sent_message(), gossip=(Gossip("n2", 1, 5, 0, 1),), piggyback=b"abc")
+def test_decode_when_any_byte_is_changed_or_missing_raises_datagram_error():
+    message = replace(sample_message(), gossip=(Gossip("n2", 1, 5, 0, 1),), piggyback=b"abc")
     data = wire.encode(KEY, message)
     assert wire.decode(KEY, data) == message
     for index in range(len(data)):
@@ -40,13 +41,13 @@
         wire.decode(b"x" * 32, data)
 
 
-def test_encode_when_there_is_too_much_gossip_keeps_to_the_bound():
-    news = tuple(("n" * 60 + str(index), 1 << 40, 1 << 62, 1 << 40, 3) for index in range(10, 18))
-    data = wire.encode(KEY, replace(sent_message(), gossip=news * 3, piggyback=b"x" * 900))
+def test_encode_when_gossip_exceeds_the_datagram_leaves_out_piggyback_and_gossip_until_it_fits():
+    gossip = tuple(("n" * 60 + str(index), 1 << 40, 1 << 62, 1 << 40, 3) for index in range(10, 18))
+    data = wire.encode(KEY, replace(sample_message(), gossip=gossip * 3, piggyback=b"x" * 900))
     assert len(data) <= MAX_DATAGRAM_BYTES and len(wire.decode(KEY, data).gossip) >= 8
 
 
-def test_a_datagram_when_of_the_version_before_is_read_and_written_alike():
+def test_a_datagram_when_written_by_version_0_2_is_decoded_and_encoded_unchanged():
     message = Message(
         receiver="n1",
         sender="n0",
@@ -64,5 +65,5 @@
         gossip=(Gossip("n2", 1, 5, 0, MemberState.GONE), Gossip("n3", 2, 6, 1, MemberState.ALIVE)),
         piggyback=b"abc",
     )
-    assert wire.decode(KEY, STORED) == message
-    assert wire.encode(KEY, message) == STORED
+    assert wire.decode(KEY, STORED_DATAGRAM) == message
+    assert wire.encode(KEY, message) == STORED_DATAGRAM
--- a/wickhinge/peers/status_client.py
+++ b/wickhinge/peers/status_client.py
@@ -1,4 +1,4 @@
-"""The operator's side of one status request, without I/O; status_messages.py has its form."""
+"""The operator's side of a status request, without I/O; status_messages.py describes the format."""
 
 from __future__ import annotations
 
@@ -9,23 +9,32 @@
 
 
 class StatusClient:
-    """One request: what to send now, and what came back."""
+    """One status request and the parts of its answer that have been received."""
 
-    def __init__(self, key: bytes, to: str, number: int, command: str, payload: bytes = b"") -> None:
-        """number: drawn anew for each request, so that no other answer is taken for ours."""
+    def __init__(self, key: bytes, router_name: str, number: int, command: str, payload: bytes = b"") -> None:
+        """Create a request to a router.
+
+        Args:
+            key: The key that the client shares with the router.
+            router_name: Name of the router.
+            number: A number drawn anew for each request, by which answers to other requests are told apart.
+            command: Name of the command.
+            payload: Payload for the command.
+        """
         self._key = key
-        self._request = StatusRequest(to, number, bytes(COOKIE_BYTES), command, payload)
-        self._pieces: dict[int, bytes] = {}
-        self._total = 0
+        self._request = StatusRequest(router_name, number, bytes(COOKIE_BYTES), command, payload)
+        self._payloads: dict[int, bytes] = {}  # The payloads of the received parts, by index.
+        self._total = 0  # Number of parts of the answer; 0 if none has been received.
 
     def request_datagram(self) -> bytes:
-        """What to send to the router, now and after each time-out."""
+        """Return the datagram to send to the router, first and again after each timeout."""
         return encode_request(self._key, self._request)
 
     def receive(self, datagram: bytes) -> bool:
-        """Takes a datagram; whether the request has to be sent again at once, with the cookie that was told.
+        """Handle a datagram; a datagram that does not answer this request changes nothing.
 
-        A datagram that does not answer this request changes nothing.
+        Returns:
+            Whether the request has to be sent again at once, because the router has sent a new cookie for it.
         """
         try:
             part = decode_part(self._key, datagram)
@@ -38,13 +47,13 @@
             self._request = msgspec.structs.replace(self._request, cookie=part.cookie)
             return is_new_cookie
         if 0 < part.index <= part.total <= MAX_PARTS:
-            if part.total != self._total:  # answered anew, and longer or shorter than before
-                self._pieces, self._total = {}, part.total
-            self._pieces[part.index] = part.payload
+            if part.total != self._total:  # The router has answered the repeated request with another number of parts.
+                self._payloads, self._total = {}, part.total
+            self._payloads[part.index] = part.payload
         return False
 
     def complete_answer(self) -> bytes | None:
-        """The answer, or None while a part of it is missing."""
-        if not self._total or len(self._pieces) < self._total:
+        """Return the answer, or None while a part of it is missing."""
+        if not self._total or len(self._payloads) < self._total:
             return None
-        return b"".join(self._pieces[index] for index in range(1, self._total + 1))
+        return b"".join(self._payloads[index] for index in range(1, self._total + 1))
--- a/wickhinge/peers/status_messages.py
+++ b/wickhinge/peers/status_messages.py
@@ -1,12 +1,13 @@
-"""What operators ask a running router by its peers' socket, as bytes.
+"""Wire format of the status requests that operators send to the socket of a running router's failure detector.
 
     request = "WP?" body mac:16     body: MessagePack [to, number, cookie, command, payload]
-    part    = "WP!" body mac:16     body: MessagePack [number, cookie, place, of, payload]
+    part    = "WP!" body mac:16     body: MessagePack [number, cookie, index, total, payload]
 
-Sealed as in common/sealing.py, one request a datagram, the answer in parts. A request counts only with the cookie that
-the router made for its sender and number, in this process and some seconds; without one the answer is that cookie and
-nothing else, shorter than the request. So a recorded request, or one sent under another's address, does nothing and
-draws little. Cookies are made from a secret of the process, and none is stored (the way of SYN cookies, RFC 4987).
+The datagrams are sealed as in common/sealing.py. A request is one datagram; the answer comes in parts. A router runs a
+request only if it carries the cookie that this process made for the sender's address and the request's number a few
+seconds ago at most. To any other request it answers with that cookie alone, in a datagram no longer than the request.
+Therefore a recorded request, or a request with a forged sender address, runs nothing and causes little traffic. Cookies
+are computed from a secret of the process and are not stored, like SYN cookies (RFC 4987).
 """
 
 from __future__ import annotations
@@ -17,27 +18,27 @@
 
 REQUEST_MAGIC, PART_MAGIC = b"WP?", b"WP!"
 COOKIE_BYTES = 16
-MAX_PART_BYTES = 1100  # of an answer
-MAX_PARTS = 64
+MAX_PART_BYTES = 1100  # Largest payload of one part of an answer.
+MAX_PARTS = 64  # Most parts of one answer.
 
 
 class StatusRequest(msgspec.Struct, array_like=True, frozen=True):
     """A command for one router."""
 
-    to: str
-    number: int  # drawn anew for each request
+    to: str  # Name of the router.
+    number: int  # Random number of the request, drawn anew for each request.
     cookie: bytes
     command: str
     payload: bytes = b""
 
 
 class StatusPart(msgspec.Struct, array_like=True, frozen=True):
-    """A part of an answer."""
+    """A part of an answer, or a cookie alone."""
 
-    number: int  # of the request
+    number: int  # Number of the request that is answered.
     cookie: bytes
-    index: int  # 1 to `total`; 0 where only the cookie is told
-    total: int
+    index: int  # Place of the part in the answer, from 1 to `total`; 0 if the datagram carries only the cookie.
+    total: int  # Number of parts of the answer.
     payload: bytes = b""
 
 
@@ -46,20 +47,28 @@
 
 
 def encode_request(key: bytes, request: StatusRequest) -> bytes:
-    """A sealed datagram."""
+    """Return the sealed datagram of a request."""
     return seal(key, REQUEST_MAGIC, _encoder.encode(request))
 
 
 def decode_request(key: bytes, datagram: bytes) -> StatusRequest:
-    """The request of a datagram. Raises DatagramError."""
+    """Return the request in a datagram.
+
+    Raises:
+        DatagramError: The datagram is not a request that is sealed with `key`.
+    """
     return decode_body(_request_decoder, unseal(key, REQUEST_MAGIC, datagram))
 
 
 def encode_part(key: bytes, part: StatusPart) -> bytes:
-    """A sealed datagram."""
+    """Return the sealed datagram of a part of an answer."""
     return seal(key, PART_MAGIC, _encoder.encode(part))
 
 
 def decode_part(key: bytes, datagram: bytes) -> StatusPart:
-    """The part of a datagram. Raises DatagramError."""
+    """Return the part of an answer in a datagram.
+
+    Raises:
+        DatagramError: The datagram is not a part that is sealed with `key`.
+    """
     return decode_body(_part_decoder, unseal(key, PART_MAGIC, datagram))
--- a/wickhinge/peers/status_server.py
+++ b/wickhinge/peers/status_server.py
@@ -1,4 +1,4 @@
-"""The router's side of status requests, without I/O; status_messages.py has their form."""
+"""The router's side of status requests, without I/O; status_messages.py describes the format."""
 
 from __future__ import annotations
 
@@ -19,38 +19,45 @@
     encode_part,
 )
 
-COOKIE_SLOT_S = 5.0  # a cookie is good in the slot that it was made in and the next
-MAX_PARTS_PER_S = 400.0  # past it requests are left unanswered
+COOKIE_SLOT_S = 5.0  # Time slot of a cookie; a cookie is valid in the slot in which it was made and in the next one.
+MAX_PARTS_PER_S = 400.0  # Rate limit for answers; requests beyond it are not answered.
 _MAX_COMMAND_LENGTH = 64
 _MAX_SECRET_BYTES = 64
 
-Command = Callable[[bytes], bytes]  # called with a request's payload, gives the answer's
-Sender = object  # an address; only its repr counts
+Command = Callable[[bytes], bytes]  # Called with the payload of a request; returns the payload of the answer.
+Sender = object  # Address of a sender; senders with the same repr() are the same.
 
 
 class StatusServer:
-    """Answers status requests of one key."""
+    """Answers the status requests that are sealed with one key."""
 
     def __init__(self, name: str, key: bytes, secret: bytes, now: float) -> None:
-        """secret: of this process, drawn at its start; now: seconds of the clock that `receive` goes on with."""
+        """Create a server without commands.
+
+        Args:
+            name: Name of this router.
+            key: The key that clients share with this router.
+            secret: Random secret of this process, from which cookies are made.
+            now: The current time, in seconds of the clock whose times are passed to `receive`.
+        """
         self._name, self._key, self._secret = name, key, secret
         self._commands: dict[str, Command] = {}
         self._bucket = TokenBucket(MAX_PARTS_PER_S, MAX_PARTS_PER_S, now, tokens=MAX_PARTS_PER_S)
 
     def add_command(self, name: str, command: Command) -> None:
-        """command(payload) is called for each request of that name that has a valid cookie."""
+        """Register a function that is called for each request of this name that has a valid cookie."""
         self._commands[name] = command
 
     @property
     def command_names(self) -> set[str]:
-        """What can be asked."""
+        """The names of the registered commands."""
         return set(self._commands)
 
     def receive(self, datagram: bytes, sender: Sender, now: float) -> list[bytes]:
-        """The datagrams that go back to the sender.
+        """Handle a datagram and return the datagrams that answer it.
 
         Raises:
-            DatagramError: it is no request, or not sealed with our key.
+            DatagramError: The datagram is not a request, or is not sealed with this server's key.
         """
         request = decode_request(self._key, datagram)
         if request.to != self._name or len(request.command) > _MAX_COMMAND_LENGTH:
@@ -61,7 +68,7 @@
             if not self._bucket.take(1, now):
                 return []
             return [encode_part(self._key, StatusPart(request.number, cookies[0], 0, 0))]
-        payload = self._answer(request)
+        payload = self._run_command(request)
         pieces = [payload[start : start + MAX_PART_BYTES] for start in range(0, len(payload), MAX_PART_BYTES)] or [b""]
         if not self._bucket.take(len(pieces), now):
             return []
@@ -70,13 +77,15 @@
             for index, piece in enumerate(pieces, 1)
         ]
 
-    def _answer(self, request: StatusRequest) -> bytes:
+    def _run_command(self, request: StatusRequest) -> bytes:
         command = self._commands.get(request.command)
         if command is None:
-            return _error(f"{request.command} is nothing that this router answers")
+            return _error_answer(f"{request.command} is not a command of this router")
         payload = command(request.payload)
         if len(payload) > MAX_PART_BYTES * MAX_PARTS:
-            return _error(f"an answer of {len(payload)} bytes is longer than {MAX_PART_BYTES * MAX_PARTS}")
+            return _error_answer(
+                f"the answer of {len(payload)} bytes is longer than the limit of {MAX_PART_BYTES * MAX_PARTS}"
+            )
         return payload
 
     def _cookie(self, sender: Sender, number: int, slot: int) -> bytes:
@@ -84,5 +93,5 @@
         return blake2b(text, digest_size=COOKIE_BYTES, key=self._secret[:_MAX_SECRET_BYTES]).digest()
 
 
-def _error(reason: str) -> bytes:
+def _error_answer(reason: str) -> bytes:
     return msgspec.json.encode({"error": reason})
--- a/wickhinge/peers/wire.py
+++ b/wickhinge/peers/wire.py
@@ -1,10 +1,10 @@
-"""A datagram between peers as bytes.
+"""Wire format of the datagrams between peers.
 
     datagram = "WP1" body mac:16      body: MessagePack, one array; sealed as in common/sealing.py
 
-The array holds Message's fields in their order. The receiver's name comes first: a datagram that was sent to another
-router, and comes here by a relay or a mistake in the roster, is not for us. Nothing in it is a time, since clocks
-differ.
+The array holds the fields of Message in their order. The receiver's name comes first, so that a router ignores a
+datagram for another router that reaches it through a relay or a mistake in the roster. No field is a time, because the
+clocks of routers differ.
 """
 
 from __future__ import annotations
@@ -38,7 +38,10 @@
 
 
 def encode(key: bytes, message: Message) -> bytes:
-    """A sealed datagram of at most MAX_DATAGRAM_BYTES: one that would be longer goes without piggyback, then gossip."""
+    """Return the sealed datagram of a message, with at most MAX_DATAGRAM_BYTES.
+
+    If the message does not fit, the piggyback is left out, then gossip from the end of the list.
+    """
     gossip, piggyback = message.gossip, message.piggyback
     while True:
         datagram = seal(key, MAGIC, _encode_body(message, gossip, piggyback))
@@ -70,10 +73,10 @@
 
 
 def decode(key: bytes, datagram: bytes) -> Message:
-    """The message of a datagram.
+    """Return the message in a datagram.
 
     Raises:
-        DatagramError: it is of another kind or form, or not sealed with `key`.
+        DatagramError: The datagram is of another kind or format, or is not sealed with `key`.
     """
     body = decode_body(_decoder, unseal(key, MAGIC, datagram))
     return Message(
