--- a/tests/lab/test_many.py
+++ b/tests/lab/test_many.py
@@ -112,8 +112,8 @@
 @pytest.mark.parametrize(
     "roster, key, told",
     [
-        ('{name: "n1", address: "127.0.0.1:1"}, {name: "n1", address: "127.0.0.1:2"}', "k" * 16, "n1 stands twice"),
-        ('{name: "n2", address: "127.0.0.1:1"}', "k" * 16, "our own name n1 is not in it"),
+        ('{name: "n1", address: "127.0.0.1:1"}, {name: "n1", address: "127.0.0.1:2"}', "k" * 16, "n1 is listed twice"),
+        ('{name: "n2", address: "127.0.0.1:1"}', "k" * 16, "this router's own name n1 is not listed"),
         ('{name: "n1", address: "here"}', "k" * 16, "peers.roster[0].address"),
         ('{name: "n1", address: "127.0.0.1:1"}', "short", "peers.key_file"),
         ('{name: "n1", address: "127.0.0.1:1"}', None, "peers.key_file"),
--- a/tests/peers/test_peer_session.py
+++ b/tests/peers/test_peer_session.py
@@ -1,40 +1,41 @@
-"""Which datagrams a peer session accepts: fresh ones, once, of the incarnation that has the name."""
+"""Tests that a peer session accepts each fresh datagram once, and only from the incarnation that has the name."""
 
 import pytest
 from hypothesis import given
 from hypothesis import strategies as st
 
 from wickhinge.peers.messages import Stamp
-from wickhinge.peers.peer_session import MAX_NUMBER, REPLAY_WINDOW, PeerSession, Verdict
+from wickhinge.peers.peer_session import COUNTER_LIMIT, REPLAY_WINDOW, PeerSession, Verdict
 from wickhinge.routing.random_source import RandomSource
 
 
-def judge(session, epoch, incarnation, counter, token, echo, now, random_source):
+def judge_stamp(session, epoch, incarnation, counter, token, echo, now, random_source):
     return session.judge(Stamp(epoch, incarnation, counter, token, echo), now, random_source)
 
 
-def proven(epoch=1, incarnation=50, counter=10):
+def make_session(epoch=1, incarnation=50, counter=10):
+    """Return a session that has adopted this incarnation by a datagram with this counter."""
     session = PeerSession("n1")
-    token = session.challenge(RandomSource(1), 0.0)
-    assert judge(session, epoch, incarnation, counter, 7, token, 0.0, RandomSource(1)) is Verdict.ADOPTED
+    token = session.token_to_send(RandomSource(1), 0.0)
+    assert judge_stamp(session, epoch, incarnation, counter, 7, token, 0.0, RandomSource(1)) is Verdict.ADOPTED
     return session
 
 
 @given(st.lists(st.integers(1, 200), max_size=120))
-def test_judge_when_counters_come_in_any_order_accepts_each_once(counters):
-    session, believed, highest = proven(counter=100), {100}, 100
+def test_judge_when_counters_arrive_in_any_order_accepts_each_once(counters):
+    session, accepted, highest = make_session(counter=100), {100}, 100
     for counter in counters:
-        verdict = judge(session, 1, 50, counter, 0, 0, 1.0, RandomSource(1))
+        verdict = judge_stamp(session, 1, 50, counter, 0, 0, 1.0, RandomSource(1))
         assert verdict == (
-            Verdict.REPLAYED if counter in believed or highest - counter > REPLAY_WINDOW else Verdict.FRESH
+            Verdict.REPLAYED if counter in accepted or highest - counter > REPLAY_WINDOW else Verdict.FRESH
         )
         if verdict == Verdict.FRESH:
-            believed.add(counter)
+            accepted.add(counter)
             highest = max(highest, counter)
 
 
 @pytest.mark.parametrize(
-    "epoch, incarnation, echoes, verdict",
+    "epoch, incarnation, is_token_echoed, verdict",
     [
         (1, 50, False, Verdict.FRESH),
         (1, 49, True, Verdict.SUPERSEDED),
@@ -43,24 +44,27 @@
         (2, 1, True, Verdict.ADOPTED),
         (0, 99, True, Verdict.UNCLAIMED),
         (0, 99, False, Verdict.UNPROVEN),
-        (MAX_NUMBER, 1, True, Verdict.REPLAYED),
+        (COUNTER_LIMIT, 1, True, Verdict.REPLAYED),
         (1, 0, True, Verdict.REPLAYED),
     ],
 )
-def test_judge_when_an_incarnation_is_new_accepts_it_by_its_echo_unless_it_is_smaller(
-    epoch, incarnation, echoes, verdict
+def test_judge_when_an_incarnation_is_unknown_adopts_it_only_if_it_echoes_the_token_and_is_larger(
+    epoch, incarnation, is_token_echoed, verdict
 ):
-    session, chance = proven(), RandomSource(3)
-    judge(session, 3, 3, 1, 7, 0, 1.0, chance)  # a stranger, so that there is a token to echo
-    assert judge(session, epoch, incarnation, 11, 7, session.token if echoes else 12345, 1.1, chance) == verdict
+    session, source = make_session(), RandomSource(3)
+    judge_stamp(session, 3, 3, 1, 7, 0, 1.0, source)  # The session draws a token for the unknown incarnation (3, 3).
+    assert (
+        judge_stamp(session, epoch, incarnation, 11, 7, session.own_token if is_token_echoed else 12345, 1.1, source)
+        == verdict
+    )
     assert (session.epoch, session.incarnation) == ((epoch, incarnation) if verdict == Verdict.ADOPTED else (1, 50))
 
 
-def test_judge_when_a_token_is_used_again_or_a_counter_jumps_refuses():
-    session, chance = proven(), RandomSource(3)
-    judge(session, 3, 3, 1, 7, 0, 1.0, chance)
-    token = session.token
-    assert judge(session, 3, 3, 2, 7, token, 1.0, chance) == Verdict.ADOPTED
-    assert judge(session, 4, 4, 1, 7, token, 1.1, chance) == Verdict.UNPROVEN
-    assert judge(session, 3, 3, 1 << 40, 7, 0, 1.2, chance) == Verdict.REPLAYED
-    assert judge(session, 3, 3, 3, 7, 0, 1.2, chance) == Verdict.FRESH
+def test_judge_when_a_token_is_echoed_again_or_a_counter_jumps_refuses_the_datagram():
+    session, source = make_session(), RandomSource(3)
+    judge_stamp(session, 3, 3, 1, 7, 0, 1.0, source)
+    token = session.own_token
+    assert judge_stamp(session, 3, 3, 2, 7, token, 1.0, source) == Verdict.ADOPTED
+    assert judge_stamp(session, 4, 4, 1, 7, token, 1.1, source) == Verdict.UNPROVEN
+    assert judge_stamp(session, 3, 3, 1 << 40, 7, 0, 1.2, source) == Verdict.REPLAYED
+    assert judge_stamp(session, 3, 3, 3, 7, 0, 1.2, source) == Verdict.FRESH
--- a/tests/peers/test_roster.py
+++ b/tests/peers/test_roster.py
@@ -1,4 +1,4 @@
-"""Rosters that cannot be used."""
+"""Tests of rosters that are refused."""
 
 import pytest
 
@@ -6,8 +6,9 @@
 
 
 @pytest.mark.parametrize(
-    "names, local_name, reason", [("aab", "a", "twice"), ("ab", "c", "not in it"), ("", "a", "not in it")]
+    "names, local_name, reason",
+    [("aab", "a", "a is listed twice"), ("ab", "c", "name c is not listed"), ("", "a", "name a is not listed")],
 )
-def test_roster_when_names_are_wrong_is_refused(names, local_name, reason):
+def test_roster_when_a_name_is_listed_twice_or_the_local_name_is_missing_is_refused(names, local_name, reason):
     with pytest.raises(RosterError, match=reason):
         Roster([RosterEntry(name, ("127.0.0.1", 1), "z") for name in names], local_name)
--- a/tests/peers/test_schedules.py
+++ b/tests/peers/test_schedules.py
@@ -1,4 +1,4 @@
-"""Drawn schedules of faults in virtual time, and planted faults that must be found."""
+"""Tests of random fault schedules in simulated time: they break no rule, and planted faults are found."""
 
 import pytest
 from hypothesis import given, settings
@@ -10,7 +10,7 @@
 
 
 @pytest.mark.parametrize("seed", range(24))
-def test_a_drawn_schedule_when_played_keeps_the_rules_and_heals(seed):
+def test_a_random_schedule_when_played_breaks_no_rule_and_the_fleet_recovers(seed):
     drawn = schedule.draw(seed)
     played = play.play(drawn)
     assert judges.all_of(played.history, drawn) == [], schedule.text(drawn)
@@ -18,22 +18,26 @@
         assert judges.unfounded(played.history, drawn) == [], schedule.text(drawn)
 
 
-class Gullible(PeerSession):
+class DowngradingSession(PeerSession):
+    """A session with a planted fault: a smaller incarnation that echoes the token replaces a larger one."""
+
     __slots__ = ()
 
     def judge(self, stamp, now, random_source):
-        """The plant: whoever echoes is accepted, and no incarnation is smaller."""
         if stamp.epoch and (stamp.epoch, stamp.incarnation) < (self.epoch, self.incarnation):
             self.epoch = self.incarnation = 0
         return super().judge(stamp, now, random_source)
 
 
-def forgets_epochs(process):
-    process.detector.sessions = {name: Gullible(name) for name in process.detector.sessions}
-    process.detector.identity.epoch = 1  # and it claims its name without asking
+def plant_epoch_downgrades(process):
+    """Make the process accept smaller incarnations of its peers, and claim its name without asking them."""
+    process.detector.sessions = {name: DowngradingSession(name) for name in process.detector.sessions}
+    process.detector.identity.epoch = 1
+
 
+class ReplayingSession(PeerSession):
+    """A session with a planted fault: it accepts a counter any number of times."""
 
-class Twice(PeerSession):
     __slots__ = ()
 
     def accept_counter(self, counter):
@@ -41,26 +45,32 @@
         return True
 
 
-def hears_twice(process):
-    process.detector.sessions = {name: Twice(name) for name in process.detector.sessions}
+def plant_replays(process):
+    """Make the process accept repeated datagrams."""
+    process.detector.sessions = {name: ReplayingSession(name) for name in process.detector.sessions}
 
 
 @pytest.mark.parametrize(
-    "plant, found, faults",
+    "plant, expected_text, faults",
     [
-        (hears_twice, "twice", (Fault("double", 5.0, 5.0, (0, 1), (), 1.0),)),
-        (forgets_epochs, "earlier life", (Fault("twin", 5.0, 12.0, (0,)),)),
+        (plant_replays, "twice", (Fault("double", 5.0, 5.0, (0, 1), (), 1.0),)),
+        (plant_epoch_downgrades, "earlier life", (Fault("twin", 5.0, 12.0, (0,)),)),
     ],
 )
-def test_judges_when_a_fault_is_planted_find_it(plant, found, faults):
-    told = [Schedule(seed, 4, 1, faults, 5, 20.0, 5.0) for seed in range(3, 9)]
-    assert any(found in fault for one in told for fault in judges.lives(play.play(one, (plant,)).history))
-    assert judges.lives(play.play(told[0]).history) == []
+def test_judges_when_a_fault_is_planted_find_it_in_some_schedule(plant, expected_text, faults):
+    schedules = [Schedule(seed, 4, 1, faults, 5, 20.0, 5.0) for seed in range(3, 9)]
+    assert any(
+        expected_text in found for drawn in schedules for found in judges.lives(play.play(drawn, (plant,)).history)
+    )
+    assert judges.lives(play.play(schedules[0]).history) == []
 
 
 @settings(max_examples=30, deadline=None)
 @given(st.integers(0, 10**6))
-def test_a_schedule_when_written_is_read_again_and_shrinks(seed):
+def test_a_schedule_when_written_is_read_unchanged_and_its_shrunk_variants_are_smaller(seed):
     drawn = schedule.draw(seed)
     assert schedule.read(schedule.text(drawn)) == drawn
-    assert all(len(one.faults) < len(drawn.faults) or one.healed_s <= drawn.healed_s for one in schedule.smaller(drawn))
+    assert all(
+        len(variant.faults) < len(drawn.faults) or variant.healed_s <= drawn.healed_s
+        for variant in schedule.smaller(drawn)
+    )
--- a/tests/peers/test_view_interval.py
+++ b/tests/peers/test_view_interval.py
@@ -1,4 +1,4 @@
-"""How often the router's socket side looks at the whole roster."""
+"""Test of how often the router's peer transport computes its view of the whole roster."""
 
 from tests.support.peers import roster_entries
 from wickhinge.peers.roster import Roster
@@ -6,7 +6,7 @@
 KEY = b"k" * 32
 
 
-def test_the_view_when_the_loop_ticks_is_made_once_a_period():
+def test_the_view_when_the_transport_ticks_is_computed_once_per_view_interval():
     from types import SimpleNamespace
 
     from wickhinge.net.control import peer_transport
@@ -19,8 +19,8 @@
     real_clock, peer_transport.clock = peer_transport.clock, lambda: now[0]
     try:
         transport = peer_transport.PeerTransport(node, Roster(roster_entries(3), "n0"), [KEY], 1)
-        views, view = [], transport.detector.view
-        transport.detector.view = lambda when: views.append(when) or view(when)
+        view_times, view = [], transport.detector.view
+        transport.detector.view = lambda when: view_times.append(when) or view(when)
         transport.transport = SimpleNamespace(write=lambda data, address: None)
         transport.tick()
         for _ in range(40):
@@ -28,4 +28,4 @@
             calls.pop()()
     finally:
         peer_transport.clock = real_clock
-    assert 4 <= len(views) <= 5
+    assert 4 <= len(view_times) <= 5
--- a/wickhinge/peers/messages.py
+++ b/wickhinge/peers/messages.py
@@ -1,4 +1,4 @@
-"""The failure detector's datagram as its deciding parts see it; wire.py turns it into bytes."""
+"""Contents of the failure detector's datagrams; wire.py converts them to bytes and back."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class MessageKind(IntEnum):
-    """What a datagram is for; the values stand on the wire."""
+    """Purpose of a datagram; the values are part of the wire format."""
 
     PING = 0
     ACK = 1
@@ -18,7 +18,7 @@
 
 
 class MemberState(IntEnum):
-    """What is believed of a member; the values stand on the wire."""
+    """State that a router attributes to a member; the values are part of the wire format."""
 
     UNKNOWN = 0
     ALIVE = 1
@@ -27,12 +27,19 @@
 
     @property
     def label(self) -> str:
-        """The name in logs and reports."""
+        """The name of the state in logs and reports."""
         return self.name.lower()
 
 
 class Belief(NamedTuple):
-    """What somebody believes of a name."""
+    """What a router believes about the process behind a name that the context gives.
+
+    Attributes:
+        epoch: Epoch of the incarnation whose datagrams the router accepts; 0 if it accepts none.
+        incarnation: Number of the incarnation whose datagrams the router accepts; 0 if it accepts none.
+        refutations: Number of suspicions that the incarnation has refuted, as far as the router knows.
+        state: A MemberState as an integer.
+    """
 
     epoch: int
     incarnation: int
@@ -41,7 +48,7 @@
 
 
 class Gossip(NamedTuple):
-    """A belief of a name that is passed on."""
+    """A belief about the named router, passed on to other peers. The fields after `name` are those of Belief."""
 
     name: str
     epoch: int
@@ -51,18 +58,18 @@
 
 
 class Stamp(NamedTuple):
-    """What tells of a datagram whether it is fresh, and of which process."""
+    """The fields of a datagram that show whether it is fresh and which process sent it."""
 
-    epoch: int  # orders the incarnations of one name; 0 claims nothing
-    incarnation: int  # the number that a process draws at its start
-    counter: int  # only rises
-    token: int  # to be echoed by a receiver that does not know this incarnation yet
-    echo: int  # the last token that came from the receiver
+    epoch: int  # Orders the incarnations of one name; 0 if the sender does not claim the name.
+    incarnation: int  # Random number that the sending process drew at its start.
+    counter: int  # Number of the datagram; the sender increases it with each datagram to this receiver.
+    token: int  # Token that the receiver has to echo if it does not know the sender's incarnation; 0 for none.
+    echo: int  # The latest token that the sender received from the receiver.
 
 
 @dataclass(frozen=True, slots=True)
 class Message:
-    """One datagram between peers. The fields of its Stamp come first after the names."""
+    """One datagram between peers. After the two names come the fields of its Stamp."""
 
     receiver: str
     sender: str
@@ -71,16 +78,16 @@
     counter: int
     token: int
     echo: int
-    roster_version: int  # of the sender's roster
-    refutations: int  # how often the sender has refuted a suspicion
-    belief: Belief  # of the receiver
-    kind: int  # a MessageKind, or one of a later version
+    roster_version: int  # Version of the sender's roster.
+    refutations: int  # Number of suspicions that the sender has refuted.
+    belief: Belief  # The sender's belief about the receiver's name.
+    kind: int  # A MessageKind; a later version of the protocol may send other values.
     probe_id: int
-    probe_target: str  # the name that a probe is for, where it is not the receiver
+    probe_target: str  # Name of the probed router if that is not the receiver.
     gossip: tuple[Gossip, ...]
-    piggyback: bytes = b""  # what other parts send with the same datagram
+    piggyback: bytes = b""  # Data that other parts of the router send with this datagram.
 
     @property
     def stamp(self) -> Stamp:
-        """What the receiver's PeerSession judges by."""
+        """The fields from which the receiver's PeerSession judges the datagram."""
         return Stamp(self.epoch, self.incarnation, self.counter, self.token, self.echo)
--- a/wickhinge/peers/roster.py
+++ b/wickhinge/peers/roster.py
@@ -1,4 +1,7 @@
-"""Which routers may take part: names, addresses and zones, the same at each router or, for a while, an older one."""
+"""Roster of the routers that may take part, with their names, addresses and zones.
+
+All routers have the same roster, except that some have an older one for a while after a change.
+"""
 
 from __future__ import annotations
 
@@ -15,11 +18,11 @@
 
 
 class RosterError(Exception):
-    """A roster that cannot be used; the message names the fault."""
+    """A roster is unusable; the message names the fault."""
 
 
 class RosterRow(Protocol):
-    """One record of the settings' peers.roster."""
+    """One record of the settings' key peers.roster."""
 
     name: str
     address: str
@@ -28,7 +31,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RosterEntry:
-    """One router of the roster."""
+    """One router on the roster."""
 
     name: str
     address: tuple[str, int]
@@ -36,41 +39,49 @@
 
 
 def read_entries(rows: Iterable[RosterRow]) -> list[RosterEntry]:
-    """The entries of the settings' peers.roster.
+    """Return the roster entries for the records of the settings' key peers.roster.
 
     Raises:
-        MalformedError: an address is none; it names the faulty key.
+        MalformedError: An address is not of the form HOST:PORT; the message names the faulty key.
     """
     entries = []
     for index, row in enumerate(rows):
         address = parse_host_port(row.address)
         if address is None:
-            raise MalformedError(f"peers.roster[{index}].address: of {row.name} is not an address as 127.0.0.1:7071")
+            raise MalformedError(
+                f"peers.roster[{index}].address: the address of {row.name} is not of the form HOST:PORT, "
+                "for example 127.0.0.1:7071"
+            )
         entries.append(RosterEntry(row.name, address, row.zone))
     return entries
 
 
 class Roster:
-    """All routers that may take part, this one (`local`) among them.
-
-    `version` is the same number wherever the same names stand in the same zones, whatever their order.
+    """All routers that may take part, including this one.
+
+    Attributes:
+        entries: The entry of each router, by name.
+        local: The entry of this router.
+        peer_names: The names of all routers except this one, sorted.
+        version: A hash of names and zones; two rosters have the same version if the same names have the same zones,
+            whatever the order and the addresses.
     """
 
     def __init__(self, entries: Iterable[RosterEntry], local_name: str) -> None:
-        """Takes the entries as one router sees them.
+        """Create the roster of the router `local_name`.
 
         Raises:
-            RosterError: a name stands twice or is too long, or `local_name` is missing.
+            RosterError: A name is listed twice, is empty or is too long, or `local_name` is missing.
         """
         self.entries: dict[str, RosterEntry] = {}
         for entry in entries:
             if entry.name in self.entries:
-                raise RosterError(f"{entry.name} stands twice")
+                raise RosterError(f"{entry.name} is listed twice")
             if not 0 < len(entry.name) <= MAX_NAME_LENGTH:
-                raise RosterError(f"{entry.name!r:.80} is no name of 1 to {MAX_NAME_LENGTH} letters")
+                raise RosterError(f"{entry.name!r:.80} does not have 1 to {MAX_NAME_LENGTH} characters")
             self.entries[entry.name] = entry
         if local_name not in self.entries:
-            raise RosterError(f"our own name {local_name} is not in it")
+            raise RosterError(f"this router's own name {local_name} is not listed")
         self.local = self.entries[local_name]
         self.peer_names = sorted(name for name in self.entries if name != local_name)
         lines = [f"{name}\t{self.entries[name].zone}" for name in sorted(self.entries)]
@@ -79,7 +90,7 @@
     def __len__(self) -> int:
         return len(self.entries)
 
-    def drop_strangers(self, table: dict[str, _Value]) -> None:
-        """Removes from a table by name whoever is not a peer on this roster."""
-        for name in set(table) - set(self.peer_names):
-            del table[name]
+    def remove_non_peers(self, values_by_name: dict[str, _Value]) -> None:
+        """Remove all keys from a dictionary that are not names of peers on this roster."""
+        for name in set(values_by_name) - set(self.peer_names):
+            del values_by_name[name]
