--- a/tests/peers/test_running_routers.py
+++ b/tests/peers/test_running_routers.py
@@ -127,7 +127,8 @@
     for place in (0, 1):
         fleet.reload_options(place)
     fleet.wait_until_healthy()
-    # The fleet's key is replaced in three steps. No router may be marked as gone in between.
+    # The fleet's key is replaced in three steps. No router may be marked as gone, except for n2, which was removed from
+    # rosters before.
     for step in ({"also_key": "other"}, {"key": "other", "also_key": "key"}, {"key": "other"}):
         for place in range(3):
             before = len(fleet.logged_events(place, "peers_roster_reloaded"))
--- a/wickhinge/peers/detector.py
+++ b/wickhinge/peers/detector.py
@@ -156,7 +156,7 @@
         self.identity.reload(roster)
         self._prober.reload()
 
-    # Periodic work.
+    # Periodic work: probes, suspicions and the claim of the name.
 
     def tick(self, now: float) -> None:
         """Do the work that is due; the caller calls this several times per probe period."""
@@ -182,7 +182,7 @@
         if member.state == MemberState.ALIVE and not self.health.is_isolated(now):
             self.members.add_suspicion(member, self.roster.local.name, now)
 
-    # Datagrams.
+    # Sending and receiving of datagrams.
 
     def send(self, receiver: str, kind: MessageKind, probe_id: int, now: float, probe_target: str = "") -> None:
         """Send a datagram to a peer, with the gossip and the piggyback that are due.
@@ -219,8 +219,9 @@
     def receive(self, message: Message, now: float) -> None:
         """Handle a datagram whose seal has been verified with the fleet's key; all other checks are made here."""
         session = self.sessions.get(message.sender)
+        # A sender may be missing from this router's roster because the roster is not up to date yet.
         if session is None or message.receiver != self.roster.local.name:
-            return  # The sender is not on this router's roster, which may be an older one, or the receiver is another.
+            return
         verdict = session.judge(message.stamp, now, self.random_source)
         if verdict in (Verdict.FRESH, Verdict.ADOPTED):
             self._receive_accepted(message, now, is_adopted=verdict is Verdict.ADOPTED)
@@ -296,7 +297,7 @@
         elif now - member.claimant_since >= _REPLACED_AFTER_SILENCE_S:
             self.members.set_state(member, MemberState.GONE, now)
 
-    # State for other parts of the router.
+    # The state of the fleet, for other parts of the router.
 
     def view(self, now: float) -> FleetView:
         """Return the state of the fleet as this router sees it; the call goes through the whole roster."""
--- a/wickhinge/peers/identity.py
+++ b/wickhinge/peers/identity.py
@@ -46,8 +46,9 @@
         epoch: Epoch with which the name is claimed; 0 before it is claimed.
         refutations: Number of suspicions that this incarnation has refuted.
         has_duplicate: Whether another incarnation of this router's name is alive.
-        name_answers: Latest answer about the name that each peer gave while the name was not claimed, by peer name.
-        last_accused_at: Time at which a peer last reported this router gone, by the names of the peers that still do.
+        name_answers: The latest answer of each peer about the name while it was not claimed, by the name of the peer.
+        last_accused_at: Time at which a peer last reported this router gone, by the name of that peer; the entry is
+            removed when the peer reports this router alive.
     """
 
     def __init__(
@@ -68,7 +69,7 @@
         self.incarnation, self.epoch, self.refutations = draw_random_id(self._random_source), 0, 0
         self._claim_wait_since = now
         self.name_answers: dict[str, NameAnswer] = {}
-        # (epoch, incarnation) larger than this router's own that a peer believes to have the name, by peer name.
+        # The larger (epoch, incarnation) that a peer believes to hold this router's name, by the name of that peer.
         self._larger_incarnations: dict[str, tuple[int, int]] = {}
         self.has_duplicate = False
         if not roster.peer_names:
--- a/wickhinge/peers/member_table.py
+++ b/wickhinge/peers/member_table.py
@@ -13,8 +13,9 @@
 from wickhinge.peers.roster import Roster
 
 _MAX_GOSSIP_PER_DATAGRAM = 8
-_GOSSIP_REPEAT_FACTOR = 3  # Each belief is sent this number of times the binary logarithm of the fleet's size.
-# Shortest time in which a suspicion may be refuted; in a fleet of more than 10 it is multiplied by log10 of the size.
+_GOSSIP_REPEAT_FACTOR = 3  # A belief is sent this many times, multiplied by log2 of the fleet's size.
+# Shortest time, in probe periods, in which a suspicion may be refuted. In a fleet of more than 10 routers it is
+# multiplied by the decimal logarithm of the number of routers.
 _MIN_SUSPICION_PERIODS = 4
 _UNCONFIRMED_SUSPICION_FACTOR = 3  # A suspicion with a single witness lasts this many times the shortest time.
 _MAX_CONFIRMATIONS = 3  # Number of further witnesses with which a suspicion lasts only the shortest time.
@@ -30,7 +31,7 @@
 class Member:
     """What this router believes about one peer. All times are in seconds of the same clock.
 
-    Statements are ordered by (epoch, incarnation, refutations, state); the largest one is believed.
+    Statements about the peer are ordered by (epoch, incarnation, refutations, state); the largest one is believed.
 
     Attributes:
         name: Name of the peer.
--- a/wickhinge/peers/messages.py
+++ b/wickhinge/peers/messages.py
@@ -61,7 +61,7 @@
     """The fields of a datagram that show whether it is fresh and which process sent it."""
 
     epoch: int  # Orders the incarnations of one name; 0 if the sender does not claim the name.
-    incarnation: int  # Random number that the sending process drew at its start.
+    incarnation: int  # Random number that the sending process drew at its start, or when another replaced it.
     counter: int  # Number of the datagram; the sender increases it with each datagram to this receiver.
     token: int  # Token that the receiver has to echo if it does not know the sender's incarnation; 0 for none.
     echo: int  # The latest token that the sender received from the receiver.
--- a/wickhinge/peers/peer_session.py
+++ b/wickhinge/peers/peer_session.py
@@ -2,9 +2,10 @@
 
 Every process draws a random number at its start, its incarnation. A datagram carries the incarnation of its sender, a
 counter that only increases, a token that the sender drew, and the latest token that the sender received from the
-receiver. An unknown incarnation is accepted only when it echoes a token that the receiver drew after first hearing of
-it. Therefore a recorded datagram, or a datagram of an earlier incarnation, proves nothing, and no clock is needed. Each
-datagram of the known incarnation is accepted once, by its counter (a replay window as in RFC 4303).
+receiver. An unknown incarnation is accepted only when it echoes the receiver's current token, which the receiver draws
+anew for unknown incarnations. Therefore a recorded datagram, or a datagram of an earlier incarnation, proves nothing,
+and no clock is needed. Each datagram of the known incarnation is accepted once, by its counter (a replay window as in
+RFC 4303).
 
 The incarnations of a name are ordered by (epoch, incarnation). A larger one replaces a smaller one at once and for
 good. With epoch 0 a process does not claim the name: it first asks its peers, and chooses its epoch once, above all
@@ -21,10 +22,10 @@
 
 # Datagrams may overtake each other: a counter up to this far behind the highest one is still accepted, once.
 REPLAY_WINDOW = 64
-MAX_INCARNATION = (1 << 64) - 1
+MAX_INCARNATION = (1 << 64) - 1  # Incarnations on the wire are unsigned integers of 64 bits.
 COUNTER_LIMIT = 1 << 48  # Epochs, counters and numbers of refutations of an honest process stay below this value.
 _MAX_COUNTER_JUMP = 1 << 20  # Larger jumps are refused: by them an incarnation would soon run out of counters.
-_TOKEN_LIFETIME_S = 1.0  # Age up to which a token is kept for unknown incarnations to echo; then a new one is drawn.
+_TOKEN_LIFETIME_S = 1.0  # Age from which a token is replaced if an unknown incarnation has not echoed it.
 
 
 class Verdict(Enum):
@@ -53,7 +54,7 @@
         name: Name of the peer.
         epoch: Epoch of the known incarnation, whose datagrams are accepted; 0 if none is known.
         incarnation: Number of the known incarnation; 0 if none is known.
-        own_token: Token that an unknown incarnation has to echo; 0 if no token is drawn.
+        own_token: Token that an unknown incarnation of the peer has to echo; 0 if no token is drawn.
         peer_token: Latest token received from the peer, echoed in the datagrams to it.
         last_accepted_at: Time of the latest accepted datagram.
         refused_datagrams: Number of datagrams that were not accepted, whatever the reason.
--- a/wickhinge/peers/prober.py
+++ b/wickhinge/peers/prober.py
@@ -13,9 +13,9 @@
 _INDIRECT_AFTER_S = 0.15  # Time without an answer to a direct probe after which helpers are asked to probe the peer.
 _TIMEOUT_PERIODS = 0.9  # A probe that is not answered within this many probe periods has failed.
 _HELPER_COUNT = 3  # Peers that are asked to probe a peer that did not answer.
-_MAX_HELPED_PROBES = 16  # Probes that this router runs for other peers at the same time.
-_FAR_FUTURE_S = 1e9
-_DOWN_PROBE_INTERVAL = 4  # Every probe of this number goes to a peer that is not up.
+_MAX_HELPED_PROBES = 16  # Most probes that this router runs for other peers at the same time.
+_FAR_FUTURE_S = 1e9  # Delay of an action that must not happen again.
+_DOWN_PROBE_INTERVAL = 4  # One probe in this many goes to a peer that is not up, if there is one.
 
 
 class Send(Protocol):
@@ -69,10 +69,10 @@
         self, random_source: RandomSource, members: MemberTable, health: LocalHealth, send: Send, now: float
     ) -> None:
         self._random_source, self._members, self._health, self._send = random_source, members, health, send
-        self._up_queue: list[str] = []  # Names of peers that are up and still to be probed in this round, last first.
-        self._down_queue: list[str] = []  # Names of peers that are not up and still to be probed, last first.
+        self._up_queue: list[str] = []  # Names of peers that are up and to be probed in this round, the next one last.
+        self._down_queue: list[str] = []  # Names of peers that are not up and to be probed, the next one last.
         self._own_probe: Probe | None = None
-        self._helped_probes: dict[int, HelpedProbe] = {}  # By the number that this router gave to the probe.
+        self._helped_probes: dict[int, HelpedProbe] = {}  # Pending probes for other peers, by own probe id.
         self._last_probe_id = 0
         self._next_probe_at = now
         self._choice_count = 0
@@ -126,7 +126,7 @@
         for probe_id in [probe_id for probe_id, helped in self._helped_probes.items() if now >= helped.expires_at]:
             del self._helped_probes[probe_id]
         if now >= self._next_probe_at and self._own_probe is None:
-            self._next_probe_at = max(self._next_probe_at + PROBE_PERIOD_S, now)  # No burst of probes after a delay.
+            self._next_probe_at = max(self._next_probe_at + PROBE_PERIOD_S, now)  # No burst after a delay of the loop.
             self._start_probe(now, answering)
 
     def _start_probe(self, now: float, answering: list[str]) -> None:
--- a/wickhinge/peers/roster.py
+++ b/wickhinge/peers/roster.py
@@ -22,7 +22,7 @@
 
 
 class RosterRow(Protocol):
-    """One record of the settings' key peers.roster."""
+    """One record of the list peers.roster in the options."""
 
     name: str
     address: str
@@ -39,7 +39,7 @@
 
 
 def read_entries(rows: Iterable[RosterRow]) -> list[RosterEntry]:
-    """Return the roster entries for the records of the settings' key peers.roster.
+    """Return the roster entries for the records of the list peers.roster in the options.
 
     Raises:
         MalformedError: An address is not of the form HOST:PORT; the message names the faulty key.
--- a/wickhinge/peers/status_client.py
+++ b/wickhinge/peers/status_client.py
@@ -11,30 +11,30 @@
 class StatusClient:
     """One status request and the parts of its answer that have been received."""
 
-    def __init__(self, key: bytes, router_name: str, number: int, command: str, payload: bytes = b"") -> None:
-        """Create a request to a router.
+    def __init__(self, key: bytes, process_name: str, number: int, command: str, payload: bytes = b"") -> None:
+        """Create a request to a process, which is a router or takes part in the change log.
 
         Args:
-            key: The key that the client shares with the router.
-            router_name: Name of the router.
+            key: The key that the client shares with the process.
+            process_name: Name of the process.
             number: A number drawn anew for each request, by which answers to other requests are told apart.
             command: Name of the command.
             payload: Payload for the command.
         """
         self._key = key
-        self._request = StatusRequest(router_name, number, bytes(COOKIE_BYTES), command, payload)
+        self._request = StatusRequest(process_name, number, bytes(COOKIE_BYTES), command, payload)
         self._payloads: dict[int, bytes] = {}  # The payloads of the received parts, by index.
         self._total = 0  # Number of parts of the answer; 0 if none has been received.
 
     def request_datagram(self) -> bytes:
-        """Return the datagram to send to the router, first and again after each timeout."""
+        """Return the datagram to send to the process, first and again after each timeout."""
         return encode_request(self._key, self._request)
 
     def receive(self, datagram: bytes) -> bool:
         """Handle a datagram; a datagram that does not answer this request changes nothing.
 
         Returns:
-            Whether the request has to be sent again at once, because the router has sent a new cookie for it.
+            Whether the request has to be sent again at once, because the process has sent a new cookie for it.
         """
         try:
             part = decode_part(self._key, datagram)
@@ -47,7 +47,7 @@
             self._request = msgspec.structs.replace(self._request, cookie=part.cookie)
             return is_new_cookie
         if 0 < part.index <= part.total <= MAX_PARTS:
-            if part.total != self._total:  # The router has answered the repeated request with another number of parts.
+            if part.total != self._total:  # The repeated request was answered with another number of parts.
                 self._payloads, self._total = {}, part.total
             self._payloads[part.index] = part.payload
         return False
--- a/wickhinge/peers/status_messages.py
+++ b/wickhinge/peers/status_messages.py
@@ -1,13 +1,13 @@
-"""Wire format of the status requests that operators send to the socket of a running router's failure detector.
+"""Wire format of the status requests that operators send to running routers and processes of the change log.
 
     request = "WP?" body mac:16     body: MessagePack [to, number, cookie, command, payload]
     part    = "WP!" body mac:16     body: MessagePack [number, cookie, index, total, payload]
 
-The datagrams are sealed as in common/sealing.py. A request is one datagram; the answer comes in parts. A router runs a
-request only if it carries the cookie that this process made for the sender's address and the request's number a few
-seconds ago at most. To any other request it answers with that cookie alone, in a datagram no longer than the request.
-Therefore a recorded request, or a request with a forged sender address, runs nothing and causes little traffic. Cookies
-are computed from a secret of the process and are not stored, like SYN cookies (RFC 4987).
+The datagrams are sealed as in common/sealing.py. A request is one datagram; the answer comes in parts. A process runs a
+command only if the request carries the cookie that this process made for the sender's address and the request's number
+a few seconds ago at most. To any other request it answers with that cookie alone, in a datagram no longer than the
+request. Therefore a recorded request, or a request with a forged sender address, runs nothing and causes little
+traffic. Cookies are computed from a secret of the process and are not stored, like SYN cookies (RFC 4987).
 """
 
 from __future__ import annotations
@@ -23,9 +23,9 @@
 
 
 class StatusRequest(msgspec.Struct, array_like=True, frozen=True):
-    """A command for one router."""
+    """A command for one process."""
 
-    to: str  # Name of the router.
+    to: str  # Name of the process.
     number: int  # Random number of the request, drawn anew for each request.
     cookie: bytes
     command: str
--- a/wickhinge/peers/status_server.py
+++ b/wickhinge/peers/status_server.py
@@ -1,4 +1,4 @@
-"""The router's side of status requests, without I/O; status_messages.py describes the format."""
+"""The server side of status requests, without I/O; status_messages.py describes the format."""
 
 from __future__ import annotations
 
@@ -20,12 +20,12 @@
 )
 
 COOKIE_SLOT_S = 5.0  # Time slot of a cookie; a cookie is valid in the slot in which it was made and in the next one.
-MAX_PARTS_PER_S = 400.0  # Rate limit for answers; requests beyond it are not answered.
+MAX_PARTS_PER_S = 400.0  # Rate limit for the parts of answers; requests beyond it are not answered.
 _MAX_COMMAND_LENGTH = 64
 _MAX_SECRET_BYTES = 64
 
 Command = Callable[[bytes], bytes]  # Called with the payload of a request; returns the payload of the answer.
-Sender = object  # Address of a sender; senders with the same repr() are the same.
+Sender = object  # Address of a sender; addresses with the same repr() count as equal.
 
 
 class StatusServer:
@@ -35,8 +35,8 @@
         """Create a server without commands.
 
         Args:
-            name: Name of this router.
-            key: The key that clients share with this router.
+            name: Name of this process, which requests for it carry.
+            key: The key that clients share with this process.
             secret: Random secret of this process, from which cookies are made.
             now: The current time, in seconds of the clock whose times are passed to `receive`.
         """
@@ -80,7 +80,7 @@
     def _run_command(self, request: StatusRequest) -> bytes:
         command = self._commands.get(request.command)
         if command is None:
-            return _error_answer(f"{request.command} is not a command of this router")
+            return _error_answer(f"{request.command} is not a known command")
         payload = command(request.payload)
         if len(payload) > MAX_PART_BYTES * MAX_PARTS:
             return _error_answer(
