--- a/wickhinge/peers/identity.py
+++ b/wickhinge/peers/identity.py
@@ -91,7 +91,7 @@
         }
         if now - self._claim_wait_since < _MIN_CLAIM_WAIT_S or not self.name_answers:
             return
-        # One peer may report an incarnation gone that another peer still hears, so one report that it lives is enough.
+        # Peers may disagree about whether an incarnation is gone; a single report that it is alive prevents the claim.
         answers = self.name_answers.values()
         newest = max((answer.epoch, answer.incarnation) for answer in answers)
         newest_states = {answer.state for answer in answers if (answer.epoch, answer.incarnation) == newest}
--- a/wickhinge/peers/prober.py
+++ b/wickhinge/peers/prober.py
@@ -18,7 +18,7 @@
 _DOWN_PROBE_INTERVAL = 4  # One probe in this many goes to a peer that is not up, if there is one.
 
 
-class Send(Protocol):
+class SendDatagram(Protocol):
     """A function that sends a datagram to a peer."""
 
     def __call__(self, receiver: str, kind: MessageKind, probe_id: int, now: float, probe_target: str = "") -> None:
@@ -66,7 +66,7 @@
     """
 
     def __init__(
-        self, random_source: RandomSource, members: MemberTable, health: LocalHealth, send: Send, now: float
+        self, random_source: RandomSource, members: MemberTable, health: LocalHealth, send: SendDatagram, now: float
     ) -> None:
         self._random_source, self._members, self._health, self._send = random_source, members, health, send
         self._up_queue: list[str] = []  # Names of peers that are up and to be probed in this round, the next one last.
