--- a/bench/scale/change_log.py
+++ b/bench/scale/change_log.py
@@ -20,7 +20,7 @@
 from wickhinge.changelog.follower import Follower
 from wickhinge.changelog.log import Log, Snapshot
 from wickhinge.changelog.relay import Relay
-from wickhinge.changelog.settings import TICK_S, FollowSettings, RelaySettings, ReplicaSettings
+from wickhinge.changelog.settings import MAX_TICK_INTERVAL_S, FollowSettings, RelaySettings, ReplicaSettings
 
 KEY = b"of this fleet and of no other"
 EPOCH = 1
@@ -74,8 +74,8 @@
 
     def step(self) -> None:
         """One tick of all, and every datagram that comes of it."""
-        self.now += TICK_S
-        self.owed += self.purges * TICK_S
+        self.now += MAX_TICK_INTERVAL_S
+        self.owed += self.purges * MAX_TICK_INTERVAL_S
         while self.owed >= 1.0:
             self.owed -= 1.0
             change = Purge(self.random.getrandbits(64), 0, FIRST_STAMP_MS + int(self.now * 1000))
--- a/bench/scale/fleet_proposer.py
+++ b/bench/scale/fleet_proposer.py
@@ -10,7 +10,7 @@
 
 from bench.scale.fleet_records import Change
 from wickhinge.changelog import entries
-from wickhinge.changelog.administration import APPEND, AppendAnswer, AppendState
+from wickhinge.changelog.administration import APPEND_COMMAND, AppendAnswer, AppendState
 from wickhinge.cli.changelog_client import Client, NotAppendedError
 from wickhinge.options.records import Changelog
 
@@ -33,7 +33,7 @@
         if self.stopped.is_set():
             raise NotAppendedError("stopped")
         data = super()._ask(name, word, more, attempts)
-        if word == APPEND and name != next(iter(self.replicas)):
+        if word == APPEND_COMMAND and name != next(iter(self.replicas)):
             if msgspec.json.decode(data, type=AppendAnswer).state in TAKEN:
                 with self._lock:
                     self.replicas = {name: self.replicas[name], **self.replicas}
--- a/tests/changelog/test_administration.py
+++ b/tests/changelog/test_administration.py
@@ -13,9 +13,9 @@
 )
 from tests.support.changelog_log import KEY
 from wickhinge.changelog.administration import (
-    APPEND,
-    ROWS,
-    STATUS,
+    APPEND_COMMAND,
+    ROWS_COMMAND,
+    STATUS_COMMAND,
     Administration,
     AppendAnswer,
     AppendRequest,
@@ -58,7 +58,7 @@
 
     def append(self, change, request_id=b"i" * 16):
         more = msgspec.msgpack.encode(AppendRequest(request_id, encode_change(change)))
-        return msgspec.json.decode(self.ask(APPEND, more), type=AppendAnswer)
+        return msgspec.json.decode(self.ask(APPEND_COMMAND, more), type=AppendAnswer)
 
 
 @pytest.fixture
@@ -72,7 +72,7 @@
     assert leader.append(change).state is AppendState.WAITING
     assert leader.append(change).state is AppendState.WAITING
     assert leader.proposed == [Purge(5, 0, 1_000_000)]  # stamped by the leader
-    leader.node.do(Committed((entry(1, leader.proposed[0]),)))
+    leader.node.perform_role_effect(Committed((entry(1, leader.proposed[0]),)))
     answer = leader.append(change)
     assert (answer.state, answer.number, answer.stamp_ms) == (AppendState.COMMITTED, 1, 1_000_000)
     leader.append(change, b"j" * 16)
@@ -106,29 +106,29 @@
 )
 def test_append_when_malformed_is_refused(leader, more):
     leader.lead()
-    answer = msgspec.json.decode(leader.ask(APPEND, more), type=AppendAnswer)
+    answer = msgspec.json.decode(leader.ask(APPEND_COMMAND, more), type=AppendAnswer)
     assert answer.state is AppendState.REFUSED and answer.reason and not leader.proposed
 
 
 def test_question_when_under_another_key_or_without_the_cookie_does_nothing(leader):
     leader.lead()
-    assert leader.ask(STATUS, key=NEXT_KEY) is None
+    assert leader.ask(STATUS_COMMAND, key=NEXT_KEY) is None
     more = msgspec.msgpack.encode(AppendRequest(b"i" * 16, encode_change(Purge(5, 0, 0))))
-    asking = StatusClient(KEY, "a", 7, APPEND, more)
+    asking = StatusClient(KEY, "a", 7, APPEND_COMMAND, more)
     leader.node.datagramReceived(asking.datagram(), THERE)
     assert leader.proposed == []
 
 
 def test_status_and_rows_when_asked_describe_the_replica(leader):
-    status = msgspec.json.decode(leader.ask(STATUS), type=Status)
+    status = msgspec.json.decode(leader.ask(STATUS_COMMAND), type=Status)
     assert (status.name, status.role, status.state, status.age_s) == ("a", "replica", "follower", None)
     for first in (b"0", b"5", b"-3"):
-        page = msgspec.msgpack.decode(leader.ask(ROWS, first), type=RowsPage)
+        page = msgspec.msgpack.decode(leader.ask(ROWS_COMMAND, first), type=RowsPage)
         assert (page.total, page.rows) == (0, [])
-    assert b"error" in leader.ask(ROWS, b"x")
+    assert b"error" in leader.ask(ROWS_COMMAND, b"x")
 
 
 def test_relay_when_asked_to_append_has_no_such_word(sockets):
     node = relay_endpoint(sockets)
     desk = Administration(node, [KEY], 0.5)
-    assert APPEND not in desk._servers[0].command_names and desk.status().source in REPLICAS
+    assert APPEND_COMMAND not in desk._servers[0].command_names and desk.status().source in REPLICAS
--- a/tests/changelog/test_endpoints.py
+++ b/tests/changelog/test_endpoints.py
@@ -78,11 +78,11 @@
 
     events = []
     node = follower_endpoint(sockets, Consumer(fail), log=lambda event, **fields: events.append(event))
-    node.state_machine.uninformed = lambda now: bool(node.state_machine.not_understood)
+    node.state_machine.is_uninformed = lambda now: bool(node.state_machine.unapplied_changes)
     node.perform([Send("l", Packet("n", 2, 2, 0, 0, 0, Unsubscribe()))])
-    assert not node.state_machine.uninformed(0.0)
+    assert not node.state_machine.is_uninformed(0.0)
     node.perform([Apply(entry(1, Noop()))])
-    assert node.state_machine.uninformed(0.0) and events == ["changelog_fault"] and node.faults == 1
+    assert node.state_machine.is_uninformed(0.0) and events == ["changelog_fault"] and node.faults == 1
 
 
 def test_endpoint_when_a_step_raises_goes_on_with_ticks_and_packets(sockets):
@@ -115,7 +115,7 @@
     packet = Packet("a", 2, 2, 0, 0, 0, Unsubscribe())
     sockets.sent.clear()
     node.perform([Send("b", packet), Persist(1, 1, "b", 0, ()), Send("b", packet)])
-    assert (len(sockets.sent), len(failures), node.closed) == (1, 1, True)
+    assert (len(sockets.sent), len(failures), node.is_closed) == (1, 1, True)
     node.perform([Send("b", packet)])
     node.write(b"x", THERE)
     sockets.run(5.0)
--- a/tests/changelog/test_feed.py
+++ b/tests/changelog/test_feed.py
@@ -13,7 +13,7 @@
 from wickhinge.changelog.log import Log
 from wickhinge.changelog.message_codecs import encode_message
 from wickhinge.changelog.messages import Packet
-from wickhinge.changelog.settings import TICK_S, FeedSettings
+from wickhinge.changelog.settings import MAX_TICK_INTERVAL_S, FeedSettings
 
 
 def subscribe(feed, name, now, number=0, heartbeats_only=False, newest=2, epoch=1):
@@ -99,8 +99,8 @@
     first, second = feed_of(log), feed_of(log)
     sender = Codec(KEY, "relay-1")
     total, seconds, number = 0, 40, 0
-    for step in range(int(seconds / TICK_S)):
-        now = 100.0 + step * TICK_S
+    for step in range(int(seconds / MAX_TICK_INTERVAL_S)):
+        now = 100.0 + step * MAX_TICK_INTERVAL_S
         if step % 20 == 0:
             subscribe(first, "router-0001", now)
             total += sum(size(sender, send) for send in subscribe(second, "router-0001", now, heartbeats_only=True))
--- a/tests/changelog/test_follower.py
+++ b/tests/changelog/test_follower.py
@@ -5,7 +5,7 @@
 
 from tests.support.changelog_log import context, log_of, purge
 from wickhinge.changelog import messages
-from wickhinge.changelog.echo_tokens import RATE_FACTOR
+from wickhinge.changelog.echo_tokens import CLOCK_RATE_FACTOR
 from wickhinge.changelog.effects import Apply, Reset, Send
 from wickhinge.changelog.entries import (
     Entry,
@@ -14,7 +14,7 @@
 )
 from wickhinge.changelog.follower import Follower
 from wickhinge.changelog.messages import UNKNOWN_AGE_MS, Packet
-from wickhinge.changelog.settings import TICK_S, FollowSettings
+from wickhinge.changelog.settings import MAX_TICK_INTERVAL_S, FollowSettings
 from wickhinge.changelog.snapshots import split_snapshot
 
 SETTINGS = FollowSettings()
@@ -36,7 +36,7 @@
             self.take(self.follower.tick(self.now))
             if self.now >= until:
                 return
-            self.now = min(self.now + TICK_S, until)
+            self.now = min(self.now + MAX_TICK_INTERVAL_S, until)
 
     def take(self, effects):
         self.effects += [effect for effect in effects if not isinstance(effect, Send)]
@@ -115,17 +115,17 @@
 
 def test_informed_until_when_confirmed_counts_from_the_token_less_the_age():
     relayed = loaded(2)
-    assert relayed.follower.informed_until(relayed.now) == pytest.approx(relayed.now - 0.05 / RATE_FACTOR)
+    assert relayed.follower.informed_until(relayed.now) == pytest.approx(relayed.now - 0.05 / CLOCK_RATE_FACTOR)
     relayed.step(1.0)
     drawn = relayed.drawn["r0"]
     assert drawn < relayed.now
     relayed.tell("r0", messages.Heartbeat(1, 2, relayed.log.digest, 200), echo_delay_ms=500)
-    told = drawn + 0.5 * RATE_FACTOR - 0.2 / RATE_FACTOR
+    told = drawn + 0.5 * CLOCK_RATE_FACTOR - 0.2 / CLOCK_RATE_FACTOR
     assert relayed.follower.informed_until(relayed.now) == pytest.approx(told)
     relayed.tell("r0", messages.Heartbeat(1, 3, relayed.digest(3), 0), echo_delay_ms=500)  # 3 is not here yet
     assert relayed.follower.informed_until(relayed.now) == pytest.approx(told)
     relayed.batch("r0", 3, 3, age_ms=UNKNOWN_AGE_MS)
-    assert relayed.follower.informed_until(relayed.now) == pytest.approx(drawn + 0.5 * RATE_FACTOR)
+    assert relayed.follower.informed_until(relayed.now) == pytest.approx(drawn + 0.5 * CLOCK_RATE_FACTOR)
 
 
 def test_packet_when_it_echoes_no_token_of_ours_is_ignored():
@@ -140,11 +140,11 @@
 def test_max_copy_age_when_informed_is_none_else_the_grace_less_drift():
     relayed = loaded(2)
     follower, now = relayed.follower, relayed.now
-    assert follower.max_copy_age_s(now, 10.0) is None and not follower.uninformed(now)
+    assert follower.max_copy_age_s(now, 10.0) is None and not follower.is_uninformed(now)
     assert follower.max_copy_age_s(now + 2.0, 1.0) == pytest.approx(
         0.94 - 0.001
     )  # informed, but the bound is over the grace
-    assert follower.uninformed(now + SETTINGS.bound_s)
+    assert follower.is_uninformed(now + SETTINGS.bound_s)
     assert follower.max_copy_age_s(now + SETTINGS.bound_s, 10.0) == pytest.approx(9.4 - 0.001)
     assert follower.max_copy_age_s(now + 50.0, 0.0) > 0
 
@@ -191,13 +191,13 @@
 def test_follower_when_a_digest_differs_is_uninformed_until_a_majority_agrees():
     relayed = loaded(2)
     relayed.beat("r1", digest=b"liar...!")
-    assert relayed.follower.uninformed(relayed.now)
+    assert relayed.follower.is_uninformed(relayed.now)
     relayed.step(1.1)  # now all are asked
     assert {to for to, _ in relayed.asked(messages.Subscribe)} == {f"r{place}" for place in range(6)}
     for place in (0, 2, 3, 4):
         relayed.beat(f"r{place}")
     relayed.step(0.1)
-    assert not relayed.follower.uninformed(relayed.now) and relayed.follower.source == "r0"
+    assert not relayed.follower.is_uninformed(relayed.now) and relayed.follower.source == "r0"
 
 
 def test_follower_when_a_majority_contradicts_its_log_starts_anew_with_one_of_them():
@@ -207,7 +207,7 @@
     for place in (1, 2, 3, 4):
         relayed.beat(f"r{place}", digest=b"truth..!")
     relayed.step(0.3)
-    assert relayed.follower.source != "r0" and relayed.follower.uninformed(relayed.now)
+    assert relayed.follower.source != "r0" and relayed.follower.is_uninformed(relayed.now)
     assert relayed.asked(messages.FetchSnapshot)
 
 
@@ -229,5 +229,5 @@
     entry = Entry(1, 3, Unknown(99, must, b"new"))
     digest = next_digest(relayed.log.digest, entry)
     relayed.tell("r0", messages.Batch(1, 3, (entry,), digest, 3, 0))
-    assert (relayed.follower.number, relayed.follower.skipped) == (3, 1)
-    assert relayed.follower.uninformed(relayed.now) is uninformed
+    assert (relayed.follower.number, relayed.follower.skipped_entries) == (3, 1)
+    assert relayed.follower.is_uninformed(relayed.now) is uninformed
--- a/tests/changelog/test_replica.py
+++ b/tests/changelog/test_replica.py
@@ -14,7 +14,7 @@
 from wickhinge.changelog.errors import NotLeaderError
 from wickhinge.changelog.messages import UNKNOWN_AGE_MS, Packet, Record
 from wickhinge.changelog.replica import Replica
-from wickhinge.changelog.settings import TICK_S, ReplicaSettings
+from wickhinge.changelog.settings import MAX_TICK_INTERVAL_S, ReplicaSettings
 from wickhinge.changelog.snapshots import split_snapshot
 from wickhinge.changelog.stored import Stored
 
@@ -33,7 +33,7 @@
     def until_it_stands(self):
         effects = []
         while self.replica.role is Role.FOLLOWER:
-            self.now += TICK_S
+            self.now += MAX_TICK_INTERVAL_S
             effects = self.replica.tick(self.now)
         return effects
 
@@ -147,7 +147,7 @@
     replicas = Replicas()
     replicas.elected()
     for _ in range(40):
-        replicas.now += TICK_S
+        replicas.now += MAX_TICK_INTERVAL_S
         replicas.replica.tick(replicas.now)
     assert replicas.replica.role is not Role.LEADER
     with pytest.raises(NotLeaderError):
@@ -157,7 +157,7 @@
 def test_replica_when_it_lacks_discarded_records_loads_the_leaders_snapshot():
     replicas = Replicas()
     replicas.tell("p1", append(3, 40, 2, first=41))
-    replicas.now += TICK_S
+    replicas.now += MAX_TICK_INTERVAL_S
     requests = answers(replicas.replica.tick(replicas.now))
     assert messages.FetchSnapshot(1, 0, 0) in requests
     snapshot = msgspec.structs.replace(log_of(40).snapshot(40.0), term=2)
--- a/tests/changelog/test_router_changes.py
+++ b/tests/changelog/test_router_changes.py
@@ -64,12 +64,12 @@
     for number, change in enumerate(
         (Noop(), Purge(7, 3, 5), Setting("journal", b"10.0.0.1:7", 1), Unknown(20, False, b""))
     ):
-        changes.follower.do(Apply(entry(number + 1, change)))
+        changes.follower.perform_role_effect(Apply(entry(number + 1, change)))
     assert changes.told == [(7, 3, 5, 0), ("10.0.0.1", 7), "changelog_setting"]
 
 
 def test_snapshot_when_loaded_takes_purges_together_and_overtakes_waiting_forwards(changes):
-    changes.follower.do(Reset(Snapshot(1, 9, b"d" * 8, (), (Purge(7, 3, 5), Purge(None, 4, 6)))))
+    changes.follower.perform_role_effect(Reset(Snapshot(1, 9, b"d" * 8, (), (Purge(7, 3, 5), Purge(None, 4, 6)))))
     assert changes.told[:2] == [(7, 3, 5, 0), (None, 4, 6, 0)] and changes.told[3] == "changelog_reset"
     waiting = [
         SimpleNamespace(
--- a/tests/lab/test_changelog_walk.py
+++ b/tests/lab/test_changelog_walk.py
@@ -63,7 +63,7 @@
     for name in drawn.followers:
         process = processes[name]
         assert process.state_machine.source != "r1" and process.state_machine.number > 100
-        assert not process.state_machine.uninformed(process.clock.at(played.world.now_s))
+        assert not process.state_machine.is_uninformed(process.clock.at(played.world.now_s))
     assert all("goes back" in fault or "not committed" in fault for fault in oracle.faults), oracle.faults
 
 
--- a/tests/support/changelog_fleet.py
+++ b/tests/support/changelog_fleet.py
@@ -24,7 +24,7 @@
 ROUTER = "router"
 PORT = 7000
 BOUND_S, GRACE_S = 2.0, 3.0
-LIMIT_S = 0.94 * GRACE_S  # by the slowest clock
+MAX_COPY_AGE_S = 0.94 * GRACE_S  # by the slowest clock
 LONGEST_DATAGRAM = 2000
 IDLE_S = 60.0
 FLIPS = 5
@@ -49,8 +49,8 @@
     """All links in one thread. `cut` holds pairs (from, to) whose datagrams are dropped."""
 
     def __init__(self, stack, host):
-        self.cut, self.noisy = set(), False
-        self.passed = Counter()  # datagrams by receiver
+        self.cut_pairs, self.is_noisy = set(), False
+        self.forwarded_counts = Counter()  # datagrams by receiver
         self._stack, self._host, self._links = stack, host, {}
         self._random_fraction = random.Random(5)
         self._selector = selectors.DefaultSelector()
@@ -87,10 +87,10 @@
 
     def _pass_on(self, link, sender, receiver, data):
         address = link.addresses[receiver]
-        if (sender, receiver) in self.cut or address is None:
+        if (sender, receiver) in self.cut_pairs or address is None:
             return
-        self.passed[receiver] += 1
-        for copy in [data, data, *self._garbage(data)] if self.noisy else [data]:
+        self.forwarded_counts[receiver] += 1
+        for copy in [data, data, *self._garbage(data)] if self.is_noisy else [data]:
             link.sockets[receiver].sendto(copy, address)
 
     def _garbage(self, data):
@@ -139,7 +139,7 @@
         )
         return path
 
-    def use_keys(self, name, key, also):
+    def write_key_options(self, name, key, also):
         """To be followed by a SIGHUP."""
         self.write_options(name, key, also)
 
@@ -165,12 +165,12 @@
     def start_router(self):
         os.environ["WICKHINGE_OPTIONS"] = str(self.folder / f"{ROUTER}.cue")
         try:
-            self.stand = RouterHarness(self.folder)
+            self.router_harness = RouterHarness(self.folder)
         finally:
             del os.environ["WICKHINGE_OPTIONS"]
-        self.stack.callback(self.stand.close)
+        self.stack.callback(self.router_harness.close)
         self.requests = queue.Queue()
-        for place in self.stand.listeners:
+        for place in self.router_harness.listeners:
             threading.Thread(target=self._serve, args=(place,), daemon=True).start()
 
     def kill(self, name):
@@ -187,35 +187,39 @@
         child.send_signal(signal.SIGSTOP)
         os.waitid(os.P_PID, child.pid, os.WSTOPPED | os.WNOWAIT)
 
-    def go_on(self, name):
+    def resume(self, name):
         self.processes[name].child.send_signal(signal.SIGCONT)
 
     # What the test asks.
 
-    def servers(self):
+    def query_servers(self):
         return self.client.servers([*REPLICAS, *RELAYS])
 
     def leader(self):
         def found():
-            leads = [server.name for server in self.servers() if server.status and server.status.state == "leader"]
+            leads = [
+                server.name for server in self.query_servers() if server.status and server.status.state == "leader"
+            ]
             return leads[0] if len(leads) == 1 else None
 
         return eventually(found)
 
-    def router(self):
+    def router_row(self):
         """The row of the router, or None."""
-        return next(iter(routers_of(self.servers())), None)
+        return next(iter(routers_of(self.query_servers())), None)
 
-    def purge(self, key, timeout_s=PATIENT):
+    def append_purge(self, key, timeout_s=PATIENT):
         """Returns once the router has it."""
         answer = self.client.append(Purge(key, 0, 0), timeout_s)
-        self.stand.router.wait(f'"event":"purge_applied","key":"{key:016x}","group":0,"stamp_ms":{answer.stamp_ms}')
+        self.router_harness.router.wait(
+            f'"event":"purge_applied","key":"{key:016x}","group":0,"stamp_ms":{answer.stamp_ms}'
+        )
         return answer
 
-    def put(self, name, value):
+    def append_setting(self, name, value):
         """The router's word of it."""
         self.client.append(Setting(name, value, 0), PATIENT)
-        line = self.stand.router.wait('"event":"changelog_setting')
+        line = self.router_harness.router.wait('"event":"changelog_setting')
         assert f'"name":"{name}"' in line
         return line
 
@@ -226,21 +230,21 @@
             return False
         return True
 
-    def command(self, *words):
+    def run_command(self, *words):
         """Exit code and output of `wickhinge changelog WORDS`."""
         told = {**os.environ, "WICKHINGE_OPTIONS": str(self.operator)}
         command = [sys.executable, "-m", "wickhinge", "changelog", *words]
         done = subprocess.run(command, cwd=ROOT, env=told, capture_output=True, text=True, timeout=2 * PATIENT)
         return done.returncode, done.stdout + done.stderr
 
-    def event(self, name):
-        return self.stand.router.wait(f'"event":"changelog_{name}"')
+    def wait_for_event(self, name):
+        return self.router_harness.router.wait(f'"event":"changelog_{name}"')
 
-    def maxage(self, key):
+    def next_request_max_age_s(self, key):
         """Of a request for an object, in seconds, as a cache is asked; None without one. A router that stood still
         denies what it takes for late: that is asked again.
         """
-        client = self.stand.client()
+        client = self.router_harness.client()
         eventually(lambda: client.answer(client.ask(obj=f"{key:016x}"))[2] is None)
         found = self.requests.get(timeout=PATIENT).get("maxage")
         assert self.requests.empty()
@@ -280,36 +284,36 @@
 
 
 @contextmanager
-def running(folder):
+def running_fleet(folder):
     """A fleet in which all is well."""
     with ExitStack() as stack:
         made = Fleet(folder, stack)
         made.start_all()
         made.leader()
         made.start_router()
-        made.event("informed")
+        made.wait_for_event("informed")
         yield made
 
 
-def cut_off(fleet, name, others, inward=True, outward=True):
+def cut_links(fleet, name, others, inward=True, outward=True):
     for other in others:
         if inward:
-            fleet.hub.cut.add((other, name))
+            fleet.hub.cut_pairs.add((other, name))
         if outward:
-            fleet.hub.cut.add((name, other))
+            fleet.hub.cut_pairs.add((name, other))
 
 
-def uninformed_after(fleet, cut):
+def seconds_until_uninformed(fleet, cut):
     """Seconds from the cut to the router's limiting copies' ages, by the log's stamps."""
     began = time.time()
     cut()
-    line = fleet.event("uninformed")
+    line = fleet.wait_for_event("uninformed")
     return float(line.split('"t":')[1].split(",")[0]) - began
 
 
-def heal(fleet):
-    fleet.hub.cut.clear()
-    fleet.event("informed")
+def restore_links(fleet):
+    fleet.hub.cut_pairs.clear()
+    fleet.wait_for_event("informed")
 
 
 def lines_until(process, word):
--- a/wickhinge/changelog/administration.py
+++ b/wickhinge/changelog/administration.py
@@ -1,7 +1,7 @@
 """What an operator asks a replica or a relay over its socket: where it stands, who follows it, a change for the log.
 
 Questions and answers are those of `peers.status_messages`: under the fleet's key, and counted only with a cookie, so
-that one that is replayed, or sent under another's address, does nothing. Words: STATUS, ROWS, APPEND.
+that one that is replayed, or sent under another's address, does nothing. Words: STATUS_COMMAND, ROWS_COMMAND, APPEND.
 """
 
 from __future__ import annotations
@@ -28,7 +28,7 @@
 from wickhinge.peers.status_messages import REQUEST_MAGIC
 from wickhinge.peers.status_server import StatusServer
 
-STATUS, ROWS, APPEND = "changelog-status", "changelog-rows", "changelog-append"
+STATUS_COMMAND, ROWS_COMMAND, APPEND_COMMAND = "changelog-status", "changelog-rows", "changelog-append"
 ROWS_PER_PAGE = 400
 MAX_REMEMBERED_REQUESTS = 4096
 REQUEST_ID_BYTES = 16
@@ -148,10 +148,10 @@
         now = self._endpoint.clock()
         self._servers = [StatusServer(self._endpoint.name, key, self._secret, now) for key in keys]
         for server in self._servers:
-            server.add_command(STATUS, lambda _more: msgspec.json.encode(self.status()))
-            server.add_command(ROWS, self._rows)
+            server.add_command(STATUS_COMMAND, lambda _more: msgspec.json.encode(self.status()))
+            server.add_command(ROWS_COMMAND, self._rows)
             if isinstance(self._endpoint, ReplicaEndpoint):
-                server.add_command(APPEND, self._append)
+                server.add_command(APPEND_COMMAND, self._append)
 
     def status(self) -> Status:
         """Where the endpoint stands now."""
@@ -224,7 +224,7 @@
 
     def _propose(self, request_id: bytes, change: Change) -> AppendAnswer:
         endpoint = self._endpoint
-        assert isinstance(endpoint, ReplicaEndpoint)  # a relay has no APPEND
+        assert isinstance(endpoint, ReplicaEndpoint)  # a relay has no APPEND_COMMAND
         stamp_ms = int(self._wall_clock() * 1000)
         answer = AppendAnswer(AppendState.WAITING, stamp_ms=stamp_ms)
 
--- a/wickhinge/changelog/echo_tokens.py
+++ b/wickhinge/changelog/echo_tokens.py
@@ -9,14 +9,14 @@
 from collections import OrderedDict
 
 from wickhinge.changelog.messages import UNKNOWN_AGE_MS
-from wickhinge.changelog.settings import CLOCK_DRIFT
+from wickhinge.changelog.settings import MAX_CLOCK_DRIFT
 
 SESSION_BITS = 40
 COUNTER_BITS = 24
 MAX_TOKENS = 64  # remembered
 # A duration measured by another clock, times this, is no longer than the same duration by this clock; divided by
 # this, it is no shorter.
-RATE_FACTOR = (1 - CLOCK_DRIFT) / (1 + CLOCK_DRIFT)
+CLOCK_RATE_FACTOR = (1 - MAX_CLOCK_DRIFT) / (1 + MAX_CLOCK_DRIFT)
 
 
 class EchoTokenClock:
@@ -39,7 +39,7 @@
     def sent_after(self, echo: int, echo_delay_ms: int) -> float | None:
         """A time, by this clock, before which the packet was not sent. None for a token that is not ours or too old."""
         drawn_at = self._drawn_at.get(echo)
-        return None if drawn_at is None else drawn_at + echo_delay_ms / 1000 * RATE_FACTOR
+        return None if drawn_at is None else drawn_at + echo_delay_ms / 1000 * CLOCK_RATE_FACTOR
 
 
 class ReceivedToken:
@@ -61,7 +61,7 @@
         return max(int((now - self.received_at) * 1000), 0) if self.value else 0
 
 
-def age_ms(until: float | None, now: float) -> int:
+def knowledge_age_ms(until: float | None, now: float) -> int:
     """The age of knowledge that is complete until `until`, rounded up; UNKNOWN_AGE_MS where there is none."""
     if until is None or until == float("-inf"):
         return UNKNOWN_AGE_MS
@@ -70,4 +70,4 @@
 
 def complete_until(sent_after: float, reported_age_ms: int) -> float | None:
     """The time, by this clock, until which a packet's sender knew all. None where it does not say."""
-    return None if reported_age_ms == UNKNOWN_AGE_MS else sent_after - reported_age_ms / 1000 / RATE_FACTOR
+    return None if reported_age_ms == UNKNOWN_AGE_MS else sent_after - reported_age_ms / 1000 / CLOCK_RATE_FACTOR
--- a/wickhinge/changelog/endpoint.py
+++ b/wickhinge/changelog/endpoint.py
@@ -20,7 +20,7 @@
 from wickhinge.changelog.effects import Effect, Send
 from wickhinge.changelog.errors import MalformedMessageError, MessageTooLongError
 from wickhinge.changelog.messages import Packet
-from wickhinge.changelog.settings import TICK_S
+from wickhinge.changelog.settings import MAX_TICK_INTERVAL_S
 from wickhinge.common.sealing import MAX_DATAGRAM_BYTES
 
 ADDRESS_EXPIRY_S = 30.0
@@ -90,7 +90,7 @@
         self.state_machine = state_machine
         self.addresses = AddressBook({**config.subscribers, **config.peers})
         self.counters = Counters()
-        self.closed = False
+        self.is_closed = False
         self.faults = 0  # defects that showed
         self._schedule = runtime.schedule
         self._datagram_handler: DatagramHandler | None = None
@@ -129,20 +129,24 @@
 
         May be called more than once.
         """
-        self.closed = True
+        self.is_closed = True
         if self._timer is not None and self._timer.active():
             self._timer.cancel()
         return None if self._port is None else self._port.stopListening()
 
     def _run_tick(self) -> None:
-        """Ticks, and schedules the next tick TICK_S after this one was due, so that lateness does not add up.
+        """Run a tick, and schedule the next one MAX_TICK_INTERVAL_S after this one was due, so lateness does not add up.
 
         Ticks that were missed while the process stood still are not made up for.
         """
-        if self.closed:
+        if self.is_closed:
             return
         now = self.clock()
-        self._due_at = self._due_at + TICK_S if now < self._due_at + TICK_S else now + TICK_S
+        self._due_at = (
+            self._due_at + MAX_TICK_INTERVAL_S
+            if now < self._due_at + MAX_TICK_INTERVAL_S
+            else now + MAX_TICK_INTERVAL_S
+        )
         self._timer = self._schedule(self._due_at - now, self._run_tick)
         self._datagrams_this_tick = 0
         self._ticks += 1
@@ -162,7 +166,7 @@
         self._datagrams_this_tick += 1
         self.counters.received += 1
         self.counters.received_bytes += len(datagram)
-        if self.closed:
+        if self.is_closed:
             return
         if self._datagrams_this_tick > MAX_DATAGRAMS_PER_TICK:
             self.counters.over_limit += 1
@@ -206,9 +210,9 @@
             if isinstance(effect, Send):
                 self.send(effect)
             else:
-                self.do(effect)
+                self.perform_role_effect(effect)
 
-    def do(self, effect: Effect) -> None:
+    def perform_role_effect(self, effect: Effect) -> None:
         """Does an effect that is not a Send: those of the role."""
         raise TypeError(f"{type(self).__name__} has no {type(effect).__name__}")
 
@@ -227,7 +231,7 @@
 
     def write(self, datagram: bytes, address: Address) -> None:
         """Sends one datagram as it is."""
-        if self.closed:
+        if self.is_closed:
             return
         transport: Any = self.transport
         try:
--- a/wickhinge/changelog/feed.py
+++ b/wickhinge/changelog/feed.py
@@ -9,7 +9,7 @@
 
 from wickhinge.changelog.codec import MAX_BATCH_ENTRIES, MAX_ENTRIES_BYTES
 from wickhinge.changelog.context import ProcessContext
-from wickhinge.changelog.echo_tokens import ReceivedToken, age_ms
+from wickhinge.changelog.echo_tokens import ReceivedToken, knowledge_age_ms
 from wickhinge.changelog.effects import Send
 from wickhinge.changelog.log import Log
 from wickhinge.changelog.messages import (
@@ -221,7 +221,7 @@
         return Send(subscriber.name, packet)
 
     def _heartbeat(self, now: float, confirmed_until: float | None) -> Heartbeat:
-        return Heartbeat(self._log.epoch, self._log.last, self._log.digest, age_ms(confirmed_until, now))
+        return Heartbeat(self._log.epoch, self._log.last, self._log.digest, knowledge_age_ms(confirmed_until, now))
 
     def _send_to_followers(self, message: Message, now: float) -> list[Send]:
         followers = (subscriber for subscriber in self._subscribers.values() if not subscriber.heartbeats_only)
@@ -254,7 +254,7 @@
             return None
         digest = self._log.digest_at(entries[-1].number)
         assert digest is not None  # the log retains these entries
-        return Batch(self._log.epoch, number, entries, digest, self._log.last, age_ms(confirmed_until, now))
+        return Batch(self._log.epoch, number, entries, digest, self._log.last, knowledge_age_ms(confirmed_until, now))
 
     def _serve(self, now: float, confirmed_until: float | None) -> list[Send]:
         """Answers requests in the order in which they came, each with a few datagrams, while the rate allows."""
--- a/wickhinge/changelog/follower.py
+++ b/wickhinge/changelog/follower.py
@@ -9,7 +9,7 @@
 from wickhinge.changelog.effects import Apply, Effect, Reset
 from wickhinge.changelog.entries import Unknown, is_understood
 from wickhinge.changelog.messages import UNKNOWN_AGE_MS, Packet
-from wickhinge.changelog.settings import CLOCK_DRIFT, FollowSettings
+from wickhinge.changelog.settings import MAX_CLOCK_DRIFT, FollowSettings
 from wickhinge.changelog.subscription import Subscription
 
 MIN_AGE_S = 0.001  # of a copy; never 0, which would mean no limit
@@ -20,8 +20,8 @@
     """Follows one of `sources`, an ordered list of names, and compares with the heartbeats of a secondary one.
 
     Attributes:
-        skipped: Entries of unknown kinds.
-        not_understood: Of them, those that had to be understood: the follower is uninformed until the next start.
+        skipped_entries: Entries of unknown kinds.
+        unapplied_changes: Of them, those that had to be understood: the follower is uninformed until the next start.
     """
 
     subscription_type: ClassVar[type[Subscription]] = Subscription
@@ -30,8 +30,8 @@
         self._settings = settings
         self._subscription = self.subscription_type(context, sources, settings, now)
         self._informed_until = NEVER
-        self.skipped = 0
-        self.not_understood = 0
+        self.skipped_entries = 0
+        self.unapplied_changes = 0
 
     @property
     def epoch(self) -> int:
@@ -49,7 +49,7 @@
         return self._subscription.sources.current.name
 
     def tick(self, now: float) -> list[Effect]:
-        """Does what is due; called every TICK_S. Effects: Send."""
+        """Does what is due; called every MAX_TICK_INTERVAL_S. Effects: Send."""
         effects = self._subscription.tick(now, self._uninformed_ms(now))
         self._update_informed_until(now)
         return effects
@@ -61,7 +61,7 @@
             if isinstance(effect, Apply):
                 self._count(effect)
             elif isinstance(effect, Reset):
-                self.not_understood += effect.snapshot.incomplete
+                self.unapplied_changes += effect.snapshot.incomplete
         self._update_informed_until(now)
         return effects
 
@@ -74,12 +74,12 @@
         self._update_informed_until(now)
         return self._informed_until
 
-    def uninformed(self, now: float) -> bool:
+    def is_uninformed(self, now: float) -> bool:
         """Whether changes older than the bound may be missing here."""
         self._update_informed_until(now)
-        if self.not_understood or self._subscription.is_disputed(now):
+        if self.unapplied_changes or self._subscription.is_disputed(now):
             return True
-        return now - self._informed_until > self._settings.bound_s * (1 - CLOCK_DRIFT)
+        return now - self._informed_until > self._settings.bound_s * (1 - MAX_CLOCK_DRIFT)
 
     def max_copy_age_s(self, now: float, grace_s: float) -> float | None:
         """The greatest age in seconds of a copy that may be served; None while informed.
@@ -87,9 +87,9 @@
         No copy of that age is older than a purge whose grace is over. Where the bound is longer than `grace_s` allows,
         being informed is not enough, and the age is given, too.
         """
-        safe_s = grace_s * (1 - CLOCK_DRIFT)
+        safe_s = grace_s * (1 - MAX_CLOCK_DRIFT)
         unknown_for_s = now - self._informed_until + self._settings.ingest_s
-        if not self.uninformed(now) and unknown_for_s <= safe_s:
+        if not self.is_uninformed(now) and unknown_for_s <= safe_s:
             return None
         return max(safe_s - MIN_AGE_S, MIN_AGE_S)
 
@@ -97,22 +97,22 @@
         """A time before which `max_copy_age_s` is None if nothing is received; -inf where it is not None now."""
         if self.max_copy_age_s(now, grace_s) is not None:
             return NEVER
-        bound_s = self._settings.bound_s * (1 - CLOCK_DRIFT)
-        safe_s = grace_s * (1 - CLOCK_DRIFT) - self._settings.ingest_s
+        bound_s = self._settings.bound_s * (1 - MAX_CLOCK_DRIFT)
+        safe_s = grace_s * (1 - MAX_CLOCK_DRIFT) - self._settings.ingest_s
         return self._informed_until + min(bound_s, safe_s)
 
     def _update_informed_until(self, now: float) -> None:
-        if not self.not_understood and not self._subscription.is_disputed(now):
+        if not self.unapplied_changes and not self._subscription.is_disputed(now):
             self._informed_until = max(self._informed_until, self._subscription.confirmed_until())
 
     def _count(self, effect: Apply) -> None:
         change = effect.entry.change
         if isinstance(change, Unknown):
-            self.skipped += 1
-            self.not_understood += not is_understood(change)
+            self.skipped_entries += 1
+            self.unapplied_changes += not is_understood(change)
 
     def _uninformed_ms(self, now: float) -> int:
-        if not self.uninformed(now):
+        if not self.is_uninformed(now):
             return 0
         if self._informed_until == NEVER:
             return UNKNOWN_AGE_MS
--- a/wickhinge/changelog/follower_endpoint.py
+++ b/wickhinge/changelog/follower_endpoint.py
@@ -56,7 +56,7 @@
 
     def close(self) -> Any:
         """Unsubscribes, then closes as any endpoint does."""
-        if not self.closed and self._port is not None:
+        if not self.is_closed and self._port is not None:
             self.perform(self.state_machine.unsubscribe())
         return super().close()
 
@@ -77,7 +77,7 @@
         self._no_age_limit_until = NEVER
         super().perform(effects)
 
-    def do(self, effect: Effect) -> None:
+    def perform_role_effect(self, effect: Effect) -> None:
         """Applies an entry or loads a snapshot; later ones are applied whatever the consumer raises."""
         self.guard(type(effect).__name__, lambda: self._deliver(effect))
 
@@ -89,5 +89,5 @@
 
     def record_fault(self, where: str, fault: Exception) -> None:
         """Counts and logs a defect. What should have been applied may be missing: uninformed until the next start."""
-        self.state_machine.not_understood += 1
+        self.state_machine.unapplied_changes += 1
         super().record_fault(where, fault)
--- a/wickhinge/changelog/relay.py
+++ b/wickhinge/changelog/relay.py
@@ -29,7 +29,7 @@
         return self._subscription.sources.current.name
 
     def tick(self, now: float) -> list[Effect]:
-        """Does what is due; called every TICK_S. Effects: Send."""
+        """Does what is due; called every MAX_TICK_INTERVAL_S. Effects: Send."""
         effects = self._subscription.tick(now, 0)
         return effects + self._feed.tick(now, self.confirmed_until(now))
 
--- a/wickhinge/changelog/replica.py
+++ b/wickhinge/changelog/replica.py
@@ -11,7 +11,7 @@
 from wickhinge.changelog.codec import MAX_BATCH_ENTRIES, MAX_ENTRIES_BYTES, MAX_RECORD_OVERHEAD_BYTES
 from wickhinge.changelog.confirmations import Confirmations
 from wickhinge.changelog.context import ProcessContext
-from wickhinge.changelog.echo_tokens import EchoTokenClock, ReceivedToken, age_ms, complete_until
+from wickhinge.changelog.echo_tokens import EchoTokenClock, ReceivedToken, complete_until, knowledge_age_ms
 from wickhinge.changelog.effects import Accepted, Committed, Effect, Persist, PersistSnapshot, Send
 from wickhinge.changelog.entries import Change, Entry, Noop, validate
 from wickhinge.changelog.errors import NotLeaderError, OverloadedError
@@ -94,7 +94,7 @@
         return self.log.last
 
     def tick(self, now: float) -> list[Effect]:
-        """Does what is due; called every TICK_S. Effects: Persist, Send, Committed."""
+        """Does what is due; called every MAX_TICK_INTERVAL_S. Effects: Persist, Send, Committed."""
         if self._leadership is not None:
             self._lead(self._leadership, now)
         elif self._ballot.is_due(now) and not self.blank:
@@ -245,7 +245,7 @@
             records,
             self.commit,
             self.records.base + 1,
-            age_ms(self.confirmed_until(), now),
+            knowledge_age_ms(self.confirmed_until(), now),
             leadership.round,
         )
         self._send(peer, message, now)
--- a/wickhinge/changelog/replica_endpoint.py
+++ b/wickhinge/changelog/replica_endpoint.py
@@ -67,7 +67,7 @@
 
     def perform(self, effects: Sequence[Effect]) -> None:
         """Does the effects in their order; nothing that follows a failed Persist is done."""
-        if self.closed:
+        if self.is_closed:
             return
         try:
             super().perform(effects)
@@ -76,7 +76,7 @@
             self.close()
             self._on_storage_failure(fault)
 
-    def do(self, effect: Effect) -> None:
+    def perform_role_effect(self, effect: Effect) -> None:
         """Persists, and tells the proposers what was committed."""
         if isinstance(effect, Committed):
             self._proposals.resolve(effect.entries)
--- a/wickhinge/changelog/settings.py
+++ b/wickhinge/changelog/settings.py
@@ -4,8 +4,8 @@
 
 import msgspec
 
-TICK_S = 0.05  # between two calls of `tick`, at most, for the bounds to hold
-CLOCK_DRIFT = 0.06  # of any clock's rate against true time, at most
+MAX_TICK_INTERVAL_S = 0.05  # between two calls of `tick`, at most, for the bounds to hold
+MAX_CLOCK_DRIFT = 0.06  # of any clock's rate against true time, at most
 
 
 class FeedSettings(msgspec.Struct, frozen=True):
--- a/wickhinge/changelog/settings_table.py
+++ b/wickhinge/changelog/settings_table.py
@@ -16,7 +16,7 @@
 from wickhinge.common.log_event import LogEvent
 from wickhinge.fields import MalformedError, parse_host_port
 
-JOURNAL = "journal"
+JOURNAL_SETTING = "journal"
 
 
 class SettingState(Enum):
@@ -45,10 +45,10 @@
     return address
 
 
-PARSERS: dict[str, Callable[[bytes], Any]] = {JOURNAL: parse_address}  # raise MalformedError
+PARSERS: dict[str, Callable[[bytes], Any]] = {JOURNAL_SETTING: parse_address}  # raise MalformedError
 
 
-def check_value(name: str, value: bytes) -> None:
+def check_setting_value(name: str, value: bytes) -> None:
     """Called before a setting is proposed. Raises MalformedError for a known name whose value does not fit."""
     if name in PARSERS:
         PARSERS[name](value)
@@ -62,11 +62,11 @@
         self._subscribers: dict[str, Callable[[Any], None]] = {}
         self.rows: dict[str, SettingRow] = {}
 
-    def subscribe(self, name: str, apply: Callable[[Any], None]) -> None:
+    def set_handler(self, name: str, apply: Callable[[Any], None]) -> None:
         """Has `apply` called with each new value, as parsed; it may raise MalformedError to refuse the value."""
         self._subscribers[name] = apply
 
-    def put(self, setting: Setting) -> SettingRow:
+    def apply_setting(self, setting: Setting) -> SettingRow:
         """Applies and logs one setting."""
         row = self._row(setting)
         self.rows[setting.name] = row
@@ -75,7 +75,7 @@
         self._log(event, name=setting.name, value=value, state=row.state.value, why=row.reason)
         return row
 
-    def replace(self, settings: tuple[Setting, ...]) -> None:
+    def replace_all(self, settings: tuple[Setting, ...]) -> None:
         """Applies the complete settings of a snapshot.
 
         What it no longer holds is no longer shown, and stays in force until another value comes or the router restarts.
@@ -87,7 +87,7 @@
         for setting in settings:
             previous = self.rows.get(setting.name)
             if previous is None or (previous.value, previous.stamp_ms) != (setting.value, setting.stamp_ms):
-                self.put(setting)
+                self.apply_setting(setting)
 
     def _row(self, setting: Setting) -> SettingRow:
         apply = self._subscribers.get(setting.name)
--- a/wickhinge/cli/changelog.py
+++ b/wickhinge/cli/changelog.py
@@ -228,11 +228,11 @@
 def append_setting(setting: str, value: str, options: str | None, timeout_s: float, as_json: bool) -> None:
     """Put SETTING in force with VALUE at all routers; returns as append-purge does."""
     from wickhinge.changelog.entries import Setting
-    from wickhinge.changelog.settings_table import check_value
+    from wickhinge.changelog.settings_table import check_setting_value
     from wickhinge.fields import MalformedError
 
     try:
-        check_value(setting, value.encode())
+        check_setting_value(setting, value.encode())
     except MalformedError as error:
         fail(f"append-setting: {setting}: {error}")
     append(options, Setting(setting, value.encode(), 0), timeout_s, as_json)
--- a/wickhinge/cli/changelog_client.py
+++ b/wickhinge/cli/changelog_client.py
@@ -11,10 +11,10 @@
 import msgspec
 
 from wickhinge.changelog.administration import (
-    APPEND,
+    APPEND_COMMAND,
     REQUEST_ID_BYTES,
-    ROWS,
-    STATUS,
+    ROWS_COMMAND,
+    STATUS_COMMAND,
     AppendAnswer,
     AppendRequest,
     AppendState,
@@ -99,7 +99,7 @@
         """What one replica or relay says of itself."""
         role = "replica" if name in self.replicas else "relay"
         try:
-            status = msgspec.json.decode(self._ask(name, STATUS, b"", SHOW_ATTEMPTS), type=Status)
+            status = msgspec.json.decode(self._ask(name, STATUS_COMMAND, b"", SHOW_ATTEMPTS), type=Status)
             return Server(name, role, status, self._rows(name))
         except (NoAnswerError, msgspec.MsgspecError) as error:
             return Server(name, role, None, [], str(error))
@@ -108,7 +108,7 @@
         rows: list[SubscriberRow] = []
         for _ in range(MAX_PAGES):
             more = msgspec.json.encode(len(rows))
-            page = msgspec.msgpack.decode(self._ask(name, ROWS, more, SHOW_ATTEMPTS), type=RowsPage)
+            page = msgspec.msgpack.decode(self._ask(name, ROWS_COMMAND, more, SHOW_ATTEMPTS), type=RowsPage)
             rows += page.rows
             if not page.rows or len(rows) >= page.total:
                 break
@@ -133,7 +133,7 @@
             name = names.pop(0)
             names.append(name)
             try:
-                data = self._ask(name, APPEND, msgspec.msgpack.encode(request), APPEND_ATTEMPTS)
+                data = self._ask(name, APPEND_COMMAND, msgspec.msgpack.encode(request), APPEND_ATTEMPTS)
                 answer = msgspec.json.decode(data, type=AppendAnswer)
             except (NoAnswerError, msgspec.MsgspecError) as error:
                 reason = str(error)
@@ -232,7 +232,7 @@
     def after_tick(self) -> None:
         """As of ChangeConsumer: ends once the follower is informed."""
         follower = self._follower
-        if follower is None or follower.state_machine.uninformed(follower.clock()) or not self.reason:
+        if follower is None or follower.state_machine.is_uninformed(follower.clock()) or not self.reason:
             return
         self.reason = ""
         self._done(encode_snapshot(self._log.snapshot(self._now())), self._log.last)
--- a/wickhinge/lab/changelog/walk.py
+++ b/wickhinge/lab/changelog/walk.py
@@ -253,7 +253,7 @@
         for name in self.schedule.followers:
             process = world.processes[name]
             follower, now = process.follower, process.clock.at(world.now_s)
-            if (follower.epoch, follower.number) < (epoch, max(due, default=0)) or follower.uninformed(now):
+            if (follower.epoch, follower.number) < (epoch, max(due, default=0)) or follower.is_uninformed(now):
                 known_s = process.clock.true(follower.informed_until(now))
                 oracle.fault(
                     f"{world.now_s:.3f} {name}: ends at {follower.epoch}/{follower.number} of "
--- a/wickhinge/lab/changelog/world.py
+++ b/wickhinge/lab/changelog/world.py
@@ -17,7 +17,7 @@
 from wickhinge.changelog.errors import NotLeaderError, OverloadedError
 from wickhinge.changelog.messages import NEWEST_FORMAT, Packet
 from wickhinge.changelog.replica import Replica
-from wickhinge.changelog.settings import TICK_S, FollowSettings, RelaySettings, ReplicaSettings
+from wickhinge.changelog.settings import MAX_TICK_INTERVAL_S, FollowSettings, RelaySettings, ReplicaSettings
 from wickhinge.changelog.stored import Stored
 from wickhinge.lab.changelog.oracle import GRACE_S, Model, Oracle, Sample
 from wickhinge.lab.changelog.planted_faults import PlantedFault
@@ -88,7 +88,7 @@
             process.model = Model()
             process.state_machine = self.planted.follower(context, relays, FOLLOW_SETTINGS, now)
         incarnation = process.incarnation
-        self.at(self.now_s + self.rand.random() * TICK_S, lambda: self._tick(process, incarnation))
+        self.at(self.now_s + self.rand.random() * MAX_TICK_INTERVAL_S, lambda: self._tick(process, incarnation))
 
     def kill(self, name: str) -> None:
         """Ends a process; what it persisted stays."""
@@ -145,7 +145,7 @@
                 process.model.epoch,
                 process.model.number,
                 process.clock.true(follower.informed_until(now)),
-                follower.uninformed(now),
+                follower.is_uninformed(now),
                 follower.max_copy_age_s(now, GRACE_S) is None,
             )
         )
@@ -163,7 +163,9 @@
     def _tick(self, process: Process, incarnation: int) -> None:
         if process.incarnation != incarnation or process.state_machine is None:
             return
-        self.at(self.now_s + TICK_S * self.rand.uniform(0.8, 1.0), lambda: self._tick(process, incarnation))
+        self.at(
+            self.now_s + MAX_TICK_INTERVAL_S * self.rand.uniform(0.8, 1.0), lambda: self._tick(process, incarnation)
+        )
         if not process.paused:
             self._do(process, process.state_machine.tick(process.clock.at(self.now_s)))
 
--- a/wickhinge/net/control/changelog_client.py
+++ b/wickhinge/net/control/changelog_client.py
@@ -18,7 +18,7 @@
 from wickhinge.changelog.follower_endpoint import FollowerEndpoint
 from wickhinge.changelog.log import Snapshot
 from wickhinge.changelog.settings import FollowSettings
-from wickhinge.changelog.settings_table import JOURNAL, SettingsTable
+from wickhinge.changelog.settings_table import JOURNAL_SETTING, SettingsTable
 from wickhinge.fields import MalformedError, parse_host_port
 from wickhinge.net.control.endpoint_updates import EndpointUpdates
 from wickhinge.net.runtime.deadlines import Deadlines
@@ -64,7 +64,7 @@
             )
         self._options, self._node, self._log = options, node, node.log.event
         self.settings = SettingsTable(self._log)
-        self.settings.subscribe(JOURNAL, self._node.move_endpoint_watch)
+        self.settings.set_handler(JOURNAL_SETTING, self._node.move_endpoint_watch)
         self.follower = FollowerEndpoint(
             EndpointConfig(
                 name,
@@ -126,9 +126,9 @@
             "number": state_machine.number,
             "source": state_machine.source,
             "age_s": round(now - informed_until, 2) if informed_until > float("-inf") else None,
-            "uninformed": state_machine.uninformed(now),
-            "skipped": state_machine.skipped,
-            "not_understood": state_machine.not_understood,
+            "uninformed": state_machine.is_uninformed(now),
+            "skipped": state_machine.skipped_entries,
+            "not_understood": state_machine.unapplied_changes,
             "settings": {row.name: row.state.value for row in self.settings.rows.values()},
             **msgspec.to_builtins(self.follower.counters),
         }
@@ -139,7 +139,7 @@
         if isinstance(change, Purge):
             self._node.updates.purge(change.key, change.group, change.stamp_ms, 0)
         elif isinstance(change, Setting):
-            self.settings.put(change)
+            self.settings.apply_setting(change)
         elif not is_understood(change):
             self._log("changelog_not_understood", number=entry.number)
 
@@ -162,7 +162,7 @@
             purges=len(snapshot.purges),
             settings=len(snapshot.settings),
         )
-        self.settings.replace(snapshot.settings)
+        self.settings.replace_all(snapshot.settings)
 
     def after_tick(self) -> None:
         """Log a new source of the log, and whether the age of copies has become limited or unlimited.
--- a/wickhinge/options/changelog.py
+++ b/wickhinge/options/changelog.py
@@ -13,7 +13,7 @@
 
 MAX_NAME_BYTES = 32  # as in the log's datagrams
 MAX_REPLICAS = 9
-SLOWEST_CLOCK_RATE = 0.94  # of true time: 1 - changelog.settings.CLOCK_DRIFT
+SLOWEST_CLOCK_RATE = 0.94  # of true time: 1 - changelog.settings.MAX_CLOCK_DRIFT
 
 
 def first_fault(options: Changelog) -> SettingFault | None:
