--- a/tests/changelog/test_endpoints.py
+++ b/tests/changelog/test_endpoints.py
@@ -41,7 +41,7 @@
     sockets.failing = errno.EAGAIN
     sockets.run(1.0)
     unsent = node.counters.unsent
-    assert unsent > 0 and not node.faults
+    assert unsent > 0 and not node.fault_count
     sockets.failing = None
     sockets.sent.clear()
     sockets.run(3.0)
@@ -82,7 +82,7 @@
     node.perform([Send("l", Packet("n", 2, 2, 0, 0, 0, Unsubscribe()))])
     assert not node.state_machine.is_uninformed(0.0)
     node.perform([Apply(entry(1, Noop()))])
-    assert node.state_machine.is_uninformed(0.0) and events == ["changelog_fault"] and node.faults == 1
+    assert node.state_machine.is_uninformed(0.0) and events == ["changelog_fault"] and node.fault_count == 1
 
 
 def test_endpoint_when_a_step_raises_goes_on_with_ticks_and_packets(sockets):
@@ -93,14 +93,14 @@
 
     receive, node.state_machine.receive = node.state_machine.receive, fail
     node.datagramReceived(datagram(KEY), THERE)
-    assert node.faults == 1
+    assert node.fault_count == 1
     node.state_machine.receive = receive
     tick, node.state_machine.tick = node.state_machine.tick, fail
     sockets.run(0.2)
     node.state_machine.tick = tick
     sockets.sent.clear()
     sockets.run(3.0)
-    assert node.faults > 2 and sockets.sent
+    assert node.fault_count > 2 and sockets.sent
 
 
 class FailingStorage(MemoryStorage):
@@ -117,7 +117,7 @@
     node.perform([Send("b", packet), Persist(1, 1, "b", 0, ()), Send("b", packet)])
     assert (len(sockets.sent), len(failures), node.is_closed) == (1, 1, True)
     node.perform([Send("b", packet)])
-    node.write(b"x", THERE)
+    node.write_datagram(b"x", THERE)
     sockets.run(5.0)
     assert len(sockets.sent) == 1
 
--- a/tests/changelog/test_feed.py
+++ b/tests/changelog/test_feed.py
@@ -90,7 +90,7 @@
 def test_feed_when_without_a_log_sends_nothing_and_bounds_subscribers():
     feed = feed_of(Log(), max_subscribers=2)
     assert [subscribe(feed, f"f{place}", 100.0, epoch=0) for place in range(3)] == [[], [], []]
-    assert len(feed.rows(100.0)) == 2 and feed.refused == 1
+    assert len(feed.rows(100.0)) == 2 and feed.refused_subscriptions == 1
     assert feed.tick(101.0, None) == [] and fetch(feed, "f0", 101.0, messages.Fetch(0, 1)) == []
 
 
--- a/tests/changelog/test_follower.py
+++ b/tests/changelog/test_follower.py
@@ -218,7 +218,7 @@
     assert (relayed.follower.epoch, relayed.follower.number) == (3, 2)
     relayed.batch("r0", 3, 3, epoch=2)
     relayed.beat("r0", epoch=1, head=9)
-    assert relayed.applied() == [] and relayed.follower._subscription.refused_epochs == 2
+    assert relayed.applied() == [] and relayed.follower._subscription.refused_packets == 2
     relayed.batch("r0", 3, 3, digest=b"?" * 8)
     assert relayed.applied() == [3]
 
--- a/wickhinge/changelog/__init__.py
+++ b/wickhinge/changelog/__init__.py
@@ -1,9 +1,10 @@
-"""An ordered log of purges and settings: ordered by replicas, handed down by relays, applied by routers.
+"""Replicated log of purges and settings.
 
-Entered by `replica_endpoint`, `relay_endpoint` and `follower_endpoint`, one of them a process, each
-around the state machine of its role (`replica.Replica`, `relay.Relay`, `follower.Follower`). A state machine is given
-the time by `tick` and packets by `receive`, and answers with a list of effects (`effects`); it opens no socket or file
-and reads no clock. docs/notes/changelog.md says why it is as it is, and derives the bounds.
+Replicas put the entries in order, relays pass them on, and routers apply them. A process runs one of three endpoints,
+`replica_endpoint`, `relay_endpoint` or `follower_endpoint`. Each endpoint drives the state machine of its role:
+`replica.Replica`, `relay.Relay` or `follower.Follower`. A state machine gets the time through `tick` and packets
+through `receive`, and returns a list of effects (see `effects`); it opens no socket or file and reads no clock.
+docs/notes/changelog.md gives the reasons for the design and derives the time bounds.
 
 State machines, without I/O: entries, log, echo_tokens, confirmations, feed, relay; sequencer, dispute_records,
 sources, subscription, follower; records, ballot, leadership, replica; addresses, proposals, settings_table. Encoding:
--- a/wickhinge/changelog/addresses.py
+++ b/wickhinge/changelog/addresses.py
@@ -1,4 +1,4 @@
-"""Where each process of the change log is reached: by the settings, or by where its datagrams come from. No I/O."""
+"""Addresses of the processes of the change log, from the settings or learned from received datagrams. No I/O."""
 
 from __future__ import annotations
 
@@ -6,35 +6,43 @@
 
 from wickhinge.changelog.echo_tokens import COUNTER_BITS
 
-Address = tuple[str, int]  # IPv4 address and UDP port
+Address = tuple[str, int]  # IPv4 address and UDP port.
 
-SESSION_TAKEOVER_S = 3.0  # another session of a name is believed after so long without the one before
+SESSION_TAKEOVER_S = 3.0  # Silence of a process's known session after which a new session is accepted.
 MAX_LEARNED_ADDRESSES = 8192
-MAX_FORMER_SESSIONS = 4  # remembered for each process
+MAX_FORMER_SESSIONS = 4  # Former sessions of a process that are remembered, so that they are never accepted again.
 
 
 class LearnedAddress:
-    """The address of a process that the settings do not name, the latest token from there, and its former sessions."""
+    """Address of a process that the settings do not contain.
+
+    Attributes:
+        address: Address from which the latest token came.
+        token: Latest token of the process.
+        received_at: Time at which the latest token arrived.
+        former_sessions: Sessions before the one of the latest token, oldest first.
+    """
 
     __slots__ = ("address", "token", "received_at", "former_sessions")
 
     def __init__(self, address: Address, token: int, received_at: float) -> None:
+        """Record the first token of a process."""
         self.address, self.token, self.received_at = address, token, received_at
         self.former_sessions: list[int] = []
 
     @property
     def session(self) -> int:
-        """The session that the latest token belongs to."""
+        """Session that the latest token belongs to."""
         return self.token >> COUNTER_BITS
 
     def update(self, address: Address, token: int, now: float) -> None:
-        """Takes a later token, and the address that it came from."""
+        """Record a later token, and the address from which it came."""
         if token >> COUNTER_BITS != self.session:
             self.former_sessions = [*self.former_sessions, self.session][-MAX_FORMER_SESSIONS:]
         self.address, self.token, self.received_at = address, token, now
 
     def is_outdated_by(self, token: int, now: float) -> bool:
-        """Whether a packet with `token` is later than what is known, and not one that was recorded and sent again."""
+        """Return whether a packet with `token` is newer than the latest one, and therefore not a replayed packet."""
         session = token >> COUNTER_BITS
         if session == self.session:
             return token > self.token
@@ -44,18 +52,19 @@
 class AddressBook:
     """Addresses by process name.
 
-    Those in `fixed` come from the settings and never change. Others are learned from packets that were readable under
-    the key. One that was recorded on the way and is sent again from elsewhere must not draw a process's datagrams to
-    it. So an address moves with a later token of the same session alone, or with another session than those before
-    after SESSION_TAKEOVER_S without a later token.
+    Fixed addresses come from the settings and never change. Other addresses are learned from authentic
+    packets. An attacker may record such a packet and replay it from another address; this must not divert datagrams to
+    that address. A learned address therefore changes only with a later token of the same session, or, after
+    SESSION_TAKEOVER_S without a later token, with a token of a session that the process has not had before.
     """
 
     def __init__(self, fixed: Mapping[str, Address]) -> None:
+        """Create a book with the fixed addresses alone."""
         self._fixed = dict(fixed)
         self._learned: dict[str, LearnedAddress] = {}
 
     def lookup(self, name: str) -> Address | None:
-        """The address of a process; None where it is not known."""
+        """Return the address of a process, or None if it is not known."""
         fixed = self._fixed.get(name)
         if fixed is not None:
             return fixed
@@ -63,7 +72,7 @@
         return None if learned is None else learned.address
 
     def record_packet(self, name: str, address: Address, token: int, now: float) -> None:
-        """Notes a readable packet of `name` that came from `address` with `token`, 0 for none."""
+        """Record an authentic packet of `name` from `address`; the token 0 means that the packet has none."""
         if not token or name in self._fixed:
             return
         learned = self._learned.get(name)
@@ -76,7 +85,7 @@
             learned.update(address, token, now)
 
     def expire(self, now: float, max_silence_s: float) -> None:
-        """Drops the learned addresses without a later token for `max_silence_s`."""
+        """Remove the learned addresses whose latest token arrived more than `max_silence_s` ago."""
         expired = [name for name, learned in self._learned.items() if now - learned.received_at > max_silence_s]
         for name in expired:
             del self._learned[name]
--- a/wickhinge/changelog/administration.py
+++ b/wickhinge/changelog/administration.py
@@ -1,7 +1,9 @@
-"""What an operator asks a replica or a relay over its socket: where it stands, who follows it, a change for the log.
+"""Administration of a replica or a relay: answers an operator's requests that arrive at its socket.
 
-Questions and answers are those of `peers.status_messages`: under the fleet's key, and counted only with a cookie, so
-that one that is replayed, or sent under another's address, does nothing. Words: STATUS_COMMAND, ROWS_COMMAND, APPEND.
+An operator can ask for the status (STATUS_COMMAND) and the subscribers (ROWS_COMMAND), and append a change to the log
+(APPEND_COMMAND, at replicas only). Requests and answers have the format of `peers.status_messages`: they are
+authenticated with the fleet's key, and a request takes effect only with a cookie, so that a replayed request or one
+with a forged sender address does nothing.
 """
 
 from __future__ import annotations
@@ -30,30 +32,31 @@
 
 STATUS_COMMAND, ROWS_COMMAND, APPEND_COMMAND = "changelog-status", "changelog-rows", "changelog-append"
 ROWS_PER_PAGE = 400
-MAX_REMEMBERED_REQUESTS = 4096
+MAX_REMEMBERED_REQUESTS = 4096  # Requests to append whose answer is kept for repetitions.
 REQUEST_ID_BYTES = 16
-SECRET_BYTES = 32
-NEVER = float("-inf")
+COOKIE_SECRET_BYTES = 32
+NEVER = float("-inf")  # A time before every reading of the clock.
 
 
 class Status(msgspec.Struct):
-    """Where a replica or a relay stands.
+    """Status of a replica or a relay.
 
     Attributes:
-        name: The process's name.
+        name: Process name.
         role: "replica" or "relay".
-        epoch: The log's epoch.
-        number: The last committed entry that it has.
-        age_s: It knows all up to so long ago; None where it can't say.
-        followers: How many subscribers follow it.
-        received_bytes: With IP and UDP headers.
-        sent_bytes: With IP and UDP headers.
-        counters: Of datagrams.
-        state: Of a replica: its role in the election.
-        term: Of a replica.
-        leader: Of a replica: the leader as far as it is known.
-        blank: Of a replica: it waits for a snapshot.
-        source: Of a relay: the replica that it follows.
+        epoch: Epoch of the log.
+        number: Sequence number of the last committed entry that the process has.
+        age_s: Seconds since the time until which the process knows all committed changes; None if there is no such
+            time.
+        followers: Number of subscribers that follow this process, without those that only get heartbeats.
+        received_bytes: Bytes received, with IP and UDP headers.
+        sent_bytes: Bytes sent, with IP and UDP headers.
+        counters: Counts of datagrams.
+        state: Role of a replica in the election; "" for a relay.
+        term: Present term of a replica; 0 for a relay.
+        leader: Name of the leader as far as a replica knows it; "" for a relay.
+        blank: Whether a replica waits for a snapshot; False for a relay.
+        source: Name of the replica that a relay follows; "" for a replica.
     """
 
     name: str
@@ -73,7 +76,7 @@
 
 
 class RowsPage(msgspec.Struct):
-    """Subscribers from place `first` of `total` on, sorted by name."""
+    """One page of the `total` subscribers, sorted by name; the first row has the index `first`."""
 
     first: int
     total: int
@@ -81,19 +84,22 @@
 
 
 class AppendState(Enum):
-    """What became of a request to append. The values are those on the wire."""
+    """State of a request to append a change. The values are sent to the operator."""
 
     WAITING = "waiting"
     COMMITTED = "committed"
-    FAILED = "failed"  # not known to be committed: it may be, later
+    FAILED = "failed"  # The change is not known to be committed, but it may be committed later.
     NOT_LEADER = "not the leader"
-    REFUSED = "refused"  # it cannot be in the log, whoever leads
+    REFUSED = "refused"  # The request or its change is invalid, whichever replica leads.
 
 
 class AppendRequest(msgspec.Struct, array_like=True):
-    """A request to append an encoded change, whose stamp will be the leader's.
+    """Request to append a change to the log.
 
-    `id` names the request: where it comes again, the answer tells how it stands, and nothing is appended anew.
+    Attributes:
+        id: Idempotency key: a repeated request with the same id gets the state of the first one, and nothing is
+            appended again.
+        change: Encoded change. Its stamp is replaced by the leader's time.
     """
 
     id: bytes
@@ -101,7 +107,16 @@
 
 
 class AppendAnswer(msgspec.Struct):
-    """How a request to append stands. `reason`, "why" on the wire, is set where it failed or was refused."""
+    """Answer to a request to append.
+
+    Attributes:
+        state: State of the request.
+        epoch: Epoch of the appended entry.
+        number: Sequence number of the appended entry.
+        stamp_ms: Stamp of the change, in milliseconds of Unix time.
+        leader: Name of the leader if this replica is not the leader and knows it.
+        reason: Why the request failed or was refused. It is "why" on the wire.
+    """
 
     state: AppendState
     epoch: int = 0
@@ -112,23 +127,20 @@
 
 
 class RowsFault(msgspec.Struct):
-    """The answer to a question for rows that cannot be read."""
+    """Answer to a malformed ROWS_COMMAND request; `error` describes the fault."""
 
     error: str
 
 
 def with_stamp(change: Change, stamp_ms: int) -> Change:
-    """The change with another stamp, where its kind has one."""
+    """Return the change with another stamp, or unchanged if its kind has no stamp."""
     if isinstance(change, Noop | Unknown):
         return change
     return msgspec.structs.replace(change, stamp_ms=stamp_ms)
 
 
 class Administration:
-    """Answers an operator's questions that come to `endpoint`.
-
-    `ingest_s`: a change that is not committed after so long has failed. `wall_clock`: Unix time in seconds.
-    """
+    """Handler of an operator's requests to one endpoint."""
 
     def __init__(
         self,
@@ -137,24 +149,32 @@
         ingest_s: float,
         wall_clock: Callable[[], float] = time.time,
     ) -> None:
+        """Handle the requests that arrive at an endpoint from now on.
+
+        Args:
+            endpoint: Endpoint of a replica or a relay.
+            keys: Keys that requests may be authenticated with.
+            ingest_s: Seconds after which an appended change that is not committed has failed.
+            wall_clock: Returns Unix time in seconds, for the stamps of changes.
+        """
         self._endpoint, self._ingest_s, self._wall_clock = endpoint, ingest_s, wall_clock
-        self._secret = os.urandom(SECRET_BYTES)
-        self._requests: OrderedDict[bytes, AppendAnswer] = OrderedDict()
+        self._cookie_secret = os.urandom(COOKIE_SECRET_BYTES)
+        self._answers_by_request_id: OrderedDict[bytes, AppendAnswer] = OrderedDict()
         self.use_keys(keys)
-        endpoint.handle_other_datagrams(self._handle_datagram)
+        endpoint.set_datagram_handler(self._handle_datagram)
 
     def use_keys(self, keys: Sequence[bytes]) -> None:
-        """Answers questions under any of the keys from now on."""
+        """Replace the keys that requests may be authenticated with."""
         now = self._endpoint.clock()
-        self._servers = [StatusServer(self._endpoint.name, key, self._secret, now) for key in keys]
+        self._servers = [StatusServer(self._endpoint.name, key, self._cookie_secret, now) for key in keys]
         for server in self._servers:
-            server.add_command(STATUS_COMMAND, lambda _more: msgspec.json.encode(self.status()))
-            server.add_command(ROWS_COMMAND, self._rows)
+            server.add_command(STATUS_COMMAND, lambda _payload: msgspec.json.encode(self.status()))
+            server.add_command(ROWS_COMMAND, self._answer_rows)
             if isinstance(self._endpoint, ReplicaEndpoint):
-                server.add_command(APPEND_COMMAND, self._append)
+                server.add_command(APPEND_COMMAND, self._answer_append)
 
     def status(self) -> Status:
-        """Where the endpoint stands now."""
+        """Return the present status of the endpoint."""
         endpoint, now, counters = self._endpoint, self._endpoint.clock(), self._endpoint.counters
         log = endpoint.state_machine.log
         is_replica = isinstance(endpoint, ReplicaEndpoint)
@@ -194,37 +214,37 @@
             except DatagramError:
                 continue
             for answer in answers:
-                self._endpoint.write(answer, address)
+                self._endpoint.write_datagram(answer, address)
             return True
         self._endpoint.counters.unreadable += 1
         return True
 
-    def _rows(self, more: bytes) -> bytes:
+    def _answer_rows(self, payload: bytes) -> bytes:
         try:
-            first = msgspec.json.decode(more, type=int)
+            first = msgspec.json.decode(payload, type=int)
         except msgspec.MsgspecError as fault:
             return msgspec.json.encode(RowsFault(str(fault)))
         rows = sorted(self._endpoint.state_machine.rows(self._endpoint.clock()), key=lambda row: row.name)
         first = max(first, 0)
         return msgspec.msgpack.encode(RowsPage(first, len(rows), rows[first : first + ROWS_PER_PAGE]))
 
-    def _append(self, more: bytes) -> bytes:
-        return msgspec.json.encode(self._append_answer(more))
+    def _answer_append(self, payload: bytes) -> bytes:
+        return msgspec.json.encode(self._append_once(payload))
 
-    def _append_answer(self, more: bytes) -> AppendAnswer:
+    def _append_once(self, payload: bytes) -> AppendAnswer:
         try:
-            request = msgspec.msgpack.decode(more, type=AppendRequest)
+            request = msgspec.msgpack.decode(payload, type=AppendRequest)
             change = decode_change(Reader(request.change))
         except (msgspec.MsgspecError, MalformedMessageError) as fault:
             return AppendAnswer(AppendState.REFUSED, reason=str(fault))
         if len(request.id) != REQUEST_ID_BYTES:
-            return AppendAnswer(AppendState.REFUSED, reason=f"a request's id of {len(request.id)} bytes")
-        known = self._requests.get(request.id)
-        return self._propose(request.id, change) if known is None else known
+            return AppendAnswer(AppendState.REFUSED, reason=f"request id has {len(request.id)} bytes, expected 16")
+        earlier_answer = self._answers_by_request_id.get(request.id)
+        return self._propose(request.id, change) if earlier_answer is None else earlier_answer
 
     def _propose(self, request_id: bytes, change: Change) -> AppendAnswer:
         endpoint = self._endpoint
-        assert isinstance(endpoint, ReplicaEndpoint)  # a relay has no APPEND_COMMAND
+        assert isinstance(endpoint, ReplicaEndpoint)  # Relays do not have APPEND_COMMAND.
         stamp_ms = int(self._wall_clock() * 1000)
         answer = AppendAnswer(AppendState.WAITING, stamp_ms=stamp_ms)
 
@@ -242,7 +262,7 @@
         except InvalidChangeError as fault:
             return AppendAnswer(AppendState.REFUSED, reason=str(fault))
         answer.epoch = endpoint.state_machine.epoch
-        self._requests[request_id] = answer
-        if len(self._requests) > MAX_REMEMBERED_REQUESTS:
-            self._requests.popitem(last=False)
+        self._answers_by_request_id[request_id] = answer
+        if len(self._answers_by_request_id) > MAX_REMEMBERED_REQUESTS:
+            self._answers_by_request_id.popitem(last=False)
         return answer
--- a/wickhinge/changelog/dispute_records.py
+++ b/wickhinge/changelog/dispute_records.py
@@ -1,4 +1,4 @@
-"""Whether other sources' logs agree with the own one, by digests at the same number."""
+"""Comparison of this process's log with the logs of its sources, by the digests at the same sequence number."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class Dispute(Enum):
-    """What the sources that can be compared say of the own log."""
+    """Result of comparing this process's log with the logs of the reachable sources."""
 
     NONE = "no source differs"
     OPEN = "some differ, and no majority agrees or differs"
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PendingDigest:
-    """A source's digest at a number that the own log has yet to reach."""
+    """Digest of a source at a sequence number that this process's log has not reached."""
 
     number: int
     digest: bytes
@@ -28,7 +28,13 @@
 
 @dataclass(slots=True)
 class DisputeRecord:
-    """The latest comparison with one source: None where there was none."""
+    """Latest comparison with one source.
+
+    Attributes:
+        agrees: Whether the digests were equal; None before the first comparison.
+        compared_at: Time of the comparison.
+        pending: Digest that can be compared only when this process's log reaches its number.
+    """
 
     agrees: bool | None = None
     compared_at: float = 0.0
@@ -36,14 +42,22 @@
 
 
 class DisputeRecords:
-    """One record a source. A comparison counts for `valid_s` seconds."""
+    """Latest comparisons with all sources.
+
+    Each comparison counts for `valid_s` seconds.
+    """
 
     def __init__(self, sequencer: Sequencer, valid_s: float) -> None:
+        """Create an empty set of records; `sequencer` holds the digests of this process's log."""
         self._sequencer, self._valid_s = sequencer, valid_s
         self._records: dict[str, DisputeRecord] = {}
 
     def record_digest(self, source: str, number: int, digest: bytes, now: float) -> None:
-        """Compares the digest that a source's log has at `number`, of our epoch, now or once our log goes so far."""
+        """Compare the digest that a source's log has at `number` with this process's log.
+
+        The source's log has to be of the same epoch. If this process's log ends before `number`, the comparison is
+        made by `compare_pending` when the log has reached it.
+        """
         record = self._records.setdefault(source, DisputeRecord())
         if number > self._sequencer.last:
             if record.pending is None or now - record.pending.received_at > self._valid_s:
@@ -54,7 +68,7 @@
             record.agrees, record.compared_at = own_digest == digest, now
 
     def compare_pending(self, now: float) -> None:
-        """Compares what the own log has reached; called after it went on."""
+        """Compare the pending digests that this process's log has reached; called after entries were applied."""
         for source, record in self._records.items():
             pending = record.pending
             if pending is not None and pending.number <= self._sequencer.last:
@@ -62,18 +76,18 @@
                 self.record_digest(source, pending.number, pending.digest, now)
 
     def clear(self) -> None:
-        """Forgets all comparisons; called where the own log begins anew."""
+        """Forget all comparisons; called when this process's log is replaced."""
         self._records.clear()
 
     def agrees(self, source: str, now: float) -> bool | None:
-        """Whether a source's log agrees with ours; None where that is not known."""
+        """Return whether a source's log agrees with this process's log, or None if no valid comparison exists."""
         record = self._records.get(source)
         if record is None or now - record.compared_at > self._valid_s:
             return None
         return record.agrees
 
     def dispute(self, sources: list[str], now: float) -> Dispute:
-        """What `sources`, those from which packets come, say of the own log."""
+        """Return the combined result of the comparisons with `sources`, the names of the reachable sources."""
         differing = sum(self.agrees(source, now) is False for source in sources)
         agreeing = sum(self.agrees(source, now) is True for source in sources)
         if not differing:
--- a/wickhinge/changelog/endpoint.py
+++ b/wickhinge/changelog/endpoint.py
@@ -1,7 +1,7 @@
-"""A UDP socket around a state machine: what the state machine decides is done here, and no more.
+"""Base of the endpoints: a UDP socket that feeds a state machine and performs its effects.
 
-Many endpoints may run in one process. Datagrams are sent as they are: where a socket's buffer is full one is lost,
-which is what the state machines reckon with.
+Many endpoints may run in one process. A datagram that the socket does not take, because its buffer is full, is dropped;
+the state machines tolerate lost datagrams.
 """
 
 from __future__ import annotations
@@ -23,52 +23,54 @@
 from wickhinge.changelog.settings import MAX_TICK_INTERVAL_S
 from wickhinge.common.sealing import MAX_DATAGRAM_BYTES
 
-ADDRESS_EXPIRY_S = 30.0
-ADDRESS_EXPIRY_TICKS = 256  # between two looks for expired addresses
-MAX_DATAGRAMS_PER_TICK = 4096  # handled between two ticks; the others are counted and dropped
+ADDRESS_EXPIRY_S = 30.0  # Silence after which a learned address is removed.
+ADDRESS_EXPIRY_INTERVAL_TICKS = 256  # Expired addresses are removed once in this many ticks.
+MAX_DATAGRAMS_PER_TICK = 4096  # Datagrams above this number between two ticks are counted and dropped.
 
 
 class StateMachine(Protocol):
-    """A replica, a relay or a follower."""
+    """State machine of a replica, a relay or a follower."""
 
     def tick(self, now: float) -> list[Effect]:
-        """What is due at this time."""
+        """Return the effects that are due at the time `now`."""
 
     def receive(self, packet: Packet, now: float) -> list[Effect]:
-        """What follows from a packet."""
+        """Process a packet that arrived at the time `now`, and return the resulting effects."""
 
 
 class DatagramHandler(Protocol):
-    """Takes datagrams that are not the log's. Returns whether this one was its own."""
+    """Handler of datagrams that are not messages of the change log."""
 
     def __call__(self, datagram: bytes, address: Address, /) -> bool:
-        """Handles one datagram from `address`."""
+        """Process a datagram from `address`; return False if the datagram is not meant for this handler."""
 
 
 class Counters(msgspec.Struct):
-    """Datagrams and their bytes, without IP and UDP headers. Part of the answer to an operator."""
+    """Numbers of datagrams, and of their bytes without IP and UDP headers, as operators see them."""
 
     received: int = 0
     received_bytes: int = 0
     sent: int = 0
     sent_bytes: int = 0
-    unreadable: int = 0  # not under the key, or malformed
-    unsent: int = 0  # the socket's buffer was full, or there was no route
-    unknown: int = 0  # to a process whose address is not known
-    over_limit: int = msgspec.field(default=0, name="left")  # beyond MAX_DATAGRAMS_PER_TICK
+    unreadable: int = 0  # Received datagrams that are malformed or not authenticated with a known key.
+    unsent: int = 0  # Datagrams that the socket did not take, because its buffer was full or no route exists.
+    unknown: int = 0  # Datagrams that were not sent because the receiver's address is unknown.
+    over_limit: int = msgspec.field(default=0, name="left")  # Received datagrams dropped above MAX_DATAGRAMS_PER_TICK.
 
 
 @dataclass(frozen=True, slots=True)
 class EndpointConfig:
-    """Who an endpoint is and whom it speaks to.
+    """Name, addresses and keys of an endpoint.
 
     Attributes:
-        name: The process's name.
-        address: Where to listen; port 0 for any.
-        peers: Names and addresses, in order of preference, of a router's relays, of a relay's replicas, or of all
-            replicas (a replica's own among them).
-        keys: The first one seals, all of them open, so that a fleet can change its key.
-        subscribers: Addresses of subscribers that are known; those of others are learned from their packets.
+        name: Process name of the endpoint.
+        address: Address to listen at; port 0 stands for any free port.
+        peers: Addresses by process name, in order of preference. A follower's peers are relays, a relay's peers are
+            replicas, and a replica's peers are all replicas including itself.
+        keys: Keys of the datagrams. The first key authenticates sent datagrams, and received ones may use any key, so
+            that the keys of a fleet can be changed one process at a time.
+        subscribers: Addresses of subscribers by process name, as far as the settings contain them. Other subscribers'
+            addresses are learned from their packets.
     """
 
     name: str
@@ -79,40 +81,50 @@
 
 
 class Endpoint(DatagramProtocol):
-    """The socket, the codec and the timer that the three roles share."""
+    """Socket, codecs and timer that the three roles share.
+
+    Attributes:
+        state_machine: State machine of the role.
+        address: Address at which the socket listens.
+        addresses: Known addresses of other processes.
+        counters: Counts of datagrams and bytes.
+        is_closed: Whether `close` has been called.
+        fault_count: Number of exceptions caught from the state machine and the role.
+    """
 
     noisy = False
     state_machine: StateMachine
 
     def __init__(self, config: EndpointConfig, runtime: Runtime, state_machine: StateMachine) -> None:
+        """Create an endpoint that has no socket until `start`."""
         self.name, self.address = config.name, config.address
         self.reactor, self.clock, self.log = runtime.reactor, runtime.clock, runtime.log
         self.state_machine = state_machine
         self.addresses = AddressBook({**config.subscribers, **config.peers})
         self.counters = Counters()
         self.is_closed = False
-        self.faults = 0  # defects that showed
+        self.fault_count = 0
         self._schedule = runtime.schedule
         self._datagram_handler: DatagramHandler | None = None
         self._datagrams_this_tick = 0
         self._timer: Any = None
         self._port: Any = None
-        self._ticks = 0
+        self._tick_count = 0
         self.use_keys(config.keys)
 
     def use_keys(self, keys: Sequence[bytes]) -> None:
-        """Seals with the first key from now on, and opens with any of them."""
+        """Replace the keys: the first one authenticates sent datagrams, received ones may use any of them."""
         self._codecs = [Codec(key, self.name) for key in keys]
 
-    def handle_other_datagrams(self, handler: DatagramHandler) -> None:
-        """Gives each datagram to `handler` before the codec sees it."""
+    def set_datagram_handler(self, handler: DatagramHandler) -> None:
+        """Pass each received datagram to `handler` first; the codec gets those that the handler does not take."""
         self._datagram_handler = handler
 
     def start(self) -> None:
-        """Begins to listen and to tick.
+        """Bind the socket and run the first tick.
 
         Raises:
-            OSError: The address cannot be had.
+            OSError: The address cannot be bound.
         """
         host, port = self.address
         try:
@@ -121,13 +133,14 @@
             cause = fault.socketError
             raise OSError(cause.errno, f"changelog: {host}:{port}: {cause.strerror}") from None
         self.address = (host, self._port.getHost().port)
-        self._due_at = self.clock()
+        self._next_tick_at = self.clock()
         self._run_tick()
 
     def close(self) -> Any:
-        """Stops sending and receiving. Returns a Deferred that fires when the socket is closed, None if there is none.
+        """Stop sending and receiving; may be called more than once.
 
-        May be called more than once.
+        Returns:
+            A Deferred that fires when the socket is closed, or None if there is no socket.
         """
         self.is_closed = True
         if self._timer is not None and self._timer.active():
@@ -135,34 +148,35 @@
         return None if self._port is None else self._port.stopListening()
 
     def _run_tick(self) -> None:
-        """Run a tick, and schedule the next one MAX_TICK_INTERVAL_S after this one was due, so lateness does not add up.
+        """Run a tick, and schedule the next one.
 
-        Ticks that were missed while the process stood still are not made up for.
+        The next tick is due MAX_TICK_INTERVAL_S after this one was due, so that delays do not add up. Ticks that were
+        missed while the process was suspended are skipped.
         """
         if self.is_closed:
             return
         now = self.clock()
-        self._due_at = (
-            self._due_at + MAX_TICK_INTERVAL_S
-            if now < self._due_at + MAX_TICK_INTERVAL_S
+        self._next_tick_at = (
+            self._next_tick_at + MAX_TICK_INTERVAL_S
+            if now < self._next_tick_at + MAX_TICK_INTERVAL_S
             else now + MAX_TICK_INTERVAL_S
         )
-        self._timer = self._schedule(self._due_at - now, self._run_tick)
+        self._timer = self._schedule(self._next_tick_at - now, self._run_tick)
         self._datagrams_this_tick = 0
-        self._ticks += 1
-        if self._ticks % ADDRESS_EXPIRY_TICKS == 0:
+        self._tick_count += 1
+        if self._tick_count % ADDRESS_EXPIRY_INTERVAL_TICKS == 0:
             self.addresses.expire(now, ADDRESS_EXPIRY_S)
-        self.guard("tick", lambda: self._tick(now))
+        self.run_guarded("tick", lambda: self._tick(now))
 
     def _tick(self, now: float) -> None:
         self.perform(self.state_machine.tick(now))
         self.after_tick()
 
     def after_tick(self) -> None:
-        """What a role does more at each tick; called after the tick's effects are done."""
+        """Run the role's periodic work; called after the effects of each tick are performed."""
 
     def datagramReceived(self, datagram: bytes, addr: Address) -> None:
-        """Called by Twisted with each datagram."""
+        """Process a received datagram; called by Twisted."""
         self._datagrams_this_tick += 1
         self.counters.received += 1
         self.counters.received_bytes += len(datagram)
@@ -179,22 +193,28 @@
             return
         now = self.clock()
         self.addresses.record_packet(packet.sender, addr, packet.token, now)
-        self.guard(type(packet.message).__name__, lambda: self.perform(self.state_machine.receive(packet, now)))
+        self.run_guarded(type(packet.message).__name__, lambda: self.perform(self.state_machine.receive(packet, now)))
+
+    def run_guarded(self, where: str, step: Callable[[], None]) -> None:
+        """Run one step of the event loop; an exception in it is counted and logged, and does not stop later steps.
 
-    def guard(self, where: str, step: Callable[[], None]) -> None:
-        """Runs one step of the loop; a defect in it is counted and logged, and stops no later step."""
+        `where` names the step in the log line.
+        """
         try:
             step()
-        except Exception as fault:  # noqa: BLE001 - the loop goes on, whatever a step does
+        except Exception as fault:  # noqa: BLE001 - an exception in one step must not stop the loop
             self.record_fault(where, fault)
 
     def record_fault(self, where: str, fault: Exception) -> None:
-        """Counts and logs a defect: what it concerned is left undone, and the next packet or tick is taken up."""
-        self.faults += 1
+        """Count and log an exception; the rest of the failed step is skipped.
+
+        `where` names the step in the log line.
+        """
+        self.fault_count += 1
         self.log("changelog_fault", where=where, why=repr(fault))
 
     def connectionRefused(self) -> None:
-        """Called by Twisted where nobody listens at a destination just now; the peer's timeouts deal with that."""
+        """Ignore that no process listens at a destination, as timeouts handle silent peers; called by Twisted."""
 
     def _decode(self, datagram: bytes) -> Packet | None:
         for codec in self._codecs:
@@ -205,19 +225,19 @@
         return None
 
     def perform(self, effects: Sequence[Effect]) -> None:
-        """Does the effects in their order."""
+        """Perform the effects in their order."""
         for effect in effects:
             if isinstance(effect, Send):
-                self.send(effect)
+                self.send_packet(effect)
             else:
                 self.perform_role_effect(effect)
 
     def perform_role_effect(self, effect: Effect) -> None:
-        """Does an effect that is not a Send: those of the role."""
-        raise TypeError(f"{type(self).__name__} has no {type(effect).__name__}")
+        """Perform an effect of the role, which is any effect other than Send."""
+        raise TypeError(f"{type(self).__name__} does not perform the effect {type(effect).__name__}")
 
-    def send(self, effect: Send) -> None:
-        """Encodes and sends one packet; where that fails it is counted or logged."""
+    def send_packet(self, effect: Send) -> None:
+        """Encode and send one packet; a failure is counted or logged."""
         address = self.addresses.lookup(effect.to)
         if address is None:
             self.counters.unknown += 1
@@ -227,10 +247,10 @@
         except (MessageTooLongError, MalformedMessageError) as fault:
             self.log("changelog_encode_failed", to=effect.to, why=str(fault))
             return
-        self.write(datagram, address)
+        self.write_datagram(datagram, address)
 
-    def write(self, datagram: bytes, address: Address) -> None:
-        """Sends one datagram as it is."""
+    def write_datagram(self, datagram: bytes, address: Address) -> None:
+        """Send one encoded datagram, and count it."""
         if self.is_closed:
             return
         transport: Any = self.transport
--- a/wickhinge/changelog/follower_endpoint.py
+++ b/wickhinge/changelog/follower_endpoint.py
@@ -1,4 +1,4 @@
-"""A router's side of the change log on its socket."""
+"""Endpoint of a follower: the router's end of the change log on its UDP socket."""
 
 from __future__ import annotations
 
@@ -15,24 +15,24 @@
 
 
 class ChangeConsumer(Protocol):
-    """What applies the log's changes at a router.
+    """Object that applies the log's changes at a router.
 
-    Entries and snapshots come in the log's order. Where a method raises, what it should have done may be missing: the
-    follower is uninformed until the next start, as with a change that it does not understand.
+    Entries and snapshots are passed in the log's order. If a method raises, its change may not have been applied, so
+    the follower is uninformed until the next start, as after a change whose kind it does not know.
     """
 
     def apply_entry(self, entry: Entry) -> None:
-        """Applies the next entry."""
+        """Apply the next entry."""
 
     def load_snapshot(self, snapshot: Snapshot) -> None:
-        """Replaces the settings by the snapshot's and adds its purges."""
+        """Replace all settings by those of the snapshot, and add its purges to the known ones."""
 
     def after_tick(self) -> None:
-        """Called after each tick of the endpoint."""
+        """Run the consumer's periodic work; called after each tick of the endpoint."""
 
 
 class FollowerEndpoint(Endpoint):
-    """A router's side. `config.peers` are its relays."""
+    """Endpoint of a follower. `config.peers` holds the relays that it may follow."""
 
     state_machine: Follower
 
@@ -44,26 +44,26 @@
         settings: FollowSettings | None = None,
     ) -> None:
         self._consumer = consumer
-        self._no_age_limit_until = NEVER  # no limit before this time, for this grace
-        self._no_age_limit_grace_s = 0.0
+        self._no_age_limit_until = NEVER  # Cached time before which the age of copies has no limit.
+        self._no_age_limit_grace_s = 0.0  # Grace for which `_no_age_limit_until` holds.
         context = runtime.context(config.name)
         follower = Follower(context, list(config.peers), settings or FollowSettings(), runtime.clock())
         super().__init__(config, runtime, follower)
 
     def after_tick(self) -> None:
-        """Tells the consumer of the tick."""
+        """Call the consumer's `after_tick`."""
         self._consumer.after_tick()
 
     def close(self) -> Any:
-        """Unsubscribes, then closes as any endpoint does."""
+        """Unsubscribe from the relays, then close the socket."""
         if not self.is_closed and self._port is not None:
             self.perform(self.state_machine.unsubscribe())
         return super().close()
 
     def max_copy_age_s(self, grace_s: float) -> float | None:
-        """The greatest age in seconds of a copy that may be served now; None: no limit.
+        """Return the greatest age in seconds of a copy that may be served now, or None for no limit.
 
-        Called for each request, so the answer "no limit" is cached until the next packet or tick.
+        It is called for each request, so the answer "no limit" is cached until the next packet or tick.
         """
         now = self.clock()
         if grace_s == self._no_age_limit_grace_s and now < self._no_age_limit_until:
@@ -73,21 +73,24 @@
         return None if now < self._no_age_limit_until else self.state_machine.max_copy_age_s(now, grace_s)
 
     def perform(self, effects: Sequence[Effect]) -> None:
-        """Does the effects; called after each tick and each packet, so the cached answer ends here."""
+        """Perform the effects of a tick or a packet, and drop the cached answer of `max_copy_age_s`."""
         self._no_age_limit_until = NEVER
         super().perform(effects)
 
     def perform_role_effect(self, effect: Effect) -> None:
-        """Applies an entry or loads a snapshot; later ones are applied whatever the consumer raises."""
-        self.guard(type(effect).__name__, lambda: self._deliver(effect))
+        """Pass an entry or a snapshot to the consumer; an exception of the consumer does not stop later effects."""
+        self.run_guarded(type(effect).__name__, lambda: self._pass_to_consumer(effect))
 
-    def _deliver(self, effect: Effect) -> None:
+    def _pass_to_consumer(self, effect: Effect) -> None:
         if isinstance(effect, Apply):
             self._consumer.apply_entry(effect.entry)
         elif isinstance(effect, Reset):
             self._consumer.load_snapshot(effect.snapshot)
 
     def record_fault(self, where: str, fault: Exception) -> None:
-        """Counts and logs a defect. What should have been applied may be missing: uninformed until the next start."""
+        """Count and log an exception, after which a change may be missing.
+
+        The follower is uninformed until the next start.
+        """
         self.state_machine.unapplied_changes += 1
         super().record_fault(where, fault)
--- a/wickhinge/changelog/relay.py
+++ b/wickhinge/changelog/relay.py
@@ -1,4 +1,4 @@
-"""A relay: follows the replicas and hands their committed entries down to routers. It never orders anything."""
+"""State machine of a relay: follows a replica and passes committed entries on to routers, in the replicas' order."""
 
 from __future__ import annotations
 
@@ -15,9 +15,17 @@
 
 
 class Relay:
-    """Follows one of `replicas`, in order of preference, and serves its subscribers from its own log."""
+    """Follower of one replica that serves its own subscribers from its copy of the log."""
 
     def __init__(self, context: ProcessContext, replicas: Sequence[str], settings: RelaySettings, now: float) -> None:
+        """Create a relay with an empty log.
+
+        Args:
+            context: Name, session and randomness of the process.
+            replicas: Names of the replicas, in order of preference.
+            settings: Intervals, timeouts and limits.
+            now: Present time of the process's clock, in seconds.
+        """
         self.log = Log(settings.retain, settings.purge_horizon_s)
         self._replicas = frozenset(replicas)
         self._subscription = Subscription(context, replicas, settings.follow, now)
@@ -25,16 +33,19 @@
 
     @property
     def source(self) -> str:
-        """The replica that is followed."""
+        """Name of the replica that is followed."""
         return self._subscription.sources.current.name
 
     def tick(self, now: float) -> list[Effect]:
-        """Does what is due; called every MAX_TICK_INTERVAL_S. Effects: Send."""
+        """Subscribe, request missing entries and serve subscribers where that is due.
+
+        It has to be called at least every MAX_TICK_INTERVAL_S. Returns Send effects.
+        """
         effects = self._subscription.tick(now, 0)
         return effects + self._feed.tick(now, self.confirmed_until(now))
 
     def receive(self, packet: Packet, now: float) -> list[Effect]:
-        """Takes one packet as `codec` decoded it, of a replica or of a router. Effects: Send."""
+        """Process one packet of a replica or a router that `codec` has decoded; return Send effects."""
         if packet.sender not in self._replicas:
             return list(self._feed.receive(packet, now, self.confirmed_until(now)))
         sends: list[Effect] = []
@@ -48,14 +59,15 @@
         return sends
 
     def confirmed_until(self, now: float) -> float | None:
-        """The time, by this clock, such that each change that a majority had before it is in this log.
+        """Return the time until which every change that a majority of the replicas committed is in this log.
 
-        None while the replicas' logs are seen to differ, -inf where nothing is known.
+        The time is read from this process's clock. It is None while the replicas' logs differ, and -inf while no such
+        time is known.
         """
         return None if self._subscription.is_disputed(now) else self._subscription.confirmed_until()
 
     def rows(self, now: float) -> list[SubscriberRow]:
-        """The subscribers, for an operator."""
+        """Return a row for each subscriber, as operators see it."""
         return self._feed.rows(now)
 
     def _append(self, entry: Entry, now: float) -> None:
--- a/wickhinge/changelog/relay_endpoint.py
+++ b/wickhinge/changelog/relay_endpoint.py
@@ -1,4 +1,4 @@
-"""A relay on its socket."""
+"""Endpoint of a relay: its state machine on a UDP socket."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class RelayEndpoint(Endpoint):
-    """A relay. `config.peers` are the replicas; routers' addresses are learned."""
+    """Endpoint of a relay. `config.peers` holds the replicas; addresses of routers are learned from their packets."""
 
     state_machine: Relay
 
--- a/wickhinge/changelog/settings_table.py
+++ b/wickhinge/changelog/settings_table.py
@@ -1,7 +1,7 @@
-"""The settings that the change log has put in force at a router, and who is notified of each. No I/O.
+"""Table of the settings that a router has received through the change log. It does no I/O.
 
-A value that does not fit is refused by name, and what was in force before stays in force. A name that this version
-does not know is stored and shown, so that an operator sees that it came here.
+A setting with an invalid value is refused and logged with its name, and the previous value stays in force. A setting
+whose name this version does not know is stored and shown, so that an operator sees that it has reached the router.
 """
 
 from __future__ import annotations
@@ -16,19 +16,19 @@
 from wickhinge.common.log_event import LogEvent
 from wickhinge.fields import MalformedError, parse_host_port
 
-JOURNAL_SETTING = "journal"
+JOURNAL_SETTING = "journal"  # Address of the discovery service that the router watches.
 
 
 class SettingState(Enum):
-    """Whether a setting took effect. The values are those of the log lines and of `report`."""
+    """Whether a setting took effect. The values are written to log lines and to the router's report."""
 
     IN_FORCE = "in force"
-    UNKNOWN = "unknown"  # no part of this version has such a setting
+    UNKNOWN = "unknown"  # This version has no setting of that name.
     REFUSED = "refused"
 
 
 class SettingRow(msgspec.Struct, frozen=True):
-    """One setting as the log has it. `reason`: where it is refused."""
+    """One setting with its state. `reason` says why a refused setting was refused, and is "" for the others."""
 
     name: str
     value: bytes
@@ -38,37 +38,53 @@
 
 
 def parse_address(value: bytes) -> tuple[str, int]:
-    """An IPv4 address and a port. Raises MalformedError."""
+    """Parse an IPv4 address and a port.
+
+    Raises:
+        MalformedError: The value is not an address with a port.
+    """
     address = parse_host_port(value.decode("utf-8", "replace"))
     if address is None:
-        raise MalformedError(f"{value[:60]!r} is not an address as 127.0.0.1:10080")
+        raise MalformedError(f"{value[:60]!r} is not an address with a port, for example 127.0.0.1:10080")
     return address
 
 
-PARSERS: dict[str, Callable[[bytes], Any]] = {JOURNAL_SETTING: parse_address}  # raise MalformedError
+# Parsers by name of the setting. A parser raises MalformedError if the value is invalid.
+PARSERS: dict[str, Callable[[bytes], Any]] = {JOURNAL_SETTING: parse_address}
 
 
 def check_setting_value(name: str, value: bytes) -> None:
-    """Called before a setting is proposed. Raises MalformedError for a known name whose value does not fit."""
+    """Check the value of a setting before it is proposed; any value is valid for an unknown name.
+
+    Raises:
+        MalformedError: The name is known and the value is invalid.
+    """
     if name in PARSERS:
         PARSERS[name](value)
 
 
 class SettingsTable:
-    """The settings by name, in `rows`. `subscribe` is called first, then `put` and `replace` as the log goes on."""
+    """Settings of a router by name.
+
+    Handlers are set before the first setting is applied.
+
+    Attributes:
+        rows: Latest setting of each name, with its state.
+    """
 
     def __init__(self, log: LogEvent) -> None:
+        """Create an empty table that logs each applied setting with `log`."""
         self._log = log
-        self._subscribers: dict[str, Callable[[Any], None]] = {}
+        self._handlers: dict[str, Callable[[Any], None]] = {}
         self.rows: dict[str, SettingRow] = {}
 
-    def set_handler(self, name: str, apply: Callable[[Any], None]) -> None:
-        """Has `apply` called with each new value, as parsed; it may raise MalformedError to refuse the value."""
-        self._subscribers[name] = apply
+    def set_handler(self, name: str, handler: Callable[[Any], None]) -> None:
+        """Set the function that is called with each new parsed value; it may raise MalformedError to refuse a value."""
+        self._handlers[name] = handler
 
     def apply_setting(self, setting: Setting) -> SettingRow:
-        """Applies and logs one setting."""
-        row = self._row(setting)
+        """Apply and log one setting; return its row."""
+        row = self._apply_value(setting)
         self.rows[setting.name] = row
         event = "changelog_setting" if row.state is SettingState.IN_FORCE else "changelog_setting_ignored"
         value = setting.value[:100].decode("utf-8", "replace")
@@ -76,9 +92,10 @@
         return row
 
     def replace_all(self, settings: tuple[Setting, ...]) -> None:
-        """Applies the complete settings of a snapshot.
+        """Apply the settings of a snapshot, which is the complete list of settings.
 
-        What it no longer holds is no longer shown, and stays in force until another value comes or the router restarts.
+        A setting that the list does not contain is removed from `rows`. Its value stays in force until another value is
+        applied or the router restarts.
         """
         names = {setting.name for setting in settings}
         for name in [name for name in self.rows if name not in names]:
@@ -89,12 +106,12 @@
             if previous is None or (previous.value, previous.stamp_ms) != (setting.value, setting.stamp_ms):
                 self.apply_setting(setting)
 
-    def _row(self, setting: Setting) -> SettingRow:
-        apply = self._subscribers.get(setting.name)
-        if apply is None:
+    def _apply_value(self, setting: Setting) -> SettingRow:
+        handler = self._handlers.get(setting.name)
+        if handler is None:
             return SettingRow(setting.name, setting.value, setting.stamp_ms, SettingState.UNKNOWN)
         try:
-            apply(PARSERS[setting.name](setting.value))
+            handler(PARSERS[setting.name](setting.value))
         except MalformedError as fault:
             return SettingRow(setting.name, setting.value, setting.stamp_ms, SettingState.REFUSED, str(fault))
         return SettingRow(setting.name, setting.value, setting.stamp_ms, SettingState.IN_FORCE)
--- a/wickhinge/changelog/sources.py
+++ b/wickhinge/changelog/sources.py
@@ -1,4 +1,4 @@
-"""Chooses, from an ordered list, the source that a follower follows and a secondary one that it compares with."""
+"""Choice of the source that is followed and of a secondary source whose heartbeats are compared with it."""
 
 from __future__ import annotations
 
@@ -7,26 +7,27 @@
 from wickhinge.changelog.messages import OLDEST_FORMAT
 from wickhinge.changelog.settings import FollowSettings
 
-NEVER = float("-inf")
-BAN_DURATION_S = 60.0  # a source whose log was found wrong is not followed for so long
+NEVER = float("-inf")  # A time before every reading of the clock.
+BAN_DURATION_S = 60.0  # Time for which a source whose log contradicted a majority is not followed.
 
 
 class Source:
-    """What is known of one source.
+    """State of one source, as far as its packets show it.
 
     Attributes:
-        name: The process's name.
-        received_at: A time before which its last packet was not sent.
-        received_since: Since when packets have come without a gap of `source_timeout_s`.
-        newest_format: The newest wire format that it reads.
-        head: The highest number that it is known to have.
-        confirmed_until: Its log is known to be complete until this time.
-        banned_until: It is not followed before this time.
+        name: Process name of the source.
+        received_at: Earliest time at which the latest packet of the source can have been sent.
+        received_since: Start of the latest run of packets without a gap over `source_timeout_s`.
+        newest_format: Newest wire format that the source reads.
+        head: Highest sequence number that the source's log is known to hold.
+        confirmed_until: Time until which the source's log is known to be complete.
+        banned_until: Time before which the source is not followed.
     """
 
     __slots__ = ("name", "received_at", "received_since", "newest_format", "head", "confirmed_until", "banned_until")
 
     def __init__(self, name: str) -> None:
+        """Create the state of a source that has sent nothing."""
         self.name = name
         self.received_at = self.received_since = NEVER
         self.newest_format = OLDEST_FORMAT
@@ -35,134 +36,166 @@
         self.banned_until = NEVER
 
     def record_packet(self, sent_after: float, newest_format: int, timeout_s: float) -> None:
-        """Notes a packet that was sent at `sent_after` or later; a gap over `timeout_s` starts a new run of packets."""
+        """Record a packet that was sent at `sent_after` or later.
+
+        A gap over `timeout_s` since the previous packet starts a new run of packets.
+        """
         if sent_after - self.received_at > timeout_s:
             self.received_since = sent_after
         self.received_at = max(self.received_at, sent_after)
         self.newest_format = newest_format
 
     def record_progress(self, head: int, confirmed_until: float | None) -> None:
-        """Notes how far the source's log goes, and until when it says that it is complete (None: it does not say)."""
+        """Record the last sequence number of the source's log, and the time until which the log is complete.
+
+        The time is None if the source does not report it.
+        """
         self.head = max(self.head, head)
         if confirmed_until is not None:
             self.confirmed_until = max(self.confirmed_until, confirmed_until)
 
     def ban(self, now: float) -> None:
-        """Keeps the source from being followed for BAN_DURATION_S."""
+        """Exclude the source from being followed for BAN_DURATION_S."""
         self.banned_until = now + BAN_DURATION_S
 
     def is_usable(self, now: float) -> bool:
-        """Whether the source may be followed."""
+        """Return whether the source may be followed, which a ban forbids."""
         return now >= self.banned_until
 
 
 class Sources:
-    """The source that is followed (`current`) and the one whose heartbeats are compared with it (`secondary`).
+    """All sources, with the current and the secondary one.
 
-    `names` are in order of preference, each once. `random_fraction()` gives numbers in [0, 1). Times are those of the
-    process's clock, in seconds. Raises ValueError where `names` is empty or holds a name twice.
+    Times are read from the process's clock, in seconds.
+
+    Attributes:
+        by_name: All sources by process name.
+        current: Source that is followed.
+        secondary: Source whose heartbeats are compared with those of the current source; None if there is one source.
     """
 
     def __init__(
         self, names: Sequence[str], settings: FollowSettings, random_fraction: Callable[[], float], now: float
     ) -> None:
+        """Follow the first source, with the second one as the secondary.
+
+        Args:
+            names: Names of the sources in order of preference.
+            settings: Intervals and timeouts.
+            random_fraction: Returns a random number in [0, 1).
+            now: Present time.
+
+        Raises:
+            ValueError: `names` is empty or holds a name twice.
+        """
         if not names or len(set(names)) != len(names):
-            raise ValueError(f"expected source names, each once, not {list(names)}")
+            raise ValueError(f"sources: expected at least one name and no duplicates, got {list(names)}")
         self.by_name = {name: Source(name) for name in names}
-        self._order = list(names)
+        self._preference_order = list(names)
         self._settings, self._random_fraction = settings, random_fraction
         self.current = self.by_name[names[0]]
         self.secondary = self.by_name[names[1]] if len(names) > 1 else None
         self._followed_since = self._secondary_since = now
-        self._lag: tuple[int, float] | None = None  # a head that the secondary had and the current had not, and since
+        # Head that the secondary source had and the current one had not, with the time at which this was first seen.
+        # None while the current source does not lag.
+        self._observed_lag: tuple[int, float] | None = None
 
     def forget_heads(self) -> None:
-        """Drops all heads: with a new epoch, numbers have another meaning."""
+        """Reset the heads of all sources, as sequence numbers of a former epoch cannot be compared with new ones."""
         for source in self.by_name.values():
             source.head = 0
-        self._lag = None
+        self._observed_lag = None
 
     def recently_received(self, now: float, within_s: float) -> list[str]:
-        """The names of the sources from which a packet came within the last `within_s`."""
+        """Return the names of the sources whose latest packet was sent within the last `within_s`."""
         return [name for name, source in self.by_name.items() if now - source.received_at <= within_s]
 
     def follow(self, name: str, now: float) -> None:
-        """Makes the named source the current one."""
+        """Make the source `name` the current one."""
         self.current = self.by_name[name]
         self._followed_since = now
-        self._lag = None
+        self._observed_lag = None
         if self.secondary is self.current:
             self._choose_next_secondary(self.current, now)
 
     @property
-    def is_confirmed(self) -> bool:
-        """Whether a packet of the current source came since it was chosen."""
+    def has_current_answered(self) -> bool:
+        """Whether the current source has sent a packet since it became the current one."""
         return self.current.received_at >= self._followed_since
 
     def restart_timeouts(self, now: float) -> None:
-        """Restarts all timeouts after this process stood still: the silence meanwhile is no source's fault."""
+        """Restart all timeouts after this process was suspended, as no source caused the silence meanwhile."""
         self._followed_since = self._secondary_since = now
-        self._lag = None
+        self._observed_lag = None
+
+    def update_current(self, now: float) -> bool:
+        """Replace the current source if it is silent, banned or lagging, or if a preferred source is back.
 
-    def choose(self, now: float) -> bool:
-        """Leaves a silent, banned or lagging source; returns whether another one is followed from now on."""
+        The secondary source is replaced, too, if that is due. Returns whether the current source has changed.
+        """
         previous = self.current
         if self._is_silent(self.current, self._followed_since, now) or not self.current.is_usable(now):
-            self.follow(self._replacement(now), now)
+            self.follow(self._replacement_name(now), now)
         elif self.secondary is not None and (
-            self._is_behind(self.secondary, now) or self._prefers(self.secondary, now)
+            self._is_current_behind(self.secondary, now) or self._should_return_to(self.secondary, now)
         ):
             self.follow(self.secondary.name, now)
         if self.secondary is not None:
-            self._rotate_secondary(self.secondary, now)
+            self._replace_secondary_if_due(self.secondary, now)
         return self.current is not previous
 
     def _is_silent(self, source: Source, since: float, now: float) -> bool:
         return now - max(source.received_at, since) > self._settings.source_timeout_s
 
-    def _is_receiving(self, source: Source, now: float) -> bool:
+    def _has_recent_packet(self, source: Source, now: float) -> bool:
         return now - source.received_at <= self._settings.source_timeout_s
 
-    def _replacement(self, now: float) -> str:
-        """The secondary where packets come from it, else the next in the list."""
+    def _replacement_name(self, now: float) -> str:
+        """Return the secondary source's name if that is usable and sends packets, else the next usable name."""
         secondary = self.secondary
-        if secondary is not None and secondary.is_usable(now) and self._is_receiving(secondary, now):
+        if secondary is not None and secondary.is_usable(now) and self._has_recent_packet(secondary, now):
             return secondary.name
-        return self._next_after(self.current.name, now)
+        return self._next_usable_name(self.current.name, now)
 
-    def _next_after(self, name: str, now: float) -> str:
-        place = self._order.index(name)
-        following = self._order[place + 1 :] + self._order[: place + 1]
+    def _next_usable_name(self, name: str, now: float) -> str:
+        place = self._preference_order.index(name)
+        following = self._preference_order[place + 1 :] + self._preference_order[: place + 1]
         return next((other for other in following if self.by_name[other].is_usable(now)), following[0])
 
-    def _is_behind(self, secondary: Source, now: float) -> bool:
-        """Whether the current source is behind the secondary.
+    def _is_current_behind(self, secondary: Source, now: float) -> bool:
+        """Return whether the current source lags behind the secondary one by more than `max_lag_s`.
 
-        It is where the secondary's head has been ahead for longer than `max_lag_s`, or its knowledge is younger by so
-        much.
+        It does if the secondary's head has been ahead for longer than `max_lag_s`, or if the secondary's log is
+        complete until a time that is more than `max_lag_s` later.
         """
         current, max_lag_s = self.current, self._settings.max_lag_s
-        if not secondary.is_usable(now) or not self._is_receiving(secondary, now):
-            self._lag = None
+        if not secondary.is_usable(now) or not self._has_recent_packet(secondary, now):
+            self._observed_lag = None
             return False
-        if self._lag is not None and current.head >= self._lag[0]:
-            self._lag = None
-        if self._lag is None and secondary.head > current.head:
-            self._lag = secondary.head, now
-        if self._lag is not None and now - self._lag[1] > max_lag_s:
+        if self._observed_lag is not None and current.head >= self._observed_lag[0]:
+            self._observed_lag = None
+        if self._observed_lag is None and secondary.head > current.head:
+            self._observed_lag = secondary.head, now
+        if self._observed_lag is not None and now - self._observed_lag[1] > max_lag_s:
             return True
-        has_settled = now - self._followed_since > self._settings.source_timeout_s
-        return has_settled and secondary.confirmed_until - current.confirmed_until > max_lag_s
+        is_past_first_timeout = now - self._followed_since > self._settings.source_timeout_s
+        return is_past_first_timeout and secondary.confirmed_until - current.confirmed_until > max_lag_s
+
+    def _should_return_to(self, secondary: Source, now: float) -> bool:
+        """Return whether the secondary source precedes the current one in the order of preference and is steady again.
 
-    def _prefers(self, secondary: Source, now: float) -> bool:
-        """Whether the secondary stands earlier in the list and has been well for `return_delay_s`."""
+        It is steady if its packets have come without a gap for `return_delay_s`. The current source has to have been
+        followed for as long, so that the current source does not change too often.
+        """
         return_delay_s = self._settings.return_delay_s
-        if self._order.index(secondary.name) > self._order.index(self.current.name) or not secondary.is_usable(now):
+        if self._preference_order.index(secondary.name) > self._preference_order.index(
+            self.current.name
+        ) or not secondary.is_usable(now):
             return False
-        is_steady = self._is_receiving(secondary, now) and now - secondary.received_since >= return_delay_s
+        is_steady = self._has_recent_packet(secondary, now) and now - secondary.received_since >= return_delay_s
         return is_steady and secondary.head >= self.current.head and now - self._followed_since >= return_delay_s
 
-    def _rotate_secondary(self, secondary: Source, now: float) -> None:
+    def _replace_secondary_if_due(self, secondary: Source, now: float) -> None:
         waited_s = now - self._secondary_since
         is_silent = self._is_silent(secondary, self._secondary_since, now)
         rotation_s = self._settings.secondary_rotation_s
@@ -170,9 +203,9 @@
             self._choose_next_secondary(secondary, now)
 
     def _choose_next_secondary(self, secondary: Source, now: float) -> None:
-        following = self._next_after(secondary.name, now)
+        following = self._next_usable_name(secondary.name, now)
         if following == self.current.name:
-            following = self._next_after(following, now)
+            following = self._next_usable_name(following, now)
         self.secondary = self.by_name[following]
         self._secondary_since = now
-        self._lag = None
+        self._observed_lag = None
