--- a/tests/changelog/conftest.py
+++ b/tests/changelog/conftest.py
@@ -1,8 +1,8 @@
 import pytest
 
-from tests.support.changelog_endpoints import Sockets
+from tests.support.changelog_endpoints import FakeReactor
 
 
 @pytest.fixture
-def sockets():
-    return Sockets()
+def reactor():
+    return FakeReactor()
--- a/tests/changelog/test_administration.py
+++ b/tests/changelog/test_administration.py
@@ -1,15 +1,15 @@
-"""The change log: what an operator asks a replica or a relay."""
+"""Administration of replicas and relays: an operator's requests."""
 
 import msgspec
 import pytest
 
 from tests.support.changelog_endpoints import (
+    ADDRESS_B,
     NEXT_KEY,
     REPLICAS,
-    THERE,
     entry,
-    relay_endpoint,
-    replica_endpoint,
+    start_relay_endpoint,
+    start_replica_endpoint,
 )
 from tests.support.changelog_log import KEY
 from wickhinge.changelog.administration import (
@@ -31,72 +31,72 @@
 
 
 class Leader:
-    """A replica node that takes proposals when told so."""
+    """Replica endpoint with its administration, which accepts proposals after `accept_proposals`."""
 
-    def __init__(self, sockets):
-        self.node = replica_endpoint(sockets, MemoryStorage())
-        self.desk = Administration(self.node, [KEY], 0.5, wall_clock=lambda: 1000.0)
-        self.proposed = []
+    def __init__(self, reactor):
+        self.endpoint = start_replica_endpoint(reactor, MemoryStorage())
+        self.administration = Administration(self.endpoint, [KEY], 0.5, wall_clock=lambda: 1000.0)
+        self.proposed_changes = []
 
-    def lead(self):
+    def accept_proposals(self):
         def propose(change, now):
-            self.proposed.append(change)
-            return [Accepted(len(self.proposed), 1)]
+            self.proposed_changes.append(change)
+            return [Accepted(len(self.proposed_changes), 1)]
 
-        self.node.state_machine.propose = propose
+        self.endpoint.state_machine.propose = propose
 
-    def ask(self, word, more=b"", address=THERE, key=KEY):
-        """As a command does: the first answer is the cookie."""
-        asking = StatusClient(key, "a", 7, word, more)
+    def send_request(self, command, payload=b"", address=ADDRESS_B, key=KEY):
+        """Send a request twice as the command line does: the first answer is the cookie, the second one the result."""
+        client = StatusClient(key, "a", 7, command, payload)
         for _ in range(2):
-            before = len(self.node.reactor.sent)
-            self.node.datagramReceived(asking.datagram(), address)
-            for data, to in self.node.reactor.sent[before:]:
+            sent_count = len(self.endpoint.reactor.sent_datagrams)
+            self.endpoint.datagramReceived(client.datagram(), address)
+            for data, to in self.endpoint.reactor.sent_datagrams[sent_count:]:
                 assert to == address
-                asking.receive(data)
-        return asking.answer()
+                client.receive(data)
+        return client.answer()
 
     def append(self, change, request_id=b"i" * 16):
-        more = msgspec.msgpack.encode(AppendRequest(request_id, encode_change(change)))
-        return msgspec.json.decode(self.ask(APPEND_COMMAND, more), type=AppendAnswer)
+        payload = msgspec.msgpack.encode(AppendRequest(request_id, encode_change(change)))
+        return msgspec.json.decode(self.send_request(APPEND_COMMAND, payload), type=AppendAnswer)
 
 
 @pytest.fixture
-def leader(sockets):
-    return Leader(sockets)
+def leader(reactor):
+    return Leader(reactor)
 
 
-def test_append_when_asked_again_with_the_same_id_appends_once(leader):
-    leader.lead()
+def test_append_when_repeated_with_the_same_id_appends_once(leader):
+    leader.accept_proposals()
     change = Purge(5, 0, 0)
     assert leader.append(change).state is AppendState.WAITING
     assert leader.append(change).state is AppendState.WAITING
-    assert leader.proposed == [Purge(5, 0, 1_000_000)]  # stamped by the leader
-    leader.node.perform_role_effect(Committed((entry(1, leader.proposed[0]),)))
+    assert leader.proposed_changes == [Purge(5, 0, 1_000_000)]  # The leader has set the stamp.
+    leader.endpoint.perform_role_effect(Committed((entry(1, leader.proposed_changes[0]),)))
     answer = leader.append(change)
     assert (answer.state, answer.number, answer.stamp_ms) == (AppendState.COMMITTED, 1, 1_000_000)
     leader.append(change, b"j" * 16)
-    assert len(leader.proposed) == 2
+    assert len(leader.proposed_changes) == 2
 
 
-def test_append_when_not_committed_in_time_has_failed(leader, sockets):
-    leader.lead()
+def test_append_when_not_committed_in_time_has_failed(leader, reactor):
+    leader.accept_proposals()
     leader.append(Purge(5, 0, 0))
-    sockets.run(0.6)
+    reactor.run(0.6)
     assert leader.append(Purge(5, 0, 0)).state is AppendState.FAILED
 
 
-def test_append_when_asked_of_another_replica_names_the_leader(leader):
+def test_append_when_sent_to_another_replica_names_the_leader(leader):
     def refuse(change, now):
         raise NotLeaderError("b")
 
-    leader.node.state_machine.propose = refuse
+    leader.endpoint.state_machine.propose = refuse
     answer = leader.append(Purge(5, 0, 0))
     assert (answer.state, answer.leader) == (AppendState.NOT_LEADER, "b")
 
 
 @pytest.mark.parametrize(
-    "more",
+    "payload",
     [
         b"",
         b"\xff",
@@ -104,31 +104,31 @@
         msgspec.msgpack.encode((b"i" * 16, b"\x07")),
     ],
 )
-def test_append_when_malformed_is_refused(leader, more):
-    leader.lead()
-    answer = msgspec.json.decode(leader.ask(APPEND_COMMAND, more), type=AppendAnswer)
-    assert answer.state is AppendState.REFUSED and answer.reason and not leader.proposed
+def test_append_when_malformed_is_refused(leader, payload):
+    leader.accept_proposals()
+    answer = msgspec.json.decode(leader.send_request(APPEND_COMMAND, payload), type=AppendAnswer)
+    assert answer.state is AppendState.REFUSED and answer.reason and not leader.proposed_changes
 
 
-def test_question_when_under_another_key_or_without_the_cookie_does_nothing(leader):
-    leader.lead()
-    assert leader.ask(STATUS_COMMAND, key=NEXT_KEY) is None
-    more = msgspec.msgpack.encode(AppendRequest(b"i" * 16, encode_change(Purge(5, 0, 0))))
-    asking = StatusClient(KEY, "a", 7, APPEND_COMMAND, more)
-    leader.node.datagramReceived(asking.datagram(), THERE)
-    assert leader.proposed == []
+def test_request_when_under_another_key_or_without_the_cookie_does_nothing(leader):
+    leader.accept_proposals()
+    assert leader.send_request(STATUS_COMMAND, key=NEXT_KEY) is None
+    payload = msgspec.msgpack.encode(AppendRequest(b"i" * 16, encode_change(Purge(5, 0, 0))))
+    client = StatusClient(KEY, "a", 7, APPEND_COMMAND, payload)
+    leader.endpoint.datagramReceived(client.datagram(), ADDRESS_B)
+    assert leader.proposed_changes == []
 
 
-def test_status_and_rows_when_asked_describe_the_replica(leader):
-    status = msgspec.json.decode(leader.ask(STATUS_COMMAND), type=Status)
+def test_status_and_rows_when_requested_describe_the_replica(leader):
+    status = msgspec.json.decode(leader.send_request(STATUS_COMMAND), type=Status)
     assert (status.name, status.role, status.state, status.age_s) == ("a", "replica", "follower", None)
     for first in (b"0", b"5", b"-3"):
-        page = msgspec.msgpack.decode(leader.ask(ROWS_COMMAND, first), type=RowsPage)
+        page = msgspec.msgpack.decode(leader.send_request(ROWS_COMMAND, first), type=RowsPage)
         assert (page.total, page.rows) == (0, [])
-    assert b"error" in leader.ask(ROWS_COMMAND, b"x")
+    assert b"error" in leader.send_request(ROWS_COMMAND, b"x")
 
 
-def test_relay_when_asked_to_append_has_no_such_word(sockets):
-    node = relay_endpoint(sockets)
-    desk = Administration(node, [KEY], 0.5)
-    assert APPEND_COMMAND not in desk._servers[0].command_names and desk.status().source in REPLICAS
+def test_relay_when_started_has_no_append_command(reactor):
+    endpoint = start_relay_endpoint(reactor)
+    administration = Administration(endpoint, [KEY], 0.5)
+    assert APPEND_COMMAND not in administration._servers[0].command_names and administration.status().source in REPLICAS
--- a/tests/changelog/test_daemon_signals.py
+++ b/tests/changelog/test_daemon_signals.py
@@ -1,8 +1,8 @@
-"""A relay under signals and half-written files: the same faults as the router's, beside the listed ones.
+"""Process of a relay under signals, with partly written files and an address in use.
 
-What was seen before: SIGHUP and SIGTERM before the relay's handlers stood ended it with exit -1 and -15, one reload met
-by a half-written file was logged as `changelog_reload_failed` and forgotten, and an address that another socket held
-ended its start with exit code 2.
+The tests guard against three faults. SIGHUP and SIGTERM that arrived before the handlers were installed ended the
+relay with the exit codes -1 and -15. A reload that met a partly written file was logged as `changelog_reload_failed`
+and never repeated. An address that another socket held ended the start with exit code 2.
 """
 
 import signal
@@ -21,87 +21,87 @@
 
 class Relay:
     def __init__(self, folder):
-        self.path, self.key = folder / "own.cue", folder / "key"
-        self.key.write_text(KEY)
+        self.options_path, self.key_path = folder / "own.cue", folder / "key"
+        self.key_path.write_text(KEY)
         self.address = ("127.0.0.1", free(1))
         self.process = None
 
-    def text(self):
+    def options_text(self):
         return (
             "changelog: {\n"
-            f'\tkey_file: "{self.key}"\n'
+            f'\tkey_file: "{self.key_path}"\n'
             '\treplicas: [{name: "replica-1", address: "127.0.0.1:9"}]\n'
             f'\trelays: [{{name: "relay-1", address: "127.0.0.1:{self.address[1]}"}}]\n'
             "}\n"
         )
 
-    def launch(self):
+    def spawn(self):
         self.process = Process(
-            "-m", "wickhinge", "changelog", "relay", "--options", str(self.path), "--name", "relay-1"
+            "-m", "wickhinge", "changelog", "relay", "--options", str(self.options_path), "--name", "relay-1"
         )
 
-    def open(self):
-        self.path.write_text(self.text())
-        self.launch()
+    def start(self):
+        self.options_path.write_text(self.options_text())
+        self.spawn()
         self.process.wait('"event":"changelog_start"')
 
     def handles_signals(self):
-        """Whether its first lines have run."""
+        """Return whether the process catches SIGHUP, which its first lines arrange."""
         status = Path(f"/proc/{self.process.child.pid}/status").read_text()
         caught = int(status.split("SigCgt:")[1].split()[0], 16)
         return bool(caught >> (signal.SIGHUP - 1) & 1)
 
-    def signal(self, number):
+    def send_signal(self, number):
         self.process.child.send_signal(number)
 
 
 @pytest.fixture
 def relay(tmp_path):
-    made = Relay(tmp_path)
-    yield made
-    if made.process is not None:
-        made.process.close()
+    relay = Relay(tmp_path)
+    yield relay
+    if relay.process is not None:
+        relay.process.close()
 
 
-@pytest.mark.parametrize("state", ["absent", "cut off", "key"])
-def test_a_reload_is_done_when_the_files_are_whole_again(relay, state):
-    relay.open()
+@pytest.mark.parametrize("state", ["absent", "truncated", "empty key"])
+def test_reload_when_a_file_is_incomplete_is_repeated_until_it_is_complete(relay, state):
+    relay.start()
     if state == "absent":
-        relay.path.unlink()
-    elif state == "cut off":
-        relay.path.write_text(relay.text()[:-40])
+        relay.options_path.unlink()
+    elif state == "truncated":
+        relay.options_path.write_text(relay.options_text()[:-40])
     else:
-        relay.key.write_text("")
-    relay.signal(signal.SIGHUP)
+        relay.key_path.write_text("")
+    relay.send_signal(signal.SIGHUP)
     relay.process.wait('"event":"changelog_reload_failed"')
     time.sleep(0.3)
-    relay.key.write_text(OTHER_KEY)
-    relay.path.write_text(relay.text())
+    relay.key_path.write_text(OTHER_KEY)
+    relay.options_path.write_text(relay.options_text())
     assert '"keys":1' in relay.process.wait('"event":"changelog_reload"')
 
 
-def test_a_start_waits_for_its_address_and_its_settings(relay):
-    with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as holder:
-        holder.bind(relay.address)
-        relay.path.write_text(relay.text()[:-40])
-        relay.launch()
+def test_start_when_the_address_is_in_use_and_the_settings_are_incomplete_waits(relay):
+    with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as other_socket:
+        other_socket.bind(relay.address)
+        relay.options_path.write_text(relay.options_text()[:-40])
+        relay.spawn()
         time.sleep(1.0)
-        relay.path.write_text(relay.text())
+        relay.options_path.write_text(relay.options_text())
         time.sleep(1.0)
     relay.process.wait('"event":"changelog_start"')
 
 
-def test_signals_at_any_moment_leave_exit_code_zero(relay):
-    relay.path.write_text(relay.text())
+def test_signals_when_sent_at_any_moment_lead_to_exit_code_zero(relay):
+    relay.options_path.write_text(relay.options_text())
     for delay_s in (0.0, 0.1, 0.2, 0.5):
-        relay.launch()
+        relay.spawn()
         wait_until(relay.handles_signals)
         time.sleep(delay_s)
-        relay.signal(signal.SIGHUP)
+        relay.send_signal(signal.SIGHUP)
         time.sleep(0.02)
-        relay.signal(signal.SIGTERM)
+        relay.send_signal(signal.SIGTERM)
         while relay.process.child.poll() is None:
-            relay.signal(signal.SIGHUP)
-            relay.signal(signal.SIGTERM)
+            relay.send_signal(signal.SIGHUP)
+            relay.send_signal(signal.SIGTERM)
             time.sleep(0.001)
         assert relay.process.child.wait(PATIENT) == 0
--- a/tests/changelog/test_feed.py
+++ b/tests/changelog/test_feed.py
@@ -1,4 +1,4 @@
-"""The change log: what relays and replicas send to their subscribers."""
+"""Feed of the change log: messages that relays and replicas send to their subscribers."""
 
 import msgspec
 
@@ -25,13 +25,13 @@
     return [send.packet.message for send in feed.receive(Packet(name, 1, 2, 78, 0, 0, message), now, now)]
 
 
-def feed_of(log, now=100.0, **changes):
+def make_feed(log, now=100.0, **changes):
     return Feed(context("r0"), log, msgspec.structs.replace(FeedSettings(), **changes), now)
 
 
-def test_feed_when_entries_are_new_shares_one_batch_and_sends_others_heartbeats():
+def test_feed_when_entries_are_new_sends_one_shared_batch_and_otherwise_heartbeats():
     log = log_of(3)
-    feed = feed_of(log)
+    feed = make_feed(log)
     for name, heartbeats_only, newest in (("f0", False, 2), ("f1", False, 1), ("f2", True, 2)):
         [answer] = subscribe(feed, name, 100.0, 3, heartbeats_only, newest)
         assert isinstance(answer.packet.message, messages.Heartbeat) and answer.packet.echo == 77
@@ -44,16 +44,16 @@
     ]
     batch = sends[0].packet.message
     assert batch is sends[1].packet.message and (batch.first, len(batch.entries), batch.age_ms) == (4, 1, 150)
-    [beat, _] = feed.tick(100.9, 100.8)
-    assert isinstance(beat.packet.message, messages.Heartbeat) and beat.packet.message.digest == log.digest
+    [heartbeat, _] = feed.tick(100.9, 100.8)
+    assert isinstance(heartbeat.packet.message, messages.Heartbeat) and heartbeat.packet.message.digest == log.digest
     assert [row.number for row in feed.rows(100.9)] == [3, 3, 3] and feed.rows(100.9)[0].lag == 1
     feed.tick(112.0, 112.0)
     assert feed.rows(112.0) == []
 
 
-def test_feed_when_many_fetch_serves_in_turn_and_within_the_rate():
+def test_feed_when_many_subscribers_fetch_answers_in_turn_within_the_rate_limit():
     log = log_of(1000, retain=1000)
-    feed = feed_of(
+    feed = make_feed(
         log,
         catch_up_bytes_per_s=10_000.0,
         catch_up_burst_bytes=5_000.0,
@@ -63,21 +63,21 @@
     for place in range(20):
         subscribe(feed, f"f{place}", 100.0)
     answers = [fetch(feed, f"f{place}", 100.0, messages.Fetch(1, 1)) for place in range(20)]
-    assert [len(answer) for answer in answers].count(2) == 2  # the burst
+    assert [len(answer) for answer in answers].count(2) == 2  # The burst of the rate limit covers two full answers.
     assert answers[0][1].first == answers[0][0].entries[-1].number + 1
-    served = []
+    sent_batches = []
     for step in range(1, 101):
-        served += [
+        sent_batches += [
             send for send in feed.tick(100.0 + 0.1 * step, None) if isinstance(send.packet.message, messages.Batch)
         ]
-    names = [send.to for send in served]
+    names = [send.to for send in sent_batches]
     assert len(set(names)) == 18 and len(names) == 36
-    bytes_sent = sum(len(encode_message(send.packet.message, 2)) for send in served)
+    bytes_sent = sum(len(encode_message(send.packet.message, 2)) for send in sent_batches)
     assert bytes_sent <= 10_000 * 10 + 5_000
 
 
 def test_fetch_when_no_longer_retained_is_answered_with_a_snapshot():
-    feed = feed_of(log_of(50, retain=10))
+    feed = make_feed(log_of(50, retain=10))
     subscribe(feed, "f0", 100.0)
     for request in (messages.Fetch(1, 40), messages.FetchSnapshot(1, 7, 3)):
         [part, *_] = fetch(feed, "f0", 100.0, request)
@@ -87,30 +87,32 @@
     assert fetch(feed, "stranger", 100.0, messages.Fetch(1, 41)) == []
 
 
-def test_feed_when_without_a_log_sends_nothing_and_bounds_subscribers():
-    feed = feed_of(Log(), max_subscribers=2)
+def test_feed_when_its_log_is_empty_sends_nothing_and_limits_subscribers():
+    feed = make_feed(Log(), max_subscribers=2)
     assert [subscribe(feed, f"f{place}", 100.0, epoch=0) for place in range(3)] == [[], [], []]
     assert len(feed.rows(100.0)) == 2 and feed.refused_subscriptions == 1
     assert feed.tick(101.0, None) == [] and fetch(feed, "f0", 101.0, messages.Fetch(0, 1)) == []
 
 
-def test_router_when_27_purges_a_second_come_receives_under_700_bytes_a_second():
+def test_follower_when_27_purges_arrive_per_second_receives_under_700_bytes_per_second():
     log = log_of(0)
-    first, second = feed_of(log), feed_of(log)
+    first, second = make_feed(log), make_feed(log)
     sender = Codec(KEY, "relay-1")
-    total, seconds, number = 0, 40, 0
-    for step in range(int(seconds / MAX_TICK_INTERVAL_S)):
+    total_bytes, duration_s, number = 0, 40, 0
+    for step in range(int(duration_s / MAX_TICK_INTERVAL_S)):
         now = 100.0 + step * MAX_TICK_INTERVAL_S
         if step % 20 == 0:
             subscribe(first, "router-0001", now)
-            total += sum(size(sender, send) for send in subscribe(second, "router-0001", now, heartbeats_only=True))
+            total_bytes += sum(
+                datagram_size(sender, send) for send in subscribe(second, "router-0001", now, heartbeats_only=True)
+            )
         while number < 27 * (now - 100.0):
             number += 1
             key = number * 0x9E3779B97F4A7C15 % 2**64 if number % 10 else None
             log.append(Entry(1, number, Purge(key, 0 if key else 321, 1_700_000_000_000 + number * 37)), now)
-        total += sum(size(sender, send) for send in first.tick(now, now - 0.2))
-    assert 500 < total / seconds < 700
+        total_bytes += sum(datagram_size(sender, send) for send in first.tick(now, now - 0.2))
+    assert 500 < total_bytes / duration_s < 700
 
 
-def size(sender, send):
+def datagram_size(sender, send):
     return len(sender.encode(send.to, send.packet)) + SIZE_OF_IP_AND_UDP
--- a/tests/changelog/test_router_changes.py
+++ b/tests/changelog/test_router_changes.py
@@ -1,4 +1,4 @@
-"""The change log: what a router does with the changes that it follows."""
+"""Effects of change log entries and snapshots in a router."""
 
 from types import SimpleNamespace
 
@@ -6,7 +6,7 @@
 import pytest
 
 from tests.support.changelog_endpoints import (
-    ON,
+    ENABLED_OPTIONS,
     entry,
 )
 from tests.support.changelog_log import KEY
@@ -21,82 +21,82 @@
 
 
 @pytest.fixture
-def changes(sockets, tmp_path):
+def client(reactor, tmp_path):
     (tmp_path / "key").write_bytes(KEY)
-    options = parse_options(ON.replace("/k", str(tmp_path / "key")) + "}", "x").changelog
-    told = []
+    options = parse_options(ENABLED_OPTIONS.replace("/k", str(tmp_path / "key")) + "}", "x").changelog
+    calls = []
     store = SimpleNamespace(
         record_request=None, find=None, is_valid=None, is_current=lambda copy, now: copy.created > 0
     )
-    node = SimpleNamespace(
-        reactor=sockets,
-        deadlines=SimpleNamespace(call_after=sockets.callLater),
-        log=SimpleNamespace(event=lambda event, **fields: told.append(event)),
+    router = SimpleNamespace(
+        reactor=reactor,
+        deadlines=SimpleNamespace(call_after=reactor.callLater),
+        log=SimpleNamespace(event=lambda event, **fields: calls.append(event)),
         decisions=SimpleNamespace(purges=Purges(6.0)),
         local_copies=LocalCopies(
-            store, None, None, None, 0.1, None, SimpleNamespace(earliest_local_time=lambda made, now: made)
+            store, None, None, None, 0.1, None, SimpleNamespace(earliest_local_time=lambda made_ms, now: made_ms)
         ),
-        attempts=SimpleNamespace(recall_unwritten=lambda holds: told.append(holds)),
-        move_endpoint_watch=lambda address: told.append(address),
+        attempts=SimpleNamespace(recall_unwritten=lambda is_kept: calls.append(is_kept)),
+        move_endpoint_watch=lambda address: calls.append(address),
         updates=SimpleNamespace(
-            purge=lambda *given: told.append(given), record_purge=lambda *given: told.append(given)
+            purge=lambda *arguments: calls.append(arguments), record_purge=lambda *arguments: calls.append(arguments)
         ),
     )
-    made = ChangelogClient(options, "n1", node)
-    made.node, made.told, made.options = node, told, options
-    return made
+    client = ChangelogClient(options, "n1", router)
+    client.router, client.calls, client.options = router, calls, options
+    return client
 
 
-def test_own_copies_when_over_the_limit_are_not_current(changes):
+def test_local_copies_when_over_the_age_limit_are_not_current(client):
     young, old, unproven = (SimpleNamespace(created=created) for created in (999.0, 990.0, 0.0))
-    is_current = changes.node.local_copies.is_current
+    is_current = client.router.local_copies.is_current
     assert [is_current(copy, 1000.0) for copy in (young, old, unproven)] == [True, False, False]
-    changes.follower.max_copy_age_s = lambda grace: None
+    client.follower.max_copy_age_s = lambda grace: None
     assert [is_current(copy, 1000.0) for copy in (young, old, unproven)] == [True, True, False]
 
 
-def test_limit_when_the_time_of_day_differs_is_the_same(changes):
-    purges = changes.node.decisions.purges
+def test_age_limit_when_the_wall_clock_differs_is_the_same(client):
+    purges = client.router.decisions.purges
     assert purges.max_age(1, 0, 0.0) == purges.max_age(1, 0, 2e9) == pytest.approx(0.94 * 6 - 0.001)
 
 
-def test_changes_when_applied_go_where_they_belong_and_others_nowhere(changes):
+def test_changes_when_applied_reach_their_subsystem_and_unknown_ones_are_ignored(client):
     for number, change in enumerate(
         (Noop(), Purge(7, 3, 5), Setting("journal", b"10.0.0.1:7", 1), Unknown(20, False, b""))
     ):
-        changes.follower.perform_role_effect(Apply(entry(number + 1, change)))
-    assert changes.told == [(7, 3, 5, 0), ("10.0.0.1", 7), "changelog_setting"]
+        client.follower.perform_role_effect(Apply(entry(number + 1, change)))
+    assert client.calls == [(7, 3, 5, 0), ("10.0.0.1", 7), "changelog_setting"]
 
 
-def test_snapshot_when_loaded_takes_purges_together_and_overtakes_waiting_forwards(changes):
-    changes.follower.perform_role_effect(Reset(Snapshot(1, 9, b"d" * 8, (), (Purge(7, 3, 5), Purge(None, 4, 6)))))
-    assert changes.told[:2] == [(7, 3, 5, 0), (None, 4, 6, 0)] and changes.told[3] == "changelog_reset"
-    waiting = [
+def test_snapshot_when_loaded_applies_its_purges_and_recalls_unwritten_attempts_once(client):
+    client.follower.perform_role_effect(Reset(Snapshot(1, 9, b"d" * 8, (), (Purge(7, 3, 5), Purge(None, 4, 6)))))
+    assert client.calls[:2] == [(7, 3, 5, 0), (None, 4, 6, 0)] and client.calls[3] == "changelog_reset"
+    unwritten = [
         SimpleNamespace(
-            forward=SimpleNamespace(request=SimpleNamespace(object_count=SimpleNamespace(key=key), group=group))
+            attempt=SimpleNamespace(request=SimpleNamespace(object_count=SimpleNamespace(key=key), group=group))
         )
         for key, group in ((7, 0), (8, 4), (8, 3))
     ]
-    assert [changes.told[2](sent) for sent in waiting] == [False, False, True]
+    assert [client.calls[2](sent) for sent in unwritten] == [False, False, True]
 
 
-def test_waiting_forwards_when_ages_become_limited_are_decided_anew(changes):
-    changes.follower.max_copy_age_s = lambda grace: None
-    changes.follower.after_tick()
-    changes.told.clear()
-    changes.follower.max_copy_age_s = lambda grace: 5.0
-    changes.follower.after_tick()
-    changes.follower.after_tick()
-    holds, event = changes.told
+def test_unwritten_attempts_when_ages_become_limited_are_recalled(client):
+    client.follower.max_copy_age_s = lambda grace: None
+    client.follower.after_tick()
+    client.calls.clear()
+    client.follower.max_copy_age_s = lambda grace: 5.0
+    client.follower.after_tick()
+    client.follower.after_tick()
+    is_kept, event = client.calls
     assert event == "changelog_uninformed"
-    assert not holds(
-        SimpleNamespace(forward=SimpleNamespace(request=SimpleNamespace(request_class=SimpleNamespace(pass_through=0))))
+    assert not is_kept(
+        SimpleNamespace(attempt=SimpleNamespace(request=SimpleNamespace(request_class=SimpleNamespace(pass_through=0))))
     )
 
 
-def test_reload_when_anything_but_keys_changed_is_refused(changes):
-    assert changes.keys_in(changes.options) == [KEY]
+def test_reload_when_an_option_other_than_the_keys_changed_is_refused(client):
+    assert client.keys_in(client.options) == [KEY]
     with pytest.raises(MalformedError, match="changelog.grace_s: changes at a restart only"):
-        changes.keys_in(msgspec.structs.replace(changes.options, grace_s=9.0))
+        client.keys_in(msgspec.structs.replace(client.options, grace_s=9.0))
     with pytest.raises(MalformedError, match="changelog.key_file: /nowhere can't be read"):
-        changes.keys_in(msgspec.structs.replace(changes.options, key_file="/nowhere"))
+        client.keys_in(msgspec.structs.replace(client.options, key_file="/nowhere"))
--- a/tests/changelog/test_settings_table.py
+++ b/tests/changelog/test_settings_table.py
@@ -1,4 +1,4 @@
-"""The change log: settings in force at a router."""
+"""Table of the settings that a router has received through the change log."""
 
 import pytest
 
@@ -9,13 +9,13 @@
 
 @pytest.fixture
 def table():
-    made = SettingsTable(lambda event, **fields: made.told.append((event, fields.get("name"))))
-    made.told, made.addresses = [], []
-    made.set_handler("journal", made.addresses.append)
-    return made
+    table = SettingsTable(lambda event, **fields: table.logged_events.append((event, fields.get("name"))))
+    table.logged_events, table.addresses = [], []
+    table.set_handler("journal", table.addresses.append)
+    return table
 
 
-def test_setting_when_it_does_not_fit_leaves_the_old_one_in_force(table):
+def test_setting_when_its_value_is_invalid_leaves_the_previous_one_in_force(table):
     table.apply_setting(Setting("journal", b"10.0.0.1:7", 1))
     row = table.apply_setting(Setting("journal", b"\xff\xfe:7", 2))
     assert row.state is SettingState.REFUSED and "is not an address" in row.reason
@@ -24,12 +24,12 @@
     assert [name for name in table.rows] == ["journal", "later"]
 
 
-def test_settings_when_a_snapshot_comes_are_applied_where_they_changed(table):
+def test_settings_when_replaced_by_a_snapshot_are_applied_only_if_changed(table):
     table.replace_all((Setting("journal", b"10.0.0.1:7", 1), Setting("later", b"1", 1)))
     table.replace_all((Setting("journal", b"10.0.0.1:7", 1),))
     table.replace_all((Setting("journal", b"10.0.0.1:8", 2),))
     assert table.addresses == [("10.0.0.1", 7), ("10.0.0.1", 8)]
-    assert ("changelog_setting_removed", "later") in table.told and list(table.rows) == ["journal"]
+    assert ("changelog_setting_removed", "later") in table.logged_events and list(table.rows) == ["journal"]
 
 
 def test_check_setting_value_when_the_name_is_known_checks_the_value():
--- a/tests/support/changelog_fleet.py
+++ b/tests/support/changelog_fleet.py
@@ -1,4 +1,4 @@
-"""Replicas, relays and a router as processes, each pair behind a link that can drop, repeat and add datagrams."""
+"""Replicas, relays and a router as processes, connected by links that can drop, repeat and corrupt datagrams."""
 
 import os
 import queue
@@ -24,33 +24,42 @@
 ROUTER = "router"
 PORT = 7000
 BOUND_S, GRACE_S = 2.0, 3.0
-MAX_COPY_AGE_S = 0.94 * GRACE_S  # by the slowest clock
-LONGEST_DATAGRAM = 2000
-IDLE_S = 60.0
-FLIPS = 5
+MAX_COPY_AGE_S = 0.94 * GRACE_S  # The grace by the slowest clock that the change log allows for.
+MAX_DATAGRAM_BYTES = 2000
+CACHE_IDLE_TIMEOUT_S = 60.0
+CORRUPTED_COPIES = 5  # Copies with one inverted bit that a noisy hub sends of each datagram.
 
 
 class Link:
-    """Two sockets: each process sees the other one at the socket that faces it."""
+    """Pair of sockets between two processes.
+
+    Each process sends to its own socket of the link, and gets from there the datagrams of the other process.
+    """
 
     def __init__(self, stack, host, ends):
         self.sockets, self.addresses = {}, dict(ends)
         for name in ends:
-            made = stack.enter_context(socket.socket(socket.AF_INET, socket.SOCK_DGRAM))
-            made.bind((host, 0))
-            made.setblocking(False)
-            self.sockets[name] = made
+            endpoint_socket = stack.enter_context(socket.socket(socket.AF_INET, socket.SOCK_DGRAM))
+            endpoint_socket.bind((host, 0))
+            endpoint_socket.setblocking(False)
+            self.sockets[name] = endpoint_socket
 
-    def other(self, name):
+    def other_end(self, name):
         return next(end for end in self.sockets if end != name)
 
 
 class Hub:
-    """All links in one thread. `cut` holds pairs (from, to) whose datagrams are dropped."""
+    """All links, served by one thread.
+
+    Attributes:
+        cut_pairs: Pairs of a sender and a receiver whose datagrams are dropped.
+        is_noisy: Whether each datagram is also sent twice and in corrupted copies.
+        forwarded_counts: Number of forwarded datagrams by receiver.
+    """
 
     def __init__(self, stack, host):
         self.cut_pairs, self.is_noisy = set(), False
-        self.forwarded_counts = Counter()  # datagrams by receiver
+        self.forwarded_counts = Counter()
         self._stack, self._host, self._links = stack, host, {}
         self._random_fraction = random.Random(5)
         self._selector = selectors.DefaultSelector()
@@ -58,13 +67,13 @@
         self._thread = threading.Thread(target=self._run, daemon=True)
 
     def link(self, ends):
-        made = Link(self._stack, self._host, ends)
-        self._links[frozenset(ends)] = made
+        link = Link(self._stack, self._host, ends)
+        self._links[frozenset(ends)] = link
         for name in ends:
-            self._selector.register(made.sockets[name], selectors.EVENT_READ, (made, name))
+            self._selector.register(link.sockets[name], selectors.EVENT_READ, (link, name))
 
     def address(self, viewer, target):
-        """Where `viewer` finds `target`."""
+        """Return the address of the link from `viewer` to `target`."""
         return self._links[frozenset((viewer, target))].sockets[viewer].getsockname()
 
     def start(self):
@@ -79,23 +88,23 @@
             for key, _ in self._selector.select(0.1):
                 link, name = key.data
                 try:
-                    data, source = key.fileobj.recvfrom(LONGEST_DATAGRAM)
+                    data, source = key.fileobj.recvfrom(MAX_DATAGRAM_BYTES)
                     link.addresses[name] = source
-                    self._pass_on(link, name, link.other(name), data)
+                    self._forward(link, name, link.other_end(name), data)
                 except OSError:
                     continue
 
-    def _pass_on(self, link, sender, receiver, data):
+    def _forward(self, link, sender, receiver, data):
         address = link.addresses[receiver]
         if (sender, receiver) in self.cut_pairs or address is None:
             return
         self.forwarded_counts[receiver] += 1
-        for copy in [data, data, *self._garbage(data)] if self.is_noisy else [data]:
+        for copy in [data, data, *self._corrupted_copies(data)] if self.is_noisy else [data]:
             link.sockets[receiver].sendto(copy, address)
 
-    def _garbage(self, data):
-        """Changed in one bit, most of them where the message is, cut short, and of chance alone."""
-        for _ in range(FLIPS):
+    def _corrupted_copies(self, data):
+        """Yield copies with one inverted bit, a truncated copy, and random bytes."""
+        for _ in range(CORRUPTED_COPIES):
             flipped = bytearray(data)
             flipped[self._random_fraction.randrange(len(data))] ^= 1 << self._random_fraction.randrange(8)
             yield bytes(flipped)
@@ -104,7 +113,7 @@
 
 
 class Fleet:
-    """5 replicas, 2 relays and a router whose journal service and caches are the test's own."""
+    """5 replicas, 2 relays and a router, whose discovery service and caches run in the test."""
 
     def __init__(self, folder, stack):
         self.folder, self.stack, self.processes = folder, stack, {}
@@ -126,30 +135,32 @@
         self.client = Client(load(str(self.operator)).changelog)
 
     def write_options(self, viewer, key="key", also=""):
-        def listed(names):
-            places = {name: self.seen(viewer, name) for name in names}
-            return ", ".join(f'{{name: "{name}", address: "{host}:{port}"}}' for name, (host, port) in places.items())
+        def format_servers(names):
+            addresses = {name: self.address_seen_by(viewer, name) for name in names}
+            return ", ".join(
+                f'{{name: "{name}", address: "{host}:{port}"}}' for name, (host, port) in addresses.items()
+            )
 
         also = f'also_key_file: "{self.folder}/{also}",' if also else ""
-        replicas = "" if viewer == ROUTER else f"replicas: [{listed(REPLICAS)}]"
+        replicas = "" if viewer == ROUTER else f"replicas: [{format_servers(REPLICAS)}]"
         path = self.folder / f"{viewer}.cue"
         path.write_text(
             f'changelog: {{mode: "on", key_file: "{self.folder}/{key}", {also} dir: "{self.folder}/state", {replicas}\n'
-            f"relays: [{listed(RELAYS)}], bound_s: {BOUND_S}, grace_s: {GRACE_S}}}\n"
+            f"relays: [{format_servers(RELAYS)}], bound_s: {BOUND_S}, grace_s: {GRACE_S}}}\n"
         )
         return path
 
     def write_key_options(self, name, key, also):
-        """To be followed by a SIGHUP."""
+        """Write options with other keys, which the process reads at the next SIGHUP."""
         self.write_options(name, key, also)
 
-    def seen(self, viewer, target):
+    def address_seen_by(self, viewer, target):
         return self.addresses[target] if viewer in (target, "operator") else self.hub.address(viewer, target)
 
-    def start(self, name, *words):
+    def start(self, name, *arguments):
         role = "replica" if name in REPLICAS else "relay"
         options = str(self.folder / f"{name}.cue")
-        process = Process("-m", "wickhinge", "changelog", role, "--options", options, "--name", name, *words)
+        process = Process("-m", "wickhinge", "changelog", role, "--options", options, "--name", name, *arguments)
         self.stack.callback(process.close)
         self.processes[name] = process
         return process
@@ -170,15 +181,15 @@
             del os.environ["WICKHINGE_OPTIONS"]
         self.stack.callback(self.router_harness.close)
         self.requests = queue.Queue()
-        for place in self.router_harness.listeners:
-            threading.Thread(target=self._serve, args=(place,), daemon=True).start()
+        for listener in self.router_harness.listeners:
+            threading.Thread(target=self._serve, args=(listener,), daemon=True).start()
 
     def kill(self, name):
         self.processes[name].child.kill()
         self.processes[name].child.wait(PATIENT)
 
     def stop(self, name):
-        """By SIGTERM, to its own end."""
+        """Send SIGTERM, and wait until the process has ended with exit code 0."""
         self.processes[name].child.terminate()
         assert self.processes[name].child.wait(PATIENT) == 0
 
@@ -190,26 +201,24 @@
     def resume(self, name):
         self.processes[name].child.send_signal(signal.SIGCONT)
 
-    # What the test asks.
-
     def query_servers(self):
         return self.client.servers([*REPLICAS, *RELAYS])
 
     def leader(self):
-        def found():
-            leads = [
+        def find_leader():
+            leaders = [
                 server.name for server in self.query_servers() if server.status and server.status.state == "leader"
             ]
-            return leads[0] if len(leads) == 1 else None
+            return leaders[0] if len(leaders) == 1 else None
 
-        return eventually(found)
+        return eventually(find_leader)
 
     def router_row(self):
-        """The row of the router, or None."""
+        """Return the router's row in the answers of the relays, or None."""
         return next(iter(routers_of(self.query_servers())), None)
 
     def append_purge(self, key, timeout_s=PATIENT):
-        """Returns once the router has it."""
+        """Append a purge, and wait until the router has applied it."""
         answer = self.client.append(Purge(key, 0, 0), timeout_s)
         self.router_harness.router.wait(
             f'"event":"purge_applied","key":"{key:016x}","group":0,"stamp_ms":{answer.stamp_ms}'
@@ -217,7 +226,7 @@
         return answer
 
     def append_setting(self, name, value):
-        """The router's word of it."""
+        """Append a setting, and return the router's log line about it."""
         self.client.append(Setting(name, value, 0), PATIENT)
         line = self.router_harness.router.wait('"event":"changelog_setting')
         assert f'"name":"{name}"' in line
@@ -230,19 +239,23 @@
             return False
         return True
 
-    def run_command(self, *words):
-        """Exit code and output of `wickhinge changelog WORDS`."""
-        told = {**os.environ, "WICKHINGE_OPTIONS": str(self.operator)}
-        command = [sys.executable, "-m", "wickhinge", "changelog", *words]
-        done = subprocess.run(command, cwd=ROOT, env=told, capture_output=True, text=True, timeout=2 * PATIENT)
-        return done.returncode, done.stdout + done.stderr
+    def run_command(self, *arguments):
+        """Return the exit code and the output of `wickhinge changelog` with the arguments."""
+        environment = {**os.environ, "WICKHINGE_OPTIONS": str(self.operator)}
+        command = [sys.executable, "-m", "wickhinge", "changelog", *arguments]
+        completed = subprocess.run(
+            command, cwd=ROOT, env=environment, capture_output=True, text=True, timeout=2 * PATIENT
+        )
+        return completed.returncode, completed.stdout + completed.stderr
 
     def wait_for_event(self, name):
         return self.router_harness.router.wait(f'"event":"changelog_{name}"')
 
     def next_request_max_age_s(self, key):
-        """Of a request for an object, in seconds, as a cache is asked; None without one. A router that stood still
-        denies what it takes for late: that is asked again.
+        """Request an object, and return the `maxage` that the router sends to the cache, in seconds, or None.
+
+        A router that was suspended rejects requests that it takes for overdue, so the request is repeated until it is
+        answered.
         """
         client = self.router_harness.client()
         eventually(lambda: client.answer(client.ask(obj=f"{key:016x}"))[2] is None)
@@ -251,48 +264,48 @@
         client.socket.close()
         return None if found is None else int(found) / 1000
 
-    def _serve(self, place):
-        """A cache that has everything, and notes what it is asked."""
+    def _serve(self, listener):
+        """Act as a cache that has every object, and record its requests."""
         while True:
             try:
-                made, _ = place.accept()
+                connection, _ = listener.accept()
             except TimeoutError:
                 continue
             except OSError:
                 return
-            threading.Thread(target=self._serve_connection, args=(CacheConnection(made),), daemon=True).start()
+            threading.Thread(target=self._serve_connection, args=(CacheConnection(connection),), daemon=True).start()
 
-    def _serve_connection(self, line):
+    def _serve_connection(self, connection):
         try:
-            while asked := line.next_request(IDLE_S):
-                self.requests.put(asked.fields)
-                asked.answer("OK", OK_FIELDS, b"x")
+            while request := connection.next_request(CACHE_IDLE_TIMEOUT_S):
+                self.requests.put(request.fields)
+                request.answer("OK", OK_FIELDS, b"x")
         except OSError:
             pass
-        line.socket.close()
+        connection.socket.close()
 
 
 def eventually(ask):
-    """What `ask` gives, once it is something."""
+    """Call `ask` until it returns a true value, and return that value."""
     deadline = time.monotonic() + PATIENT
     while time.monotonic() < deadline:
         found = ask()
         if found:
             return found
         time.sleep(0.02)
-    raise AssertionError("never")
+    raise AssertionError("condition was not met before the timeout")
 
 
 @contextmanager
 def running_fleet(folder):
-    """A fleet in which all is well."""
+    """Yield a fleet with all processes started, a leader, and an informed router."""
     with ExitStack() as stack:
-        made = Fleet(folder, stack)
-        made.start_all()
-        made.leader()
-        made.start_router()
-        made.wait_for_event("informed")
-        yield made
+        fleet = Fleet(folder, stack)
+        fleet.start_all()
+        fleet.leader()
+        fleet.start_router()
+        fleet.wait_for_event("informed")
+        yield fleet
 
 
 def cut_links(fleet, name, others, inward=True, outward=True):
@@ -304,11 +317,11 @@
 
 
 def seconds_until_uninformed(fleet, cut):
-    """Seconds from the cut to the router's limiting copies' ages, by the log's stamps."""
-    began = time.time()
+    """Return the seconds from the call of `cut` until the router limits the age of copies, by the times of its log."""
+    started_at = time.time()
     cut()
     line = fleet.wait_for_event("uninformed")
-    return float(line.split('"t":')[1].split(",")[0]) - began
+    return float(line.split('"t":')[1].split(",")[0]) - started_at
 
 
 def restore_links(fleet):
@@ -316,12 +329,12 @@
     fleet.wait_for_event("informed")
 
 
-def lines_until(process, word):
+def lines_until(process, text):
     found = []
     deadline = time.monotonic() + PATIENT
     while time.monotonic() < deadline:
         line = process.lines.get(timeout=PATIENT)
-        if word in line:
+        if text in line:
             return found
         found.append(line)
-    raise AssertionError(f"no {word}")
+    raise AssertionError(f"no line with {text}")
--- a/wickhinge/changelog/follower.py
+++ b/wickhinge/changelog/follower.py
@@ -23,7 +23,8 @@
     """Follower of one relay, which compares its log with the heartbeats of a second relay.
 
     The follower is informed while it has applied every change that a majority of the replicas committed more than
-    `bound_s` of the settings ago; otherwise it is uninformed.
+    `bound_s` of the settings ago; otherwise it is uninformed. It is also uninformed after a change that could not be
+    applied, and while relays' logs differ from its own without a majority that agrees with it.
 
     Attributes:
         subscription_type: Class of the subscription; a subclass with a planted fault overrides it.
