--- a/tests/changelog/test_router_on_processes.py
+++ b/tests/changelog/test_router_on_processes.py
@@ -95,7 +95,7 @@
     forwarded_count = fleet.hub.forwarded_counts[ROUTER]
     eventually(lambda: fleet.hub.forwarded_counts[ROUTER] >= forwarded_count + 2)
     cut_links(fleet, ROUTER, RELAYS)
-    threading.Event().wait(BOUND_S + 0.1)  # The test is about the elapsed time.
+    threading.Event().wait(BOUND_S + 0.1)  # Afterwards the tokens of the unread datagrams are older than the bound.
     child.send_signal(signal.SIGCONT)
     fleet.wait_for_event("uninformed")
     assert 0 < fleet.next_request_max_age_s(0xC5) <= MAX_COPY_AGE_S
--- a/tests/support/changelog_fleet.py
+++ b/tests/support/changelog_fleet.py
@@ -61,7 +61,7 @@
         self.cut_pairs, self.is_noisy = set(), False
         self.forwarded_counts = Counter()
         self._stack, self._host, self._links = stack, host, {}
-        self._random_fraction = random.Random(5)
+        self._random = random.Random(5)
         self._selector = selectors.DefaultSelector()
         self._stopped = threading.Event()
         self._thread = threading.Thread(target=self._run, daemon=True)
@@ -73,7 +73,7 @@
             self._selector.register(link.sockets[name], selectors.EVENT_READ, (link, name))
 
     def address(self, viewer, target):
-        """Return the address of the link from `viewer` to `target`."""
+        """Return the address at which `viewer` reaches `target` through their link."""
         return self._links[frozenset((viewer, target))].sockets[viewer].getsockname()
 
     def start(self):
@@ -106,10 +106,10 @@
         """Yield copies with one inverted bit, a truncated copy, and random bytes."""
         for _ in range(CORRUPTED_COPIES):
             flipped = bytearray(data)
-            flipped[self._random_fraction.randrange(len(data))] ^= 1 << self._random_fraction.randrange(8)
+            flipped[self._random.randrange(len(data))] ^= 1 << self._random.randrange(8)
             yield bytes(flipped)
-        yield data[: self._random_fraction.randrange(len(data))]
-        yield self._random_fraction.randbytes(60)
+        yield data[: self._random.randrange(len(data))]
+        yield self._random.randbytes(60)
 
 
 class Fleet:
--- a/wickhinge/changelog/addresses.py
+++ b/wickhinge/changelog/addresses.py
@@ -10,7 +10,9 @@
 
 SESSION_TAKEOVER_S = 3.0  # Silence of a process's known session after which a new session is accepted.
 MAX_LEARNED_ADDRESSES = 8192
-MAX_FORMER_SESSIONS = 4  # Former sessions of a process that are remembered, so that they are never accepted again.
+MAX_FORMER_SESSIONS = (
+    4  # Former sessions of a process that are remembered, so that replayed packets of them are refused.
+)
 
 
 class LearnedAddress:
@@ -52,9 +54,9 @@
 class AddressBook:
     """Addresses by process name.
 
-    Fixed addresses come from the settings and never change. Other addresses are learned from authentic
-    packets. An attacker may record such a packet and replay it from another address; this must not divert datagrams to
-    that address. A learned address therefore changes only with a later token of the same session, or, after
+    Fixed addresses come from the settings and never change. Other addresses are learned from authentic packets. An
+    attacker may record such a packet and replay it from another address; this must not divert datagrams to that
+    address. A learned address therefore changes only with a later token of the same session, or, after
     SESSION_TAKEOVER_S without a later token, with a token of a session that the process has not had before.
     """
 
--- a/wickhinge/changelog/daemon.py
+++ b/wickhinge/changelog/daemon.py
@@ -31,13 +31,13 @@
 )
 
 
-def rotate_preference(replicas: Mapping[str, Address], place: int) -> dict[str, Address]:
-    """Return the replicas in the order in which the relay at `place` prefers them.
+def rotate_preference(replicas: Mapping[str, Address], relay_index: int) -> dict[str, Address]:
+    """Return the replicas in the order in which the relay number `relay_index` prefers them.
 
     The order starts at a different replica for each relay, so that relays are spread over the replicas.
     """
     names = list(replicas)
-    start = place % len(names)
+    start = relay_index % len(names)
     return {name: replicas[name] for name in names[start:] + names[:start]}
 
 
--- a/wickhinge/changelog/dispute_records.py
+++ b/wickhinge/changelog/dispute_records.py
@@ -11,10 +11,10 @@
 class Dispute(Enum):
     """Result of comparing this process's log with the logs of the reachable sources."""
 
-    NONE = "no source differs"
-    OPEN = "some differ, and no majority agrees or differs"
-    UPHELD = "some differ, a majority agrees"
-    REFUTED = "a majority differs"
+    NO_DIFFERENCE = "no source differs"
+    UNDECIDED = "some differ, and no majority agrees or differs"
+    MAJORITY_AGREES = "some differ, a majority agrees"
+    MAJORITY_DIFFERS = "a majority differs"
 
 
 @dataclass(frozen=True, slots=True)
@@ -86,12 +86,12 @@
             return None
         return record.agrees
 
-    def dispute(self, sources: list[str], now: float) -> Dispute:
+    def find_dispute(self, sources: list[str], now: float) -> Dispute:
         """Return the combined result of the comparisons with `sources`, the names of the reachable sources."""
         differing = sum(self.agrees(source, now) is False for source in sources)
         agreeing = sum(self.agrees(source, now) is True for source in sources)
         if not differing:
-            return Dispute.NONE
+            return Dispute.NO_DIFFERENCE
         if 2 * agreeing > len(sources):
-            return Dispute.UPHELD
-        return Dispute.REFUTED if 2 * differing > len(sources) else Dispute.OPEN
+            return Dispute.MAJORITY_AGREES
+        return Dispute.MAJORITY_DIFFERS if 2 * differing > len(sources) else Dispute.UNDECIDED
--- a/wickhinge/changelog/endpoint.py
+++ b/wickhinge/changelog/endpoint.py
@@ -131,7 +131,7 @@
             self._port = self.reactor.listenUDP(port, self, interface=host, maxPacketSize=MAX_DATAGRAM_BYTES + 1)
         except CannotListenError as fault:
             cause = fault.socketError
-            raise OSError(cause.errno, f"changelog: {host}:{port}: {cause.strerror}") from None
+            raise OSError(cause.errno, f"changelog: cannot listen on {host}:{port}: {cause.strerror}") from None
         self.address = (host, self._port.getHost().port)
         self._next_tick_at = self.clock()
         self._run_tick()
--- a/wickhinge/changelog/settings_table.py
+++ b/wickhinge/changelog/settings_table.py
@@ -16,7 +16,7 @@
 from wickhinge.common.log_event import LogEvent
 from wickhinge.fields import MalformedError, parse_host_port
 
-JOURNAL_SETTING = "journal"  # Address of the discovery service that the router watches.
+JOURNAL_SETTING = "journal"  # Name of the setting that holds the address of the discovery service.
 
 
 class SettingState(Enum):
--- a/wickhinge/changelog/sources.py
+++ b/wickhinge/changelog/sources.py
@@ -91,7 +91,7 @@
         if not names or len(set(names)) != len(names):
             raise ValueError(f"sources: expected at least one name and no duplicates, got {list(names)}")
         self.by_name = {name: Source(name) for name in names}
-        self._preference_order = list(names)
+        self._names = list(names)  # In order of preference.
         self._settings, self._random_fraction = settings, random_fraction
         self.current = self.by_name[names[0]]
         self.secondary = self.by_name[names[1]] if len(names) > 1 else None
@@ -158,8 +158,8 @@
         return self._next_usable_name(self.current.name, now)
 
     def _next_usable_name(self, name: str, now: float) -> str:
-        place = self._preference_order.index(name)
-        following = self._preference_order[place + 1 :] + self._preference_order[: place + 1]
+        place = self._names.index(name)
+        following = self._names[place + 1 :] + self._names[: place + 1]
         return next((other for other in following if self.by_name[other].is_usable(now)), following[0])
 
     def _is_current_behind(self, secondary: Source, now: float) -> bool:
@@ -184,13 +184,11 @@
     def _should_return_to(self, secondary: Source, now: float) -> bool:
         """Return whether the secondary source precedes the current one in the order of preference and is steady again.
 
-        It is steady if its packets have come without a gap for `return_delay_s`. The current source has to have been
-        followed for as long, so that the current source does not change too often.
+        It is steady if its packets have come without a gap for `return_delay_s` and its head is not behind. The current
+        source has to have been followed for `return_delay_s`, too.
         """
         return_delay_s = self._settings.return_delay_s
-        if self._preference_order.index(secondary.name) > self._preference_order.index(
-            self.current.name
-        ) or not secondary.is_usable(now):
+        if self._names.index(secondary.name) > self._names.index(self.current.name) or not secondary.is_usable(now):
             return False
         is_steady = self._has_recent_packet(secondary, now) and now - secondary.received_since >= return_delay_s
         return is_steady and secondary.head >= self.current.head and now - self._followed_since >= return_delay_s
--- a/wickhinge/changelog/subscription.py
+++ b/wickhinge/changelog/subscription.py
@@ -69,7 +69,7 @@
         self._confirmations = Confirmations()
         self._echo_tokens = EchoTokenClock(context.session)
         self._snapshot_assembly: SnapshotAssembly | None = None  # None unless a snapshot is being fetched.
-        self._is_refuted = False  # True from when a majority contradicts this log until a majority agrees with it.
+        self._is_contradicted = False  # True from when a majority contradicts this log until a majority agrees with it.
         self._next_subscribe_at = self._last_tick_at = now
         self._next_fetch_at: float | None = None  # Time of the next request; None unless entries are missing.
         self._fetch_timeout_s = settings.fetch_timeout_s
@@ -134,17 +134,17 @@
 
     def is_disputed(self, now: float) -> bool:
         """Return whether sources' logs differ from this process's log, and no majority agrees with this log."""
-        return self._is_refuted or self._current_dispute(now) in (Dispute.OPEN, Dispute.REFUTED)
+        return self._is_contradicted or self._current_dispute(now) in (Dispute.UNDECIDED, Dispute.MAJORITY_DIFFERS)
 
     def _reachable_sources(self, now: float) -> list[str]:
         return self.sources.recently_received(now, 2 * self._settings.source_timeout_s)
 
     def _current_dispute(self, now: float) -> Dispute:
-        return self.dispute_records.dispute(self._reachable_sources(now), now)
+        return self.dispute_records.find_dispute(self._reachable_sources(now), now)
 
     def _is_untrusted(self, source: Source, now: float) -> bool:
         differs = self.dispute_records.agrees(source.name, now) is False
-        return self._is_refuted or not source.is_usable(now) or differs
+        return self._is_contradicted or not source.is_usable(now) or differs
 
     def _enter_epoch(self, epoch: int) -> None:
         self.highest_epoch = epoch
@@ -232,7 +232,7 @@
         """
         token = self._echo_tokens.draw(now)
         sources = self._subscribed_sources()
-        if self._is_refuted or self._current_dispute(now) is not Dispute.NONE:
+        if self._is_contradicted or self._current_dispute(now) is not Dispute.NO_DIFFERENCE:
             sources = list(self.sources.by_name.values())
         return [self._make_send(source, self._make_subscribe(source, uninformed_ms), token) for source in sources]
 
@@ -273,20 +273,20 @@
             Whether a majority differed, so that the source has been switched.
         """
         reachable = self._reachable_sources(now)
-        dispute = self.dispute_records.dispute(reachable, now)
+        dispute = self.dispute_records.find_dispute(reachable, now)
         differing = [name for name in reachable if self.dispute_records.agrees(name, now) is False]
-        if self._is_refuted:
+        if self._is_contradicted:
             agreeing = sum(self.dispute_records.agrees(name, now) is True for name in reachable)
-            self._is_refuted = 2 * agreeing <= len(reachable)
-        if dispute is Dispute.UPHELD:
+            self._is_contradicted = 2 * agreeing <= len(reachable)
+        if dispute is Dispute.MAJORITY_AGREES:
             for name in differing:
                 self.sources.by_name[name].ban(now)
-        if dispute is not Dispute.REFUTED:
+        if dispute is not Dispute.MAJORITY_DIFFERS:
             return False
         previous = self.sources.current
         self.sources.follow(next((name for name in differing if name != previous.name), previous.name), now)
         previous.ban(now)
-        self._is_refuted = True
+        self._is_contradicted = True
         self.dispute_records.clear()
         self._confirmations.forget_pending()
         self.sequencer.reset(0, 0, self.sequencer.digest)
