--- a/wickhinge/cli/changelog_client.py
+++ b/wickhinge/cli/changelog_client.py
@@ -11,10 +11,10 @@
 import msgspec
 
 from wickhinge.changelog.administration import (
-    APPEND,
+    APPEND_COMMAND,
     REQUEST_ID_BYTES,
-    ROWS,
-    STATUS,
+    ROWS_COMMAND,
+    STATUS_COMMAND,
     AppendAnswer,
     AppendRequest,
     AppendState,
@@ -116,7 +116,7 @@
         """Return one replica or relay with its status and subscriber rows, or with the error if it does not answer."""
         role = "replica" if name in self.replica_addresses else "relay"
         try:
-            status = msgspec.json.decode(self._ask(name, STATUS, b"", STATUS_ATTEMPTS), type=Status)
+            status = msgspec.json.decode(self._ask(name, STATUS_COMMAND, b"", STATUS_ATTEMPTS), type=Status)
             return Server(name, role, status, self._fetch_rows(name))
         except (NoAnswerError, msgspec.MsgspecError) as error:
             return Server(name, role, None, [], str(error))
@@ -126,7 +126,7 @@
         rows: list[SubscriberRow] = []
         for _ in range(MAX_PAGES):
             offset = msgspec.json.encode(len(rows))
-            page = msgspec.msgpack.decode(self._ask(name, ROWS, offset, STATUS_ATTEMPTS), type=RowsPage)
+            page = msgspec.msgpack.decode(self._ask(name, ROWS_COMMAND, offset, STATUS_ATTEMPTS), type=RowsPage)
             rows += page.rows
             if not page.rows or len(rows) >= page.total:
                 break
@@ -151,7 +151,7 @@
             name = names.pop(0)
             names.append(name)
             try:
-                data = self._ask(name, APPEND, msgspec.msgpack.encode(request), APPEND_ATTEMPTS)
+                data = self._ask(name, APPEND_COMMAND, msgspec.msgpack.encode(request), APPEND_ATTEMPTS)
                 answer = msgspec.json.decode(data, type=AppendAnswer)
             except (NoAnswerError, msgspec.MsgspecError) as error:
                 reason = str(error)
@@ -253,7 +253,7 @@
     def after_tick(self) -> None:
         """Pass on the snapshot and stop once the follower is informed; called by the follower at each tick."""
         follower = self._follower
-        if follower is None or follower.state_machine.uninformed(follower.clock()) or not self.reason:
+        if follower is None or follower.state_machine.is_uninformed(follower.clock()) or not self.reason:
             return
         self.reason = ""
         self._on_complete(encode_snapshot(self._log.snapshot(self._now())), self._log.last)
--- a/wickhinge/options/changelog.py
+++ b/wickhinge/options/changelog.py
@@ -13,7 +13,7 @@
 
 MAX_NAME_BYTES = 32  # Bound on a server's name in UTF-8; the change log's datagrams have the same bound.
 MAX_REPLICAS = 9
-MIN_CLOCK_RATE = 0.94  # Seconds that the slowest clock counts in a true second: 1 - changelog.settings.CLOCK_DRIFT.
+MIN_CLOCK_RATE = 0.94  # Seconds that the slowest clock counts in a true second: 1 - changelog.settings.MAX_CLOCK_DRIFT.
 
 
 def first_fault(options: Changelog) -> SettingFault | None:
