--- a/bench/store.py
+++ b/bench/store.py
@@ -550,7 +550,7 @@
         return self.volume.segments.read(self.places[key, part], key, part)
 
     def sync(self) -> None:
-        self.volume.segments.begin()
+        self.volume.segments.begin_segment()
 
     def close(self) -> None:
         self.volume.close()
@@ -746,14 +746,14 @@
         disk_bytes=size,
         segment_bytes=segment,
         memory_bytes=0,
-        counted_objects=1 << 20,
-        queued_write_bytes=64 * MEGA,
+        frequency_table_objects=1 << 20,
+        max_queued_write_bytes=64 * MEGA,
         write_bytes_per_s=1e12,
         slow_read_s=0.1,
-        concurrent_reads=16,
+        max_concurrent_reads=16,
         snapshot_interval_s=1e9,
-        quiet_s=3.0,
-        events_continue=False,
+        max_journal_silence_s=3.0,
+        event_numbers_persist=False,
     )
     runtime = Runtime(workers, lambda: clock[0], after, lambda *a, **k: None)
     return Store(Volume(files or Files(), folder, segment), runtime, limits)
@@ -768,7 +768,7 @@
         count = mb * MEGA // 20_000
         for index in range(count):
             copy = Copy(index // 8, index % 8, 0, b"0123456789abcdef", 1000.0, 20_000, index)
-            copy.place = volume.segments.append(copy, noise[index % 9_973 :][:20_000])
+            copy.location = volume.segments.append(copy, noise[index % 9_973 :][:20_000])
             objects.setdefault(index // 8, []).append(copy)
         marks = volume.segments.current_sizes()
         rows = [StoredObject(key, 8, parts) for key, parts in objects.items()]
@@ -863,14 +863,14 @@
             disk_bytes=64 * MEGA,
             segment_bytes=4 * MEGA,
             memory_bytes=0,
-            counted_objects=4096,
-            queued_write_bytes=8 * MEGA,
+            frequency_table_objects=4096,
+            max_queued_write_bytes=8 * MEGA,
             write_bytes_per_s=1e9,
             slow_read_s=0.1,
-            concurrent_reads=16,
+            max_concurrent_reads=16,
             snapshot_interval_s=1e9,
-            quiet_s=3.0,
-            events_continue=False,
+            max_journal_silence_s=3.0,
+            event_numbers_persist=False,
         )
         runtime = Runtime(workers, time.time, reactor.callLater, lambda *a, **k: None)
         made = Store(Volume(files, folder, 4 * MEGA), runtime, limits)
--- a/tests/changelog/test_storage.py
+++ b/tests/changelog/test_storage.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from tests.support.faulty_disk import Crash, Disk, Node
+from tests.support.faulty_disk import CrashError, FakeFile, FaultyDisk
 from wickhinge.changelog import storage
 from wickhinge.changelog.effects import Persist, PersistSnapshot
 from wickhinge.changelog.entries import Entry, Noop, Purge, Setting, Unknown
@@ -70,7 +70,7 @@
         for effect in EFFECTS:
             do(made, effect)
             done += 1
-    except (Crash, OSError):
+    except (CrashError, OSError):
         pass
     return done
 
@@ -84,9 +84,9 @@
 
 
 def calls_of_a_run():
-    disk = Disk()
+    disk = FaultyDisk()
     assert run(disk) == len(EFFECTS)
-    return disk.calls
+    return disk.call_count
 
 
 CALLS = calls_of_a_run()
@@ -113,10 +113,10 @@
     """Each call fails in its turn, in the program or with the machine; the file layer loses what was not synced."""
     for call in range(1, CALLS + 1):
         for seed in SEEDS:
-            disk = Disk((call, how))
+            disk = FaultyDisk((call, how))
             done = run(disk)
-            for lost in (True, False):
-                assert recovered(disk.restarted(seed, lost)) in allowed(done), (call, how, seed, lost)
+            for power_lost in (True, False):
+                assert recovered(disk.after_restart(seed, power_lost)) in allowed(done), (call, how, seed, power_lost)
 
 
 @pytest.mark.parametrize("how", [errno.EIO, errno.ENOSPC, "tear", "crash"])
@@ -126,22 +126,22 @@
 
 def test_recovery_when_cut_off_anywhere_is_completed_by_the_next():
     for call in range(1, CALLS + 1):
-        disk = Disk((call, "crash"))
+        disk = FaultyDisk((call, "crash"))
         done = run(disk)
         for again in range(1, 12):
-            second = disk.restarted(call)
-            second.fault = (again, "crash")
+            second = disk.after_restart(call)
+            second.planned_fault = (again, "crash")
             try:
                 FileStorage.open(FOLDER, second)
-            except (Crash, StorageMissingError):
+            except (CrashError, StorageMissingError):
                 pass
-            assert recovered(second.restarted(again)) in allowed(done), (call, again)
+            assert recovered(second.after_restart(again)) in allowed(done), (call, again)
 
 
 def test_file_storage_when_a_write_failed_takes_nothing_more():
-    disk = Disk()
+    disk = FaultyDisk()
     made = FileStorage.create(FOLDER, Stored(), disk)
-    disk.fault = (disk.calls + 2, errno.EIO)  # the sync
+    disk.planned_fault = (disk.call_count + 2, errno.EIO)  # the sync
     with pytest.raises(OSError):
         made.persist(EFFECTS[0])
     with pytest.raises(OSError, match="earlier write failed"):
@@ -151,7 +151,7 @@
 
 
 def no_sync(monkeypatch):
-    monkeypatch.setattr(Disk, "sync", lambda self, handle: self.call())
+    monkeypatch.setattr(FaultyDisk, "sync", lambda self, handle: self.call())
 
 
 def snapshot_in_place(monkeypatch):
@@ -172,15 +172,15 @@
 
 
 def check_appending_after_a_torn_block():
-    disk = Disk()
+    disk = FaultyDisk()
     made = FileStorage.create(FOLDER, Stored(), disk)
     made.persist(EFFECTS[1])
-    disk.fault = (disk.calls + 1, "tear")
+    disk.planned_fault = (disk.call_count + 1, "tear")
     with pytest.raises(OSError):
         made.persist(EFFECTS[3])
-    second = disk.restarted(1, lost=False)
+    second = disk.after_restart(1, power_lost=False)
     FileStorage.open(FOLDER, second).persist(EFFECTS[0])
-    third = FileStorage.open(FOLDER, second.restarted(1, lost=False))
+    third = FileStorage.open(FOLDER, second.after_restart(1, power_lost=False))
     assert (third.stored.term, third.stored.records) == (1, ())
 
 
@@ -189,22 +189,22 @@
 
 
 def files_of(disk, prefix):
-    return [path for path in disk.nodes if path.startswith(f"{FOLDER}/{prefix}")]
+    return [path for path in disk.files if path.startswith(f"{FOLDER}/{prefix}")]
 
 
 def test_generations_when_a_snapshot_is_persisted_leave_one_file():
-    disk = Disk()
+    disk = FaultyDisk()
     run(disk)
     assert files_of(disk, storage.RECORDS) == [f"{FOLDER}/{storage.RECORDS}4"]
 
 
 def damaged(change):
-    disk = Disk()
+    disk = FaultyDisk()
     made = FileStorage.create(FOLDER, Stored(), disk)
     for effect in EFFECTS[:4]:
         do(made, effect)
     change(disk)
-    return disk.restarted(1, lost=False)
+    return disk.after_restart(1, power_lost=False)
 
 
 @pytest.mark.parametrize(
@@ -217,7 +217,7 @@
 )
 def test_damaged_file_when_opened_is_refused_by_name_and_place(prefix, place, told):
     def change(disk):
-        disk.nodes[files_of(disk, prefix)[0]].data[place] ^= 1
+        disk.files[files_of(disk, prefix)[0]].data[place] ^= 1
 
     with pytest.raises(StorageDamagedError, match=told):
         FileStorage.open(FOLDER, damaged(change))
@@ -227,7 +227,7 @@
     """It was synced before the ones after it were written, so no crash explains it."""
 
     def change(disk):
-        node = disk.nodes[files_of(disk, "records")[0]]
+        node = disk.files[files_of(disk, "records")[0]]
         first = storage.HEAD_BYTES + int.from_bytes(node.data[: storage.LENGTH_BYTES], "big")
         node.data[first + storage.HEAD_BYTES] ^= 1
 
@@ -237,14 +237,14 @@
 
 def test_records_file_when_missing_is_named():
     with pytest.raises(StorageDamagedError, match="records.1: is missing"):
-        FileStorage.open(FOLDER, damaged(lambda disk: disk.nodes.pop(f"{FOLDER}/records.1")))
+        FileStorage.open(FOLDER, damaged(lambda disk: disk.files.pop(f"{FOLDER}/records.1")))
 
 
 def test_block_when_of_an_earlier_generation_is_refused():
     disk = damaged(lambda disk: None)
-    disk.nodes[f"{FOLDER}/records.2"] = Node()
-    disk.nodes[f"{FOLDER}/records.2"].data = bytearray(disk.nodes[f"{FOLDER}/records.1"].data)
-    head = disk.nodes[f"{FOLDER}/snapshot"].data
+    disk.files[f"{FOLDER}/records.2"] = FakeFile()
+    disk.files[f"{FOLDER}/records.2"].data = bytearray(disk.files[f"{FOLDER}/records.1"].data)
+    head = disk.files[f"{FOLDER}/snapshot"].data
     head[len(storage.MAGIC) + storage.GENERATION_BYTES - 1] = 2
     with pytest.raises(StorageDamagedError, match="records.2: damaged at byte 0"):
         FileStorage.open(FOLDER, disk)
--- a/tests/membership/test_endpoint_list_file.py
+++ b/tests/membership/test_endpoint_list_file.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from tests.support.faulty_disk import Crash, Disk
+from tests.support.faulty_disk import CrashError, FaultyDisk
 from tests.support.statements import statement
 from wickhinge.membership import stored_list
 from wickhinge.membership.endpoint_list_file import EndpointListFile
@@ -13,8 +13,8 @@
 
 
 @pytest.mark.parametrize("failure", ["crash", "tear", errno.ENOSPC, errno.EIO])
-@pytest.mark.parametrize("lost", [False, True])
-def test_write_when_any_call_fails_leaves_a_complete_list(failure, lost):
+@pytest.mark.parametrize("power_lost", [False, True])
+def test_write_when_any_call_fails_leaves_a_complete_list(failure, power_lost):
     def stored_list_of(number):
         return StoredList(
             "d", float(number), float(number), number, [to_record(statement(mark)) for mark in range(number * 20)]
@@ -23,7 +23,7 @@
     call, written_counts = 0, []
     while True:
         call += 1
-        disk, last_written = Disk((call, failure)), 0
+        disk, last_written = FaultyDisk((call, failure)), 0
         try:
             list_file = EndpointListFile(disk, "d")
             list_file.open()
@@ -33,12 +33,12 @@
                     last_written = number
                 except OSError:
                     continue
-        except (Crash, ListDirectoryError):
+        except (CrashError, ListDirectoryError):
             pass
         written_counts.append(last_written)
-        if disk.calls < call:
+        if disk.call_count < call:
             break
-        after = EndpointListFile(disk.restarted(call, lost), "d")
+        after = EndpointListFile(disk.after_restart(call, power_lost), "d")
         after.open()
         memory, _ = after.read()
         assert (memory.last_event if memory else 0) >= last_written
--- a/tests/options/test_options.py
+++ b/tests/options/test_options.py
@@ -90,7 +90,7 @@
     for key in range(6):
         for part in range(2):
             one = Copy(key, part, key % 3, b"t%d" % key, 1000.0 + key, 700, key)
-            one.place = volume.segments.append(one, bytes([key, part]) * 350)
+            one.location = volume.segments.append(one, bytes([key, part]) * 350)
     volume.close()
     return tmp_path / "tier"
 
--- a/tests/store/test_store.py
+++ b/tests/store/test_store.py
@@ -8,7 +8,7 @@
 import pytest
 
 from tests.support.connections import attempts, pool, reading
-from tests.support.faulty_disk import Disk
+from tests.support.faulty_disk import FaultyDisk
 from tests.support.routing import end_attempt, make_request_class, make_router, route_request
 from tests.support.store_world import World
 from wickhinge.clocks import RemoteClock
@@ -33,7 +33,7 @@
     world.offer(key, part, size)
     world.lanes.go()
     copy = world.store.find(key, part, world.clock)
-    world.store.caught_up(world.clock, False)
+    world.store.journal_caught_up(world.clock, False)
     return copy
 
 
@@ -52,7 +52,7 @@
     world.purge(1)
     world.lanes.go()
     assert world.store.find(1, 0, world.clock) is None
-    world.restart(1, lost=False)
+    world.restart(1, power_lost=False)
     assert world.store.find(1, 0, world.clock) is None
 
 
@@ -89,15 +89,15 @@
     world.store.snapshot(world.clock)
     world.purge(1)
     world.lanes.go()
-    for lost in (False, True):
-        world.restart(7, lost)
+    for power_lost in (False, True):
+        world.restart(7, power_lost)
         assert world.store.find(1, 0, world.clock) is None
 
 
 def test_purge_when_a_start_still_recovers_removes_the_copy():
     world = started_world()
     stored_copy(world)
-    world.disk = world.disk.restarted(1, False)
+    world.disk = world.disk.after_restart(1, False)
     world.start()
     world.purge(1)
     world.lanes.go()
@@ -125,7 +125,7 @@
         world.offer(turn, 0, 3900)
         world.lanes.go()
         if turn % 4 == 3:
-            world.restart(turn, lost=False)
+            world.restart(turn, power_lost=False)
             world.lanes.go()
     assert (
         world.store.tier.space.total_bytes <= world.store.tier.space.capacity and world.store.tier.admission.count > 8
@@ -141,7 +141,7 @@
     copy = stored_copy(world, size=3000)
     for key in range(2, 9):
         stored_copy(world, key, size=3900)
-    number, got = copy.place[0], read_results(world, copy)
+    number, got = copy.location[0], read_results(world, copy)
     world.lanes.stalled = {"read"}
     for parts in list(world.store.tier.admission.objects.values()):
         for one in list(parts.values()):
@@ -170,7 +170,7 @@
 
 @pytest.mark.parametrize("fault", [errno.EIO, errno.ENOSPC])
 def test_disk_when_it_fails_is_bypassed_and_tried_again(fault):
-    world = started_world(disk=Disk())
+    world = started_world(disk=FaultyDisk())
     world.disk.stuck = fault
     for key in range(8):
         world.offer(key, 0, 500)
@@ -202,7 +202,7 @@
     world.store.maintain()
     world.lanes.go()
     assert not world.store.purging.pending
-    world.restart(1, lost=True)
+    world.restart(1, power_lost=True)
     assert world.store.last_event_number == 6 and world.store.find(1, 0, world.clock) is None
 
 
@@ -213,7 +213,7 @@
         world.purge(key, 0, key)
     assert world.lanes.queue and len(world.store.purging.pending) <= 5
     world.lanes.go()
-    world.restart(1, lost=True)
+    world.restart(1, power_lost=True)
     assert all(world.store.tier.purges.covers(key, group, stamp) for key, group, stamp in world.stamps)
 
 
@@ -224,7 +224,7 @@
         got = read_results(world, copy)
         world.clock += 2.0
         world.lanes.go()
-        world.store.caught_up(world.clock, False)
+        world.store.journal_caught_up(world.clock, False)
     assert got[0] is not None and read_results(world, copy) == [None]
 
 
@@ -251,10 +251,10 @@
     for continues, whole, proven in ((False, True, False), (True, False, False), (True, True, True)):
         world = started_world(continues=continues)
         assert world.store.is_current(stored_copy(world), world.clock)
-        world.restart(1, lost=False)
+        world.restart(1, power_lost=False)
         copy = world.store.find(1, 0, world.clock)
         assert copy is not None and not world.store.is_current(copy, world.clock)
-        world.store.caught_up(world.clock, whole)
+        world.store.journal_caught_up(world.clock, whole)
         assert world.store.is_current(copy, world.clock) is proven
         world.store.revalidate(copy, world.clock)
         assert world.store.is_current(copy, world.clock)
@@ -470,7 +470,7 @@
         copies = made.local_copies = LocalCopies(
             world.store, heap, buffers, LinkBandwidth(1e6, 1e6), 0.1, faults.append, RemoteClock()
         )
-        world.store.caught_up(heap.clock, False)
+        world.store.journal_caught_up(heap.clock, False)
     forwards = attempts(caches, faults, decisions=made, local_copies=copies)
     visits = RequestTable(forwards, heap, buffers, {"t": make_request_class()}, lambda *a, **k: None, faults.append)
     return SimpleNamespace(
@@ -566,13 +566,13 @@
 def test_recovered_copy_when_a_cache_revalidates_it_answers():
     net = wired()
     visited(net), visited(net)
-    net.world.restart(1, lost=False)
+    net.world.restart(1, power_lost=False)
     net.world.read_clock = lambda: net.heap.clock
     copies = LocalCopies(
         net.world.store, net.heap, net.pool, LinkBandwidth(1e6, 1e6), 0.1, net.faults.append, RemoteClock()
     )
     net.router.local_copies = net.visits.local_copies = net.forwards.local_copies = copies
-    net.world.store.caught_up(net.heap.clock, False)
+    net.world.store.journal_caught_up(net.heap.clock, False)
     ask(net)
     assert told(net)["have"] == "00000000000000e1"
     served(net, b"SAME", b"", made=99_900)
--- a/tests/store/test_store_decisions.py
+++ b/tests/store/test_store_decisions.py
@@ -12,7 +12,7 @@
     MAX_CONSECUTIVE_SLOW_CALLS,
     CircuitBreaker,
 )
-from wickhinge.store.copies import Copy, Place
+from wickhinge.store.copies import Copy, RecordLocation
 from wickhinge.store.frequency import FrequencyTable
 from wickhinge.store.purge_log_recovery import recover_purges, scan_start
 from wickhinge.store.purges import LineKind, Purge, PurgeLine, PurgeTable
@@ -136,13 +136,13 @@
 def test_segments_when_garbage_and_unread_are_recycled_and_least_live_compacted():
     space = SegmentSpace(100, 20)
     for number, live in ((1, 5), (2, 15), (3, 0), (4, 20)):
-        space.record_append(Place(number, 0, 20))
+        space.record_append(RecordLocation(number, 0, 20))
         space.segments[number].live_bytes = live
     assert space.recyclable() == [3] and space.compaction_victim() == 1 and not space.is_full()
     space.pin(3)
     assert space.recyclable() == []
     space.unpin(3)
-    space.record_append(Place(5, 0, 10))
+    space.record_append(RecordLocation(5, 0, 10))
     assert space.is_full() and space.recyclable() == [3]
     space.compacting = 1
     assert space.compaction_victim() is None
@@ -150,7 +150,7 @@
         space.remove(number)
     assert not space.is_full() and space.compacting is None and space.total_bytes == 50
     space.unpin(1)
-    space.mark_garbage(Place(1, 0, 5))
+    space.mark_garbage(RecordLocation(1, 0, 5))
 
 
 def test_write_rate_limiter_when_over_queue_or_rate_refuses():
--- a/tests/store/test_store_faults.py
+++ b/tests/store/test_store_faults.py
@@ -8,7 +8,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
-from tests.support.faulty_disk import Crash, Disk
+from tests.support.faulty_disk import CrashError, FaultyDisk
 from tests.support.store_world import SEGMENT, World
 from wickhinge.store import file_format
 from wickhinge.store.errors import UnusableDirectoryError
@@ -41,24 +41,24 @@
     world = World()
     workload(world)
     assert world.store.tier.counters.recycled and world.store.tier.counters.moved and world.check(world.stamps) > 5
-    return world.disk.calls
+    return world.disk.call_count
 
 
 CALLS = calls()
 
 
 @pytest.mark.parametrize("how", ["crash", "tear", errno.ENOSPC, errno.EIO])
-@pytest.mark.parametrize("lost", [False, True])
-def test_store_when_any_file_call_fails_or_is_the_last_serves_no_wrong_or_purged_copy(how, lost):
+@pytest.mark.parametrize("power_lost", [False, True])
+def test_store_when_any_file_call_fails_or_is_the_last_serves_no_wrong_or_purged_copy(how, power_lost):
     served = 0
     for call in range(1, CALLS + 1):
-        world = World(Disk((call, how)))
+        world = World(FaultyDisk((call, how)))
         try:
             workload(world)
             world.check(world.stamps)
-        except (Crash, UnusableDirectoryError):
+        except (CrashError, UnusableDirectoryError):
             pass
-        world.restart(call, lost)
+        world.restart(call, power_lost)
         served += world.check(world.acknowledged)
     assert served > 5 * CALLS
 
@@ -71,10 +71,10 @@
         monkeypatch.setattr(PurgeLog, "append", lambda self, purges: None)
     with pytest.raises(AssertionError):
         for call in range(1, CALLS + 1):
-            world = World(Disk((call, "crash")))
+            world = World(FaultyDisk((call, "crash")))
             try:
                 workload(world)
-            except Crash:
+            except CrashError:
                 pass
             world.restart(call, True)
             world.check(world.acknowledged)
@@ -87,9 +87,9 @@
         (copy.key, copy.part, copy.created)
         for parts in world.store.tier.admission.objects.values()
         for copy in parts.values()
-        if copy.place
+        if copy.location
     }
-    world.restart(1, lost=False)
+    world.restart(1, power_lost=False)
     found = {
         (copy.key, copy.part, copy.created)
         for parts in world.store.tier.admission.objects.values()
@@ -108,7 +108,7 @@
         for parts in world.store.tier.admission.objects.values()
         for copy in parts.values()
     }
-    world.restart(3, lost=True)
+    world.restart(3, power_lost=True)
     assert {name: world.store.find(*name, 0.0).created for name in held} == held
 
 
@@ -119,19 +119,19 @@
     workload(made)
     made.store.snapshot(made.clock)
     made.lanes.go()
-    files = {path: bytes(node.data) for path, node in made.disk.nodes.items()}
+    files = {path: bytes(node.data) for path, node in made.disk.files.items()}
     chance = random.Random(5)
     for path in [path for path in files if kind in path]:
         for _ in range(40 if damage != "gone" else 1):
-            world = World(Disk())
+            world = World(FaultyDisk())
             world.bodies, world.clock = made.bodies, made.clock
             for name, data in files.items():
                 world.disk.open(name, create=True)
-                world.disk.nodes[name].data[:] = data
-            data = world.disk.nodes[path].data
+                world.disk.files[name].data[:] = data
+            data = world.disk.files[path].data
             at = chance.randrange(max(len(data), 1))
             if damage == "gone":
-                del world.disk.nodes[path]
+                del world.disk.files[path]
             elif damage == "cut":
                 del data[at:]
             elif damage == "flip" and data:
@@ -148,12 +148,12 @@
     world = World()
     workload(world)
     for name in halves:
-        data = world.disk.nodes[f"d/{name}"].data
+        data = world.disk.files[f"d/{name}"].data
         data[file_format.PURGE_LINE_BYTES * 2 + 20] ^= 1
-    world.restart(0, lost=False)
+    world.restart(0, power_lost=False)
     assert bool(world.store.tier.admission.count) == (len(halves) == 1)
     assert ("store_copies_discarded" in dict(world.log)) == (len(halves) == 2)
-    world.restart(0, lost=False)  # what was not believed is gone for good, not believed the next time
+    world.restart(0, power_lost=False)  # what was not believed is gone for good, not believed the next time
     assert bool(world.store.tier.admission.count) == (len(halves) == 1)
 
 
@@ -166,7 +166,7 @@
         world.lanes.go()
         world.purge(1)
         world.lanes.go()
-        world.restart(seed, lost=True)
+        world.restart(seed, power_lost=True)
         assert world.store.find(1, 0, world.clock) is None
 
 
@@ -176,14 +176,14 @@
     with pytest.raises(UnusableDirectoryError, match="in use"):
         Volume(world.disk, "d", SEGMENT).open()
     data = file_format.IDENTITY.pack(file_format.IDENTITY_MAGIC, file_format.FORMAT_VERSION + 1, bytes(16))
-    newer = Disk()
+    newer = FaultyDisk()
     newer.open("d/store.wh", create=True)
-    newer.nodes["d/store.wh"].data[:] = data + file_format.CHECKSUM.pack(file_format.xxh3_64_intdigest(data))
+    newer.files["d/store.wh"].data[:] = data + file_format.CHECKSUM.pack(file_format.xxh3_64_intdigest(data))
     newer.open("d/segment-0000000001.wh", create=True)
     with pytest.raises(UnusableDirectoryError, match="format 2"):
         Volume(newer, "d", SEGMENT).open()
-    assert "d/segment-0000000001.wh" in newer.nodes
-    readable = Disk()
+    assert "d/segment-0000000001.wh" in newer.files
+    readable = FaultyDisk()
     readable.stuck = errno.EROFS
     with pytest.raises(UnusableDirectoryError, match="can't be used"):
         Volume(readable, "d", SEGMENT).open()
@@ -231,11 +231,11 @@
         if copy is not None and not copy.age_verified:
             self.world.store.revalidate(copy, copy.created)
 
-    @rule(seed=st.integers(0, 99), lost=st.booleans())
-    def die(self, seed, lost):
+    @rule(seed=st.integers(0, 99), power_lost=st.booleans())
+    def die(self, seed, power_lost):
         self.world.noted()
         self.world.stamps = list(self.world.acknowledged)
-        self.world.restart(seed, lost)
+        self.world.restart(seed, power_lost)
 
     @invariant()
     def nothing_wrong_is_served(self):
--- a/tests/store/test_stored_formats.py
+++ b/tests/store/test_stored_formats.py
@@ -44,19 +44,19 @@
 
 def recovered_store(directory):
     lanes = Lanes()
-    volume = Volume(Files(), directory, 16384, events_continue=True)
+    volume = Volume(Files(), directory, 16384, event_numbers_persist=True)
     limits = StoreLimits(
         disk_bytes=8 * 65536,
         segment_bytes=16384,
         memory_bytes=0,
-        counted_objects=1024,
-        queued_write_bytes=1 << 20,
+        frequency_table_objects=1024,
+        max_queued_write_bytes=1 << 20,
         write_bytes_per_s=1e9,
         slow_read_s=0.1,
-        concurrent_reads=16,
+        max_concurrent_reads=16,
         snapshot_interval_s=1e9,
-        quiet_s=3.0,
-        events_continue=True,
+        max_journal_silence_s=3.0,
+        event_numbers_persist=True,
     )
     store = Store(volume, Runtime(lanes, lambda: NOW, lambda *_: None, lambda *_, **__: None), limits)
     store.start()
--- a/tests/support/faulty_disk.py
+++ b/tests/support/faulty_disk.py
@@ -5,11 +5,11 @@
 from copy import copy
 
 
-class Crash(BaseException):
+class CrashError(BaseException):
     """The power went: whoever asks the disk anything after this is dead too."""
 
 
-class Node:
+class FakeFile:
     def __init__(self):
         self.data, self.synced, self.pending = bytearray(), b"", []
 
@@ -20,26 +20,26 @@
     data[offset : offset + len(piece)] = piece
 
 
-class Disk:
+class FaultyDisk:
     """fault: (call, how), at the call-th call: an errno, "tear" (half a write, then EIO) or "crash"."""
 
-    def __init__(self, fault=None):
-        self.fault, self.calls, self.dead = fault, 0, False
-        self.nodes, self.durable, self.handles, self.next, self.locks = {}, {}, {}, 3, set()
+    def __init__(self, planned_fault=None):
+        self.planned_fault, self.call_count, self.dead = planned_fault, 0, False
+        self.files, self.durable, self.handles, self.next, self.locks = {}, {}, {}, 3, set()
         self.stuck = None  # an errno that every call but a read gets
 
     def call(self, write=None):
         if self.dead:
-            raise Crash
-        self.calls += 1
-        if self.fault and self.calls == self.fault[0]:
-            if self.fault[1] in ("tear", "crash") and write:
+            raise CrashError
+        self.call_count += 1
+        if self.planned_fault and self.call_count == self.planned_fault[0]:
+            if self.planned_fault[1] in ("tear", "crash") and write:
                 node, data, offset = write
                 self.write_node(node, data[: len(data) // 2], offset)
-            if self.fault[1] == "crash":
+            if self.planned_fault[1] == "crash":
                 self.dead = True
-                raise Crash
-            raise OSError(errno.EIO if self.fault[1] == "tear" else self.fault[1], "planted")
+                raise CrashError
+            raise OSError(errno.EIO if self.planned_fault[1] == "tear" else self.planned_fault[1], "planted")
         if self.stuck:
             raise OSError(self.stuck, "planted")
 
@@ -47,23 +47,23 @@
         self.call()
 
     def list_directory(self, path):
-        return [name.rpartition("/")[2] for name in self.nodes]
+        return [name.rpartition("/")[2] for name in self.files]
 
     def open(self, path, write=False, create=False):
         self.call()
-        if path not in self.nodes:
+        if path not in self.files:
             if not create:
                 raise FileNotFoundError(errno.ENOENT, "no such file", path)
-            self.nodes[path] = Node()
+            self.files[path] = FakeFile()
         elif create:
-            self.nodes[path].data[:] = b""
-            self.nodes[path].pending = []
+            self.files[path].data[:] = b""
+            self.files[path].pending = []
         self.next += 1
-        self.handles[self.next] = self.nodes[path]
+        self.handles[self.next] = self.files[path]
         return self.next
 
     def close(self, handle):
-        self.locks = {path for path in self.locks if self.nodes.get(path) is not self.handles.get(handle)}
+        self.locks = {path for path in self.locks if self.files.get(path) is not self.handles.get(handle)}
         self.handles.pop(handle, None)
 
     def size(self, handle):
@@ -71,7 +71,7 @@
 
     def read(self, handle, size, offset):
         if self.dead:
-            raise Crash
+            raise CrashError
         return bytes(self.handles[handle].data[offset : offset + size])
 
     def write_node(self, node, data, offset):
@@ -90,17 +90,17 @@
 
     def sync_directory(self, path):
         self.call()
-        self.durable = copy(self.nodes)
+        self.durable = copy(self.files)
 
     def rename(self, old, new):
         self.call()
-        self.nodes[new] = self.nodes.pop(old)
+        self.files[new] = self.files.pop(old)
 
     def remove(self, path):
         self.call()
-        if path not in self.nodes:
+        if path not in self.files:
             raise FileNotFoundError(errno.ENOENT, "no such file", path)
-        del self.nodes[path]
+        del self.files[path]
 
     def lock(self, path):
         self.call()
@@ -109,23 +109,23 @@
         self.locks.add(path)
         return self.open(path, write=True, create=True)
 
-    def restarted(self, seed, lost=True):
-        """The disk after the machine (lost) or only the program ended: of what was not synced, some."""
-        chance, after = random.Random(seed), Disk()
-        for path in sorted({*self.nodes, *self.durable}):
-            node = self.nodes.get(path)
-            if lost and self.durable.get(path) is not node and chance.random() < 0.5:
+    def after_restart(self, seed, power_lost=True):
+        """The disk after the machine (power_lost) or only the program ended: of what was not synced, some."""
+        chance, after = random.Random(seed), FaultyDisk()
+        for path in sorted({*self.files, *self.durable}):
+            node = self.files.get(path)
+            if power_lost and self.durable.get(path) is not node and chance.random() < 0.5:
                 node = self.durable.get(path)
             if node is None:
                 continue
-            new = after.nodes[path] = Node()
-            new.data = bytearray(node.synced if lost else node.data)
-            for offset, piece in node.pending if lost else ():
+            new = after.files[path] = FakeFile()
+            new.data = bytearray(node.synced if power_lost else node.data)
+            for offset, piece in node.pending if power_lost else ():
                 kept = chance.choice((0, len(piece) // 1024 * 512, len(piece)))
                 if kept:
                     put(new.data, offset, piece[:kept])
             new.synced = bytes(new.data)
-        after.durable = copy(after.nodes)
+        after.durable = copy(after.files)
         return after
 
 
--- a/tests/support/store_world.py
+++ b/tests/support/store_world.py
@@ -2,7 +2,7 @@
 
 import random
 
-from tests.support.faulty_disk import Disk, Lanes
+from tests.support.faulty_disk import FaultyDisk, Lanes
 from wickhinge.store.store import Store
 from wickhinge.store.tier import Runtime, StoreLimits
 from wickhinge.store.volume import Volume
@@ -15,7 +15,7 @@
     """A store on a disk, with what it was given and told; `check` holds every answer against that."""
 
     def __init__(self, disk=None, continues=False, memory=0, chance=None):
-        self.disk, self.clock = disk or Disk(), 1000.0
+        self.disk, self.clock = disk or FaultyDisk(), 1000.0
         self.bodies, self.stamps, self.acknowledged, self.log = {}, [], [], []
         self.continues, self.memory, self.chance = continues, memory, chance
         self.read_clock = lambda: self.clock
@@ -26,20 +26,20 @@
     def start(self):
         self.lanes = Lanes(self.chance)
         volume = Volume(
-            self.disk, "d", SEGMENT, events_continue=self.continues, new_store_id=lambda: b"0123456789abcdef"
+            self.disk, "d", SEGMENT, event_numbers_persist=self.continues, new_store_id=lambda: b"0123456789abcdef"
         )
         limits = StoreLimits(
             disk_bytes=8 * SEGMENT,
             segment_bytes=SEGMENT,
             memory_bytes=self.memory,
-            counted_objects=1024,
-            queued_write_bytes=1 << 20,
+            frequency_table_objects=1024,
+            max_queued_write_bytes=1 << 20,
             write_bytes_per_s=1e9,
             slow_read_s=0.1,
-            concurrent_reads=16,
+            max_concurrent_reads=16,
             snapshot_interval_s=1e9,
-            quiet_s=3.0,
-            events_continue=self.continues,
+            max_journal_silence_s=3.0,
+            event_numbers_persist=self.continues,
         )
         runtime = Runtime(
             self.lanes, self.now, lambda *_: None, lambda event, **fields: self.log.append((event, fields))
@@ -47,8 +47,8 @@
         self.store = Store(volume, runtime, limits)
         self.store.start()
 
-    def restart(self, seed, lost):
-        self.disk = self.disk.restarted(seed, lost)
+    def restart(self, seed, power_lost):
+        self.disk = self.disk.after_restart(seed, power_lost)
         self.clock += 100.0
         self.start()
         self.lanes.go()
--- a/wickhinge/net/control/router_process.py
+++ b/wickhinge/net/control/router_process.py
@@ -193,7 +193,7 @@
         self.readiness.caught_up()
         if self.local_copies is not None:
             is_complete = self.endpoint_watch.is_unbroken and self._purges_resumed
-            self.local_copies.store.caught_up(self.deadlines.now(), is_complete)
+            self.local_copies.store.journal_caught_up(self.deadlines.now(), is_complete)
         if self.membership is not None:
             self.membership.caught_up(self.endpoint_watch)
 
--- a/wickhinge/net/upstream/local_copies.py
+++ b/wickhinge/net/upstream/local_copies.py
@@ -147,7 +147,7 @@
 
     def report_fields(self) -> dict[str, Any]:
         """Return the entry of the local copies in the report."""
-        return {**self.store.figures(), "served": self.served_counts}
+        return {**self.store.report_fields(), "served": self.served_counts}
 
 
 def start_local_copies(
--- a/wickhinge/store/compaction.py
+++ b/wickhinge/store/compaction.py
@@ -5,7 +5,7 @@
 from collections import deque
 from typing import NamedTuple
 
-from wickhinge.store.copies import Copy, Place
+from wickhinge.store.copies import Copy, RecordLocation
 from wickhinge.store.errors import DamagedCopyError
 from wickhinge.store.purging import PurgeRecorder
 from wickhinge.store.tier import Tier
@@ -19,14 +19,14 @@
 
     key: int
     part: int
-    place: Place
+    location: RecordLocation
 
 
 class Move(NamedTuple):
     """A copy that is to be appended anew, and its place when that was decided."""
 
     copy: Copy
-    place: Place
+    location: RecordLocation
 
 
 class Compactor:
@@ -67,7 +67,7 @@
 
         def scan() -> list[ScannedRecord]:
             records = tier.volume.segments.scan(number, 0, verify_bodies=False)
-            return [ScannedRecord(header.key, header.part, place) for header, place in records]
+            return [ScannedRecord(header.key, header.part, location) for header, location in records]
 
         def scanned(records: list[ScannedRecord] | None, error: BaseException | None) -> None:
             tier.space.unpin(number)
@@ -75,10 +75,10 @@
                 tier.counters.errors += 1
                 tier.space.compacting = None
                 return
-            for key, part, place in records:
+            for key, part, location in records:
                 copy = tier.admission.find(key, part)
-                if copy is not None and copy.place == place:
-                    self._queue.append(Move(copy, place))
+                if copy is not None and copy.location == location:
+                    self._queue.append(Move(copy, location))
             self._move_next()
 
         tier.runtime.workers.run(Lane.SLOW, scan, scanned)
@@ -86,37 +86,39 @@
     def _move_next(self) -> None:
         tier = self._tier
         while self._queue and self._moves < MAX_CONCURRENT_MOVES:
-            copy, place = self._queue.popleft()
-            if copy.place == place and tier.is_stored(copy):
-                self._move(copy, place)
+            copy, location = self._queue.popleft()
+            if copy.location == location and tier.is_stored(copy):
+                self._move(copy, location)
         if not self._queue and not self._moves and tier.space.compacting is not None:
             segment = tier.space.segments.get(tier.space.compacting)
             if segment is None or segment.live_bytes > 0:
                 tier.space.compacting = None  # what could not be moved is tried again
 
-    def _move(self, copy: Copy, place: Place) -> None:
+    def _move(self, copy: Copy, location: RecordLocation) -> None:
         tier = self._tier
         self._moves += 1
-        tier.space.pin(place.segment)
+        tier.space.pin(location.segment)
 
-        def append_again() -> Place:
-            return tier.volume.segments.append(copy, tier.volume.segments.read(place, copy.key, copy.part))
+        def append_again() -> RecordLocation:
+            return tier.volume.segments.append(copy, tier.volume.segments.read(location, copy.key, copy.part))
 
         tier.runtime.workers.run(
-            Lane.WRITE, append_again, lambda new_place, error: self._moved(copy, place, new_place, error)
+            Lane.WRITE, append_again, lambda new_place, error: self._moved(copy, location, new_place, error)
         )
 
-    def _moved(self, copy: Copy, place: Place, new_place: Place | None, error: BaseException | None) -> None:
+    def _moved(
+        self, copy: Copy, location: RecordLocation, new_place: RecordLocation | None, error: BaseException | None
+    ) -> None:
         tier = self._tier
         self._moves -= 1
-        tier.space.unpin(place.segment)
+        tier.space.unpin(location.segment)
         if new_place is not None:
             tier.space.record_append(new_place)
             tier.counters.moved += 1
-            if copy.place == place and tier.is_stored(copy):
-                tier.space.mark_garbage(place)
+            if copy.location == location and tier.is_stored(copy):
+                tier.space.mark_garbage(location)
                 tier.space.mark_live(new_place)
-                copy.place = new_place
+                copy.location = new_place
         else:
             is_damaged = isinstance(error, DamagedCopyError)
             if is_damaged:
--- a/wickhinge/store/copies.py
+++ b/wickhinge/store/copies.py
@@ -6,7 +6,7 @@
 from typing import NamedTuple
 
 
-class Place(NamedTuple):
+class RecordLocation(NamedTuple):
     """Where a record lies on disk."""
 
     segment: int
@@ -38,7 +38,7 @@
     created: float
     size: int
     serial: int
-    place: Place | None = None
+    location: RecordLocation | None = None
     age_verified: bool = True
     body: bytes | None = field(default=None, repr=False)
 
--- a/wickhinge/store/file_format.py
+++ b/wickhinge/store/file_format.py
@@ -13,7 +13,7 @@
 import msgspec
 from xxhash import xxh3_64_intdigest
 
-from wickhinge.store.copies import Copy, Place
+from wickhinge.store.copies import Copy, RecordLocation
 from wickhinge.store.errors import NewerFormatError
 from wickhinge.store.purges import EVERY_GROUP, LineKind, Purge, PurgeLine
 
@@ -75,7 +75,7 @@
     created: float
     size: int
     serial: int
-    place: Place
+    place: RecordLocation
 
 
 class SnapshotObject(msgspec.Struct, array_like=True):
--- a/wickhinge/store/lookup.py
+++ b/wickhinge/store/lookup.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Callable
 
-from wickhinge.store.copies import Copy, Place
+from wickhinge.store.copies import Copy, RecordLocation
 from wickhinge.store.errors import DamagedCopyError
 from wickhinge.store.tier import Tier
 from wickhinge.store.workers import Lane
@@ -45,17 +45,21 @@
     def is_current(self, copy: Copy, now: float) -> bool:
         """Whether the copy's age is known, and every purge up to now."""
         is_verified = copy.age_verified or self._recovered_are_verified
-        quiet_s = now - self._caught_up_at
-        return is_verified and -MAX_CLOCK_STEP_BACK_S <= quiet_s <= self._tier.limits.quiet_s and self.is_valid(copy)
+        silence_s = now - self._caught_up_at
+        return (
+            is_verified
+            and -MAX_CLOCK_STEP_BACK_S <= silence_s <= self._tier.limits.max_journal_silence_s
+            and self.is_valid(copy)
+        )
 
     def is_valid(self, copy: Copy) -> bool:
         """Whether no purge since it was found covers the copy."""
         return self._tier.is_on and not self._tier.is_purged(copy)
 
-    def caught_up(self, now: float, *, all_events: bool) -> None:
-        """Take in that the journal has nothing more to tell for now; see `Store.caught_up`."""
+    def journal_caught_up(self, now: float, *, all_events: bool) -> None:
+        """Take in that the journal has nothing more to tell for now; see `Store.journal_caught_up`."""
         self._caught_up_at = now
-        if all_events and self._tier.limits.events_continue and not self._recovered_are_verified:
+        if all_events and self._tier.limits.event_numbers_persist and not self._recovered_are_verified:
             self._recovered_are_verified = True
             self._tier.runtime.log("store_recovered_verified", event_number=self._tier.purges.last_event_number)
 
@@ -67,26 +71,26 @@
             tier.counters.memory_reads += 1
             done(body, True)
             return
-        place, started = copy.place, tier.runtime.now()
-        is_busy = self._concurrent_reads >= tier.limits.concurrent_reads
-        if place is None or is_busy or not tier.breaker.allows(started):
+        location, started = copy.location, tier.runtime.now()
+        is_busy = self._concurrent_reads >= tier.limits.max_concurrent_reads
+        if location is None or is_busy or not tier.breaker.allows(started):
             done(None, False)
             return
         self._concurrent_reads += 1
-        tier.space.pin(place.segment)
+        tier.space.pin(location.segment)
 
         def read_done(body: bytes | None, error: BaseException | None) -> None:
             self._concurrent_reads -= 1
-            tier.space.unpin(place.segment)
-            self._record_read(copy, place, error, started)
+            tier.space.unpin(location.segment)
+            self._record_read(copy, location, error, started)
             if body is not None:
                 tier.counters.disk_reads += 1
                 tier.hold_in_memory(copy, body)
             done(body, False)
 
-        tier.runtime.workers.run(Lane.READ, lambda: tier.volume.segments.read(place, copy.key, copy.part), read_done)
+        tier.runtime.workers.run(Lane.READ, lambda: tier.volume.segments.read(location, copy.key, copy.part), read_done)
 
-    def _record_read(self, copy: Copy, place: Place, error: BaseException | None, started: float) -> None:
+    def _record_read(self, copy: Copy, location: RecordLocation, error: BaseException | None, started: float) -> None:
         tier = self._tier
         now = tier.runtime.now()
         is_damaged = isinstance(error, DamagedCopyError)
@@ -94,7 +98,7 @@
         if is_damaged:
             tier.counters.damaged += 1
             tier.runtime.log("store_copy_damaged", reason=str(error))
-            if copy.place == place:
+            if copy.location == location:
                 tier.remove(copy)
         elif error is not None:
             tier.counters.errors += 1
--- a/wickhinge/store/maintenance.py
+++ b/wickhinge/store/maintenance.py
@@ -25,7 +25,7 @@
     Raises:
         UnusableDirectoryError: It is in use, or no store, or cannot be read or written.
     """
-    volume = Volume(Files(), path, segment_mb * MEBIBYTE, events_continue=True)
+    volume = Volume(Files(), path, segment_mb * MEBIBYTE, event_numbers_persist=True)
     volume.open(write=write)
     return volume
 
@@ -75,7 +75,7 @@
 def list_copies(volume: Volume, key: int | None = None) -> Iterator[dict[str, object]]:
     """A row for each live copy, or for those of one object, for `wickhinge store ls`."""
     for copy in live_copies(volume).values():
-        if key in (None, copy.key) and copy.place is not None:
+        if key in (None, copy.key) and copy.location is not None:
             yield {
                 "object": f"{copy.key:016x}",
                 "part": copy.part,
@@ -83,8 +83,8 @@
                 "tag": copy.etag.decode("latin-1"),
                 "made": round(copy.created, 3),
                 "bytes": copy.size,
-                "segment": copy.place.segment,
-                "offset": copy.place.offset,
+                "segment": copy.location.segment,
+                "offset": copy.location.offset,
             }
 
 
@@ -133,7 +133,7 @@
     moved: list[Copy] = []
     for index, copy in enumerate(live.values()):
         try:
-            copy.place = volume.segments.append(copy, _read_body(volume, copy))
+            copy.location = volume.segments.append(copy, _read_body(volume, copy))
             moved.append(copy)
         except DamagedCopyError:
             pass
@@ -153,9 +153,9 @@
 
 
 def _read_body(volume: Volume, copy: Copy) -> bytes:
-    if copy.place is None:
+    if copy.location is None:
         raise ValueError(f"expected a written copy of object {copy.key:016x} part {copy.part}")
-    return volume.segments.read(copy.place, copy.key, copy.part)
+    return volume.segments.read(copy.location, copy.key, copy.part)
 
 
 def _damaged_purge_logs(volume: Volume, names: list[str]) -> list[str]:
--- a/wickhinge/store/recovery.py
+++ b/wickhinge/store/recovery.py
@@ -60,11 +60,11 @@
 
     def _take_over_copy(self, copy: Copy, frequency: int) -> None:
         tier = self._tier
-        if copy.place is None:
+        if copy.location is None:
             return
-        tier.space.mark_live(copy.place)
+        tier.space.mark_live(copy.location)
         if tier.is_purged(copy):
-            tier.space.mark_garbage(copy.place)
+            tier.space.mark_garbage(copy.location)
             tier.counters.purged += 1
             return
         tier.counters.recovered += 1
--- a/wickhinge/store/segment_files.py
+++ b/wickhinge/store/segment_files.py
@@ -5,7 +5,7 @@
 import re
 from collections.abc import Iterator
 
-from wickhinge.store.copies import Copy, Place
+from wickhinge.store.copies import Copy, RecordLocation
 from wickhinge.store.errors import DamagedCopyError
 from wickhinge.store.file_format import (
     MAX_HEADER_BYTES,
@@ -67,10 +67,10 @@
             if handle is not None and number not in self.initial_sizes:
                 self._files.sync(handle)
 
-    def has(self, place: Place) -> bool:
+    def has(self, location: RecordLocation) -> bool:
         """Whether that place was there when the directory was opened."""
-        size = self.initial_sizes.get(place.segment)
-        return size is not None and place.offset + place.length <= size
+        size = self.initial_sizes.get(location.segment)
+        return size is not None and location.offset + location.length <= size
 
     def current_sizes(self) -> dict[int, int]:
         """The bytes of each segment now."""
@@ -85,10 +85,10 @@
             except OSError:
                 continue
 
-    def append(self, copy: Copy, body: bytes) -> Place:
+    def append(self, copy: Copy, body: bytes) -> RecordLocation:
         """Append a copy to the current segment. After a failed write the next one begins a new segment."""
         if not self._current or self._current_end >= self._segment_bytes:
-            self.begin()
+            self.begin_segment()
         number, offset = self._current, self._current_end
         record = encode_record(copy, body, checksum_seed(self.store_id, number))
         try:
@@ -98,9 +98,9 @@
             raise
         self._current_end = offset + len(record)
         self.bytes_appended += len(record)
-        return Place(number, offset, len(record))
+        return RecordLocation(number, offset, len(record))
 
-    def begin(self) -> None:
+    def begin_segment(self) -> None:
         """Make the current segment durable and begin a new one."""
         if self._current:
             number, self._current = self._current, 0
@@ -111,13 +111,13 @@
         self._current_end = 0
         self.handles[number] = handle
 
-    def read(self, place: Place, key: int, part: int) -> bytes:
+    def read(self, location: RecordLocation, key: int, part: int) -> bytes:
         """The body of the copy at that place, with each chunk verified.
 
         Raises:
             DamagedCopyError: Anything but that very copy is there.
         """
-        number, offset, length = place
+        number, offset, length = location
         record = memoryview(self._files.read(self.handles[number], length, offset))
         seed = checksum_seed(self.store_id, number)
         header = decode_header(record[:MAX_HEADER_BYTES], seed)
@@ -128,7 +128,7 @@
             raise DamagedCopyError("an intact body", key, part, number, offset)
         return bytes(body)
 
-    def scan(self, number: int, start: int, *, verify_bodies: bool) -> Iterator[tuple[RecordHeader, Place]]:
+    def scan(self, number: int, start: int, *, verify_bodies: bool) -> Iterator[tuple[RecordHeader, RecordLocation]]:
         """Every record of a segment from an offset on; past a damaged one the scan goes on with the next header."""
         handle, seed = self.handles[number], checksum_seed(self.store_id, number)
         size, offset = self._files.size(handle), start
@@ -148,7 +148,7 @@
             if not intact:
                 offset += RECORD_ALIGN_BYTES
                 continue
-            yield header, Place(number, offset, header.record_bytes)
+            yield header, RecordLocation(number, offset, header.record_bytes)
             offset += header.record_bytes
 
     def recycle(self, number: int) -> None:
--- a/wickhinge/store/segments.py
+++ b/wickhinge/store/segments.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-from wickhinge.store.copies import Place
+from wickhinge.store.copies import RecordLocation
 
 
 @dataclass(slots=True)
@@ -43,24 +43,24 @@
             self.total_bytes += size
         return self.segments[number]
 
-    def record_append(self, place: Place) -> None:
+    def record_append(self, location: RecordLocation) -> None:
         """Account for a record that was appended; a new segment seals all earlier ones."""
-        if place.segment not in self.segments:
+        if location.segment not in self.segments:
             for other in self.segments.values():
-                other.is_sealed = other.is_sealed or other.number < place.segment
-        segment = self.add(place.segment)
-        end = place.offset + place.length
+                other.is_sealed = other.is_sealed or other.number < location.segment
+        segment = self.add(location.segment)
+        end = location.offset + location.length
         self.total_bytes += end - segment.size
         segment.size = end
 
-    def mark_live(self, place: Place) -> None:
+    def mark_live(self, location: RecordLocation) -> None:
         """Count a record whose copy entered the index."""
-        self.segments[place.segment].live_bytes += place.length
+        self.segments[location.segment].live_bytes += location.length
 
-    def mark_garbage(self, place: Place) -> None:
+    def mark_garbage(self, location: RecordLocation) -> None:
         """Count a record whose copy left the index."""
-        if place.segment in self.segments:
-            self.segments[place.segment].live_bytes -= place.length
+        if location.segment in self.segments:
+            self.segments[location.segment].live_bytes -= location.length
 
     def pin(self, number: int) -> None:
         """Keep a segment from being recycled until `unpin`."""
--- a/wickhinge/store/snapshots.py
+++ b/wickhinge/store/snapshots.py
@@ -102,9 +102,9 @@
 
 def _encode_copy(copy: Copy) -> SnapshotCopy | None:
     """None for a copy that is not written yet."""
-    if copy.place is None:
+    if copy.location is None:
         return None
-    return SnapshotCopy(copy.part, copy.group, copy.etag, copy.created, copy.size, copy.serial, copy.place)
+    return SnapshotCopy(copy.part, copy.group, copy.etag, copy.created, copy.size, copy.serial, copy.location)
 
 
 def restore_copy(key: int, row: SnapshotCopy) -> Copy:
--- a/wickhinge/store/store.py
+++ b/wickhinge/store/store.py
@@ -108,10 +108,10 @@
     def purge(self, key: int | None, group: int, timestamp: float, event_number: int) -> None:
         """Put a purge in force at once, and on disk soon after; only then is its number known there."""
         newest_segment = max(self.tier.volume.segments.newest, 1)
-        number = event_number if self.tier.limits.events_continue else 0
+        number = event_number if self.tier.limits.event_numbers_persist else 0
         self.purging.record(Purge(key, group, timestamp, newest_segment, number))
 
-    def caught_up(self, now: float, all_events: bool) -> None:
+    def journal_caught_up(self, now: float, all_events: bool) -> None:
         """Take in that the journal has nothing more to tell for now.
 
         Args:
@@ -119,7 +119,7 @@
             all_events: It has told all since the number that the purge log had at the start, in the service's own
                 unbroken count.
         """
-        self.lookup.caught_up(now, all_events=all_events)
+        self.lookup.journal_caught_up(now, all_events=all_events)
 
     # Maintenance.
 
@@ -141,7 +141,7 @@
         self._compactor.run()
         self.snapshots.run(now)
 
-    def figures(self) -> dict[str, object]:
+    def report_fields(self) -> dict[str, object]:
         """Counters and sizes, for the report."""
         tier = self.tier
         return {
@@ -188,19 +188,19 @@
         journal: The settings under `journal`.
         runtime: Its workers are closed where the directory cannot be used.
     """
-    volume = Volume(Files(), options.dir, options.segment_mb * MEBIBYTE, events_continue=journal.continues)
+    volume = Volume(Files(), options.dir, options.segment_mb * MEBIBYTE, event_numbers_persist=journal.continues)
     limits = StoreLimits(
         disk_bytes=options.size_mb * MEBIBYTE,
         segment_bytes=options.segment_mb * MEBIBYTE,
         memory_bytes=options.memory_mb * MEBIBYTE,
-        counted_objects=options.objects,
-        queued_write_bytes=int(options.waiting_mb * MEBIBYTE),
+        frequency_table_objects=options.objects,
+        max_queued_write_bytes=int(options.waiting_mb * MEBIBYTE),
         write_bytes_per_s=options.write_mb_s * MEBIBYTE,
         slow_read_s=options.read_within_s,
-        concurrent_reads=options.reads_at_once,
+        max_concurrent_reads=options.reads_at_once,
         snapshot_interval_s=options.snapshot_s,
-        quiet_s=journal.quiet_s,
-        events_continue=journal.continues,
+        max_journal_silence_s=journal.quiet_s,
+        event_numbers_persist=journal.continues,
     )
     store = Store(volume, runtime, limits)
     try:
--- a/wickhinge/store/tier.py
+++ b/wickhinge/store/tier.py
@@ -26,14 +26,14 @@
     disk_bytes: int
     segment_bytes: int
     memory_bytes: int  # bodies that are held in memory as well
-    counted_objects: int  # whose requests are counted
-    queued_write_bytes: int
+    frequency_table_objects: int  # whose requests are counted
+    max_queued_write_bytes: int
     write_bytes_per_s: float
     slow_read_s: float  # a read that lasts longer counts against the disk
-    concurrent_reads: int
+    max_concurrent_reads: int
     snapshot_interval_s: float
-    quiet_s: float  # so long after the journal's last word copies still count as current
-    events_continue: bool  # the journal keeps its event numbers across starts
+    max_journal_silence_s: float  # so long after the journal's last word copies still count as current
+    event_numbers_persist: bool  # the journal keeps its event numbers across starts
 
 
 @dataclass(frozen=True, slots=True)
@@ -83,7 +83,7 @@
         self.runtime = runtime
         self.limits = limits
         index_bytes = int(COPIES_SHARE * (limits.disk_bytes - 2 * limits.segment_bytes))
-        self.admission = AdmissionPolicy(index_bytes, FrequencyTable(limits.counted_objects))
+        self.admission = AdmissionPolicy(index_bytes, FrequencyTable(limits.frequency_table_objects))
         self.memory = TailEviction(limits.memory_bytes)
         self.bodies: dict[Copy, bytes] = {}
         self.space = SegmentSpace(limits.disk_bytes, limits.segment_bytes)
@@ -148,5 +148,5 @@
     def _release(self, copy: Copy) -> None:
         if self.memory.remove(copy):
             del self.bodies[copy]
-        if copy.place is not None:
-            self.space.mark_garbage(copy.place)
+        if copy.location is not None:
+            self.space.mark_garbage(copy.location)
--- a/wickhinge/store/volume.py
+++ b/wickhinge/store/volume.py
@@ -12,7 +12,7 @@
 from collections.abc import Callable, Iterable, Iterator
 from contextlib import suppress
 
-from wickhinge.store.copies import Copy, Place, StoredObject
+from wickhinge.store.copies import Copy, RecordLocation, StoredObject
 from wickhinge.store.errors import NewerFormatError, UnusableDirectoryError
 from wickhinge.store.file_format import (
     RecordHeader,
@@ -56,7 +56,7 @@
         path: str,
         segment_bytes: int,
         *,
-        events_continue: bool = False,
+        event_numbers_persist: bool = False,
         new_store_id: Callable[[], bytes] = random_store_id,
     ) -> None:
         """Name the directory; nothing is touched before `open`.
@@ -65,7 +65,7 @@
             files: The file calls.
             path: The directory.
             segment_bytes: The size at which a segment is full.
-            events_continue: The journal's event numbers hold across starts; else those of an earlier start are void.
+            event_numbers_persist: Whether event numbers of the journal stay valid after a restart.
             new_store_id: Called for a directory that has no identity yet.
         """
         self.files = files
@@ -76,7 +76,7 @@
         self.purge_log = PurgeLog(files, path)
         self.snapshots = SnapshotFiles(files, path)
         self.distrusted = False
-        self._events_continue = events_continue
+        self._events_continue = event_numbers_persist
         self._new_store_id = new_store_id
         self._lock: int | None = None
 
@@ -171,9 +171,9 @@
         for number in sorted(self.segments.initial_sizes, reverse=True):
             start = scan_start(marks, number, self.segments.initial_sizes[number])
             scanned: list[StoredObject] = []
-            for header, place in self.segments.scan(number, start, verify_bodies=True):
+            for header, location in self.segments.scan(number, start, verify_bodies=True):
                 serial = max(serial, header.serial)
-                scanned.append(StoredObject(header.key, 0, [_scanned_copy(header, place)]))
+                scanned.append(StoredObject(header.key, 0, [_scanned_copy(header, location)]))
                 if len(scanned) == BATCH_COPIES:
                     yield scanned
                     scanned = []
@@ -229,7 +229,7 @@
         return segment_number(name) is not None or generation_of(name) is not None
 
 
-def _scanned_copy(header: RecordHeader, place: Place) -> Copy:
+def _scanned_copy(header: RecordHeader, location: RecordLocation) -> Copy:
     return Copy(
         header.key,
         header.part,
@@ -238,6 +238,6 @@
         header.created,
         header.size,
         header.serial,
-        place,
+        location,
         age_verified=False,
     )
--- a/wickhinge/store/writing.py
+++ b/wickhinge/store/writing.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-from wickhinge.store.copies import Copy, Place
+from wickhinge.store.copies import Copy, RecordLocation
 from wickhinge.store.file_format import MAX_ETAG_BYTES
 from wickhinge.store.tier import Tier
 from wickhinge.store.workers import Lane
@@ -27,7 +27,7 @@
     """Stores what is offered, within the bounds of writing."""
 
     def __init__(self, tier: Tier) -> None:
-        self.limiter = WriteRateLimiter(tier.limits.queued_write_bytes, tier.limits.write_bytes_per_s)
+        self.limiter = WriteRateLimiter(tier.limits.max_queued_write_bytes, tier.limits.write_bytes_per_s)
         self._tier = tier
 
     def admit(self, offer: CopyOffer, now: float) -> bool:
@@ -63,7 +63,7 @@
         tier.runtime.workers.run(
             Lane.WRITE,
             lambda: tier.volume.segments.append(copy, body),
-            lambda place, error: self._written(copy, body, place, error),
+            lambda location, error: self._written(copy, body, location, error),
         )
 
     def revalidate(self, copy: Copy, created: float) -> None:
@@ -83,7 +83,7 @@
             return False
         return True
 
-    def _written(self, copy: Copy, body: bytes, place: Place | None, error: BaseException | None) -> None:
+    def _written(self, copy: Copy, body: bytes, location: RecordLocation | None, error: BaseException | None) -> None:
         tier = self._tier
         self.limiter.complete(len(body))
         copy.body = None
@@ -92,10 +92,10 @@
         if error is not None:
             tier.record_error("write", error)
             tier.remove(copy)
-        if place is None:
+        if location is None:
             return
-        tier.space.record_append(place)
-        copy.place = place
+        tier.space.record_append(location)
+        copy.location = location
         if tier.is_stored(copy):
-            tier.space.mark_live(place)
+            tier.space.mark_live(location)
             tier.hold_in_memory(copy, body)
