--- a/bench/store.py
+++ b/bench/store.py
@@ -789,7 +789,7 @@
             workers.go()
             answer[f"{how}_s"] = round(time.perf_counter() - began, 3)
             answer["serves_after_s"] = round(first, 4)
-            assert made.tier.admission.count == count, (made.tier.admission.count, count)
+            assert made.tier.admission.copy_count == count, (made.tier.admission.copy_count, count)
             if how == "snapshot":
                 answer["memory_a_part"] = round((psutil.Process().memory_info().rss - before) / count)
             made.close()
--- a/tests/store/test_store.py
+++ b/tests/store/test_store.py
@@ -128,7 +128,8 @@
             world.restart(turn, power_lost=False)
             world.lanes.go()
     assert (
-        world.store.tier.space.total_bytes <= world.store.tier.space.capacity and world.store.tier.admission.count > 8
+        world.store.tier.space.total_bytes <= world.store.tier.space.capacity_bytes
+        and world.store.tier.admission.copy_count > 8
     )
     assert max(world.store.tier.admission.objects) > 50
 
@@ -177,7 +178,7 @@
         world.lanes.go()
     assert (
         world.store.tier.breaker.is_open
-        and world.store.tier.admission.count == 0
+        and world.store.tier.admission.copy_count == 0
         and "store_breaker_opened" in dict(world.log)
     )
     assert world.store.tier.counters.refused >= 4 and world.store.writer.limiter.queued_bytes == 0
@@ -241,7 +242,7 @@
         stored_copy(world, key, size=900)
     world.lanes.stalled = {"read"}
     assert sum(bool(read_results(world, world.store.find(key, 0, world.clock))) for key in range(8)) == 4
-    assert world.store.tier.memory.used <= 4000
+    assert world.store.tier.memory.used_bytes <= 4000
 
 
 # Age across a start, and while the journal is away.
--- a/tests/store/test_store_decisions.py
+++ b/tests/store/test_store_decisions.py
@@ -91,7 +91,7 @@
     for key in (1, 2, 3):
         visits(made, key, 4)
         made.add(copy(key))
-    assert made.frequency(1) == 1 and 1 not in made.frequencies
+    assert made.frequency(1) == 1 and 1 not in made.stored_frequencies
     visits(made, 1, 1)
     assert made.admits(1, 0, 5)
 
@@ -130,7 +130,7 @@
 def test_tail_eviction_when_without_capacity_holds_nothing():
     made = TailEviction(0)
     one = copy()
-    assert made.add(one) == [one] and not made.objects and made.used == 0
+    assert made.add(one) == [one] and not made.objects and made.used_bytes == 0
 
 
 def test_segments_when_garbage_and_unread_are_recycled_and_least_live_compacted():
@@ -138,17 +138,17 @@
     for number, live in ((1, 5), (2, 15), (3, 0), (4, 20)):
         space.record_append(RecordLocation(number, 0, 20))
         space.segments[number].live_bytes = live
-    assert space.recyclable() == [3] and space.compaction_victim() == 1 and not space.is_full()
+    assert space.recyclable_segments() == [3] and space.compaction_victim() == 1 and not space.is_full()
     space.pin(3)
-    assert space.recyclable() == []
+    assert space.recyclable_segments() == []
     space.unpin(3)
     space.record_append(RecordLocation(5, 0, 10))
-    assert space.is_full() and space.recyclable() == [3]
-    space.compacting = 1
+    assert space.is_full() and space.recyclable_segments() == [3]
+    space.compacting_segment = 1
     assert space.compaction_victim() is None
     for number in (3, 1):
         space.remove(number)
-    assert not space.is_full() and space.compacting is None and space.total_bytes == 50
+    assert not space.is_full() and space.compacting_segment is None and space.total_bytes == 50
     space.unpin(1)
     space.mark_garbage(RecordLocation(1, 0, 5))
 
@@ -167,24 +167,24 @@
 def test_breaker_when_errors_follow_each_other_opens_until_a_trial_succeeds():
     breaker = CircuitBreaker(0.1)
     for _ in range(MAX_CONSECUTIVE_ERRORS - 1):
-        breaker.record(False, 0.0, 1.0)
-    breaker.record(True, 0.0, 1.0)
-    assert breaker.allows(1.0)
+        breaker.record_call(False, 0.0, 1.0)
+    breaker.record_call(True, 0.0, 1.0)
+    assert breaker.permit_call(1.0)
     for _ in range(MAX_CONSECUTIVE_ERRORS):
-        breaker.record(False, 0.0, 2.0)
-    assert not breaker.allows(2.5) and breaker.opened_count == 1
-    assert breaker.allows(3.0) and not breaker.allows(3.0)
-    breaker.record(False, 0.0, 3.1)
-    assert not breaker.allows(5.0) and breaker.allows(5.1)
-    breaker.record(True, 0.05, 5.2)
-    assert breaker.allows(5.2) and not breaker.is_open
+        breaker.record_call(False, 0.0, 2.0)
+    assert not breaker.permit_call(2.5) and breaker.opened_count == 1
+    assert breaker.permit_call(3.0) and not breaker.permit_call(3.0)
+    breaker.record_call(False, 0.0, 3.1)
+    assert not breaker.permit_call(5.0) and breaker.permit_call(5.1)
+    breaker.record_call(True, 0.05, 5.2)
+    assert breaker.permit_call(5.2) and not breaker.is_open
 
 
 def test_breaker_when_calls_are_slow_opens_and_a_clock_step_back_allows_a_trial():
     breaker = CircuitBreaker(0.1)
     for _ in range(MAX_CONSECUTIVE_SLOW_CALLS):
-        breaker.record(True, 0.2, 1000.0)
-    assert not breaker.allows(1000.5) and breaker.allows(1000.5 - 2 * MAX_BACKOFF_S)
+        breaker.record_call(True, 0.2, 1000.0)
+    assert not breaker.permit_call(1000.5) and breaker.permit_call(1000.5 - 2 * MAX_BACKOFF_S)
 
 
 @pytest.mark.parametrize(
@@ -197,14 +197,14 @@
     purged.record(Purge(None, 3, 20.0, 2, 5))
     purged.record(Purge(1, 0, 8.0, 3, 6))  # told late, and older
     assert purged.covers(key, group, made) is covered
-    assert purged.last_event_number == 6 and purged.objects[1].segment == 3
+    assert purged.last_event_number == 6 and purged.objects[1].newest_segment == 3
 
 
 def test_purge_when_no_older_segment_is_left_is_forgotten():
     purged = PurgeTable()
     purged.record(Purge(1, 0, 10.0, 5, 1))
-    assert purged.forget(5, 1000.0) == 0 and purged.forget(6, 20.0) == 0
-    assert purged.forget(6, 1000.0) == 1 and not purged.covers(1, 0, 5.0)
+    assert purged.forget_obsolete(5, 1000.0) == 0 and purged.forget_obsolete(6, 20.0) == 0
+    assert purged.forget_obsolete(6, 1000.0) == 1 and not purged.covers(1, 0, 5.0)
 
 
 def test_purge_table_when_over_its_bound_merges_and_still_covers_all():
--- a/tests/store/test_store_faults.py
+++ b/tests/store/test_store_faults.py
@@ -151,10 +151,10 @@
         data = world.disk.files[f"d/{name}"].data
         data[file_format.PURGE_LINE_BYTES * 2 + 20] ^= 1
     world.restart(0, power_lost=False)
-    assert bool(world.store.tier.admission.count) == (len(halves) == 1)
+    assert bool(world.store.tier.admission.copy_count) == (len(halves) == 1)
     assert ("store_copies_discarded" in dict(world.log)) == (len(halves) == 2)
     world.restart(0, power_lost=False)  # what was not believed is gone for good, not believed the next time
-    assert bool(world.store.tier.admission.count) == (len(halves) == 1)
+    assert bool(world.store.tier.admission.copy_count) == (len(halves) == 1)
 
 
 def test_purge_when_power_is_cut_right_after_it_is_still_in_force():
@@ -242,14 +242,15 @@
         if hasattr(self, "world"):
             self.world.check(self.world.stamps)
             store = self.world.store
-            assert store.tier.admission.used <= store.tier.admission.capacity and store.tier.memory.used <= max(
-                store.tier.memory.capacity, 0
+            assert (
+                store.tier.admission.used_bytes <= store.tier.admission.capacity_bytes
+                and store.tier.memory.used_bytes <= max(store.tier.memory.capacity_bytes, 0)
             )
-            assert store.tier.admission.used == sum(
+            assert store.tier.admission.used_bytes == sum(
                 c.size for p in store.tier.admission.objects.values() for c in p.values()
             )
             assert set(store.tier.bodies) == {c for p in store.tier.memory.objects.values() for c in p.values()}
-            assert set(store.tier.admission.frequencies) == set(store.tier.admission.objects)
+            assert set(store.tier.admission.stored_frequencies) == set(store.tier.admission.objects)
             for one in store.tier.space.segments.values():
                 assert 0 <= one.live_bytes <= one.size and one.pins >= 0
 
--- a/tests/store/test_stored_formats.py
+++ b/tests/store/test_stored_formats.py
@@ -14,7 +14,7 @@
 from wickhinge.store import file_format, maintenance
 from wickhinge.store.copies import Copy
 from wickhinge.store.files import Files
-from wickhinge.store.purge_log import FILE_NAMES
+from wickhinge.store.purge_log import PURGE_LOG_NAMES
 from wickhinge.store.store import Store
 from wickhinge.store.tier import Runtime, StoreLimits
 from wickhinge.store.volume import Volume
@@ -75,7 +75,7 @@
         assert read == [body_of(key, part, size)]
     for key, part in PURGED:
         assert store.find(key, part, NOW) is None
-    assert store.tier.admission.count == len(COPIES)
+    assert store.tier.admission.copy_count == len(COPIES)
     assert store.last_event_number == 13 and store.tier.counters.recovered >= len(COPIES)
     store.close()
 
@@ -83,7 +83,7 @@
 def test_tools_when_written_by_format_1_count_copies_purges_and_no_damage(directory):
     volume = maintenance.open_volume(directory)
     assert {name: (c.group, c.etag, c.created, c.size) for name, c in maintenance.live_copies(volume).items()} == COPIES
-    assert len(volume.purges) == 4 and volume.purges.last_event_number == 13 and not volume.distrusted
+    assert len(volume.purges) == 4 and volume.purges.last_event_number == 13 and not volume.may_lack_purges
     stat = maintenance.stat(volume)
     assert (stat["format"], stat["segments"], stat["copies"], stat["purges"]) == (1, 2, len(COPIES), 4)
     assert (stat["journal_number"], stat["snapshots"], stat["believed"]) == (13, 1, True)
@@ -110,7 +110,7 @@
 
 
 def test_purge_log_when_written_again_is_the_same_bytes():
-    for name in FILE_NAMES:
+    for name in PURGE_LOG_NAMES:
         data = (DATA / name).read_bytes()
         lines = file_format.decode_purge_lines(data)
         assert [kind for _, kind, _ in lines] == [0, 1, 1, 1]
--- a/wickhinge/store/admission.py
+++ b/wickhinge/store/admission.py
@@ -1,8 +1,9 @@
-"""Admission and eviction: gLRU of the paper (section III-B), for a tier whose evictions are seen.
+"""Admission and eviction by gLRU (section III-B of the paper), for a tier that observes its own evictions.
 
-An object that is requested may store one part more than before, as many as its frequency, and moves to the front;
-when capacity runs out, the object at the back loses its tail part, and its frequency falls to what is left. Only the
-count is the paper's; one-off objects, which fill a tier with first parts, are kept out by a minimum of requests.
+Each request for an object raises the object's frequency, which is the number of its parts that may be stored, and
+makes the object the most recently used one. When the capacity is exceeded, the least recently used object loses its
+tail part, and its frequency falls to the number of parts before that. Only the count of parts comes from the paper;
+the minimum number of requests keeps out objects that are requested once, which would fill the tier with first parts.
 """
 
 from __future__ import annotations
@@ -12,40 +13,41 @@
 from wickhinge.store.copies import Copy
 from wickhinge.store.frequency import MAX_FREQUENCY, FrequencyTable
 
-MIN_REQUESTS = 2  # of part 0 before anything of an object is stored
+# Requests for part 0 after which the first part of an object may be stored.
+MIN_REQUESTS_TO_STORE = 2
 
 
 class TailEviction:
-    """Objects by last use, each with its parts; past the capacity the last object loses its tail part.
+    """Copies of objects in LRU order; over the capacity, the least recently used object loses its tail part.
 
     Attributes:
-        capacity: Bytes of all bodies.
-        used: Bytes of all bodies that are in it.
-        count: Copies that are in it.
-        objects: The copies by object and part, the object used last at the end.
+        capacity_bytes: Upper bound on the size of all bodies.
+        used_bytes: Size of the bodies of all present copies.
+        copy_count: Number of present copies.
+        objects: Copies by object key and part, the most recently used object last.
     """
 
-    def __init__(self, capacity: int) -> None:
-        self.capacity = capacity
-        self.used = 0
-        self.count = 0
+    def __init__(self, capacity_bytes: int) -> None:
+        self.capacity_bytes = capacity_bytes
+        self.used_bytes = 0
+        self.copy_count = 0
         self.objects: OrderedDict[int, dict[int, Copy]] = OrderedDict()
 
     def find(self, key: int, part: int) -> Copy | None:
-        """The copy of a part, if there is one. This is no use of the object; see `touch`."""
+        """Return the copy of a part, or None. The lookup does not count as a use of the object; see `touch`."""
         parts = self.objects.get(key)
         return parts.get(part) if parts else None
 
     def touch(self, key: int) -> None:
-        """Record a use of the object."""
+        """Make the object the most recently used one."""
         if key in self.objects:
             self.objects.move_to_end(key)
 
     def add(self, copy: Copy, *, used_now: bool = True) -> list[Copy]:
-        """Add a copy and return those that had to go, with the one that it replaces among them.
+        """Add a copy and return the removed copies: the one that it replaces, and those evicted for space.
 
         Args:
-            copy: What to add; may be among the evicted itself.
+            copy: The copy to add; may itself be among the evicted copies.
             used_now: False for a recovered copy, whose last use is not known.
         """
         replaced = self.find(copy.key, copy.part)
@@ -59,9 +61,9 @@
         elif used_now:
             self.objects.move_to_end(copy.key)
         self.objects[copy.key][copy.part] = copy
-        self.used += copy.size
-        self.count += 1
-        while self.used > self.capacity:
+        self.used_bytes += copy.size
+        self.copy_count += 1
+        while self.used_bytes > self.capacity_bytes:
             parts = next(iter(self.objects.values()))
             tail = parts[max(parts)]
             self.remove(tail)
@@ -69,52 +71,52 @@
         return removed
 
     def remove(self, copy: Copy) -> bool:
-        """Remove a copy; False where it is not in here."""
+        """Remove a copy; return False if it is not present."""
         parts = self.objects.get(copy.key)
         if parts is None or parts.get(copy.part) is not copy:
             return False
         del parts[copy.part]
         if not parts:
             del self.objects[copy.key]
-        self.used -= copy.size
-        self.count -= 1
+        self.used_bytes -= copy.size
+        self.copy_count -= 1
         return True
 
 
 class AdmissionPolicy(TailEviction):
-    """What the disk tier stores, by the frequency of requests.
+    """Index of the disk tier that admits copies by the request frequency of their objects.
 
     Attributes:
-        frequencies: Of stored objects.
-        unstored_frequencies: Of all others.
+        stored_frequencies: Frequencies of objects that have a stored copy.
+        unstored_frequencies: Frequencies of objects without a stored copy.
     """
 
-    def __init__(self, capacity: int, unstored_frequencies: FrequencyTable) -> None:
-        super().__init__(capacity)
+    def __init__(self, capacity_bytes: int, unstored_frequencies: FrequencyTable) -> None:
+        super().__init__(capacity_bytes)
         self.unstored_frequencies = unstored_frequencies
-        self.frequencies: dict[int, int] = {}
+        self.stored_frequencies: dict[int, int] = {}
 
     def frequency(self, key: int) -> int:
-        """How many parts of the object are worth storing."""
-        return self.frequencies.get(key) or self.unstored_frequencies.get(key)
+        """Return the object's frequency, which is the number of its parts that are worth storing."""
+        return self.stored_frequencies.get(key) or self.unstored_frequencies.get(key)
 
     def record_request(self, key: int, part: int) -> None:
-        """Count a request: of any part it is a use of the object, of part 0 it raises the frequency."""
+        """Record a request: any part marks the object as used, and part 0 also raises its frequency."""
         self.touch(key)
         if part == 0:
             self._set_frequency(key, min(self.frequency(key) + 1, MAX_FREQUENCY))
 
     def admits(self, key: int, part: int, size: int) -> bool:
-        """Whether a copy of so many bytes is worth storing."""
+        """Return whether a copy with a body of `size` bytes is worth storing."""
         frequency = self.frequency(key)
-        return part < frequency and frequency >= MIN_REQUESTS and 0 < size <= self.capacity // 4
+        return part < frequency and frequency >= MIN_REQUESTS_TO_STORE and 0 < size <= self.capacity_bytes // 4
 
     def add(self, copy: Copy, *, used_now: bool = True) -> list[Copy]:
-        """As TailEviction.add; the frequency of an object that lost its tail falls to what is left."""
+        """Add a copy as TailEviction.add does; an evicted copy lowers the frequency of its object."""
         frequency = self.frequency(copy.key)
         removed = super().add(copy, used_now=used_now)
         if copy.key in self.objects:
-            self.frequencies.setdefault(copy.key, max(frequency, 1))
+            self.stored_frequencies.setdefault(copy.key, max(frequency, 1))
         for other in removed:
             was_replaced = (other.key, other.part) == (copy.key, copy.part) and self.find(copy.key, copy.part) is copy
             if not was_replaced:
@@ -122,40 +124,43 @@
         return removed
 
     def add_recovered(self, copy: Copy, frequency: int) -> list[Copy]:
-        """Add what a start found on disk and return what goes instead: the copy itself where it is not accepted.
+        """Add a copy that recovery found on disk; return the copies removed, or `copy` itself if it is not accepted.
 
-        Of two copies of a part the later created wins, then the later written. A copy of this run is never replaced
-        and never evicted for one that was recovered.
+        Of two copies of a part the one created later wins, and of equally old ones the one written later. A copy
+        stored since the start is never replaced by a recovered copy or evicted for it.
         """
         present = self.find(copy.key, copy.part)
         if present is not None:
             present_wins = (present.created, present.serial) >= (copy.created, copy.serial)
             if present.age_verified or present_wins:
                 return [copy]
-        elif self.used + copy.size > self.capacity:
+        elif self.used_bytes + copy.size > self.capacity_bytes:
             return [copy]
         removed = self.add(copy, used_now=False)
         self._set_frequency(copy.key, max(self.frequency(copy.key), frequency, copy.part + 1))
         return removed
 
     def remove(self, copy: Copy) -> bool:
-        """Remove a copy for another reason than capacity (purged, damaged, not written): its frequency stays."""
-        frequency = self.frequencies.get(copy.key)
+        """Remove a copy that is purged, damaged or not written; the frequency of its object stays."""
+        frequency = self.stored_frequencies.get(copy.key)
         removed = super().remove(copy)
         if removed and copy.key not in self.objects:
-            self.frequencies.pop(copy.key, None)
+            self.stored_frequencies.pop(copy.key, None)
             self.unstored_frequencies.put(copy.key, max(frequency or 1, 1))
         return removed
 
     def _set_frequency(self, key: int, frequency: int) -> None:
         if key in self.objects:
-            self.frequencies[key] = frequency
+            self.stored_frequencies[key] = frequency
         else:
-            self.frequencies.pop(key, None)
+            self.stored_frequencies.pop(key, None)
             self.unstored_frequencies.put(key, frequency)
 
     def _lower_frequency(self, evicted: Copy) -> None:
-        """To the parts that are left; at least 1, for the object was requested before."""
+        """Lower the frequency of the evicted copy's object to the number of parts before it.
+
+        The frequency stays at least 1, since the object was requested before.
+        """
         frequency = min(self.frequency(evicted.key), max(evicted.part, 1))
-        self.frequencies.pop(evicted.key, None)
+        self.stored_frequencies.pop(evicted.key, None)
         self._set_frequency(evicted.key, frequency)
--- a/wickhinge/store/bandwidth.py
+++ b/wickhinge/store/bandwidth.py
@@ -1,28 +1,28 @@
-"""The bandwidth of this router's own outbound link, shared by the copies that it answers with."""
+"""Bandwidth of this router's own outbound link, which the responses from local copies share."""
 
 from __future__ import annotations
 
 
 class LinkBandwidth:
-    """Predicts when a copy that is answered now has been transferred.
+    """Model of the outbound link that predicts when the transfer of a copy would end.
 
-    Transfers pass one after the other, in the order of their answers. Called by `net.copies`.
+    The model transfers copies one after the other, in the order in which the requests are answered.
 
     Attributes:
-        flow_rate: Bytes a second that a single transfer gets at most.
-        total_rate: Bytes a second of all transfers together.
-        idle_at: When all transfers so far have passed, in seconds.
+        transfer_bytes_per_s: Upper bound on the rate of a single transfer.
+        link_bytes_per_s: Upper bound on the rate of all transfers together.
+        busy_until: Time in seconds at which all transfers recorded so far have ended.
     """
 
-    def __init__(self, flow_rate: float, total_rate: float) -> None:
-        self.flow_rate = flow_rate
-        self.total_rate = total_rate
-        self.idle_at = 0.0
+    def __init__(self, transfer_bytes_per_s: float, link_bytes_per_s: float) -> None:
+        self.transfer_bytes_per_s = transfer_bytes_per_s
+        self.link_bytes_per_s = link_bytes_per_s
+        self.busy_until = 0.0
 
     def transfer_end(self, size: int, now: float) -> float:
-        """When a transfer of so many bytes would end, in seconds."""
-        return max(max(self.idle_at, now) + size / self.total_rate, now + size / self.flow_rate)
+        """Return the time at which a transfer of `size` bytes would end if it began now."""
+        return max(max(self.busy_until, now) + size / self.link_bytes_per_s, now + size / self.transfer_bytes_per_s)
 
     def record_transfer(self, size: int, now: float) -> None:
-        """Account for a transfer of so many bytes that begins now."""
-        self.idle_at = max(self.idle_at, now) + size / self.total_rate
+        """Account for a transfer of `size` bytes that begins now."""
+        self.busy_until = max(self.busy_until, now) + size / self.link_bytes_per_s
--- a/wickhinge/store/copies.py
+++ b/wickhinge/store/copies.py
@@ -1,4 +1,4 @@
-"""A stored copy and its place on disk."""
+"""Records of stored copies and of their locations on disk."""
 
 from __future__ import annotations
 
@@ -7,28 +7,28 @@
 
 
 class RecordLocation(NamedTuple):
-    """Where a record lies on disk."""
+    """Location of a record on disk."""
 
     segment: int
-    offset: int  # bytes from the segment's start
-    length: int  # bytes, header and padding included
+    offset: int  # Bytes from the start of the segment.
+    length: int  # Bytes of the record, with header and padding.
 
 
 @dataclass(slots=True, eq=False)
 class Copy:
-    """One stored part of an object. Two copies are the same only if they are one and the same instance.
+    """One stored part of an object. Copies are compared by identity.
 
     Attributes:
-        key: The object.
-        part: The part of it, from 0.
-        group: The group that it may be purged with.
-        etag: Names the bytes.
-        created: When the origin gave it out, in Unix seconds by the others' clocks.
-        size: Bytes of the body.
-        serial: Rises by one with each copy that is written.
-        place: Where it is on disk; None until it is written.
-        age_verified: Whether `created` is vouched for in this run; False for a copy that was recovered.
-        body: The bytes while they wait to be written.
+        key: Key of the object.
+        part: Index of the part in the object, from 0.
+        group: Purge group of the object.
+        etag: Entity tag of the part's bytes.
+        created: Time at which the origin sent the bytes, in Unix seconds by the servers' clocks.
+        size: Size of the body in bytes.
+        serial: Serial number; rises by one with each copy that is written.
+        location: Location of the record on disk; None until the copy is written.
+        age_verified: Whether `created` was confirmed since the last start; False for a recovered copy.
+        body: Body of a copy that waits to be written; None once the write has ended.
     """
 
     key: int
@@ -47,5 +47,5 @@
     """An object of the index with its copies."""
 
     key: int
-    frequency: int  # 0: not known
+    frequency: int  # Requests counted for the object; 0 where the count is not known.
     copies: list[Copy]
--- a/wickhinge/store/errors.py
+++ b/wickhinge/store/errors.py
@@ -1,4 +1,4 @@
-"""What can be wrong with a directory or a stored copy."""
+"""Errors of the store: unusable directories, unsupported formats and damaged copies."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
     """The directory cannot hold a disk tier.
 
     Attributes:
-        path: The directory.
-        reason: Why, for the operator.
+        path: Path of the directory.
+        reason: Why the directory cannot be used, as a message for the operator.
     """
 
     def __init__(self, path: str, reason: str) -> None:
@@ -26,7 +26,7 @@
 
     Attributes:
         version: The format version found.
-        supported: The latest version that this release reads.
+        supported: The latest format version that this release reads.
     """
 
     def __init__(self, version: int, supported: int) -> None:
@@ -36,13 +36,13 @@
 
 
 class DamagedCopyError(StoreError):
-    """The bytes at a copy's place are not those that were written there.
+    """The bytes at a copy's location differ from those that were written there.
 
     Attributes:
-        key: The object.
-        part: Its part.
-        segment: The number of the segment.
-        offset: Where in it the record was expected.
+        key: Key of the copy's object.
+        part: Index of the copy's part in the object.
+        segment: Number of the segment that was read.
+        offset: Byte offset in the segment at which the record was expected.
     """
 
     def __init__(self, expected: str, key: int, part: int, segment: int, offset: int) -> None:
--- a/wickhinge/store/file_format.py
+++ b/wickhinge/store/file_format.py
@@ -1,7 +1,7 @@
-"""The bytes of the tier's files: identity, segments, purge log and snapshots, with versions and checksums (XXH3-64).
+"""Encoding of the store's files: identity, segments, purge log and snapshots, with versions and checksums (XXH3-64).
 
-What cannot be read is None here; what follows from that is decided by `purge_log_recovery` and `volume`. Every record
-is bounded before it is read.
+The decoders return None for data that cannot be read; `purge_log_recovery` and `volume` decide what follows from that.
+The size of every record is checked against a bound before the record is read.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 from wickhinge.store.purges import EVERY_GROUP, LineKind, Purge, PurgeLine
 
 FORMAT_VERSION = 1
-CHUNK_BYTES = 32768  # of a body under one checksum
+CHUNK_BYTES = 32768  # Bytes of a body that share one checksum.
 RECORD_ALIGN_BYTES = 64
 MAX_BODY_BYTES = 1 << 20
 MAX_ETAG_BYTES = 64
@@ -26,48 +26,53 @@
 SEED_MASK = 2**64 - 1
 
 CHECKSUM = Struct(">Q")
-IDENTITY = Struct(">8sH16s")  # magic, version, store id
+# Identity file: magic, version, store id.
+IDENTITY = Struct(">8sH16s")
 IDENTITY_MAGIC = b"WHSTORE\x00"
-# magic, version, etag bytes, key, part, group, checksums, created in ms, body bytes, serial
+# Header of a record: magic, version, etag bytes, key, part, group, number of checksums, created (Unix ms), body bytes,
+# serial. The etag, the checksums of the body's chunks and the checksum of the header follow.
 RECORD_HEADER = Struct(">4sHHQIHHQIQ")
 RECORD_MAGIC = b"WHcp"
 MAX_HEADER_BYTES = RECORD_HEADER.size + MAX_ETAG_BYTES + CHECKSUM.size * (MAX_BODY_BYTES // CHUNK_BYTES) + CHECKSUM.size
-# magic, kind and whether it has a key, version, sequence, key, group, timestamp in ms, segment, event number
+# Line of the purge log: magic, flags (kind << 1 | has key), version, sequence, key, group, timestamp (Unix ms), newest
+# segment, event number. The checksum of the line follows.
 PURGE_LINE = Struct(">4sHHQQHQQQ")
 PURGE_LINE_MAGIC = b"WHpu"
 PURGE_LINE_BYTES = PURGE_LINE.size + CHECKSUM.size
-EVERY_GROUP_CODE = 0xFFFF
-SNAPSHOT_HEADER = Struct(">8sH16s")  # magic, version, store id
+EVERY_GROUP_CODE = 0xFFFF  # Encoding of EVERY_GROUP.
+# Header of a snapshot: magic, version, store id.
+SNAPSHOT_HEADER = Struct(">8sH16s")
 SNAPSHOT_MAGIC = b"WHINDEX\x00"
-BLOCK_HEADER = Struct(">IQ")  # bytes, checksum
+# Header of a snapshot's block: bytes of data, checksum of the data.
+BLOCK_HEADER = Struct(">IQ")
 SNAPSHOT_END = "end"
 
 
 class RecordHeader(NamedTuple):
-    """What stands before a body in a segment."""
+    """Decoded header that precedes a body in a segment."""
 
     key: int
     part: int
     group: int
     etag: bytes
-    created: float  # Unix seconds
-    size: int  # bytes of the body
+    created: float  # Creation time in Unix seconds.
+    size: int  # Size of the body in bytes.
     serial: int
-    checksums: tuple[int, ...]  # one for each chunk of the body
-    header_bytes: int  # the body follows
-    record_bytes: int  # header, body and padding
+    checksums: tuple[int, ...]  # Checksums of the body, one per chunk.
+    header_bytes: int  # Offset of the body from the start of the record.
+    record_bytes: int  # Size of the record with header, body and padding.
 
 
 class SnapshotMeta(msgspec.Struct):
-    """The first block of a snapshot."""
+    """The first block of a snapshot, with the state of the whole store."""
 
-    serial: int
-    marks: list[tuple[int, int]]  # segments, and to where each is known
-    counts: bytes  # a dumped FrequencyTable
+    serial: int  # Serial number of the copy written last.
+    marks: list[tuple[int, int]]  # Segment numbers, each with the offset up to which the snapshot covers the segment.
+    counts: bytes  # Encoded FrequencyTable; empty if there is none.
 
 
 class SnapshotCopy(msgspec.Struct, array_like=True):
-    """A copy in a snapshot."""
+    """Row of a snapshot for one copy."""
 
     part: int
     group: int
@@ -79,7 +84,7 @@
 
 
 class SnapshotObject(msgspec.Struct, array_like=True):
-    """An object in a snapshot."""
+    """Row of a snapshot for one object and its copies."""
 
     key: int
     frequency: int
@@ -91,26 +96,26 @@
 
 
 class Snapshot(NamedTuple):
-    """A snapshot that is whole."""
+    """Content of a complete snapshot."""
 
     meta: SnapshotMeta
     batches: list[list[SnapshotObject]]
 
 
-# Identity.
+# Identity of a store.
 
 
 def encode_identity(store_id: bytes) -> bytes:
-    """The file that makes a directory a store."""
+    """Return the content of the identity file, which marks a directory as a store."""
     data = IDENTITY.pack(IDENTITY_MAGIC, FORMAT_VERSION, store_id)
     return data + CHECKSUM.pack(xxh3_64_intdigest(data))
 
 
 def decode_identity(data: bytes) -> bytes | None:
-    """The store's id of 16 bytes, or None where the file is damaged or of another kind.
+    """Return the store's id of 16 bytes, or None if the identity file is damaged or is another kind of file.
 
     Raises:
-        NewerFormatError: A later release wrote it.
+        NewerFormatError: A later release wrote the file.
     """
     body, checksum = data[: -CHECKSUM.size], data[-CHECKSUM.size :]
     if len(data) != IDENTITY.size + CHECKSUM.size or CHECKSUM.unpack(checksum)[0] != xxh3_64_intdigest(body):
@@ -123,16 +128,16 @@
     return bytes(store_id)
 
 
-# Segments.
+# Records of segments.
 
 
 def checksum_seed(store_id: bytes, segment: int) -> int:
-    """The seed of every checksum in a segment: bytes of another store or segment are never taken for its own."""
+    """Return the seed of all checksums in a segment; it makes records of another store or segment fail the check."""
     return int.from_bytes(store_id[:8], "big") ^ segment & SEED_MASK
 
 
 def encode_record(copy: Copy, body: bytes, seed: int) -> bytes:
-    """A copy as it is appended to a segment."""
+    """Return the record of a copy, as it is appended to a segment."""
     view = memoryview(body)
     checksums = [
         xxh3_64_intdigest(view[start : start + CHUNK_BYTES], seed) for start in range(0, len(body), CHUNK_BYTES)
@@ -155,7 +160,7 @@
 
 
 def decode_header(data: bytes | memoryview, seed: int) -> RecordHeader | None:
-    """The header that begins here; None for anything else, also for a header that is cut off."""
+    """Return the record header at the start of `data`; None if there is none, or if it is cut off or damaged."""
     if len(data) < RECORD_HEADER.size:
         return None
     magic, version, etag_bytes, key, part, group, count, created, size, serial = RECORD_HEADER.unpack_from(data)
@@ -176,18 +181,18 @@
 
 
 def body_is_intact(header: RecordHeader, body: bytes | memoryview, seed: int) -> bool:
-    """Whether each chunk has its checksum; a body that is cut short is not intact."""
+    """Return whether the body has its full size and each chunk matches its checksum."""
     return len(body) == header.size and all(
         xxh3_64_intdigest(body[index * CHUNK_BYTES : (index + 1) * CHUNK_BYTES], seed) == checksum
         for index, checksum in enumerate(header.checksums)
     )
 
 
-# The purge log.
+# Lines of the purge log.
 
 
 def encode_purge_line(line: PurgeLine) -> bytes:
-    """One line of the purge log; all have the same size."""
+    """Return the encoding of one line of the purge log, which has PURGE_LINE_BYTES."""
     purge = line.purge
     data = PURGE_LINE.pack(
         PURGE_LINE_MAGIC,
@@ -197,14 +202,14 @@
         purge.key if purge.key is not None else 0,
         purge.group & EVERY_GROUP_CODE,
         round(purge.timestamp * 1000),
-        purge.segment,
+        purge.newest_segment,
         purge.event_number,
     )
     return data + CHECKSUM.pack(xxh3_64_intdigest(data))
 
 
 def decode_purge_lines(data: bytes) -> list[PurgeLine]:
-    """All lines that can be read: as lines have one size, a damaged one hides no other."""
+    """Return all readable lines; since all lines have the same size, a damaged one does not hide the others."""
     starts = range(0, len(data) - PURGE_LINE_BYTES + 1, PURGE_LINE_BYTES)
     lines = (_decode_purge_line(data[start : start + PURGE_LINE_BYTES]) for start in starts)
     return [line for line in lines if line is not None]
@@ -226,22 +231,22 @@
 
 
 def encode_snapshot_header(store_id: bytes) -> bytes:
-    """What a snapshot begins with."""
+    """Return the header at the start of a snapshot's file."""
     return SNAPSHOT_HEADER.pack(SNAPSHOT_MAGIC, FORMAT_VERSION, store_id)
 
 
 def encode_block(value: SnapshotMeta | list[SnapshotObject] | str) -> bytes:
-    """One block of a snapshot: its meta data, some objects, or SNAPSHOT_END."""
+    """Return the encoding of one block of a snapshot: metadata, a batch of objects, or SNAPSHOT_END."""
     data = msgspec.msgpack.encode(value)
     return BLOCK_HEADER.pack(len(data), xxh3_64_intdigest(data)) + data
 
 
 def decode_snapshot(read: Callable[[int, int], bytes], store_id: bytes) -> Snapshot | None:
-    """A whole snapshot, or None if any of it is damaged or missing.
+    """Return the content of a snapshot, or None if any block is damaged or missing.
 
     Args:
-        read: Called with a size and an offset, both in bytes; returns less only at the file's end.
-        store_id: Of the store that it must belong to.
+        read: Called with a size and an offset, both in bytes; returns fewer bytes only at the end of the file.
+        store_id: Id of the store to which the snapshot must belong.
     """
     if read(SNAPSHOT_HEADER.size, 0) != encode_snapshot_header(store_id):
         return None
@@ -261,7 +266,7 @@
 
 
 def _read_blocks(read: Callable[[int, int], bytes]) -> Iterator[bytes]:
-    """The data of the blocks, up to the first one that is damaged or missing."""
+    """Yield the data of each block, up to the first block that is damaged or missing."""
     offset = SNAPSHOT_HEADER.size
     while True:
         header = read(BLOCK_HEADER.size, offset)
--- a/wickhinge/store/files.py
+++ b/wickhinge/store/files.py
@@ -1,4 +1,4 @@
-"""The thin layer that every file call goes through, so that a test can fail, tear or lose the n-th of them."""
+"""Interface for all file calls of the router, so that a test can replace it and make any single call fail."""
 
 from __future__ import annotations
 
@@ -7,18 +7,18 @@
 
 
 class Files:
-    """The file calls that the router makes. Handles are file descriptors; all calls may raise OSError."""
+    """File calls of the router. Handles are file descriptors; all methods block and may raise OSError."""
 
     def make_directory(self, path: str) -> None:
-        """Make a directory, with its parents, where it is missing."""
+        """Create a directory and its parents where they are missing."""
         os.makedirs(path, mode=0o750, exist_ok=True)
 
     def list_directory(self, path: str) -> list[str]:
-        """The names in a directory, in no order."""
+        """Return the names in a directory, in no particular order."""
         return os.listdir(path)
 
     def open(self, path: str, *, write: bool = False, create: bool = False) -> int:
-        """Open a file; with `create` it is made, or emptied of what an earlier try may have left there."""
+        """Open a file; `create` creates it, or truncates one that an interrupted earlier attempt left behind."""
         flags = (os.O_RDWR if write else os.O_RDONLY) | (os.O_CREAT | os.O_TRUNC if create else 0)
         return os.open(path, flags | os.O_CLOEXEC, 0o640)
 
@@ -27,11 +27,11 @@
         os.close(handle)
 
     def size(self, handle: int) -> int:
-        """The bytes of a file."""
+        """Return the size of an open file in bytes."""
         return os.fstat(handle).st_size
 
     def read(self, handle: int, size: int, offset: int) -> bytes:
-        """Read so many bytes at an offset; less only at the file's end."""
+        """Read `size` bytes at an offset; fewer only at the end of the file."""
         data = os.pread(handle, size, offset)
         while 0 < len(data) < size:
             more = os.pread(handle, size - len(data), offset + len(data))
@@ -41,18 +41,18 @@
         return data
 
     def write(self, handle: int, data: bytes, offset: int) -> None:
-        """Write all of the bytes at an offset."""
+        """Write all of `data` at an offset."""
         view = memoryview(data)
         while view:
             count = os.pwrite(handle, view, offset)
             view, offset = view[count:], offset + count
 
     def sync(self, handle: int) -> None:
-        """Make a file's bytes durable."""
+        """Make the content of an open file durable."""
         os.fsync(handle)
 
     def sync_directory(self, path: str) -> None:
-        """Make the new, renamed and removed names of a directory durable."""
+        """Make the creation, renaming and removal of files in a directory durable."""
         handle = os.open(path, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
         try:
             os.fsync(handle)
@@ -60,7 +60,7 @@
             os.close(handle)
 
     def rename(self, old: str, new: str) -> None:
-        """Rename a file, in place of any that has the new name."""
+        """Rename a file, replacing any file that has the new name."""
         os.replace(old, new)
 
     def remove(self, path: str) -> None:
@@ -68,7 +68,11 @@
         os.unlink(path)
 
     def lock(self, path: str) -> int | None:
-        """Lock a file until it is closed or the process ends; None where another process holds the lock."""
+        """Lock a file until it is closed or the process ends.
+
+        Returns:
+            The handle of the locked file; None if another process holds the lock.
+        """
         handle = os.open(path, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o640)
         try:
             fcntl.flock(handle, fcntl.LOCK_EX | fcntl.LOCK_NB)
@@ -82,7 +86,7 @@
 
 
 def replace_file(files: Files, folder: str, name: str, data: bytes) -> None:
-    """Replace a small file as a whole: whenever the process ends it is the old or the new one; durable on return."""
+    """Replace a small file atomically and durably: after a crash it has either the old or the new content."""
     path = f"{folder}/{name}"
     handle = files.open(path + ".new", write=True, create=True)
     try:
--- a/wickhinge/store/frequency.py
+++ b/wickhinge/store/frequency.py
@@ -1,8 +1,9 @@
-"""The request frequency of objects that are not stored, for far more objects than are: four bytes each.
+"""Request frequencies of objects that are not stored, in four bytes per object: they far outnumber the stored ones.
 
-A set-associative table: the object's hash names a bucket of eight entries, and sixteen more of its bits are its
-fingerprint there. An entry holds fingerprint, age and frequency. Two objects of one bucket and fingerprint are taken
-for one, which happens to one in 2^16 / 8 objects; the cost is a copy stored early or late, never a wrong answer.
+The table is set-associative: the object's hash selects a bucket of eight entries, and sixteen other bits of the hash
+are the object's fingerprint in the bucket. An entry holds fingerprint, age and frequency. Two objects with the same
+bucket and fingerprint share an entry, which happens to one in 2^16 / 8 objects. The cost of such a collision is a copy
+that is stored early or late, never an incorrect response.
 """
 
 from __future__ import annotations
@@ -12,30 +13,32 @@
 from xxhash import xxh3_64_intdigest
 
 ENTRIES_PER_BUCKET = 8
-CALLS_PER_ENTRY_AND_AGE = 4
-MAX_FREQUENCY = 255  # an object has fewer parts
+PUTS_PER_ENTRY_PER_AGE = 4
+# Largest frequency that fits into the 8 bits of an entry; an object has fewer parts.
+MAX_FREQUENCY = 255
 
 
 class FrequencyTable:
-    """Frequencies that halve with each age in which the object is not requested.
+    """Table of frequencies; an object's frequency halves with each age in which the object is not requested.
 
-    An age is CALLS_PER_ENTRY_AND_AGE calls of `put` for each entry of the table.
+    An age lasts PUTS_PER_ENTRY_PER_AGE calls of `put` for each entry of the table.
 
     Attributes:
-        entries: fingerprint:16 age:8 frequency:8 each; 0 for an empty one.
-        evicted_count: Frequencies above zero that were pushed out of a full bucket.
+        bucket_count: Number of buckets, a power of two.
+        entries: Packed entries of fingerprint:16 age:8 frequency:8 bits; 0 is an empty entry.
+        evicted_count: Number of frequencies above zero that were evicted from a full bucket.
     """
 
     def __init__(self, objects: int) -> None:
-        """Make room for so many objects, rounded up to a power of two of buckets."""
+        """Create a table for `objects` objects; the number of buckets is rounded up to a power of two."""
         self.bucket_count = 1 << max((objects // ENTRIES_PER_BUCKET - 1).bit_length(), 1)
         self.entries = array("I", bytes(4 * ENTRIES_PER_BUCKET * self.bucket_count))
         self.evicted_count = 0
-        self._calls = 0
+        self._puts_in_age = 0
         self._age = 0
 
     def get(self, key: int) -> int:
-        """The object's frequency now; 0 for an unknown one."""
+        """Return the current frequency of an object; 0 if the object is not in the table."""
         start, fingerprint = self._locate(key)
         for entry in self.entries[start : start + ENTRIES_PER_BUCKET]:
             if entry >> 16 == fingerprint:
@@ -43,9 +46,12 @@
         return 0
 
     def put(self, key: int, frequency: int) -> None:
-        """Set the frequency; 0 takes the object out. A full bucket drops its most decayed, then oldest, entry."""
-        self._calls += 1
-        if self._calls >= CALLS_PER_ENTRY_AND_AGE * ENTRIES_PER_BUCKET * self.bucket_count:
+        """Set the frequency of an object; 0 removes the object.
+
+        A full bucket evicts the entry with the lowest decayed frequency, and of equal ones the oldest.
+        """
+        self._puts_in_age += 1
+        if self._puts_in_age >= PUTS_PER_ENTRY_PER_AGE * ENTRIES_PER_BUCKET * self.bucket_count:
             self._begin_age()
         start, fingerprint = self._locate(key)
         bucket = self.entries[start : start + ENTRIES_PER_BUCKET]
@@ -60,11 +66,11 @@
         self.entries[start + index] = entry
 
     def dump(self) -> bytes:
-        """The whole table, for the snapshot of the index."""
+        """Return the encoded table, for the snapshot of the index."""
         return self._age.to_bytes(1, "big") + self.entries.tobytes()
 
     def load(self, data: bytes) -> bool:
-        """Take over what `dump` returned; False, with nothing changed, where that table had another size."""
+        """Replace the table by one that `dump` encoded; return False and change nothing if its size differs."""
         if len(data) != 1 + 4 * len(self.entries):
             return False
         self._age = data[0]
@@ -72,17 +78,18 @@
         return True
 
     def _locate(self, key: int) -> tuple[int, int]:
-        """The index of the bucket's first entry, and the fingerprint."""
+        """Return the index of the first entry in the object's bucket, and the object's fingerprint."""
         digest = xxh3_64_intdigest(key.to_bytes(8, "big"))
         return (digest & self.bucket_count - 1) * ENTRIES_PER_BUCKET, (digest >> 48) or 1
 
     def _decayed(self, entry: int) -> int:
+        """Return the frequency in an entry, halved once for each age since the entry was set."""
         return (entry & 255) >> (self._age - (entry >> 8) & 255)
 
     def _begin_age(self) -> None:
-        self._calls = 0
+        self._puts_in_age = 0
         self._age = self._age + 1 & 255
-        # Ages have eight bits: entries that decayed to nothing go before their age comes round again.
+        # An age number has 8 bits and wraps around: entries that decayed to 0 are removed before they look new again.
         if not self._age & 127:
             for index, entry in enumerate(self.entries):
                 if entry and not self._decayed(entry):
--- a/wickhinge/store/lookup.py
+++ b/wickhinge/store/lookup.py
@@ -1,4 +1,4 @@
-"""Looking copies up, and reading their bodies."""
+"""Lookup of copies, and reading of their bodies."""
 
 from __future__ import annotations
 
@@ -11,28 +11,29 @@
 
 MAX_CLOCK_STEP_BACK_S = 1.0
 
-ReadDone = Callable[[bytes | None, bool], None]  # the body and whether it came from memory, or (None, False)
+# Called with the body and whether it came from memory; with (None, False) where the body could not be read.
+ReadDone = Callable[[bytes | None, bool], None]
 
 
 class CopyLookup:
-    """What a store has, and whether it may answer a request."""
+    """Finds the copies of a store, says whether they are current, and reads them."""
 
     def __init__(self, tier: Tier) -> None:
         self._tier = tier
         self._concurrent_reads = 0
-        self._caught_up_at = 0.0
+        self._journal_caught_up_at = 0.0
         self._recovered_are_verified = False
 
     @property
     def recovered_are_verified(self) -> bool:
-        """Whether copies of an earlier start count as current: all purges since then are known."""
+        """Whether copies recovered from an earlier run count as current, as all purges since then are known."""
         return self._recovered_are_verified
 
     def find(self, key: int, part: int) -> Copy | None:
-        """The copy of a part, if there is one that is not purged."""
+        """Return the copy of a part, or None if there is none or it is purged."""
         tier = self._tier
         copy = tier.admission.find(key, part)
-        if copy is None or not tier.is_on:
+        if copy is None or not tier.is_enabled:
             return None
         if tier.is_purged(copy):
             tier.counters.purged += 1
@@ -43,9 +44,9 @@
         return copy
 
     def is_current(self, copy: Copy, now: float) -> bool:
-        """Whether the copy's age is known, and every purge up to now."""
+        """Return whether the copy's age is verified, and every purge up to now is known."""
         is_verified = copy.age_verified or self._recovered_are_verified
-        silence_s = now - self._caught_up_at
+        silence_s = now - self._journal_caught_up_at
         return (
             is_verified
             and -MAX_CLOCK_STEP_BACK_S <= silence_s <= self._tier.limits.max_journal_silence_s
@@ -53,42 +54,50 @@
         )
 
     def is_valid(self, copy: Copy) -> bool:
-        """Whether no purge since it was found covers the copy."""
-        return self._tier.is_on and not self._tier.is_purged(copy)
+        """Return whether no purge that is in force covers the copy."""
+        return self._tier.is_enabled and not self._tier.is_purged(copy)
 
     def journal_caught_up(self, now: float, *, all_events: bool) -> None:
-        """Take in that the journal has nothing more to tell for now; see `Store.journal_caught_up`."""
-        self._caught_up_at = now
+        """Record that all events sent by the journal so far have arrived; see `Store.journal_caught_up`."""
+        self._journal_caught_up_at = now
         if all_events and self._tier.limits.event_numbers_persist and not self._recovered_are_verified:
             self._recovered_are_verified = True
             self._tier.runtime.log("store_recovered_verified", event_number=self._tier.purges.last_event_number)
 
-    def read(self, copy: Copy, done: ReadDone) -> None:
-        """Bring the body: done(body, from memory), or done(None, False) where it cannot be had; maybe at once."""
+    def read(self, copy: Copy, on_done: ReadDone) -> None:
+        """Read the body of a copy and call `on_done`, possibly before this returns.
+
+        Args:
+            copy: The copy to read.
+            on_done: Called with the body and whether it came from memory; with (None, False) if the read fails or is
+                refused.
+        """
         tier = self._tier
         body = copy.body or tier.bodies.get(copy)
         if body is not None:
             tier.counters.memory_reads += 1
-            done(body, True)
+            on_done(body, True)
             return
         location, started = copy.location, tier.runtime.now()
         is_busy = self._concurrent_reads >= tier.limits.max_concurrent_reads
-        if location is None or is_busy or not tier.breaker.allows(started):
-            done(None, False)
+        if location is None or is_busy or not tier.breaker.permit_call(started):
+            on_done(None, False)
             return
         self._concurrent_reads += 1
         tier.space.pin(location.segment)
 
-        def read_done(body: bytes | None, error: BaseException | None) -> None:
+        def read_finished(body: bytes | None, error: BaseException | None) -> None:
             self._concurrent_reads -= 1
             tier.space.unpin(location.segment)
             self._record_read(copy, location, error, started)
             if body is not None:
                 tier.counters.disk_reads += 1
-                tier.hold_in_memory(copy, body)
-            done(body, False)
+                tier.keep_in_memory(copy, body)
+            on_done(body, False)
 
-        tier.runtime.workers.run(Lane.READ, lambda: tier.volume.segments.read(location, copy.key, copy.part), read_done)
+        tier.runtime.workers.run(
+            Lane.READ, lambda: tier.volume.segments.read(location, copy.key, copy.part), read_finished
+        )
 
     def _record_read(self, copy: Copy, location: RecordLocation, error: BaseException | None, started: float) -> None:
         tier = self._tier
--- a/wickhinge/store/maintenance.py
+++ b/wickhinge/store/maintenance.py
@@ -1,4 +1,4 @@
-"""What the command line does with a tier's directory while no router uses it, or beside one that does (reading)."""
+"""Operations of the command line on a store's directory. While a router uses it, only the reading ones may run."""
 
 from __future__ import annotations
 
@@ -10,9 +10,9 @@
 from wickhinge.store.errors import DamagedCopyError
 from wickhinge.store.file_format import FORMAT_VERSION, PURGE_LINE_BYTES, SnapshotMeta, decode_purge_lines
 from wickhinge.store.files import Files
-from wickhinge.store.purge_log import FILE_NAMES as PURGE_LOG_NAMES
+from wickhinge.store.purge_log import PURGE_LOG_NAMES
 from wickhinge.store.purges import Purge
-from wickhinge.store.snapshots import generation_of
+from wickhinge.store.snapshots import snapshot_generation
 from wickhinge.store.volume import Volume
 
 MEBIBYTE = 1 << 20
@@ -20,10 +20,10 @@
 
 
 def open_volume(path: str, *, write: bool = False, segment_mb: int = 64) -> Volume:
-    """Open a directory. One that is only read is not locked: a router may go on changing it meanwhile.
+    """Open a directory. Without `write` it is not locked, so a router may go on changing it meanwhile.
 
     Raises:
-        UnusableDirectoryError: It is in use, or no store, or cannot be read or written.
+        UnusableDirectoryError: The directory is in use, is not a store, or cannot be read or written.
     """
     volume = Volume(Files(), path, segment_mb * MEBIBYTE, event_numbers_persist=True)
     volume.open(write=write)
@@ -31,8 +31,8 @@
 
 
 @contextmanager
-def opened(path: str, *, write: bool = False, segment_mb: int = 64) -> Iterator[Volume]:
-    """As `open_volume`, closed at the end of the block."""
+def opened_volume(path: str, *, write: bool = False, segment_mb: int = 64) -> Iterator[Volume]:
+    """Open a directory as `open_volume` does, and close it at the end of the `with` block."""
     volume = open_volume(path, write=write, segment_mb=segment_mb)
     try:
         yield volume
@@ -41,7 +41,7 @@
 
 
 def live_copies(volume: Volume) -> dict[tuple[int, int], Copy]:
-    """The copies that a start would take over, by object and part, the object used last first."""
+    """Return the copies that a start would recover, by object key and part, the most recently used object first."""
     live: dict[tuple[int, int], Copy] = {}
     for batch in volume.recover(lambda *_: None):
         for key, _, copies in batch:
@@ -54,7 +54,7 @@
 
 
 def stat(volume: Volume) -> dict[str, object]:
-    """Sizes and counts, for `wickhinge store stat`."""
+    """Return sizes and counts, for `wickhinge store stat`."""
     copies = live_copies(volume).values()
     now = time.time()
     return {
@@ -67,13 +67,13 @@
         "oldest_s": round(now - min((copy.created for copy in copies), default=now), 1),
         "purges": len(volume.purges),
         "journal_number": volume.purges.last_event_number,
-        "snapshots": sum(generation_of(name) is not None for name in volume.names()),
-        "believed": not volume.distrusted,
+        "snapshots": sum(snapshot_generation(name) is not None for name in volume.file_names()),
+        "believed": not volume.may_lack_purges,
     }
 
 
 def list_copies(volume: Volume, key: int | None = None) -> Iterator[dict[str, object]]:
-    """A row for each live copy, or for those of one object, for `wickhinge store ls`."""
+    """Yield a row for each live copy, or for those of one object, for `wickhinge store ls`."""
     for copy in live_copies(volume).values():
         if key in (None, copy.key) and copy.location is not None:
             yield {
@@ -89,12 +89,16 @@
 
 
 def verify(volume: Volume) -> dict[str, object]:
-    """Read every byte that a start would rely on; `damage` names what is not as written."""
-    names = volume.names()
+    """Read and check all purge logs, snapshots and live copies, for `wickhinge store verify`.
+
+    Returns:
+        The counts of copies, bytes and damaged items; `damage` describes the first MAX_DAMAGE_LISTED damaged items.
+    """
+    names = volume.file_names()
     damage = _damaged_purge_logs(volume, names)
     for name in names:
-        if generation_of(name) is not None and volume.snapshots.read(name, volume.store_id) is None:
-            damage.append(f"{name}: a block is damaged")
+        if snapshot_generation(name) is not None and volume.snapshots.read(name, volume.store_id) is None:
+            damage.append(f"{name}: a block is damaged or missing")
     copies = live_copies(volume)
     read_bytes = 0
     for copy in copies.values():
@@ -102,8 +106,8 @@
             read_bytes += len(_read_body(volume, copy))
         except (DamagedCopyError, OSError) as error:
             damage.append(str(error))
-    if volume.distrusted:
-        damage.append("a purge may be lost: no copy is believed")
+    if volume.may_lack_purges:
+        damage.append("the purge log may lack a purge: a start discards all copies")
     return {
         "copies": len(copies),
         "bytes": read_bytes,
@@ -113,20 +117,26 @@
 
 
 def purge(volume: Volume, key: int | None, group: int) -> int:
-    """Purge an object, a group, or all (EVERY_GROUP without a key); durable on return. How many copies went."""
+    """Purge an object, a group, or all copies (EVERY_GROUP without a key); the purge is durable on return.
+
+    Returns:
+        The number of live copies that the purge covers.
+    """
     copies = live_copies(volume).values()
-    new_purge = Purge(key, group, time.time(), volume.segments.newest, volume.purges.last_event_number)
+    new_purge = Purge(key, group, time.time(), volume.segments.newest_segment, volume.purges.last_event_number)
     volume.purges.record(new_purge)
     volume.purge_log.append([new_purge])
     return sum(volume.purges.covers(copy.key, copy.group, copy.created) for copy in copies)
 
 
 def compact(volume: Volume, on_progress: Callable[[int, int], None] | None = None) -> dict[str, object]:
-    """Write the live copies anew and in order, and recycle all else. If killed in the middle it is unfinished.
+    """Append the live copies to new segments in the order of their last use, and recycle all old segments.
+
+    A compaction that is killed midway is incomplete: old segments may remain.
 
     Args:
-        volume: Open for writing.
-        on_progress: Called after each copy with the number that is done and the number of all.
+        volume: A volume that is open for writing.
+        on_progress: Called after each copy with the number of processed copies and the number of all copies.
     """
     live, old_segments = live_copies(volume), list(volume.segments.initial_sizes)
     bytes_before = sum(volume.segments.initial_sizes.values())
@@ -142,7 +152,7 @@
     _write_index(volume, moved, old_segments)
     for number in old_segments:
         volume.segments.recycle(number)
-    volume.purge_log.rewrite(list(volume.purges), volume.purges.last_event_number, volume.segments.newest)
+    volume.purge_log.rewrite(list(volume.purges), volume.purges.last_event_number, volume.segments.newest_segment)
     bytes_after = sum(volume.segments.current_sizes().values())
     return {
         "copies": len(moved),
@@ -164,7 +174,7 @@
         data = volume.read_file(name) if name in names else b""
         line_count = len(decode_purge_lines(data))
         if name not in names or line_count * PURGE_LINE_BYTES != len(data):
-            damage.append(f"{name}: {line_count} lines can be read of {len(data)} bytes")
+            damage.append(f"{name}: {line_count} lines are intact in {len(data)} bytes")
     return damage
 
 
--- a/wickhinge/store/purge_log.py
+++ b/wickhinge/store/purge_log.py
@@ -1,4 +1,4 @@
-"""The purge log: lines numbered without gaps, in two files of which at each moment one at least is whole."""
+"""The purge log: lines numbered without gaps, in two files of which at least one is complete at all times."""
 
 from __future__ import annotations
 
@@ -6,17 +6,18 @@
 from wickhinge.store.files import Files, replace_file
 from wickhinge.store.purges import EVERY_GROUP, LineKind, Purge, PurgeLine
 
-FILE_NAMES = ("purges-a.wh", "purges-b.wh")
-MAX_LINES_PER_PURGE = 4  # before the log is worth rewriting
+PURGE_LOG_NAMES = ("purges-a.wh", "purges-b.wh")
+# The log is rewritten once its lines exceed MAX_LINES_PER_PURGE per purge in force, plus MIN_LINES_TO_REWRITE.
+MAX_LINES_PER_PURGE = 4
 MIN_LINES_TO_REWRITE = 4096
 
 
 class PurgeLog:
-    """Writes the log. Every method may block, and belongs on the lane of the log.
+    """Writes the purge log. Every method may block; Lane.LOG runs them.
 
     Attributes:
-        next_sequence: The number of the next line.
-        bytes_written: By `append`.
+        next_sequence: Sequence number of the next line.
+        bytes_written: Bytes written by `append`, in both files together.
     """
 
     def __init__(self, files: Files, directory: str) -> None:
@@ -28,7 +29,10 @@
         self._line_count = 0
 
     def append(self, purges: list[Purge]) -> None:
-        """Write purges; durable in both files when this returns. After a failure the same lines are written again."""
+        """Append purges to both files and make them durable.
+
+        After a failure the next call writes at the same offset again, and begins with the same sequence number.
+        """
         data = b"".join(
             encode_purge_line(PurgeLine(self.next_sequence + index, LineKind.PURGE, purge))
             for index, purge in enumerate(purges)
@@ -41,28 +45,28 @@
         self.bytes_written += 2 * len(data)
 
     def is_oversized(self, purge_count: int) -> bool:
-        """Whether the log holds far more lines than the purges that are still in force."""
+        """Return whether the log holds far more lines than there are purges in force."""
         return self._line_count > MAX_LINES_PER_PURGE * purge_count + MIN_LINES_TO_REWRITE
 
     def rewrite(self, purges: list[Purge], event_number: int, newest_segment: int) -> None:
         """Replace both files, one after the other.
 
         Args:
-            purges: All that are in force.
-            event_number: The journal's event up to which these are all.
-            newest_segment: The latest segment number given.
+            purges: All purges in force.
+            event_number: Number of the last journal event that `purges` covers.
+            newest_segment: Number of the newest segment.
         """
-        everything = next((purge for purge in purges if purge.key is None and purge.group < 0), None)
-        base = everything or Purge(None, EVERY_GROUP, 0.0, newest_segment, event_number)
+        all_groups_purge = next((purge for purge in purges if purge.key is None and purge.group < 0), None)
+        base = all_groups_purge or Purge(None, EVERY_GROUP, 0.0, newest_segment, event_number)
         lines = [PurgeLine(self.next_sequence, LineKind.BASE, base._replace(event_number=event_number))]
         for purge in purges:
-            if purge is not everything:
+            if purge is not all_groups_purge:
                 lines.append(PurgeLine(self.next_sequence + len(lines), LineKind.PURGE, purge))
         self.close_files(ignore_errors=False)
         data = b"".join(encode_purge_line(line) for line in lines)
-        for name in FILE_NAMES:
+        for name in PURGE_LOG_NAMES:
             replace_file(self._files, self._directory, name, data)
-        self._handles = [self._files.open(f"{self._directory}/{name}", write=True) for name in FILE_NAMES]
+        self._handles = [self._files.open(f"{self._directory}/{name}", write=True) for name in PURGE_LOG_NAMES]
         self._line_count = len(lines)
         self.next_sequence += len(lines)
 
--- a/wickhinge/store/purge_log_recovery.py
+++ b/wickhinge/store/purge_log_recovery.py
@@ -1,4 +1,4 @@
-"""What a start takes from the files that it finds: pure functions, so that each kind of damage is a unit test."""
+"""Decisions of a start on the files that it finds, as pure functions: unit tests can cover each kind of damage."""
 
 from __future__ import annotations
 
@@ -9,18 +9,22 @@
 
 
 class RecoveredPurges(NamedTuple):
-    """What the purge log holds."""
+    """Result of reading the purge log."""
 
     table: PurgeTable
-    next_sequence: int
-    is_complete: bool  # False: a purge may be lost, and no stored copy may be used
+    next_sequence: int  # Sequence number of the next line to be written.
+    is_complete: bool  # False if a purge may be lost; then no stored copy may be used.
 
 
 def recover_purges(files: Iterable[list[PurgeLine]], *, has_segments: bool) -> RecoveredPurges:
-    """Merge the lines that can be read of the log's two files.
+    """Merge the readable lines of the log's two files.
 
-    A line is missing where its number is in neither file though a later one is, or where no base is left though
-    there are segments.
+    The log is incomplete if neither file has a line between the last base and the last line, or if the directory
+    has segments or lines but no base.
+
+    Args:
+        files: The readable lines of each of the two files.
+        has_segments: Whether the directory holds segments.
     """
     lines = {line.sequence: line for file in files for line in file}
     bases = [line.sequence for line in lines.values() if line.kind == LineKind.BASE]
@@ -35,15 +39,15 @@
 
 
 def scan_start(marks: dict[int, int], segment: int, size: int) -> int:
-    """The offset in a segment from which on the snapshot does not know its records.
+    """Return the offset in a segment at which recovery starts to scan for records that the snapshot lacks.
 
-    A segment shorter than the snapshot says was damaged: it is read from its start. One older than all that the
-    snapshot has seen had nothing live in it.
+    A segment shorter than its mark is damaged and is scanned from its start. A segment that has no mark and is older
+    than a marked one had no live copies when the snapshot was written, and is not scanned.
 
     Args:
-        marks: To where the snapshot knows each segment, in bytes.
-        segment: The segment's number.
-        size: Its bytes.
+        marks: For each segment in the snapshot, the offset up to which the snapshot covers the segment.
+        segment: Number of the segment.
+        size: Size of the segment in bytes.
     """
     mark = marks.get(segment)
     if mark is None:
--- a/wickhinge/store/purges.py
+++ b/wickhinge/store/purges.py
@@ -1,4 +1,4 @@
-"""Purges that outlive a restart, each for as long as an older copy may still be on disk."""
+"""Purges that stay in force across restarts, each for as long as an older copy may still be on disk."""
 
 from __future__ import annotations
 
@@ -6,26 +6,29 @@
 from enum import IntEnum
 from typing import NamedTuple
 
-MAX_PURGES = 100_000  # past it the older half is merged into one purge of everything
-MIN_AGE_S = 60.0  # before a purge is forgotten: a copy that was being fetched may still come in
+# Bound on the purges of objects and groups; beyond it the older half is merged into one purge of all groups.
+MAX_PURGES = 100_000
+# A purge is kept for at least this time, since a copy whose fetch began before the purge may still arrive.
+MIN_PURGE_AGE_S = 60.0
+# Group number of a purge of all groups.
 EVERY_GROUP = -1
 
 
 class Purge(NamedTuple):
-    """Everything older than a moment, of one object, of a group or of all groups, is out of date."""
+    """Invalidation of all copies created up to a time, of one object, of a group or of all groups."""
 
-    key: int | None  # an object; None for a group
-    group: int  # EVERY_GROUP for everything, where there is no key
-    timestamp: float  # Unix seconds
-    segment: int  # the newest segment when the purge arrived
-    event_number: int  # the journal's; 0 where that does not last
+    key: int | None  # Key of the purged object; None for a purge of a group or of all groups.
+    group: int  # Purged group where `key` is None; EVERY_GROUP for all groups.
+    timestamp: float  # Copies created up to this time, in Unix seconds, are purged.
+    newest_segment: int  # Number of the newest segment when the purge arrived.
+    event_number: int  # Number of the purge's event in the journal; 0 if the numbers do not persist.
 
 
 class LineKind(IntEnum):
-    """What a line of the purge log is."""
+    """Kind of a line in the purge log."""
 
-    BASE = 0  # all earlier lines are superseded
-    PURGE = 1
+    BASE = 0  # A purge of all groups that supersedes all earlier lines.
+    PURGE = 1  # A purge that is in force in addition to the lines before it.
 
 
 class PurgeLine(NamedTuple):
@@ -37,19 +40,19 @@
 
 
 class PurgeTable:
-    """The purges in force, with the latest timestamp of each object and group.
+    """The purges in force: for each object and group, the one with the latest timestamp.
 
     Attributes:
-        objects: Purges by object.
-        groups: Purges by group.
-        everything: The latest purge of everything.
-        last_event_number: Of the latest event that is taken in.
+        objects: Purges of single objects, by key.
+        groups: Purges of groups, by group number.
+        all_groups_purge: The latest purge of all groups; None if there was none.
+        last_event_number: Highest event number of the recorded purges.
     """
 
     def __init__(self, max_purges: int = MAX_PURGES) -> None:
         self.objects: dict[int, Purge] = {}
         self.groups: dict[int, Purge] = {}
-        self.everything: Purge | None = None
+        self.all_groups_purge: Purge | None = None
         self.last_event_number = 0
         self._max_purges = max_purges
 
@@ -61,14 +64,17 @@
         elif purge.group >= 0:
             self._record_latest(self.groups, purge.group, purge)
         else:
-            if self.everything is None or purge.timestamp > self.everything.timestamp:
-                self.everything = purge
+            if self.all_groups_purge is None or purge.timestamp > self.all_groups_purge.timestamp:
+                self.all_groups_purge = purge
             return
         if len(self.objects) + len(self.groups) > self._max_purges:
             self.merge_older_half()
 
     def merge_older_half(self) -> None:
-        """Replace the older half by one purge of everything up to the youngest of them: memory for copies."""
+        """Replace the older half by one purge of all groups, up to the latest timestamp in that half.
+
+        The merge bounds the memory for purges, at the cost of copies that none of the merged purges covered.
+        """
         purges = sorted((*self.objects.values(), *self.groups.values()), key=lambda purge: purge.timestamp)
         older_half = purges[: len(purges) // 2]
         for purge in older_half:
@@ -77,37 +83,37 @@
             else:
                 self.groups.pop(purge.group, None)
         youngest = purges[len(purges) // 2 - 1]
-        newest_segment = max(purge.segment for purge in purges)
+        newest_segment = max(purge.newest_segment for purge in purges)
         self.record(Purge(None, EVERY_GROUP, youngest.timestamp, newest_segment, 0))
 
     def covers(self, key: int, group: int, created: float) -> bool:
-        """Whether a copy created then is purged; one of the same millisecond is."""
-        for purge in (self.objects.get(key), self.groups.get(group), self.everything):
+        """Return whether a copy created at that time is purged; one created in the purge's own millisecond is."""
+        for purge in (self.objects.get(key), self.groups.get(group), self.all_groups_purge):
             if purge is not None and created <= purge.timestamp:
                 return True
         return False
 
-    def forget(self, oldest_segment: int, now: float) -> int:
-        """Drop the purges that no segment on disk is older than, and return how many those were."""
+    def forget_obsolete(self, oldest_segment: int, now: float) -> int:
+        """Drop the purges that arrived before the oldest segment on disk began; return their number."""
         before = len(self.objects) + len(self.groups)
         for purges in (self.objects, self.groups):
-            done = [
+            obsolete_keys = [
                 name
                 for name, purge in purges.items()
-                if purge.segment < oldest_segment and now - purge.timestamp > MIN_AGE_S
+                if purge.newest_segment < oldest_segment and now - purge.timestamp > MIN_PURGE_AGE_S
             ]
-            for name in done:
+            for name in obsolete_keys:
                 del purges[name]
         return before - len(self.objects) - len(self.groups)
 
     def __iter__(self) -> Iterator[Purge]:
-        if self.everything is not None:
-            yield self.everything
+        if self.all_groups_purge is not None:
+            yield self.all_groups_purge
         yield from self.objects.values()
         yield from self.groups.values()
 
     def __len__(self) -> int:
-        return len(self.objects) + len(self.groups) + (self.everything is not None)
+        return len(self.objects) + len(self.groups) + (self.all_groups_purge is not None)
 
     @staticmethod
     def _record_latest(purges: dict[int, Purge], name: int, purge: Purge) -> None:
@@ -115,4 +121,4 @@
         if known is None or purge.timestamp >= known.timestamp:
             purges[name] = purge
         else:
-            purges[name] = known._replace(segment=max(known.segment, purge.segment))
+            purges[name] = known._replace(newest_segment=max(known.newest_segment, purge.newest_segment))
--- a/wickhinge/store/purging.py
+++ b/wickhinge/store/purging.py
@@ -1,4 +1,4 @@
-"""Taking purges in: in force at once, on disk soon after, and swept out of the index by and by."""
+"""Recording of purges: in force at once, then written to the purge log; purged copies leave the index in steps."""
 
 from __future__ import annotations
 
@@ -9,16 +9,17 @@
 from wickhinge.store.tier import Tier
 from wickhinge.store.workers import Lane
 
-MAX_PENDING_PURGES = 100_000  # for a disk that fails; past it older ones are merged, at the cost of copies
+# Bound on purges that a failing disk leaves unwritten; beyond it older ones are merged, at the cost of copies.
+MAX_PENDING_PURGES = 100_000
 MAX_PURGES_PER_WRITE = 2000
 OBJECTS_PER_SWEEP = 2000
 
 
 class PurgeRecorder:
-    """Writes purges to the log in their order, one batch at a time.
+    """Puts purges in force, and writes them to the purge log in their order, one batch at a time.
 
     Attributes:
-        pending: Purges in force that are not on disk yet.
+        pending: Purges that are in force but not on disk yet.
     """
 
     def __init__(self, tier: Tier) -> None:
@@ -28,25 +29,25 @@
         self._keys_to_sweep: list[int] = []
 
     def record(self, purge: Purge) -> None:
-        """Put a purge in force, and on disk soon after."""
+        """Put a purge in force at once and queue it for the purge log."""
         purges = self._tier.purges
         purges.record(purge)
         self.pending.append(purge)
         if len(self.pending) > MAX_PENDING_PURGES:
             purges.merge_older_half()
-            # A new queue, since some of the old one may be being written; in the journal's order.
+            # A new deque in the order of the journal: a write in progress removes its batch from the old one.
             self.pending = deque(sorted(purges, key=lambda purge: purge.event_number))
         self.write_pending()
 
     def write_pending(self) -> None:
-        """Write the next batch, unless one is being written; a failed one is written again at the next call."""
+        """Write the next batch unless one is being written; a batch that failed is written again at the next call."""
         tier, queue = self._tier, self.pending
-        if self._is_writing or not queue or not tier.is_on:
+        if self._is_writing or not queue or not tier.is_enabled:
             return
         batch = list(islice(queue, MAX_PURGES_PER_WRITE))
         self._is_writing = True
 
-        def written(_: None, error: BaseException | None) -> None:
+        def append_finished(_: None, error: BaseException | None) -> None:
             self._is_writing = False
             if error is not None:
                 tier.record_error("purge log", error)
@@ -55,29 +56,29 @@
                 queue.popleft()
             self.write_pending()
 
-        tier.runtime.workers.run(Lane.LOG, lambda: tier.volume.purge_log.append(batch), written)
+        tier.runtime.workers.run(Lane.LOG, lambda: tier.volume.purge_log.append(batch), append_finished)
 
-    def forget(self, oldest_segment: int) -> None:
-        """Forget purges that no segment is older than; the log is rewritten once it holds many of those."""
+    def forget_obsolete(self, oldest_segment: int) -> None:
+        """Drop purges that arrived before the oldest segment began; rewrite a log that holds many obsolete lines."""
         tier, purges, log = self._tier, self._tier.purges, self._tier.volume.purge_log
-        forgotten = purges.forget(oldest_segment, tier.runtime.now())
-        if not forgotten or self._is_writing or not log.is_oversized(len(purges)):
+        obsolete_count = purges.forget_obsolete(oldest_segment, tier.runtime.now())
+        if not obsolete_count or self._is_writing or not log.is_oversized(len(purges)):
             return
         in_force, event_number = list(purges), purges.last_event_number
         self._is_writing = True
 
-        def rewritten(_: None, error: BaseException | None) -> None:
+        def rewrite_finished(_: None, error: BaseException | None) -> None:
             self._is_writing = False
-            if error is not None:  # the log's files are not open any more: no purge can be written
+            if error is not None:  # After a failed rewrite the log's files are closed, so no purge can be written.
                 tier.counters.errors += 1
-                tier.switch_off(f"purge log: {error}")
+                tier.disable(f"cannot rewrite the purge log: {error}")
 
         tier.runtime.workers.run(
-            Lane.LOG, lambda: log.rewrite(in_force, event_number, tier.volume.segments.newest), rewritten
+            Lane.LOG, lambda: log.rewrite(in_force, event_number, tier.volume.segments.newest_segment), rewrite_finished
         )
 
-    def sweep(self) -> None:
-        """Remove some purged copies from the index; those that are asked for are removed as they are found."""
+    def sweep_index(self) -> None:
+        """Remove purged copies of the next OBJECTS_PER_SWEEP objects; `find` removes those that are requested."""
         tier = self._tier
         if not self._keys_to_sweep and len(tier.purges):
             self._keys_to_sweep = list(tier.admission.objects)
--- a/wickhinge/store/segment_files.py
+++ b/wickhinge/store/segment_files.py
@@ -1,4 +1,4 @@
-"""The segment files of a volume: records are appended to the newest one, and read from all of them."""
+"""Segment files of a volume: records are appended to the newest segment, and read from all segments."""
 
 from __future__ import annotations
 
@@ -20,60 +20,60 @@
 )
 from wickhinge.store.files import Files
 
-FILE_NAME = re.compile(r"segment-([0-9]{10})\.wh\Z")
+SEGMENT_NAME = re.compile(r"segment-([0-9]{10})\.wh\Z")
 SCAN_WINDOW_BYTES = 1 << 20
 
 
 def segment_number(name: str) -> int | None:
-    """The number of a segment's file; None for any other file."""
-    match = FILE_NAME.match(name)
+    """Return the number of a segment's file; None for the name of any other file."""
+    match = SEGMENT_NAME.match(name)
     return int(match[1]) if match else None
 
 
 class SegmentFiles:
-    """Appends, reads and scans records. Every method may block; appends and recycling belong on one lane.
+    """Appends, reads and scans records. Every method may block; one lane must run all appends and recycling.
 
     Attributes:
-        store_id: Of the store, into every checksum.
-        handles: The open file of each segment.
-        initial_sizes: Bytes of each segment that was there when the directory was opened.
-        newest: The latest segment number ever given.
-        bytes_appended: Since the directory was opened.
+        store_id: Id of the store, which is part of the seed of every checksum.
+        handles: Handle of the open file of each segment, by number.
+        initial_sizes: Size in bytes of each segment that existed when the directory was opened, by number.
+        newest_segment: Highest segment number given so far.
+        bytes_appended: Bytes appended since the directory was opened.
     """
 
     def __init__(self, files: Files, directory: str, segment_bytes: int) -> None:
-        """Take a segment for full at so many bytes."""
+        """Create the access to a directory's segments, which are full at `segment_bytes`."""
         self.store_id = b""
         self.handles: dict[int, int] = {}
         self.initial_sizes: dict[int, int] = {}
-        self.newest = 0
+        self.newest_segment = 0
         self.bytes_appended = 0
         self._files = files
         self._directory = directory
         self._segment_bytes = segment_bytes
-        self._current = 0  # that is appended to; 0 for none
+        self._current_segment = 0  # Number of the segment that is appended to; 0 for none.
         self._current_end = 0
 
     def open_existing(self, numbers: list[int]) -> None:
-        """Open segments that the directory holds, to read."""
+        """Open segments that exist in the directory, for reading."""
         for number in numbers:
             handle = self._files.open(self._path(number))
             self.handles[number], self.initial_sizes[number] = handle, self._files.size(handle)
 
     def sync_new(self, numbers: list[int]) -> None:
-        """Make those of these segments durable that were begun since the directory was opened."""
+        """Make those of the given segments durable that were begun since the directory was opened."""
         for number in numbers:
             handle = self.handles.get(number)
             if handle is not None and number not in self.initial_sizes:
                 self._files.sync(handle)
 
-    def has(self, location: RecordLocation) -> bool:
-        """Whether that place was there when the directory was opened."""
+    def contains_at_open(self, location: RecordLocation) -> bool:
+        """Return whether the segment held this location when the directory was opened."""
         size = self.initial_sizes.get(location.segment)
         return size is not None and location.offset + location.length <= size
 
     def current_sizes(self) -> dict[int, int]:
-        """The bytes of each segment now."""
+        """Return the current size in bytes of each segment, by number."""
         return {number: self._files.size(handle) for number, handle in self.handles.items()}
 
     def close(self) -> None:
@@ -86,15 +86,15 @@
                 continue
 
     def append(self, copy: Copy, body: bytes) -> RecordLocation:
-        """Append a copy to the current segment. After a failed write the next one begins a new segment."""
-        if not self._current or self._current_end >= self._segment_bytes:
+        """Append a copy to the current segment. After a failed write, the next append begins a new segment."""
+        if not self._current_segment or self._current_end >= self._segment_bytes:
             self.begin_segment()
-        number, offset = self._current, self._current_end
+        number, offset = self._current_segment, self._current_end
         record = encode_record(copy, body, checksum_seed(self.store_id, number))
         try:
             self._files.write(self.handles[number], record, offset)
         except OSError:
-            self._current = 0
+            self._current_segment = 0
             raise
         self._current_end = offset + len(record)
         self.bytes_appended += len(record)
@@ -102,20 +102,20 @@
 
     def begin_segment(self) -> None:
         """Make the current segment durable and begin a new one."""
-        if self._current:
-            number, self._current = self._current, 0
+        if self._current_segment:
+            number, self._current_segment = self._current_segment, 0
             self._files.sync(self.handles[number])
-        number = self.newest + 1
+        number = self.newest_segment + 1
         handle = self._files.open(self._path(number), write=True, create=True)
-        self.newest = self._current = number
+        self.newest_segment = self._current_segment = number
         self._current_end = 0
         self.handles[number] = handle
 
     def read(self, location: RecordLocation, key: int, part: int) -> bytes:
-        """The body of the copy at that place, with each chunk verified.
+        """Return the body of the copy at a location, after its checksums are verified.
 
         Raises:
-            DamagedCopyError: Anything but that very copy is there.
+            DamagedCopyError: The location does not hold an intact record of this object and part.
         """
         number, offset, length = location
         record = memoryview(self._files.read(self.handles[number], length, offset))
@@ -129,7 +129,7 @@
         return bytes(body)
 
     def scan(self, number: int, start: int, *, verify_bodies: bool) -> Iterator[tuple[RecordHeader, RecordLocation]]:
-        """Every record of a segment from an offset on; past a damaged one the scan goes on with the next header."""
+        """Yield every intact record of a segment from an offset on; a damaged record is skipped to the next header."""
         handle, seed = self.handles[number], checksum_seed(self.store_id, number)
         size, offset = self._files.size(handle), start
         window, window_start = b"", 0
@@ -152,7 +152,7 @@
             offset += header.record_bytes
 
     def recycle(self, number: int) -> None:
-        """Remove a segment that nobody reads."""
+        """Remove the file of a segment, which must have no reader."""
         handle = self.handles.pop(number, None)
         self.initial_sizes.pop(number, None)
         if handle is not None:
@@ -164,7 +164,7 @@
 
 
 def _next_header(window: bytes, window_start: int, offset: int) -> int:
-    """The next offset at which a header may begin, in this window or past it."""
+    """Return the next offset at which a header may begin, in the window or after it."""
     index = window.find(RECORD_MAGIC, offset - window_start)
     while index >= 0:
         if (window_start + index) % RECORD_ALIGN_BYTES == 0:
--- a/wickhinge/store/snapshots.py
+++ b/wickhinge/store/snapshots.py
@@ -1,4 +1,4 @@
-"""Snapshots of the index: files of rising generation, of which the newest whole one counts."""
+"""Files of index snapshots, numbered by generation; recovery reads the newest one that is complete."""
 
 from __future__ import annotations
 
@@ -18,14 +18,14 @@
 )
 from wickhinge.store.files import Files
 
-FILE_NAME = re.compile(r"index-([0-9]{10})\.wh\Z")
+SNAPSHOT_NAME = re.compile(r"index-([0-9]{10})\.wh\Z")
 OBJECTS_PER_BLOCK = 256
 GENERATIONS_KEPT = 2
 
 
-def generation_of(name: str) -> int | None:
-    """The generation of a snapshot's file; None for any other file."""
-    match = FILE_NAME.match(name)
+def snapshot_generation(name: str) -> int | None:
+    """Return the generation of a snapshot's file; None for the name of any other file."""
+    match = SNAPSHOT_NAME.match(name)
     return int(match[1]) if match else None
 
 
@@ -33,8 +33,8 @@
     """Writes and reads snapshots. Every method may block.
 
     Attributes:
-        generation: Of the newest one; 0 for none.
-        bytes_written: In all.
+        generation: Generation of the newest snapshot; 0 if there is none.
+        bytes_written: Bytes of all snapshots written since the directory was opened.
     """
 
     def __init__(self, files: Files, directory: str) -> None:
@@ -44,7 +44,13 @@
         self._directory = directory
 
     def write(self, store_id: bytes, meta: SnapshotMeta, objects: Iterable[StoredObject]) -> int:
-        """Write the next generation, the object used last first, and remove old ones; the generation."""
+        """Write the next snapshot, remove those before the last GENERATIONS_KEPT, and return the new generation.
+
+        Args:
+            store_id: Id of the store.
+            meta: First block of the snapshot.
+            objects: Objects of the index, the most recently used one first.
+        """
         generation = self.generation + 1
         path = f"{self._directory}/index-{generation:010d}.wh"
         handle = self._files.open(path + ".new", write=True, create=True)
@@ -61,13 +67,13 @@
         self.generation = generation
         self.bytes_written += offset
         for name in sorted(self._files.list_directory(self._directory)):
-            other = generation_of(name)
+            other = snapshot_generation(name)
             if other is not None and other <= generation - GENERATIONS_KEPT:
                 self._files.remove(f"{self._directory}/{name}")
         return generation
 
     def read(self, name: str, store_id: bytes) -> Snapshot | None:
-        """One snapshot, or None if any of it is damaged: a part of an index would hide copies that count."""
+        """Read a snapshot; return None if any block is damaged, since a partial index would hide valid copies."""
         handle = self._files.open(f"{self._directory}/{name}")
         try:
             return decode_snapshot(lambda size, offset: self._files.read(handle, size, offset), store_id)
@@ -75,8 +81,8 @@
             self._files.close(handle)
 
     def read_newest(self, store_id: bytes) -> Snapshot | None:
-        """The newest whole snapshot, if there is one."""
-        names = [name for name in sorted(self._files.list_directory(self._directory)) if FILE_NAME.match(name)]
+        """Return the newest complete snapshot, or None if there is none."""
+        names = [name for name in sorted(self._files.list_directory(self._directory)) if SNAPSHOT_NAME.match(name)]
         for name in reversed(names):
             snapshot = self.read(name, store_id)
             if snapshot is not None:
@@ -101,14 +107,14 @@
 
 
 def _encode_copy(copy: Copy) -> SnapshotCopy | None:
-    """None for a copy that is not written yet."""
+    """Return the row of a copy; None for a copy that is not written yet."""
     if copy.location is None:
         return None
     return SnapshotCopy(copy.part, copy.group, copy.etag, copy.created, copy.size, copy.serial, copy.location)
 
 
 def restore_copy(key: int, row: SnapshotCopy) -> Copy:
-    """A copy as a snapshot has it."""
+    """Return the copy that a row of a snapshot describes."""
     return Copy(
         key,
         row.part,
--- a/wickhinge/store/store.py
+++ b/wickhinge/store/store.py
@@ -1,4 +1,4 @@
-"""The tier as the router sees it: everything here runs in the reactor's thread and returns at once."""
+"""Interface of the store to the router. Everything here runs in the reactor's thread and never waits for the disk."""
 
 from __future__ import annotations
 
@@ -23,16 +23,16 @@
 
 
 class Store:
-    """Copies by object and part: `find` says what there is, `routing` whether it answers, `read` brings its bytes.
+    """Local copies by object and part: `find` looks a copy up, `routing` decides whether to use it, `read` reads it.
 
-    Times are Unix seconds.
+    All times are in Unix seconds.
 
     Attributes:
-        tier: The state that the parts below share.
+        tier: State that the other parts of the store share.
         lookup: Finds and reads copies.
         writer: Admits and writes copies.
         purging: Records purges.
-        snapshots: Writes the index.
+        snapshots: Writes snapshots of the index.
     """
 
     def __init__(self, volume: Volume, runtime: Runtime, limits: StoreLimits) -> None:
@@ -45,91 +45,92 @@
         self._is_closed = False
 
     def start(self) -> None:
-        """Take the directory and begin to recover; copies are found as the recovery goes on.
+        """Open the directory and begin the recovery; recovered copies can be found while it is still running.
 
         Raises:
             UnusableDirectoryError: The directory cannot hold a store.
         """
         self.tier.volume.open()
-        self.tier.is_on = True
-        self.snapshots.begin(self.tier.runtime.now())
-        # Maintenance right after: a router that is restarted every second would never win its disk space back.
+        self.tier.is_enabled = True
+        self.snapshots.start_interval(self.tier.runtime.now())
+        # Maintenance follows the recovery at once: a router that is restarted each second, before the first interval
+        # has passed, would otherwise never free disk space.
         Recovery(self.tier).start(lambda: self._recycle_and_snapshot(self.tier.runtime.now()))
-        self.tier.runtime.after(MAINTENANCE_INTERVAL_S, self.maintain)
+        self.tier.runtime.call_after(MAINTENANCE_INTERVAL_S, self.maintain)
 
     def close(self) -> None:
-        """Wait for the calls under way and close the directory."""
+        """Wait for the running file calls and close the directory."""
         if not self._is_closed:
-            self._is_closed, self.tier.is_on = True, False
+            self._is_closed, self.tier.is_enabled = True, False
             self.tier.runtime.workers.close()
             self.tier.volume.close()
 
-    # Requests.
+    # Lookup and storage of copies.
 
     def record_request(self, key: int, part: int) -> None:
-        """Count a request for a part, however it is answered."""
+        """Record a request for a part, whether or not a copy answers it."""
         self.tier.admission.record_request(key, part)
 
     def find(self, key: int, part: int, now: float) -> Copy | None:  # noqa: ARG002 - interface.LocalCopies has now
-        """The copy of a part, if there is one that is not purged."""
+        """Return the copy of a part, or None if there is none or it is purged."""
         return self.lookup.find(key, part)
 
     def is_current(self, copy: Copy, now: float) -> bool:
-        """Whether the copy's age is known, and every purge up to now."""
+        """Return whether the copy's age is verified, and every purge up to now is known."""
         return self.lookup.is_current(copy, now)
 
     def is_valid(self, copy: Copy, now: float) -> bool:  # noqa: ARG002 - interface.LocalCopies has now
-        """Whether no purge since it was found covers the copy."""
+        """Return whether no purge that is in force covers the copy."""
         return self.lookup.is_valid(copy)
 
-    def read(self, copy: Copy, done: ReadDone) -> None:
-        """Bring the body: done(body, from memory), or done(None, False) where it cannot be had; maybe at once."""
-        self.lookup.read(copy, done)
+    def read(self, copy: Copy, on_done: ReadDone) -> None:
+        """Read the body of a copy and call `on_done`, possibly before this returns; see `CopyLookup.read`."""
+        self.lookup.read(copy, on_done)
 
     def admit(self, offer: CopyOffer, now: float) -> bool:
-        """Whether to store a copy that passes; True counts its size as queued, so `write` must follow."""
+        """Return whether to store the offered copy; True counts its size as queued, so `write` must follow."""
         return self.writer.admit(offer, now)
 
     def write(self, offer: CopyOffer, body: bytes) -> None:
-        """Store a copy that `admit` has let in."""
+        """Store a copy that `admit` has admitted."""
         self.writer.write(offer, body)
 
     def revalidate(self, copy: Copy, created: float) -> None:
-        """Take in that the origin gave out the same bytes at that time."""
+        """Record that the origin still had the same bytes at the time `created`, which verifies the copy's age."""
         self.writer.revalidate(copy, created)
 
-    # The journal.
+    # Events of the journal, which is the event stream of the discovery service.
 
     @property
     def last_event_number(self) -> int:
-        """Of the latest purge that is in force."""
+        """Highest event number of the purges in force."""
         return self.tier.purges.last_event_number
 
     def purge(self, key: int | None, group: int, timestamp: float, event_number: int) -> None:
-        """Put a purge in force at once, and on disk soon after; only then is its number known there."""
-        newest_segment = max(self.tier.volume.segments.newest, 1)
+        """Put a purge in force at once, and write it with its event number to the purge log soon after."""
+        newest_segment = max(self.tier.volume.segments.newest_segment, 1)
         number = event_number if self.tier.limits.event_numbers_persist else 0
         self.purging.record(Purge(key, group, timestamp, newest_segment, number))
 
     def journal_caught_up(self, now: float, all_events: bool) -> None:
-        """Take in that the journal has nothing more to tell for now.
+        """Record that all events sent by the journal so far have arrived.
 
         Args:
-            now: The time.
-            all_events: It has told all since the number that the purge log had at the start, in the service's own
-                unbroken count.
+            now: The current time.
+            all_events: Whether the journal has sent, without a gap, every event since the last event number that the
+                purge log held at the start.
         """
         self.lookup.journal_caught_up(now, all_events=all_events)
 
     # Maintenance.
 
     def maintain(self) -> None:
-        """Do what is due, each MAINTENANCE_INTERVAL_S."""
+        """Write pending purges, sweep the index, recycle segments, write a due snapshot; repeats by a timer."""
         if self._is_closed:
             return
-        self.tier.runtime.after(MAINTENANCE_INTERVAL_S, self.maintain)
+        self.tier.runtime.call_after(MAINTENANCE_INTERVAL_S, self.maintain)
         self.purging.write_pending()
-        self.purging.sweep()
+        self.purging.sweep_index()
         if not self.tier.is_recovering:
             self._recycle_and_snapshot(self.tier.runtime.now())
 
@@ -139,17 +140,17 @@
 
     def _recycle_and_snapshot(self, now: float) -> None:
         self._compactor.run()
-        self.snapshots.run(now)
+        self.snapshots.write_if_due(now)
 
     def report_fields(self) -> dict[str, object]:
-        """Counters and sizes, for the report."""
+        """Return the counters and sizes of the store's entry in the report."""
         tier = self.tier
         return {
             **asdict(tier.counters),
-            "copies": tier.admission.count,
-            "bytes": tier.admission.used,
+            "copies": tier.admission.copy_count,
+            "bytes": tier.admission.used_bytes,
             "disk_bytes": tier.space.total_bytes,
-            "memory_bytes": tier.memory.used,
+            "memory_bytes": tier.memory.used_bytes,
             "queued_write_bytes": self.writer.limiter.queued_bytes,
             "purges": len(tier.purges),
             "pending_purges": len(self.purging.pending),
@@ -181,12 +182,15 @@
 
 
 def start_store(options: StoreSettings, journal: JournalSettings, runtime: Runtime) -> Store | None:
-    """The store that the settings describe, started; None, and one log event, where its directory cannot be used.
+    """Create and start the store that the settings describe.
 
     Args:
         options: The settings under `store`.
         journal: The settings under `journal`.
-        runtime: Its workers are closed where the directory cannot be used.
+        runtime: Runtime of the store; its workers are closed if the directory cannot be used.
+
+    Returns:
+        The started store; None, after the log event `store_disabled`, if the directory cannot be used.
     """
     volume = Volume(Files(), options.dir, options.segment_mb * MEBIBYTE, event_numbers_persist=journal.continues)
     limits = StoreLimits(
--- a/wickhinge/store/tier.py
+++ b/wickhinge/store/tier.py
@@ -1,4 +1,4 @@
-"""What the parts of a store share: the index, the memory tier, the segments, the purges and the counters."""
+"""State that the parts of a store share: the index, the memory tier, the segments, the purges and the counters."""
 
 from __future__ import annotations
 
@@ -15,40 +15,42 @@
 from wickhinge.store.volume import Volume
 from wickhinge.store.workers import LaneRunner
 
-COPIES_SHARE = 0.75  # of the disk space; in the rest segments turn to garbage before they need compaction
-MAX_SHARE_OF_MEMORY = 4  # a copy larger than this part of the memory tier is not held there
+# Share of the disk space for live copies. In the rest, segments become garbage before they need compaction.
+COPIES_SHARE_OF_DISK = 0.75
+# The memory tier keeps a copy only if at least this number of copies of the same size would fit.
+MIN_COPIES_IN_MEMORY = 4
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class StoreLimits:
-    """The bounds of a store, as the settings state them."""
+    """Limits of a store, as the settings state them."""
 
-    disk_bytes: int
-    segment_bytes: int
-    memory_bytes: int  # bodies that are held in memory as well
-    frequency_table_objects: int  # whose requests are counted
+    disk_bytes: int  # Capacity on disk.
+    segment_bytes: int  # Size at which a segment is full.
+    memory_bytes: int  # Capacity for bodies that are kept in memory as well.
+    frequency_table_objects: int  # Number of objects without stored copies whose requests are counted.
     max_queued_write_bytes: int
     write_bytes_per_s: float
-    slow_read_s: float  # a read that lasts longer counts against the disk
+    slow_read_s: float  # Duration in seconds above which the circuit breaker counts a read as slow.
     max_concurrent_reads: int
     snapshot_interval_s: float
-    max_journal_silence_s: float  # so long after the journal's last word copies still count as current
-    event_numbers_persist: bool  # the journal keeps its event numbers across starts
+    max_journal_silence_s: float  # Seconds without an update of the journal after which no copy counts as current.
+    event_numbers_persist: bool  # Whether event numbers of the journal stay valid across restarts of the router.
 
 
 @dataclass(frozen=True, slots=True)
 class Runtime:
-    """What a store needs of the program around it."""
+    """Services of the router that a store uses."""
 
     workers: LaneRunner
-    now: Callable[[], float]  # Unix seconds
-    after: Callable[..., object]  # after(delay in seconds, call)
-    log: LogEvent  # log(event, **fields)
+    now: Callable[[], float]  # Returns the current time in Unix seconds.
+    call_after: Callable[..., object]  # Called with a delay in seconds and the function to call then.
+    log: LogEvent  # Called with the name of an event and its fields as keyword arguments.
 
 
 @dataclass(slots=True)
 class Counters:
-    """Events since the start, for the report."""
+    """Numbers of events since the start, for the report."""
 
     found: int = 0
     disk_reads: int = 0
@@ -67,29 +69,30 @@
 
 
 class Tier:
-    """The state of a store, and the changes to it that more than one part makes.
+    """State of a store, and the changes to it that more than one part makes.
 
     Attributes:
-        admission: The index, with the choice of what is stored.
-        memory: Which copies have their bodies in memory.
-        bodies: Those bodies.
-        is_on: False before the start, after the end, and once the disk is given up.
-        is_recovering: Whether copies of an earlier start are still coming in.
-        last_serial: Of the latest copy written.
+        admission: Index of the stored copies, which also decides what is stored.
+        memory: Copies whose bodies are in memory.
+        bodies: Bodies of the copies in `memory`.
+        space: Segments on disk, with their live and garbage bytes.
+        is_enabled: Whether the store is in use; False before the start, after the end, and once it is disabled.
+        is_recovering: Whether the recovery is still running.
+        last_serial: Highest serial number of a copy.
     """
 
     def __init__(self, volume: Volume, runtime: Runtime, limits: StoreLimits) -> None:
         self.volume = volume
         self.runtime = runtime
         self.limits = limits
-        index_bytes = int(COPIES_SHARE * (limits.disk_bytes - 2 * limits.segment_bytes))
+        index_bytes = int(COPIES_SHARE_OF_DISK * (limits.disk_bytes - 2 * limits.segment_bytes))
         self.admission = AdmissionPolicy(index_bytes, FrequencyTable(limits.frequency_table_objects))
         self.memory = TailEviction(limits.memory_bytes)
         self.bodies: dict[Copy, bytes] = {}
         self.space = SegmentSpace(limits.disk_bytes, limits.segment_bytes)
         self.breaker = CircuitBreaker(limits.slow_read_s)
         self.counters = Counters()
-        self.is_on = False
+        self.is_enabled = False
         self.is_recovering = False
         self.last_serial = 0
 
@@ -99,27 +102,27 @@
         return self.volume.purges
 
     def is_stored(self, copy: Copy) -> bool:
-        """Whether the index has this very copy."""
+        """Return whether the index holds this copy, and not another one of the same part."""
         return self.admission.find(copy.key, copy.part) is copy
 
     def is_purged(self, copy: Copy) -> bool:
-        """Whether the copy is older than a purge of it."""
+        """Return whether a purge in force covers the copy."""
         return self.purges.covers(copy.key, copy.group, copy.created)
 
     def remove(self, copy: Copy) -> None:
-        """Take a copy out of the index for another reason than space."""
+        """Remove a copy that is purged, damaged, outdated or not written from the index."""
         if self.admission.remove(copy):
             self._release(copy)
 
-    def evict(self, copies: list[Copy]) -> None:
-        """Release copies that the index dropped, or did not take in."""
+    def release_evicted(self, copies: list[Copy]) -> None:
+        """Count copies that the index evicted, replaced or did not accept, and release their space."""
         for copy in copies:
             self.counters.evicted += 1
             self._release(copy)
 
-    def hold_in_memory(self, copy: Copy, body: bytes) -> None:
-        """Hold the body of a stored copy, as far as the memory tier has space."""
-        if copy.size > self.memory.capacity // MAX_SHARE_OF_MEMORY or not self.is_stored(copy):
+    def keep_in_memory(self, copy: Copy, body: bytes) -> None:
+        """Keep the body of a stored copy in the memory tier, evicting others for it, unless the copy is too large."""
+        if copy.size > self.memory.capacity_bytes // MIN_COPIES_IN_MEMORY or not self.is_stored(copy):
             return
         for evicted in self.memory.add(copy):
             self.bodies.pop(evicted, None)
@@ -127,22 +130,22 @@
             self.bodies[copy] = body
 
     def record_disk_call(self, succeeded: bool, elapsed_s: float, now: float) -> None:
-        """Tell the circuit breaker how a call ended; a change of its state is logged."""
+        """Record the result of a call with the circuit breaker, and log if the breaker opens or closes."""
         was_open = self.breaker.is_open
-        self.breaker.record(succeeded, elapsed_s, now)
+        self.breaker.record_call(succeeded, elapsed_s, now)
         if self.breaker.is_open != was_open:
             event = "store_breaker_opened" if self.breaker.is_open else "store_breaker_closed"
             self.runtime.log(event, backoff_s=self.breaker.backoff_s)
 
     def record_error(self, operation: str, error: BaseException) -> None:
-        """Count and log a call that failed."""
+        """Count and log a file operation that failed."""
         self.counters.errors += 1
         self.runtime.log("store_io_failed", operation=operation, reason=str(error))
 
-    def switch_off(self, reason: str) -> None:
-        """Store and find nothing from here on; the router goes on without the store."""
-        if self.is_on:
-            self.is_on = False
+    def disable(self, reason: str) -> None:
+        """Stop storing and finding copies; the router continues without the store."""
+        if self.is_enabled:
+            self.is_enabled = False
             self.runtime.log("store_disabled", reason=reason)
 
     def _release(self, copy: Copy) -> None:
--- a/wickhinge/store/volume.py
+++ b/wickhinge/store/volume.py
@@ -1,9 +1,11 @@
-"""One directory of the tier. Every method may block and belongs on a worker's thread; none decides.
+"""File access to one directory of the store. Every method may block and runs on a worker thread.
+
+The directory holds these files:
 
     lock  store.wh  purges-a.wh  purges-b.wh  index-GENERATION.wh  segment-NUMBER.wh
 
-Appends are one lane's, purges another's, snapshots and recovery a third's, reads any lane's; a lane runs one call at
-a time. Which segment may go, and when, is decided by the caller.
+Lane.WRITE runs appends and recycling, Lane.LOG writes purges, Lane.SLOW runs snapshots, scans and recovery; reads may
+run on any lane. The caller decides which segment is recycled, and when.
 """
 
 from __future__ import annotations
@@ -22,32 +24,31 @@
     encode_identity,
 )
 from wickhinge.store.files import Files, replace_file
-from wickhinge.store.purge_log import FILE_NAMES as PURGE_LOG_NAMES
-from wickhinge.store.purge_log import PurgeLog
+from wickhinge.store.purge_log import PURGE_LOG_NAMES, PurgeLog
 from wickhinge.store.purge_log_recovery import recover_purges, scan_start
 from wickhinge.store.purges import PurgeTable
 from wickhinge.store.segment_files import SegmentFiles, segment_number
-from wickhinge.store.snapshots import SnapshotFiles, generation_of, restore_copy
+from wickhinge.store.snapshots import SnapshotFiles, restore_copy, snapshot_generation
 
 IDENTITY_NAME = "store.wh"
-BATCH_COPIES = 256  # handed on at once by a recovery
+BATCH_COPIES = 256  # Copies in one batch of a recovery's scan.
 
 
 def random_store_id() -> bytes:
-    """The id of a new store."""
+    """Return the id of a new store."""
     return secrets.token_bytes(16)
 
 
 class Volume:
-    """The files of a store, opened.
+    """The files of a store.
 
     Attributes:
-        store_id: 16 bytes that tell this store's files from any other's.
-        segments: The files of records.
-        purges: The purges that were found.
-        purge_log: The files of purges.
-        snapshots: The files of the index.
-        distrusted: Whether a purge may be lost, so that no stored copy was taken over.
+        store_id: 16 bytes that distinguish this store's files from those of any other store.
+        segments: Segment files.
+        purges: Purges in force, initially those that the purge log held.
+        purge_log: Files of the purge log.
+        snapshots: Files of index snapshots.
+        may_lack_purges: Whether the purge log may lack a purge, so that the copies on disk were discarded.
     """
 
     def __init__(
@@ -59,14 +60,14 @@
         event_numbers_persist: bool = False,
         new_store_id: Callable[[], bytes] = random_store_id,
     ) -> None:
-        """Name the directory; nothing is touched before `open`.
+        """Create a volume for a directory, without any file call before `open`.
 
         Args:
-            files: The file calls.
-            path: The directory.
-            segment_bytes: The size at which a segment is full.
-            event_numbers_persist: Whether event numbers of the journal stay valid after a restart.
-            new_store_id: Called for a directory that has no identity yet.
+            files: Interface for the file calls.
+            path: Path of the directory.
+            segment_bytes: Size at which a segment is full.
+            event_numbers_persist: Whether event numbers of the journal stay valid across restarts of the router.
+            new_store_id: Returns the id for a directory that has no valid identity file.
         """
         self.files = files
         self.path = path
@@ -75,23 +76,24 @@
         self.purges = PurgeTable()
         self.purge_log = PurgeLog(files, path)
         self.snapshots = SnapshotFiles(files, path)
-        self.distrusted = False
-        self._events_continue = event_numbers_persist
+        self.may_lack_purges = False
+        self._event_numbers_persist = event_numbers_persist
         self._new_store_id = new_store_id
         self._lock: int | None = None
 
     @property
     def bytes_written(self) -> int:
-        """Bytes of all kinds that were written since the directory was opened."""
+        """Bytes written to segments, purge log and snapshots since the directory was opened."""
         return self.segments.bytes_appended + self.purge_log.bytes_written + self.snapshots.bytes_written
 
     # Opening and closing.
 
     def open(self, *, write: bool = True) -> None:
-        """Read identity and purges; to write, also lock the directory, and make it where it is new.
+        """Read the identity and the purges; with `write`, first create the directory if it is missing, and lock it.
 
         Raises:
-            UnusableDirectoryError: It is in use, no store, of a later release, or cannot be read or written.
+            UnusableDirectoryError: The directory is in use, is not a store, was written by a later release, or cannot
+                be read or written.
         """
         try:
             if write:
@@ -100,7 +102,7 @@
                 if self._lock is None:
                     raise UnusableDirectoryError(self.path, "is in use by another process")
             self._identify(write=write)
-            self._load(write=write)
+            self._load_purges(write=write)
         except NewerFormatError as error:
             self.close()
             raise UnusableDirectoryError(self.path, str(error)) from None
@@ -121,15 +123,15 @@
                 self.files.close(lock)
 
     def path_of(self, name: str) -> str:
-        """The path of a file in the directory."""
+        """Return the path of a file in the directory."""
         return f"{self.path}/{name}"
 
-    def names(self) -> list[str]:
-        """All names in the directory, sorted."""
+    def file_names(self) -> list[str]:
+        """Return the names of all files in the directory, sorted."""
         return sorted(self.files.list_directory(self.path))
 
     def read_file(self, name: str) -> bytes:
-        """All bytes of a file in the directory."""
+        """Return the content of a file in the directory."""
         handle = self.files.open(self.path_of(name))
         try:
             return self.files.read(handle, self.files.size(handle), 0)
@@ -139,19 +141,23 @@
     # Snapshots and recovery.
 
     def write_snapshot(self, objects: Iterable[StoredObject], meta: SnapshotMeta) -> int:
-        """Write the index, the object used last first, and return its generation.
+        """Write a snapshot of the index and return its generation.
+
+        The segments that the snapshot refers to are made durable first.
 
-        Every byte that it names is made durable first.
+        Args:
+            objects: Objects of the index, the most recently used one first.
+            meta: First block of the snapshot.
         """
         self.segments.sync_new([number for number, _ in meta.marks])
         return self.snapshots.write(self.store_id, meta, objects)
 
     def recover(self, on_meta: Callable[[int, bytes], None]) -> Iterator[list[StoredObject]]:
-        """What the directory holds, in batches: the newest whole snapshot, then what was written after it.
+        """Yield the stored objects in batches: the newest complete snapshot, then the records written after it.
 
         Args:
-            on_meta: Called with the highest serial so far and the dumped frequencies (empty for none), before the
-                snapshot's objects and again at the end.
+            on_meta: Called with the highest serial number so far and the encoded frequency table (empty if there is
+                none), before the objects of the snapshot and again at the end.
         """
         marks: dict[int, int] = {}
         serial = 0
@@ -164,7 +170,11 @@
                     StoredObject(
                         row.key,
                         row.frequency,
-                        [restore_copy(row.key, copy) for copy in row.copies if self.segments.has(copy.place)],
+                        [
+                            restore_copy(row.key, copy)
+                            for copy in row.copies
+                            if self.segments.contains_at_open(copy.place)
+                        ],
                     )
                     for row in batch
                 ]
@@ -181,52 +191,52 @@
                 yield scanned
         on_meta(serial, b"")
 
-    # Parts of opening.
+    # Steps of opening.
 
     def _identify(self, *, write: bool) -> None:
-        names = self.names()
+        names = self.file_names()
         data = self.read_file(IDENTITY_NAME) if IDENTITY_NAME in names else b""
         store_id = decode_identity(data)
         if store_id is None:
             if not write:
                 raise UnusableDirectoryError(self.path, "is no store")
-            # It is new, or its identity is damaged: then nothing in it can be relied on.
+            # The directory is new, or its identity is damaged and its other files cannot be trusted.
             for name in names:
-                if self._holds_data(name) or name in PURGE_LOG_NAMES:
+                if self._is_data_file(name) or name in PURGE_LOG_NAMES:
                     self.files.remove(self.path_of(name))
-                    self.distrusted = True
+                    self.may_lack_purges = True
             store_id = self._new_store_id()
             replace_file(self.files, self.path, IDENTITY_NAME, encode_identity(store_id))
         self.store_id = self.segments.store_id = store_id
 
-    def _load(self, *, write: bool) -> None:
-        names = self.names()
+    def _load_purges(self, *, write: bool) -> None:
+        names = self.file_names()
         logs = [decode_purge_lines(self.read_file(name)) if name in names else [] for name in PURGE_LOG_NAMES]
         numbers = sorted(number for name in names if (number := segment_number(name)) is not None)
         self.purges, self.purge_log.next_sequence, is_complete = recover_purges(logs, has_segments=bool(numbers))
-        generations = [generation for name in names if (generation := generation_of(name)) is not None]
+        generations = [generation for name in names if (generation := snapshot_generation(name)) is not None]
         self.snapshots.generation = max(generations, default=0)
-        self.segments.newest = max([*numbers, *(purge.segment for purge in self.purges)], default=0)
+        self.segments.newest_segment = max([*numbers, *(purge.newest_segment for purge in self.purges)], default=0)
         if not is_complete:
-            self.distrusted = True
-            if write:  # removed before the rewritten log says that all is well again
+            self.may_lack_purges = True
+            if write:  # The copies are removed before the rewritten purge log counts as complete.
                 self._remove_data(names)
             numbers, self.snapshots.generation = [], 0
         self.segments.open_existing(numbers)
-        if not self._events_continue:
+        if not self._event_numbers_persist:
             self.purges.last_event_number = 0
         if write:
-            self.purge_log.rewrite(list(self.purges), self.purges.last_event_number, self.segments.newest)
+            self.purge_log.rewrite(list(self.purges), self.purges.last_event_number, self.segments.newest_segment)
 
     def _remove_data(self, names: list[str]) -> None:
         for name in names:
-            if self._holds_data(name):
+            if self._is_data_file(name):
                 self.files.remove(self.path_of(name))
         self.files.sync_directory(self.path)
 
     @staticmethod
-    def _holds_data(name: str) -> bool:
-        return segment_number(name) is not None or generation_of(name) is not None
+    def _is_data_file(name: str) -> bool:
+        return segment_number(name) is not None or snapshot_generation(name) is not None
 
 
 def _scanned_copy(header: RecordHeader, location: RecordLocation) -> Copy:
--- a/wickhinge/store/workers.py
+++ b/wickhinge/store/workers.py
@@ -1,4 +1,4 @@
-"""Threads that wait for the disk in the reactor's place."""
+"""Worker threads for blocking file calls, so that the reactor's thread never waits for the disk."""
 
 from __future__ import annotations
 
@@ -15,52 +15,54 @@
 
 
 class Lane(StrEnum):
-    """A queue of calls. Each runs one call at a time, in order; only reads run several at once."""
+    """Queue of blocking calls. A lane runs one call at a time, in order; only Lane.READ runs several at once."""
 
-    WRITE = "write"
-    LOG = "log"
-    SLOW = "slow"
-    READ = "read"
+    WRITE = "write"  # Appends to segments, and recycling.
+    LOG = "log"  # Writes to the purge log.
+    SLOW = "slow"  # Snapshots, scans of segments and recovery, which may take seconds.
+    READ = "read"  # Reads of single copies.
 
 
 class LaneRunner(Protocol):
-    """Runs blocking calls elsewhere, and reports their ends in the reactor's thread."""
+    """Runs blocking calls outside the reactor's thread, and reports their results in it."""
 
     def run(
         self,
         lane: Lane,
         work: Callable[[], Result],
-        done: Callable[[Result | None, BaseException | None], None],
+        on_done: Callable[[Result | None, BaseException | None], None],
     ) -> None:
-        """Run `work`, then call done(result, None) or done(None, error); never before this returns."""
+        """Run `work`, then call on_done(result, None) or on_done(None, error); never before this method returns."""
 
     def run_streaming(
         self,
         lane: Lane,
         work: Callable[[Callable[[Item], None]], None],
         on_item: Callable[[Item], None],
-        done: Callable[[None, BaseException | None], None],
+        on_done: Callable[[None, BaseException | None], None],
     ) -> None:
-        """As `run`, for work that hands on items as it goes; on_item is called in the reactor's thread."""
+        """Run `work` as `run` does; each item that `work` emits is passed to `on_item` in the reactor's thread."""
 
     def close(self) -> None:
-        """End when all calls have ended."""
+        """Wait for all queued calls to end, then stop."""
 
 
 class Workers:
-    """A LaneRunner on thread pools, one a lane."""
+    """LaneRunner with one thread pool per lane."""
 
-    def __init__(self, reactor: Any, readers: int, report_fault: Callable[[str], None]) -> None:
+    def __init__(self, reactor: Any, max_concurrent_reads: int, report_fault: Callable[[str], None]) -> None:
         """Start the threads.
 
         Args:
-            reactor: Twisted's.
-            readers: Reads that may run at once.
-            report_fault: Called, while the exception is being handled, where a `done` or `on_item` raised.
+            reactor: Twisted's reactor.
+            max_concurrent_reads: Number of threads of Lane.READ.
+            report_fault: Called with "store" while an exception that an `on_done` raised is being handled.
         """
         self._reactor = reactor
         self._report_fault = report_fault
-        self._pools = {lane: ThreadPool(0, readers if lane is Lane.READ else 1, f"store-{lane}") for lane in Lane}
+        self._pools = {
+            lane: ThreadPool(0, max_concurrent_reads if lane is Lane.READ else 1, f"store-{lane}") for lane in Lane
+        }
         for pool in self._pools.values():
             pool.start()
 
@@ -68,30 +70,30 @@
         self,
         lane: Lane,
         work: Callable[[], Result],
-        done: Callable[[Result | None, BaseException | None], None],
+        on_done: Callable[[Result | None, BaseException | None], None],
     ) -> None:
-        """Run `work` on the lane, then call `done` in the reactor's thread."""
+        """Run `work` on the lane, then call `on_done` in the reactor's thread."""
         deferred: Any = deferToThreadPool(self._reactor, self._pools[lane], work)
-        deferred.addCallbacks(lambda result: done(result, None), lambda failure: done(None, failure.value))
-        deferred.addErrback(self._failed)
+        deferred.addCallbacks(lambda result: on_done(result, None), lambda failure: on_done(None, failure.value))
+        deferred.addErrback(self._report_callback_fault)
 
     def run_streaming(
         self,
         lane: Lane,
         work: Callable[[Callable[[Item], None]], None],
         on_item: Callable[[Item], None],
-        done: Callable[[None, BaseException | None], None],
+        on_done: Callable[[None, BaseException | None], None],
     ) -> None:
-        """Run `work` on the lane; each item that it hands on is passed to `on_item` in the reactor's thread."""
-        self.run(lane, lambda: work(lambda item: self._reactor.callFromThread(on_item, item)), done)
+        """Run `work` on the lane; each item that it emits is passed to `on_item` in the reactor's thread."""
+        self.run(lane, lambda: work(lambda item: self._reactor.callFromThread(on_item, item)), on_done)
 
     def close(self) -> None:
-        """Wait for the calls under way: a stalled disk holds the end up, so the program may be killed."""
+        """Wait for the queued calls to end; a stalled disk delays the end, so the process may have to be killed."""
         for pool in self._pools.values():
             pool.stop()
 
-    def _failed(self, failure: Failure) -> None:
+    def _report_callback_fault(self, failure: Failure) -> None:
         try:
             failure.raiseException()
-        except Exception:  # noqa: BLE001 - a fault of ours must not end the router; it is logged and counted
+        except Exception:  # noqa: BLE001 - a fault in a callback must not end the router; it is logged and counted
             self._report_fault("store")
--- a/wickhinge/store/write_rate_limiter.py
+++ b/wickhinge/store/write_rate_limiter.py
@@ -1,4 +1,4 @@
-"""The bound on writing: bytes that may be queued, and bytes a second. Past it a copy is not stored; nobody waits."""
+"""Limits on writing: bytes in the write queue, and bytes per second. A copy that exceeds a limit is not stored."""
 
 from __future__ import annotations
 
@@ -6,12 +6,12 @@
 
 
 class WriteRateLimiter:
-    """A token bucket that holds a second's worth, and the bytes of the queue of writes.
+    """Token bucket with the capacity of one second's writes, and a count of the bytes in the write queue.
 
     Attributes:
-        max_queued_bytes: The bound on the queue.
-        queued_bytes: What is queued now.
-        refused_count: Writes that were not allowed.
+        max_queued_bytes: Upper bound on the bytes in the write queue.
+        queued_bytes: Bytes in the write queue now.
+        refused_count: Number of writes that were refused.
     """
 
     def __init__(self, max_queued_bytes: int, bytes_per_s: float) -> None:
@@ -21,10 +21,10 @@
         self.bucket = TokenBucket(bytes_per_s, bytes_per_s, 0.0, tokens=bytes_per_s)
 
     def admit(self, size: int, now: float) -> bool:
-        """Whether so many bytes may be queued now; True counts them until `complete`."""
+        """Return whether a write of `size` bytes may be queued now; True counts the bytes until `complete`."""
         self.bucket.refill(now)
         fits = self.queued_bytes + size <= self.max_queued_bytes
-        # On credit: one copy may be more than a second's worth.
+        # Tokens are taken on credit, since one copy may be larger than the bytes of one second.
         if not fits or not self.bucket.take_on_credit(size, now):
             self.refused_count += 1
             return False
@@ -32,5 +32,5 @@
         return True
 
     def complete(self, size: int) -> None:
-        """Take so many bytes out of the queue: they were written, or will not be."""
+        """Remove `size` bytes from the count of queued bytes: their write has ended or was dropped."""
         self.queued_bytes -= size
