--- a/tests/membership/test_endpoint_list_file.py
+++ b/tests/membership/test_endpoint_list_file.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from tests.support.faulty_disk import Crash, Disk
+from tests.support.faulty_disk import CrashError, FaultyDisk
 from tests.support.statements import make_statement
 from wickhinge.membership import stored_list
 from wickhinge.membership.endpoint_list_file import EndpointListFile
@@ -28,7 +28,7 @@
     failing_call, written_counts = 0, []
     while True:
         failing_call += 1
-        disk, last_written = Disk((failing_call, failure)), 0
+        disk, last_written = FaultyDisk((failing_call, failure)), 0
         try:
             list_file = EndpointListFile(disk, "d")
             list_file.open()
@@ -38,12 +38,12 @@
                     last_written = number
                 except OSError:
                     continue
-        except (Crash, ListDirectoryError):
+        except (CrashError, ListDirectoryError):
             pass
         written_counts.append(last_written)
-        if disk.calls < failing_call:
+        if disk.call_count < failing_call:
             break
-        reopened = EndpointListFile(disk.restarted(failing_call, is_machine_restarted), "d")
+        reopened = EndpointListFile(disk.after_restart(failing_call, is_machine_restarted), "d")
         reopened.open()
         stored, _ = reopened.read()
         assert (stored.last_event if stored else 0) >= last_written
--- a/tests/options/test_options.py
+++ b/tests/options/test_options.py
@@ -94,7 +94,7 @@
     for key in range(6):
         for part in range(2):
             copy = Copy(key, part, key % 3, b"t%d" % key, 1000.0 + key, 700, key)
-            copy.place = volume.segments.append(copy, bytes([key, part]) * 350)
+            copy.location = volume.segments.append(copy, bytes([key, part]) * 350)
     volume.close()
     return tmp_path / "tier"
 
