--- a/bench/scale/change_log.py
+++ b/bench/scale/change_log.py
@@ -11,7 +11,7 @@
 
 from bench.scale.meter import Meter, Watch, memory
 from bench.scale.records import Row, row
-from wickhinge.changelog.codec import SIZE_OF_IP_AND_UDP, Codec
+from wickhinge.changelog.codec import IP_AND_UDP_HEADER_BYTES, Codec
 from wickhinge.changelog.context import ProcessContext
 from wickhinge.changelog.echo_tokens import SESSION_BITS
 from wickhinge.changelog.effects import Effect, Send
@@ -46,7 +46,7 @@
     def passed(self, data: bytes) -> None:
         """One datagram, either way, with its headers."""
         self.messages += 1
-        self.bytes += len(data) + SIZE_OF_IP_AND_UDP
+        self.bytes += len(data) + IP_AND_UDP_HEADER_BYTES
 
 
 class Tree:
@@ -79,7 +79,7 @@
         while self.owed >= 1.0:
             self.owed -= 1.0
             change = Purge(self.random.getrandbits(64), 0, FIRST_STAMP_MS + int(self.now * 1000))
-            self.log.append(Entry(EPOCH, self.log.last + 1, change), self.now)
+            self.log.append(Entry(EPOCH, self.log.last_number + 1, change), self.now)
         for process in self.processes.values():
             self.tick(process)
         while self.under_way:
--- a/bench/scale/fleet_hollow.py
+++ b/bench/scale/fleet_hollow.py
@@ -15,7 +15,7 @@
 from bench.scale.fleet_network import Network, install
 from bench.scale.fleet_recorder import Recorder
 from bench.scale.fleet_records import SAMPLE_S, Plan, Router, read, write
-from wickhinge.changelog.codec import SIZE_OF_IP_AND_UDP
+from wickhinge.changelog.codec import IP_AND_UDP_HEADER_BYTES
 from wickhinge.changelog.context import Runtime
 from wickhinge.changelog.endpoint import EndpointConfig
 from wickhinge.changelog.entries import Change, Entry, Purge, Setting
@@ -112,7 +112,7 @@
         counters = [router.node.counters for router in self.routers]
         messages = [one.received + one.sent for one in counters]
         sizes = [
-            one.received_bytes + one.sent_bytes + SIZE_OF_IP_AND_UDP * count
+            one.received_bytes + one.sent_bytes + IP_AND_UDP_HEADER_BYTES * count
             for one, count in zip(counters, messages, strict=True)
         ]
         self.recorder.sample(now, limits, messages, sizes)
--- a/tests/bench/test_scale.py
+++ b/tests/bench/test_scale.py
@@ -124,7 +124,7 @@
     tree.run(5.0)
     followers = [process.machine for name, process in tree.processes.items() if name.startswith("router")]
     assert len(followers) == 6 and {one.source for one in followers} == set(RELAYS)
-    assert all(one.number >= tree.log.last - 27 and not one.uninformed(tree.now) for one in followers)
+    assert all(one.number >= tree.log.last_number - 27 and not one.uninformed(tree.now) for one in followers)
     messages, size, _ = counted(tree, RELAYS[0], 5.0)
     assert 25 < messages < 40 and 100 < size / messages < 200  # 3 that follow, 3 that watch, its replica
 
--- a/tests/changelog/test_codec.py
+++ b/tests/changelog/test_codec.py
@@ -16,7 +16,7 @@
     Setting,
     Unknown,
     max_encoded_size,
-    validate,
+    validate_change,
 )
 from wickhinge.changelog.errors import InvalidChangeError, MalformedMessageError
 from wickhinge.changelog.message_codecs import encode_message
@@ -131,7 +131,7 @@
 )
 def test_change_when_out_of_bounds_is_invalid(change):
     with pytest.raises(InvalidChangeError):
-        validate(change)
+        validate_change(change)
 
 
 def test_number_when_over_the_maximum_is_malformed():
--- a/tests/changelog/test_feed.py
+++ b/tests/changelog/test_feed.py
@@ -4,7 +4,7 @@
 
 from tests.support.changelog_log import KEY, context, log_of, purge
 from wickhinge.changelog import messages
-from wickhinge.changelog.codec import SIZE_OF_IP_AND_UDP, Codec
+from wickhinge.changelog.codec import IP_AND_UDP_HEADER_BYTES, Codec
 from wickhinge.changelog.entries import (
     Entry,
     Purge,
@@ -113,4 +113,4 @@
 
 
 def size(sender, send):
-    return len(sender.encode(send.to, send.packet)) + SIZE_OF_IP_AND_UDP
+    return len(sender.encode(send.to, send.packet)) + IP_AND_UDP_HEADER_BYTES
--- a/tests/changelog/test_follower.py
+++ b/tests/changelog/test_follower.py
@@ -50,7 +50,7 @@
         self.take(self.follower.receive(packet, self.now))
 
     def beat(self, source, head=None, age_ms=50, **changes):
-        head = self.log.last if head is None else head
+        head = self.log.last_number if head is None else head
         digest = self.log.digest_at(head) or b"?" * 8
         beat = messages.Heartbeat(self.log.epoch, head, digest, age_ms)
         self.tell(source, msgspec.structs.replace(beat, **changes))
--- a/tests/changelog/test_log.py
+++ b/tests/changelog/test_log.py
@@ -23,7 +23,7 @@
 
 def test_log_when_full_retains_its_last_entries_and_the_digest_before_them():
     log, whole = log_of(50, retain=10), log_of(50)
-    assert (log.first, log.last, log.digest) == (41, 50, whole.digest)
+    assert (log.first_number, log.last_number, log.digest) == (41, 50, whole.digest)
     assert log.digest_at(40) == whole.digest_at(40) and log.digest_at(39) is None and log.digest_at(51) is None
     assert [entry.number for entry in log.entries_from(49, 10_000, 255)] == [49, 50]
     assert log.entries_from(40, 10_000, 255) == log.entries_from(51, 10_000, 255) == ()
@@ -52,7 +52,7 @@
     other = log_of(2, epoch=1)
     other.load(msgspec.structs.replace(snapshot, epoch=2), 60.0)
     assert {1, 2, 30, 50} <= {one.key for one in other.snapshot(61.0).purges}  # what it knew is kept
-    assert (other.epoch, other.last, other.first, other.digest) == (2, 52, 53, log.digest)
+    assert (other.epoch, other.last_number, other.first_number, other.digest) == (2, 52, 53, log.digest)
 
 
 @settings(max_examples=50, deadline=None)
@@ -72,11 +72,11 @@
     parts = split_snapshot(Snapshot(3, 9, b"x" * 8, (Setting("a", b"v" * 1000, 5),) * 2, ()))
     assembly = SnapshotAssembly("r0")
     assembly.add(msgspec.structs.replace(parts[0], payload=b"y" * len(parts[0].payload)))
-    assert assembly.add(parts[1]) is None and assembly.first_missing == 0
+    assert assembly.add(parts[1]) is None and assembly.first_missing_part == 0
     assembly.add(parts[0])
-    assert (assembly.number, assembly.first_missing) == (9, 1)
+    assert (assembly.snapshot_number, assembly.first_missing_part) == (9, 1)
     assembly.add(msgspec.structs.replace(parts[0], number=10))
-    assert (assembly.number, assembly.first_missing) == (10, 1)
+    assert (assembly.snapshot_number, assembly.first_missing_part) == (10, 1)
 
 
 @given(st.lists(st.tuples(st.integers(1, 30), st.integers(1, 8)), max_size=40))
@@ -88,8 +88,8 @@
         entries = whole.entries_from(first, 10_000, count)
         out += [entry.number for entry in sequencer.offer(entries)]
         assert len(sequencer._buffered) <= 20
-    assert out == list(range(1, sequencer.last + 1))
-    assert sequencer.digest == whole.digest_at(sequencer.last)
+    assert out == list(range(1, sequencer.last_number + 1))
+    assert sequencer.digest == whole.digest_at(sequencer.last_number)
 
 
 @given(st.lists(st.tuples(st.integers(0, 50), st.integers(0, 20), st.integers(0, 3)), max_size=60))
--- a/tests/changelog/test_replica.py
+++ b/tests/changelog/test_replica.py
@@ -16,7 +16,7 @@
 from wickhinge.changelog.replica import Replica
 from wickhinge.changelog.settings import TICK_S, ReplicaSettings
 from wickhinge.changelog.snapshots import split_snapshot
-from wickhinge.changelog.stored import Stored
+from wickhinge.changelog.stored import StoredState
 
 
 class Replicas:
@@ -25,7 +25,7 @@
     def __init__(self, stored=None, count=3, now=50.0):
         self.names = [f"p{place}" for place in range(count)]
         self.now = now
-        self.replica = Replica(context("p0"), self.names, ReplicaSettings(retain=4), stored or Stored(), now)
+        self.replica = Replica(context("p0"), self.names, ReplicaSettings(retain=4), stored or StoredState(), now)
 
     def tell(self, sender, message):
         return self.replica.receive(Packet(sender, 2, 2, 5, 0, 0, message), self.now)
@@ -75,13 +75,13 @@
     assert isinstance(persisted, Persist) and (persisted.term, persisted.vote) == (4, "p1")
     assert answers(effects) == [messages.Vote(1, 4, True, False)]
     assert answers(replicas.tell("p2", ask)) == [messages.Vote(1, 4, False, False)]
-    again = Replicas(Stored(term=4, vote="p1"))
+    again = Replicas(StoredState(term=4, vote="p1"))
     assert answers(again.tell("p2", ask)) == [messages.Vote(1, 4, False, False)]
     assert answers(again.tell("p1", ask)) == [messages.Vote(1, 4, True, False)]
 
 
 def test_vote_when_the_candidate_lacks_records_or_a_leader_is_known_is_denied():
-    replicas = Replicas(Stored(term=2, records=(record(2, 1), record(2, 2))))
+    replicas = Replicas(StoredState(term=2, records=(record(2, 1), record(2, 2))))
     for last, last_term in ((1, 2), (9, 1)):
         assert not answers(replicas.tell("p1", messages.RequestVote(1, 3, last, last_term, False)))[0].granted
     replicas.tell("p1", append(3, 2, 2))
@@ -103,7 +103,7 @@
 
 
 def test_leader_when_a_majority_stored_its_own_terms_record_commits():
-    replicas = Replicas(Stored(term=1, records=(record(1, 1),)), count=5)
+    replicas = Replicas(StoredState(term=1, records=(record(1, 1),)), count=5)
     replicas.until_it_stands()
     for pre_vote in (True, False):
         for peer in ("p1", "p2"):
@@ -120,7 +120,7 @@
 
 def test_leader_when_a_peers_log_differs_goes_back_as_often_as_needed():
     records = tuple(record(1 + number // 4, number) for number in range(1, 10))
-    replicas = Replicas(Stored(term=4, records=records))
+    replicas = Replicas(StoredState(term=4, records=records))
     replicas.until_it_stands()
     for pre_vote in (True, False):
         replicas.tell("p1", messages.Vote(1, 5, True, pre_vote))
@@ -176,7 +176,7 @@
 
 
 def test_replica_when_a_higher_epoch_comes_persists_it_and_is_blank():
-    replicas = Replicas(Stored(term=2, vote="p1", records=(record(2, 1),)))
+    replicas = Replicas(StoredState(term=2, vote="p1", records=(record(2, 1),)))
     ask = messages.RequestVote(5, 1, 9, 0, False)
     effects = replicas.tell("p1", ask)
     assert [type(effect) for effect in effects[:2]] == [Persist, PersistSnapshot]
--- a/tests/changelog/test_storage.py
+++ b/tests/changelog/test_storage.py
@@ -12,7 +12,7 @@
 from wickhinge.changelog.log import EMPTY_SNAPSHOT, Snapshot
 from wickhinge.changelog.messages import Record
 from wickhinge.changelog.storage import FileStorage, MemoryStorage
-from wickhinge.changelog.stored import Stored
+from wickhinge.changelog.stored import StoredState
 from wickhinge.store.files import Files
 
 FOLDER = "/replica"
@@ -65,7 +65,7 @@
     """How many effects were done; -1 where the files were not even made."""
     done = -1
     try:
-        made = FileStorage.create(FOLDER, Stored(), disk)
+        made = FileStorage.create(FOLDER, StoredState(), disk)
         done = 0
         for effect in EFFECTS:
             do(made, effect)
@@ -140,7 +140,7 @@
 
 def test_file_storage_when_a_write_failed_takes_nothing_more():
     disk = Disk()
-    made = FileStorage.create(FOLDER, Stored(), disk)
+    made = FileStorage.create(FOLDER, StoredState(), disk)
     disk.fault = (disk.calls + 2, errno.EIO)  # the sync
     with pytest.raises(OSError):
         made.persist(EFFECTS[0])
@@ -173,7 +173,7 @@
 
 def check_appending_after_a_torn_block():
     disk = Disk()
-    made = FileStorage.create(FOLDER, Stored(), disk)
+    made = FileStorage.create(FOLDER, StoredState(), disk)
     made.persist(EFFECTS[1])
     disk.fault = (disk.calls + 1, "tear")
     with pytest.raises(OSError):
@@ -200,7 +200,7 @@
 
 def damaged(change):
     disk = Disk()
-    made = FileStorage.create(FOLDER, Stored(), disk)
+    made = FileStorage.create(FOLDER, StoredState(), disk)
     for effect in EFFECTS[:4]:
         do(made, effect)
     change(disk)
@@ -254,14 +254,14 @@
     folder = str(tmp_path / "replica")
     with pytest.raises(StorageMissingError, match="no such directory"):
         FileStorage.open(folder, Files())
-    made = FileStorage.create(folder, Stored(), Files())
+    made = FileStorage.create(folder, StoredState(), Files())
     for effect in EFFECTS:
         do(made, effect)
     with pytest.raises(StorageInUseError):
         FileStorage.open(folder, Files())
     made.close()
     with pytest.raises(FileExistsError):
-        FileStorage.create(folder, Stored(), Files())
+        FileStorage.create(folder, StoredState(), Files())
     opened = FileStorage.open(folder, Files())
     assert opened.stored == STATES[-1]
     opened.close()
--- a/tests/changelog/test_stored_data.py
+++ b/tests/changelog/test_stored_data.py
@@ -17,7 +17,7 @@
 from wickhinge.changelog.messages import Packet, Record
 from wickhinge.changelog.snapshots import decode_snapshot, encode_snapshot
 from wickhinge.changelog.storage import FileStorage
-from wickhinge.changelog.stored import Stored
+from wickhinge.changelog.stored import StoredState
 from wickhinge.store.files import Files
 
 DATA = Path(__file__).parents[1] / "data/changelog"
@@ -66,12 +66,12 @@
 def test_replica_files_when_opened_hold_the_expected_snapshot_and_records(tmp_path):
     shutil.copytree(DATA / "replica", tmp_path / "replica")
     storage = FileStorage.open(str(tmp_path / "replica"), Files())
-    assert storage.stored == Stored(1, 3, "r2", SNAPSHOT, (RECORDS[3], *LATER))
+    assert storage.stored == StoredState(1, 3, "r2", SNAPSHOT, (RECORDS[3], *LATER))
     storage.close()
 
 
 def test_replica_files_when_written_by_the_same_effects_are_the_same_bytes(tmp_path):
-    storage = FileStorage.create(str(tmp_path / "replica"), Stored(), Files())
+    storage = FileStorage.create(str(tmp_path / "replica"), StoredState(), Files())
     storage.persist(Persist(1, 2, "r1", 0, RECORDS))
     storage.persist_snapshot(PersistSnapshot(SNAPSHOT, False))
     storage.persist(Persist(1, 3, "r2", 4, LATER))
--- a/wickhinge/changelog/administration.py
+++ b/wickhinge/changelog/administration.py
@@ -16,12 +16,12 @@
 
 from wickhinge.changelog.addresses import Address
 from wickhinge.changelog.binary_fields import Reader
-from wickhinge.changelog.codec import SIZE_OF_IP_AND_UDP
+from wickhinge.changelog.codec import IP_AND_UDP_HEADER_BYTES
 from wickhinge.changelog.endpoint import Counters
 from wickhinge.changelog.entries import Change, Noop, Unknown, decode_change
 from wickhinge.changelog.errors import InvalidChangeError, MalformedMessageError, NotLeaderError, OverloadedError
 from wickhinge.changelog.feed import SubscriberRow
-from wickhinge.changelog.proposals import Outcome
+from wickhinge.changelog.proposals import ProposalOutcome
 from wickhinge.changelog.relay_endpoint import RelayEndpoint
 from wickhinge.changelog.replica_endpoint import ReplicaEndpoint
 from wickhinge.common.sealing import DatagramError
@@ -162,17 +162,17 @@
             endpoint.name,
             "replica" if is_replica else "relay",
             log.epoch,
-            log.last,
+            log.last_number,
             self._age_s(now),
             sum(not row.heartbeats_only for row in endpoint.state_machine.rows(now)),
-            counters.received_bytes + SIZE_OF_IP_AND_UDP * counters.received,
-            counters.sent_bytes + SIZE_OF_IP_AND_UDP * counters.sent,
+            counters.received_bytes + IP_AND_UDP_HEADER_BYTES * counters.received,
+            counters.sent_bytes + IP_AND_UDP_HEADER_BYTES * counters.sent,
             counters,
         )
         if isinstance(endpoint, ReplicaEndpoint):
             replica = endpoint.state_machine
             status.state, status.term = replica.role.value, replica.term
-            status.leader, status.blank = replica.leader, replica.blank
+            status.leader, status.blank = replica.leader, replica.is_blank
         else:
             status.source = endpoint.state_machine.source
         return status
@@ -228,8 +228,8 @@
         stamp_ms = int(self._wall_clock() * 1000)
         answer = AppendAnswer(AppendState.WAITING, stamp_ms=stamp_ms)
 
-        def on_resolved(outcome: Outcome) -> None:
-            is_committed = outcome is Outcome.COMMITTED
+        def on_resolved(outcome: ProposalOutcome) -> None:
+            is_committed = outcome is ProposalOutcome.COMMITTED
             answer.state = AppendState.COMMITTED if is_committed else AppendState.FAILED
             answer.reason = "" if is_committed else outcome.value
 
--- a/wickhinge/changelog/ballot.py
+++ b/wickhinge/changelog/ballot.py
@@ -6,7 +6,7 @@
 
 from wickhinge.changelog.context import ProcessContext
 from wickhinge.changelog.messages import RequestVote
-from wickhinge.changelog.stored import Stored
+from wickhinge.changelog.stored import StoredState
 
 
 class Role(Enum):
@@ -26,7 +26,7 @@
     """
 
     def __init__(
-        self, context: ProcessContext, replica_count: int, stored: Stored, election_timeout_s: float, now: float
+        self, context: ProcessContext, replica_count: int, stored: StoredState, election_timeout_s: float, now: float
     ) -> None:
         self.term, self.vote = stored.term, stored.vote
         self.role, self.leader = Role.FOLLOWER, ""
--- a/wickhinge/changelog/codec.py
+++ b/wickhinge/changelog/codec.py
@@ -26,7 +26,7 @@
 MAX_RECORD_OVERHEAD_BYTES = 10  # bytes of a record beside its change
 MAX_BATCH_ENTRIES = 255
 HAS_TOKEN, HAS_ECHO = 1, 2
-SIZE_OF_IP_AND_UDP = 28
+IP_AND_UDP_HEADER_BYTES = 28
 
 
 @lru_cache(maxsize=4096)
--- a/wickhinge/changelog/confirmations.py
+++ b/wickhinge/changelog/confirmations.py
@@ -31,6 +31,6 @@
             self._confirmed_until = max(self._confirmed_until, self._pending.pop(0)[0])
         return self._confirmed_until
 
-    def forget_pending(self) -> None:
+    def drop_pending(self) -> None:
         """Drops what is pending; called where numbers get another meaning, with a new epoch."""
         self._pending.clear()
--- a/wickhinge/changelog/dispute_records.py
+++ b/wickhinge/changelog/dispute_records.py
@@ -45,7 +45,7 @@
     def record_digest(self, source: str, number: int, digest: bytes, now: float) -> None:
         """Compares the digest that a source's log has at `number`, of our epoch, now or once our log goes so far."""
         record = self._records.setdefault(source, DisputeRecord())
-        if number > self._sequencer.last:
+        if number > self._sequencer.last_number:
             if record.pending is None or now - record.pending.received_at > self._valid_s:
                 record.pending = PendingDigest(number, digest, now)
             return
@@ -57,7 +57,7 @@
         """Compares what the own log has reached; called after it went on."""
         for source, record in self._records.items():
             pending = record.pending
-            if pending is not None and pending.number <= self._sequencer.last:
+            if pending is not None and pending.number <= self._sequencer.last_number:
                 record.pending = None
                 self.record_digest(source, pending.number, pending.digest, now)
 
--- a/wickhinge/changelog/entries.py
+++ b/wickhinge/changelog/entries.py
@@ -70,7 +70,7 @@
     change: Change
 
 
-def validate(change: Change) -> None:
+def validate_change(change: Change) -> None:
     """Called before a change is proposed.
 
     Raises:
--- a/wickhinge/changelog/feed.py
+++ b/wickhinge/changelog/feed.py
@@ -142,7 +142,7 @@
         self._pending_requests: dict[str, Fetch | FetchSnapshot] = {}  # one for each subscriber, served in turn
         self._budget = CatchUpBudget(settings.catch_up_bytes_per_s, settings.catch_up_burst_bytes, now)
         self._snapshots: list[CachedSnapshot] = []  # the youngest last
-        self._pushed = log.last  # entries up to here went to the subscribers
+        self._pushed = log.last_number  # entries up to here went to the subscribers
         self._epoch = log.epoch
         self._batch_at = self._heartbeat_at = now
         self.refused = 0
@@ -182,7 +182,7 @@
             SubscriberRow(
                 subscriber.name,
                 subscriber.number,
-                max(self._log.last - subscriber.number, 0),
+                max(self._log.last_number - subscriber.number, 0),
                 now - subscriber.received_at,
                 subscriber.uninformed_ms / 1000,
                 subscriber.heartbeats_only,
@@ -221,7 +221,7 @@
         return Send(subscriber.name, packet)
 
     def _heartbeat(self, now: float, confirmed_until: float | None) -> Heartbeat:
-        return Heartbeat(self._log.epoch, self._log.last, self._log.digest, age_ms(confirmed_until, now))
+        return Heartbeat(self._log.epoch, self._log.last_number, self._log.digest, age_ms(confirmed_until, now))
 
     def _send_to_followers(self, message: Message, now: float) -> list[Send]:
         followers = (subscriber for subscriber in self._subscribers.values() if not subscriber.heartbeats_only)
@@ -229,10 +229,10 @@
 
     def _push(self, now: float, confirmed_until: float | None) -> list[Send]:
         """Sends what is new to all followers: the same messages, so that each is encoded once."""
-        if self._epoch != self._log.epoch or not self._log.first - 1 <= self._pushed <= self._log.last:
-            self._epoch, self._pushed = self._log.epoch, self._log.last
+        if self._epoch != self._log.epoch or not self._log.first_number - 1 <= self._pushed <= self._log.last_number:
+            self._epoch, self._pushed = self._log.epoch, self._log.last_number
             return self._send_heartbeats(now, confirmed_until)
-        if self._pushed == self._log.last or now - self._batch_at < self._settings.batch_interval_s:
+        if self._pushed == self._log.last_number or now - self._batch_at < self._settings.batch_interval_s:
             return []
         self._batch_at = self._heartbeat_at = now
         sends = []
@@ -254,7 +254,7 @@
             return None
         digest = self._log.digest_at(entries[-1].number)
         assert digest is not None  # the log retains these entries
-        return Batch(self._log.epoch, number, entries, digest, self._log.last, age_ms(confirmed_until, now))
+        return Batch(self._log.epoch, number, entries, digest, self._log.last_number, age_ms(confirmed_until, now))
 
     def _serve(self, now: float, confirmed_until: float | None) -> list[Send]:
         """Answers requests in the order in which they came, each with a few datagrams, while the rate allows."""
@@ -275,7 +275,7 @@
             return []
         if isinstance(request, FetchSnapshot):
             return self._snapshot_parts(request, now)
-        if request.epoch < self._log.epoch or request.number < self._log.first:
+        if request.epoch < self._log.epoch or request.number < self._log.first_number:
             return self._snapshot_parts(FetchSnapshot(self._log.epoch, 0, 0), now)
         answers: list[tuple[Message, int]] = []
         number = request.number
@@ -283,7 +283,7 @@
             batch = self._batch(number, now, confirmed_until)
             if batch is None:
                 break
-            answers.append((batch, self._log.size_of(batch.first, len(batch.entries))))
+            answers.append((batch, self._log.max_size_bytes(batch.first, len(batch.entries))))
             number = batch.entries[-1].number + 1
         return answers
 
@@ -301,14 +301,14 @@
         self._snapshots = [
             cached
             for cached in self._snapshots
-            if cached.epoch == self._log.epoch and cached.number >= self._log.first - 1
+            if cached.epoch == self._log.epoch and cached.number >= self._log.first_number - 1
         ]
         for cached in self._snapshots:
             if request.number and cached.number == request.number:
                 return cached
         if self._snapshots and now - self._snapshots[-1].created_at <= self._settings.snapshot_cache_s:
             return self._snapshots[-1]
-        snapshot = msgspec.structs.replace(self._log.snapshot(now), term=self._term_at(self._log.last))
+        snapshot = msgspec.structs.replace(self._log.snapshot(now), term=self._term_at(self._log.last_number))
         self._snapshots.append(CachedSnapshot(split_snapshot(snapshot), now))
         del self._snapshots[:-MAX_CACHED_SNAPSHOTS]
         return self._snapshots[-1]
--- a/wickhinge/changelog/follower.py
+++ b/wickhinge/changelog/follower.py
@@ -41,7 +41,7 @@
     @property
     def number(self) -> int:
         """The number of the last entry applied."""
-        return self._subscription.sequencer.last
+        return self._subscription.sequencer.last_number
 
     @property
     def source(self) -> str:
--- a/wickhinge/changelog/leadership.py
+++ b/wickhinge/changelog/leadership.py
@@ -22,14 +22,14 @@
     """
 
     def __init__(self, peers: Iterable[str], last: int, now: float) -> None:
-        self.match = dict.fromkeys(peers, 0)
-        self.next = dict.fromkeys(self.match, last + 1)
-        self.probing = set(self.match)
+        self.match_numbers = dict.fromkeys(peers, 0)
+        self.next = dict.fromkeys(self.match_numbers, last + 1)
+        self.probing = set(self.match_numbers)
         self.round = 0
         self.broadcast_at = now
         self.confirmed_at = now
         self.has_unsent = False
-        self._answered_rounds = dict.fromkeys(self.match, 0)
+        self._answered_rounds = dict.fromkeys(self.match_numbers, 0)
         self._rounds: OrderedDict[int, tuple[float, int]] = OrderedDict()  # when begun, and the last number then
 
     def begin_round(self, now: float, last: int) -> None:
@@ -64,8 +64,8 @@
     def record_accepted(self, peer: str, match: int) -> None:
         """Notes that a peer's log agrees up to `match`."""
         self.probing.discard(peer)
-        self.match[peer] = max(self.match[peer], match)
-        self.next[peer] = max(self.next[peer], self.match[peer] + 1)
+        self.match_numbers[peer] = max(self.match_numbers[peer], match)
+        self.next[peer] = max(self.next[peer], self.match_numbers[peer] + 1)
 
     def record_rejected(self, peer: str, match: int) -> bool:
         """Notes that a peer asks to be sent what follows `match`.
@@ -73,14 +73,14 @@
         Returns whether that is further back than so far: a late answer is not.
         """
         self.probing.add(peer)
-        following = max(match, self.match[peer]) + 1
+        following = max(match, self.match_numbers[peer]) + 1
         is_earlier = following < self.next[peer]
         self.next[peer] = min(self.next[peer], following)
         return is_earlier
 
     def stored_at_majority(self, last: int) -> int:
         """The highest number that a majority has, `last` being the last number of the own log."""
-        return self.majority(self.match, last)
+        return self.majority(self.match_numbers, last)
 
     @staticmethod
     def majority(values: Mapping[str, int], own_value: int) -> int:
--- a/wickhinge/changelog/log.py
+++ b/wickhinge/changelog/log.py
@@ -52,7 +52,7 @@
         self.retain = min(max(retain, 1), MAX_RETAINED_ENTRIES)
         self.purge_horizon_s = purge_horizon_s
         self.epoch = 0
-        self.last = 0  # number of the last entry; 0 where there was none
+        self.last_number = 0  # number of the last entry; 0 where there was none
         self.digest = EMPTY_DIGEST
         self.incomplete = False
         self._entries: deque[tuple[Entry, int, bytes]] = deque()  # with encoded size and digest after it
@@ -61,9 +61,9 @@
         self._purges: deque[tuple[float, Purge]] = deque()  # by time of arrival
 
     @property
-    def first(self) -> int:
+    def first_number(self) -> int:
         """Number of the first retained entry; `last` + 1 where none is retained."""
-        return self.last - len(self._entries) + 1
+        return self.last_number - len(self._entries) + 1
 
     def append(self, entry: Entry, now: float) -> None:
         """Adds the next entry.
@@ -71,10 +71,10 @@
         Raises:
             OutOfOrderError: It is not the next one of this log.
         """
-        if entry.epoch != self.epoch or entry.number != self.last + 1:
-            raise OutOfOrderError(entry.epoch, entry.number, self.epoch, self.last)
+        if entry.epoch != self.epoch or entry.number != self.last_number + 1:
+            raise OutOfOrderError(entry.epoch, entry.number, self.epoch, self.last_number)
         self.digest = next_digest(self.digest, entry)
-        self.last = entry.number
+        self.last_number = entry.number
         self._entries.append((entry, max_encoded_size(entry.change), self.digest))
         if len(self._entries) > self.retain:
             self._base_digest = self._entries.popleft()[2]
@@ -85,11 +85,11 @@
 
         Empty where `number` is past the last or no longer retained.
         """
-        if not self.first <= number <= self.last:
+        if not self.first_number <= number <= self.last_number:
             return ()
         chosen: list[Entry] = []
         size = 0
-        for place in range(number - self.first, len(self._entries)):
+        for place in range(number - self.first_number, len(self._entries)):
             entry, entry_size, _ = self._entries[place]
             size += entry_size
             if chosen and (size > max_bytes or len(chosen) >= max_entries):
@@ -97,9 +97,9 @@
             chosen.append(entry)
         return tuple(chosen)
 
-    def size_of(self, number: int, count: int) -> int:
+    def max_size_bytes(self, number: int, count: int) -> int:
         """The greatest size in bytes of `count` retained entries from `number` on."""
-        start = number - self.first
+        start = number - self.first_number
         return sum(self._entries[place][1] for place in range(start, start + count))
 
     def has_capacity(self, change: Change) -> bool:
@@ -109,24 +109,24 @@
 
     def digest_at(self, number: int) -> bytes | None:
         """The digest after entry `number`; None where that is not known here."""
-        if number == self.first - 1:
+        if number == self.first_number - 1:
             return self._base_digest
-        if not self.first <= number <= self.last:
+        if not self.first_number <= number <= self.last_number:
             return None
-        return self._entries[number - self.first][2]
+        return self._entries[number - self.first_number][2]
 
     def snapshot(self, now: float) -> Snapshot:
         """The state now; purges older than the horizon are left out."""
         self._forget_purges(now)
         settings = tuple(self._settings[name] for name in sorted(self._settings))
         purges = tuple(purge for _, purge in self._purges)
-        return Snapshot(self.epoch, self.last, self.digest, settings, purges, self.incomplete)
+        return Snapshot(self.epoch, self.last_number, self.digest, settings, purges, self.incomplete)
 
     def load(self, snapshot: Snapshot, now: float) -> None:
         """Replaces the state. Purges known so far are retained, for as long as if they had come now."""
         known = set(snapshot.purges)
         retained = [purge for _, purge in self._purges if purge not in known]
-        self.epoch, self.last = snapshot.epoch, snapshot.number
+        self.epoch, self.last_number = snapshot.epoch, snapshot.number
         self.digest = self._base_digest = snapshot.digest
         self.incomplete = snapshot.incomplete
         self._entries.clear()
--- a/wickhinge/changelog/proposals.py
+++ b/wickhinge/changelog/proposals.py
@@ -11,11 +11,11 @@
 MAX_WAITING_PROPOSALS = 8192
 
 
-class Outcome(Enum):
+class ProposalOutcome(Enum):
     """What became of a proposal."""
 
     COMMITTED = "committed"
-    OVERTAKEN = "another change has the number"  # the leader changed meanwhile
+    SUPERSEDED = "another change has the number"  # the leader changed meanwhile
     TIMED_OUT = "not committed in time"  # it may be, later
 
 
@@ -25,7 +25,7 @@
 
     change: Change
     deadline: float
-    on_resolved: Callable[[Outcome], None]
+    on_resolved: Callable[[ProposalOutcome], None]
 
 
 class Proposals:
@@ -46,7 +46,7 @@
         overtaken = self._waiting.get(number)
         self._waiting[number] = proposal
         if overtaken is not None:
-            overtaken.on_resolved(Outcome.OVERTAKEN)
+            overtaken.on_resolved(ProposalOutcome.SUPERSEDED)
 
     def resolve(self, entries: Iterable[Entry]) -> None:
         """Ends the proposals whose numbers were committed, with their own change or another one."""
@@ -54,10 +54,10 @@
             proposal = self._waiting.pop(entry.number, None)
             if proposal is not None:
                 is_same = proposal.change == entry.change
-                proposal.on_resolved(Outcome.COMMITTED if is_same else Outcome.OVERTAKEN)
+                proposal.on_resolved(ProposalOutcome.COMMITTED if is_same else ProposalOutcome.SUPERSEDED)
 
     def tick(self, now: float) -> None:
         """Ends the proposals whose deadline has passed."""
         due = [number for number, proposal in self._waiting.items() if now >= proposal.deadline]
         for number in due:
-            self._waiting.pop(number).on_resolved(Outcome.TIMED_OUT)
+            self._waiting.pop(number).on_resolved(ProposalOutcome.TIMED_OUT)
--- a/wickhinge/changelog/replica.py
+++ b/wickhinge/changelog/replica.py
@@ -13,7 +13,7 @@
 from wickhinge.changelog.context import ProcessContext
 from wickhinge.changelog.echo_tokens import EchoTokenClock, ReceivedToken, age_ms, complete_until
 from wickhinge.changelog.effects import Accepted, Committed, Effect, Persist, PersistSnapshot, Send
-from wickhinge.changelog.entries import Change, Entry, Noop, validate
+from wickhinge.changelog.entries import Change, Entry, Noop, validate_change
 from wickhinge.changelog.errors import NotLeaderError, OverloadedError
 from wickhinge.changelog.feed import Feed, SubscriberRow
 from wickhinge.changelog.leadership import Leadership
@@ -33,7 +33,7 @@
 from wickhinge.changelog.records import Records
 from wickhinge.changelog.settings import ReplicaSettings
 from wickhinge.changelog.snapshots import SnapshotFetch
-from wickhinge.changelog.stored import Stored
+from wickhinge.changelog.stored import StoredState
 
 MIN_BROADCAST_INTERVAL_S = 0.01  # between two rounds for new records; more wait for the next tick
 
@@ -53,7 +53,12 @@
     leadership_type: ClassVar[type[Leadership]] = Leadership
 
     def __init__(
-        self, context: ProcessContext, replicas: Sequence[str], settings: ReplicaSettings, stored: Stored, now: float
+        self,
+        context: ProcessContext,
+        replicas: Sequence[str],
+        settings: ReplicaSettings,
+        stored: StoredState,
+        now: float,
     ) -> None:
         self._context, self._settings = context, settings
         self._peers = tuple(peer for peer in replicas if peer != context.name)
@@ -65,9 +70,9 @@
         self.log = Log(settings.retain, settings.purge_horizon_s)  # of what is committed
         self.epoch = stored.epoch
         self._ballot = Ballot(context, len(self._peers) + 1, stored, settings.election_timeout_s, now)
-        self.blank = stored.snapshot.epoch != stored.epoch
-        self._start_records(EMPTY_SNAPSHOT if self.blank else stored.snapshot, now)
-        for record in () if self.blank else stored.records:
+        self.is_blank = stored.snapshot.epoch != stored.epoch
+        self._start_records(EMPTY_SNAPSHOT if self.is_blank else stored.snapshot, now)
+        for record in () if self.is_blank else stored.records:
             self.records.append(record)
         self._feed = Feed(context, self.log, settings.feed, now, self._term_or_zero)
         self._leadership: Leadership | None = None  # while the leader
@@ -91,13 +96,13 @@
     @property
     def commit(self) -> int:
         """The last committed number, as far as it is known here."""
-        return self.log.last
+        return self.log.last_number
 
     def tick(self, now: float) -> list[Effect]:
         """Does what is due; called every TICK_S. Effects: Persist, Send, Committed."""
         if self._leadership is not None:
             self._lead(self._leadership, now)
-        elif self._ballot.is_due(now) and not self.blank:
+        elif self._ballot.is_due(now) and not self.is_blank:
             self._campaign(now, pre_vote=True)
         self._fetch_snapshot(now)
         self._out += self._feed.tick(now, self.confirmed_until())
@@ -139,7 +144,7 @@
         """
         if self._leadership is None:
             raise NotLeaderError(self.leader)
-        validate(change)
+        validate_change(change)
         if self.records.last - self.commit >= self._settings.max_uncommitted or not self.log.has_capacity(change):
             raise OverloadedError
         self._append_own(change)
@@ -287,11 +292,11 @@
         if until is not None:
             self._confirmations.add(until, message.commit)
         try_next: int | None = 0
-        if not self.blank:
+        if not self.is_blank:
             try_next = self.records.find_conflict(message.previous_number, message.previous_term, self.commit)
         if try_next is not None:
             self._reply(packet.sender, message, False, try_next, now)
-            if self.blank or try_next + 1 < message.first:
+            if self.is_blank or try_next + 1 < message.first:
                 self._snapshot_fetch.begin(packet.sender)
             return
         truncated_after, added = self.records.merge(message.records)
@@ -317,15 +322,15 @@
 
     def _on_snapshot_part(self, sender: str, part: SnapshotPart, now: float) -> None:
         snapshot = self._snapshot_fetch.add(sender, part)
-        if snapshot is None or (not self.blank and snapshot.number <= self.commit):
+        if snapshot is None or (not self.is_blank and snapshot.number <= self.commit):
             return
-        agrees = not self.blank and self.records.term_at(snapshot.number) == snapshot.term
+        agrees = not self.is_blank and self.records.term_at(snapshot.number) == snapshot.term
         following = self.records.between(snapshot.number, self.records.last) if agrees else ()
         self._out.append(PersistSnapshot(snapshot, not agrees))
         self._start_records(snapshot, now)
         for record in following:
             self.records.append(record)
-        self.blank = False
+        self.is_blank = False
 
     def _start_records(self, snapshot: Snapshot, now: float) -> None:
         self.records = Records(snapshot.number, snapshot.term)
@@ -337,11 +342,11 @@
         The new epoch is persisted first, so that a replica that ends meanwhile is not blank in the old one.
         """
         self.epoch = epoch
-        self.blank = True
+        self.is_blank = True
         self._leadership = None
         self._ballot.enter_term(0, now)
         self._start_records(EMPTY_SNAPSHOT, now)
-        self._confirmations.forget_pending()
+        self._confirmations.drop_pending()
         self._snapshot_fetch.stop()
         self._persist(0)
         self._out.append(PersistSnapshot(EMPTY_SNAPSHOT, True))
--- a/wickhinge/changelog/replica_endpoint.py
+++ b/wickhinge/changelog/replica_endpoint.py
@@ -10,7 +10,7 @@
 from wickhinge.changelog.endpoint import Endpoint, EndpointConfig
 from wickhinge.changelog.entries import Change
 from wickhinge.changelog.errors import OverloadedError, StorageFailedError
-from wickhinge.changelog.proposals import MAX_WAITING_PROPOSALS, Outcome, Proposal, Proposals
+from wickhinge.changelog.proposals import MAX_WAITING_PROPOSALS, Proposal, ProposalOutcome, Proposals
 from wickhinge.changelog.replica import Replica
 from wickhinge.changelog.settings import ReplicaSettings
 from wickhinge.changelog.stored import Storage
@@ -42,7 +42,7 @@
         replica = Replica(context, list(config.peers), settings or ReplicaSettings(), storage.stored, runtime.clock())
         super().__init__(config, runtime, replica)
 
-    def propose(self, change: Change, within_s: float, on_resolved: Callable[[Outcome], None]) -> int:
+    def propose(self, change: Change, within_s: float, on_resolved: Callable[[ProposalOutcome], None]) -> int:
         """Proposes a change; returns the number that it has if it is committed.
 
         `on_resolved` is called once, later or before this returns, and after `within_s` at the latest.
--- a/wickhinge/changelog/snapshots.py
+++ b/wickhinge/changelog/snapshots.py
@@ -84,12 +84,12 @@
         self._parts: dict[int, bytes] = {}
 
     @property
-    def number(self) -> int:
+    def snapshot_number(self) -> int:
         """The snapshot's number; 0 before the first part."""
         return self._number if self._parts else 0
 
     @property
-    def first_missing(self) -> int:
+    def first_missing_part(self) -> int:
         """The first part that has not come."""
         return next((place for place in range(self._count) if place not in self._parts), 0)
 
@@ -137,7 +137,7 @@
         if not self.source or now - self._requested_at < FETCH_INTERVAL_S:
             return None
         self._requested_at = now
-        return FetchSnapshot(epoch, self._assembly.number, self._assembly.first_missing)
+        return FetchSnapshot(epoch, self._assembly.snapshot_number, self._assembly.first_missing_part)
 
     def add(self, sender: str, part: SnapshotPart) -> Snapshot | None:
         """Takes a part; returns the snapshot once it is complete."""
--- a/wickhinge/changelog/storage.py
+++ b/wickhinge/changelog/storage.py
@@ -25,7 +25,7 @@
 from wickhinge.changelog.log import Snapshot
 from wickhinge.changelog.record_blocks import HEAD_BYTES, LENGTH_BYTES, encode_persist, frame_block, read_blocks
 from wickhinge.changelog.snapshots import decode_snapshot, encode_snapshot
-from wickhinge.changelog.stored import Stored
+from wickhinge.changelog.stored import StoredState
 from wickhinge.store.files import Files, replace_file
 
 MAGIC = b"WLS1"
@@ -38,14 +38,14 @@
 class ReplicaState:
     """The sum of all effects so far, in memory."""
 
-    def __init__(self, stored: Stored) -> None:
+    def __init__(self, stored: StoredState) -> None:
         self.epoch, self.term, self.vote = stored.epoch, stored.term, stored.vote
         self.snapshot = stored.snapshot
         self.records = list(stored.records)
 
-    def stored(self) -> Stored:
+    def stored(self) -> StoredState:
         """What a replica is given at its start."""
-        return Stored(self.epoch, self.term, self.vote, self.snapshot, tuple(self.records))
+        return StoredState(self.epoch, self.term, self.vote, self.snapshot, tuple(self.records))
 
     def persist(self, effect: Persist) -> None:
         """Takes epoch, term and vote, and the log's new end."""
@@ -68,11 +68,11 @@
 class MemoryStorage:
     """A Storage that lasts as long as the process: for tests and benches."""
 
-    def __init__(self, stored: Stored | None = None) -> None:
-        self._state = ReplicaState(stored or Stored())
+    def __init__(self, stored: StoredState | None = None) -> None:
+        self._state = ReplicaState(stored or StoredState())
 
     @property
-    def stored(self) -> Stored:
+    def stored(self) -> StoredState:
         """As of Storage."""
         return self._state.stored()
 
@@ -100,7 +100,7 @@
         self._failed = False
 
     @classmethod
-    def create(cls, directory: str, stored: Stored, files: Files) -> FileStorage:
+    def create(cls, directory: str, stored: StoredState, files: Files) -> FileStorage:
         """Begins a new log. No files are replaced.
 
         Raises:
@@ -134,7 +134,7 @@
             lock = take_lock(files, directory)
         except FileNotFoundError:
             raise StorageMissingError(directory, "no such directory") from None
-        storage = cls(files, directory, lock, 0, ReplicaState(Stored()))
+        storage = cls(files, directory, lock, 0, ReplicaState(StoredState()))
         try:
             storage._recover()
         except BaseException:
@@ -143,7 +143,7 @@
         return storage
 
     @property
-    def stored(self) -> Stored:
+    def stored(self) -> StoredState:
         """What has been persisted so far."""
         return self._state.stored()
 
@@ -219,7 +219,7 @@
             raise StorageDamagedError(f"{self._directory}/{records}", "is missing")
         self._handle = self._files.open(f"{self._directory}/{records}", write=True)
         data = self._files.read(self._handle, MAX_RECORDS_FILE_BYTES, 0)
-        self._state = ReplicaState(Stored(snapshot=snapshot))
+        self._state = ReplicaState(StoredState(snapshot=snapshot))
         try:
             effects, self._end, self._checksum = read_blocks(data, initial_checksum(self._generation))
         except MalformedMessageError as fault:
--- a/wickhinge/changelog/stored.py
+++ b/wickhinge/changelog/stored.py
@@ -12,7 +12,7 @@
 from wickhinge.changelog.messages import Record
 
 
-class Stored(msgspec.Struct, frozen=True):
+class StoredState(msgspec.Struct, frozen=True):
     """What a replica finds on stable storage: the sum of all effects that it persisted.
 
     `records` begin after the snapshot's number. A new replica has what this has by default. An operator who restarts
@@ -32,7 +32,7 @@
     """A replica's stable storage. Its methods return once the effect lasts, and raise where it may not."""
 
     @property
-    def stored(self) -> Stored:
+    def stored(self) -> StoredState:
         """The sum of all effects so far."""
 
     def persist(self, effect: Persist) -> None:
--- a/wickhinge/changelog/subscription.py
+++ b/wickhinge/changelog/subscription.py
@@ -112,7 +112,7 @@
         """The time, by this clock, such that each change that a majority had before it is applied; -inf: none."""
         if self.sequencer.epoch != self.highest_epoch:
             return self._confirmations.confirmed_until(-1)
-        return self._confirmations.confirmed_until(self.sequencer.last)
+        return self._confirmations.confirmed_until(self.sequencer.last_number)
 
     def is_disputed(self, now: float) -> bool:
         """Whether another source's log differs from ours, and no majority of the reachable ones agrees with ours."""
@@ -130,7 +130,7 @@
 
     def _enter_epoch(self, epoch: int) -> None:
         self.highest_epoch = epoch
-        self._confirmations.forget_pending()
+        self._confirmations.drop_pending()
         self.sources.forget_heads()
         self.dispute_records.clear()
         self._assembly = None
@@ -151,7 +151,7 @@
     def _receive_snapshot_part(self, source: Source, part: SnapshotPart, now: float) -> list[Effect]:
         if source is not self.sources.current:
             return []
-        is_wanted = self._needs_snapshot() or (self._fetch_at is not None and part.number > self.sequencer.last)
+        is_wanted = self._needs_snapshot() or (self._fetch_at is not None and part.number > self.sequencer.last_number)
         if not is_wanted:
             return []
         if self._assembly is None or self._assembly.source != source.name:
@@ -169,7 +169,7 @@
         return self.sequencer.epoch != self.highest_epoch
 
     def _is_missing_entries(self) -> bool:
-        is_behind = self.sources.current.head > self.sequencer.last
+        is_behind = self.sources.current.head > self.sequencer.last_number
         return self._needs_snapshot() or is_behind or self.sequencer.has_buffered
 
     def _draw_gap_wait_s(self) -> float:
@@ -201,9 +201,9 @@
         self._fetch_timeout_s = min(2 * self._fetch_timeout_s, self._settings.max_fetch_timeout_s)
         if self._needs_snapshot() or self._assembly is not None:
             assembly = self._assembly or SnapshotAssembly(self.sources.current.name)
-            request: Message = FetchSnapshot(self.highest_epoch, assembly.number, assembly.first_missing)
+            request: Message = FetchSnapshot(self.highest_epoch, assembly.snapshot_number, assembly.first_missing_part)
         else:
-            request = Fetch(self.sequencer.epoch, self.sequencer.last + 1)
+            request = Fetch(self.sequencer.epoch, self.sequencer.last_number + 1)
         return [self._send(self.sources.current, request, self._echo.draw(now))]
 
     def _subscribe(self, now: float, uninformed_ms: int) -> list[Effect]:
@@ -222,7 +222,7 @@
     def _subscription(self, source: Source, uninformed_ms: int) -> Subscribe:
         log_end = self.sequencer
         heartbeats_only = source is not self.sources.current
-        return Subscribe(log_end.epoch, log_end.last, log_end.digest, heartbeats_only, uninformed_ms)
+        return Subscribe(log_end.epoch, log_end.last_number, log_end.digest, heartbeats_only, uninformed_ms)
 
     def _switch_source(self, previous: Source, now: float, uninformed_ms: int) -> list[Effect]:
         """Subscribes to the new source and asks it for what comes next, at once.
@@ -262,7 +262,7 @@
         previous.ban(now)
         self._is_refuted = True
         self.dispute_records.clear()
-        self._confirmations.forget_pending()
+        self._confirmations.drop_pending()
         self.sequencer.reset(0, 0, self.sequencer.digest)
         return True
 
--- a/wickhinge/cli/changelog.py
+++ b/wickhinge/cli/changelog.py
@@ -133,14 +133,14 @@
     """Run a replica until SIGTERM. One that has lost its files must stay away until the next `restore`."""
     from wickhinge.changelog.errors import StorageError, StorageMissingError
     from wickhinge.changelog.storage import FileStorage
-    from wickhinge.changelog.stored import Stored
+    from wickhinge.changelog.stored import StoredState
     from wickhinge.store.files import Files
 
     def open_storage(settings: Changelog) -> Storage:
         directory = directory_of(settings, name)
         try:
             files = Files()
-            return FileStorage.create(directory, Stored(), files) if new else FileStorage.open(directory, files)
+            return FileStorage.create(directory, StoredState(), files) if new else FileStorage.open(directory, files)
         except StorageMissingError as error:
             fail(f"{error}; --new begins a new log")
         except StorageError as error:
@@ -166,13 +166,13 @@
 
 def append(options: str | None, change: Change, timeout_s: float, as_json: bool) -> NoReturn:
     """Appends a change, waits for the routers and prints who has it."""
-    from wickhinge.changelog.entries import validate
+    from wickhinge.changelog.entries import validate_change
     from wickhinge.changelog.errors import InvalidChangeError
     from wickhinge.cli.changelog_client import NotAppendedError
 
     client = make_client(options)
     try:
-        validate(change)
+        validate_change(change)
         answer = client.append(change, timeout_s)
     except (InvalidChangeError, NotAppendedError) as error:
         fail(str(error), WRONG)
@@ -333,7 +333,7 @@
     from wickhinge.changelog.errors import MalformedMessageError, StorageInUseError
     from wickhinge.changelog.snapshots import decode_snapshot
     from wickhinge.changelog.storage import FileStorage
-    from wickhinge.changelog.stored import Stored
+    from wickhinge.changelog.stored import StoredState
     from wickhinge.store.files import Files
 
     directory = directory_of(read_settings(options), name)
@@ -349,7 +349,7 @@
             fail(f"restore: --epoch: {server.name} runs in epoch {server.status.epoch}; a higher one is needed")
     snapshot = msgspec.structs.replace(snapshot, epoch=epoch, term=0)
     try:
-        FileStorage.create(directory, Stored(epoch=epoch, snapshot=snapshot), Files()).close()
+        FileStorage.create(directory, StoredState(epoch=epoch, snapshot=snapshot), Files()).close()
     except (StorageInUseError, OSError) as error:
         fail(str(error))
     click.echo(f"{directory}: epoch {epoch}, number {snapshot.number}")
--- a/wickhinge/cli/changelog_client.py
+++ b/wickhinge/cli/changelog_client.py
@@ -235,7 +235,7 @@
         if follower is None or follower.state_machine.uninformed(follower.clock()) or not self.reason:
             return
         self.reason = ""
-        self._done(encode_snapshot(self._log.snapshot(self._now())), self._log.last)
+        self._done(encode_snapshot(self._log.snapshot(self._now())), self._log.last_number)
         follower.close()
         self._stop()
 
--- a/wickhinge/lab/changelog/planted_faults.py
+++ b/wickhinge/lab/changelog/planted_faults.py
@@ -51,7 +51,7 @@
 
     def offer(self, entries: Iterable[Entry]) -> list[Entry]:
         """All entries that are later than the last one."""
-        ready = [entry for entry in entries if entry.number > self.last]
+        ready = [entry for entry in entries if entry.number > self.last_number]
         for entry in ready:
             self._advance(entry)
         return ready
@@ -63,7 +63,7 @@
     def offer(self, entries: Iterable[Entry]) -> list[Entry]:
         """What is next in order, after the entries that were applied before."""
         entries = tuple(entries)
-        repeated = [entry for entry in entries if entry.number <= self.last]
+        repeated = [entry for entry in entries if entry.number <= self.last_number]
         return repeated + super().offer(entries)
 
 
@@ -125,7 +125,9 @@
 
     def record_answer(self, _peer: str, round_number: int, now: float) -> tuple[float, int] | None:
         """Records the answer as all peers'."""
-        confirmed = [super(OneAnswerLeadership, self).record_answer(other, round_number, now) for other in self.match]
+        confirmed = [
+            super(OneAnswerLeadership, self).record_answer(other, round_number, now) for other in self.match_numbers
+        ]
         return next((pair for pair in reversed(confirmed) if pair is not None), None)
 
 
--- a/wickhinge/lab/changelog/process.py
+++ b/wickhinge/lab/changelog/process.py
@@ -10,7 +10,7 @@
 from wickhinge.changelog.messages import Packet
 from wickhinge.changelog.relay import Relay
 from wickhinge.changelog.replica import Replica
-from wickhinge.changelog.stored import Stored
+from wickhinge.changelog.stored import StoredState
 from wickhinge.lab.changelog.oracle import Model
 
 KEY = b"walk" * 8
@@ -45,7 +45,7 @@
         self.started_s = 0.0
         self.paused = False
         self.queued: list[Packet] = []
-        self.stored = Stored()
+        self.stored = StoredState()
         self.model = Model()
 
     @property
--- a/wickhinge/lab/changelog/walk.py
+++ b/wickhinge/lab/changelog/walk.py
@@ -13,7 +13,7 @@
 from wickhinge.changelog.entries import Change, Purge, Setting
 from wickhinge.changelog.log import Snapshot
 from wickhinge.changelog.replica import Replica
-from wickhinge.changelog.stored import Stored
+from wickhinge.changelog.stored import StoredState
 from wickhinge.lab.changelog import schedule
 from wickhinge.lab.changelog.planted_faults import NO_FAULT, PLANTED_FAULTS, PlantedFault
 from wickhinge.lab.changelog.schedule import RELAYS, REPLICAS, Fault, FaultKind, Schedule
@@ -49,7 +49,7 @@
         self.schedule = drawn
         self.world = World(drawn, planted)
         self.rand = random.Random(drawn.seed * 104729 + 3)
-        self.backup = Stored()
+        self.backup = StoredState()
         self.outages: list[tuple[float, float]] = []  # no majority of replicas runs, or they are kept apart
         self._changes = 0
 
@@ -190,9 +190,9 @@
         """Takes a backup from the first replica that runs; where none does, later."""
         for name in REPLICAS:
             replica = self.world.processes[name].state_machine
-            if isinstance(replica, Replica) and not replica.blank:
+            if isinstance(replica, Replica) and not replica.is_blank:
                 snapshot = replica.log.snapshot(self.world.processes[name].clock.at(self.world.now_s))
-                self.backup = Stored(snapshot=snapshot)
+                self.backup = StoredState(snapshot=snapshot)
                 return
         self.world.at(self.world.now_s + 0.5, self._back_up)
 
@@ -204,7 +204,7 @@
         world.oracle.base_numbers[epoch] = snapshot.number
         for name in fault.names:
             world.kill(name)  # where another fault has ended meanwhile
-            world.processes[name].stored = Stored(epoch=epoch, snapshot=snapshot)
+            world.processes[name].stored = StoredState(epoch=epoch, snapshot=snapshot)
         for name in REPLICAS:
             world.start(name)
 
--- a/wickhinge/lab/changelog/world.py
+++ b/wickhinge/lab/changelog/world.py
@@ -18,7 +18,7 @@
 from wickhinge.changelog.messages import NEWEST_FORMAT, Packet
 from wickhinge.changelog.replica import Replica
 from wickhinge.changelog.settings import TICK_S, FollowSettings, RelaySettings, ReplicaSettings
-from wickhinge.changelog.stored import Stored
+from wickhinge.changelog.stored import StoredState
 from wickhinge.lab.changelog.oracle import GRACE_S, Model, Oracle, Sample
 from wickhinge.lab.changelog.planted_faults import PlantedFault
 from wickhinge.lab.changelog.process import Process
@@ -158,7 +158,7 @@
         if until is None or not log.epoch:
             return
         known_s = process.clock.true(until)
-        self.oracle.samples.append(Sample(self.now_s, name, log.epoch, log.last, known_s, True, False))
+        self.oracle.samples.append(Sample(self.now_s, name, log.epoch, log.last_number, known_s, True, False))
 
     def _tick(self, process: Process, incarnation: int) -> None:
         if process.incarnation != incarnation or process.state_machine is None:
@@ -222,7 +222,9 @@
             return
         first = stored.snapshot.number if stored.snapshot.epoch == effect.epoch else effect.truncate_after
         retained = stored.records[: max(effect.truncate_after - first, 0)]
-        process.stored = Stored(effect.epoch, effect.term, effect.vote, stored.snapshot, (*retained, *effect.records))
+        process.stored = StoredState(
+            effect.epoch, effect.term, effect.vote, stored.snapshot, (*retained, *effect.records)
+        )
         for record in effect.records:
             self.oracle.stored(self.now_s, process.name, record)
 
