--- a/wickhinge/changelog/dispute_records.py
+++ b/wickhinge/changelog/dispute_records.py
@@ -59,7 +59,7 @@
         made by `compare_pending` when the log has reached it.
         """
         record = self._records.setdefault(source, DisputeRecord())
-        if number > self._sequencer.last:
+        if number > self._sequencer.last_number:
             if record.pending is None or now - record.pending.received_at > self._valid_s:
                 record.pending = PendingDigest(number, digest, now)
             return
@@ -71,7 +71,7 @@
         """Compare the pending digests that this process's log has reached; called after entries were applied."""
         for source, record in self._records.items():
             pending = record.pending
-            if pending is not None and pending.number <= self._sequencer.last:
+            if pending is not None and pending.number <= self._sequencer.last_number:
                 record.pending = None
                 self.record_digest(source, pending.number, pending.digest, now)
 
--- a/wickhinge/changelog/feed.py
+++ b/wickhinge/changelog/feed.py
@@ -167,7 +167,7 @@
         self._pending_requests: dict[str, Fetch | FetchSnapshot] = {}  # At most one for each subscriber.
         self._budget = CatchUpBudget(settings.catch_up_bytes_per_s, settings.catch_up_burst_bytes, now)
         self._cached_snapshots: list[CachedSnapshot] = []  # Sorted by age, the newest last.
-        self._last_pushed_number = log.last  # Sequence number of the last entry sent to all followers.
+        self._last_pushed_number = log.last_number  # Sequence number of the last entry sent to all followers.
         self._pushed_epoch = log.epoch
         self._last_batch_at = self._last_heartbeat_at = now
         self.refused_subscriptions = 0
@@ -207,7 +207,7 @@
             SubscriberRow(
                 subscriber.name,
                 subscriber.number,
-                max(self._log.last - subscriber.number, 0),
+                max(self._log.last_number - subscriber.number, 0),
                 now - subscriber.received_at,
                 subscriber.uninformed_ms / 1000,
                 subscriber.heartbeats_only,
@@ -248,7 +248,9 @@
         return Send(subscriber.name, packet)
 
     def _make_heartbeat(self, now: float, confirmed_until: float | None) -> Heartbeat:
-        return Heartbeat(self._log.epoch, self._log.last, self._log.digest, knowledge_age_ms(confirmed_until, now))
+        return Heartbeat(
+            self._log.epoch, self._log.last_number, self._log.digest, knowledge_age_ms(confirmed_until, now)
+        )
 
     def _send_to_followers(self, message: Message, now: float) -> list[Send]:
         followers = (subscriber for subscriber in self._subscribers.values() if not subscriber.heartbeats_only)
@@ -261,11 +263,14 @@
         """
         if (
             self._pushed_epoch != self._log.epoch
-            or not self._log.first - 1 <= self._last_pushed_number <= self._log.last
+            or not self._log.first_number - 1 <= self._last_pushed_number <= self._log.last_number
         ):
-            self._pushed_epoch, self._last_pushed_number = self._log.epoch, self._log.last
+            self._pushed_epoch, self._last_pushed_number = self._log.epoch, self._log.last_number
             return self._send_heartbeats(now, confirmed_until)
-        if self._last_pushed_number == self._log.last or now - self._last_batch_at < self._settings.batch_interval_s:
+        if (
+            self._last_pushed_number == self._log.last_number
+            or now - self._last_batch_at < self._settings.batch_interval_s
+        ):
             return []
         self._last_batch_at = self._last_heartbeat_at = now
         sends = []
@@ -287,7 +292,9 @@
             return None
         digest = self._log.digest_at(entries[-1].number)
         assert digest is not None  # The log retains the digest of each entry that it returns.
-        return Batch(self._log.epoch, number, entries, digest, self._log.last, knowledge_age_ms(confirmed_until, now))
+        return Batch(
+            self._log.epoch, number, entries, digest, self._log.last_number, knowledge_age_ms(confirmed_until, now)
+        )
 
     def _serve_pending_requests(self, now: float, confirmed_until: float | None) -> list[Send]:
         """Answer pending requests in order of arrival, each with a few datagrams, while the rate limit allows it."""
@@ -308,7 +315,7 @@
             return []
         if isinstance(request, FetchSnapshot):
             return self._snapshot_parts(request, now)
-        if request.epoch < self._log.epoch or request.number < self._log.first:
+        if request.epoch < self._log.epoch or request.number < self._log.first_number:
             return self._snapshot_parts(FetchSnapshot(self._log.epoch, 0, 0), now)
         answers: list[tuple[Message, int]] = []
         number = request.number
@@ -316,7 +323,7 @@
             batch = self._make_batch(number, now, confirmed_until)
             if batch is None:
                 break
-            answers.append((batch, self._log.size_of(batch.first, len(batch.entries))))
+            answers.append((batch, self._log.max_size_bytes(batch.first, len(batch.entries))))
             number = batch.entries[-1].number + 1
         return answers
 
@@ -336,14 +343,14 @@
         self._cached_snapshots = [
             cached
             for cached in self._cached_snapshots
-            if cached.epoch == self._log.epoch and cached.number >= self._log.first - 1
+            if cached.epoch == self._log.epoch and cached.number >= self._log.first_number - 1
         ]
         for cached in self._cached_snapshots:
             if request.number and cached.number == request.number:
                 return cached
         if self._cached_snapshots and now - self._cached_snapshots[-1].created_at <= self._settings.snapshot_cache_s:
             return self._cached_snapshots[-1]
-        snapshot = msgspec.structs.replace(self._log.snapshot(now), term=self._term_at(self._log.last))
+        snapshot = msgspec.structs.replace(self._log.snapshot(now), term=self._term_at(self._log.last_number))
         self._cached_snapshots.append(CachedSnapshot(split_snapshot(snapshot), now))
         del self._cached_snapshots[:-MAX_CACHED_SNAPSHOTS]
         return self._cached_snapshots[-1]
--- a/wickhinge/changelog/follower.py
+++ b/wickhinge/changelog/follower.py
@@ -58,7 +58,7 @@
     @property
     def number(self) -> int:
         """Sequence number of the last applied entry."""
-        return self._subscription.sequencer.last
+        return self._subscription.sequencer.last_number
 
     @property
     def source(self) -> str:
--- a/wickhinge/changelog/subscription.py
+++ b/wickhinge/changelog/subscription.py
@@ -130,7 +130,7 @@
         """
         if self.sequencer.epoch != self.highest_epoch:
             return self._confirmations.confirmed_until(-1)
-        return self._confirmations.confirmed_until(self.sequencer.last)
+        return self._confirmations.confirmed_until(self.sequencer.last_number)
 
     def is_disputed(self, now: float) -> bool:
         """Return whether sources' logs differ from this process's log, and no majority agrees with this log."""
@@ -148,7 +148,7 @@
 
     def _enter_epoch(self, epoch: int) -> None:
         self.highest_epoch = epoch
-        self._confirmations.forget_pending()
+        self._confirmations.drop_pending()
         self.sources.forget_heads()
         self.dispute_records.clear()
         self._snapshot_assembly = None
@@ -169,7 +169,9 @@
     def _receive_snapshot_part(self, source: Source, part: SnapshotPart, now: float) -> list[Effect]:
         if source is not self.sources.current:
             return []
-        is_wanted = self._needs_snapshot() or (self._next_fetch_at is not None and part.number > self.sequencer.last)
+        is_wanted = self._needs_snapshot() or (
+            self._next_fetch_at is not None and part.number > self.sequencer.last_number
+        )
         if not is_wanted:
             return []
         if self._snapshot_assembly is None or self._snapshot_assembly.source != source.name:
@@ -187,7 +189,7 @@
         return self.sequencer.epoch != self.highest_epoch
 
     def _is_missing_entries(self) -> bool:
-        is_behind = self.sources.current.head > self.sequencer.last
+        is_behind = self.sources.current.head > self.sequencer.last_number
         return self._needs_snapshot() or is_behind or self.sequencer.has_buffered
 
     def _draw_gap_wait_s(self) -> float:
@@ -219,9 +221,9 @@
         self._fetch_timeout_s = min(2 * self._fetch_timeout_s, self._settings.max_fetch_timeout_s)
         if self._needs_snapshot() or self._snapshot_assembly is not None:
             assembly = self._snapshot_assembly or SnapshotAssembly(self.sources.current.name)
-            request: Message = FetchSnapshot(self.highest_epoch, assembly.number, assembly.first_missing)
+            request: Message = FetchSnapshot(self.highest_epoch, assembly.snapshot_number, assembly.first_missing_part)
         else:
-            request = Fetch(self.sequencer.epoch, self.sequencer.last + 1)
+            request = Fetch(self.sequencer.epoch, self.sequencer.last_number + 1)
         return [self._make_send(self.sources.current, request, self._echo_tokens.draw(now))]
 
     def _send_subscriptions(self, now: float, uninformed_ms: int) -> list[Effect]:
@@ -244,7 +246,7 @@
     def _make_subscribe(self, source: Source, uninformed_ms: int) -> Subscribe:
         sequencer = self.sequencer
         heartbeats_only = source is not self.sources.current
-        return Subscribe(sequencer.epoch, sequencer.last, sequencer.digest, heartbeats_only, uninformed_ms)
+        return Subscribe(sequencer.epoch, sequencer.last_number, sequencer.digest, heartbeats_only, uninformed_ms)
 
     def _switch_source(self, previous: Source, now: float, uninformed_ms: int) -> list[Effect]:
         """Subscribe to the new current source, and request the next entries from it at once.
@@ -288,7 +290,7 @@
         previous.ban(now)
         self._is_contradicted = True
         self.dispute_records.clear()
-        self._confirmations.forget_pending()
+        self._confirmations.drop_pending()
         self.sequencer.reset(0, 0, self.sequencer.digest)
         return True
 
--- a/wickhinge/cli/changelog.py
+++ b/wickhinge/cli/changelog.py
@@ -153,14 +153,14 @@
     """Run a replica until SIGTERM. A replica that has lost its files must not run until the next `restore`."""
     from wickhinge.changelog.errors import StorageError, StorageMissingError
     from wickhinge.changelog.storage import FileStorage
-    from wickhinge.changelog.stored import Stored
+    from wickhinge.changelog.stored import StoredState
     from wickhinge.store.files import Files
 
     def open_storage(settings: Changelog) -> Storage:
         directory = replica_directory(settings, name)
         try:
             files = Files()
-            return FileStorage.create(directory, Stored(), files) if new else FileStorage.open(directory, files)
+            return FileStorage.create(directory, StoredState(), files) if new else FileStorage.open(directory, files)
         except StorageMissingError as error:
             fail(f"{error}; --new begins a new log")
         except StorageError as error:
@@ -186,13 +186,13 @@
 
 def append_and_report(options: str | None, change: Change, timeout_s: float, as_json: bool) -> NoReturn:
     """Append a change, wait for the routers, print which of them have it, and exit."""
-    from wickhinge.changelog.entries import validate
+    from wickhinge.changelog.entries import validate_change
     from wickhinge.changelog.errors import InvalidChangeError
     from wickhinge.cli.changelog_client import NotAppendedError
 
     client = make_client_or_exit(options)
     try:
-        validate(change)
+        validate_change(change)
         answer = client.append(change, timeout_s)
     except (InvalidChangeError, NotAppendedError) as error:
         fail(str(error), EXIT_FAULT_FOUND)
@@ -363,7 +363,7 @@
     from wickhinge.changelog.errors import MalformedMessageError, StorageInUseError
     from wickhinge.changelog.snapshots import decode_snapshot
     from wickhinge.changelog.storage import FileStorage
-    from wickhinge.changelog.stored import Stored
+    from wickhinge.changelog.stored import StoredState
     from wickhinge.store.files import Files
 
     directory = replica_directory(load_settings_or_exit(options), name)
@@ -381,7 +381,7 @@
             fail(f"restore: --epoch: {server.name} runs in epoch {server.status.epoch}; a higher one is needed")
     snapshot = msgspec.structs.replace(snapshot, epoch=epoch, term=0)
     try:
-        FileStorage.create(directory, Stored(epoch=epoch, snapshot=snapshot), Files()).close()
+        FileStorage.create(directory, StoredState(epoch=epoch, snapshot=snapshot), Files()).close()
     except (StorageInUseError, OSError) as error:
         fail(str(error))
     click.echo(f"{directory}: epoch {epoch}, number {snapshot.number}")
--- a/wickhinge/cli/changelog_client.py
+++ b/wickhinge/cli/changelog_client.py
@@ -256,7 +256,7 @@
         if follower is None or follower.state_machine.is_uninformed(follower.clock()) or not self.reason:
             return
         self.reason = ""
-        self._on_complete(encode_snapshot(self._log.snapshot(self._now())), self._log.last)
+        self._on_complete(encode_snapshot(self._log.snapshot(self._now())), self._log.last_number)
         follower.close()
         self._stop()
 
