--- a/tests/store/test_store.py
+++ b/tests/store/test_store.py
@@ -33,6 +33,7 @@
 
 
 def store_copy(world, key=1, part=0, size=500):
+    """Write a copy to disk and return it, with all events of the journal received."""
     world.offer(key, part, size)
     world.lanes.run_all()
     copy = world.store.find(key, part, world.clock)
@@ -41,6 +42,7 @@
 
 
 def read_results(world, copy):
+    """Start to read a copy; return the list to which the body, or None for a failed read, will be appended."""
     results = []
     world.store.read(copy, lambda data, _from_memory: results.append(data))
     return results
@@ -357,9 +359,8 @@
         make_request_class(freshness_lifetime=freshness_lifetime), age, **options
     )
     assert bool(transport.served_copies) is is_answered and bool(transport.forwards) is not is_answered
-    assert (
-        router.object_counts.entries[5].leading_parts == 1
-    )  # A request counts as a use of its object whether or not a copy answers it.
+    # The request raises the number of leading parts of its object whether or not a copy answers it.
+    assert router.object_counts.entries[5].leading_parts == 1
     if is_answered:
         assert (
             request.copy_read(transport.served_copies[0], 100.01, is_complete=True)
--- a/tests/store/test_store_decisions.py
+++ b/tests/store/test_store_decisions.py
@@ -160,12 +160,10 @@
 
 def test_write_rate_limiter_when_over_queue_or_rate_limit_refuses():
     limiter = WriteRateLimiter(100, 50.0)
-    assert limiter.admit(60, 1.0) and not limiter.admit(
-        10, 1.0
-    )  # At the start the bucket holds the tokens of one second.
-    assert limiter.admit(30, 2.0) and not limiter.admit(
-        30, 9.0
-    )  # With 90 bytes queued, 30 more exceed the queue limit.
+    # The bucket starts with the 50 tokens of one second; a write of 60 bytes takes them and 10 more on credit.
+    assert limiter.admit(60, 1.0) and not limiter.admit(10, 1.0)
+    # With 90 bytes queued, 30 more exceed the queue limit of 100.
+    assert limiter.admit(30, 2.0) and not limiter.admit(30, 9.0)
     limiter.complete(60)
     assert limiter.admit(30, 9.0) and limiter.refused_count == 2
     limiter.complete(60)
@@ -226,7 +224,7 @@
     assert not purges.covers(5000, 0, 999.5)
 
 
-def make_log_lines(*sequences, base=0):
+def log(*sequences, base=0):
     """Return lines of the purge log with these sequence numbers; the one numbered `base` is a base, if present."""
     kinds = {sequence: LineKind.BASE if sequence == base else LineKind.PURGE for sequence in sequences}
     return [
@@ -239,13 +237,13 @@
     [
         (([], []), False, True, 1),
         (([], []), True, False, 1),
-        ((make_log_lines(0, 1, 2), make_log_lines(0, 1, 2)), True, True, 3),
-        ((make_log_lines(0, 2), make_log_lines(0, 1, 2)), True, True, 3),
-        ((make_log_lines(0, 2), make_log_lines(0, 2)), True, False, 3),
-        ((make_log_lines(0, 1), make_log_lines(0, 1, 2)), True, True, 3),
-        ((make_log_lines(1, 2), make_log_lines(1, 2)), True, False, 3),
-        ((make_log_lines(5, 6, base=5), make_log_lines(0, 1, 2)), True, True, 7),
-        ((make_log_lines(1, 2), make_log_lines(1, 2)), False, False, 3),
+        ((log(0, 1, 2), log(0, 1, 2)), True, True, 3),
+        ((log(0, 2), log(0, 1, 2)), True, True, 3),
+        ((log(0, 2), log(0, 2)), True, False, 3),
+        ((log(0, 1), log(0, 1, 2)), True, True, 3),
+        ((log(1, 2), log(1, 2)), True, False, 3),
+        ((log(5, 6, base=5), log(0, 1, 2)), True, True, 7),
+        ((log(1, 2), log(1, 2)), False, False, 3),
     ],
 )
 def test_purge_log_when_lines_are_missing_is_complete_only_with_all_since_the_base(
--- a/tests/support/faulty_disk.py
+++ b/tests/support/faulty_disk.py
@@ -6,7 +6,7 @@
 
 
 class CrashError(BaseException):
-    """Simulated crash of the machine: every later call of the same FaultyDisk raises it too."""
+    """Simulated crash: each later read and counted call of the same FaultyDisk raises it too."""
 
 
 class FakeFile:
--- a/wickhinge/store/admission.py
+++ b/wickhinge/store/admission.py
@@ -107,7 +107,7 @@
             self._set_frequency(key, min(self.frequency(key) + 1, MAX_FREQUENCY))
 
     def admits(self, key: int, part: int, size: int) -> bool:
-        """Return whether a copy with a body of `size` bytes is worth storing."""
+        """Return whether a copy with a body of `size` bytes is worth storing; one over a quarter of the tier is not."""
         frequency = self.frequency(key)
         return part < frequency and frequency >= MIN_REQUESTS_TO_STORE and 0 < size <= self.capacity_bytes // 4
 
--- a/wickhinge/store/lookup.py
+++ b/wickhinge/store/lookup.py
@@ -9,6 +9,7 @@
 from wickhinge.store.tier import Tier
 from wickhinge.store.workers import Lane
 
+# Largest step back of the clock after which the time of the last journal update still counts.
 MAX_CLOCK_STEP_BACK_S = 1.0
 
 # Called with the body and whether it came from memory; with (None, False) where the body could not be read.
@@ -54,7 +55,7 @@
         )
 
     def is_valid(self, copy: Copy) -> bool:
-        """Return whether no purge that is in force covers the copy."""
+        """Return whether the store is enabled and no purge in force covers the copy."""
         return self._tier.is_enabled and not self._tier.is_purged(copy)
 
     def journal_caught_up(self, now: float, *, all_events: bool) -> None:
--- a/wickhinge/store/snapshots.py
+++ b/wickhinge/store/snapshots.py
@@ -20,7 +20,7 @@
 
 SNAPSHOT_NAME = re.compile(r"index-([0-9]{10})\.wh\Z")
 OBJECTS_PER_BLOCK = 256
-GENERATIONS_KEPT = 2
+GENERATIONS_KEPT = 2  # Number of the newest snapshots that stay on disk.
 
 
 def snapshot_generation(name: str) -> int | None:
--- a/wickhinge/store/store.py
+++ b/wickhinge/store/store.py
@@ -80,7 +80,7 @@
         return self.lookup.is_current(copy, now)
 
     def is_valid(self, copy: Copy, now: float) -> bool:  # noqa: ARG002 - interface.LocalCopies has now
-        """Return whether no purge that is in force covers the copy."""
+        """Return whether the store is enabled and no purge in force covers the copy."""
         return self.lookup.is_valid(copy)
 
     def read(self, copy: Copy, on_done: ReadDone) -> None:
