--- a/wickhinge/store/compaction.py
+++ b/wickhinge/store/compaction.py
@@ -22,7 +22,7 @@
     location: RecordLocation
 
 
-class Move(NamedTuple):
+class QueuedMove(NamedTuple):
     """A copy that is to be appended again, and its location when the move was queued."""
 
     copy: Copy
@@ -35,7 +35,7 @@
     def __init__(self, tier: Tier, purging: PurgeRecorder) -> None:
         self._tier = tier
         self._purging = purging
-        self._queued_moves: deque[Move] = deque()
+        self._queued_moves: deque[QueuedMove] = deque()
         self._concurrent_moves = 0
 
     def run(self) -> None:
@@ -78,7 +78,7 @@
             for key, part, location in records:
                 copy = tier.admission.find(key, part)
                 if copy is not None and copy.location == location:
-                    self._queued_moves.append(Move(copy, location))
+                    self._queued_moves.append(QueuedMove(copy, location))
             self._move_queued_copies()
 
         tier.runtime.workers.run(Lane.SLOW, scan_segment, scan_finished)
--- a/wickhinge/store/file_format.py
+++ b/wickhinge/store/file_format.py
@@ -45,7 +45,7 @@
 SNAPSHOT_MAGIC = b"WHINDEX\x00"
 # Header of a snapshot's block: bytes of data, checksum of the data.
 BLOCK_HEADER = Struct(">IQ")
-SNAPSHOT_END = "end"
+SNAPSHOT_END = "end"  # Content of the last block, which marks a snapshot as complete.
 
 
 class RecordHeader(NamedTuple):
--- a/wickhinge/store/purge_log.py
+++ b/wickhinge/store/purge_log.py
@@ -71,7 +71,11 @@
         self.next_sequence += len(lines)
 
     def close_files(self, *, ignore_errors: bool = True) -> None:
-        """Close both files; nothing can be appended until the next `rewrite`."""
+        """Close both files; nothing can be appended until the next `rewrite`.
+
+        Args:
+            ignore_errors: Whether an error of a file's close is ignored instead of raised.
+        """
         handles, self._handles = self._handles, []
         for handle in handles:
             try:
--- a/wickhinge/store/purges.py
+++ b/wickhinge/store/purges.py
@@ -94,7 +94,15 @@
         return False
 
     def forget_obsolete(self, oldest_segment: int, now: float) -> int:
-        """Drop the purges that arrived before the oldest segment on disk began; return their number."""
+        """Drop the purges older than MIN_PURGE_AGE_S that arrived before the oldest segment began.
+
+        Args:
+            oldest_segment: Number of the oldest segment on disk.
+            now: The current time in Unix seconds.
+
+        Returns:
+            The number of dropped purges.
+        """
         before = len(self.objects) + len(self.groups)
         for purges in (self.objects, self.groups):
             obsolete_keys = [
--- a/wickhinge/store/store.py
+++ b/wickhinge/store/store.py
@@ -162,23 +162,23 @@
 class StoreSettings(Protocol):
     """The settings under `store`."""
 
-    dir: str
-    size_mb: int
-    segment_mb: int
-    memory_mb: int
-    objects: int
-    waiting_mb: float
-    write_mb_s: float
-    read_within_s: float
-    reads_at_once: int
-    snapshot_s: float
+    dir: str  # Directory of the store.
+    size_mb: int  # Capacity on disk.
+    segment_mb: int  # Size at which a segment is full.
+    memory_mb: int  # Capacity of the memory tier.
+    objects: int  # Number of objects without stored copies whose requests are counted.
+    waiting_mb: float  # Limit on the size of the write queue.
+    write_mb_s: float  # Limit on the write rate.
+    read_within_s: float  # Duration above which a read is slow.
+    reads_at_once: int  # Limit on concurrent reads.
+    snapshot_s: float  # Interval between snapshots of the index.
 
 
 class JournalSettings(Protocol):
     """The settings under `journal`."""
 
-    continues: bool
-    quiet_s: float
+    continues: bool  # Whether event numbers of the journal stay valid across restarts of the router.
+    quiet_s: float  # Seconds without an update of the journal after which no copy counts as current.
 
 
 def start_store(options: StoreSettings, journal: JournalSettings, runtime: Runtime) -> Store | None:
--- a/wickhinge/store/tier.py
+++ b/wickhinge/store/tier.py
@@ -52,20 +52,20 @@
 class Counters:
     """Numbers of events since the start, for the report."""
 
-    found: int = 0
-    disk_reads: int = 0
-    memory_reads: int = 0
-    admitted: int = 0
-    not_admitted: int = 0
-    refused: int = 0
-    damaged: int = 0
-    errors: int = 0
-    evicted: int = 0
-    purged: int = 0
-    revalidated: int = 0
-    moved: int = 0
-    recycled: int = 0
-    recovered: int = 0
+    found: int = 0  # Lookups that found a copy.
+    disk_reads: int = 0  # Copies read from the disk.
+    memory_reads: int = 0  # Copies read from memory.
+    admitted: int = 0  # Offered copies that were admitted.
+    not_admitted: int = 0  # Offered copies that the admission policy did not admit.
+    refused: int = 0  # Offered copies that a full disk, a write limit or the circuit breaker refused.
+    damaged: int = 0  # Copies found damaged by a read or a move.
+    errors: int = 0  # File operations that failed.
+    evicted: int = 0  # Copies that the index evicted, replaced or did not accept.
+    purged: int = 0  # Copies removed because a purge covers them.
+    revalidated: int = 0  # Copies confirmed to be unchanged at the origin.
+    moved: int = 0  # Copies that a compaction appended again.
+    recycled: int = 0  # Segments that were recycled.
+    recovered: int = 0  # Copies that the recovery found on disk and no purge covers.
 
 
 class Tier:
