--- a/tests/changelog/test_replica.py
+++ b/tests/changelog/test_replica.py
@@ -1,4 +1,4 @@
-"""The change log: what a replica decides, against peers that the test plays."""
+"""The state machine of a replica, whose peers the test plays."""
 
 import msgspec
 import pytest
@@ -19,28 +19,31 @@
 from wickhinge.changelog.stored import StoredState
 
 
-class Replicas:
-    """One replica, and its peers as the test plays them."""
+class ReplicaGroup:
+    """The replica p0 of a group, and methods by which the test sends it messages of its peers."""
 
-    def __init__(self, stored=None, count=3, now=50.0):
-        self.names = [f"p{place}" for place in range(count)]
+    def __init__(self, stored_state=None, count=3, now=50.0):
+        self.names = [f"p{index}" for index in range(count)]
         self.now = now
-        self.replica = Replica(context("p0"), self.names, ReplicaSettings(retain=4), stored or StoredState(), now)
+        self.replica = Replica(context("p0"), self.names, ReplicaSettings(retain=4), stored_state or StoredState(), now)
 
-    def tell(self, sender, message):
+    def deliver(self, sender, message):
+        """Return the effects of a message from the peer `sender`."""
         return self.replica.receive(Packet(sender, 2, 2, 5, 0, 0, message), self.now)
 
-    def until_it_stands(self):
+    def run_until_campaign(self):
+        """Tick until the replica requests pre-votes; return the effects of the last tick."""
         effects = []
         while self.replica.role is Role.FOLLOWER:
             self.now += TICK_S
             effects = self.replica.tick(self.now)
         return effects
 
-    def elected(self):
-        self.until_it_stands()
-        self.tell("p1", messages.Vote(1, self.replica.term + 1, True, True))
-        effects = self.tell("p1", messages.Vote(1, self.replica.term, True, False))
+    def become_leader(self):
+        """Let the replica win an election with the votes of p1; return the effects of its last vote."""
+        self.run_until_campaign()
+        self.deliver("p1", messages.Vote(1, self.replica.term + 1, True, True))
+        effects = self.deliver("p1", messages.Vote(1, self.replica.term, True, False))
         assert self.replica.role is Role.LEADER
         return effects
 
@@ -53,135 +56,135 @@
     return messages.Append(1, term, previous, previous_term, records, commit, first, UNKNOWN_AGE_MS, 1)
 
 
-def answers(effects):
+def sent_messages(effects):
     return [effect.packet.message for effect in effects if isinstance(effect, Send)]
 
 
-def test_replica_when_without_a_leader_pre_votes_then_leads_with_a_majority():
-    replicas = Replicas()
-    effects = replicas.until_it_stands()
-    assert replicas.replica.term == 0 and all(answer.pre_vote for answer in answers(effects))
-    effects = replicas.elected()
+def test_replica_when_no_leader_is_known_requests_pre_votes_and_leads_with_a_majority():
+    group = ReplicaGroup()
+    effects = group.run_until_campaign()
+    assert group.replica.term == 0 and all(message.pre_vote for message in sent_messages(effects))
+    effects = group.become_leader()
     assert [type(effect) for effect in effects] == [Persist, Send, Send]
-    [first, _] = answers(effects)
-    assert first.records[0].entry.change == Noop()
+    [first_append, _] = sent_messages(effects)
+    assert first_append.records[0].entry.change == Noop()
 
 
-def test_vote_when_granted_is_persisted_first_and_given_once_a_term():
-    replicas = Replicas()
-    ask = messages.RequestVote(1, 4, 0, 0, False)
-    effects = replicas.tell("p1", ask)
+def test_vote_when_granted_is_persisted_before_the_answer_and_granted_once_in_a_term():
+    group = ReplicaGroup()
+    request = messages.RequestVote(1, 4, 0, 0, False)
+    effects = group.deliver("p1", request)
     persisted = effects[-2]
     assert isinstance(persisted, Persist) and (persisted.term, persisted.vote) == (4, "p1")
-    assert answers(effects) == [messages.Vote(1, 4, True, False)]
-    assert answers(replicas.tell("p2", ask)) == [messages.Vote(1, 4, False, False)]
-    again = Replicas(StoredState(term=4, vote="p1"))
-    assert answers(again.tell("p2", ask)) == [messages.Vote(1, 4, False, False)]
-    assert answers(again.tell("p1", ask)) == [messages.Vote(1, 4, True, False)]
+    assert sent_messages(effects) == [messages.Vote(1, 4, True, False)]
+    assert sent_messages(group.deliver("p2", request)) == [messages.Vote(1, 4, False, False)]
+    restarted = ReplicaGroup(StoredState(term=4, vote="p1"))
+    assert sent_messages(restarted.deliver("p2", request)) == [messages.Vote(1, 4, False, False)]
+    assert sent_messages(restarted.deliver("p1", request)) == [messages.Vote(1, 4, True, False)]
 
 
 def test_vote_when_the_candidate_lacks_records_or_a_leader_is_known_is_denied():
-    replicas = Replicas(StoredState(term=2, records=(record(2, 1), record(2, 2))))
+    group = ReplicaGroup(StoredState(term=2, records=(record(2, 1), record(2, 2))))
     for last, last_term in ((1, 2), (9, 1)):
-        assert not answers(replicas.tell("p1", messages.RequestVote(1, 3, last, last_term, False)))[0].granted
-    replicas.tell("p1", append(3, 2, 2))
-    assert not answers(replicas.tell("p2", messages.RequestVote(1, 4, 2, 2, True)))[0].granted
-    assert replicas.replica.term == 3
+        assert not sent_messages(group.deliver("p1", messages.RequestVote(1, 3, last, last_term, False)))[0].granted
+    group.deliver("p1", append(3, 2, 2))
+    assert not sent_messages(group.deliver("p2", messages.RequestVote(1, 4, 2, 2, True)))[0].granted
+    assert group.replica.term == 3
 
 
-def test_append_when_taken_is_persisted_before_the_answer_and_replaces_conflicts():
-    replicas = Replicas()
-    effects = replicas.tell("p1", append(1, 0, 0, record(1, 1), record(1, 2)))
+def test_append_when_accepted_is_persisted_before_the_answer_and_replaces_conflicting_records():
+    group = ReplicaGroup()
+    effects = group.deliver("p1", append(1, 0, 0, record(1, 1), record(1, 2)))
     assert [type(effect) for effect in effects[-2:]] == [Persist, Send]
-    effects = replicas.tell("p2", append(2, 1, 1, record(2, 2), commit=2))
+    effects = group.deliver("p2", append(2, 1, 1, record(2, 2), commit=2))
     assert [effect.truncate_after for effect in effects if isinstance(effect, Persist) and effect.records] == [1]
     assert [effect.entries[-1].number for effect in effects if isinstance(effect, Committed)] == [2]
-    [answer] = answers(replicas.tell("p2", append(2, 7, 2, record(2, 8))))
+    [answer] = sent_messages(group.deliver("p2", append(2, 7, 2, record(2, 8))))
     assert (answer.success, answer.match) == (False, 2)
-    [answer] = answers(replicas.tell("p1", append(1, 0, 0, record(1, 1))))
+    [answer] = sent_messages(group.deliver("p1", append(1, 0, 0, record(1, 1))))
     assert (answer.success, answer.term) == (False, 2)
 
 
-def test_leader_when_a_majority_stored_its_own_terms_record_commits():
-    replicas = Replicas(StoredState(term=1, records=(record(1, 1),)), count=5)
-    replicas.until_it_stands()
+def test_leader_when_a_majority_has_stored_a_record_of_its_term_commits():
+    group = ReplicaGroup(StoredState(term=1, records=(record(1, 1),)), count=5)
+    group.run_until_campaign()
     for pre_vote in (True, False):
         for peer in ("p1", "p2"):
-            replicas.tell(peer, messages.Vote(1, 2, True, pre_vote))
-    replica = replicas.replica
+            group.deliver(peer, messages.Vote(1, 2, True, pre_vote))
+    replica = group.replica
     for peer in ("p1", "p2"):
-        replicas.tell(peer, messages.Appended(1, 2, True, 1, 1))
-    assert replica.commit == 0  # at a majority, but of an earlier leader's term
-    replicas.tell("p1", messages.Appended(1, 2, True, 2, 1))
-    effects = replicas.tell("p2", messages.Appended(1, 2, True, 2, 1))
-    assert replica.commit == 2 and [type(effect) for effect in effects] == [Committed]
-    assert Accepted(3, 2) in replica.propose(purge(5), replicas.now)
+        group.deliver(peer, messages.Appended(1, 2, True, 1, 1))
+    assert replica.commit_number == 0  # A majority has stored the record, but its term is an earlier leader's.
+    group.deliver("p1", messages.Appended(1, 2, True, 2, 1))
+    effects = group.deliver("p2", messages.Appended(1, 2, True, 2, 1))
+    assert replica.commit_number == 2 and [type(effect) for effect in effects] == [Committed]
+    assert Accepted(3, 2) in replica.propose(purge(5), group.now)
 
 
-def test_leader_when_a_peers_log_differs_goes_back_as_often_as_needed():
+def test_leader_when_a_peers_log_differs_sends_earlier_records_until_the_logs_agree():
     records = tuple(record(1 + number // 4, number) for number in range(1, 10))
-    replicas = Replicas(StoredState(term=4, records=records))
-    replicas.until_it_stands()
+    group = ReplicaGroup(StoredState(term=4, records=records))
+    group.run_until_campaign()
     for pre_vote in (True, False):
-        replicas.tell("p1", messages.Vote(1, 5, True, pre_vote))
+        group.deliver("p1", messages.Vote(1, 5, True, pre_vote))
     for match in (7, 3, 0):
-        [again] = answers(replicas.tell("p2", messages.Appended(1, 5, False, match, 1)))
-        assert (again.previous_number, again.records[0].entry.number) == (match, match + 1)
-    assert answers(replicas.tell("p2", messages.Appended(1, 5, False, 7, 1))) == []  # late
-    replicas.tell("p2", messages.Appended(1, 5, True, 10, 1))
-    assert replicas.replica.commit == 10
-
-
-def test_leader_when_a_majority_answered_a_round_confirms_from_its_start():
-    replicas = Replicas()
-    replicas.elected()
-    began = replicas.now
-    replicas.now += 0.3
-    replicas.tell("p1", messages.Appended(1, 1, True, 0, 1))
-    assert replicas.replica.confirmed_until() == float("-inf")  # its first record is not committed
-    replicas.tell("p1", messages.Appended(1, 1, True, 1, 1))
-    assert replicas.replica.confirmed_until() == began
-
-
-def test_leader_when_unanswered_steps_down_and_refuses_proposals():
-    replicas = Replicas()
-    replicas.elected()
+        [retry] = sent_messages(group.deliver("p2", messages.Appended(1, 5, False, match, 1)))
+        assert (retry.previous_number, retry.records[0].entry.number) == (match, match + 1)
+    assert sent_messages(group.deliver("p2", messages.Appended(1, 5, False, 7, 1))) == []  # This answer is late.
+    group.deliver("p2", messages.Appended(1, 5, True, 10, 1))
+    assert group.replica.commit_number == 10
+
+
+def test_leader_when_a_majority_has_answered_a_round_is_confirmed_until_the_rounds_start():
+    group = ReplicaGroup()
+    group.become_leader()
+    round_began_at = group.now
+    group.now += 0.3
+    group.deliver("p1", messages.Appended(1, 1, True, 0, 1))
+    assert group.replica.confirmed_until() == float("-inf")  # The first record of its term is not committed.
+    group.deliver("p1", messages.Appended(1, 1, True, 1, 1))
+    assert group.replica.confirmed_until() == round_began_at
+
+
+def test_leader_when_no_peer_answers_steps_down_and_rejects_proposals():
+    group = ReplicaGroup()
+    group.become_leader()
     for _ in range(40):
-        replicas.now += TICK_S
-        replicas.replica.tick(replicas.now)
-    assert replicas.replica.role is not Role.LEADER
+        group.now += TICK_S
+        group.replica.tick(group.now)
+    assert group.replica.role is not Role.LEADER
     with pytest.raises(NotLeaderError):
-        replicas.replica.propose(purge(1), replicas.now)
+        group.replica.propose(purge(1), group.now)
 
 
-def test_replica_when_it_lacks_discarded_records_loads_the_leaders_snapshot():
-    replicas = Replicas()
-    replicas.tell("p1", append(3, 40, 2, first=41))
-    replicas.now += TICK_S
-    requests = answers(replicas.replica.tick(replicas.now))
+def test_replica_when_the_leader_has_discarded_records_that_it_lacks_loads_a_snapshot():
+    group = ReplicaGroup()
+    group.deliver("p1", append(3, 40, 2, first=41))
+    group.now += TICK_S
+    requests = sent_messages(group.replica.tick(group.now))
     assert messages.FetchSnapshot(1, 0, 0) in requests
     snapshot = msgspec.structs.replace(log_of(40).snapshot(40.0), term=2)
-    effects = [effect for part in split_snapshot(snapshot) for effect in replicas.tell("p1", part)]
+    effects = [effect for part in split_snapshot(snapshot) for effect in group.deliver("p1", part)]
     assert effects == [PersistSnapshot(snapshot, True)]
-    [answer] = answers(replicas.tell("p1", append(3, 40, 2, record(3, 41), commit=41, first=41)))
-    assert (answer.success, answer.match, replicas.replica.commit) == (True, 41, 41)
+    [answer] = sent_messages(group.deliver("p1", append(3, 40, 2, record(3, 41), commit=41, first=41)))
+    assert (answer.success, answer.match, group.replica.commit_number) == (True, 41, 41)
 
 
-def test_records_when_a_snapshot_is_persisted_are_discarded():
-    replicas = Replicas()
-    effects = replicas.tell("p1", append(1, 0, 0, *(record(1, number) for number in range(1, 11)), commit=10))
+def test_records_when_a_snapshot_is_persisted_are_discarded_up_to_the_retained_ones():
+    group = ReplicaGroup()
+    effects = group.deliver("p1", append(1, 0, 0, *(record(1, number) for number in range(1, 11)), commit=10))
     [persisted] = [effect for effect in effects if isinstance(effect, PersistSnapshot)]
     assert (persisted.snapshot.number, persisted.snapshot.term, persisted.clear) == (10, 1, False)
-    assert (replicas.replica.records.base, replicas.replica.commit) == (6, 10)
+    assert (group.replica.records.base_number, group.replica.commit_number) == (6, 10)
 
 
-def test_replica_when_a_higher_epoch_comes_persists_it_and_is_blank():
-    replicas = Replicas(StoredState(term=2, vote="p1", records=(record(2, 1),)))
-    ask = messages.RequestVote(5, 1, 9, 0, False)
-    effects = replicas.tell("p1", ask)
+def test_replica_when_a_message_has_a_higher_epoch_persists_the_epoch_and_is_blank():
+    group = ReplicaGroup(StoredState(term=2, vote="p1", records=(record(2, 1),)))
+    request = messages.RequestVote(5, 1, 9, 0, False)
+    effects = group.deliver("p1", request)
     assert [type(effect) for effect in effects[:2]] == [Persist, PersistSnapshot]
     assert (effects[0].epoch, effects[0].term, effects[0].vote, effects[0].truncate_after) == (5, 0, "", 0)
-    assert answers(effects)[-1] == messages.Vote(5, 1, True, False)
-    assert replicas.tell("p2", append(9, 1, 2, record(2, 2))) == []
-    replicas.now += 60.0
-    assert answers(replicas.replica.tick(replicas.now)) == []  # blank: it does not stand for election
+    assert sent_messages(effects)[-1] == messages.Vote(5, 1, True, False)
+    assert group.deliver("p2", append(9, 1, 2, record(2, 2))) == []
+    group.now += 60.0
+    assert sent_messages(group.replica.tick(group.now)) == []  # A blank replica does not stand for election.
--- a/tests/changelog/test_storage.py
+++ b/tests/changelog/test_storage.py
@@ -1,4 +1,4 @@
-"""A replica's files: what was promised is there after any failed, torn or lost call, and damage is told."""
+"""A replica's files: persisted effects survive any failed, torn or lost call, and damage is reported."""
 
 import errno
 
@@ -15,35 +15,37 @@
 from wickhinge.changelog.stored import StoredState
 from wickhinge.store.files import Files
 
-FOLDER = "/replica"
+DIRECTORY = "/replica"
 SEEDS = range(6)
 
 
-def records(first, count, term=1, epoch=1):
+def make_records(first, count, term=1, epoch=1):
     changes = [Noop(), Purge(7, 3, 5), Setting("name", b"value" * 100, 9), Unknown(20, True, b"later")]
     numbers = range(first, first + count)
     return tuple(Record(term, Entry(epoch, number, changes[number % 4])) for number in numbers)
 
 
-def snapshot(number, epoch=1):
+def make_snapshot(number, epoch=1):
     return Snapshot(epoch, number, b"d" * 8, (Setting("name", b"v", 9),), (Purge(None, 4, 8),), term=2)
 
 
 EFFECTS = (
     Persist(1, 1, "r1", 0, ()),
-    Persist(1, 1, "r1", 0, records(1, 3)),
+    Persist(1, 1, "r1", 0, make_records(1, 3)),
     Persist(1, 2, "", 3, ()),
-    Persist(1, 2, "r2", 2, records(3, 40, term=2)),  # cuts one record, longer than a write of the disk keeps whole
-    PersistSnapshot(snapshot(10), False),
-    Persist(1, 2, "r2", 42, records(43, 2, term=2)),
-    Persist(2, 0, "", 0, ()),  # another epoch: blank
+    # This one truncates one record, and its block is too long for the disk to write it as a whole.
+    Persist(1, 2, "r2", 2, make_records(3, 40, term=2)),
+    PersistSnapshot(make_snapshot(10), False),
+    Persist(1, 2, "r2", 42, make_records(43, 2, term=2)),
+    # From here on the replica is in another epoch, blank at first.
+    Persist(2, 0, "", 0, ()),
     PersistSnapshot(EMPTY_SNAPSHOT, True),
-    PersistSnapshot(snapshot(60, epoch=2), True),
-    Persist(2, 1, "r3", 60, records(61, 5, term=1, epoch=2)),
+    PersistSnapshot(make_snapshot(60, epoch=2), True),
+    Persist(2, 1, "r3", 60, make_records(61, 5, term=1, epoch=2)),
 )
 
 
-def do(target, effect):
+def perform(target, effect):
     if isinstance(effect, Persist):
         target.persist(effect)
     else:
@@ -51,217 +53,223 @@
 
 
 def state_after(count):
-    """What `count` effects leave, by the in-memory reading of what effects mean."""
+    """Return the state after the first `count` effects, according to MemoryStorage."""
     memory = MemoryStorage()
     for effect in EFFECTS[:count]:
-        do(memory, effect)
-    return memory.stored
+        perform(memory, effect)
+    return memory.stored_state
 
 
+# STATES[n] is the state after the first n effects.
 STATES = [state_after(count) for count in range(len(EFFECTS) + 1)]
 
 
-def run(disk):
-    """How many effects were done; -1 where the files were not even made."""
-    done = -1
+def run_effects(disk):
+    """Return how many effects were persisted until a call failed; -1 where creating the files failed."""
+    persisted_count = -1
     try:
-        made = FileStorage.create(FOLDER, StoredState(), disk)
-        done = 0
+        file_storage = FileStorage.create(DIRECTORY, StoredState(), disk)
+        persisted_count = 0
         for effect in EFFECTS:
-            do(made, effect)
-            done += 1
+            perform(file_storage, effect)
+            persisted_count += 1
     except (Crash, OSError):
         pass
-    return done
+    return persisted_count
 
 
-def recovered(disk):
-    """Its state; None where nothing was begun."""
+def recover(disk):
+    """Return the state that the disk's files have; None where there are no files of a replica."""
     try:
-        return FileStorage.open(FOLDER, disk).stored
+        return FileStorage.open(DIRECTORY, disk).stored_state
     except StorageMissingError:
         return None
 
 
-def calls_of_a_run():
+def count_calls():
     disk = Disk()
-    assert run(disk) == len(EFFECTS)
+    assert run_effects(disk) == len(EFFECTS)
     return disk.calls
 
 
-CALLS = calls_of_a_run()
+# Number of calls of the file layer in a run without a fault.
+CALL_COUNT = count_calls()
 
 
-def allowed(done):
-    """The state after what was done, or after what was being done, too."""
-    if done < 0:
+def expected_states(persisted_count):
+    """Return the allowed states: the effect that was being persisted at the failure may be included or not."""
+    if persisted_count < 0:
         return [None, STATES[0]]
-    return STATES[done : done + 2]
+    return STATES[persisted_count : persisted_count + 2]
 
 
-def test_memory_storage_when_given_effects_holds_their_sum():
-    assert STATES[2].records == records(1, 3)
-    assert STATES[4].records == records(1, 2) + records(3, 40, term=2)
+def test_memory_storage_when_effects_are_persisted_has_the_resulting_state():
+    assert STATES[2].records == make_records(1, 3)
+    assert STATES[4].records == make_records(1, 2) + make_records(3, 40, term=2)
     assert (STATES[4].term, STATES[4].vote) == (2, "r2")
-    assert STATES[5].records == records(11, 32, term=2) and STATES[5].snapshot.number == 10
+    assert STATES[5].records == make_records(11, 32, term=2) and STATES[5].snapshot.number == 10
     assert (STATES[7].epoch, STATES[7].records) == (2, ())
     assert STATES[8].snapshot == EMPTY_SNAPSHOT
     assert STATES[10].records[-1].entry.number == 65
 
 
-def sweep(how):
-    """Each call fails in its turn, in the program or with the machine; the file layer loses what was not synced."""
-    for call in range(1, CALLS + 1):
+def fail_each_call(how):
+    """Let each call fail in turn, and check what is recovered.
+
+    After each failure the program restarts, and in a second check the machine, which loses data that was not synced.
+    """
+    for call in range(1, CALL_COUNT + 1):
         for seed in SEEDS:
             disk = Disk((call, how))
-            done = run(disk)
+            persisted_count = run_effects(disk)
             for lost in (True, False):
-                assert recovered(disk.restarted(seed, lost)) in allowed(done), (call, how, seed, lost)
+                assert recover(disk.restarted(seed, lost)) in expected_states(persisted_count), (call, how, seed, lost)
 
 
 @pytest.mark.parametrize("how", [errno.EIO, errno.ENOSPC, "tear", "crash"])
-def test_file_storage_when_any_call_fails_recovers_what_was_done(how):
-    sweep(how)
+def test_file_storage_when_any_call_fails_recovers_all_persisted_effects(how):
+    fail_each_call(how)
 
 
-def test_recovery_when_cut_off_anywhere_is_completed_by_the_next():
-    for call in range(1, CALLS + 1):
+def test_recovery_when_it_crashes_at_any_call_is_completed_by_the_next_recovery():
+    for call in range(1, CALL_COUNT + 1):
         disk = Disk((call, "crash"))
-        done = run(disk)
-        for again in range(1, 12):
+        persisted_count = run_effects(disk)
+        for second_call in range(1, 12):
             second = disk.restarted(call)
-            second.fault = (again, "crash")
+            second.fault = (second_call, "crash")
             try:
-                FileStorage.open(FOLDER, second)
+                FileStorage.open(DIRECTORY, second)
             except (Crash, StorageMissingError):
                 pass
-            assert recovered(second.restarted(again)) in allowed(done), (call, again)
+            assert recover(second.restarted(second_call)) in expected_states(persisted_count), (call, second_call)
 
 
-def test_file_storage_when_a_write_failed_takes_nothing_more():
+def test_file_storage_when_a_sync_has_failed_rejects_all_later_effects():
     disk = Disk()
-    made = FileStorage.create(FOLDER, StoredState(), disk)
-    disk.fault = (disk.calls + 2, errno.EIO)  # the sync
+    file_storage = FileStorage.create(DIRECTORY, StoredState(), disk)
+    disk.fault = (disk.calls + 2, errno.EIO)  # The second call is the sync.
     with pytest.raises(OSError):
-        made.persist(EFFECTS[0])
+        file_storage.persist(EFFECTS[0])
     with pytest.raises(OSError, match="earlier write failed"):
-        made.persist(EFFECTS[1])
+        file_storage.persist(EFFECTS[1])
     with pytest.raises(OSError, match="earlier write failed"):
-        made.persist_snapshot(EFFECTS[4])
+        file_storage.persist_snapshot(EFFECTS[4])
 
 
-def no_sync(monkeypatch):
+def disable_sync(monkeypatch):
     monkeypatch.setattr(Disk, "sync", lambda self, handle: self.call())
 
 
-def snapshot_in_place(monkeypatch):
-    def replace(files, folder, name, data):
-        handle = files.open(f"{folder}/{name}", write=True, create=True)
+def write_snapshot_in_place(monkeypatch):
+    def replace(files, directory, name, data):
+        handle = files.open(f"{directory}/{name}", write=True, create=True)
         files.write(handle, data, 0)
         files.sync(handle)
-        files.sync_directory(folder)
+        files.sync_directory(directory)
 
     monkeypatch.setattr(storage, "replace_file", replace)
 
 
-@pytest.mark.parametrize("plant", [no_sync, snapshot_in_place])
-def test_sweep_when_a_fault_is_planted_finds_it(monkeypatch, plant):
-    plant(monkeypatch)
+@pytest.mark.parametrize("plant_fault", [disable_sync, write_snapshot_in_place])
+def test_failing_each_call_when_a_fault_is_planted_detects_it(monkeypatch, plant_fault):
+    plant_fault(monkeypatch)
     with pytest.raises((AssertionError, StorageDamagedError)):
-        sweep("crash")
+        fail_each_call("crash")
 
 
 def check_appending_after_a_torn_block():
     disk = Disk()
-    made = FileStorage.create(FOLDER, StoredState(), disk)
-    made.persist(EFFECTS[1])
+    file_storage = FileStorage.create(DIRECTORY, StoredState(), disk)
+    file_storage.persist(EFFECTS[1])
     disk.fault = (disk.calls + 1, "tear")
     with pytest.raises(OSError):
-        made.persist(EFFECTS[3])
+        file_storage.persist(EFFECTS[3])
     second = disk.restarted(1, lost=False)
-    FileStorage.open(FOLDER, second).persist(EFFECTS[0])
-    third = FileStorage.open(FOLDER, second.restarted(1, lost=False))
-    assert (third.stored.term, third.stored.records) == (1, ())
+    FileStorage.open(DIRECTORY, second).persist(EFFECTS[0])
+    third = FileStorage.open(DIRECTORY, second.restarted(1, lost=False))
+    assert (third.stored_state.term, third.stored_state.records) == (1, ())
 
 
-def test_torn_block_when_recovered_leaves_nothing_behind_later_blocks():
+def test_torn_block_when_recovered_leaves_no_bytes_after_later_blocks():
     check_appending_after_a_torn_block()
 
 
-def files_of(disk, prefix):
-    return [path for path in disk.nodes if path.startswith(f"{FOLDER}/{prefix}")]
+def find_files(disk, prefix):
+    return [path for path in disk.nodes if path.startswith(f"{DIRECTORY}/{prefix}")]
 
 
-def test_generations_when_a_snapshot_is_persisted_leave_one_file():
+def test_records_files_of_earlier_generations_when_a_snapshot_is_persisted_are_removed():
     disk = Disk()
-    run(disk)
-    assert files_of(disk, storage.RECORDS) == [f"{FOLDER}/{storage.RECORDS}4"]
+    run_effects(disk)
+    assert find_files(disk, storage.RECORDS_FILE_PREFIX) == [f"{DIRECTORY}/{storage.RECORDS_FILE_PREFIX}4"]
 
 
-def damaged(change):
+def damage_files(change):
+    """Return a disk with the files of a replica after `change(disk)` has altered them."""
     disk = Disk()
-    made = FileStorage.create(FOLDER, StoredState(), disk)
+    file_storage = FileStorage.create(DIRECTORY, StoredState(), disk)
     for effect in EFFECTS[:4]:
-        do(made, effect)
+        perform(file_storage, effect)
     change(disk)
     return disk.restarted(1, lost=False)
 
 
 @pytest.mark.parametrize(
-    "prefix, place, told",
+    "prefix, position, message",
     [
-        ("snapshot", 0, "snapshot: is no such file"),
+        ("snapshot", 0, "snapshot: does not begin with the mark of a snapshot file"),
         ("snapshot", 20, "snapshot: "),
         ("records", 14, "damaged at byte 0"),
     ],
 )
-def test_damaged_file_when_opened_is_refused_by_name_and_place(prefix, place, told):
+def test_damaged_file_when_opened_fails_with_its_name_and_the_position(prefix, position, message):
     def change(disk):
-        disk.nodes[files_of(disk, prefix)[0]].data[place] ^= 1
+        disk.nodes[find_files(disk, prefix)[0]].data[position] ^= 1
 
-    with pytest.raises(StorageDamagedError, match=told):
-        FileStorage.open(FOLDER, damaged(change))
+    with pytest.raises(StorageDamagedError, match=message):
+        FileStorage.open(DIRECTORY, damage_files(change))
 
 
-def test_damaged_block_when_before_others_is_refused():
-    """It was synced before the ones after it were written, so no crash explains it."""
+def test_damaged_block_when_other_blocks_follow_fails_to_open():
+    """A block is synced before the next one is written, so that a crash cannot damage any block but the last."""
 
     def change(disk):
-        node = disk.nodes[files_of(disk, "records")[0]]
-        first = storage.HEAD_BYTES + int.from_bytes(node.data[: storage.LENGTH_BYTES], "big")
-        node.data[first + storage.HEAD_BYTES] ^= 1
+        node = disk.nodes[find_files(disk, "records")[0]]
+        first = storage.BLOCK_HEADER_BYTES + int.from_bytes(node.data[: storage.LENGTH_BYTES], "big")
+        node.data[first + storage.BLOCK_HEADER_BYTES] ^= 1
 
     with pytest.raises(StorageDamagedError, match="records.1: damaged at byte"):
-        FileStorage.open(FOLDER, damaged(change))
+        FileStorage.open(DIRECTORY, damage_files(change))
 
 
-def test_records_file_when_missing_is_named():
+def test_records_file_when_missing_is_named_in_the_error():
     with pytest.raises(StorageDamagedError, match="records.1: is missing"):
-        FileStorage.open(FOLDER, damaged(lambda disk: disk.nodes.pop(f"{FOLDER}/records.1")))
+        FileStorage.open(DIRECTORY, damage_files(lambda disk: disk.nodes.pop(f"{DIRECTORY}/records.1")))
 
 
-def test_block_when_of_an_earlier_generation_is_refused():
-    disk = damaged(lambda disk: None)
-    disk.nodes[f"{FOLDER}/records.2"] = Node()
-    disk.nodes[f"{FOLDER}/records.2"].data = bytearray(disk.nodes[f"{FOLDER}/records.1"].data)
-    head = disk.nodes[f"{FOLDER}/snapshot"].data
-    head[len(storage.MAGIC) + storage.GENERATION_BYTES - 1] = 2
+def test_records_file_when_it_has_blocks_of_an_earlier_generation_fails_to_open():
+    disk = damage_files(lambda disk: None)
+    disk.nodes[f"{DIRECTORY}/records.2"] = Node()
+    disk.nodes[f"{DIRECTORY}/records.2"].data = bytearray(disk.nodes[f"{DIRECTORY}/records.1"].data)
+    head = disk.nodes[f"{DIRECTORY}/snapshot"].data
+    head[len(storage.FILE_MAGIC) + storage.GENERATION_BYTES - 1] = 2
     with pytest.raises(StorageDamagedError, match="records.2: damaged at byte 0"):
-        FileStorage.open(FOLDER, disk)
+        FileStorage.open(DIRECTORY, disk)
 
 
-def test_file_storage_when_on_a_real_directory_admits_one_process(tmp_path):
-    folder = str(tmp_path / "replica")
+def test_file_storage_when_on_a_real_directory_is_locked_and_reopened_with_its_state(tmp_path):
+    directory = str(tmp_path / "replica")
     with pytest.raises(StorageMissingError, match="no such directory"):
-        FileStorage.open(folder, Files())
-    made = FileStorage.create(folder, StoredState(), Files())
+        FileStorage.open(directory, Files())
+    file_storage = FileStorage.create(directory, StoredState(), Files())
     for effect in EFFECTS:
-        do(made, effect)
+        perform(file_storage, effect)
     with pytest.raises(StorageInUseError):
-        FileStorage.open(folder, Files())
-    made.close()
+        FileStorage.open(directory, Files())
+    file_storage.close()
     with pytest.raises(FileExistsError):
-        FileStorage.create(folder, StoredState(), Files())
-    opened = FileStorage.open(folder, Files())
-    assert opened.stored == STATES[-1]
+        FileStorage.create(directory, StoredState(), Files())
+    opened = FileStorage.open(directory, Files())
+    assert opened.stored_state == STATES[-1]
     opened.close()
--- a/tests/changelog/test_stored_data.py
+++ b/tests/changelog/test_stored_data.py
@@ -1,4 +1,7 @@
-"""Files and datagrams that version 0.2.0 wrote are read, and written, byte for byte: tests/data/changelog/README.md."""
+"""Files and datagrams that version 0.2.0 wrote are decoded, and encoding results in the same bytes.
+
+The data is described in tests/data/changelog/README.md.
+"""
 
 import shutil
 from pathlib import Path
@@ -40,7 +43,7 @@
     incomplete=True,
     term=1,
 )
-LATER = (Record(3, Entry(1, 5, Purge(None, 8, STAMP_MS + 20))), Record(3, Entry(1, 6, Noop())))
+LATER_RECORDS = (Record(3, Entry(1, 5, Purge(None, 8, STAMP_MS + 20))), Record(3, Entry(1, 6, Noop())))
 MESSAGES = (
     messages.Subscribe(1, 2, b"d" * 8, True, 300),
     messages.Unsubscribe(),
@@ -54,7 +57,7 @@
     messages.Append(1, 3, 0, 0, RECORDS, 2, 1, 60, 7),
     messages.Appended(1, 3, False, 4, 7),
 )
-PACKETS = tuple(Packet("r1", format_, 2, 5, 6, 7, message) for format_ in (1, 2) for message in MESSAGES)
+PACKETS = tuple(Packet("r1", format_version, 2, 5, 6, 7, message) for format_version in (1, 2) for message in MESSAGES)
 ROW = SubscriberRow("router-1", 5, 1, 0.5, 0.0, True, None)
 ANSWERS = (
     Status("r1", "replica", 1, 6, 0.25, 2, 100, 200, Counters(1, 2, 3, 4, 5, 6, 7, 8), "leader", 3, "r1", False, ""),
@@ -63,18 +66,18 @@
 )
 
 
-def test_replica_files_when_opened_hold_the_expected_snapshot_and_records(tmp_path):
+def test_replica_files_when_opened_contain_the_expected_snapshot_and_records(tmp_path):
     shutil.copytree(DATA / "replica", tmp_path / "replica")
     storage = FileStorage.open(str(tmp_path / "replica"), Files())
-    assert storage.stored == StoredState(1, 3, "r2", SNAPSHOT, (RECORDS[3], *LATER))
+    assert storage.stored_state == StoredState(1, 3, "r2", SNAPSHOT, (RECORDS[3], *LATER_RECORDS))
     storage.close()
 
 
-def test_replica_files_when_written_by_the_same_effects_are_the_same_bytes(tmp_path):
+def test_replica_files_when_the_same_effects_are_persisted_have_the_same_bytes(tmp_path):
     storage = FileStorage.create(str(tmp_path / "replica"), StoredState(), Files())
     storage.persist(Persist(1, 2, "r1", 0, RECORDS))
     storage.persist_snapshot(PersistSnapshot(SNAPSHOT, False))
-    storage.persist(Persist(1, 3, "r2", 4, LATER))
+    storage.persist(Persist(1, 3, "r2", 4, LATER_RECORDS))
     storage.close()
     names = sorted(path.name for path in (DATA / "replica").iterdir())
     assert names == ["records.2", "snapshot"]
@@ -88,15 +91,15 @@
     assert encode_snapshot(SNAPSHOT) == data
 
 
-@pytest.mark.parametrize("place", range(len(PACKETS)))
-def test_datagram_when_decoded_is_the_expected_packet_and_encodes_to_the_same_bytes(place):
-    data = bytes.fromhex((DATA / "datagrams.hex").read_text().splitlines()[place])
-    assert Codec(KEY, "router").decode(data) == PACKETS[place]
-    assert Codec(KEY, "r1").encode("router", PACKETS[place]) == data
+@pytest.mark.parametrize("index", range(len(PACKETS)))
+def test_datagram_when_decoded_is_the_expected_packet_and_encodes_to_the_same_bytes(index):
+    data = bytes.fromhex((DATA / "datagrams.hex").read_text().splitlines()[index])
+    assert Codec(KEY, "router").decode(data) == PACKETS[index]
+    assert Codec(KEY, "r1").encode("router", PACKETS[index]) == data
 
 
-@pytest.mark.parametrize("place", range(len(ANSWERS)))
-def test_administration_answer_when_encoded_is_the_same_bytes_and_decodes(place):
-    data = (DATA / "administration.jsonl").read_bytes().splitlines()[place]
-    assert msgspec.json.encode(ANSWERS[place]) == data
-    assert msgspec.json.decode(data, type=type(ANSWERS[place])) == ANSWERS[place]
+@pytest.mark.parametrize("index", range(len(ANSWERS)))
+def test_administration_answer_when_encoded_is_the_same_bytes_and_decodes(index):
+    data = (DATA / "administration.jsonl").read_bytes().splitlines()[index]
+    assert msgspec.json.encode(ANSWERS[index]) == data
+    assert msgspec.json.decode(data, type=type(ANSWERS[index])) == ANSWERS[index]
--- a/wickhinge/changelog/message_codecs.py
+++ b/wickhinge/changelog/message_codecs.py
@@ -1,7 +1,7 @@
-"""The fields of each message, as bytes.
+"""The encoding of the messages' fields.
 
-Format 1 writes stamps in full, format 2 as differences to the entry before; both are read. A message's kind byte is its
-place in MESSAGE_CODECS.
+Two wire formats are written and read: format 1 has time stamps in full, format 2 has their differences to the entry
+before. A message's kind byte is the index of its codec in MESSAGE_CODECS.
 """
 
 from __future__ import annotations
@@ -16,15 +16,23 @@
 from wickhinge.changelog.errors import MalformedMessageError
 from wickhinge.changelog.messages import Message
 
-MAX_PART_BYTES = 1200
-MAX_PARTS = 8192
+MAX_SNAPSHOT_PART_BYTES = 1200
+MAX_SNAPSHOT_PARTS = 8192
+# Greatest encoded duration; a longer one is written as this.
 MAX_DURATION_MS = 0xFFFFFFFF
+# The wire format in which the time stamp of each entry is written in full.
 FULL_STAMPS_FORMAT = 1
 
 
 @dataclass(frozen=True, slots=True)
 class MessageCodec:
-    """How one type of message is written to, and read from, a body of a format version."""
+    """The functions that encode and decode one type of message.
+
+    Attributes:
+        message_type: The message's class.
+        write: Encodes the fields of a message into a writer, in a format version.
+        read: Decodes the fields from a reader, in a format version.
+    """
 
     message_type: type[Message]
     write: Callable[[Writer, Any, int], None]
@@ -34,31 +42,35 @@
 def same_in_all_formats(
     message_type: type[Message], write: Callable[[Writer, Any], None], read: Callable[[Reader], Message]
 ) -> MessageCodec:
-    """The codec of a message whose fields do not depend on the format version."""
+    """Return the codec of a message type whose encoding is the same in all format versions."""
     return MessageCodec(
         message_type, lambda writer, message, _version: write(writer, message), lambda reader, _version: read(reader)
     )
 
 
 def encode_message(message: Message, format_version: int) -> bytes:
-    """The message's kind and fields."""
+    """Return the kind byte and the fields of a message."""
     writer = Writer()
-    kind = KINDS[type(message)]
-    writer.byte(kind)
+    kind = KIND_BY_MESSAGE_TYPE[type(message)]
+    writer.write_byte(kind)
     MESSAGE_CODECS[kind].write(writer, message, format_version)
-    return writer.done()
+    return writer.to_bytes()
 
 
 def read_message(reader: Reader, format_version: int) -> Message:
-    """The message's kind and fields. Raises MalformedMessageError."""
-    kind = reader.byte()
+    """Decode a message from its kind byte and fields.
+
+    Raises:
+        MalformedMessageError: The kind is not known, or a field is missing or out of its bounds.
+    """
+    kind = reader.read_byte()
     if kind >= len(MESSAGE_CODECS):
-        raise MalformedMessageError(f"a message of kind {kind}")
+        raise MalformedMessageError(f"no message has the kind byte {kind}")
     return MESSAGE_CODECS[kind].read(reader, format_version)
 
 
 def write_changes(writer: Writer, entries: tuple[Entry, ...], format_version: int) -> None:
-    """The changes of consecutive entries."""
+    """Encode the changes of consecutive entries."""
     base_ms = 0
     for entry in entries:
         base_ms = write_change(writer, entry.change, base_ms)
@@ -67,7 +79,11 @@
 
 
 def read_entries(reader: Reader, format_version: int, epoch: int, first: int, count: int) -> tuple[Entry, ...]:
-    """Entries with consecutive numbers from `first` on. Raises MalformedMessageError."""
+    """Decode the changes of `count` entries, which get consecutive numbers from `first` on.
+
+    Raises:
+        MalformedMessageError: The bytes are not the encodings of changes.
+    """
     entries: list[Entry] = []
     base_ms = 0
     for number in range(first, first + count):
@@ -79,171 +95,180 @@
 
 
 def write_subscribe(writer: Writer, message: messages.Subscribe) -> None:
-    """The fields of Subscribe."""
-    writer.varint(message.epoch)
-    writer.varint(message.number)
-    writer.raw(message.digest)
-    writer.byte(message.heartbeats_only)
-    writer.varint(min(message.uninformed_ms, MAX_DURATION_MS))
+    """Encode the fields of Subscribe."""
+    writer.write_varint(message.epoch)
+    writer.write_varint(message.number)
+    writer.write_bytes(message.digest)
+    writer.write_byte(message.heartbeats_only)
+    writer.write_varint(min(message.uninformed_ms, MAX_DURATION_MS))
 
 
 def read_subscribe(reader: Reader) -> messages.Subscribe:
-    """The fields of Subscribe. Raises MalformedMessageError."""
-    epoch, number, digest = reader.number(), reader.number(), reader.raw(DIGEST_BYTES)
-    return messages.Subscribe(epoch, number, digest, reader.flag(), reader.varint(MAX_DURATION_MS))
+    """Decode the fields of Subscribe, or raise MalformedMessageError."""
+    epoch, number, digest = reader.read_number(), reader.read_number(), reader.read_bytes(DIGEST_BYTES)
+    return messages.Subscribe(epoch, number, digest, reader.read_bool(), reader.read_varint(MAX_DURATION_MS))
 
 
 def write_unsubscribe(_writer: Writer, _message: messages.Unsubscribe) -> None:
-    """Unsubscribe has no fields."""
+    """Encode nothing, as Unsubscribe has no fields."""
 
 
 def read_unsubscribe(_reader: Reader) -> messages.Unsubscribe:
-    """Unsubscribe has no fields."""
+    """Decode nothing, as Unsubscribe has no fields."""
     return messages.Unsubscribe()
 
 
 def write_heartbeat(writer: Writer, message: messages.Heartbeat) -> None:
-    """The fields of Heartbeat."""
-    writer.varint(message.epoch)
-    writer.varint(message.head)
-    writer.raw(message.digest)
-    writer.varint(min(message.age_ms, MAX_DURATION_MS))
+    """Encode the fields of Heartbeat."""
+    writer.write_varint(message.epoch)
+    writer.write_varint(message.head)
+    writer.write_bytes(message.digest)
+    writer.write_varint(min(message.age_ms, MAX_DURATION_MS))
 
 
 def read_heartbeat(reader: Reader) -> messages.Heartbeat:
-    """The fields of Heartbeat. Raises MalformedMessageError."""
+    """Decode the fields of Heartbeat, or raise MalformedMessageError."""
     return messages.Heartbeat(
-        reader.number(), reader.number(), reader.raw(DIGEST_BYTES), reader.varint(MAX_DURATION_MS)
+        reader.read_number(), reader.read_number(), reader.read_bytes(DIGEST_BYTES), reader.read_varint(MAX_DURATION_MS)
     )
 
 
 def write_batch(writer: Writer, message: messages.Batch, format_version: int) -> None:
-    """The fields of Batch."""
-    writer.varint(message.epoch)
-    writer.varint(message.first)
-    writer.byte(len(message.entries))
+    """Encode the fields of Batch."""
+    writer.write_varint(message.epoch)
+    writer.write_varint(message.first)
+    writer.write_byte(len(message.entries))
     write_changes(writer, message.entries, format_version)
-    writer.raw(message.digest)
-    writer.varint(message.head - (message.first + len(message.entries) - 1))
-    writer.varint(min(message.age_ms, MAX_DURATION_MS))
+    writer.write_bytes(message.digest)
+    writer.write_varint(message.head - (message.first + len(message.entries) - 1))
+    writer.write_varint(min(message.age_ms, MAX_DURATION_MS))
 
 
 def read_batch(reader: Reader, format_version: int) -> messages.Batch:
-    """The fields of Batch. Raises MalformedMessageError."""
-    epoch, first = reader.number(), reader.number()
-    entries = read_entries(reader, format_version, epoch, first, reader.byte())
+    """Decode the fields of Batch, or raise MalformedMessageError."""
+    epoch, first = reader.read_number(), reader.read_number()
+    entries = read_entries(reader, format_version, epoch, first, reader.read_byte())
     if not entries or not first:
-        raise MalformedMessageError("a batch without entries")
-    digest = reader.raw(DIGEST_BYTES)
-    head = entries[-1].number + reader.number()
-    return messages.Batch(epoch, first, entries, digest, head, reader.varint(MAX_DURATION_MS))
+        raise MalformedMessageError("a batch has no entries, or its first entry has number 0")
+    digest = reader.read_bytes(DIGEST_BYTES)
+    head = entries[-1].number + reader.read_number()
+    return messages.Batch(epoch, first, entries, digest, head, reader.read_varint(MAX_DURATION_MS))
 
 
 def write_fetch(writer: Writer, message: messages.Fetch) -> None:
-    """The fields of Fetch."""
-    writer.varint(message.epoch)
-    writer.varint(message.number)
+    """Encode the fields of Fetch."""
+    writer.write_varint(message.epoch)
+    writer.write_varint(message.number)
 
 
 def read_fetch(reader: Reader) -> messages.Fetch:
-    """The fields of Fetch. Raises MalformedMessageError."""
-    return messages.Fetch(reader.number(), reader.number())
+    """Decode the fields of Fetch, or raise MalformedMessageError."""
+    return messages.Fetch(reader.read_number(), reader.read_number())
 
 
 def write_fetch_snapshot(writer: Writer, message: messages.FetchSnapshot) -> None:
-    """The fields of FetchSnapshot."""
-    writer.varint(message.epoch)
-    writer.varint(message.number)
-    writer.varint(message.part)
+    """Encode the fields of FetchSnapshot."""
+    writer.write_varint(message.epoch)
+    writer.write_varint(message.number)
+    writer.write_varint(message.part)
 
 
 def read_fetch_snapshot(reader: Reader) -> messages.FetchSnapshot:
-    """The fields of FetchSnapshot. Raises MalformedMessageError."""
-    return messages.FetchSnapshot(reader.number(), reader.number(), reader.varint(MAX_PARTS - 1))
+    """Decode the fields of FetchSnapshot, or raise MalformedMessageError."""
+    return messages.FetchSnapshot(
+        reader.read_number(), reader.read_number(), reader.read_varint(MAX_SNAPSHOT_PARTS - 1)
+    )
 
 
 def write_snapshot_part(writer: Writer, message: messages.SnapshotPart) -> None:
-    """The fields of SnapshotPart."""
-    writer.varint(message.epoch)
-    writer.varint(message.number)
-    writer.varint(message.part)
-    writer.varint(message.parts)
-    writer.block(message.payload)
+    """Encode the fields of SnapshotPart."""
+    writer.write_varint(message.epoch)
+    writer.write_varint(message.number)
+    writer.write_varint(message.part)
+    writer.write_varint(message.parts)
+    writer.write_sized_bytes(message.payload)
 
 
 def read_snapshot_part(reader: Reader) -> messages.SnapshotPart:
-    """The fields of SnapshotPart. Raises MalformedMessageError."""
-    epoch, number, part, parts = reader.number(), reader.number(), reader.varint(MAX_PARTS), reader.varint(MAX_PARTS)
+    """Decode the fields of SnapshotPart, or raise MalformedMessageError."""
+    epoch, number, part, parts = (
+        reader.read_number(),
+        reader.read_number(),
+        reader.read_varint(MAX_SNAPSHOT_PARTS),
+        reader.read_varint(MAX_SNAPSHOT_PARTS),
+    )
     if part >= parts:
-        raise MalformedMessageError(f"part {part} of {parts}")
-    return messages.SnapshotPart(epoch, number, part, parts, reader.block(MAX_PART_BYTES))
+        raise MalformedMessageError(f"the snapshot part has index {part}, expected less than {parts}")
+    return messages.SnapshotPart(epoch, number, part, parts, reader.read_sized_bytes(MAX_SNAPSHOT_PART_BYTES))
 
 
 def write_request_vote(writer: Writer, message: messages.RequestVote) -> None:
-    """The fields of RequestVote."""
+    """Encode the fields of RequestVote."""
     for value in (message.epoch, message.term, message.last_number, message.last_term):
-        writer.varint(value)
-    writer.byte(message.pre_vote)
+        writer.write_varint(value)
+    writer.write_byte(message.pre_vote)
 
 
 def read_request_vote(reader: Reader) -> messages.RequestVote:
-    """The fields of RequestVote. Raises MalformedMessageError."""
-    epoch, term, last_number, last_term = (reader.number() for _ in range(4))
-    return messages.RequestVote(epoch, term, last_number, last_term, reader.flag())
+    """Decode the fields of RequestVote, or raise MalformedMessageError."""
+    epoch, term, last_number, last_term = (reader.read_number() for _ in range(4))
+    return messages.RequestVote(epoch, term, last_number, last_term, reader.read_bool())
 
 
 def write_vote(writer: Writer, message: messages.Vote) -> None:
-    """The fields of Vote."""
-    writer.varint(message.epoch)
-    writer.varint(message.term)
-    writer.byte(message.granted)
-    writer.byte(message.pre_vote)
+    """Encode the fields of Vote."""
+    writer.write_varint(message.epoch)
+    writer.write_varint(message.term)
+    writer.write_byte(message.granted)
+    writer.write_byte(message.pre_vote)
 
 
 def read_vote(reader: Reader) -> messages.Vote:
-    """The fields of Vote. Raises MalformedMessageError."""
-    return messages.Vote(reader.number(), reader.number(), reader.flag(), reader.flag())
+    """Decode the fields of Vote, or raise MalformedMessageError."""
+    return messages.Vote(reader.read_number(), reader.read_number(), reader.read_bool(), reader.read_bool())
 
 
 def write_append(writer: Writer, message: messages.Append, format_version: int) -> None:
-    """The fields of Append."""
+    """Encode the fields of Append."""
     for value in (message.epoch, message.term, message.previous_number, message.previous_term):
-        writer.varint(value)
+        writer.write_varint(value)
     for value in (message.commit, message.first, min(message.age_ms, MAX_DURATION_MS), message.round):
-        writer.varint(value)
-    writer.byte(len(message.records))
+        writer.write_varint(value)
+    writer.write_byte(len(message.records))
     for record in message.records:
-        writer.varint(record.term)
+        writer.write_varint(record.term)
     write_changes(writer, tuple(record.entry for record in message.records), format_version)
 
 
 def read_append(reader: Reader, format_version: int) -> messages.Append:
-    """The fields of Append. Raises MalformedMessageError."""
-    epoch, term, previous_number, previous_term = (reader.number() for _ in range(4))
+    """Decode the fields of Append, or raise MalformedMessageError."""
+    epoch, term, previous_number, previous_term = (reader.read_number() for _ in range(4))
     commit, first, age_ms, round_number = (
-        reader.number(),
-        reader.number(),
-        reader.varint(MAX_DURATION_MS),
-        reader.number(),
+        reader.read_number(),
+        reader.read_number(),
+        reader.read_varint(MAX_DURATION_MS),
+        reader.read_number(),
     )
-    terms = [reader.number() for _ in range(reader.byte())]
+    terms = [reader.read_number() for _ in range(reader.read_byte())]
     entries = read_entries(reader, format_version, epoch, previous_number + 1, len(terms))
     records = tuple(messages.Record(*pair) for pair in zip(terms, entries, strict=True))
     return messages.Append(epoch, term, previous_number, previous_term, records, commit, first, age_ms, round_number)
 
 
 def write_appended(writer: Writer, message: messages.Appended) -> None:
-    """The fields of Appended."""
-    writer.varint(message.epoch)
-    writer.varint(message.term)
-    writer.byte(message.success)
-    writer.varint(message.match)
-    writer.varint(message.round)
+    """Encode the fields of Appended."""
+    writer.write_varint(message.epoch)
+    writer.write_varint(message.term)
+    writer.write_byte(message.success)
+    writer.write_varint(message.match)
+    writer.write_varint(message.round)
 
 
 def read_appended(reader: Reader) -> messages.Appended:
-    """The fields of Appended. Raises MalformedMessageError."""
-    return messages.Appended(reader.number(), reader.number(), reader.flag(), reader.number(), reader.number())
+    """Decode the fields of Appended, or raise MalformedMessageError."""
+    return messages.Appended(
+        reader.read_number(), reader.read_number(), reader.read_bool(), reader.read_number(), reader.read_number()
+    )
 
 
 MESSAGE_CODECS = (
@@ -259,4 +284,4 @@
     MessageCodec(messages.Append, write_append, read_append),
     same_in_all_formats(messages.Appended, write_appended, read_appended),
 )
-KINDS = {codec.message_type: kind for kind, codec in enumerate(MESSAGE_CODECS)}
+KIND_BY_MESSAGE_TYPE = {codec.message_type: kind for kind, codec in enumerate(MESSAGE_CODECS)}
--- a/wickhinge/changelog/record_blocks.py
+++ b/wickhinge/changelog/record_blocks.py
@@ -1,6 +1,8 @@
-"""The blocks of a replica's records file: one Persist each, its length and a checksum chained to the block before it.
+"""The blocks of a replica's records file. Each block is one Persist effect.
 
-block: length:4 checksum:8 payload        payload: epoch, term, vote, truncate_after, records
+block = length:4 checksum:8 payload        payload = epoch, term, vote, truncate_after, records
+
+A block's checksum covers its payload and the checksum of the block before it.
 """
 
 from __future__ import annotations
@@ -15,70 +17,80 @@
 from wickhinge.changelog.messages import Record
 
 LENGTH_BYTES, CHECKSUM_BYTES = 4, 8
-HEAD_BYTES = LENGTH_BYTES + CHECKSUM_BYTES
-MAX_BLOCK_RECORDS = 1 << 20  # in a block
+BLOCK_HEADER_BYTES = LENGTH_BYTES + CHECKSUM_BYTES
+MAX_RECORDS_PER_BLOCK = 1 << 20
 
 
-def checksum(payload: bytes, previous_checksum: bytes) -> bytes:
-    """Of a block, chained to the block before it."""
+def block_checksum(payload: bytes, previous_checksum: bytes) -> bytes:
+    """Return the checksum of a block that follows a block with the checksum `previous_checksum`."""
     return blake2b(previous_checksum + payload, digest_size=CHECKSUM_BYTES).digest()
 
 
 def frame_block(payload: bytes, previous_checksum: bytes) -> bytes:
-    """A block as it stands in the records file."""
-    return len(payload).to_bytes(LENGTH_BYTES, "big") + checksum(payload, previous_checksum) + payload
+    """Return a block as it is written to the records file: length, checksum and payload."""
+    return len(payload).to_bytes(LENGTH_BYTES, "big") + block_checksum(payload, previous_checksum) + payload
 
 
 def read_blocks(data: bytes, previous_checksum: bytes) -> tuple[list[Persist], int, bytes]:
-    """The effects, where the last complete block ends, and its checksum.
+    """Decode the blocks of a records file, except for a damaged last block, which a crash may have left.
+
+    Returns:
+        The effects, the position where the last complete block ends, and the checksum of that block.
 
     Raises:
-        MalformedMessageError: The first block is not complete, or a damaged one is not the last: then more is lost than
-            what was being written.
+        MalformedMessageError: The first block is not complete, or a damaged block is not the last. Then more is lost
+            than the block that was being written when the process ended.
     """
     effects: list[Persist] = []
-    place = 0
-    while place < len(data):
-        end = place + HEAD_BYTES + int.from_bytes(data[place : place + LENGTH_BYTES], "big")
-        stored_checksum, payload = data[place + LENGTH_BYTES : place + HEAD_BYTES], data[place + HEAD_BYTES : end]
-        if end > len(data) or checksum(payload, previous_checksum) != stored_checksum:
+    position = 0
+    while position < len(data):
+        end = position + BLOCK_HEADER_BYTES + int.from_bytes(data[position : position + LENGTH_BYTES], "big")
+        stored_checksum, payload = (
+            data[position + LENGTH_BYTES : position + BLOCK_HEADER_BYTES],
+            data[position + BLOCK_HEADER_BYTES : end],
+        )
+        if end > len(data) or block_checksum(payload, previous_checksum) != stored_checksum:
             if not effects or (end < len(data) and any(data[end:])):
-                raise MalformedMessageError(f"damaged at byte {place}")
+                raise MalformedMessageError(f"damaged at byte {position}")
             break
         effects.append(decode_persist(payload))
-        place, previous_checksum = end, stored_checksum
+        position, previous_checksum = end, stored_checksum
     if not effects:
         raise MalformedMessageError("is empty")
-    return effects, place, previous_checksum
+    return effects, position, previous_checksum
 
 
 def encode_persist(effect: Persist) -> bytes:
-    """The payload of a block."""
+    """Return the payload of the block for an effect."""
     writer = Writer()
-    writer.varint(effect.epoch)
-    writer.varint(effect.term)
-    writer.text(effect.vote)
-    writer.varint(effect.truncate_after)
-    writer.varint(len(effect.records))
+    writer.write_varint(effect.epoch)
+    writer.write_varint(effect.term)
+    writer.write_text(effect.vote)
+    writer.write_varint(effect.truncate_after)
+    writer.write_varint(len(effect.records))
     for record in effect.records:
-        writer.varint(record.term)
+        writer.write_varint(record.term)
         write_change(writer, record.entry.change)
-    return writer.done()
+    return writer.to_bytes()
 
 
 def decode_persist(payload: bytes) -> Persist:
-    """The inverse of encode_persist. Raises MalformedMessageError."""
+    """Return the effect of a block's payload.
+
+    Raises:
+        MalformedMessageError: The payload is not the encoding of a Persist effect.
+    """
     reader = Reader(payload)
     epoch, term, vote, truncate_after = (
-        reader.number(),
-        reader.number(),
-        reader.text(MAX_PROCESS_NAME_BYTES),
-        reader.number(),
+        reader.read_number(),
+        reader.read_number(),
+        reader.read_text(MAX_PROCESS_NAME_BYTES),
+        reader.read_number(),
     )
     records = []
-    for number in range(truncate_after + 1, truncate_after + 1 + reader.varint(MAX_BLOCK_RECORDS)):
-        record_term = reader.number()
+    for number in range(truncate_after + 1, truncate_after + 1 + reader.read_varint(MAX_RECORDS_PER_BLOCK)):
+        record_term = reader.read_number()
         change, _ = read_change(reader)
         records.append(Record(record_term, Entry(epoch, number, change)))
-    reader.end()
+    reader.expect_end()
     return Persist(epoch, term, vote, truncate_after, tuple(records))
--- a/wickhinge/changelog/replica_endpoint.py
+++ b/wickhinge/changelog/replica_endpoint.py
@@ -1,4 +1,4 @@
-"""A replica on its socket, with its storage and the proposals that wait for their outcome."""
+"""A replica with its socket, its storage, and the proposals that wait for their outcome."""
 
 from __future__ import annotations
 
@@ -16,14 +16,17 @@
 from wickhinge.changelog.stored import Storage
 
 
-def ignore_failure(fault: StorageFailedError) -> None:
-    """For an endpoint whose owner does not need to know."""
+def ignore_storage_failure(fault: StorageFailedError) -> None:
+    """Do nothing; the default for endpoints whose owner need not know about a storage failure."""
 
 
 class ReplicaEndpoint(Endpoint):
-    """A replica. `config.peers` are all replicas, this one too; `config.subscribers` the relays.
+    """The endpoint of a replica.
 
-    `on_storage_failure` is called once, after the endpoint has closed itself, as what it promised may not last.
+    `config.peers` are all replicas, including this one, and `config.subscribers` are the relays.
+
+    `on_storage_failure` is called once when the storage has failed, after the endpoint has closed itself: it may not
+    send anything that relies on an effect which may be lost.
     """
 
     state_machine: Replica
@@ -34,39 +37,45 @@
         runtime: Runtime,
         storage: Storage,
         settings: ReplicaSettings | None = None,
-        on_storage_failure: Callable[[StorageFailedError], None] = ignore_failure,
+        on_storage_failure: Callable[[StorageFailedError], None] = ignore_storage_failure,
     ) -> None:
         self._storage, self._on_storage_failure = storage, on_storage_failure
         self._proposals = Proposals()
         context = runtime.context(config.name)
-        replica = Replica(context, list(config.peers), settings or ReplicaSettings(), storage.stored, runtime.clock())
+        replica = Replica(
+            context, list(config.peers), settings or ReplicaSettings(), storage.stored_state, runtime.clock()
+        )
         super().__init__(config, runtime, replica)
 
-    def propose(self, change: Change, within_s: float, on_resolved: Callable[[ProposalOutcome], None]) -> int:
-        """Proposes a change; returns the number that it has if it is committed.
+    def propose(self, change: Change, timeout_s: float, on_resolved: Callable[[ProposalOutcome], None]) -> int:
+        """Propose a change.
+
+        `on_resolved` is called once with the outcome: after `timeout_s` at the latest, and possibly before this method
+        returns.
 
-        `on_resolved` is called once, later or before this returns, and after `within_s` at the latest.
+        Returns:
+            The number that the change has if it is committed.
 
         Raises:
-            NotLeaderError: Another replica leads, or none is known.
-            OverloadedError: Too many proposals wait.
-            InvalidChangeError: No log may hold the change.
+            NotLeaderError: Another replica is the leader, or no leader is known.
+            OverloadedError: Too many proposals wait, or too many settings are in force.
+            InvalidChangeError: A field of the change is out of its bounds.
         """
         if len(self._proposals) >= MAX_WAITING_PROPOSALS:
             raise OverloadedError
         now = self.clock()
         effects = self.state_machine.propose(change, now)
         number = next(effect.number for effect in effects if isinstance(effect, Accepted))
-        self._proposals.add(number, Proposal(change, now + within_s, on_resolved))
+        self._proposals.add(number, Proposal(change, now + timeout_s, on_resolved))
         self.perform(effects)
         return number
 
     def after_tick(self) -> None:
-        """Ends the proposals whose time is over."""
+        """End the proposals whose deadline has passed."""
         self._proposals.tick(self.clock())
 
     def perform(self, effects: Sequence[Effect]) -> None:
-        """Does the effects in their order; nothing that follows a failed Persist is done."""
+        """Perform the effects in their order, up to the first that the storage fails to persist."""
         if self.closed:
             return
         try:
@@ -77,14 +86,18 @@
             self._on_storage_failure(fault)
 
     def do(self, effect: Effect) -> None:
-        """Persists, and tells the proposers what was committed."""
+        """Perform an effect that is not a Send: persist state, or tell the proposers which entries are committed."""
         if isinstance(effect, Committed):
             self._proposals.resolve(effect.entries)
         elif isinstance(effect, Persist | PersistSnapshot):
             self._persist(effect)
 
     def _persist(self, effect: Persist | PersistSnapshot) -> None:
-        """Raises StorageFailedError, whatever the cause: nothing may be sent that relies on what was not stored."""
+        """Persist an effect.
+
+        Raises:
+            StorageFailedError: The storage raised any exception. Nothing may be sent that relies on the effect.
+        """
         try:
             if isinstance(effect, Persist):
                 self._storage.persist(effect)
@@ -94,6 +107,6 @@
             raise StorageFailedError(repr(fault)) from fault
 
     def close(self) -> Any:
-        """Closes the storage, then the socket as any endpoint does."""
+        """Close the storage, then the socket; return what Endpoint.close returns."""
         self._storage.close()
         return super().close()
--- a/wickhinge/changelog/stored.py
+++ b/wickhinge/changelog/stored.py
@@ -1,4 +1,4 @@
-"""What a replica keeps on stable storage, and the port by which it is written."""
+"""The state that a replica has on stable storage, and the interface by which it is written."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 
 
 class StoredState(msgspec.Struct, frozen=True):
-    """What a replica finds on stable storage: the sum of all effects that it persisted.
+    """The state on stable storage: the result of all Persist and PersistSnapshot effects so far.
 
-    `records` begin after the snapshot's number. A new replica has what this has by default. An operator who restarts
-    the log from a backup gives the replicas the same backup as `snapshot`, with a higher epoch in it and here, and
-    nothing else. A replica whose snapshot is of another epoch is blank: it votes and waits for a snapshot, and does not
-    stand for election.
+    The records begin after the snapshot's number. The default values are the state of a new replica. To restart the log
+    from a backup, an operator gives the replicas the same backup as `snapshot`, with a higher epoch both in it and in
+    `epoch`, and default values for the rest. A replica whose snapshot is of another epoch than `epoch` is blank: it
+    votes and waits for a snapshot, but does not stand for election.
     """
 
     epoch: int = 1
@@ -29,17 +29,21 @@
 
 
 class Storage(Protocol):
-    """A replica's stable storage. Its methods return once the effect lasts, and raise where it may not."""
+    """A replica's stable storage.
+
+    A method that persists an effect returns once the effect is on stable storage. It raises an exception where that is
+    not certain.
+    """
 
     @property
-    def stored(self) -> StoredState:
-        """The sum of all effects so far."""
+    def stored_state(self) -> StoredState:
+        """The result of all effects that have been persisted."""
 
     def persist(self, effect: Persist) -> None:
-        """Writes epoch, term, vote and records."""
+        """Write epoch, term and vote, and change the end of the log."""
 
     def persist_snapshot(self, effect: PersistSnapshot) -> None:
-        """Writes a snapshot in place of the records that it stands for."""
+        """Write a snapshot, and remove the records that it replaces."""
 
     def close(self) -> None:
-        """Releases the files; may be called more than once."""
+        """Release the files; may be called more than once."""
