--- a/wickhinge/changelog/confirmations.py
+++ b/wickhinge/changelog/confirmations.py
@@ -1,4 +1,4 @@
-"""Until when a log is complete: confirmations that came, and those of them that the log has reached."""
+"""The time until which a log is complete, as confirmed by a majority of the replicas or by a source of entries."""
 
 from __future__ import annotations
 
@@ -7,17 +7,19 @@
 
 
 class Confirmations:
-    """Pairs (until, number), each of which confirms that what a majority had before `until` has numbers up to `number`.
+    """Confirmations that wait until the log has reached their number, and the latest time that is confirmed.
 
-    Times are by the process's own clock, in seconds.
+    A confirmation (until, number) says that all entries that a majority of the replicas had before the time `until`
+    have numbers up to `number`. Times are by the clock of this process, in seconds.
     """
 
     def __init__(self) -> None:
-        self._pending: list[tuple[float, int]] = []  # both rise
+        # Pairs (until, number), in which both values rise from pair to pair.
+        self._pending: list[tuple[float, int]] = []
         self._confirmed_until = NEVER
 
     def add(self, until: float, number: int) -> None:
-        """Takes a confirmation, unless one that is pending or reached says as much."""
+        """Record a confirmation, unless an earlier one implies it."""
         if until <= self._confirmed_until:
             return
         if any(other_until >= until and other_number <= number for other_until, other_number in self._pending):
@@ -25,12 +27,15 @@
         rest = [pair for pair in self._pending if pair[0] > until or pair[1] < number]
         self._pending = sorted([*rest, (until, number)])[:MAX_PENDING_CONFIRMATIONS]
 
-    def confirmed_until(self, last: int) -> float:
-        """The latest time until which a log that ends with `last` is complete, -inf for none; it never goes back."""
-        while self._pending and self._pending[0][1] <= last:
+    def confirmed_until(self, last_number: int) -> float:
+        """Return the latest time until which a log that ends with `last_number` is complete, -inf for none.
+
+        The result never decreases from one call to the next.
+        """
+        while self._pending and self._pending[0][1] <= last_number:
             self._confirmed_until = max(self._confirmed_until, self._pending.pop(0)[0])
         return self._confirmed_until
 
     def drop_pending(self) -> None:
-        """Drops what is pending; called where numbers get another meaning, with a new epoch."""
+        """Drop the confirmations whose number is not reached; called when a new epoch gives numbers a new meaning."""
         self._pending.clear()
--- a/wickhinge/changelog/context.py
+++ b/wickhinge/changelog/context.py
@@ -1,4 +1,4 @@
-"""What the state machines and endpoints of the change log are given of the process that runs them."""
+"""The resources of a process that the state machines and endpoints of the change log use."""
 
 from __future__ import annotations
 
@@ -14,21 +14,21 @@
 from wickhinge.common.log_event import LogEvent, ignore_event
 
 
-class LaterCaller(Protocol):
-    """Calls a function once after a delay in seconds; what is returned can cancel it (`active`, `cancel`)."""
+class CallLater(Protocol):
+    """Schedules one call of a function. The result can cancel the call by its methods `active` and `cancel`."""
 
     def __call__(self, delay_s: float, call: Callable[[], None], /) -> Any:
-        """Schedules the call."""
+        """Schedule the call of a function after a delay."""
 
 
 @dataclass(frozen=True, slots=True)
 class ProcessContext:
-    """What a state machine is given of its process.
+    """The properties of a process that a state machine uses.
 
     Attributes:
         name: The process's name, unique in the fleet.
-        session: SESSION_BITS drawn anew at each start, that no earlier start had.
-        random_fraction: Gives numbers in [0, 1).
+        session: A number of SESSION_BITS bits, drawn at random at each start, which no earlier start has used.
+        random_fraction: Returns random numbers in [0, 1).
         newest_format: The newest wire format that the process reads and writes.
     """
 
@@ -38,13 +38,16 @@
     newest_format: int = NEWEST_FORMAT
 
 
-def boottime() -> float:
-    """Seconds since the system's start: nobody sets this clock, and it goes on while the machine is suspended."""
+def seconds_since_boot() -> float:
+    """Return the seconds since the system's start.
+
+    This clock cannot be set, and it counts the time during which the machine is suspended.
+    """
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
-def new_session() -> int:
-    """A session number as ProcessContext needs it."""
+def draw_session() -> int:
+    """Return a random session number of SESSION_BITS bits."""
     return int.from_bytes(os.urandom(SESSION_BITS // 8), "big")
 
 
@@ -53,25 +56,25 @@
     """The reactor, clock, timers, randomness and log that an endpoint uses.
 
     Attributes:
-        reactor: Twisted's.
-        clock: Seconds of a clock that nobody sets.
-        log: Where events go.
-        call_later: In place of the reactor's, where the process has timers of its own.
-        random_fraction: Gives numbers in [0, 1).
+        reactor: The Twisted reactor.
+        clock: Returns the seconds of a clock that cannot be set.
+        log: Writes an event to the process's log.
+        call_later: Replaces the reactor's `callLater`, for a process that has timers of its own.
+        random_fraction: Returns random numbers in [0, 1).
         newest_format: The newest wire format that the process reads and writes.
     """
 
     reactor: Any
-    clock: Callable[[], float] = boottime
+    clock: Callable[[], float] = seconds_since_boot
     log: LogEvent = ignore_event
-    call_later: LaterCaller | None = None
+    call_later: CallLater | None = None
     random_fraction: Callable[[], float] = random.random
     newest_format: int = NEWEST_FORMAT
 
     def context(self, name: str) -> ProcessContext:
-        """What a state machine of that name is given, with a new session."""
-        return ProcessContext(name, new_session(), self.random_fraction, self.newest_format)
+        """Return the context for the state machine of the process `name`, with a new session."""
+        return ProcessContext(name, draw_session(), self.random_fraction, self.newest_format)
 
     def schedule(self, delay_s: float, call: Callable[[], None]) -> Any:
-        """Calls `call` once after `delay_s`."""
+        """Schedule one call of a function after a delay; the result can cancel it, as with CallLater."""
         return (self.call_later or self.reactor.callLater)(delay_s, call)
--- a/wickhinge/changelog/effects.py
+++ b/wickhinge/changelog/effects.py
@@ -1,7 +1,7 @@
-"""What a state machine wants done, as values.
+"""Effects: the actions that a state machine asks its owner to perform, as values.
 
-They are to be done in the order in which they are returned, over all calls: a Send that follows a Persist waits for it,
-also where the state machine is called again meanwhile.
+The owner performs them in the order in which they are returned, across all calls. So a Send that follows a Persist
+waits until the Persist is done, even where the state machine is called again before that.
 """
 
 from __future__ import annotations
@@ -14,17 +14,17 @@
 
 
 class Send(msgspec.Struct, frozen=True):
-    """One datagram to the process named `to`. It may be lost. `codec.Codec.encode` makes its bytes."""
+    """Send one datagram, which may be lost, to the process named `to`; `codec.Codec.encode` makes its bytes."""
 
     to: str
     packet: Packet
 
 
 class Persist(msgspec.Struct, frozen=True):
-    """State that has to be on stable storage before any later effect is done.
+    """Bring state to stable storage before any later effect is performed.
 
-    Epoch, term and vote ("" for none), then the log truncated after `truncate_after` (numbers above it are removed),
-    and `records` appended.
+    The state is the epoch, the term, the vote ("" for none) and the log's new end: records above `truncate_after` are
+    removed, then `records` are appended.
     """
 
     epoch: int
@@ -35,9 +35,9 @@
 
 
 class PersistSnapshot(msgspec.Struct, frozen=True):
-    """A snapshot that has to be on stable storage before any later effect is done.
+    """Bring a snapshot to stable storage before any later effect is performed.
 
-    It replaces all records up to its number, and all others too where `clear`.
+    The snapshot replaces all records up to its number. Where `clear` is set, the later records are removed, too.
     """
 
     snapshot: Snapshot
@@ -45,9 +45,9 @@
 
 
 class Accepted(msgspec.Struct, frozen=True):
-    """The proposed change has this number if it is committed in this term.
+    """Tell the proposer which number its change has if it is committed in this term.
 
-    Another change may get the number if the leader changes first. The proposer waits for a Committed that holds the
+    If the leader changes first, another change may get the number. So the proposer waits for a Committed that has the
     same change under this number.
     """
 
@@ -56,24 +56,27 @@
 
 
 class Committed(msgspec.Struct, frozen=True):
-    """These entries are committed: they never change within their epoch.
+    """Report entries as committed: they never change within their epoch.
 
-    After a restart, those that follow the stored snapshot come again.
+    After a restart, the entries that follow the stored snapshot are reported again.
     """
 
     entries: tuple[Entry, ...]
 
 
 class Apply(msgspec.Struct, frozen=True):
-    """The next entry in order, once. Noop and Unknown changes come, too: whoever does not know them skips them."""
+    """Apply the next entry; entries are given in the order of their numbers, each once.
+
+    Entries with Noop and Unknown changes are given, too; a receiver skips those that it does not know.
+    """
 
     entry: Entry
 
 
 class Reset(msgspec.Struct, frozen=True):
-    """The state is the snapshot's now: its settings replace all others, its purges are added to those known.
+    """Replace the state by a snapshot: its settings replace all others, and its purges are added to the known ones.
 
-    Its epoch and number may be lower than before only where a majority of relays contradicted the log.
+    Its epoch and number are lower than before only where a majority of relays contradicted the log.
     """
 
     snapshot: Snapshot
--- a/wickhinge/changelog/errors.py
+++ b/wickhinge/changelog/errors.py
@@ -1,35 +1,35 @@
-"""The errors of the change log: one hierarchy, each with what it concerns as attributes."""
+"""The errors of the change log: one hierarchy, with the objects that an error concerns as attributes."""
 
 from __future__ import annotations
 
 
 class ChangelogError(Exception):
-    """The base of all errors of this package."""
+    """The base class of all errors of the change log."""
 
 
 class MalformedMessageError(ChangelogError, ValueError):
-    """Bytes that are not the message or field that was expected; the text names the fault."""
+    """Bytes are not the expected message, file or field; the text says what was found."""
 
 
 class MessageTooLongError(ChangelogError, ValueError):
-    """A message that does not fit a datagram: a defect of the process that built it.
+    """A message does not fit into a datagram, which is a defect of the process that built it.
 
     Attributes:
         size_bytes: The datagram's size.
-        max_bytes: The largest size that is sent.
+        max_bytes: The greatest size of a datagram that is sent.
     """
 
     def __init__(self, size_bytes: int, max_bytes: int) -> None:
-        super().__init__(f"{size_bytes} bytes, expected at most {max_bytes}")
+        super().__init__(f"{size_bytes} bytes in a datagram, expected at most {max_bytes}")
         self.size_bytes, self.max_bytes = size_bytes, max_bytes
 
 
 class InvalidChangeError(ChangelogError, ValueError):
-    """A change that no log may hold; the text names the fault."""
+    """A change has a field that is out of its bounds, so that no log may contain it; the text names the field."""
 
 
 class OutOfOrderError(ChangelogError, ValueError):
-    """An entry that is not the next one of this log.
+    """An entry that was to be appended to a log does not follow the log's last entry.
 
     Attributes:
         epoch: The entry's epoch.
@@ -39,16 +39,16 @@
     """
 
     def __init__(self, epoch: int, number: int, last_epoch: int, last_number: int) -> None:
-        super().__init__(f"entry {epoch}/{number} after {last_epoch}/{last_number}")
+        super().__init__(f"entry {epoch}/{number} does not follow the log's last entry {last_epoch}/{last_number}")
         self.epoch, self.number = epoch, number
         self.last_epoch, self.last_number = last_epoch, last_number
 
 
 class NotLeaderError(ChangelogError):
-    """Only the leader takes proposals.
+    """A change was proposed to a replica that is not the leader.
 
     Attributes:
-        leader: The leader's name where it is known, else "".
+        leader: The leader's name, "" where it is not known.
     """
 
     def __init__(self, leader: str) -> None:
@@ -57,15 +57,15 @@
 
 
 class OverloadedError(ChangelogError):
-    """Too many proposals wait for a majority, or too many settings are in force."""
+    """A proposal was rejected because too many proposals are uncommitted, or too many settings are in force."""
 
 
 class StorageError(ChangelogError):
     """A replica's files cannot be used.
 
     Attributes:
-        path: The file or directory.
-        reason: What is wrong with it.
+        path: The file or directory that cannot be used.
+        reason: Why it cannot be used.
     """
 
     def __init__(self, path: str, reason: str) -> None:
@@ -74,16 +74,16 @@
 
 
 class StorageMissingError(StorageError):
-    """There are no files of a replica in the directory."""
+    """The directory has no files of a replica."""
 
 
 class StorageDamagedError(StorageError):
-    """The files do not hold what was written; the reason names the place."""
+    """A file's content differs from what a replica wrote; the reason says where."""
 
 
 class StorageInUseError(StorageError):
-    """Another process has locked the directory."""
+    """The directory is locked by another process."""
 
 
 class StorageFailedError(ChangelogError):
-    """A replica's storage did not take what it was given: the replica has to end."""
+    """A replica's storage failed to persist an effect, so that the replica has to stop."""
--- a/wickhinge/changelog/messages.py
+++ b/wickhinge/changelog/messages.py
@@ -1,8 +1,8 @@
 """Messages between replicas, relays and routers, and the packet that carries one.
 
 Ages and delays are durations in milliseconds by the sender's clock; no message carries a time of day. `token` and
-`echo` belong to the packet: a process that wants to know how old an answer can be draws a token, and the answer echoes
-the latest token that its sender had, with the delay since it came.
+`echo` are fields of the packet. A process that needs to know how old an answer can be draws a token and sends it; an
+answer echoes the latest token that its sender has received, together with the time since then.
 """
 
 from __future__ import annotations
@@ -12,14 +12,19 @@
 from wickhinge.changelog.entries import Entry
 
 OLDEST_FORMAT, NEWEST_FORMAT = 1, 2
-UNKNOWN_AGE_MS = 0xFFFFFFFF  # an age: nothing is known about how old the knowledge is
+# Value of an age field where the sender knows no time until which its log is complete.
+UNKNOWN_AGE_MS = 0xFFFFFFFF
 
 
 class Subscribe(msgspec.Struct, frozen=True):
-    """A subscriber's own heartbeat: the first one subscribes, later ones acknowledge, once a second.
+    """A subscriber's heartbeat, sent once a second: the first one subscribes, later ones acknowledge entries.
 
-    `number` and `digest` are those of the last entry applied. `heartbeats_only`: no entries are wanted.
-    `uninformed_ms` is the age of the subscriber's knowledge where that is over its bound, else 0.
+    Attributes:
+        epoch: The epoch of the subscriber's log.
+        number: The number of the last entry that the subscriber has applied.
+        digest: The digest of the subscriber's log after that entry.
+        heartbeats_only: Whether the source is asked for heartbeats alone, without entries.
+        uninformed_ms: The age of the subscriber's knowledge where it exceeds its bound, otherwise 0.
     """
 
     epoch: int
@@ -30,11 +35,18 @@
 
 
 class Unsubscribe(msgspec.Struct, frozen=True):
-    """The sender follows another one from now on."""
+    """The end of a subscription: the sender follows another source now."""
 
 
 class Heartbeat(msgspec.Struct, frozen=True):
-    """All that was committed `age_ms` ago has numbers up to `head`; `digest` is the log's at `head`."""
+    """The end of a source's log, without entries.
+
+    Attributes:
+        epoch: The log's epoch.
+        head: The number of the log's last entry. All entries that were committed `age_ms` ago have numbers up to it.
+        digest: The digest of the log after entry `head`.
+        age_ms: How long ago the log was known to be complete, in milliseconds.
+    """
 
     epoch: int
     head: int
@@ -43,9 +55,15 @@
 
 
 class Batch(msgspec.Struct, frozen=True):
-    """Entries `first` .. in order, at most MAX_BATCH_ENTRIES, and a heartbeat.
+    """Up to 255 consecutive entries, and the same information as in a heartbeat.
 
-    `digest` is the log's at the last of the entries; `head` may be past it.
+    Attributes:
+        epoch: The log's epoch.
+        first: The number of the first of the entries.
+        entries: The entries, in the order of their numbers.
+        digest: The digest of the log after the last of these entries.
+        head: The number of the log's last entry, which may be later than the last of these entries.
+        age_ms: How long ago the log was known to be complete, in milliseconds.
     """
 
     epoch: int
@@ -57,14 +75,14 @@
 
 
 class Fetch(msgspec.Struct, frozen=True):
-    """Entries from `number` on are wanted."""
+    """A request for the entries from `number` on."""
 
     epoch: int
     number: int
 
 
 class FetchSnapshot(msgspec.Struct, frozen=True):
-    """Part `part` of the snapshot at `number` is wanted; number 0: of any."""
+    """A request for part `part` of the snapshot at entry `number`, or of any snapshot where `number` is 0."""
 
     epoch: int
     number: int
@@ -72,7 +90,7 @@
 
 
 class SnapshotPart(msgspec.Struct, frozen=True):
-    """Part `part` of `parts` of an encoded snapshot at `number`."""
+    """One part of an encoded snapshot at entry `number`: the part with the index `part` out of `parts`."""
 
     epoch: int
     number: int
@@ -82,7 +100,10 @@
 
 
 class RequestVote(msgspec.Struct, frozen=True):
-    """A replica asks for a vote in `term`. `pre_vote`: it only asks whether it would get one."""
+    """A replica's request for a vote in `term`, or, if `pre_vote`, the question whether it would get that vote.
+
+    The candidate's log ends with entry `last_number`, which has the term `last_term`.
+    """
 
     epoch: int
     term: int
@@ -92,7 +113,7 @@
 
 
 class Vote(msgspec.Struct, frozen=True):
-    """The answer to RequestVote in `term`."""
+    """The answer to a RequestVote."""
 
     epoch: int
     term: int
@@ -108,10 +129,18 @@
 
 
 class Append(msgspec.Struct, frozen=True):
-    """A leader's records after `previous_number`, none in a plain heartbeat.
+    """A leader's message to another replica with records to append.
 
-    All that was stored at a majority `age_ms` ago has numbers up to `commit`. `first`: the leader retains records from
-    this number on; who needs earlier ones fetches a snapshot. `round` counts the leader's rounds of this message.
+    Attributes:
+        epoch: The log's epoch.
+        term: The leader's term.
+        previous_number: The number of the entry before the first of the records.
+        previous_term: The term of that entry.
+        records: The records, none where the message is only a heartbeat.
+        commit: The leader's commit number. All entries that a majority had stored `age_ms` ago have numbers up to it.
+        first: The number of the leader's first retained record. A replica that needs earlier ones fetches a snapshot.
+        age_ms: How long ago the committed entries were known to be complete, in milliseconds.
+        round: The number of the round in which the leader sent this message to all replicas.
     """
 
     epoch: int
@@ -126,9 +155,15 @@
 
 
 class Appended(msgspec.Struct, frozen=True):
-    """The answer to Append: the log agrees with the leader's up to `match`.
+    """The answer to an Append.
 
-    Where `success` is False, `match` is where the leader should try next.
+    Attributes:
+        epoch: The log's epoch.
+        term: The answering replica's term.
+        success: Whether the replica's log agreed with the leader's at the message's previous entry.
+        match: If `success`, the number up to which the logs agree now; otherwise the number after which the leader
+            should send records next.
+        round: The round of the Append.
     """
 
     epoch: int
@@ -154,16 +189,16 @@
 
 
 class Packet(msgspec.Struct, frozen=True):
-    """One datagram's content.
+    """The content of one datagram.
 
     Attributes:
         sender: The sending process's name.
-        format: The wire format of the body.
-        newest: The newest format that the sender reads.
-        token: The sender's token to be echoed, 0 for none.
-        echo: The receiver's latest token, 0 for none.
-        echo_delay_ms: How long before sending the sender had got it.
-        message: What is said.
+        format: The wire format of the message.
+        newest: The newest wire format that the sender reads.
+        token: A token of the sender's that the receiver is to echo, 0 for none.
+        echo: The latest token that the sender has received from the receiver, 0 for none.
+        echo_delay_ms: The time from the sender's receipt of that token to the sending of this packet.
+        message: The message.
     """
 
     sender: str
--- a/wickhinge/changelog/proposals.py
+++ b/wickhinge/changelog/proposals.py
@@ -1,4 +1,4 @@
-"""Proposals that a leader took and whose proposers wait for the outcome. No I/O."""
+"""A leader's accepted proposals, whose proposers wait for the outcome. No I/O."""
 
 from __future__ import annotations
 
@@ -12,16 +12,24 @@
 
 
 class ProposalOutcome(Enum):
-    """What became of a proposal."""
+    """The result of a proposal, as the proposer gets it."""
 
     COMMITTED = "committed"
-    SUPERSEDED = "another change has the number"  # the leader changed meanwhile
-    TIMED_OUT = "not committed in time"  # it may be, later
+    # The leader changed before the commit, and another change was committed under the proposal's number.
+    SUPERSEDED = "another change has the number"
+    # The proposal's deadline passed before the commit; the change may still be committed later.
+    TIMED_OUT = "not committed in time"
 
 
 @dataclass(frozen=True, slots=True)
 class Proposal:
-    """A change, the time by which it has to be committed, and a function that is called once with the outcome."""
+    """A proposed change whose proposer waits for the outcome.
+
+    Attributes:
+        change: The proposed change.
+        deadline: The time at which the proposer is told that the change timed out.
+        on_resolved: Called once with the outcome.
+    """
 
     change: Change
     deadline: float
@@ -31,8 +39,8 @@
 class Proposals:
     """Waiting proposals by number.
 
-    A replica that lost and regained its leadership may have two proposals of one number: the earlier one was
-    overtaken.
+    A replica that lost and regained its leadership may have two proposals with one number. Then another change has
+    superseded the earlier one.
     """
 
     def __init__(self) -> None:
@@ -42,14 +50,14 @@
         return len(self._waiting)
 
     def add(self, number: int, proposal: Proposal) -> None:
-        """Waits for the entry `number`; an earlier proposal of that number was overtaken."""
-        overtaken = self._waiting.get(number)
+        """Wait for the commit of entry `number`; an earlier proposal of that number ends as superseded."""
+        superseded = self._waiting.get(number)
         self._waiting[number] = proposal
-        if overtaken is not None:
-            overtaken.on_resolved(ProposalOutcome.SUPERSEDED)
+        if superseded is not None:
+            superseded.on_resolved(ProposalOutcome.SUPERSEDED)
 
     def resolve(self, entries: Iterable[Entry]) -> None:
-        """Ends the proposals whose numbers were committed, with their own change or another one."""
+        """End the proposals whose numbers these committed entries have, as committed or as superseded."""
         for entry in entries:
             proposal = self._waiting.pop(entry.number, None)
             if proposal is not None:
@@ -57,7 +65,7 @@
                 proposal.on_resolved(ProposalOutcome.COMMITTED if is_same else ProposalOutcome.SUPERSEDED)
 
     def tick(self, now: float) -> None:
-        """Ends the proposals whose deadline has passed."""
+        """End the proposals whose deadline has passed, as timed out."""
         due = [number for number, proposal in self._waiting.items() if now >= proposal.deadline]
         for number in due:
             self._waiting.pop(number).on_resolved(ProposalOutcome.TIMED_OUT)
--- a/wickhinge/changelog/sequencer.py
+++ b/wickhinge/changelog/sequencer.py
@@ -1,4 +1,4 @@
-"""Entries in the order of their numbers, each once: early ones are buffered, in bounds, until the gap is filled."""
+"""Delivery of entries in the order of their numbers, each once; a bounded buffer holds entries that arrive early."""
 
 from __future__ import annotations
 
@@ -9,24 +9,31 @@
 
 
 class Sequencer:
-    """Where a follower's log ends: `epoch`, `last`, `digest`. Epoch 0 before the first snapshot."""
+    """The end of a follower's log, and the entries that are buffered until the gap before them is filled.
+
+    Attributes:
+        epoch: The log's epoch, 0 before the first snapshot.
+        last_number: The number of the last entry that was applied.
+        digest: The digest of the log after that entry.
+        duplicate_count: Number of entries that were dropped because they had been applied before.
+    """
 
     def __init__(self, max_buffered_entries: int, max_digests: int) -> None:
         self.epoch = 0
         self.last_number = 0
         self.digest = EMPTY_DIGEST
-        self.duplicate_count = 0  # entries that were dropped because they had been applied
+        self.duplicate_count = 0
         self._max_buffered_entries, self._max_digests = max_buffered_entries, max_digests
         self._buffered: dict[int, Entry] = {}
         self._digests: OrderedDict[int, bytes] = OrderedDict()
 
     @property
     def has_buffered(self) -> bool:
-        """Whether entries wait for an earlier one."""
+        """Whether entries are buffered because an earlier one is missing."""
         return bool(self._buffered)
 
     def offer(self, entries: Iterable[Entry]) -> list[Entry]:
-        """Takes entries of this epoch; returns those that are next in order now, of these and the buffered ones."""
+        """Buffer entries of this epoch; return all buffered entries that follow the last one without a gap."""
         for entry in entries:
             if entry.number <= self.last_number:
                 self.duplicate_count += 1
@@ -40,18 +47,18 @@
         return ready
 
     def reset(self, epoch: int, number: int, digest: bytes) -> None:
-        """Puts the end of the log at `number` of `epoch`, and drops what was buffered."""
+        """Set the end of the log to `number` of `epoch`, and drop the buffered entries."""
         self.epoch, self.last_number, self.digest = epoch, number, digest
         self._buffered.clear()
         self._digests.clear()
         self._digests[number] = digest
 
     def drop_buffered(self) -> None:
-        """Drops the entries that wait for an earlier one."""
+        """Drop the entries that are buffered because an earlier one is missing."""
         self._buffered.clear()
 
     def digest_at(self, number: int) -> bytes | None:
-        """The digest after entry `number`; None where it is not remembered."""
+        """Return the digest of the log after entry `number`; None where it is no longer remembered."""
         return self._digests.get(number)
 
     def _advance(self, entry: Entry) -> None:
