--- a/tests/changelog/test_codec.py
+++ b/tests/changelog/test_codec.py
@@ -1,4 +1,4 @@
-"""The change log: packets as datagrams, and changes out of their bounds."""
+"""The encoding of packets as datagrams, and the validation of changes."""
 
 import pytest
 from hypothesis import given, settings
@@ -36,32 +36,32 @@
 
 
 @st.composite
-def entry_runs(draw):
-    epoch, first, run, size = draw(numbers), draw(numbers), [], 0
+def consecutive_entries(draw):
+    epoch, first, entries, size = draw(numbers), draw(numbers), [], 0
     for change in draw(st.lists(changes, min_size=1, max_size=60)):
         size += max_encoded_size(change) + codec.MAX_RECORD_OVERHEAD_BYTES
-        if run and size > codec.MAX_ENTRIES_BYTES:
+        if entries and size > codec.MAX_ENTRIES_BYTES:
             break
-        run.append(Entry(epoch, first + len(run), change))
-    return tuple(run)
+        entries.append(Entry(epoch, first + len(entries), change))
+    return tuple(entries)
 
 
 @st.composite
 def batches(draw):
-    entries = draw(entry_runs())
+    entries = draw(consecutive_entries())
     head = entries[-1].number + draw(st.integers(0, 1000))
     return messages.Batch(entries[0].epoch, entries[0].number, entries, draw(digests), head, draw(ages))
 
 
 @st.composite
 def appends(draw):
-    entries = draw(entry_runs())
+    entries = draw(consecutive_entries())
     records = tuple(Record(draw(numbers), entry) for entry in entries)
     rest = [draw(numbers) for _ in range(3)]
     return messages.Append(entries[0].epoch, 3, entries[0].number - 1, *rest[:1], records, *rest[1:], draw(ages), 7)
 
 
-some_messages = st.one_of(
+any_message = st.one_of(
     st.builds(messages.Subscribe, numbers, numbers, digests, st.booleans(), ages),
     st.just(messages.Unsubscribe()),
     st.builds(messages.Heartbeat, numbers, numbers, digests, ages),
@@ -78,17 +78,19 @@
 
 
 @settings(max_examples=150, deadline=None)
-@given(some_messages, st.sampled_from([(1, 1), (1, 2), (2, 2), (2, 9)]), tokens, tokens, ages)
-def test_packet_when_encoded_fits_a_datagram_and_decodes_to_the_same(message, formats, token, echo, held):
-    packet = Packet("n" * 32, *formats, token, echo, held if echo else 0, message)
+@given(any_message, st.sampled_from([(1, 1), (1, 2), (2, 2), (2, 9)]), tokens, tokens, ages)
+def test_packet_when_encoded_fits_a_datagram_and_decodes_to_the_same_packet(
+    message, formats, token, echo, echo_delay_ms
+):
+    packet = Packet("n" * 32, *formats, token, echo, echo_delay_ms if echo else 0, message)
     data = Codec(KEY, "sender").encode("router", packet)
     assert len(data) <= 1400
     assert Codec(KEY, "router").decode(data) == packet
 
 
 @settings(max_examples=150, deadline=None)
-@given(some_messages, st.data())
-def test_body_when_damaged_is_malformed_or_another_value(message, data):
+@given(any_message, st.data())
+def test_body_when_damaged_decodes_to_a_packet_or_raises_only_a_malformed_message_error(message, data):
     packet = Packet("n1", 2, 2, 5, 6, 7, message)
     body = bytearray(encode_header(packet) + encode_message(message, 2))
     for _ in range(data.draw(st.integers(1, 3))):
@@ -106,7 +108,7 @@
         Codec(KEY, "router").decode(data)
 
 
-def test_datagram_when_opened_by_another_receiver_or_key_is_malformed():
+def test_datagram_when_decoded_by_another_receiver_or_with_another_key_is_malformed():
     data = Codec(KEY, "relay").encode("router", Packet("relay", 2, 2, 0, 0, 0, messages.Fetch(1, 1)))
     for key, name in ((KEY, "router2"), (b"j" * 32, "router")):
         with pytest.raises(MalformedMessageError):
@@ -134,7 +136,7 @@
         validate_change(change)
 
 
-def test_number_when_over_the_maximum_is_malformed():
+def test_number_when_greater_than_the_maximum_is_malformed():
     body = encode_header(Packet("n", 2, 2, 0, 0, 0, None)) + encode_message(messages.Fetch(1, MAX_NUMBER + 1), 2)
     with pytest.raises(MalformedMessageError):
         decode_packet(body)
--- a/tests/changelog/test_log.py
+++ b/tests/changelog/test_log.py
@@ -1,4 +1,4 @@
-"""The change log: the log, its snapshots, the order of entries, and until when it is complete."""
+"""The in-memory log, its snapshots, the sequencer, and the confirmations of completeness."""
 
 import msgspec
 import pytest
@@ -21,10 +21,10 @@
 stamps = st.integers(0, MAX_STAMP_MS)
 
 
-def test_log_when_full_retains_its_last_entries_and_the_digest_before_them():
-    log, whole = log_of(50, retain=10), log_of(50)
-    assert (log.first_number, log.last_number, log.digest) == (41, 50, whole.digest)
-    assert log.digest_at(40) == whole.digest_at(40) and log.digest_at(39) is None and log.digest_at(51) is None
+def test_log_when_it_has_the_maximum_of_entries_retains_the_last_ones_and_the_digest_before_them():
+    log, full_log = log_of(50, retain=10), log_of(50)
+    assert (log.first_number, log.last_number, log.digest) == (41, 50, full_log.digest)
+    assert log.digest_at(40) == full_log.digest_at(40) and log.digest_at(39) is None and log.digest_at(51) is None
     assert [entry.number for entry in log.entries_from(49, 10_000, 255)] == [49, 50]
     assert log.entries_from(40, 10_000, 255) == log.entries_from(51, 10_000, 255) == ()
     assert len(log.entries_from(41, 1, 255)) == 1 and len(log.entries_from(41, 10_000, 3)) == 3
@@ -33,42 +33,42 @@
             log.append(Entry(epoch, number, purge(1)), 51.0)
 
 
-def test_digests_when_one_entry_differs_differ_from_there_on():
-    one, other = log_of(5), log_of(5)
-    one.append(Entry(1, 6, purge(6)), 6.0)
-    other.append(Entry(1, 6, purge(7)), 6.0)
-    for log in (one, other):
+def test_digests_when_one_entry_differs_are_different_from_that_entry_on():
+    log_a, log_b = log_of(5), log_of(5)
+    log_a.append(Entry(1, 6, purge(6)), 6.0)
+    log_b.append(Entry(1, 6, purge(7)), 6.0)
+    for log in (log_a, log_b):
         log.append(Entry(1, 7, purge(8)), 7.0)
-    assert [one.digest_at(number) == other.digest_at(number) for number in (5, 6, 7)] == [True, False, False]
+    assert [log_a.digest_at(number) == log_b.digest_at(number) for number in (5, 6, 7)] == [True, False, False]
 
 
-def test_snapshot_when_taken_holds_settings_in_force_and_recent_purges():
+def test_snapshot_when_taken_contains_settings_in_force_and_recent_purges():
     log = log_of(50)
     log.append(Entry(1, 51, Setting("b", b"old", 0)), 51.0)
     log.append(Entry(1, 52, Setting("b", b"new", 0)), 52.0)
     snapshot = log.snapshot(60.0)
     assert snapshot.settings == (Setting("b", b"new", 0),)
-    assert [one.key for one in snapshot.purges] == list(range(30, 51))
+    assert [purge.key for purge in snapshot.purges] == list(range(30, 51))
     other = log_of(2, epoch=1)
     other.load(msgspec.structs.replace(snapshot, epoch=2), 60.0)
-    assert {1, 2, 30, 50} <= {one.key for one in other.snapshot(61.0).purges}  # what it knew is kept
+    assert {1, 2, 30, 50} <= {purge.key for purge in other.snapshot(61.0).purges}  # Purges 1 and 2 were known before.
     assert (other.epoch, other.last_number, other.first_number, other.digest) == (2, 52, 53, log.digest)
 
 
 @settings(max_examples=50, deadline=None)
 @given(st.lists(st.tuples(st.integers(0, 2**64 - 1), stamps), max_size=300), st.randoms(use_true_random=False))
-def test_snapshot_when_parts_come_in_any_order_is_assembled(purges, rand):
+def test_snapshot_when_its_parts_arrive_in_any_order_is_assembled(purges, random):
     snapshot = Snapshot(
         3, 9, b"x" * 8, (Setting("a", b"v" * 1000, 5),) * 2, tuple(Purge(k, 0, t) for k, t in purges), True, 4
     )
     parts = list(split_snapshot(snapshot))
-    rand.shuffle(parts)
+    random.shuffle(parts)
     assembly = SnapshotAssembly("r0")
     assert [assembly.add(part) for part in parts[:-1]] == [None] * (len(parts) - 1)
     assert assembly.add(parts[-1]) == snapshot
 
 
-def test_assembly_when_a_part_is_damaged_or_of_another_snapshot_starts_anew():
+def test_assembly_when_a_part_is_damaged_or_of_another_snapshot_drops_the_earlier_parts():
     parts = split_snapshot(Snapshot(3, 9, b"x" * 8, (Setting("a", b"v" * 1000, 5),) * 2, ()))
     assembly = SnapshotAssembly("r0")
     assembly.add(msgspec.structs.replace(parts[0], payload=b"y" * len(parts[0].payload)))
@@ -80,23 +80,25 @@
 
 
 @given(st.lists(st.tuples(st.integers(1, 30), st.integers(1, 8)), max_size=40))
-def test_entries_when_offered_in_any_order_come_out_once_and_in_order(runs):
-    whole = log_of(40)
+def test_entries_when_offered_in_any_order_are_returned_once_and_in_order(runs):
+    full_log = log_of(40)
     sequencer = Sequencer(max_buffered_entries=20, max_digests=8)
-    sequencer.epoch, out = 1, []
+    sequencer.epoch, returned = 1, []
     for first, count in runs:
-        entries = whole.entries_from(first, 10_000, count)
-        out += [entry.number for entry in sequencer.offer(entries)]
+        entries = full_log.entries_from(first, 10_000, count)
+        returned += [entry.number for entry in sequencer.offer(entries)]
         assert len(sequencer._buffered) <= 20
-    assert out == list(range(1, sequencer.last_number + 1))
-    assert sequencer.digest == whole.digest_at(sequencer.last_number)
+    assert returned == list(range(1, sequencer.last_number + 1))
+    assert sequencer.digest == full_log.digest_at(sequencer.last_number)
 
 
 @given(st.lists(st.tuples(st.integers(0, 50), st.integers(0, 20), st.integers(0, 3)), max_size=60))
-def test_confirmation_when_its_number_is_reached_counts_and_the_latest_is_given(steps):
-    confirmations, told, last = Confirmations(), [], 0
+def test_confirmed_time_when_confirmations_numbers_are_reached_is_the_latest_of_theirs(steps):
+    confirmations, added, last_number = Confirmations(), [], 0
     for until, number, advance in steps:
         confirmations.add(float(until), number)
-        told.append((until, number))
-        last += advance
-        assert confirmations.confirmed_until(last) == max((t for t, n in told if n <= last), default=float("-inf"))
+        added.append((until, number))
+        last_number += advance
+        assert confirmations.confirmed_until(last_number) == max(
+            (t for t, n in added if n <= last_number), default=float("-inf")
+        )
--- a/tests/changelog/test_replicas_on_processes.py
+++ b/tests/changelog/test_replicas_on_processes.py
@@ -1,4 +1,4 @@
-"""The change log on real processes: what the replicas keep and take, and what an operator does with them."""
+"""Replicas as processes: elections, recovery from files, damaged datagrams, and an operator's commands."""
 
 import socket
 
@@ -23,16 +23,16 @@
 
 @pytest.fixture(scope="module")
 def fleet(tmp_path_factory):
-    with running(tmp_path_factory.mktemp("fleet")) as made:
-        yield made
+    with running(tmp_path_factory.mktemp("fleet")) as fleet_in_order:
+        yield fleet_in_order
 
 
-def test_leader_when_killed_is_replaced_and_comes_back_from_its_files(fleet):
+def test_leader_when_killed_is_replaced_and_recovers_from_its_files_as_a_follower(fleet):
     leader = fleet.leader()
     before = fleet.purge(0xD1)
     fleet.kill(leader)
     after = fleet.purge(0xD2)
-    assert after.number > before.number + 1  # the new leader's own entry is between
+    assert after.number > before.number + 1  # The new leader has appended an entry of its own between the two.
     assert fleet.maxage(0xD2) > 0
     fleet.start(leader)
     number = fleet.purge(0xD3).number
@@ -44,114 +44,120 @@
     eventually(caught_up)
 
 
-def test_replicas_when_all_are_killed_go_on_from_their_files(fleet):
+def test_replicas_when_all_are_killed_recover_from_their_files_and_commit_again(fleet):
     before = fleet.purge(0xD4)
     for name in REPLICAS:
         fleet.kill(name)
     for name in REPLICAS:
         fleet.start(name)
     after = fleet.purge(0xD5)
-    assert (after.epoch, after.number) == (before.epoch, before.number + 2)  # the new leader's own entry is between
+    assert (after.epoch, after.number) == (
+        before.epoch,
+        before.number + 2,
+    )  # The new leader's own entry is between the two.
     assert fleet.maxage(0xD4) > 0 and fleet.maxage(0xD5) > 0
 
 
-def test_replica_when_without_its_files_does_not_start(fleet):
+def test_replica_when_its_files_are_missing_exits_at_the_start(fleet):
     name = REPLICAS[0]
     fleet.stop(name)
-    folder = fleet.folder / "state" / name
-    folder.rename(fleet.folder / "aside")
+    directory = fleet.folder / "state" / name
+    directory.rename(fleet.folder / "aside")
     try:
         fleet.start(name).wait("--new begins a new log")
         assert fleet.processes[name].child.wait(PATIENT) == 2
     finally:
-        (fleet.folder / "aside").rename(folder)
+        (fleet.folder / "aside").rename(directory)
     fleet.start(name).wait('"event":"changelog_role"')
 
 
-def test_minority_when_alone_commits_nothing_and_routers_limit_ages(fleet):
-    lost = REPLICAS[:3]
+def test_replicas_when_a_majority_is_killed_commit_nothing_and_routers_limit_ages(fleet):
+    killed = REPLICAS[:3]
     number = fleet.purge(0xE0).number
 
-    def kill():
-        for name in lost:
+    def kill_majority():
+        for name in killed:
             fleet.kill(name)
 
-    assert uninformed_after(fleet, kill) <= BOUND_S + 0.5  # the kills take their time
+    assert uninformed_after(fleet, kill_majority) <= BOUND_S + 0.5  # 0.5 s are for killing three processes.
     assert not fleet.can_append(1.0)
     assert 0 < fleet.maxage(0xE1) <= LIMIT_S
     assert all(server.status.number <= number for server in fleet.servers() if server.status)
-    for name in lost:
+    for name in killed:
         fleet.start(name)
     fleet.event("informed")
     fleet.purge(0xE2)
     assert fleet.maxage(0xE2) > 0 and fleet.maxage(0xE3) is None
 
 
-def test_datagrams_when_repeated_or_damaged_change_nothing(fleet):
+def test_datagrams_when_repeated_or_damaged_are_counted_and_have_no_effect(fleet):
     fleet.hub.noisy = True
     try:
         fleet.purge(0xF1)
         assert fleet.maxage(0xF1) > 0
         fleet.client.append(Purge(0xF2, 0, 0), PATIENT)
-        between = lines_until(fleet.stand.router, '"key":"00000000000000f2"')
-        assert not [one for one in between if "00000000000000f1" in one]
+        lines_between = lines_until(fleet.stand.router, '"key":"00000000000000f2"')
+        assert not [line for line in lines_between if "00000000000000f1" in line]
         statuses = [server.status for server in fleet.servers()]
         assert all(status.counters.unreadable > 0 for status in statuses)
     finally:
         fleet.hub.noisy = False
 
 
-def test_settings_when_appended_are_applied_refused_by_name_or_shown_as_unknown(fleet):
-    with socket.create_server(("127.0.0.1", 0)) as elsewhere:
-        elsewhere.settimeout(PATIENT)
-        line = fleet.put("journal", f"127.0.0.1:{elsewhere.getsockname()[1]}".encode())
+def test_settings_when_appended_are_applied_or_reported_as_refused_or_unknown(fleet):
+    with socket.create_server(("127.0.0.1", 0)) as new_listener:
+        new_listener.settimeout(PATIENT)
+        line = fleet.put("journal", f"127.0.0.1:{new_listener.getsockname()[1]}".encode())
         assert '"in force"' in line
-        moved, _ = elsewhere.accept()
-        moved.settimeout(PATIENT)
-        assert len(moved.recv(8)) == 8
-        line = fleet.put("journal", b"nowhere")  # past the command line, which refuses it
+        watch, _ = new_listener.accept()
+        watch.settimeout(PATIENT)
+        assert len(watch.recv(8)) == 8
+        line = fleet.put(
+            "journal", b"nowhere"
+        )  # The command line would refuse this value, so the test appends it directly.
         assert "refused" in line and "is not an address" in line
         assert "unknown" in fleet.put("later", b"x")
-        moved.close()
-        moved, _ = elsewhere.accept()  # the address that was in force is still asked
-        moved.close()
+        watch.close()
+        watch, _ = new_listener.accept()  # The router still connects to the address that was in force before.
+        watch.close()
 
 
-def test_log_when_restored_from_a_backup_goes_on_in_a_higher_epoch(fleet):
+def test_log_when_restored_from_a_backup_continues_in_a_higher_epoch(fleet):
     fleet.put("kept", b"1")
     backup = fleet.folder / "backup"
     assert fleet.command("backup", str(backup))[0] == 0
     fleet.put("lost", b"1")
-    lost = fleet.client.append(Setting("lost", b"2", 0), PATIENT).number
+    last_number = fleet.client.append(Setting("lost", b"2", 0), PATIENT).number
     for name in REPLICAS:
         fleet.stop(name)
     restored = REPLICAS[:3]
     for name in restored:
         (fleet.folder / "state" / name).rename(fleet.folder / f"former-{name}")
-        code, told = fleet.command("restore", "--name", name, "--epoch", "2", str(backup))
-        assert (code, "epoch 2" in told) == (0, True)
+        exit_code, output = fleet.command("restore", "--name", name, "--epoch", "2", str(backup))
+        assert (exit_code, "epoch 2" in output) == (0, True)
     assert fleet.command("restore", "--name", restored[0], "--epoch", "2", str(backup))[0] == 2
-    for name in REPLICAS:  # two of them with the files of the former epoch
+    # The two replicas that were not restored start with their files of the former epoch.
+    for name in REPLICAS:
         fleet.start(name)
     assert '"epoch":2' in fleet.event("reset")
     answer = fleet.purge(0xAB)
-    assert answer.epoch == 2 and answer.number <= lost
+    assert answer.epoch == 2 and answer.number <= last_number
     assert fleet.maxage(0xAB) > 0
     eventually(lambda: all(server.status and server.status.epoch == 2 for server in fleet.servers()))
-    code, told = fleet.command("restore", "--name", restored[0], "--epoch", "2", str(backup))
-    assert (code, "runs in epoch 2" in told) == (2, True)
+    exit_code, output = fleet.command("restore", "--name", restored[0], "--epoch", "2", str(backup))
+    assert (exit_code, "runs in epoch 2" in output) == (2, True)
     eventually(lambda: not any(server.status.blank for server in fleet.servers() if server.status))
 
 
-def test_command_line_when_appending_waits_for_routers_and_shows_them(fleet):
-    code, told = fleet.command("append-purge", "00000000000000cd")
-    assert (code, "routers 1" in told) == (0, True)
+def test_command_line_when_it_appends_waits_for_routers_and_names_those_that_lack_the_entry(fleet):
+    exit_code, output = fleet.command("append-purge", "00000000000000cd")
+    assert (exit_code, "routers 1" in output) == (0, True)
     assert fleet.maxage(0xCD) > 0
     assert fleet.command("append-setting", "journal", "nowhere")[0] == 2
-    code, told = fleet.command("show")
-    assert (code, told.count("replica  "), told.count("relay  "), told.count("router  ")) == (0, 5, 2, 1)
+    exit_code, output = fleet.command("show")
+    assert (exit_code, output.count("replica  "), output.count("relay  "), output.count("router  ")) == (0, 5, 2, 1)
     cut_off(fleet, ROUTER, RELAYS, inward=True, outward=False)
-    code, told = fleet.command("append-purge", "00000000000000ce", "--timeout", "1")
-    assert (code, "router n1 lacks it" in told) == (1, True)
+    exit_code, output = fleet.command("append-purge", "00000000000000ce", "--timeout", "1")
+    assert (exit_code, "router n1 lacks it" in output) == (1, True)
     fleet.event("uninformed")
     heal(fleet)
--- a/tests/support/changelog_log.py
+++ b/tests/support/changelog_log.py
@@ -1,4 +1,4 @@
-"""Logs, and what a state machine is given of its process, as the change log's tests make them."""
+"""Logs and process contexts for the tests of the change log."""
 
 import msgspec
 
@@ -18,6 +18,7 @@
 
 
 def log_of(count, retain=100, epoch=1):
+    """Return a log of `count` purges, whose keys are the entries' numbers, of which the last `retain` are retained."""
     log = Log(retain, purge_horizon_s=30.0)
     log.load(msgspec.structs.replace(EMPTY_SNAPSHOT, epoch=epoch), 0.0)
     for number in range(1, count + 1):
