--- a/tests/changelog/test_replica.py
+++ b/tests/changelog/test_replica.py
@@ -114,7 +114,7 @@
     replica = group.replica
     for peer in ("p1", "p2"):
         group.deliver(peer, messages.Appended(1, 2, True, 1, 1))
-    assert replica.commit_number == 0  # A majority has stored the record, but its term is an earlier leader's.
+    assert replica.commit_number == 0  # The record that a majority has stored is of an earlier leader's term.
     group.deliver("p1", messages.Appended(1, 2, True, 2, 1))
     effects = group.deliver("p2", messages.Appended(1, 2, True, 2, 1))
     assert replica.commit_number == 2 and [type(effect) for effect in effects] == [Committed]
@@ -130,7 +130,8 @@
     for match in (7, 3, 0):
         [retry] = sent_messages(group.deliver("p2", messages.Appended(1, 5, False, match, 1)))
         assert (retry.previous_number, retry.records[0].entry.number) == (match, match + 1)
-    assert sent_messages(group.deliver("p2", messages.Appended(1, 5, False, 7, 1))) == []  # This answer is late.
+    # A late answer causes no message.
+    assert sent_messages(group.deliver("p2", messages.Appended(1, 5, False, 7, 1))) == []
     group.deliver("p2", messages.Appended(1, 5, True, 10, 1))
     assert group.replica.commit_number == 10
 
@@ -141,7 +142,7 @@
     round_began_at = group.now
     group.now += 0.3
     group.deliver("p1", messages.Appended(1, 1, True, 0, 1))
-    assert group.replica.confirmed_until() == float("-inf")  # The first record of its term is not committed.
+    assert group.replica.confirmed_until() == float("-inf")  # The first record of the leader's term is not committed.
     group.deliver("p1", messages.Appended(1, 1, True, 1, 1))
     assert group.replica.confirmed_until() == round_began_at
 
--- a/tests/changelog/test_replicas_on_processes.py
+++ b/tests/changelog/test_replicas_on_processes.py
@@ -23,8 +23,8 @@
 
 @pytest.fixture(scope="module")
 def fleet(tmp_path_factory):
-    with running(tmp_path_factory.mktemp("fleet")) as fleet_in_order:
-        yield fleet_in_order
+    with running(tmp_path_factory.mktemp("fleet")) as started_fleet:
+        yield started_fleet
 
 
 def test_leader_when_killed_is_replaced_and_recovers_from_its_files_as_a_follower(fleet):
@@ -32,7 +32,8 @@
     before = fleet.purge(0xD1)
     fleet.kill(leader)
     after = fleet.purge(0xD2)
-    assert after.number > before.number + 1  # The new leader has appended an entry of its own between the two.
+    # The new leader has appended an entry of its own between the two.
+    assert after.number > before.number + 1
     assert fleet.maxage(0xD2) > 0
     fleet.start(leader)
     number = fleet.purge(0xD3).number
@@ -51,10 +52,8 @@
     for name in REPLICAS:
         fleet.start(name)
     after = fleet.purge(0xD5)
-    assert (after.epoch, after.number) == (
-        before.epoch,
-        before.number + 2,
-    )  # The new leader's own entry is between the two.
+    # The new leader has appended an entry of its own between the two.
+    assert (after.epoch, after.number) == (before.epoch, before.number + 2)
     assert fleet.maxage(0xD4) > 0 and fleet.maxage(0xD5) > 0
 
 
@@ -79,7 +78,7 @@
         for name in killed:
             fleet.kill(name)
 
-    assert uninformed_after(fleet, kill_majority) <= BOUND_S + 0.5  # 0.5 s are for killing three processes.
+    assert uninformed_after(fleet, kill_majority) <= BOUND_S + 0.5  # Killing three processes takes some of the 0.5 s.
     assert not fleet.can_append(1.0)
     assert 0 < fleet.maxage(0xE1) <= LIMIT_S
     assert all(server.status.number <= number for server in fleet.servers() if server.status)
@@ -112,9 +111,8 @@
         watch, _ = new_listener.accept()
         watch.settimeout(PATIENT)
         assert len(watch.recv(8)) == 8
-        line = fleet.put(
-            "journal", b"nowhere"
-        )  # The command line would refuse this value, so the test appends it directly.
+        # The command line would refuse this value, so the test appends it directly.
+        line = fleet.put("journal", b"nowhere")
         assert "refused" in line and "is not an address" in line
         assert "unknown" in fleet.put("later", b"x")
         watch.close()
--- a/tests/changelog/test_storage.py
+++ b/tests/changelog/test_storage.py
@@ -33,7 +33,7 @@
     Persist(1, 1, "r1", 0, ()),
     Persist(1, 1, "r1", 0, make_records(1, 3)),
     Persist(1, 2, "", 3, ()),
-    # This one truncates one record, and its block is too long for the disk to write it as a whole.
+    # A Persist that truncates one record, and whose block is too long for the disk to write it as a whole.
     Persist(1, 2, "r2", 2, make_records(3, 40, term=2)),
     PersistSnapshot(make_snapshot(10), False),
     Persist(1, 2, "r2", 42, make_records(43, 2, term=2)),
@@ -113,22 +113,22 @@
     assert STATES[10].records[-1].entry.number == 65
 
 
-def fail_each_call(how):
+def fail_each_call(fault):
     """Let each call fail in turn, and check what is recovered.
 
-    After each failure the program restarts, and in a second check the machine, which loses data that was not synced.
+    After each failure, once the machine restarts, which loses data that was not synced, and once only the program.
     """
     for call in range(1, CALL_COUNT + 1):
         for seed in SEEDS:
-            disk = Disk((call, how))
-            persisted_count = run_effects(disk)
+            disk = Disk((call, fault))
+            persisted = run_effects(disk)
             for lost in (True, False):
-                assert recover(disk.restarted(seed, lost)) in expected_states(persisted_count), (call, how, seed, lost)
+                assert recover(disk.restarted(seed, lost)) in expected_states(persisted), (call, fault, seed, lost)
 
 
-@pytest.mark.parametrize("how", [errno.EIO, errno.ENOSPC, "tear", "crash"])
-def test_file_storage_when_any_call_fails_recovers_all_persisted_effects(how):
-    fail_each_call(how)
+@pytest.mark.parametrize("fault", [errno.EIO, errno.ENOSPC, "tear", "crash"])
+def test_file_storage_when_any_call_fails_recovers_all_persisted_effects(fault):
+    fail_each_call(fault)
 
 
 def test_recovery_when_it_crashes_at_any_call_is_completed_by_the_next_recovery():
@@ -148,7 +148,8 @@
 def test_file_storage_when_a_sync_has_failed_rejects_all_later_effects():
     disk = Disk()
     file_storage = FileStorage.create(DIRECTORY, StoredState(), disk)
-    disk.fault = (disk.calls + 2, errno.EIO)  # The second call is the sync.
+    # The first call of the file layer in `persist` is the write, the second one the sync, which fails here.
+    disk.fault = (disk.calls + 2, errno.EIO)
     with pytest.raises(OSError):
         file_storage.persist(EFFECTS[0])
     with pytest.raises(OSError, match="earlier write failed"):
--- a/wickhinge/changelog/ballot.py
+++ b/wickhinge/changelog/ballot.py
@@ -13,7 +13,7 @@
     """The role of a replica in its term. The values are used in answers to operators."""
 
     FOLLOWER = "follower"
-    # The replica asks the others whether they would vote for it.
+    # A pre-candidate asks the other replicas whether they would vote for it.
     PRE_CANDIDATE = "prober"
     CANDIDATE = "candidate"
     LEADER = "leader"
--- a/wickhinge/changelog/codec.py
+++ b/wickhinge/changelog/codec.py
@@ -20,14 +20,14 @@
 
 DATAGRAM_MAGIC = b"WL1"
 MAX_PROCESS_NAME_BYTES = 32
-# Formats, flags, the sender's name, token, echo, echo delay and the length of the name.
+# Greatest size of a header: formats, flags, the sender's name, token, echo, echo delay and the length of the name.
 MAX_HEADER_BYTES = 1 + 1 + MAX_PROCESS_NAME_BYTES + 8 + 8 + 5 + 1
 MAX_BODY_BYTES = MAX_DATAGRAM_BYTES - len(DATAGRAM_MAGIC) - MAC_BYTES - MAX_HEADER_BYTES
-# Bytes of a Batch or an Append without its entries.
+# Greatest size of a Batch or an Append without its entries.
 MAX_MESSAGE_FIELDS_BYTES = 80
-# Bytes of all entries of a message, as `entries.max_encoded_size` counts them.
+# Greatest size of all entries of a message together, each as counted by `entries.max_encoded_size`.
 MAX_ENTRIES_BYTES = MAX_BODY_BYTES - MAX_MESSAGE_FIELDS_BYTES
-# Bytes of a record without its change.
+# Greatest size of a record without its change.
 MAX_RECORD_OVERHEAD_BYTES = 10
 MAX_BATCH_ENTRIES = 255
 HAS_TOKEN_FLAG, HAS_ECHO_FLAG = 1, 2
--- a/wickhinge/changelog/errors.py
+++ b/wickhinge/changelog/errors.py
@@ -25,7 +25,7 @@
 
 
 class InvalidChangeError(ChangelogError, ValueError):
-    """A change has a field that is out of its bounds, so that no log may contain it; the text names the field."""
+    """A change has a field that is out of its bounds, so that no log may contain it."""
 
 
 class OutOfOrderError(ChangelogError, ValueError):
--- a/wickhinge/changelog/leadership.py
+++ b/wickhinge/changelog/leadership.py
@@ -5,7 +5,7 @@
 from collections import OrderedDict
 from collections.abc import Iterable, Mapping
 
-# Rounds that are remembered until a majority has answered them; beyond that the oldest is dropped.
+# Number of rounds that are remembered until a majority has answered them; beyond it the oldest round is dropped.
 MAX_PENDING_ROUNDS = 1024
 
 
--- a/wickhinge/changelog/proposals.py
+++ b/wickhinge/changelog/proposals.py
@@ -15,7 +15,7 @@
     """The result of a proposal, as the proposer gets it."""
 
     COMMITTED = "committed"
-    # The leader changed before the commit, and another change was committed under the proposal's number.
+    # Another change was committed under the proposal's number, as the leader changed before the commit.
     SUPERSEDED = "another change has the number"
     # The proposal's deadline passed before the commit; the change may still be committed later.
     TIMED_OUT = "not committed in time"
--- a/wickhinge/changelog/records.py
+++ b/wickhinge/changelog/records.py
@@ -83,10 +83,11 @@
 
         Returns:
             None where the leader's records after `previous` can be appended; otherwise the number after which the
-            leader should send its records next time.
+            leader should send its records next time. Unless this log ends earlier, that is `commit_number` at least,
+            because committed entries are the same in both logs.
         """
         if previous < self.base_number:
-            return None  # The entry is committed, hence it is the same in both logs.
+            return None  # An entry before the base is committed, hence the same in both logs.
         term = self.term_at(previous)
         if term is None:
             return self.last_number
--- a/wickhinge/changelog/replica.py
+++ b/wickhinge/changelog/replica.py
@@ -35,8 +35,7 @@
 from wickhinge.changelog.snapshots import SnapshotFetch
 from wickhinge.changelog.stored import StoredState
 
-# Least time between two rounds that are sent at once for new records. Records that are appended sooner after a round
-# are sent at the next tick.
+# A new record is sent at once only if the latest round began at least this long ago; otherwise at the next tick.
 MIN_BROADCAST_INTERVAL_S = 0.01
 
 
@@ -79,7 +78,7 @@
         for record in () if self.is_blank else stored_state.records:
             self.records.append(record)
         self._feed = Feed(context, self.log, settings.feed, now, self._term_or_zero)
-        # None unless this replica is the leader.
+        # State of the current leadership; None unless this replica is the leader.
         self._leadership: Leadership | None = None
         self._snapshot_fetch = SnapshotFetch()
 
--- a/wickhinge/changelog/storage.py
+++ b/wickhinge/changelog/storage.py
@@ -109,7 +109,7 @@
         self._records_handle = -1
         # Position in the records file after its last complete block, where the next block is written.
         self._records_end = 0
-        # Checksum of the last complete block.
+        # Checksum of the last complete block of the records file.
         self._last_checksum = b""
         self._has_failed = False
 
