--- a/tests/changelog/test_replica.py
+++ b/tests/changelog/test_replica.py
@@ -48,11 +48,11 @@
         return effects
 
 
-def record(term, number):
+def make_record(term, number):
     return Record(term, Entry(1, number, purge(number)))
 
 
-def append(term, previous, previous_term, *records, commit=0, first=1):
+def make_append(term, previous, previous_term, *records, commit=0, first=1):
     return messages.Append(1, term, previous, previous_term, records, commit, first, UNKNOWN_AGE_MS, 1)
 
 
@@ -84,29 +84,29 @@
 
 
 def test_vote_when_the_candidate_lacks_records_or_a_leader_is_known_is_denied():
-    group = ReplicaGroup(StoredState(term=2, records=(record(2, 1), record(2, 2))))
+    group = ReplicaGroup(StoredState(term=2, records=(make_record(2, 1), make_record(2, 2))))
     for last, last_term in ((1, 2), (9, 1)):
         assert not sent_messages(group.deliver("p1", messages.RequestVote(1, 3, last, last_term, False)))[0].granted
-    group.deliver("p1", append(3, 2, 2))
+    group.deliver("p1", make_append(3, 2, 2))
     assert not sent_messages(group.deliver("p2", messages.RequestVote(1, 4, 2, 2, True)))[0].granted
     assert group.replica.term == 3
 
 
 def test_append_when_accepted_is_persisted_before_the_answer_and_replaces_conflicting_records():
     group = ReplicaGroup()
-    effects = group.deliver("p1", append(1, 0, 0, record(1, 1), record(1, 2)))
+    effects = group.deliver("p1", make_append(1, 0, 0, make_record(1, 1), make_record(1, 2)))
     assert [type(effect) for effect in effects[-2:]] == [Persist, Send]
-    effects = group.deliver("p2", append(2, 1, 1, record(2, 2), commit=2))
+    effects = group.deliver("p2", make_append(2, 1, 1, make_record(2, 2), commit=2))
     assert [effect.truncate_after for effect in effects if isinstance(effect, Persist) and effect.records] == [1]
     assert [effect.entries[-1].number for effect in effects if isinstance(effect, Committed)] == [2]
-    [answer] = sent_messages(group.deliver("p2", append(2, 7, 2, record(2, 8))))
+    [answer] = sent_messages(group.deliver("p2", make_append(2, 7, 2, make_record(2, 8))))
     assert (answer.success, answer.match) == (False, 2)
-    [answer] = sent_messages(group.deliver("p1", append(1, 0, 0, record(1, 1))))
+    [answer] = sent_messages(group.deliver("p1", make_append(1, 0, 0, make_record(1, 1))))
     assert (answer.success, answer.term) == (False, 2)
 
 
 def test_leader_when_a_majority_has_stored_a_record_of_its_term_commits():
-    group = ReplicaGroup(StoredState(term=1, records=(record(1, 1),)), count=5)
+    group = ReplicaGroup(StoredState(term=1, records=(make_record(1, 1),)), count=5)
     group.run_until_campaign()
     for pre_vote in (True, False):
         for peer in ("p1", "p2"):
@@ -122,7 +122,7 @@
 
 
 def test_leader_when_a_peers_log_differs_sends_earlier_records_until_the_logs_agree():
-    records = tuple(record(1 + number // 4, number) for number in range(1, 10))
+    records = tuple(make_record(1 + number // 4, number) for number in range(1, 10))
     group = ReplicaGroup(StoredState(term=4, records=records))
     group.run_until_campaign()
     for pre_vote in (True, False):
@@ -160,32 +160,32 @@
 
 def test_replica_when_the_leader_has_discarded_records_that_it_lacks_loads_a_snapshot():
     group = ReplicaGroup()
-    group.deliver("p1", append(3, 40, 2, first=41))
+    group.deliver("p1", make_append(3, 40, 2, first=41))
     group.now += TICK_S
     requests = sent_messages(group.replica.tick(group.now))
     assert messages.FetchSnapshot(1, 0, 0) in requests
     snapshot = msgspec.structs.replace(log_of(40).snapshot(40.0), term=2)
     effects = [effect for part in split_snapshot(snapshot) for effect in group.deliver("p1", part)]
     assert effects == [PersistSnapshot(snapshot, True)]
-    [answer] = sent_messages(group.deliver("p1", append(3, 40, 2, record(3, 41), commit=41, first=41)))
+    [answer] = sent_messages(group.deliver("p1", make_append(3, 40, 2, make_record(3, 41), commit=41, first=41)))
     assert (answer.success, answer.match, group.replica.commit_number) == (True, 41, 41)
 
 
 def test_records_when_a_snapshot_is_persisted_are_discarded_up_to_the_retained_ones():
     group = ReplicaGroup()
-    effects = group.deliver("p1", append(1, 0, 0, *(record(1, number) for number in range(1, 11)), commit=10))
+    effects = group.deliver("p1", make_append(1, 0, 0, *(make_record(1, number) for number in range(1, 11)), commit=10))
     [persisted] = [effect for effect in effects if isinstance(effect, PersistSnapshot)]
     assert (persisted.snapshot.number, persisted.snapshot.term, persisted.clear) == (10, 1, False)
     assert (group.replica.records.base_number, group.replica.commit_number) == (6, 10)
 
 
 def test_replica_when_a_message_has_a_higher_epoch_persists_the_epoch_and_is_blank():
-    group = ReplicaGroup(StoredState(term=2, vote="p1", records=(record(2, 1),)))
+    group = ReplicaGroup(StoredState(term=2, vote="p1", records=(make_record(2, 1),)))
     request = messages.RequestVote(5, 1, 9, 0, False)
     effects = group.deliver("p1", request)
     assert [type(effect) for effect in effects[:2]] == [Persist, PersistSnapshot]
     assert (effects[0].epoch, effects[0].term, effects[0].vote, effects[0].truncate_after) == (5, 0, "", 0)
     assert sent_messages(effects)[-1] == messages.Vote(5, 1, True, False)
-    assert group.deliver("p2", append(9, 1, 2, record(2, 2))) == []
+    assert group.deliver("p2", make_append(9, 1, 2, make_record(2, 2))) == []
     group.now += 60.0
     assert sent_messages(group.replica.tick(group.now)) == []  # A blank replica does not stand for election.
--- a/wickhinge/changelog/leadership.py
+++ b/wickhinge/changelog/leadership.py
@@ -18,22 +18,22 @@
     Attributes:
         match_numbers: By peer, the number up to which the logs are known to agree.
         next_numbers: By peer, the number of the first record in the next message.
-        probing: The peers whose logs are not known to agree with the leader's at any number. Their next number stays as
-            it is until they answer.
+        probing_peers: The peers whose logs are not known to agree with the leader's at any number. Their next number
+            stays as it is until they answer.
         round_number: The number of the latest round.
         broadcast_at: When the latest round began.
         confirmed_at: When a majority last answered a round.
-        has_unsent: Whether records have been appended since the latest round.
+        has_unsent_records: Whether records have been appended since the latest round.
     """
 
     def __init__(self, peers: Iterable[str], last_number: int, now: float) -> None:
         self.match_numbers = dict.fromkeys(peers, 0)
         self.next_numbers = dict.fromkeys(self.match_numbers, last_number + 1)
-        self.probing = set(self.match_numbers)
+        self.probing_peers = set(self.match_numbers)
         self.round_number = 0
         self.broadcast_at = now
         self.confirmed_at = now
-        self.has_unsent = False
+        self.has_unsent_records = False
         self._answered_rounds = dict.fromkeys(self.match_numbers, 0)
         # By round, the time when it began and the last number of the log at that time.
         self._pending_rounds: OrderedDict[int, tuple[float, int]] = OrderedDict()
@@ -41,7 +41,7 @@
     def begin_round(self, now: float, last_number: int) -> None:
         """Record that a round begins, with `last_number` as the end of the leader's log."""
         self.round_number += 1
-        self.broadcast_at, self.has_unsent = now, False
+        self.broadcast_at, self.has_unsent_records = now, False
         self._pending_rounds[self.round_number] = now, last_number
         if len(self._pending_rounds) > MAX_PENDING_ROUNDS:
             self._pending_rounds.popitem(last=False)
@@ -67,12 +67,12 @@
 
         Unless the peer is being probed, the next message continues after them without waiting for an answer.
         """
-        if peer not in self.probing:
+        if peer not in self.probing_peers:
             self.next_numbers[peer] = last_number + 1
 
     def record_accepted(self, peer: str, match_number: int) -> None:
         """Record that a peer's log agrees with the leader's up to `match_number`."""
-        self.probing.discard(peer)
+        self.probing_peers.discard(peer)
         self.match_numbers[peer] = max(self.match_numbers[peer], match_number)
         self.next_numbers[peer] = max(self.next_numbers[peer], self.match_numbers[peer] + 1)
 
@@ -82,7 +82,7 @@
         Returns:
             Whether the peer's next number is lower than before. It is not where the answer is late.
         """
-        self.probing.add(peer)
+        self.probing_peers.add(peer)
         following = max(match_number, self.match_numbers[peer]) + 1
         is_earlier = following < self.next_numbers[peer]
         self.next_numbers[peer] = min(self.next_numbers[peer], following)
--- a/wickhinge/changelog/replica.py
+++ b/wickhinge/changelog/replica.py
@@ -65,9 +65,9 @@
     ) -> None:
         self._context, self._settings = context, settings
         self._peers = tuple(peer for peer in replicas if peer != context.name)
-        self._formats = dict.fromkeys(self._peers, OLDEST_FORMAT)
-        self._tokens = {peer: ReceivedToken() for peer in self._peers}
-        self._echo = EchoTokenClock(context.session)
+        self._newest_formats = dict.fromkeys(self._peers, OLDEST_FORMAT)
+        self._received_tokens = {peer: ReceivedToken() for peer in self._peers}
+        self._echo_tokens = EchoTokenClock(context.session)
         self._pending_effects: list[Effect] = []
         self._confirmations = Confirmations()
         self.log = Log(settings.retain, settings.purge_horizon_s)
@@ -125,12 +125,12 @@
         message = packet.message
         if not isinstance(message, RequestVote | Vote | Append | Appended | SnapshotPart):
             return list(self._feed.receive(packet, now, self.confirmed_until()))
-        if packet.sender not in self._tokens or message.epoch < self.epoch:
+        if packet.sender not in self._received_tokens or message.epoch < self.epoch:
             return []
         if message.epoch > self.epoch:
             self._adopt_epoch(message.epoch, now)
-        self._formats[packet.sender] = packet.newest
-        self._tokens[packet.sender].record(packet.token, now)
+        self._newest_formats[packet.sender] = packet.newest
+        self._received_tokens[packet.sender].record(packet.token, now)
         if isinstance(message, RequestVote):
             self._on_request_vote(packet.sender, message, now)
         elif isinstance(message, Vote):
@@ -163,7 +163,7 @@
             raise OverloadedError
         self._append_own(change)
         self._pending_effects.append(Accepted(self.records.last_number, self.term))
-        self._leadership.has_unsent = True
+        self._leadership.has_unsent_records = True
         if now - self._leadership.broadcast_at >= MIN_BROADCAST_INTERVAL_S:
             self._broadcast(self._leadership, now)
         self._commit_stored_at_majority(self._leadership, now)
@@ -243,7 +243,7 @@
         if self._peers and now - leadership.confirmed_at > 2 * self._settings.election_timeout_s:
             # Step down, as no majority has answered for two election timeouts.
             self._follow("", now)
-        elif leadership.has_unsent or now - leadership.broadcast_at >= self._settings.heartbeat_interval_s:
+        elif leadership.has_unsent_records or now - leadership.broadcast_at >= self._settings.heartbeat_interval_s:
             self._broadcast(leadership, now)
 
     def _append_own(self, change: Change) -> None:
@@ -305,7 +305,7 @@
         if message.term > self.term:
             self._enter_term(message.term, now)
         self._follow(packet.sender, now)
-        sent_after = self._echo.sent_after(packet.echo, packet.echo_delay_ms)
+        sent_after = self._echo_tokens.sent_after(packet.echo, packet.echo_delay_ms)
         until = None if sent_after is None else complete_until(min(sent_after, now), message.age_ms)
         if until is not None:
             self._confirmations.add(until, message.commit)
@@ -328,7 +328,7 @@
 
     def _reply(self, leader: str, message: Append, success: bool, match: int, now: float) -> None:
         answer = Appended(self.epoch, self.term, success, match, message.round)
-        self._send(leader, answer, now, self._echo.draw(now))
+        self._send(leader, answer, now, self._echo_tokens.draw(now))
 
     # Methods for snapshots and epochs.
 
@@ -395,8 +395,8 @@
 
     def _send(self, to: str, message: Message, now: float, token: int = 0) -> None:
         newest_format = self._context.newest_format
-        written_format = min(newest_format, self._formats[to])
-        echo, delay_ms = self._tokens[to].value, self._tokens[to].delay_ms(now)
+        written_format = min(newest_format, self._newest_formats[to])
+        echo, delay_ms = self._received_tokens[to].value, self._received_tokens[to].delay_ms(now)
         packet = Packet(self._context.name, written_format, newest_format, token, echo, delay_ms, message)
         self._pending_effects.append(Send(to, packet))
 
