--- a/tests/changelog/test_storage.py
+++ b/tests/changelog/test_storage.py
@@ -142,7 +142,7 @@
                 FileStorage.open(DIRECTORY, second)
             except (CrashError, StorageMissingError):
                 pass
-            assert recover(second.restarted(second_call)) in expected_states(persisted_count), (call, second_call)
+            assert recover(second.after_restart(second_call)) in expected_states(persisted_count), (call, second_call)
 
 
 def test_file_storage_when_a_sync_has_failed_rejects_all_later_effects():
@@ -188,7 +188,7 @@
         file_storage.persist(EFFECTS[3])
     second = disk.after_restart(1, power_lost=False)
     FileStorage.open(DIRECTORY, second).persist(EFFECTS[0])
-    third = FileStorage.open(DIRECTORY, second.restarted(1, lost=False))
+    third = FileStorage.open(DIRECTORY, second.after_restart(1, power_lost=False))
     assert (third.stored_state.term, third.stored_state.records) == (1, ())
 
 
--- a/wickhinge/membership/controller.py
+++ b/wickhinge/membership/controller.py
@@ -199,7 +199,7 @@
                     for statement in self.statements.endpoints.values()
                 ]
             )
-            self._change_source(ListSource.LIVE, now, "stored list, with all later events received")
+            self._change_source(ListSource.LIVE, now, "stored list, and caught up")
         if self._has_complete_live_list:
             self._purge_gap.end(now)
 
