--- a/bench/discovery.py
+++ b/bench/discovery.py
@@ -31,8 +31,8 @@
     Request,
     RequestClass,
 )
-from wickhinge.lab.play import emulated
-from wickhinge.lab.wheel import Wheel
+from wickhinge.lab.event_queue import EventQueue
+from wickhinge.lab.simulation import build_router
 from wickhinge.membership.controller import MembershipController
 from wickhinge.membership.endpoint_list_file import EndpointListFile
 from wickhinge.membership.port import EndpointListing, MembershipSettings
@@ -323,7 +323,7 @@
     SPAN, MULTIPLE, FLOOR, WARM = 3.0, 4.0, 0.2, 10.0
 
     def __init__(self, routers: int, seed: int, blind: bool, load: float) -> None:
-        self.wheel, self.random = Wheel(1000.0), random.Random(seed)
+        self.wheel, self.random = EventQueue(1000.0), random.Random(seed)
         self.began, self.routers, self.blind = self.now, [], blind
         self.cells = {mark: Cell(4.0) for mark in range(1, 9)} | {100: Cell(40.0), 101: Cell(40.0), 200: Cell(1e6)}
         self.request_class = RequestClass(
@@ -357,7 +357,7 @@
         return self.wheel.now
 
     def at(self, when: float, call: Any) -> None:
-        self.wheel.at(when, call)
+        self.wheel.call_at(when, call)
 
     def add(self, number: int, routers: int) -> None:
         chance = RandomSource(number + 1)
@@ -366,7 +366,7 @@
             check_health=lambda cache: None,
             watch=lambda: None,
         )
-        made = emulated(outside, chance, "here", routers, (self.MULTIPLE, self.SPAN, self.FLOOR, self.WARM))
+        made = build_router(outside, chance, "here", routers, (self.MULTIPLE, self.SPAN, self.FLOOR, self.WARM))
         made.mean_work_by_class["clips"] = 0.1
 
         port = HerdPort(self, made)
--- a/bench/lab.py
+++ b/bench/lab.py
@@ -18,9 +18,9 @@
 import psutil
 
 from bench import told
-from wickhinge.lab.play import Play
-from wickhinge.lab.scenario import check
-from wickhinge.lab.wheel import Wheel
+from wickhinge.lab.event_queue import EventQueue
+from wickhinge.lab.scenario import parse_scenario
+from wickhinge.lab.simulation import Simulation
 
 
 @click.group()
@@ -34,7 +34,7 @@
     def __init__(self) -> None:
         self.now, self.heap, self.serial = 0.0, [], 0
 
-    def after(self, delay: float, call: Any, *args: Any) -> None:
+    def call_after(self, delay: float, call: Any, *args: Any) -> None:
         self.serial += 1
         heappush(self.heap, (self.now + delay, self.serial, call, args))
 
@@ -53,10 +53,10 @@
     def call(place: int) -> None:
         left[0] -= 1
         if left[0] > 0:
-            queue.after(delays[place & 4095], call, place + 17)
+            queue.call_after(delays[place & 4095], call, place + 17)
 
     for place in range(pending):
-        queue.after(delays[place & 4095], call, place)
+        queue.call_after(delays[place & 4095], call, place)
     began = time.perf_counter()
     while left[0] > 0:
         queue.run(queue.now + 1.0)
@@ -77,7 +77,7 @@
     by_size: dict[int, dict[str, float]] = {}
     for size in sizes:
         virtual = seconds if size < 1000 else seconds / 5  # scaled down: its figures are a visit's and an event's
-        made = check(
+        made = parse_scenario(
             f'name: "speed"\nseconds: {virtual}\nwarm_s: 0\nzones: {max(size // 10, 1)}\n'
             f"routers: {max(size // 2, 1)}\ncaches: {size}\n"
             f"parents: {max(size // 10, 1)}\nvisits_per_s: {8 * size}\nobjects: {200 * size}\n",
@@ -85,12 +85,12 @@
         )
         costs, visits = [], []
         for turn in range(rounds if size < 1000 else 1):
-            played = Play(msgspec.structs.replace(made, seed=turn))
+            played = Simulation(msgspec.structs.replace(made, seed=turn))
             began = time.perf_counter()
             played.run()
             took = time.perf_counter() - began
-            costs.append(took / played.wheel.done * 1e6)
-            visits.append(played.count / took)
+            costs.append(took / played.events.processed_count * 1e6)
+            visits.append(played.request_count / took)
         by_size[size] = {
             "us_an_event": round(statistics.median(costs), 2),
             "visits_per_s": round(statistics.median(visits)),
@@ -103,7 +103,7 @@
         ratios = []
         for _round in range(rounds):
             plain = churned(Heap(), pending, 300_000)
-            ratios.append(churned(Wheel(), pending, 300_000) / plain)
+            ratios.append(churned(EventQueue(), pending, 300_000) / plain)
         answer[f"wheel_over_heapq_{pending}_ratio"] = round(statistics.median(ratios), 3)
         answer[f"wheel_over_heapq_{pending}_spread"] = [round(min(ratios), 3), round(max(ratios), 3)]
     told(answer)
--- a/bench/scale/day.py
+++ b/bench/scale/day.py
@@ -12,7 +12,7 @@
 from bench.scale.day_faults import Counts
 from bench.scale.design import DAY, PURGES, REGIONS, ROUTERS, ZONES
 from wickhinge.changelog.settings import ReplicaSettings
-from wickhinge.lab.changelog.world import RETAIN
+from wickhinge.lab.changelog.world import RETAINED_ENTRIES
 
 DESIGN_RETAIN = ReplicaSettings().retain
 
@@ -85,7 +85,7 @@
         Lowered("seconds", size.seconds, DAY),
         Lowered("followers of the change log", size.followers, ROUTERS),
         Lowered("changes a second", size.changes_s, PURGES),
-        Lowered("entries in a log", RETAIN, DESIGN_RETAIN),
+        Lowered("entries in a log", RETAINED_ENTRIES, DESIGN_RETAIN),
         Lowered("routers with budgets", size.routers, ROUTERS),
         Lowered("zones of the routers with budgets", day_budgets.ZONES, ZONES),
         Lowered("regions of the routers with budgets", day_budgets.REGIONS, REGIONS),
--- a/bench/scale/day_change_log.py
+++ b/bench/scale/day_change_log.py
@@ -12,10 +12,16 @@
 from bench.scale.day_faults import Counts, Outages, times
 from bench.scale.design import CONTROL_MACHINES, REGIONS, ROUTERS, ZONES
 from wickhinge.changelog.effects import Apply, Reset
-from wickhinge.lab.changelog.oracle import Model, Oracle
+from wickhinge.lab.changelog.oracle import FollowerState, Oracle
 from wickhinge.lab.changelog.planted_faults import NO_FAULT, PlantedFault
 from wickhinge.lab.changelog.schedule import RELAYS, REPLICAS, Fault, FaultKind, Schedule
-from wickhinge.lab.changelog.walk import BOUND_S, SETTLED_S, STARTED_S, UNINFORMED_S, Walk
+from wickhinge.lab.changelog.walk import (
+    MAX_DELIVERY_DELAY_S,
+    MAX_UNINFORMED_DELAY_S,
+    RECOVERY_TIME_S,
+    START_TIME_S,
+    Walk,
+)
 
 LOSS, DUPLICATION, JITTER_S = 0.005, 0.01, 0.005
 APART_REGIONS = REGIONS // 3  # cut from the others; with them APART_REPLICAS and APART_RELAYS
@@ -41,7 +47,7 @@
     out_of_order: int
     stale_vouched: int
     two_leaders: int
-    late: int  # entries due within BOUND_S that were later
+    late: int  # entries due within MAX_DELIVERY_DELAY_S that were later
     other: int  # any other invariant of the oracle
     worst_delay_s: float
     calm_s: float
@@ -57,9 +63,9 @@
         self.counts: Counter[str] = Counter()
         self._invariant = "other"
 
-    def fault(self, text: str) -> None:
+    def add_fault(self, text: str) -> None:
         self.counts[self._invariant] += 1
-        super().fault(text)
+        super().add_fault(text)
 
     @contextmanager
     def judging(self, invariant: str) -> Iterator[None]:
@@ -67,17 +73,17 @@
         yield
         self._invariant = before
 
-    def leads(self, at_s: float, replica: str, epoch: int, term: int) -> None:
+    def on_leading(self, at_s: float, replica: str, epoch: int, term: int) -> None:
         with self.judging("two_leaders"):
-            super().leads(at_s, replica, epoch, term)
+            super().on_leading(at_s, replica, epoch, term)
 
-    def applies(self, at_s: float, name: str, model: Model, effect: Apply) -> None:
+    def on_apply(self, at_s: float, name: str, model: FollowerState, effect: Apply) -> None:
         with self.judging("out_of_order"):
-            super().applies(at_s, name, model, effect)
+            super().on_apply(at_s, name, model, effect)
 
-    def reset(self, at_s: float, name: str, model: Model, effect: Reset) -> None:
+    def on_snapshot_load(self, at_s: float, name: str, model: FollowerState, effect: Reset) -> None:
         with self.judging("out_of_order"):
-            super().reset(at_s, name, model, effect)
+            super().on_snapshot_load(at_s, name, model, effect)
 
 
 class Day(Walk):
@@ -96,64 +102,64 @@
         with oracle.judging("stale_vouched"):
             oracle.judge_claims()
             oracle.judge_copies()
-            oracle.judge_outages(self.outages, UNINFORMED_S)
-        spans = self._spans()
+            oracle.judge_outages(self.outages, MAX_UNINFORMED_DELAY_S)
+        spans = self._follower_spans()
         with oracle.judging("late"):
-            self.worst_calm_s = oracle.judge_bound(self._calm(), spans, BOUND_S)
+            self.worst_calm_s = oracle.judge_bound(self._calm_spans(), spans, MAX_DELIVERY_DELAY_S)
         with oracle.judging("other"):
-            self._judge_end()
+            self._judge_final_state()
         arrivals = self._arrivals()
         return max(self._worst_delay(arrivals[name], spans[name]) for name in spans)
 
     def missed(self) -> int:
         """Entries due at the end that a follower that runs has in its last life neither applied nor by a snapshot."""
         due = self._due()
-        return sum(len(due - self._known(name)) for name in self.schedule.followers if self.world.runs(name))
+        return sum(len(due - self._known(name)) for name in self.schedule.followers if self.world.is_running(name))
 
     def calm_s(self) -> float:
-        return sum(max(end_s - start_s, 0.0) for start_s, end_s in self._calm())
+        return sum(max(end_s - start_s, 0.0) for start_s, end_s in self._calm_spans())
 
     def _due(self) -> set[Place]:
-        latest_s = self.world.now_s - BOUND_S
-        stored = self.oracle.stored_s.items()
+        latest_s = self.world.now_s - MAX_DELIVERY_DELAY_S
+        stored = self.oracle.majority_times_s.items()
         return {(epoch, number) for epoch, at in stored for number, at_s in at.items() if at_s < latest_s}
 
     def _known(self, name: str) -> set[Place]:
         started_s = self.world.processes[name].started_s
-        applied = (one for one in self.oracle.applied if one.name == name and one.at_s >= started_s)
+        applied = (one for one in self.oracle.applied_entries if one.name == name and one.at_s >= started_s)
         known = {(one.entry.epoch, one.entry.number) for one in applied}
-        for loaded in self.oracle.resets:
+        for loaded in self.oracle.loaded_snapshots:
             if loaded.name == name and loaded.at_s >= started_s:
                 known |= {(loaded.epoch, number) for number in range(1, loaded.number + 1)}
         return known
 
-    def _calm(self) -> Spans:
+    def _calm_spans(self) -> Spans:
         """Times in which no replica and no relay is away and nothing is cut."""
-        spans, start_s = [], STARTED_S
+        spans, start_s = [], START_TIME_S
         for fault in sorted(self.schedule.faults, key=lambda fault: fault.at_s):
             if fault.kind is FaultKind.CUT or not set(fault.names) <= set(self.schedule.followers):
                 spans.append((start_s, fault.at_s))
-                start_s = max(start_s, fault.end_s + SETTLED_S)
+                start_s = max(start_s, fault.end_s + RECOVERY_TIME_S)
         return [*spans, (start_s, self.schedule.end_s)]
 
-    def _spans(self) -> dict[str, Spans]:
+    def _follower_spans(self) -> dict[str, Spans]:
         """When each follower ran, had had time to start and was not cut off."""
         cuts = [fault for fault in self.schedule.faults if fault.kind is FaultKind.CUT]
         spans = {}
-        for name, ran in super()._spans().items():
-            left = [(start_s + STARTED_S, end_s) for start_s, end_s in ran]
+        for name, ran in super()._follower_spans().items():
+            left = [(start_s + START_TIME_S, end_s) for start_s, end_s in ran]
             for cut in cuts:
                 if name in cut.names:
-                    left = without(left, cut.at_s, cut.end_s + SETTLED_S)
+                    left = without(left, cut.at_s, cut.end_s + RECOVERY_TIME_S)
             spans[name] = left
         return spans
 
     def _arrivals(self) -> dict[str, dict[Place, float]]:
         """When each follower first knew each entry, by itself or by a snapshot."""
         arrivals: dict[str, dict[Place, float]] = defaultdict(dict)
-        for one in self.oracle.applied:
+        for one in self.oracle.applied_entries:
             arrivals[one.name].setdefault((one.entry.epoch, one.entry.number), one.at_s)
-        for loaded in self.oracle.resets:
+        for loaded in self.oracle.loaded_snapshots:
             known = arrivals[loaded.name]
             for number in range(1, loaded.number + 1):
                 place = (loaded.epoch, number)
@@ -163,7 +169,7 @@
     def _worst_delay(self, arrivals: dict[Place, float], spans: Spans) -> float:
         """Of entries stored in the spans; where a span ended before one came, as long as it lasted."""
         worst_s = 0.0
-        for epoch, times_s in self.oracle.stored_s.items():
+        for epoch, times_s in self.oracle.majority_times_s.items():
             for number, stored_s in times_s.items():
                 end_s = next((end_s for start_s, end_s in spans if start_s <= stored_s <= end_s), stored_s)
                 came_s = arrivals.get((epoch, number), end_s)
@@ -191,7 +197,7 @@
     of_control = max(round(counts.restarts * CONTROL_MACHINES / (ROUTERS + CONTROL_MACHINES)), 1)
     outages.lose(REPLICAS, 1, when.cut_at_s)
     outages.lose(RELAYS, 1, when.cut_at_s)
-    outages.lose(names, counts.lost - 2, seconds - SETTLED_S)
+    outages.lose(names, counts.lost - 2, seconds - RECOVERY_TIME_S)
     outages.restart((*REPLICAS, *RELAYS), of_control)
     outages.restart(names, counts.restarts - of_control)
     apart = {*REPLICAS[:APART_REPLICAS], *RELAYS[:APART_RELAYS]}
@@ -218,8 +224,8 @@
         counts.restarts,
         counts.lost,
         sum(map(len, oracle.committed.values())),
-        len(oracle.applied),
-        len(oracle.resets),
+        len(oracle.applied_entries),
+        len(oracle.loaded_snapshots),
         day.missed(),
         found["out_of_order"],
         found["stale_vouched"],
--- a/tests/lab/test_changelog_walk.py
+++ b/tests/lab/test_changelog_walk.py
@@ -54,7 +54,7 @@
     played = Walk(drawn, PlantedFault(relay=Lying))
     played.play()
     oracle, processes = played.world.oracle, played.world.processes
-    lies = [applied for applied in oracle.applied if applied.entry.change == Purge(5, 5, 5)]
+    lies = [applied for applied in oracle.applied_entries if applied.entry.change == Purge(5, 5, 5)]
     assert {applied.name for applied in lies} == {"f1", "f7"}  # r1 is their first relay
     first = min(applied.at_s for applied in lies)
     told = {sample.name for sample in oracle.samples if sample.uninformed and first < sample.at_s < first + 3.0}
--- a/tests/lab/test_lab.py
+++ b/tests/lab/test_lab.py
@@ -10,23 +10,23 @@
 
 from wickhinge.cli import main
 from wickhinge.lab import experiments
-from wickhinge.lab.play import Play
-from wickhinge.lab.scenario import bundled, check
-from wickhinge.lab.stations import Shared, Station
+from wickhinge.lab.event_queue import EventQueue
+from wickhinge.lab.scenario import bundled_scenarios, parse_scenario
+from wickhinge.lab.service_queues import ServerQueue, SharedCapacity
+from wickhinge.lab.simulation import Simulation
 from wickhinge.lab.stats import interval, paired
-from wickhinge.lab.wheel import Wheel
 from wickhinge.options import OptionsError
 
 SMALL = 'name: "small"\nseconds: 12\nwarm_s: 2\nrouters: 2\ncaches: 4\nobjects: 300\nvisits_per_s: 60\n'
 
 
 def test_events_come_in_the_order_of_their_time_and_making():
-    chance, wheel, seen, heap, wanted = random.Random(2), Wheel(), [], [], []
+    chance, wheel, seen, heap, wanted = random.Random(2), EventQueue(), [], [], []
     for serial in range(3000):
         when = round(chance.choice([chance.random(), chance.random() * 50, 0.5]), 4)
-        wheel.at(when, seen.append, serial)
+        wheel.call_at(when, seen.append, serial)
         heappush(heap, (when, serial))
-    wheel.at(0.25, lambda: [wheel.after(delay, seen.append, -1) for delay in (0.0, 0.0001, 3.0)])
+    wheel.call_at(0.25, lambda: [wheel.call_after(delay, seen.append, -1) for delay in (0.0, 0.0001, 3.0)])
     heappush(heap, (0.25, -1)), heappush(heap, (0.2501, -1)), heappush(heap, (3.25, -1))
     while heap:
         wanted.append(heappop(heap)[1])
@@ -34,20 +34,20 @@
     assert wheel.now == 20.0 and len(wheel) > 0
     wheel.run(60.0)
     assert [one for one in seen if one >= 0] == [one for one in wanted if one >= 0]
-    assert len(wheel) == 0 and wheel.done == 3004
+    assert len(wheel) == 0 and wheel.processed_count == 3004
 
 
 def waited(kind, load, servers=1, seed=1, count=60_000):
     """Mean wait of a station for exponential arrivals, work of mean 1."""
-    wheel, chance, waits = Wheel(), random.Random(seed), []
-    station = Station(wheel, servers)
+    wheel, chance, waits = EventQueue(), random.Random(seed), []
+    station = ServerQueue(wheel, servers)
 
     def arrive(left):
         work = chance.expovariate(1.0) if kind == "M" else 1.0
         came = wheel.now
         station.ask(work, lambda: waits.append(wheel.now - came - work))
         if left:
-            wheel.after(chance.expovariate(load * servers), arrive, left - 1)
+            wheel.call_after(chance.expovariate(load * servers), arrive, left - 1)
 
     arrive(count)
     wheel.run(1e9)
@@ -69,11 +69,11 @@
 
 
 def test_a_single_link_shared_is_shared_equally_and_by_theory():
-    wheel, ends = Wheel(), []
-    link = Shared(wheel, 1.0)
+    wheel, ends = EventQueue(), []
+    link = SharedCapacity(wheel, 1.0)
     for work in (1.0, 2.0, 3.0):
         link.ask(work, lambda work=work: ends.append((work, wheel.now)))
-    wheel.at(1.5, link.ask, 1.0, lambda: ends.append((0, wheel.now)))
+    wheel.call_at(1.5, link.ask, 1.0, lambda: ends.append((0, wheel.now)))
     wheel.run(100.0)
     # By hand: at 1.5 each has had 0.5; four share until 3.5, the first and the late one go on, and so forth.
     assert ends == [
@@ -82,14 +82,14 @@
         (2.0, pytest.approx(6.0)),
         (3.0, pytest.approx(7.0)),
     ]
-    wheel, chance, took = Wheel(), random.Random(3), []
-    link = Shared(wheel, 1.0)
+    wheel, chance, took = EventQueue(), random.Random(3), []
+    link = SharedCapacity(wheel, 1.0)
 
     def arrive(left):
         came = wheel.now
         link.ask(chance.expovariate(1.0), lambda: took.append(wheel.now - came))
         if left:
-            wheel.after(chance.expovariate(0.7), arrive, left - 1)
+            wheel.call_after(chance.expovariate(0.7), arrive, left - 1)
 
     arrive(40_000)
     wheel.run(1e9)
@@ -97,34 +97,34 @@
 
 
 def test_a_transfer_that_is_given_up_leaves_its_share_to_the_others():
-    wheel, ends = Wheel(), []
-    link = Shared(wheel, 1.0)
+    wheel, ends = EventQueue(), []
+    link = SharedCapacity(wheel, 1.0)
     first = link.ask(1.0, ends.append, "a")
     link.ask(1.0, lambda: ends.append(wheel.now))
-    wheel.at(1.0, link.give_up, first)
+    wheel.call_at(1.0, link.give_up, first)
     wheel.run(10.0)
     assert ends == [1.5] and len(link) == 0
 
 
 def test_the_same_seed_gives_the_same_rows_and_another_does_not():
-    first, again = Play(check(SMALL, "x")), Play(check(SMALL, "x"))
+    first, again = Simulation(parse_scenario(SMALL, "x")), Simulation(parse_scenario(SMALL, "x"))
     assert first.run() == again.run() and first.rows == again.rows
-    other = Play(check(SMALL + "seed: 5\n", "x"))
+    other = Simulation(parse_scenario(SMALL + "seed: 5\n", "x"))
     other.run()
     assert other.rows != first.rows
 
 
 def test_any_number_of_workers_gives_the_same_and_one_that_dies_costs_only_its_own():
-    scenarios = experiments.seeds(check(SMALL, "x"), 3)
-    alone, together = experiments.many(scenarios, 1), experiments.many(scenarios, 3)
+    scenarios = experiments.with_consecutive_seeds(parse_scenario(SMALL, "x"), 3)
+    alone, together = experiments.run_all(scenarios, 1), experiments.run_all(scenarios, 3)
     assert alone == together and [one["seed"] for one in alone] == [1, 2, 3]
 
     def dies(scenario, end):
         if scenario.seed == 2:
             os._exit(7)
-        experiments.child(scenario, end)
+        experiments.run_in_child(scenario, end)
 
-    partly = experiments.many(scenarios, 2, run=dies)
+    partly = experiments.run_all(scenarios, 2, run=dies)
     assert (partly[0], partly[2]) == (alone[0], alone[2]) and "7" in partly[1]["failed"]
 
 
@@ -150,18 +150,20 @@
         for line in ROUGH.splitlines()
         if not more or line.split(":")[0] not in [part.split(":")[0] for part in more.splitlines()]
     )
-    well = Play(check(base + more, "x")).run()
+    well = Simulation(parse_scenario(base + more, "x")).run()
     assert well["rules_broken"] == {} and well["visits"] > 300
-    ill = Play(check(f'{base}{more}\nplant: "{plant}"\n', "x")).run()
+    ill = Simulation(parse_scenario(f'{base}{more}\nplant: "{plant}"\n', "x")).run()
     assert set(ill["rules_broken"]) == {rule} and ill["first_breaks"]
 
 
 def test_the_bundled_scenarios_keep_the_rules_and_the_mechanism_beats_chance():
-    assert set(bundled()) == {"calm", "rough", "zone_loss"}
-    made = check(bundled()["calm"], "calm")
-    ours = experiments.many(experiments.seeds(made, 3), 3)
-    chance = experiments.many(experiments.seeds(msgspec.structs.replace(made, policy="random"), 3), 3)
-    told = experiments.compare(ours, chance)
+    assert set(bundled_scenarios()) == {"calm", "rough", "zone_loss"}
+    made = parse_scenario(bundled_scenarios()["calm"], "calm")
+    ours = experiments.run_all(experiments.with_consecutive_seeds(made, 3), 3)
+    chance = experiments.run_all(
+        experiments.with_consecutive_seeds(msgspec.structs.replace(made, policy="random"), 3), 3
+    )
+    told = experiments.compare_results(ours, chance)
     assert told["hit_share"]["verdict"] == "worse" and told["rules_broken_first"] == 0
 
 
@@ -178,7 +180,7 @@
 )
 def test_a_scenario_with_a_wrong_key_is_refused_by_name(text, told):
     with pytest.raises(OptionsError) as caught:
-        check(text, "x")
+        parse_scenario(text, "x")
     assert told in str(caught.value)
 
 
@@ -205,12 +207,12 @@
 
 
 def test_what_a_hunt_finds_is_made_small_and_can_be_played_again():
-    made = experiments.rough(check(SMALL, "x"), 12)
+    made = experiments.with_random_failures(parse_scenario(SMALL, "x"), 12)
     needed = made.failures[0]
     small = experiments.shrink(made, lambda result: result["seen"], lambda one: {"seen": needed in one.failures})
     assert small.failures == [needed] and small.burst == 1.0
-    assert check(experiments.text(small), "again") == small
-    assert check(experiments.text(made), "again") == made
+    assert parse_scenario(experiments.format_scenario(small), "again") == small
+    assert parse_scenario(experiments.format_scenario(made), "again") == made
 
 
 def test_commands_play_record_report_and_refuse(tmp_path):
--- a/wickhinge/cli/lab.py
+++ b/wickhinge/cli/lab.py
@@ -47,11 +47,11 @@
     try:
         if os.path.exists(name):
             text = read_text(name)
-            return scenario.check(text, name), text
-        bundled = scenario.bundled()
+            return scenario.parse_scenario(text, name), text
+        bundled = scenario.bundled_scenarios()
         if name not in bundled:
             fail(f"{name}: is neither a file nor one of {', '.join(bundled)}")
-        return scenario.check(bundled[name], name), bundled[name]
+        return scenario.parse_scenario(bundled[name], name), bundled[name]
     except OptionsError as error:
         fail(str(error))
 
@@ -77,9 +77,9 @@
 @lab.command("list")
 def list_scenarios() -> None:
     """List the bundled scenarios."""
-    from wickhinge.lab.scenario import bundled
+    from wickhinge.lab.scenario import bundled_scenarios
 
-    for name, text in bundled().items():
+    for name, text in bundled_scenarios().items():
         click.echo(f"{name:<12} {text.splitlines()[0].removeprefix('// ')}")
 
 
@@ -107,25 +107,25 @@
     """Run a scenario; exit with 1 if a rule was broken."""
     import msgspec
 
-    from wickhinge.lab.play import Play
+    from wickhinge.lab.simulation import Simulation
 
     scenario, text = read_scenario(values.name)
     if values.seed is not None:
         scenario = msgspec.structs.replace(scenario, seed=values.seed)
     if values.policy:
         scenario = msgspec.structs.replace(scenario, policy=values.policy)
-    play = Play(scenario)
+    play = Simulation(scenario)
     result = play.run()
     try:
         if values.records:
-            from wickhinge.lab.records import write
+            from wickhinge.lab.records import write_records
 
-            write(play.rows, values.records)
+            write_records(play.rows, values.records)
         if values.report:
-            from wickhinge.lab.report import page
+            from wickhinge.lab.report import render_html
 
             with open(values.report, "w", encoding="utf-8") as file:
-                file.write(page(scenario, result, play.rows, text))
+                file.write(render_html(scenario, result, play.rows, text))
     except OSError as error:
         fail(f"{error.filename}: cannot be written: {error.strerror}")
     print_answer(result, values.as_json)
@@ -152,10 +152,12 @@
         other = msgspec.structs.replace(scenario, policy=second.removeprefix("policy:"))
     else:
         other = read_scenario(second)[0]
-    results = experiments.many(
-        [*experiments.seeds(scenario, seeds), *experiments.seeds(other, seeds)], workers, progress_counter(2 * seeds)
+    results = experiments.run_all(
+        [*experiments.with_consecutive_seeds(scenario, seeds), *experiments.with_consecutive_seeds(other, seeds)],
+        workers,
+        progress_counter(2 * seeds),
     )
-    metrics = experiments.compare(results[:seeds], results[seeds:])
+    metrics = experiments.compare_results(results[:seeds], results[seeds:])
     if as_json:
         print_json(metrics)
         return
@@ -193,9 +195,9 @@
     from wickhinge.lab import experiments
 
     scenario = read_scenario(values.name)[0]
-    scenarios = [experiments.rough(scenario, values.first + number) for number in range(values.seeds)]
-    results = experiments.many(scenarios, values.workers, progress_counter(values.seeds))
-    worst_first = sorted(range(values.seeds), key=lambda index: experiments.worse(results[index]), reverse=True)
+    scenarios = [experiments.with_random_failures(scenario, values.first + number) for number in range(values.seeds)]
+    results = experiments.run_all(scenarios, values.workers, progress_counter(values.seeds))
+    worst_first = sorted(range(values.seeds), key=lambda index: experiments.severity(results[index]), reverse=True)
     rows = [
         {
             "seed": scenarios[index].seed,
@@ -224,7 +226,7 @@
     from wickhinge.lab import experiments
 
     broken_rules = set(result.get("rules_broken") or ())
-    worst_loss = experiments.worse(result)[1]
+    worst_loss = experiments.severity(result)[1]
 
     def still_fails(smaller_result: dict[str, Any]) -> bool:
         if broken_rules:
@@ -233,7 +235,7 @@
 
     shrunk = experiments.shrink(scenario, still_fails)
     with open(os.path.join(directory, f"{shrunk.name}.cue"), "w", encoding="utf-8") as file:
-        file.write(experiments.text(shrunk))
+        file.write(experiments.format_scenario(shrunk))
 
 
 @dataclass(frozen=True, slots=True)
@@ -334,10 +336,10 @@
     """Print the number of requests, results and routers in a file of records."""
     import pyarrow.compute as pc  # type: ignore[import-untyped]
 
-    from wickhinge.lab.records import read
+    from wickhinge.lab.records import read_records
 
     try:
-        table = read(records)
+        table = read_records(records)
     except (ValueError, OSError) as error:
         fail(str(error), EXIT_UNUSABLE_INPUT)
     counts_by_result = {
--- a/wickhinge/lab/changelog/oracle.py
+++ b/wickhinge/lab/changelog/oracle.py
@@ -32,7 +32,7 @@
     any_copy: bool  # `oldest` sets no limit for a grace of GRACE_S
 
 
-class Applied(msgspec.Struct, frozen=True):
+class AppliedEntry(msgspec.Struct, frozen=True):
     """An entry that a follower applied."""
 
     at_s: float
@@ -40,7 +40,7 @@
     entry: Entry
 
 
-class Loaded(msgspec.Struct, frozen=True):
+class LoadedSnapshot(msgspec.Struct, frozen=True):
     """A snapshot that a follower loaded, and what it knew then."""
 
     at_s: float
@@ -51,7 +51,7 @@
     purges: set[Purge]
 
 
-class Model:
+class FollowerState:
     """A router's state by the effects that its follower gave, as an application of the log would have it."""
 
     def __init__(self) -> None:
@@ -66,26 +66,26 @@
     def __init__(self, majority: int) -> None:
         self.faults: list[str] = []
         self.samples: list[Sample] = []
-        self.applied: list[Applied] = []
-        self.resets: list[Loaded] = []
+        self.applied_entries: list[AppliedEntry] = []
+        self.loaded_snapshots: list[LoadedSnapshot] = []
         self.committed: dict[int, dict[int, Entry]] = defaultdict(dict)  # by epoch and number
-        self.stored_s: dict[int, dict[int, float]] = defaultdict(dict)  # when a majority had it, likewise
-        self.bases: dict[int, dict[str, bytes]] = {1: {}}  # settings at an epoch's start
-        self.base_numbers: dict[int, int] = {1: 0}
+        self.majority_times_s: dict[int, dict[int, float]] = defaultdict(dict)  # when a majority had it, likewise
+        self.initial_settings: dict[int, dict[str, bytes]] = {1: {}}  # settings at an epoch's start
+        self.initial_numbers: dict[int, int] = {1: 0}
         self._majority = majority
         self.leaders: dict[tuple[int, int], str] = {}  # by epoch and term
         self._terms: dict[tuple[str, int, int], int] = {}  # of each replica's records
         self._holders: dict[tuple[int, int, int], set[str]] = defaultdict(set)
         self._majority_s: dict[tuple[int, int, int], float] = {}
 
-    def fault(self, text: str) -> None:
+    def add_fault(self, text: str) -> None:
         """Notes a broken invariant."""
         if len(self.faults) < MAX_FAULTS:
             self.faults.append(text)
 
     # Replicas.
 
-    def stored(self, at_s: float, replica: str, record: Record) -> None:
+    def on_store(self, at_s: float, replica: str, record: Record) -> None:
         """Called when a replica has a record on stable storage."""
         key = (record.entry.epoch, record.entry.number, record.term)
         self._terms[replica, record.entry.epoch, record.entry.number] = record.term
@@ -94,13 +94,13 @@
         if len(holders) >= self._majority:
             self._majority_s.setdefault(key, at_s)
 
-    def leads(self, at_s: float, replica: str, epoch: int, term: int) -> None:
+    def on_leading(self, at_s: float, replica: str, epoch: int, term: int) -> None:
         """Called whenever a replica acts as the leader of a term, of which there may be one."""
         first = self.leaders.setdefault((epoch, term), replica)
         if first != replica:
-            self.fault(f"{at_s:.3f} {replica}: leads in term {term} of epoch {epoch}, as {first} does")
+            self.add_fault(f"{at_s:.3f} {replica}: leads in term {term} of epoch {epoch}, as {first} does")
 
-    def commits(self, at_s: float, replica: str, entry: Entry) -> None:
+    def on_commit(self, at_s: float, replica: str, entry: Entry) -> None:
         """Called when a replica commits an entry: a majority has stored it, and no other one has its number."""
         term = self._terms.get((replica, entry.epoch, entry.number), 0)
         known = self.committed[entry.epoch]
@@ -108,71 +108,75 @@
             known[entry.number] = entry
             key = (entry.epoch, entry.number, term)
             if key not in self._majority_s:
-                self.fault(f"{at_s:.3f} {replica}: commits {key}, which no majority has stored")
-            self.stored_s[entry.epoch][entry.number] = self._majority_s.get(key, at_s)
+                self.add_fault(f"{at_s:.3f} {replica}: commits {key}, which no majority has stored")
+            self.majority_times_s[entry.epoch][entry.number] = self._majority_s.get(key, at_s)
         elif known[entry.number] != entry:
-            self.fault(f"{at_s:.3f} {replica}: commits another entry {entry.epoch}/{entry.number}")
+            self.add_fault(f"{at_s:.3f} {replica}: commits another entry {entry.epoch}/{entry.number}")
 
     # Followers.
 
-    def reset(self, at_s: float, name: str, model: Model, effect: Reset) -> None:
+    def on_snapshot_load(self, at_s: float, name: str, model: FollowerState, effect: Reset) -> None:
         """Called when a follower loads a snapshot, which must not be older than its state."""
         snapshot = effect.snapshot
         if snapshot.epoch < model.epoch:
-            self.fault(f"{at_s:.3f} {name}: goes back to epoch {snapshot.epoch}")
+            self.add_fault(f"{at_s:.3f} {name}: goes back to epoch {snapshot.epoch}")
         if snapshot.epoch == model.epoch and snapshot.number < model.number:
-            self.fault(f"{at_s:.3f} {name}: goes back to {snapshot.number} from {model.number}")
+            self.add_fault(f"{at_s:.3f} {name}: goes back to {snapshot.number} from {model.number}")
         model.epoch, model.number = snapshot.epoch, snapshot.number
         model.settings = {setting.name: setting.value for setting in snapshot.settings}
         model.purges |= set(snapshot.purges)
-        self.resets.append(Loaded(at_s, name, snapshot.epoch, snapshot.number, dict(model.settings), set(model.purges)))
+        self.loaded_snapshots.append(
+            LoadedSnapshot(at_s, name, snapshot.epoch, snapshot.number, dict(model.settings), set(model.purges))
+        )
 
-    def applies(self, at_s: float, name: str, model: Model, effect: Apply) -> None:
+    def on_apply(self, at_s: float, name: str, model: FollowerState, effect: Apply) -> None:
         """Called when a follower applies an entry, which must be the next one."""
         entry = effect.entry
         if entry.epoch != model.epoch or entry.number != model.number + 1:
-            self.fault(f"{at_s:.3f} {name}: applies {entry.epoch}/{entry.number} after {model.epoch}/{model.number}")
+            self.add_fault(
+                f"{at_s:.3f} {name}: applies {entry.epoch}/{entry.number} after {model.epoch}/{model.number}"
+            )
         model.epoch, model.number = entry.epoch, entry.number
         if isinstance(entry.change, Setting):
             model.settings[entry.change.name] = entry.change.value
         elif isinstance(entry.change, Purge):
             model.purges.add(entry.change)
-        self.applied.append(Applied(at_s, name, entry))
+        self.applied_entries.append(AppliedEntry(at_s, name, entry))
 
     # Judging, at the end.
 
     def judge_values(self) -> None:
         """What followers applied and loaded was committed."""
-        for applied in self.applied:
+        for applied in self.applied_entries:
             entry = applied.entry
             if self.committed[entry.epoch].get(entry.number) != entry:
-                self.fault(f"{applied.at_s:.3f} {applied.name}: applied {entry}, which was not committed")
+                self.add_fault(f"{applied.at_s:.3f} {applied.name}: applied {entry}, which was not committed")
         states: dict[tuple[int, int], dict[str, bytes]] = {}
-        for loaded in self.resets:
+        for loaded in self.loaded_snapshots:
             place = (loaded.epoch, loaded.number)
             if place not in states:
                 states[place] = self._settings_at(*place)
             if loaded.settings != states[place]:
-                self.fault(f"{loaded.at_s:.3f} {loaded.name}: a snapshot at {place} with other settings")
+                self.add_fault(f"{loaded.at_s:.3f} {loaded.name}: a snapshot at {place} with other settings")
             self._judge_purges(loaded)
 
-    def _judge_purges(self, loaded: Loaded) -> None:
+    def _judge_purges(self, loaded: LoadedSnapshot) -> None:
         """Purges of the last RECENT_S are in a snapshot."""
         for number, entry in self.committed[loaded.epoch].items():
-            recent = self.stored_s[loaded.epoch][number] >= loaded.at_s - RECENT_S
+            recent = self.majority_times_s[loaded.epoch][number] >= loaded.at_s - RECENT_S
             is_due = recent and number <= loaded.number and isinstance(entry.change, Purge)
             if is_due and entry.change not in loaded.purges:
-                self.fault(f"{loaded.at_s:.3f} {loaded.name}: a snapshot without the purge {number}")
+                self.add_fault(f"{loaded.at_s:.3f} {loaded.name}: a snapshot without the purge {number}")
 
     def judge_claims(self) -> None:
         """Whoever claims to be informed until T has all that a majority had stored before T."""
-        reached = {epoch: self._running(times) for epoch, times in self.stored_s.items()}
+        reached = {epoch: self._completion_times(times) for epoch, times in self.majority_times_s.items()}
         for sample in self.samples:
             for epoch, (times, numbers) in reached.items():
                 place = bisect_left(times, sample.informed_until_s - ROUNDING_S)
                 if not place or (epoch, numbers[place - 1]) <= (sample.epoch, sample.number):
                     continue
-                self.fault(
+                self.add_fault(
                     f"{sample.at_s:.3f} {sample.name}: claims to be informed until {sample.informed_until_s:.3f} at "
                     f"{sample.epoch}/{sample.number}, and {epoch}/{numbers[place - 1]} was stored at "
                     f"{times[place - 1]:.3f}"
@@ -184,13 +188,13 @@
             stamped = []
             for number, entry in sorted(entries.items()):
                 stamp_s = getattr(entry.change, "stamp_ms", 0) / 1000
-                if isinstance(entry.change, Purge) and self.stored_s[epoch][number] - stamp_s <= INGEST_S:
+                if isinstance(entry.change, Purge) and self.majority_times_s[epoch][number] - stamp_s <= INGEST_S:
                     stamped.append((stamp_s, number))
             stamped.sort()
             for sample in self.samples:
                 place = bisect_left(stamped, (sample.at_s - GRACE_S, 0)) if sample.any_copy else 0
                 if place and (epoch, stamped[place - 1][1]) > (sample.epoch, sample.number):
-                    self.fault(
+                    self.add_fault(
                         f"{sample.at_s:.3f} {sample.name}: any copy will do, without {epoch}/{stamped[place - 1]}"
                     )
 
@@ -199,18 +203,20 @@
         for start, end in outages:
             for sample in self.samples:
                 if start + bound_s < sample.at_s < end and not sample.uninformed:
-                    self.fault(f"{sample.at_s:.3f} {sample.name}: counts as informed, without replicas since {start}")
+                    self.add_fault(
+                        f"{sample.at_s:.3f} {sample.name}: counts as informed, without replicas since {start}"
+                    )
 
     def judge_bound(self, calm: list[tuple[float, float]], up: Spans, bound_s: float) -> float:
         """Each entry stored in a calm time is at each follower that ran within the bound. Returns the worst delay."""
         first: dict[tuple[str, int, int], float] = {}
-        for applied in self.applied:
+        for applied in self.applied_entries:
             first.setdefault((applied.name, applied.entry.epoch, applied.entry.number), applied.at_s)
         covered: dict[str, list[tuple[float, int, int]]] = defaultdict(list)
-        for loaded in self.resets:
+        for loaded in self.loaded_snapshots:
             covered[loaded.name].append((loaded.at_s, loaded.epoch, loaded.number))
         worst = 0.0
-        for epoch, times in self.stored_s.items():
+        for epoch, times in self.majority_times_s.items():
             for number, stored_s in times.items():
                 if not any(start <= stored_s and stored_s + bound_s <= end for start, end in calm):
                     continue
@@ -222,22 +228,22 @@
                     delay_s = min(came_s) - stored_s
                     worst = max(worst, delay_s)
                     if delay_s > bound_s:
-                        self.fault(f"{stored_s:.3f} {name}: has {epoch}/{number} after {delay_s:.3f} s")
+                        self.add_fault(f"{stored_s:.3f} {name}: has {epoch}/{number} after {delay_s:.3f} s")
         return worst
 
     def _settings_at(self, epoch: int, number: int) -> dict[str, bytes]:
-        state = dict(self.bases[epoch])
-        for place in range(self.base_numbers[epoch] + 1, number + 1):
+        state = dict(self.initial_settings[epoch])
+        for place in range(self.initial_numbers[epoch] + 1, number + 1):
             entry = self.committed[epoch].get(place)
             if entry is None:
-                self.fault(f"a snapshot at {epoch}/{number}, and {place} was not committed")
+                self.add_fault(f"a snapshot at {epoch}/{number}, and {place} was not committed")
                 break
             if isinstance(entry.change, Setting):
                 state[entry.change.name] = entry.change.value
         return state
 
     @staticmethod
-    def _running(times: dict[int, float]) -> tuple[list[float], list[int]]:
+    def _completion_times(times: dict[int, float]) -> tuple[list[float], list[int]]:
         """Numbers in order, and by when all up to each had been stored."""
         numbers, latest, running = sorted(times), float("-inf"), []
         for number in numbers:
--- a/wickhinge/lab/changelog/process.py
+++ b/wickhinge/lab/changelog/process.py
@@ -11,7 +11,7 @@
 from wickhinge.changelog.relay import Relay
 from wickhinge.changelog.replica import Replica
 from wickhinge.changelog.stored import StoredState
-from wickhinge.lab.changelog.oracle import Model
+from wickhinge.lab.changelog.oracle import FollowerState
 
 KEY = b"walk" * 8
 CLOCK_ERROR = 0.05  # of a clock's rate
@@ -46,7 +46,7 @@
         self.paused = False
         self.queued: list[Packet] = []
         self.stored = StoredState()
-        self.model = Model()
+        self.model = FollowerState()
 
     @property
     def replica(self) -> Replica:
--- a/wickhinge/lab/changelog/walk.py
+++ b/wickhinge/lab/changelog/walk.py
@@ -19,10 +19,10 @@
 from wickhinge.lab.changelog.schedule import RELAYS, REPLICAS, Fault, FaultKind, Schedule
 from wickhinge.lab.changelog.world import FOLLOW_SETTINGS, World
 
-BOUND_S = 3.1  # an entry is everywhere within
-SETTLED_S = 9.0  # after a fault, until the bound holds again
-STARTED_S = 4.0
-UNINFORMED_S = FOLLOW_SETTINGS.bound_s + 0.2  # a sample comes each 0.2 s
+MAX_DELIVERY_DELAY_S = 3.1  # an entry is everywhere within
+RECOVERY_TIME_S = 9.0  # after a fault, until the bound holds again
+START_TIME_S = 4.0
+MAX_UNINFORMED_DELAY_S = FOLLOW_SETTINGS.bound_s + 0.2  # a sample comes each 0.2 s
 SAMPLE_S = 0.2
 BACKUP_S = 10.0  # when a backup is taken
 
@@ -77,9 +77,9 @@
         oracle.judge_values()
         oracle.judge_claims()
         oracle.judge_copies()
-        oracle.judge_outages(self.outages, UNINFORMED_S)
-        worst = oracle.judge_bound(self._calm(), self._spans(), BOUND_S)
-        self._judge_end()
+        oracle.judge_outages(self.outages, MAX_UNINFORMED_DELAY_S)
+        worst = oracle.judge_bound(self._calm_spans(), self._follower_spans(), MAX_DELIVERY_DELAY_S)
+        self._judge_final_state()
         return worst
 
     # Load.
@@ -200,8 +200,8 @@
         world = self.world
         epoch = max(process.stored.epoch for process in world.processes.values()) + 1
         snapshot: Snapshot = msgspec.structs.replace(self.backup.snapshot, epoch=epoch, term=0)
-        world.oracle.bases[epoch] = {setting.name: setting.value for setting in snapshot.settings}
-        world.oracle.base_numbers[epoch] = snapshot.number
+        world.oracle.initial_settings[epoch] = {setting.name: setting.value for setting in snapshot.settings}
+        world.oracle.initial_numbers[epoch] = snapshot.number
         for name in fault.names:
             world.kill(name)  # where another fault has ended meanwhile
             world.processes[name].stored = StoredState(epoch=epoch, snapshot=snapshot)
@@ -214,48 +214,52 @@
         world = self.world
         world.at(world.now_s + SAMPLE_S, self._sample)
         for name in self.schedule.followers:
-            if world.runs(name):
+            if world.is_running(name):
                 world.sample(name)
         for name in (*REPLICAS, *RELAYS):
-            if world.runs(name):
+            if world.is_running(name):
                 world.sample_server(name)
         self._note_outage()
 
     def _note_outage(self) -> None:
         """Spans in which fewer than a majority of replicas run; one that lasts is prolonged."""
         now_s = self.world.now_s
-        if 2 * sum(self.world.runs(name) for name in REPLICAS) > len(REPLICAS):
+        if 2 * sum(self.world.is_running(name) for name in REPLICAS) > len(REPLICAS):
             return
         if self.outages and now_s - self.outages[-1][1] < 1.5 * SAMPLE_S:
             self.outages[-1] = (self.outages[-1][0], now_s)
         else:
             self.outages.append((now_s, now_s))
 
-    def _spans(self) -> dict[str, list[tuple[float, float]]]:
+    def _follower_spans(self) -> dict[str, list[tuple[float, float]]]:
         """When each follower ran."""
         return {name: self.world.up[name] for name in self.schedule.followers}
 
-    def _calm(self) -> list[tuple[float, float]]:
+    def _calm_spans(self) -> list[tuple[float, float]]:
         """Times in which each entry is due within the bound."""
         if schedule.loses_single_relays_only(self.schedule):
-            return [(STARTED_S, self.schedule.end_s)]
-        spans, start = [], STARTED_S
+            return [(START_TIME_S, self.schedule.end_s)]
+        spans, start = [], START_TIME_S
         for fault in sorted(self.schedule.faults, key=lambda fault: fault.at_s):
             spans.append((start, fault.at_s))
-            start = max(start, fault.end_s + SETTLED_S)
+            start = max(start, fault.end_s + RECOVERY_TIME_S)
         return [*spans, (start, self.schedule.end_s)]
 
-    def _judge_end(self) -> None:
+    def _judge_final_state(self) -> None:
         """After the calm at the end all followers have all but the last changes, and are informed."""
         world, oracle = self.world, self.world.oracle
         epoch = max(oracle.committed)
-        due = [number for number, at_s in oracle.stored_s[epoch].items() if at_s < world.now_s - BOUND_S]
+        due = [
+            number
+            for number, at_s in oracle.majority_times_s[epoch].items()
+            if at_s < world.now_s - MAX_DELIVERY_DELAY_S
+        ]
         for name in self.schedule.followers:
             process = world.processes[name]
             follower, now = process.follower, process.clock.at(world.now_s)
             if (follower.epoch, follower.number) < (epoch, max(due, default=0)) or follower.is_uninformed(now):
                 known_s = process.clock.true(follower.informed_until(now))
-                oracle.fault(
+                oracle.add_fault(
                     f"{world.now_s:.3f} {name}: ends at {follower.epoch}/{follower.number} of "
                     f"{epoch}/{max(due, default=0)}, informed until {known_s:.3f}"
                 )
@@ -272,9 +276,9 @@
         seed,
         oracle.faults,
         sum(map(len, oracle.committed.values())),
-        len(oracle.applied),
+        len(oracle.applied_entries),
         played.world.packets,
-        len(oracle.resets),
+        len(oracle.loaded_snapshots),
         len(oracle.leaders),
         len(oracle.committed),
         worst_s,
--- a/wickhinge/lab/changelog/world.py
+++ b/wickhinge/lab/changelog/world.py
@@ -19,7 +19,7 @@
 from wickhinge.changelog.replica import Replica
 from wickhinge.changelog.settings import MAX_TICK_INTERVAL_S, FollowSettings, RelaySettings, ReplicaSettings
 from wickhinge.changelog.stored import StoredState
-from wickhinge.lab.changelog.oracle import GRACE_S, Model, Oracle, Sample
+from wickhinge.lab.changelog.oracle import GRACE_S, FollowerState, Oracle, Sample
 from wickhinge.lab.changelog.planted_faults import PlantedFault
 from wickhinge.lab.changelog.process import Process
 from wickhinge.lab.changelog.schedule import RELAYS, REPLICAS, Schedule
@@ -28,9 +28,9 @@
 PACKETS_PER_ENCODED = 6  # one of so many goes through the codec
 MAX_FAULTS = 5  # after which a walk ends
 MAX_QUEUED_PACKETS = 256  # packets for a process that stands still
-RETAIN = 60  # entries in a log: few, so that the walk sees snapshots
-REPLICA_SETTINGS = ReplicaSettings(retain=RETAIN, purge_horizon_s=30.0)
-RELAY_SETTINGS = RelaySettings(retain=RETAIN, purge_horizon_s=30.0)
+RETAINED_ENTRIES = 60  # entries in a log: few, so that the walk sees snapshots
+REPLICA_SETTINGS = ReplicaSettings(retain=RETAINED_ENTRIES, purge_horizon_s=30.0)
+RELAY_SETTINGS = RelaySettings(retain=RETAINED_ENTRIES, purge_horizon_s=30.0)
 FOLLOW_SETTINGS = FollowSettings()
 
 
@@ -85,7 +85,7 @@
         else:
             first = int(name[1:]) % len(RELAYS)
             relays = (*RELAYS[first:], *RELAYS[:first])
-            process.model = Model()
+            process.model = FollowerState()
             process.state_machine = self.planted.follower(context, relays, FOLLOW_SETTINGS, now)
         incarnation = process.incarnation
         self.at(self.now_s + self.rand.random() * MAX_TICK_INTERVAL_S, lambda: self._tick(process, incarnation))
@@ -114,14 +114,14 @@
             for packet in queued:
                 self._deliver(process, packet)
 
-    def runs(self, name: str) -> bool:
+    def is_running(self, name: str) -> bool:
         """Whether a process runs and does not stand still."""
         process = self.processes[name]
         return process.state_machine is not None and not process.paused
 
     def propose(self, change: Change) -> bool:
         """Proposes to a replica that takes it, be it the leader still or not; whether there is one."""
-        running = [name for name in self.rand.sample(REPLICAS, len(REPLICAS)) if self.runs(name)]
+        running = [name for name in self.rand.sample(REPLICAS, len(REPLICAS)) if self.is_running(name)]
         if self.schedule.newest_leader:
             running.sort(key=lambda name: self.processes[name].replica.term, reverse=True)
         for name in running:
@@ -177,20 +177,22 @@
                 process.queued.append(packet)
             return
         if packet.format > process.newest_format:
-            self.oracle.fault(f"{self.now_s:.3f} {process.name}: is sent format {packet.format} by {packet.sender}")
+            self.oracle.add_fault(f"{self.now_s:.3f} {process.name}: is sent format {packet.format} by {packet.sender}")
             return
         self._do(process, process.state_machine.receive(packet, process.clock.at(self.now_s)))
 
     def leader(self) -> str | None:
         """A replica that runs as the leader."""
-        leaders = (name for name in REPLICAS if self.runs(name) and self.processes[name].replica.role is Role.LEADER)
+        leaders = (
+            name for name in REPLICAS if self.is_running(name) and self.processes[name].replica.role is Role.LEADER
+        )
         return next(leaders, None)
 
     # Effects.
 
     def _do(self, process: Process, effects: list[Effect]) -> None:
         if isinstance(process.state_machine, Replica) and process.state_machine.role is Role.LEADER:
-            self.oracle.leads(self.now_s, process.name, process.state_machine.epoch, process.state_machine.term)
+            self.oracle.on_leading(self.now_s, process.name, process.state_machine.epoch, process.state_machine.term)
         for effect in effects:
             if isinstance(effect, Send):
                 self._send(process, effect)
@@ -198,11 +200,11 @@
                 self._persist(process, effect)
             elif isinstance(effect, Committed):
                 for entry in effect.entries:
-                    self.oracle.commits(self.now_s, process.name, entry)
+                    self.oracle.on_commit(self.now_s, process.name, entry)
             elif isinstance(effect, Apply):
-                self.oracle.applies(self.now_s, process.name, process.model, effect)
+                self.oracle.on_apply(self.now_s, process.name, process.model, effect)
             elif isinstance(effect, Reset):
-                self.oracle.reset(self.now_s, process.name, process.model, effect)
+                self.oracle.on_snapshot_load(self.now_s, process.name, process.model, effect)
             elif not isinstance(effect, Accepted):
                 raise TypeError(effect)
 
@@ -228,7 +230,7 @@
             effect.epoch, effect.term, effect.vote, stored.snapshot, (*retained, *effect.records)
         )
         for record in effect.records:
-            self.oracle.stored(self.now_s, process.name, record)
+            self.oracle.on_store(self.now_s, process.name, record)
 
     # The network.
 
@@ -242,7 +244,7 @@
         if self.packets % PACKETS_PER_ENCODED == 0:
             packet = receiver.codec.decode(process.codec.encode(effect.to, packet))
             if packet != effect.packet:
-                self.oracle.fault(f"{self.now_s:.3f} {process.name}: the codec changes {effect.packet}")
+                self.oracle.add_fault(f"{self.now_s:.3f} {process.name}: the codec changes {effect.packet}")
         copies = 2 if self.rand.random() < self.schedule.duplication else 1
         for _ in range(copies):
             self.at(self.now_s + self._delay(process.name, effect.to), lambda: self._deliver(receiver, packet))
--- a/wickhinge/lab/wheel.py
+++ b/wickhinge/lab/event_queue.py
@@ -9,7 +9,7 @@
 SPAN = 0.002  # seconds; most events of a fleet lie a few spans to a few thousand ahead
 
 
-class Wheel:
+class EventQueue:
     """Events in the order of their time, then of their making: the same calls give the same order."""
 
     def __init__(self, now: float = 0.0, span: float = SPAN) -> None:
@@ -18,9 +18,9 @@
         self.order: list[int] = []  # the days that hold anything, a heap
         self.today: list[tuple[float, int, Callable[..., None], tuple[Any, ...]]] = []  # a heap while it lasts
         self.day = -1
-        self.serial = self.done = 0
+        self.serial = self.processed_count = 0
 
-    def at(self, when: float, call: Callable[..., None], *args: Any) -> None:
+    def call_at(self, when: float, call: Callable[..., None], *args: Any) -> None:
         self.serial += 1
         when = max(when, self.now)
         day = int(when / self.span)
@@ -34,8 +34,8 @@
         else:
             found.append((when, self.serial, call, args))
 
-    def after(self, delay: float, call: Callable[..., None], *args: Any) -> None:
-        self.at(self.now + delay, call, *args)
+    def call_after(self, delay: float, call: Callable[..., None], *args: Any) -> None:
+        self.call_at(self.now + delay, call, *args)
 
     def run(self, until: float) -> None:
         """All events up to then; the clock stands there afterwards."""
@@ -45,7 +45,7 @@
                     self.now = until
                     return
                 self.now, _, call, args = heappop(self.today)
-                self.done += 1
+                self.processed_count += 1
                 call(*args)
             if not self.order or self.order[0] * self.span > until:
                 self.now = until
--- a/wickhinge/lab/experiments.py
+++ b/wickhinge/lab/experiments.py
@@ -18,25 +18,25 @@
 KINDS = ("crash", "hang", "slow", "drain", "mass_restart", "lost_zone", "origin_slow", "purge", "list_lost")
 
 
-def play(scenario: Scenario) -> dict[str, Any]:
-    from wickhinge.lab.play import Play
+def run_scenario(scenario: Scenario) -> dict[str, Any]:
+    from wickhinge.lab.simulation import Simulation
 
-    return Play(scenario).run()
+    return Simulation(scenario).run()
 
 
-def child(scenario: Scenario, end: Connection) -> None:
+def run_in_child(scenario: Scenario, end: Connection) -> None:
     try:
-        end.send(play(scenario))
+        end.send(run_scenario(scenario))
     except Exception as problem:
         end.send({"seed": scenario.seed, "failed": f"{type(problem).__name__}: {problem}"})
     end.close()
 
 
-def many(
+def run_all(
     scenarios: Iterable[Scenario],
     workers: int,
     progress: Callable[[int], None] = lambda done: None,
-    run: Callable[[Scenario, Connection], None] = child,
+    run: Callable[[Scenario, Connection], None] = run_in_child,
 ) -> list[dict[str, Any]]:
     """A result for each, in their order; one that dies says `failed` and costs none of the others'. On Ctrl-C those
     that are done are returned.
@@ -70,11 +70,11 @@
     return [results.get(place, {"failed": "not run"}) for place in range(total)]
 
 
-def seeds(scenario: Scenario, count: int) -> list[Scenario]:
+def with_consecutive_seeds(scenario: Scenario, count: int) -> list[Scenario]:
     return [msgspec.structs.replace(scenario, seed=scenario.seed + number) for number in range(count)]
 
 
-def compare(first: list[dict[str, Any]], second: list[dict[str, Any]]) -> dict[str, Any]:
+def compare_results(first: list[dict[str, Any]], second: list[dict[str, Any]]) -> dict[str, Any]:
     """Figure by figure, over the seeds that both have."""
     both = [
         (one, other) for one, other in zip(first, second, strict=True) if "failed" not in one and "failed" not in other
@@ -93,7 +93,7 @@
     return answer
 
 
-def rough(scenario: Scenario, seed: int) -> Scenario:
+def with_random_failures(scenario: Scenario, seed: int) -> Scenario:
     """Up to four failures out of their ranges, by the seed, and a load of one to three times."""
     chance = random.Random(seed)
     failures = []
@@ -119,7 +119,7 @@
     )
 
 
-def worse(result: dict[str, Any]) -> tuple[int, float]:
+def severity(result: dict[str, Any]) -> tuple[int, float]:
     """What a hunt wants most: rules broken, then visits that got nothing."""
     if "failed" in result:
         return 10**9, 1.0
@@ -129,7 +129,7 @@
 def shrink(
     scenario: Scenario,
     wanted: Callable[[dict[str, Any]], bool],
-    run: Callable[[Scenario], dict[str, Any]] = play,
+    run: Callable[[Scenario], dict[str, Any]] = run_scenario,
     tries: int = 40,
 ) -> Scenario:
     """The smallest of what still shows it: failures left out, the time cut, the load and burst taken back."""
@@ -153,7 +153,7 @@
     return scenario
 
 
-def text(scenario: Scenario) -> str:
+def format_scenario(scenario: Scenario) -> str:
     """A scenario file that plays just this."""
     lines = []
     for name, value in msgspec.to_builtins(scenario).items():
--- a/wickhinge/lab/many/play.py
+++ b/wickhinge/lab/many/play.py
@@ -9,9 +9,9 @@
 from typing import Any
 
 from wickhinge.common.sealing import DatagramError
+from wickhinge.lab.event_queue import EventQueue
 from wickhinge.lab.many.director import Director
 from wickhinge.lab.many.schedule import Fault, Schedule
-from wickhinge.lab.wheel import Wheel
 from wickhinge.peers import wire
 from wickhinge.peers.detector import FailureDetector
 from wickhinge.peers.messages import Message
@@ -69,7 +69,7 @@
             plant(self)
         fleet.processes.append(self)
         fleet.write(self, "started")
-        fleet.wheel.after(TICK * fleet.random.random(), self.tick)
+        fleet.wheel.call_after(TICK * fleet.random.random(), self.tick)
 
     @property
     def clock(self) -> float:
@@ -91,7 +91,7 @@
             if self.turns % LOOK == 0:
                 self.look()
             self.spend()
-        self.fleet.wheel.after(TICK, self.tick)
+        self.fleet.wheel.call_after(TICK, self.tick)
 
     def look(self) -> None:
         """Writes down what the layers above are told, where it changed."""
@@ -166,7 +166,7 @@
     def __init__(self, schedule: Schedule, plants: tuple[Any, ...] = ()) -> None:
         super().__init__(schedule)
         self.plants = plants
-        self.wheel = Wheel()
+        self.wheel = EventQueue()
         self.places = {name: place for place, name in enumerate(self.names)}
         self.history: list[tuple[float, str, int, str, dict[str, Any]]] = []
         self.spent: list[list[tuple[float, str, float]]] = [[] for _ in BUDGETS]
@@ -228,7 +228,7 @@
         if self.between.lies(process.place):
             data = foul(data, self.names, self.random)
         for delay in self.between.fate(process.place, to, self.now, HOP * (0.5 + self.random.random())):
-            self.wheel.after(delay, self.arrive, process.place, to, data)
+            self.wheel.call_after(delay, self.arrive, process.place, to, data)
 
     def arrive(self, one: int, to: int, data: bytes) -> None:
         if not self.between.cut(one, to, self.now):
@@ -238,7 +238,7 @@
     # The schedule.
 
     def at(self, when: float, call: Any, *args: Any) -> None:
-        self.wheel.at(when, call, *args)
+        self.wheel.call_at(when, call, *args)
 
     def turn(self, process: Process, fault: Fault, on: bool) -> None:
         if fault.kind == "jump":
@@ -250,7 +250,7 @@
         for place in range(self.schedule.routers):
             self.start(place)
         for fault in self.schedule.faults:
-            self.wheel.at(fault.at_s, self.begin, fault)
+            self.wheel.call_at(fault.at_s, self.begin, fault)
         self.wheel.run(self.schedule.healed_s + self.schedule.calm_s)
         return self
 
--- a/wickhinge/lab/records.py
+++ b/wickhinge/lab/records.py
@@ -26,7 +26,7 @@
 )
 
 
-def write(rows: list[tuple[Any, ...]], path: str) -> None:
+def write_records(rows: list[tuple[Any, ...]], path: str) -> None:
     columns = list(zip(*rows, strict=True)) if rows else [[] for _ in SCHEMA]
     table = pa.table(
         [pa.array(column, field.type) for column, field in zip(columns, SCHEMA, strict=True)], schema=SCHEMA
@@ -34,7 +34,7 @@
     pq.write_table(table, path, compression="zstd")
 
 
-def read(path: str) -> pa.Table:
+def read_records(path: str) -> pa.Table:
     """Raises ValueError for a file of another schema."""
     table = pq.read_table(path)
     if (table.schema.metadata or {}).get(b"wickhinge.lab") != VERSION:
--- a/wickhinge/lab/report.py
+++ b/wickhinge/lab/report.py
@@ -72,7 +72,7 @@
     return png(figure)
 
 
-def page(scenario: Scenario, result: dict[str, Any], rows: list[tuple[Any, ...]], scenario_text: str) -> str:
+def render_html(scenario: Scenario, result: dict[str, Any], rows: list[tuple[Any, ...]], scenario_text: str) -> str:
     pictures = [
         ("Visits by what became of them; failures are shaded", over_time(scenario, rows)),
         ("How long served visits took", latency(scenario, rows)),
--- a/wickhinge/lab/judge.py
+++ b/wickhinge/lab/rule_checker.py
@@ -11,7 +11,7 @@
 KEPT = 50  # breaks told in full
 
 
-class Judge:
+class RuleChecker:
     """Breaks by rule: 1 one final answer in time, 2 no second effect, 3 nothing new to what drains, 4 nothing cold
     toppled, 5 no copy older than a purge. Times are the scenario's.
     """
--- a/wickhinge/lab/scenario.py
+++ b/wickhinge/lab/scenario.py
@@ -56,7 +56,7 @@
     failures: list[Failure]
 
 
-def check(source: str, name: str) -> Scenario:
+def parse_scenario(source: str, name: str) -> Scenario:
     """Raises OptionsError."""
     made = msgspec.convert(unify_with_schema("wickhinge.lab", "scenario.cue", source, name), Scenario)
     if made.zones > min(made.caches, made.routers):
@@ -69,11 +69,11 @@
     return made
 
 
-def load(path: str) -> Scenario:
-    return check(read_text(path), path)
+def load_scenario(path: str) -> Scenario:
+    return parse_scenario(read_text(path), path)
 
 
-def bundled() -> dict[str, str]:
+def bundled_scenarios() -> dict[str, str]:
     """Names of the scenarios that come along, and their texts."""
     folder = resources.files("wickhinge.lab") / "scenarios"
     return {
--- a/wickhinge/lab/machines.py
+++ b/wickhinge/lab/servers.py
@@ -7,8 +7,8 @@
 from typing import Any
 
 from wickhinge.interface import CacheStatus, Outcome
-from wickhinge.lab.stations import Shared
-from wickhinge.lab.wheel import Wheel
+from wickhinge.lab.event_queue import EventQueue
+from wickhinge.lab.service_queues import SharedCapacity
 
 RANKS = 4
 REFUSED = 0.001
@@ -48,12 +48,12 @@
             self.drop(name)
 
 
-class Machine:
+class Server:
     """One process at a time. `toppled` is told when work came faster than a cold one bears."""
 
     def __init__(
         self,
-        wheel: Wheel,
+        wheel: EventQueue,
         mark: int,
         kind: str,
         weight: float,
@@ -61,13 +61,13 @@
         cold: tuple[float, float],
         fall: tuple[float, float],
         restart: float,
-        toppled: Callable[[Machine, float], None],
+        toppled: Callable[[Server, float], None],
     ) -> None:
         self.wheel, self.mark, self.kind, self.weight, self.room = wheel, mark, kind, weight, room
         self.cold_from, self.cold_s = cold
         self.multiple, self.span = fall
         self.restart, self.toppled = restart, toppled
-        self.shared = Shared(wheel, weight)
+        self.shared = SharedCapacity(wheel, weight)
         self.held = Held(room)
         self.started = -1e9
         self.up, self.hung, self.slow = True, False, 1.0
@@ -105,12 +105,12 @@
             if over > 1.0 and self.up:
                 self.falls += 1
                 self.toppled(self, over)
-                self.wheel.after(0.0, self.crash, self.restart)
+                self.wheel.call_after(0.0, self.crash, self.restart)
 
     def capacity(self) -> None:
         self.shared.change(self.weight * self.warmth() / self.slow)
         if self.warmth() < 1.0:
-            self.wheel.after(0.25, self.capacity)
+            self.wheel.call_after(0.25, self.capacity)
 
     def ended(self, number: int, *told: Any) -> None:
         then = self.open.pop(number, None)
@@ -134,7 +134,7 @@
         for then in lost:
             then(Outcome.CONNECTION_LOST, None, None)
         if again is not None:
-            self.wheel.after(again, self.back)
+            self.wheel.call_after(again, self.back)
 
     def back(self) -> None:
         self.up, self.slow = True, 1.0
@@ -150,10 +150,12 @@
         self.capacity()
 
 
-class Fabric:
+class Network:
     """Requests from routers to caches, and the fills behind them."""
 
-    def __init__(self, wheel: Wheel, machines: dict[int, Machine], origin: Machine, hop: float, part_s: float) -> None:
+    def __init__(
+        self, wheel: EventQueue, machines: dict[int, Server], origin: Server, hop: float, part_s: float
+    ) -> None:
         self.wheel, self.machines, self.origin, self.hop, self.part_s = wheel, machines, origin, hop, part_s
 
     def ask(
@@ -174,14 +176,14 @@
 
         def back(outcome: Outcome, made: float | None = None, note: CacheStatus | None = None) -> None:
             if not state["off"]:
-                self.wheel.after(self.hop, lambda: state["off"] or then(outcome, made, note))
+                self.wheel.call_after(self.hop, lambda: state["off"] or then(outcome, made, note))
 
         def come() -> None:
             machine = self.machines[mark]
             if state["off"]:
                 return
             if not machine.up:
-                self.wheel.after(REFUSED, back, Outcome.CONNECT_FAILED)
+                self.wheel.call_after(REFUSED, back, Outcome.CONNECT_FAILED)
                 return
             number = state["number"] = machine.begin(self.part_s, back)
             state["machine"] = machine
@@ -196,7 +198,7 @@
                 machine.hits += 1
                 machine.shared.ask(self.part_s, machine.ended, number, Outcome.SUCCEEDED, made, CacheStatus.HIT)
             elif source is None or source == mark:
-                self.wheel.after(0.0005, machine.ended, number, Outcome.MISS, None, None)
+                self.wheel.call_after(0.0005, machine.ended, number, Outcome.MISS, None, None)
             else:
                 self.fill(machine, number, name, source, rank, oldest, held)
 
@@ -205,12 +207,12 @@
             if "machine" in state:
                 state["machine"].give_up(state["number"])
 
-        self.wheel.after(self.hop, come)
+        self.wheel.call_after(self.hop, come)
         return give_up
 
     def fill(
         self,
-        machine: Machine,
+        machine: Server,
         number: int,
         name: tuple[int, int],
         source: int,
@@ -220,7 +222,7 @@
     ) -> None:
         above = self.machines[source]
         if not above.up:
-            self.wheel.after(REFUSED, machine.ended, number, Outcome.ERROR, None, CacheStatus.SOURCE_UNREACHABLE)
+            self.wheel.call_after(REFUSED, machine.ended, number, Outcome.ERROR, None, CacheStatus.SOURCE_UNREACHABLE)
             return
 
         def came(outcome: Outcome, made: float | None, _: CacheStatus | None) -> None:
@@ -249,7 +251,7 @@
             above.hits += 1
             above.shared.ask(self.part_s, above.ended, asked, Outcome.SUCCEEDED, made, CacheStatus.HIT)
         elif held:
-            self.wheel.after(0.0005, above.ended, asked, Outcome.MISS, None, None)
+            self.wheel.call_after(0.0005, above.ended, asked, Outcome.MISS, None, None)
         else:
 
             def given(outcome: Outcome, fresh: float | None, _: CacheStatus | None) -> None:
--- a/wickhinge/lab/stations.py
+++ b/wickhinge/lab/service_queues.py
@@ -7,13 +7,13 @@
 from heapq import heappop, heappush
 from typing import Any
 
-from wickhinge.lab.wheel import Wheel
+from wickhinge.lab.event_queue import EventQueue
 
 
-class Station:
+class ServerQueue:
     """So many servers, one queue, first come first served. M/M/c and M/D/c by what is asked of it."""
 
-    def __init__(self, wheel: Wheel, servers: int) -> None:
+    def __init__(self, wheel: EventQueue, servers: int) -> None:
         self.wheel, self.servers = wheel, servers
         self.busy, self.round = 0, 0
         self.queue: deque[tuple[float, Callable[..., None], tuple[Any, ...]]] = deque()
@@ -21,7 +21,7 @@
     def ask(self, work: float, then: Callable[..., None], *args: Any) -> None:
         if self.busy < self.servers:
             self.busy += 1
-            self.wheel.after(work, self.ended, self.round, then, args)
+            self.wheel.call_after(work, self.ended, self.round, then, args)
         else:
             self.queue.append((work, then, args))
 
@@ -30,7 +30,7 @@
             return
         if self.queue:
             work, following, more = self.queue.popleft()
-            self.wheel.after(work, self.ended, self.round, following, more)
+            self.wheel.call_after(work, self.ended, self.round, following, more)
         else:
             self.busy -= 1
         then(*args)
@@ -42,13 +42,13 @@
         self.queue.clear()
 
 
-class Shared:
+class SharedCapacity:
     """Capacity shared equally by all that is under way, none faster than its own pace of 1: processor sharing.
 
     Kept by attained service: everyone's rises at the same rate, so each ends when it reaches a mark set as it began.
     """
 
-    def __init__(self, wheel: Wheel, capacity: float) -> None:
+    def __init__(self, wheel: EventQueue, capacity: float) -> None:
         self.wheel, self.capacity = wheel, capacity
         self.attained, self.since = 0.0, wheel.now
         self.ends: list[tuple[float, int, Callable[..., None], tuple[Any, ...]]] = []
@@ -94,7 +94,7 @@
         self.round += 1
         rate = self.rate()
         if self.ends and rate > 0:
-            self.wheel.after(max(self.ends[0][0] - self.attained, 0.0) / rate, self.ended, self.round)
+            self.wheel.call_after(max(self.ends[0][0] - self.attained, 0.0) / rate, self.ended, self.round)
 
     def ended(self, round: int) -> None:
         if round != self.round:
--- a/wickhinge/lab/play.py
+++ b/wickhinge/lab/simulation.py
@@ -20,10 +20,10 @@
     Request,
     RequestClass,
 )
-from wickhinge.lab.judge import Judge
-from wickhinge.lab.machines import Fabric, Machine
+from wickhinge.lab.event_queue import EventQueue
+from wickhinge.lab.rule_checker import RuleChecker
 from wickhinge.lab.scenario import Failure, Scenario
-from wickhinge.lab.wheel import Wheel
+from wickhinge.lab.servers import Network, Server
 from wickhinge.routing.endpoints import Endpoints, Topology
 from wickhinge.routing.object_counts import ObjectCounts
 from wickhinge.routing.purges import Purges
@@ -35,7 +35,7 @@
 PARENTS, ORIGIN = 100_000, 200_000
 
 
-def emulated(
+def build_router(
     outside: Any, chance: RandomSource, zone: str, routers: int, cold: tuple[float, float, float, float]
 ) -> Router:
     """The module as a front builds it, with what the laboratory does not vary. routers: of its location; cold: what
@@ -90,7 +90,7 @@
 
     __slots__ = ("play", "asked", "out")
 
-    def __init__(self, play: Play, asked: Asked) -> None:
+    def __init__(self, play: Simulation, asked: Asked) -> None:
         self.play, self.asked, self.out = play, asked, {}
 
     def forward(self, parameters: AttemptParameters) -> None:
@@ -99,13 +99,13 @@
         play, asked = self.play, self.asked
         asked.forwards += 1
         came_from = source.id if source is not None and source is not cache else None
-        play.judge.sent(asked, asked.router, cache.id, came_from, play.wheel.now)
-        began = play.wheel.now
+        play.judge.sent(asked, asked.router, cache.id, came_from, play.events.now)
+        began = play.events.now
 
         def then(outcome: Outcome, made: float | None, note: Any) -> None:
             if self.out.pop(forward, None) is None:
                 return
-            now = play.wheel.now
+            now = play.events.now
             ours = outcome is Outcome.SUCCEEDED and not asked.answers and not forward.request.is_finished
             if ours:
                 asked.hit = note is not None and note.name == "HIT"
@@ -115,7 +115,7 @@
             completion = Completion(outcome, now - began, asked.answers > 0, note)
             forward.request.attempt_ended(forward, completion, now)
 
-        runs = (lambda: play.judge.runs(asked, play.wheel.now)) if asked.exclusive else None
+        runs = (lambda: play.judge.runs(asked, play.events.now)) if asked.exclusive else None
         self.out[forward] = play.fabric.ask(
             cache.id,
             (asked.key, asked.part),
@@ -126,13 +126,13 @@
             then,
             parameters.only_if_cached,
         )
-        play.wheel.after(patience, self.silent, forward, began)
+        play.events.call_after(patience, self.silent, forward, began)
 
     def silent(self, forward: Any, began: float) -> None:
         give_up = self.out.pop(forward, None)
         if give_up is not None:
             give_up()
-            now = self.play.wheel.now
+            now = self.play.events.now
             completion = Completion(Outcome.TIMED_OUT, now - began, self.asked.answers > 0)
             forward.request.attempt_ended(forward, completion, now)
 
@@ -140,17 +140,17 @@
         give_up = self.out.pop(forward, None)
         if give_up is not None:
             give_up()
-            self.play.wheel.after(0.0, self.cancelled, forward)
+            self.play.events.call_after(0.0, self.cancelled, forward)
 
     def cancelled(self, forward: Any) -> None:
         completion = Completion(Outcome.CANCELLED, 0.0, self.asked.answers > 0)
-        forward.request.attempt_ended(forward, completion, self.play.wheel.now)
+        forward.request.attempt_ended(forward, completion, self.play.events.now)
 
     def serve_copy(self, copy: Any) -> None:
         raise AssertionError("no copies of their own here")
 
     def reject(self, wait: float, why: RejectionReason) -> None:
-        self.play.judge.denied(self.asked, self.play.wheel.now)
+        self.play.judge.denied(self.asked, self.play.events.now)
         self.play.answer(self.asked, "denied")
         self.play.came_back(self.asked, wait)
 
@@ -158,28 +158,28 @@
         self.play.answer(self.asked, "abandoned")
 
 
-class Play:
+class Simulation:
     def __init__(self, scenario: Scenario) -> None:
-        self.scenario, self.wheel, self.judge = scenario, Wheel(), Judge()
+        self.scenario, self.events, self.judge = scenario, EventQueue(), RuleChecker()
         self.random = random.Random(scenario.seed)
         noise = np.random.default_rng(scenario.seed)
         weights = 1.0 / np.arange(1, scenario.objects + 1) ** scenario.zipf
         self.keys = noise.choice(scenario.objects, 1 << 16, p=weights / weights.sum()).tolist()
         self.rows: list[tuple[Any, ...]] = []
-        self.count = 0
+        self.request_count = 0
         self.words: Counter[str] = Counter()
         self.listing_lost = 0.0
         s = scenario
         cold, fall = (s.cold_from, s.cold_s), (s.fall_multiple, s.fall_s)
 
-        def machine(mark: int, kind: str, weight: float, room: int) -> Machine:
-            return Machine(self.wheel, mark, kind, weight, room, cold, fall, s.restart_s, self.fell)
+        def machine(mark: int, kind: str, weight: float, room: int) -> Server:
+            return Server(self.events, mark, kind, weight, room, cold, fall, s.restart_s, self.fell)
 
         self.machines = {place + 1: machine(place + 1, "box", s.weight, s.keep) for place in range(s.caches)}
         for place in range(s.parents):
             self.machines[PARENTS + place] = machine(PARENTS + place, "parent", s.parent_weight, s.parent_keep)
         self.machines[ORIGIN] = machine(ORIGIN, "origin", s.origin_weight, 1)
-        self.fabric = Fabric(self.wheel, self.machines, self.machines[ORIGIN], s.hop_s, s.part_s)
+        self.fabric = Network(self.events, self.machines, self.machines[ORIGIN], s.hop_s, s.part_s)
         self.clips = RequestClass(
             "clips",
             s.promised_s,
@@ -214,17 +214,17 @@
         )
         self.routers = [self.router(number) for number in range(s.routers)]
         for failure in s.failures:
-            self.wheel.at(failure.at_s, self.fail, failure)
+            self.events.call_at(failure.at_s, self.fail, failure)
         self.arrive()
 
     def router(self, number: int) -> Router:
         s, chance = self.scenario, RandomSource(self.scenario.seed * 1000 + number)
         outside = SimpleNamespace(
-            call_later=lambda delay, call: self.wheel.after(delay, lambda: call(self.wheel.now)),
-            check_health=lambda cache: self.wheel.after(2 * s.hop_s, self.probed, number, cache),
+            call_later=lambda delay, call: self.events.call_after(delay, lambda: call(self.events.now)),
+            check_health=lambda cache: self.events.call_after(2 * s.hop_s, self.probed, number, cache),
             watch=lambda: None,
         )
-        made = emulated(
+        made = build_router(
             outside,
             chance,
             f"z{number % s.zones}",
@@ -240,7 +240,7 @@
         machine = self.machines[cache.id]
         well = machine.up and not machine.hung
         outcome = Outcome.SUCCEEDED if well else Outcome.CONNECT_FAILED if not machine.up else Outcome.TIMED_OUT
-        self.routers[number].health_checked(cache, outcome, {}, self.wheel.now)
+        self.routers[number].health_checked(cache, outcome, {}, self.events.now)
 
     def baseline(self, made: Router) -> None:
         """Named plain policies, and planted faults, in place of parts of the module."""
@@ -275,9 +275,9 @@
     # Clients.
 
     def arrive(self) -> None:
-        s, now = self.scenario, self.wheel.now
+        s, now = self.scenario, self.events.now
         rate = s.visits_per_s / ((1 + s.parts) / 2) * (s.burst if s.seconds / 3 < now < 2 * s.seconds / 3 else 1.0)
-        self.wheel.after(self.random.expovariate(rate), self.arrive)
+        self.events.call_after(self.random.expovariate(rate), self.arrive)
         key = self.keys[self.random.randrange(len(self.keys))]
         last = 1 + self.random.randrange(s.parts)
         if self.random.random() < s.exclusive:
@@ -289,23 +289,23 @@
         """Parts in order, one each of its own sending time's length."""
         self.ask(key, part, False, 0)
         if part + 1 < last:
-            self.wheel.after(2 * self.scenario.part_s, self.session, key, part + 1, last)
+            self.events.call_after(2 * self.scenario.part_s, self.session, key, part + 1, last)
 
     def ask(self, key: int, part: int, exclusive: bool, again: int) -> None:
-        s, now = self.scenario, self.wheel.now
-        self.count += 1
+        s, now = self.scenario, self.events.now
+        self.request_count += 1
         number = self.random.randrange(s.routers)
-        asked = Asked(self.count, now, s.patience_s, key, part, exclusive, again, number)
+        asked = Asked(self.request_count, now, s.patience_s, key, part, exclusive, again, number)
         request_class = self.results if exclusive else self.clips
         client = Client(self, asked)
         visit: RoutedRequest = self.routers[number].route(
             client, request_class, Request(key, part, 0, 0.0, s.patience_s, again > 0), now
         )
         if s.plant == "repeats" and exclusive and not visit.is_finished:
-            self.wheel.after(0.2, self.planted_repeat, client, visit)
+            self.events.call_after(0.2, self.planted_repeat, client, visit)
         if s.plant == "answers":
-            self.wheel.after(0.3, self.answer, asked, "honoured")
-        self.wheel.after(s.patience_s + 0.2, self.judge.unanswered, asked, now + s.patience_s + 0.2)
+            self.events.call_after(0.3, self.answer, asked, "honoured")
+        self.events.call_after(s.patience_s + 0.2, self.judge.unanswered, asked, now + s.patience_s + 0.2)
 
     def planted_repeat(self, client: Client, visit: RoutedRequest) -> None:
         if visit.attempts:
@@ -313,7 +313,7 @@
             client.forward(AttemptParameters(first, first.server, 1.0, None, 0, None, False, False, False))
 
     def answer(self, asked: Asked, word: str) -> None:
-        now = self.wheel.now
+        now = self.events.now
         self.judge.answered(asked, now, word)
         if asked.answers > 1:
             return
@@ -339,16 +339,16 @@
 
     def came_back(self, asked: Asked, wait: float) -> None:
         if asked.again < 2 and self.random.random() < self.scenario.again:
-            self.wheel.after(
+            self.events.call_after(
                 wait + 0.2 * self.random.random(), self.ask, asked.key, asked.part, asked.exclusive, asked.again + 1
             )
 
     # Failures.
 
-    def fell(self, machine: Machine, over: float) -> None:
-        self.judge.toppled(machine.mark, over, self.wheel.now)
+    def fell(self, machine: Server, over: float) -> None:
+        self.judge.toppled(machine.mark, over, self.events.now)
 
-    def boxes(self, share: float, zone: int | None) -> list[Machine]:
+    def boxes(self, share: float, zone: int | None) -> list[Server]:
         """A share of all caches, or of those of one location where there are several."""
         boxes = [
             one
@@ -362,13 +362,13 @@
         match failure.kind:
             case "crash":
                 target.crash(failure.for_s)
-                self.wheel.after(failure.for_s, self.tell, [target.mark])
+                self.events.call_after(failure.for_s, self.tell, [target.mark])
             case "hang":
                 target.hang(True)
-                self.wheel.after(failure.for_s, target.crash, s.restart_s)
+                self.events.call_after(failure.for_s, target.crash, s.restart_s)
             case "slow":
                 target.slower(failure.factor)
-                self.wheel.after(failure.for_s, target.slower, 1.0)
+                self.events.call_after(failure.for_s, target.slower, 1.0)
             case "drain":
                 target.state = "draining"
                 self.tell([target.mark])
@@ -376,44 +376,44 @@
                 zone = failure.target % s.zones if failure.kind == "lost_zone" and s.zones > 1 else None
                 for one in self.boxes(failure.share, zone):
                     one.crash(failure.for_s if failure.kind == "lost_zone" else s.restart_s)
-                    self.wheel.after(failure.for_s + s.restart_s, self.tell, [one.mark])
+                    self.events.call_after(failure.for_s + s.restart_s, self.tell, [one.mark])
             case "origin_slow":
                 self.machines[ORIGIN].slower(failure.factor)
-                self.wheel.after(failure.for_s, self.machines[ORIGIN].slower, 1.0)
+                self.events.call_after(failure.for_s, self.machines[ORIGIN].slower, 1.0)
             case "purge":
                 for key in range(max(round(failure.share * s.objects), 1)):
                     self.purge(key)
             case "list_lost":
-                self.listing_lost = self.wheel.now + failure.for_s
+                self.listing_lost = self.events.now + failure.for_s
 
     def purge(self, key: int) -> None:
-        now = self.wheel.now
+        now = self.events.now
         self.judge.told_purge(key, now, now + self.scenario.list_s)
         for number in range(len(self.routers)):
-            self.wheel.after(self.scenario.list_s, self.told_purge, number, key, now)
+            self.events.call_after(self.scenario.list_s, self.told_purge, number, key, now)
         for machine in self.machines.values():  # done everywhere by and by
             if machine.kind != "origin":
-                self.wheel.after(5.0 * self.random.random(), lambda machine=machine: machine.held.purge(key))
+                self.events.call_after(5.0 * self.random.random(), lambda machine=machine: machine.held.purge(key))
 
     def told_purge(self, number: int, key: int, stamp: float) -> None:
-        self.routers[number].purges.record_purge(key, 0, stamp, self.wheel.now)
+        self.routers[number].purges.record_purge(key, 0, stamp, self.events.now)
 
     def tell(self, marks: list[int]) -> None:
-        delay = max(self.listing_lost - self.wheel.now, 0.0) + self.scenario.list_s
+        delay = max(self.listing_lost - self.events.now, 0.0) + self.scenario.list_s
         for number in range(len(self.routers)):
-            self.wheel.after(delay, self.told, number, [self.listing(mark) for mark in marks])
+            self.events.call_after(delay, self.told, number, [self.listing(mark) for mark in marks])
 
     def told(self, number: int, listings: list[Endpoint]) -> None:
         for one in listings:
             if one.state != "ready":
-                self.judge.drained[number, one.server] = self.wheel.now
-        self.routers[number].endpoints.update(listings, self.wheel.now, complete=False)
+                self.judge.drained[number, one.server] = self.events.now
+        self.routers[number].endpoints.update(listings, self.events.now, complete=False)
 
     # Results.
 
     def run(self) -> dict[str, Any]:
         s = self.scenario
-        self.wheel.run(s.seconds)
+        self.events.run(s.seconds)
         counted = sum(self.words.values())
         served = [row for row in self.rows if row[6] in ("honoured", "late") and row[1] >= s.warm_s]
         took = sorted(row[7] for row in served)
@@ -428,7 +428,7 @@
             "seed": s.seed,
             "policy": s.policy,
             "visits": counted,
-            "events": self.wheel.done,
+            "events": self.events.processed_count,
             "honoured_share": round(self.words["honoured"] / max(counted, 1), 4),
             "late_share": round(self.words["late"] / max(counted, 1), 4),
             "denied_share": round(self.words["denied"] / max(counted, 1), 4),
