--- a/wickhinge/lab/__init__.py
+++ b/wickhinge/lab/__init__.py
@@ -1,5 +1,7 @@
-"""The project's own laboratory: a fleet emulated in virtual time, failures as data, the five rules judged by what
-really passed. Entered by `play.Play` and the command line `wickhinge lab`; no router that runs imports any of it.
+"""Simulation of a fleet in virtual time: failures are given as data, and five rules are checked on the sent messages.
 
-Deciding and modelling, without I/O: wheel, stations, machines, clients, faults, judge, stats. Records: scenario.
+Its entry points are `simulation.Simulation` and the command `wickhinge lab`. A router in production imports none of it.
+
+Modules without I/O: event_queue, service_queues, servers, simulation, rule_checker, stats. The module `scenario` reads
+scenario files, `experiments` runs several simulations, and `records` and `report` write results.
 """
--- a/wickhinge/lab/scenario.cue
+++ b/wickhinge/lab/scenario.cue
@@ -1,10 +1,11 @@
-// A scenario of the laboratory: what there is, who asks, what fails. Times in virtual seconds from the start.
+// A simulated scenario: the fleet, its load and its failures. Times are virtual times in seconds from the start.
 
 #Failure: {
 	kind: "crash" | "hang" | "slow" | "drain" | "mass_restart" | "lost_zone" | "origin_slow" | "purge" | "list_lost"
 	at_s:    number & >=0
 	for_s:   number & >0 | *5
-	// place of a cache from 0, or the share of them, or how many times slower, by kind
+	// target: index of the cache that fails, from 0; share: share of the caches that fail, or of the objects that are
+	// purged; factor: by how much a server becomes slower. Each kind uses those that apply to it.
 	target:  int & >=0 | *0
 	share:   number & >0 & <=1 | *1
 	factor:  number & >=1 | *4
@@ -14,12 +15,12 @@
 seed:        int & >=0 | *1
 seconds:     number & >0 & <=86400 | *30
 warm_s:      number & >=0 | *5
-// locations that share nothing but parents and origin; caches and routers are dealt out to them in turn
+// zones: they share only the parents and the origin; caches and routers are assigned to them in turn
 zones:       int & >=1 & <=500 | *1
 routers:     int & >=1 & <=1000 | *4
 caches:      int & >=1 & <=5000 | *8
 parents:     int & >=1 & <=500 | *2
-// transfers at full pace, parts kept
+// weight, parent_weight, origin_weight: capacity in transfers at full speed; keep, parent_keep: parts that are stored
 weight:        number & >0 | *8
 parent_weight: number & >0 | *32
 origin_weight: number & >0 | *64
@@ -41,7 +42,7 @@
 fresh_s:       number & >=0 | *0
 promised_s:    number & >0 | *0.5
 patience_s:    number & >0 | *2
-// share of denied visits that come again after the time they were told
+// again: share of the rejected requests that are sent again after the announced delay
 again:         number & >=0 & <=1 | *0.3
 burst:         number & >=1 | *1
 policy:        *"wickhinge" | "random" | "least_loaded" | "keep_all" | "keep_none"
--- a/wickhinge/lab/scenarios/calm.cue
+++ b/wickhinge/lab/scenarios/calm.cue
@@ -1,2 +1,2 @@
-// Nothing fails: what the mechanism does by itself.
+// No failures: the router's behaviour under a constant load.
 name: "calm"
--- a/wickhinge/lab/scenarios/rough.cue
+++ b/wickhinge/lab/scenarios/rough.cue
@@ -1,4 +1,4 @@
-// A drain, a crash, a hang, a purge and a slow origin, one after another under a burst.
+// A drain, a crash, a hang, a purge, a slow origin and a mass restart, one after another during a burst of load.
 name:    "rough"
 seconds: 40
 burst:   1.5
--- a/wickhinge/lab/scenarios/zone_loss.cue
+++ b/wickhinge/lab/scenarios/zone_loss.cue
@@ -1,4 +1,4 @@
-// All caches of one location of four are gone for ten seconds and come back cold and empty.
+// All caches of one of four zones are down for ten seconds and restart cold and empty.
 name:         "zone_loss"
 zones:        4
 routers:      20
