--- a/wickhinge/lab/event_queue.py
+++ b/wickhinge/lab/event_queue.py
@@ -1,4 +1,4 @@
-"""The event queue: a calendar of short spans, each sorted only when its turn comes."""
+"""The event queue of virtual time: a calendar queue whose buckets are sorted only when their time comes."""
 
 from __future__ import annotations
 
@@ -6,53 +6,61 @@
 from heapq import heappop, heappush
 from typing import Any
 
-SPAN = 0.002  # seconds; most events of a fleet lie a few spans to a few thousand ahead
+BUCKET_S = 0.002  # Most events of a fleet lie between a few and a few thousand buckets ahead.
 
 
 class EventQueue:
-    """Events in the order of their time, then of their making: the same calls give the same order."""
+    """Calls events in the order of their time; events of equal time are called in the order in which they were added.
 
-    def __init__(self, now: float = 0.0, span: float = SPAN) -> None:
-        self.now, self.span = now, span
-        self.days: dict[int, list[tuple[float, int, Callable[..., None], tuple[Any, ...]]]] = {}
-        self.order: list[int] = []  # the days that hold anything, a heap
-        self.today: list[tuple[float, int, Callable[..., None], tuple[Any, ...]]] = []  # a heap while it lasts
-        self.day = -1
-        self.serial = self.processed_count = 0
+    Attributes:
+        now: The current virtual time in seconds.
+        processed_count: Number of events that have been called.
+    """
+
+    def __init__(self, now: float = 0.0, bucket_s: float = BUCKET_S) -> None:
+        self.now, self.bucket_s = now, bucket_s
+        self.buckets: dict[int, list[tuple[float, int, Callable[..., None], tuple[Any, ...]]]] = {}
+        self.bucket_order: list[int] = []  # A heap of the numbers of the buckets that are not empty.
+        # The events of the current bucket, as a heap.
+        self.current_events: list[tuple[float, int, Callable[..., None], tuple[Any, ...]]] = []
+        self.current_bucket = -1
+        self.last_serial = self.processed_count = 0
 
     def call_at(self, when: float, call: Callable[..., None], *args: Any) -> None:
-        self.serial += 1
+        """Add an event at a virtual time; a time in the past counts as the current time."""
+        self.last_serial += 1
         when = max(when, self.now)
-        day = int(when / self.span)
-        if day <= self.day:
-            heappush(self.today, (when, self.serial, call, args))
+        bucket = int(when / self.bucket_s)
+        if bucket <= self.current_bucket:
+            heappush(self.current_events, (when, self.last_serial, call, args))
             return
-        found = self.days.get(day)
-        if found is None:
-            self.days[day] = [(when, self.serial, call, args)]
-            heappush(self.order, day)
+        events = self.buckets.get(bucket)
+        if events is None:
+            self.buckets[bucket] = [(when, self.last_serial, call, args)]
+            heappush(self.bucket_order, bucket)
         else:
-            found.append((when, self.serial, call, args))
+            events.append((when, self.last_serial, call, args))
 
     def call_after(self, delay: float, call: Callable[..., None], *args: Any) -> None:
+        """Add an event that is called `delay` seconds from now."""
         self.call_at(self.now + delay, call, *args)
 
     def run(self, until: float) -> None:
-        """All events up to then; the clock stands there afterwards."""
+        """Call all events up to the virtual time `until`, which is the current time afterwards."""
         while True:
-            while self.today:
-                if self.today[0][0] > until:
+            while self.current_events:
+                if self.current_events[0][0] > until:
                     self.now = until
                     return
-                self.now, _, call, args = heappop(self.today)
+                self.now, _, call, args = heappop(self.current_events)
                 self.processed_count += 1
                 call(*args)
-            if not self.order or self.order[0] * self.span > until:
+            if not self.bucket_order or self.bucket_order[0] * self.bucket_s > until:
                 self.now = until
                 return
-            self.day = heappop(self.order)
-            self.today = self.days.pop(self.day)
-            self.today.sort()  # a sorted list is a heap
+            self.current_bucket = heappop(self.bucket_order)
+            self.current_events = self.buckets.pop(self.current_bucket)
+            self.current_events.sort()  # A sorted list is a valid heap.
 
     def __len__(self) -> int:
-        return len(self.today) + sum(len(found) for found in self.days.values())
+        return len(self.current_events) + sum(len(events) for events in self.buckets.values())
--- a/wickhinge/lab/rule_checker.py
+++ b/wickhinge/lab/rule_checker.py
@@ -1,72 +1,95 @@
-"""The five rules, judged by what really passed and never by what a router believes."""
+"""Checks five rules on the messages that were really sent, independently of what the routers know."""
 
 from __future__ import annotations
 
 from collections import Counter
 from typing import Any
 
-SLACK = 0.05
-DRAIN_GRACE = 0.5
-PURGE_GRACE = 1.0
-KEPT = 50  # breaks told in full
+ANSWER_TOLERANCE_S = 0.05
+DRAIN_GRACE_S = 0.5
+PURGE_GRACE_S = 1.0
+MAX_DESCRIBED_VIOLATIONS = 50
 
 
 class RuleChecker:
-    """Breaks by rule: 1 one final answer in time, 2 no second effect, 3 nothing new to what drains, 4 nothing cold
-    toppled, 5 no copy older than a purge. Times are the scenario's.
+    """Counts violations of five rules; all times are virtual times in seconds.
+
+    Rule 1: each request gets exactly one final answer, in time.
+    Rule 2: a request that is not idempotent is executed at most once.
+    Rule 3: no new attempt goes to a server that is draining.
+    Rule 4: no server is overloaded during its slow start.
+    Rule 5: no copy is served that is older than a purge of its object.
     """
 
     def __init__(self) -> None:
-        self.breaks: Counter[int] = Counter()
-        self.first: list[tuple[float, int, str]] = []
-        self.drained: dict[int, float] = {}  # told to the router concerned, by (router, machine)
-        self.purged: dict[int, list[tuple[float, float]]] = {}  # object: (stamp, told)
-        self.peak = 0.0  # of rule 4: most work over what topples
-
-    def broke(self, rule: int, when: float, what: str) -> None:
-        self.breaks[rule] += 1
-        if len(self.first) < KEPT:
-            self.first.append((round(when, 4), rule, what))
-
-    def answered(self, visit: Any, when: float, word: str) -> None:
-        visit.answers += 1
-        if visit.answers > 1:
-            self.broke(1, when, f"visit {visit.number} has a second answer, {word}")
-        elif when > visit.until + SLACK:
-            self.broke(1, when, f"visit {visit.number} is answered late, {word}")
-
-    def unanswered(self, visit: Any, when: float) -> None:
-        if not visit.answers:
-            self.broke(1, when, f"visit {visit.number} has no answer")
-
-    def sent(self, visit: Any, router: int, mark: int, source: int | None, when: float) -> None:
-        if visit.answers:
-            self.broke(1, when, f"visit {visit.number} is sent on after its answer")
-        for one in {mark, source} - {None}:
-            told = self.drained.get((router, one))
-            if told is not None and when > told + DRAIN_GRACE:
-                self.broke(3, when, f"visit {visit.number} to {one}, which drains since {told:.2f}")
-        if visit.exclusive and visit.ran:
-            self.broke(2, when, f"visit {visit.number} is sent again and may have run")
-
-    def runs(self, visit: Any, when: float) -> None:
-        visit.ran += 1
-        if visit.exclusive and visit.ran > 1:
-            self.broke(2, when, f"visit {visit.number} ran twice")
-
-    def denied(self, visit: Any, when: float) -> None:
-        if visit.exclusive and visit.ran:
-            self.broke(2, when, f"visit {visit.number} is denied and ran")
-
-    def toppled(self, mark: int, over: float, when: float) -> None:
-        self.peak = max(self.peak, over)
-        self.broke(4, when, f"machine {mark} had {over:.2f} times what it bears cold")
-
-    def told_purge(self, key: int, stamp: float, told: float) -> None:
-        self.purged.setdefault(key, []).append((stamp, told))
-
-    def served(self, visit: Any, made: float, when: float) -> None:
-        for stamp, told in self.purged.get(visit.key, ()):
-            if made <= stamp and visit.since > told + PURGE_GRACE:
-                self.broke(5, when, f"visit {visit.number} got a copy of {made:.2f}, purged at {stamp:.2f}")
+        self.violation_counts: Counter[int] = Counter()
+        self.first_violations: list[tuple[float, int, str]] = []
+        # When the router learned that the server drains, by (router, server).
+        self.drain_times: dict[int, float] = {}
+        # Purges of each object: (the purge's time stamp, when the routers received it).
+        self.purges: dict[int, list[tuple[float, float]]] = {}
+        self.max_overload = 0.0  # Highest load of a cold server relative to the load that overloads it (rule 4).
+
+    def add_violation(self, rule: int, when: float, what: str) -> None:
+        """Count a violation of a rule, and keep the description of the first ones."""
+        self.violation_counts[rule] += 1
+        if len(self.first_violations) < MAX_DESCRIBED_VIOLATIONS:
+            self.first_violations.append((round(when, 4), rule, what))
+
+    def on_answer(self, request: Any, when: float, result: str) -> None:
+        """Check rule 1; called when a client gets a final answer."""
+        request.answer_count += 1
+        if request.answer_count > 1:
+            self.add_violation(1, when, f"request {request.number} got a second answer, {result}")
+        elif when > request.deadline + ANSWER_TOLERANCE_S:
+            self.add_violation(1, when, f"request {request.number} got its answer after the deadline, {result}")
+
+    def on_deadline(self, request: Any, when: float) -> None:
+        """Check rule 1; called when a request must have been answered."""
+        if not request.answer_count:
+            self.add_violation(1, when, f"request {request.number} got no answer")
+
+    def on_attempt(self, request: Any, router: int, server: int, source: int | None, when: float) -> None:
+        """Check rules 1, 2 and 3; called when a router sends an attempt."""
+        if request.answer_count:
+            self.add_violation(1, when, f"an attempt for request {request.number} was sent after its answer")
+        for server_id in {server, source} - {None}:
+            drain_time = self.drain_times.get((router, server_id))
+            if drain_time is not None and when > drain_time + DRAIN_GRACE_S:
+                self.add_violation(
+                    3,
+                    when,
+                    f"an attempt for request {request.number} uses server {server_id}, "
+                    f"which has been draining since {drain_time:.2f}",
+                )
+        if request.is_exclusive and request.execution_count:
+            self.add_violation(2, when, f"request {request.number} was sent again and may have been executed")
+
+    def on_execution(self, request: Any, when: float) -> None:
+        """Check rule 2; called when a server executes a request that has effects."""
+        request.execution_count += 1
+        if request.is_exclusive and request.execution_count > 1:
+            self.add_violation(2, when, f"request {request.number} was executed twice")
+
+    def on_rejection(self, request: Any, when: float) -> None:
+        """Check rule 2; called when a router rejects a request, which tells the client that it may send it again."""
+        if request.is_exclusive and request.execution_count:
+            self.add_violation(2, when, f"request {request.number} was rejected after it had been executed")
+
+    def on_overload(self, server: int, load_ratio: float, when: float) -> None:
+        """Count a violation of rule 4; called when a server crashes from overload in its slow start."""
+        self.max_overload = max(self.max_overload, load_ratio)
+        self.add_violation(4, when, f"server {server} had {load_ratio:.2f} times the load that it can bear when cold")
+
+    def on_purge(self, key: int, stamp: float, received_at: float) -> None:
+        """Record a purge for rule 5; called when an object is purged."""
+        self.purges.setdefault(key, []).append((stamp, received_at))
+
+    def on_copy_served(self, request: Any, created_at: float, when: float) -> None:
+        """Check rule 5; called when a client gets a copy that was fetched from the origin at `created_at`."""
+        for stamp, received_at in self.purges.get(request.key, ()):
+            if created_at <= stamp and request.arrived_at > received_at + PURGE_GRACE_S:
+                self.add_violation(
+                    5, when, f"request {request.number} got a copy made at {created_at:.2f}, purged at {stamp:.2f}"
+                )
                 return
--- a/wickhinge/lab/servers.py
+++ b/wickhinge/lab/servers.py
@@ -1,4 +1,4 @@
-"""Emulated caches, parents and origin: what they hold, how long they take, when they fall over."""
+"""Simulated caches, parents and origin: what they store, how long they take, and when they crash from overload."""
 
 from __future__ import annotations
 
@@ -10,254 +10,323 @@
 from wickhinge.lab.event_queue import EventQueue
 from wickhinge.lab.service_queues import SharedCapacity
 
-RANKS = 4
-REFUSED = 0.001
+RETENTION_RANKS = 4
+CONNECTION_REFUSED_DELAY_S = 0.001
 
 
-class Held:
-    """Parts by rank, then by last use; the lowest rank's oldest goes first."""
+class PartStore:
+    """The stored parts of a cache; it evicts the least recently used part of the lowest retention rank first."""
 
-    def __init__(self, room: int) -> None:
-        self.room = room
-        self.ranks: list[OrderedDict[tuple[int, int], float]] = [OrderedDict() for _ in range(RANKS)]
-        self.where: dict[tuple[int, int], int] = {}
+    def __init__(self, max_parts: int) -> None:
+        self.max_parts = max_parts
+        # For each rank, the time at which a part's copy was made, by (object, part), least recently used first.
+        self.ranks: list[OrderedDict[tuple[int, int], float]] = [OrderedDict() for _ in range(RETENTION_RANKS)]
+        self.rank_of: dict[tuple[int, int], int] = {}
 
     def find(self, name: tuple[int, int]) -> float | None:
-        """When the copy was made."""
-        rank = self.where.get(name)
+        """Return the time at which the stored copy of a part was made, and mark it as used; None if not stored."""
+        rank = self.rank_of.get(name)
         if rank is None:
             return None
         self.ranks[rank].move_to_end(name)
         return self.ranks[rank][name]
 
-    def put(self, name: tuple[int, int], made: float, rank: int) -> None:
-        self.drop(name)
-        self.ranks[rank][name] = made
-        self.where[name] = rank
-        while len(self.where) > self.room:
-            lowest = next(part for part in self.ranks if part)
-            del self.where[lowest.popitem(last=False)[0]]
-
-    def drop(self, name: tuple[int, int]) -> None:
-        rank = self.where.pop(name, None)
+    def put(self, name: tuple[int, int], created_at: float, rank: int) -> None:
+        """Store a copy of a part, and evict others until the store is within its size."""
+        self.remove(name)
+        self.ranks[rank][name] = created_at
+        self.rank_of[name] = rank
+        while len(self.rank_of) > self.max_parts:
+            lowest_rank = next(parts for parts in self.ranks if parts)
+            del self.rank_of[lowest_rank.popitem(last=False)[0]]
+
+    def remove(self, name: tuple[int, int]) -> None:
+        """Remove a part if it is stored."""
+        rank = self.rank_of.pop(name, None)
         if rank is not None:
             del self.ranks[rank][name]
 
     def purge(self, key: int) -> None:
-        for name in [name for name in self.where if name[0] == key]:
-            self.drop(name)
-
-
-class Server:
-    """One process at a time. `toppled` is told when work came faster than a cold one bears."""
+        """Remove all parts of an object."""
+        for name in [name for name in self.rank_of if name[0] == key]:
+            self.remove(name)
+
+
+class SimulatedServer:
+    """A cache, a parent or the origin, with one process at a time.
+
+    Args:
+        events: The simulation's event queue.
+        server_id: Id of the server.
+        kind: "box" for a cache, "parent" or "origin".
+        weight: Capacity as a number of transfers at full speed.
+        max_parts: Number of parts that the server can store.
+        slow_start: Share of the capacity that the server has after its start, and seconds until it has all of it.
+        overload: In slow start, the server crashes if it gets more than the first number times the work that it can
+            do, summed over the second number of seconds.
+        restart_s: Seconds from a crash from overload until the new process runs.
+        on_overload: Called with the server and its load, relative to the load that it can bear, before it crashes.
+    """
 
     def __init__(
         self,
-        wheel: EventQueue,
-        mark: int,
+        events: EventQueue,
+        server_id: int,
         kind: str,
         weight: float,
-        room: int,
-        cold: tuple[float, float],
-        fall: tuple[float, float],
-        restart: float,
-        toppled: Callable[[Server, float], None],
+        max_parts: int,
+        slow_start: tuple[float, float],
+        overload: tuple[float, float],
+        restart_s: float,
+        on_overload: Callable[[SimulatedServer, float], None],
     ) -> None:
-        self.wheel, self.mark, self.kind, self.weight, self.room = wheel, mark, kind, weight, room
-        self.cold_from, self.cold_s = cold
-        self.multiple, self.span = fall
-        self.restart, self.toppled = restart, toppled
-        self.shared = SharedCapacity(wheel, weight)
-        self.held = Held(room)
-        self.started = -1e9
-        self.up, self.hung, self.slow = True, False, 1.0
+        self.events, self.server_id, self.kind, self.weight, self.max_parts = events, server_id, kind, weight, max_parts
+        self.initial_share, self.slow_start_s = slow_start
+        self.overload_multiple, self.overload_window_s = overload
+        self.restart_s, self.on_overload = restart_s, on_overload
+        self.capacity = SharedCapacity(events, weight)
+        self.store = PartStore(max_parts)
+        self.started_at = -1e9
+        self.is_up, self.is_hung, self.slowdown = True, False, 1.0
         self.state = "ready"
-        self.open: dict[int, Callable[..., None]] = {}  # asked of this process and not answered
-        self.serial = 0
-        self.recent: deque[tuple[float, float]] = deque()
-        self.work = 0.0
-        self.falls = self.asked = self.hits = 0
-        self.peak = 0.0
-
-    def warmth(self) -> float:
-        return min(self.cold_from + (1 - self.cold_from) * (self.wheel.now - self.started) / self.cold_s, 1.0)
-
-    def begin(self, work: float, then: Callable[..., None]) -> int:
-        """A request has come whole; then(outcome, ...) unless the process ends first: then with BROKEN."""
-        self.serial += 1
-        self.asked += 1
-        self.open[self.serial] = then
-        self.load(work)
-        return self.serial
-
-    def load(self, work: float) -> None:
-        now = self.wheel.now
-        self.recent.append((now, work))
-        self.work += work
-        while self.recent[0][0] < now - self.span:
-            self.work -= self.recent.popleft()[1]
+        # Callbacks of the requests that this process has received and not answered.
+        self.open_requests: dict[int, Callable[..., None]] = {}
+        self.last_number = 0
+        self.recent_work: deque[tuple[float, float]] = deque()  # (time, work) within the overload window.
+        self.recent_work_sum = 0.0
+        self.overload_count = self.request_count = self.hit_count = 0
+        self.max_load_ratio = 0.0  # Highest load in slow start, relative to the load that crashes the server.
+
+    def capacity_share(self) -> float:
+        """Return the share of its capacity that the server has now; it is below 1 in slow start."""
+        return min(
+            self.initial_share + (1 - self.initial_share) * (self.events.now - self.started_at) / self.slow_start_s, 1.0
+        )
+
+    def open_request(self, work: float, on_done: Callable[..., None]) -> int:
+        """Receive a request and return its number.
+
+        `on_done` is called with an outcome and its details when the request ends; if the process ends first, the
+        outcome is CONNECTION_LOST.
+        """
+        self.last_number += 1
+        self.request_count += 1
+        self.open_requests[self.last_number] = on_done
+        self._add_load(work)
+        return self.last_number
+
+    def _add_load(self, work: float) -> None:
+        """Count the work of a request, and crash if it overloads the server in its slow start."""
+        now = self.events.now
+        self.recent_work.append((now, work))
+        self.recent_work_sum += work
+        while self.recent_work[0][0] < now - self.overload_window_s:
+            self.recent_work_sum -= self.recent_work.popleft()[1]
         if self.kind == "origin":
             return
-        warmth = self.warmth()
-        if warmth < 1.0:
-            over = self.work / (self.multiple * warmth * self.weight * self.span)
-            self.peak = max(self.peak, over)
-            if over > 1.0 and self.up:
-                self.falls += 1
-                self.toppled(self, over)
-                self.wheel.call_after(0.0, self.crash, self.restart)
-
-    def capacity(self) -> None:
-        self.shared.change(self.weight * self.warmth() / self.slow)
-        if self.warmth() < 1.0:
-            self.wheel.call_after(0.25, self.capacity)
-
-    def ended(self, number: int, *told: Any) -> None:
-        then = self.open.pop(number, None)
-        if then is not None and not self.hung:
-            then(*told)
-        elif then is not None:
-            self.open[number] = then  # it says nothing, for as long as it hangs
-
-    def give_up(self, number: int) -> None:
-        self.open.pop(number, None)
-
-    def crash(self, again: float | None) -> None:
-        """All that was open breaks; again: seconds until a new process is up, cold and empty; None: never."""
-        if not self.up:
+        capacity_share = self.capacity_share()
+        if capacity_share < 1.0:
+            load_ratio = self.recent_work_sum / (
+                self.overload_multiple * capacity_share * self.weight * self.overload_window_s
+            )
+            self.max_load_ratio = max(self.max_load_ratio, load_ratio)
+            if load_ratio > 1.0 and self.is_up:
+                self.overload_count += 1
+                self.on_overload(self, load_ratio)
+                self.events.call_after(0.0, self.crash, self.restart_s)
+
+    def update_capacity(self) -> None:
+        """Apply the capacity that the server has now, and again every 0.25 s until the slow start ends."""
+        self.capacity.set_capacity(self.weight * self.capacity_share() / self.slowdown)
+        if self.capacity_share() < 1.0:
+            self.events.call_after(0.25, self.update_capacity)
+
+    def finish_request(self, number: int, *result: Any) -> None:
+        """Answer a request unless it was cancelled; a server that hangs never answers."""
+        on_done = self.open_requests.pop(number, None)
+        if on_done is not None and not self.is_hung:
+            on_done(*result)
+        elif on_done is not None:
+            self.open_requests[number] = on_done  # A crash ends the requests that a server that hangs has received.
+
+    def cancel_request(self, number: int) -> None:
+        """Forget a request, which is then not answered."""
+        self.open_requests.pop(number, None)
+
+    def crash(self, down_s: float | None) -> None:
+        """End the process and break the connections of all open requests.
+
+        A new process, cold and with an empty store, runs after `down_s` seconds; None for no new process.
+        """
+        if not self.is_up:
             return
-        self.up = self.hung = False
-        self.shared.clear()
-        lost, self.open = list(self.open.values()), {}
-        self.recent.clear()
-        self.work = 0.0
-        for then in lost:
-            then(Outcome.CONNECTION_LOST, None, None)
-        if again is not None:
-            self.wheel.call_after(again, self.back)
-
-    def back(self) -> None:
-        self.up, self.slow = True, 1.0
-        self.started = self.wheel.now
-        self.held = Held(self.room)
-        self.capacity()
-
-    def hang(self, on: bool) -> None:
-        self.hung = on
-
-    def slower(self, factor: float) -> None:
-        self.slow = factor
-        self.capacity()
+        self.is_up = self.is_hung = False
+        self.capacity.clear()
+        lost_callbacks, self.open_requests = list(self.open_requests.values()), {}
+        self.recent_work.clear()
+        self.recent_work_sum = 0.0
+        for on_done in lost_callbacks:
+            on_done(Outcome.CONNECTION_LOST, None, None)
+        if down_s is not None:
+            self.events.call_after(down_s, self._restart)
+
+    def _restart(self) -> None:
+        self.is_up, self.slowdown = True, 1.0
+        self.started_at = self.events.now
+        self.store = PartStore(self.max_parts)
+        self.update_capacity()
+
+    def set_hung(self, is_hung: bool) -> None:
+        """Let the server hang, so that it accepts requests and answers none, or end that."""
+        self.is_hung = is_hung
+
+    def set_slowdown(self, factor: float) -> None:
+        """Make the server slower by a factor; 1 is its normal speed."""
+        self.slowdown = factor
+        self.update_capacity()
 
 
 class Network:
-    """Requests from routers to caches, and the fills behind them."""
+    """Carries requests from routers to servers, and simulates the fills of caches by parents and by the origin."""
 
     def __init__(
-        self, wheel: EventQueue, machines: dict[int, Server], origin: Server, hop: float, part_s: float
+        self,
+        events: EventQueue,
+        servers: dict[int, SimulatedServer],
+        origin: SimulatedServer,
+        latency_s: float,
+        part_s: float,
     ) -> None:
-        self.wheel, self.machines, self.origin, self.hop, self.part_s = wheel, machines, origin, hop, part_s
+        self.events, self.servers, self.origin, self.latency_s, self.part_s = events, servers, origin, latency_s, part_s
 
-    def ask(
+    def send(
         self,
-        mark: int,
+        server_id: int,
         name: tuple[int, int],
         source: int | None,
         rank: int,
-        oldest: float | None,
-        runs: Callable[[], None] | None,
-        then: Callable[..., None],
-        held: bool = False,
+        max_age: float | None,
+        on_execution: Callable[[], None] | None,
+        on_done: Callable[..., None],
+        only_if_cached: bool = False,
     ) -> Callable[[], None]:
-        """then(outcome, made, note), a hop later each way; runs() if it has effects and runs. held: the source gives
-        only what it holds. Returns what gives it up.
+        """Send a request for a part to a server; return a function that cancels it.
+
+        Args:
+            server_id: Id of the server.
+            name: Object and part.
+            source: Id of the server that fills a miss; None or the server itself if a miss is not filled.
+            rank: Retention rank of the copy; 0 if it is not kept.
+            max_age: Maximum age in seconds of a copy that may answer; None for no limit.
+            on_execution: Called when the server executes the request; None for a request without effects.
+            on_done: Called with the outcome, the time at which the copy was made and the cache status, after the
+                latency of the way back.
+            only_if_cached: Whether the source answers only from its own store.
         """
         state: dict[str, Any] = {"off": False}
 
-        def back(outcome: Outcome, made: float | None = None, note: CacheStatus | None = None) -> None:
+        def reply(outcome: Outcome, created_at: float | None = None, status: CacheStatus | None = None) -> None:
             if not state["off"]:
-                self.wheel.call_after(self.hop, lambda: state["off"] or then(outcome, made, note))
+                self.events.call_after(self.latency_s, lambda: state["off"] or on_done(outcome, created_at, status))
 
-        def come() -> None:
-            machine = self.machines[mark]
+        def receive() -> None:
+            server = self.servers[server_id]
             if state["off"]:
                 return
-            if not machine.up:
-                self.wheel.call_after(REFUSED, back, Outcome.CONNECT_FAILED)
+            if not server.is_up:
+                self.events.call_after(CONNECTION_REFUSED_DELAY_S, reply, Outcome.CONNECT_FAILED)
                 return
-            number = state["number"] = machine.begin(self.part_s, back)
-            state["machine"] = machine
-            if machine.hung:
+            number = state["number"] = server.open_request(self.part_s, reply)
+            state["machine"] = server
+            if server.is_hung:
                 return
-            if runs is not None:
-                runs()
-                machine.shared.ask(self.part_s, machine.ended, number, Outcome.SUCCEEDED, self.wheel.now, None)
+            if on_execution is not None:
+                on_execution()
+                server.capacity.submit(
+                    self.part_s, server.finish_request, number, Outcome.SUCCEEDED, self.events.now, None
+                )
                 return
-            made = machine.held.find(name) if machine.kind != "origin" else self.wheel.now
-            if made is not None and (oldest is None or self.wheel.now - made <= oldest):
-                machine.hits += 1
-                machine.shared.ask(self.part_s, machine.ended, number, Outcome.SUCCEEDED, made, CacheStatus.HIT)
-            elif source is None or source == mark:
-                self.wheel.call_after(0.0005, machine.ended, number, Outcome.MISS, None, None)
+            created_at = server.store.find(name) if server.kind != "origin" else self.events.now
+            if created_at is not None and (max_age is None or self.events.now - created_at <= max_age):
+                server.hit_count += 1
+                server.capacity.submit(
+                    self.part_s, server.finish_request, number, Outcome.SUCCEEDED, created_at, CacheStatus.HIT
+                )
+            elif source is None or source == server_id:
+                self.events.call_after(0.0005, server.finish_request, number, Outcome.MISS, None, None)
             else:
-                self.fill(machine, number, name, source, rank, oldest, held)
+                self._fill(server, number, name, source, rank, max_age, only_if_cached)
 
-        def give_up() -> None:
+        def cancel() -> None:
             state["off"] = True
             if "machine" in state:
-                state["machine"].give_up(state["number"])
+                state["machine"].cancel_request(state["number"])
 
-        self.wheel.call_after(self.hop, come)
-        return give_up
+        self.events.call_after(self.latency_s, receive)
+        return cancel
 
-    def fill(
+    def _fill(
         self,
-        machine: Server,
+        server: SimulatedServer,
         number: int,
         name: tuple[int, int],
-        source: int,
+        source_id: int,
         rank: int,
-        oldest: float | None,
-        held: bool,
+        max_age: float | None,
+        only_if_cached: bool,
     ) -> None:
-        above = self.machines[source]
-        if not above.up:
-            self.wheel.call_after(REFUSED, machine.ended, number, Outcome.ERROR, None, CacheStatus.SOURCE_UNREACHABLE)
+        """Answer a cache's open request with a part from its source, and keep the part if it has a retention rank."""
+        source = self.servers[source_id]
+        if not source.is_up:
+            self.events.call_after(
+                CONNECTION_REFUSED_DELAY_S,
+                server.finish_request,
+                number,
+                Outcome.ERROR,
+                None,
+                CacheStatus.SOURCE_UNREACHABLE,
+            )
             return
 
-        def came(outcome: Outcome, made: float | None, _: CacheStatus | None) -> None:
+        def on_source_reply(outcome: Outcome, created_at: float | None, _: CacheStatus | None) -> None:
             if outcome is not Outcome.SUCCEEDED:
-                lacks = outcome is Outcome.MISS
-                machine.ended(
+                is_miss = outcome is Outcome.MISS
+                server.finish_request(
                     number,
-                    Outcome.MISS if lacks else Outcome.ERROR,
+                    Outcome.MISS if is_miss else Outcome.ERROR,
                     None,
-                    CacheStatus.SOURCE_MISS if lacks else CacheStatus.SOURCE_UNREACHABLE,
+                    CacheStatus.SOURCE_MISS if is_miss else CacheStatus.SOURCE_UNREACHABLE,
                 )
                 return
-            if rank and machine.up:
-                machine.held.put(name, made, rank)
-            machine.shared.ask(
-                self.part_s, machine.ended, number, Outcome.SUCCEEDED, made, CacheStatus.FILLED_BY_PARENT
+            if rank and server.is_up:
+                server.store.put(name, created_at, rank)
+            server.capacity.submit(
+                self.part_s, server.finish_request, number, Outcome.SUCCEEDED, created_at, CacheStatus.FILLED_BY_PARENT
             )
 
-        asked = above.begin(self.part_s, came)
-        if above.hung:
+        source_number = source.open_request(self.part_s, on_source_reply)
+        if source.is_hung:
             return
-        made = above.held.find(name) if above.kind != "origin" else None
-        if above.kind == "origin":
-            above.shared.ask(self.part_s, above.ended, asked, Outcome.SUCCEEDED, self.wheel.now, None)
-        elif made is not None and (oldest is None or self.wheel.now - made <= oldest):
-            above.hits += 1
-            above.shared.ask(self.part_s, above.ended, asked, Outcome.SUCCEEDED, made, CacheStatus.HIT)
-        elif held:
-            self.wheel.call_after(0.0005, above.ended, asked, Outcome.MISS, None, None)
+        created_at = source.store.find(name) if source.kind != "origin" else None
+        if source.kind == "origin":
+            source.capacity.submit(
+                self.part_s, source.finish_request, source_number, Outcome.SUCCEEDED, self.events.now, None
+            )
+        elif created_at is not None and (max_age is None or self.events.now - created_at <= max_age):
+            source.hit_count += 1
+            source.capacity.submit(
+                self.part_s, source.finish_request, source_number, Outcome.SUCCEEDED, created_at, CacheStatus.HIT
+            )
+        elif only_if_cached:
+            self.events.call_after(0.0005, source.finish_request, source_number, Outcome.MISS, None, None)
         else:
 
-            def given(outcome: Outcome, fresh: float | None, _: CacheStatus | None) -> None:
-                if outcome is Outcome.SUCCEEDED and above.up:
-                    above.held.put(name, fresh, 1)
-                above.ended(asked, outcome, fresh, None)
+            def on_origin_reply(outcome: Outcome, origin_created_at: float | None, _: CacheStatus | None) -> None:
+                if outcome is Outcome.SUCCEEDED and source.is_up:
+                    source.store.put(name, origin_created_at, 1)
+                source.finish_request(source_number, outcome, origin_created_at, None)
 
-            number_up = self.origin.begin(self.part_s, given)
-            self.origin.shared.ask(self.part_s, self.origin.ended, number_up, Outcome.SUCCEEDED, self.wheel.now, None)
+            origin_number = self.origin.open_request(self.part_s, on_origin_reply)
+            self.origin.capacity.submit(
+                self.part_s, self.origin.finish_request, origin_number, Outcome.SUCCEEDED, self.events.now, None
+            )
--- a/wickhinge/lab/service_queues.py
+++ b/wickhinge/lab/service_queues.py
@@ -1,4 +1,4 @@
-"""What work waits for: a station of servers in order of arrival, and a shared capacity of equal parts."""
+"""Service models of the simulation: a queue for several servers, and a capacity that is shared equally."""
 
 from __future__ import annotations
 
@@ -11,101 +11,114 @@
 
 
 class ServerQueue:
-    """So many servers, one queue, first come first served. M/M/c and M/D/c by what is asked of it."""
+    """Several identical servers with one first-come, first-served queue.
 
-    def __init__(self, wheel: EventQueue, servers: int) -> None:
-        self.wheel, self.servers = wheel, servers
-        self.busy, self.round = 0, 0
+    Depending on the distribution of arrivals and work, it models M/M/c or M/D/c.
+    """
+
+    def __init__(self, events: EventQueue, server_count: int) -> None:
+        self.events, self.server_count = events, server_count
+        self.busy_count, self.generation = 0, 0
         self.queue: deque[tuple[float, Callable[..., None], tuple[Any, ...]]] = deque()
 
-    def ask(self, work: float, then: Callable[..., None], *args: Any) -> None:
-        if self.busy < self.servers:
-            self.busy += 1
-            self.wheel.call_after(work, self.ended, self.round, then, args)
+    def submit(self, work: float, on_done: Callable[..., None], *args: Any) -> None:
+        """Start work of `work` seconds as soon as a server is free; `on_done` is called when the work is finished."""
+        if self.busy_count < self.server_count:
+            self.busy_count += 1
+            self.events.call_after(work, self._finish, self.generation, on_done, args)
         else:
-            self.queue.append((work, then, args))
+            self.queue.append((work, on_done, args))
 
-    def ended(self, round: int, then: Callable[..., None], args: tuple[Any, ...]) -> None:
-        if round != self.round:
+    def _finish(self, generation: int, on_done: Callable[..., None], args: tuple[Any, ...]) -> None:
+        if generation != self.generation:
             return
         if self.queue:
-            work, following, more = self.queue.popleft()
-            self.wheel.call_after(work, self.ended, self.round, following, more)
+            work, next_on_done, next_args = self.queue.popleft()
+            self.events.call_after(work, self._finish, self.generation, next_on_done, next_args)
         else:
-            self.busy -= 1
-        then(*args)
+            self.busy_count -= 1
+        on_done(*args)
 
     def clear(self) -> None:
-        """Whoever was here is never told."""
-        self.round += 1
-        self.busy = 0
+        """Discard all running and queued work without calling its callbacks."""
+        self.generation += 1
+        self.busy_count = 0
         self.queue.clear()
 
 
 class SharedCapacity:
-    """Capacity shared equally by all that is under way, none faster than its own pace of 1: processor sharing.
+    """A capacity that all running jobs share equally (processor sharing), with a maximum rate of 1 for each job.
 
-    Kept by attained service: everyone's rises at the same rate, so each ends when it reaches a mark set as it began.
+    The attained service of all jobs grows at the same rate, so each job ends when the attained service reaches a
+    threshold that is fixed when the job starts.
     """
 
-    def __init__(self, wheel: EventQueue, capacity: float) -> None:
-        self.wheel, self.capacity = wheel, capacity
-        self.attained, self.since = 0.0, wheel.now
-        self.ends: list[tuple[float, int, Callable[..., None], tuple[Any, ...]]] = []
-        self.serial = self.round = 0
-        self.gone: set[int] = set()
-        self.used = 0.0  # work done
+    def __init__(self, events: EventQueue, capacity: float) -> None:
+        self.events, self.capacity = events, capacity
+        self.attained_service, self.updated_at = 0.0, events.now
+        # A heap of (threshold of attained service, job number, callback, its arguments).
+        self.jobs: list[tuple[float, int, Callable[..., None], tuple[Any, ...]]] = []
+        self.last_number = self.plan_number = 0
+        self.cancelled: set[int] = set()
+        self.total_work = 0.0  # Work that has been done for all jobs, in seconds at rate 1.
 
     def __len__(self) -> int:
-        return len(self.ends) - len(self.gone)
+        return len(self.jobs) - len(self.cancelled)
 
     def rate(self) -> float:
+        """Return the rate at which each job is served now, at most 1."""
         count = len(self)
         return min(1.0, self.capacity / count) if count else 0.0
 
-    def advance(self) -> None:
-        passed = (self.wheel.now - self.since) * self.rate()
-        self.used += passed * len(self)
-        self.attained += passed
-        self.since = self.wheel.now
-
-    def ask(self, work: float, then: Callable[..., None], *args: Any) -> int:
-        """A number by which it can be given up."""
-        self.advance()
-        self.serial += 1
-        heappush(self.ends, (self.attained + work, self.serial, then, args))
-        self.plan()
-        return self.serial
-
-    def give_up(self, number: int) -> None:
-        if any(entry[1] == number for entry in self.ends) and number not in self.gone:
-            self.advance()
-            self.gone.add(number)
-            self.plan()
-
-    def change(self, capacity: float) -> None:
-        self.advance()
+    def _update_service(self) -> None:
+        attained = (self.events.now - self.updated_at) * self.rate()
+        self.total_work += attained * len(self)
+        self.attained_service += attained
+        self.updated_at = self.events.now
+
+    def submit(self, work: float, on_done: Callable[..., None], *args: Any) -> int:
+        """Start a job and return its number, with which it can be cancelled; `on_done` is called when it ends."""
+        self._update_service()
+        self.last_number += 1
+        heappush(self.jobs, (self.attained_service + work, self.last_number, on_done, args))
+        self._schedule_next_end()
+        return self.last_number
+
+    def cancel(self, number: int) -> None:
+        """Remove a job without calling its callback; the other jobs get its share of the capacity."""
+        if any(entry[1] == number for entry in self.jobs) and number not in self.cancelled:
+            self._update_service()
+            self.cancelled.add(number)
+            self._schedule_next_end()
+
+    def set_capacity(self, capacity: float) -> None:
+        """Change the capacity, also for the running jobs."""
+        self._update_service()
         self.capacity = capacity
-        self.plan()
+        self._schedule_next_end()
 
-    def plan(self) -> None:
-        while self.ends and self.ends[0][1] in self.gone:
-            self.gone.discard(heappop(self.ends)[1])
-        self.round += 1
+    def _schedule_next_end(self) -> None:
+        """Add an event for the end of the next job; events of earlier plans no longer count."""
+        while self.jobs and self.jobs[0][1] in self.cancelled:
+            self.cancelled.discard(heappop(self.jobs)[1])
+        self.plan_number += 1
         rate = self.rate()
-        if self.ends and rate > 0:
-            self.wheel.call_after(max(self.ends[0][0] - self.attained, 0.0) / rate, self.ended, self.round)
+        if self.jobs and rate > 0:
+            self.events.call_after(
+                max(self.jobs[0][0] - self.attained_service, 0.0) / rate, self._finish_next, self.plan_number
+            )
 
-    def ended(self, round: int) -> None:
-        if round != self.round:
+    def _finish_next(self, plan_number: int) -> None:
+        if plan_number != self.plan_number:
             return
-        self.advance()
-        _, _, then, args = heappop(self.ends)
-        self.plan()
-        then(*args)
+        self._update_service()
+        _, _, on_done, args = heappop(self.jobs)
+        self._schedule_next_end()
+        on_done(*args)
 
     def clear(self) -> None:
-        self.advance()
-        self.round += 1
-        self.ends.clear()
-        self.gone.clear()
+        """Discard all jobs without calling their callbacks."""
+        self._update_service()
+        self.plan_number += 1
+        self.jobs.clear()
+        self.cancelled.clear()
--- a/wickhinge/lab/simulation.py
+++ b/wickhinge/lab/simulation.py
@@ -1,4 +1,4 @@
-"""One scenario in virtual time: clients, the real decide module as often as there are routers, emulated machines."""
+"""Simulation of one scenario in virtual time: simulated clients and servers, and routers of the production code."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 from wickhinge.lab.event_queue import EventQueue
 from wickhinge.lab.rule_checker import RuleChecker
 from wickhinge.lab.scenario import Failure, Scenario
-from wickhinge.lab.servers import Network, Server
+from wickhinge.lab.servers import Network, SimulatedServer
 from wickhinge.routing.endpoints import Endpoints, Topology
 from wickhinge.routing.object_counts import ObjectCounts
 from wickhinge.routing.purges import Purges
@@ -32,17 +32,27 @@
 from wickhinge.routing.router import Router, RouterSettings
 from wickhinge.routing.slow_start import SlowStart
 
-PARENTS, ORIGIN = 100_000, 200_000
+FIRST_PARENT_ID, ORIGIN_ID = 100_000, 200_000
 
 
 def build_router(
-    outside: Any, chance: RandomSource, zone: str, routers: int, cold: tuple[float, float, float, float]
+    environment: Any,
+    random_source: RandomSource,
+    zone: str,
+    router_count: int,
+    slow_start: tuple[float, float, float, float],
 ) -> Router:
-    """The module as a front builds it, with what the laboratory does not vary. routers: of its location; cold: what
-    topples a machine times its capacity, over which seconds, its pace at first, seconds until it is warm.
+    """Build a router as a front builds it; settings that the simulation does not vary have fixed values.
+
+    Args:
+        environment: The operations of the simulated front, as in `interface.Environment`.
+        random_source: The router's random numbers.
+        zone: Name of the router's zone.
+        router_count: Number of routers in the zone.
+        slow_start: Arguments of `SlowStart`: overload factor, window in seconds, initial capacity, duration in seconds.
     """
-    topology = Topology(zone, routers, "parent", "origin", has_weights=True)
-    endpoints = Endpoints(chance, topology, SlowStart(*cold), SlowStart(*cold))
+    topology = Topology(zone, router_count, "parent", "origin", has_weights=True)
+    endpoints = Endpoints(random_source, topology, SlowStart(*slow_start), SlowStart(*slow_start))
     capabilities = Capabilities(
         collapse_fills=False,
         direct_to_source=True,
@@ -55,132 +65,178 @@
     settings = RouterSettings(
         capabilities, transfer_kb_per_s=1000.0, max_attempts=6, max_list_age=0.0, max_retry_after=0.5
     )
-    return Router(outside, endpoints, ObjectCounts(endpoints.routers), Purges(6.0), settings)
-
-
-class Asked:
-    """A visit as its client knows it."""
+    return Router(environment, endpoints, ObjectCounts(endpoints.routers), Purges(6.0), settings)
+
+
+class SimulatedRequest:
+    """A request as its client sees it.
+
+    Attributes:
+        number: Number of the request, from 1.
+        arrived_at: Virtual time at which the client sent the request.
+        deadline: Virtual time at which the client gives up.
+        key: The requested object.
+        part: The requested part of the object.
+        is_exclusive: Whether the request is not idempotent.
+        answer_count: Number of final answers that the client got.
+        execution_count: Number of times that servers executed the request.
+        retry_count: Number of earlier rejections of the same request.
+        router: Number of the router that got the request.
+        attempt_count: Number of attempts that the router sent.
+        is_hit: Whether a cache answered from its own copy.
+    """
 
     __slots__ = (
         "number",
-        "since",
-        "until",
+        "arrived_at",
+        "deadline",
         "key",
         "part",
-        "exclusive",
-        "answers",
-        "ran",
-        "again",
+        "is_exclusive",
+        "answer_count",
+        "execution_count",
+        "retry_count",
         "router",
-        "forwards",
-        "hit",
+        "attempt_count",
+        "is_hit",
     )
 
     def __init__(
-        self, number: int, since: float, patience: float, key: int, part: int, exclusive: bool, again: int, router: int
+        self,
+        number: int,
+        arrived_at: float,
+        timeout: float,
+        key: int,
+        part: int,
+        is_exclusive: bool,
+        retry_count: int,
+        router: int,
     ) -> None:
-        self.number, self.since, self.until, self.key, self.part = number, since, since + patience, key, part
-        self.exclusive, self.again, self.router = exclusive, again, router
-        self.answers = self.ran = self.forwards = 0
-        self.hit = False
+        self.number, self.arrived_at, self.deadline, self.key, self.part = (
+            number,
+            arrived_at,
+            arrived_at + timeout,
+            key,
+            part,
+        )
+        self.is_exclusive, self.retry_count, self.router = is_exclusive, retry_count, router
+        self.answer_count = self.execution_count = self.attempt_count = 0
+        self.is_hit = False
 
 
-class Client:
-    """decide's Caller for one visit."""
+class SimulatedTransport:
+    """The `interface.RequestTransport` of one request: it sends attempts over the simulated network."""
 
-    __slots__ = ("play", "asked", "out")
+    __slots__ = ("simulation", "request", "cancel_functions")
 
-    def __init__(self, play: Simulation, asked: Asked) -> None:
-        self.play, self.asked, self.out = play, asked, {}
+    def __init__(self, simulation: Simulation, request: SimulatedRequest) -> None:
+        # The functions that cancel the pending attempts, by attempt.
+        self.simulation, self.request, self.cancel_functions = simulation, request, {}
 
     def forward(self, parameters: AttemptParameters) -> None:
-        forward, cache, patience = parameters.attempt, parameters.server, parameters.timeout
+        attempt, server, timeout = parameters.attempt, parameters.server, parameters.timeout
         source = parameters.source
-        play, asked = self.play, self.asked
-        asked.forwards += 1
-        came_from = source.id if source is not None and source is not cache else None
-        play.judge.sent(asked, asked.router, cache.id, came_from, play.events.now)
-        began = play.events.now
-
-        def then(outcome: Outcome, made: float | None, note: Any) -> None:
-            if self.out.pop(forward, None) is None:
+        simulation, request = self.simulation, self.request
+        request.attempt_count += 1
+        source_id = source.id if source is not None and source is not server else None
+        simulation.checker.on_attempt(request, request.router, server.id, source_id, simulation.events.now)
+        sent_at = simulation.events.now
+
+        def on_done(outcome: Outcome, created_at: float | None, status: Any) -> None:
+            if self.cancel_functions.pop(attempt, None) is None:
                 return
-            now = play.events.now
-            ours = outcome is Outcome.SUCCEEDED and not asked.answers and not forward.request.is_finished
-            if ours:
-                asked.hit = note is not None and note.name == "HIT"
-                if not asked.exclusive:
-                    play.judge.served(asked, made, now)
-                play.answer(asked, "honoured")
-            completion = Completion(outcome, now - began, asked.answers > 0, note)
-            forward.request.attempt_ended(forward, completion, now)
-
-        runs = (lambda: play.judge.runs(asked, play.events.now)) if asked.exclusive else None
-        self.out[forward] = play.fabric.ask(
-            cache.id,
-            (asked.key, asked.part),
-            came_from,
+            now = simulation.events.now
+            is_answer = outcome is Outcome.SUCCEEDED and not request.answer_count and not attempt.request.is_finished
+            if is_answer:
+                request.is_hit = status is not None and status.name == "HIT"
+                if not request.is_exclusive:
+                    simulation.checker.on_copy_served(request, created_at, now)
+                simulation.answer(request, "honoured")
+            completion = Completion(outcome, now - sent_at, request.answer_count > 0, status)
+            attempt.request.attempt_ended(attempt, completion, now)
+
+        on_execution = (
+            (lambda: simulation.checker.on_execution(request, simulation.events.now)) if request.is_exclusive else None
+        )
+        self.cancel_functions[attempt] = simulation.network.send(
+            server.id,
+            (request.key, request.part),
+            source_id,
             max(parameters.retention_rank, 0),
             parameters.max_age,
-            runs,
-            then,
+            on_execution,
+            on_done,
             parameters.only_if_cached,
         )
-        play.events.call_after(patience, self.silent, forward, began)
-
-    def silent(self, forward: Any, began: float) -> None:
-        give_up = self.out.pop(forward, None)
-        if give_up is not None:
-            give_up()
-            now = self.play.events.now
-            completion = Completion(Outcome.TIMED_OUT, now - began, self.asked.answers > 0)
-            forward.request.attempt_ended(forward, completion, now)
-
-    def cancel(self, forward: Any) -> None:
-        give_up = self.out.pop(forward, None)
-        if give_up is not None:
-            give_up()
-            self.play.events.call_after(0.0, self.cancelled, forward)
-
-    def cancelled(self, forward: Any) -> None:
-        completion = Completion(Outcome.CANCELLED, 0.0, self.asked.answers > 0)
-        forward.request.attempt_ended(forward, completion, self.play.events.now)
+        simulation.events.call_after(timeout, self._time_out, attempt, sent_at)
+
+    def _time_out(self, attempt: Any, sent_at: float) -> None:
+        """End an attempt if it is still pending."""
+        cancel_attempt = self.cancel_functions.pop(attempt, None)
+        if cancel_attempt is not None:
+            cancel_attempt()
+            now = self.simulation.events.now
+            completion = Completion(Outcome.TIMED_OUT, now - sent_at, self.request.answer_count > 0)
+            attempt.request.attempt_ended(attempt, completion, now)
+
+    def cancel(self, attempt: Any) -> None:
+        cancel_attempt = self.cancel_functions.pop(attempt, None)
+        if cancel_attempt is not None:
+            cancel_attempt()
+            self.simulation.events.call_after(0.0, self._report_cancelled, attempt)
+
+    def _report_cancelled(self, attempt: Any) -> None:
+        completion = Completion(Outcome.CANCELLED, 0.0, self.request.answer_count > 0)
+        attempt.request.attempt_ended(attempt, completion, self.simulation.events.now)
 
     def serve_copy(self, copy: Any) -> None:
-        raise AssertionError("no copies of their own here")
+        raise AssertionError("simulated routers store no copies of their own")
 
-    def reject(self, wait: float, why: RejectionReason) -> None:
-        self.play.judge.denied(self.asked, self.play.events.now)
-        self.play.answer(self.asked, "denied")
-        self.play.came_back(self.asked, wait)
+    def reject(self, retry_after: float, reason: RejectionReason) -> None:
+        self.simulation.checker.on_rejection(self.request, self.simulation.events.now)
+        self.simulation.answer(self.request, "denied")
+        self.simulation.retry_rejected(self.request, retry_after)
 
-    def fail(self, why: RejectionReason) -> None:
-        self.play.answer(self.asked, "abandoned")
+    def fail(self, reason: RejectionReason) -> None:
+        self.simulation.answer(self.request, "abandoned")
 
 
 class Simulation:
+    """One run of a scenario.
+
+    Attributes:
+        rows: A row for each request that got an answer, with the columns of `records.SCHEMA`.
+        request_count: Number of requests that arrived.
+        result_counts: Number of requests by result, without those that arrived in the warm-up time.
+        list_lost_until: Virtual time until which routers receive no changes of the endpoint list.
+    """
+
     def __init__(self, scenario: Scenario) -> None:
-        self.scenario, self.events, self.judge = scenario, EventQueue(), RuleChecker()
+        self.scenario, self.events, self.checker = scenario, EventQueue(), RuleChecker()
         self.random = random.Random(scenario.seed)
-        noise = np.random.default_rng(scenario.seed)
+        numpy_random = np.random.default_rng(scenario.seed)
         weights = 1.0 / np.arange(1, scenario.objects + 1) ** scenario.zipf
-        self.keys = noise.choice(scenario.objects, 1 << 16, p=weights / weights.sum()).tolist()
+        self.keys = numpy_random.choice(scenario.objects, 1 << 16, p=weights / weights.sum()).tolist()
         self.rows: list[tuple[Any, ...]] = []
         self.request_count = 0
-        self.words: Counter[str] = Counter()
-        self.listing_lost = 0.0
+        self.result_counts: Counter[str] = Counter()
+        self.list_lost_until = 0.0
         s = scenario
-        cold, fall = (s.cold_from, s.cold_s), (s.fall_multiple, s.fall_s)
+        slow_start, overload = (s.cold_from, s.cold_s), (s.fall_multiple, s.fall_s)
 
-        def machine(mark: int, kind: str, weight: float, room: int) -> Server:
-            return Server(self.events, mark, kind, weight, room, cold, fall, s.restart_s, self.fell)
+        def build_server(server_id: int, kind: str, weight: float, max_parts: int) -> SimulatedServer:
+            return SimulatedServer(
+                self.events, server_id, kind, weight, max_parts, slow_start, overload, s.restart_s, self._on_overload
+            )
 
-        self.machines = {place + 1: machine(place + 1, "box", s.weight, s.keep) for place in range(s.caches)}
-        for place in range(s.parents):
-            self.machines[PARENTS + place] = machine(PARENTS + place, "parent", s.parent_weight, s.parent_keep)
-        self.machines[ORIGIN] = machine(ORIGIN, "origin", s.origin_weight, 1)
-        self.fabric = Network(self.events, self.machines, self.machines[ORIGIN], s.hop_s, s.part_s)
-        self.clips = RequestClass(
+        self.servers = {index + 1: build_server(index + 1, "box", s.weight, s.keep) for index in range(s.caches)}
+        for index in range(s.parents):
+            self.servers[FIRST_PARENT_ID + index] = build_server(
+                FIRST_PARENT_ID + index, "parent", s.parent_weight, s.parent_keep
+            )
+        self.servers[ORIGIN_ID] = build_server(ORIGIN_ID, "origin", s.origin_weight, 1)
+        self.network = Network(self.events, self.servers, self.servers[ORIGIN_ID], s.hop_s, s.part_s)
+        self.idempotent_class = RequestClass(
             "clips",
             s.promised_s,
             2.0,
@@ -196,7 +252,7 @@
             True,
             False,
         )
-        self.results = RequestClass(
+        self.exclusive_class = RequestClass(
             "results",
             s.promised_s,
             2.0,
@@ -212,234 +268,261 @@
             False,
             True,
         )
-        self.routers = [self.router(number) for number in range(s.routers)]
+        self.routers = [self._start_router(number) for number in range(s.routers)]
         for failure in s.failures:
-            self.events.call_at(failure.at_s, self.fail, failure)
-        self.arrive()
+            self.events.call_at(failure.at_s, self._inject, failure)
+        self._on_arrival()
 
-    def router(self, number: int) -> Router:
-        s, chance = self.scenario, RandomSource(self.scenario.seed * 1000 + number)
-        outside = SimpleNamespace(
+    def _start_router(self, number: int) -> Router:
+        s, random_source = self.scenario, RandomSource(self.scenario.seed * 1000 + number)
+        environment = SimpleNamespace(
             call_later=lambda delay, call: self.events.call_after(delay, lambda: call(self.events.now)),
-            check_health=lambda cache: self.events.call_after(2 * s.hop_s, self.probed, number, cache),
-            watch=lambda: None,
+            check_health=lambda server: self.events.call_after(2 * s.hop_s, self._on_health_checked, number, server),
+            watch_endpoints=lambda: None,
         )
-        made = build_router(
-            outside,
-            chance,
+        router = build_router(
+            environment,
+            random_source,
             f"z{number % s.zones}",
             s.routers // s.zones,
             (s.fall_multiple, s.fall_s, s.cold_from, s.cold_s),
         )
-        made.endpoints.update([self.listing(mark) for mark in self.machines], 0.0, complete=True)
-        self.baseline(made)
-        made.start()
-        return made
-
-    def probed(self, number: int, cache: Any) -> None:
-        machine = self.machines[cache.id]
-        well = machine.up and not machine.hung
-        outcome = Outcome.SUCCEEDED if well else Outcome.CONNECT_FAILED if not machine.up else Outcome.TIMED_OUT
-        self.routers[number].health_checked(cache, outcome, {}, self.events.now)
-
-    def baseline(self, made: Router) -> None:
-        """Named plain policies, and planted faults, in place of parts of the module."""
-        policy, plant, fleet = self.scenario.policy, self.scenario.plant, made.endpoints
+        router.endpoints.update([self._endpoint(server_id) for server_id in self.servers], 0.0, complete=True)
+        self._apply_policy_and_plant(router)
+        router.start()
+        return router
+
+    def _on_health_checked(self, number: int, server: Any) -> None:
+        """Report the result of a health check to a router."""
+        simulated = self.servers[server.id]
+        is_healthy = simulated.is_up and not simulated.is_hung
+        outcome = (
+            Outcome.SUCCEEDED if is_healthy else Outcome.CONNECT_FAILED if not simulated.is_up else Outcome.TIMED_OUT
+        )
+        self.routers[number].health_checked(server, outcome, {}, self.events.now)
+
+    def _apply_policy_and_plant(self, router: Router) -> None:
+        """Replace methods of a router by the scenario's simple policy or planted fault, if it names one."""
+        policy, plant, endpoints = self.scenario.policy, self.scenario.plant, router.endpoints
         if policy == "random":
-            fleet.in_order = lambda caches, salt, now: self.random.sample(caches, len(caches))
+            endpoints.in_order = lambda servers, salt, now: self.random.sample(servers, len(servers))
         elif policy == "least_loaded":
-            fleet.in_order = lambda caches, salt, now: sorted(
-                caches, key=lambda cache: (len(cache.pending_attempts), cache.id)
+            endpoints.in_order = lambda servers, salt, now: sorted(
+                servers, key=lambda server: (len(server.pending_attempts), server.id)
             )
         elif policy == "keep_all":
-            made.object_counts.retention_rank = lambda item, part, work: 1
+            router.object_counts.retention_rank = lambda item, part, work: 1
         elif policy == "keep_none":
-            made.object_counts.retention_rank = lambda item, part, work: 0
+            router.object_counts.retention_rank = lambda item, part, work: 0
         if plant == "cold":
-            fleet.admits = lambda server, request, now: True
+            endpoints.admits = lambda server, request, now: True
         elif plant == "purges":
-            made.purges.max_age = lambda key, group, now: None
+            router.purges.max_age = lambda key, group, now: None
         elif plant == "drains":
-            update = fleet.update
-            fleet.update = lambda listings, now, *, complete: update(
-                [one for one in listings if one.state != "draining"], now, complete=complete
+            update = endpoints.update
+            endpoints.update = lambda endpoint_list, now, *, complete: update(
+                [endpoint for endpoint in endpoint_list if endpoint.state != "draining"], now, complete=complete
             )
 
-    def listing(self, mark: int) -> Endpoint:
-        machine = self.machines[mark]
-        zone = f"z{(mark - 1) % self.scenario.zones}" if machine.kind == "box" else "hub"
+    def _endpoint(self, server_id: int) -> Endpoint:
+        """Return a server's entry in the endpoint list."""
+        server = self.servers[server_id]
+        zone = f"z{(server_id - 1) % self.scenario.zones}" if server.kind == "box" else "hub"
         return Endpoint(
-            mark, zone, machine.kind, 0, machine.state, machine.weight, machine.started if machine.started > 0 else None
+            server_id,
+            zone,
+            server.kind,
+            0,
+            server.state,
+            server.weight,
+            server.started_at if server.started_at > 0 else None,
         )
 
-    # Clients.
+    # Requests of the clients.
 
-    def arrive(self) -> None:
+    def _on_arrival(self) -> None:
+        """Schedule the next arrival, and send a request or start a series of requests for an object's parts."""
         s, now = self.scenario, self.events.now
         rate = s.visits_per_s / ((1 + s.parts) / 2) * (s.burst if s.seconds / 3 < now < 2 * s.seconds / 3 else 1.0)
-        self.events.call_after(self.random.expovariate(rate), self.arrive)
+        self.events.call_after(self.random.expovariate(rate), self._on_arrival)
         key = self.keys[self.random.randrange(len(self.keys))]
-        last = 1 + self.random.randrange(s.parts)
+        part_count = 1 + self.random.randrange(s.parts)
         if self.random.random() < s.exclusive:
-            self.ask(key, 0, True, 0)
+            self.send_request(key, 0, True, 0)
         else:
-            self.session(key, 0, last)
+            self._request_parts(key, 0, part_count)
 
-    def session(self, key: int, part: int, last: int) -> None:
-        """Parts in order, one each of its own sending time's length."""
-        self.ask(key, part, False, 0)
-        if part + 1 < last:
-            self.events.call_after(2 * self.scenario.part_s, self.session, key, part + 1, last)
+    def _request_parts(self, key: int, part: int, part_count: int) -> None:
+        """Request an object's parts in order, with twice a part's transfer time from one to the next."""
+        self.send_request(key, part, False, 0)
+        if part + 1 < part_count:
+            self.events.call_after(2 * self.scenario.part_s, self._request_parts, key, part + 1, part_count)
 
-    def ask(self, key: int, part: int, exclusive: bool, again: int) -> None:
+    def send_request(self, key: int, part: int, is_exclusive: bool, retry_count: int) -> None:
+        """Send a request to a random router, with the scenario's planted fault if it concerns requests."""
         s, now = self.scenario, self.events.now
         self.request_count += 1
-        number = self.random.randrange(s.routers)
-        asked = Asked(self.request_count, now, s.patience_s, key, part, exclusive, again, number)
-        request_class = self.results if exclusive else self.clips
-        client = Client(self, asked)
-        visit: RoutedRequest = self.routers[number].route(
-            client, request_class, Request(key, part, 0, 0.0, s.patience_s, again > 0), now
+        router = self.random.randrange(s.routers)
+        request = SimulatedRequest(self.request_count, now, s.patience_s, key, part, is_exclusive, retry_count, router)
+        request_class = self.exclusive_class if is_exclusive else self.idempotent_class
+        transport = SimulatedTransport(self, request)
+        routed: RoutedRequest = self.routers[router].route(
+            transport, request_class, Request(key, part, 0, 0.0, s.patience_s, retry_count > 0), now
         )
-        if s.plant == "repeats" and exclusive and not visit.is_finished:
-            self.events.call_after(0.2, self.planted_repeat, client, visit)
+        if s.plant == "repeats" and is_exclusive and not routed.is_finished:
+            self.events.call_after(0.2, self._repeat_attempt, transport, routed)
         if s.plant == "answers":
-            self.events.call_after(0.3, self.answer, asked, "honoured")
-        self.events.call_after(s.patience_s + 0.2, self.judge.unanswered, asked, now + s.patience_s + 0.2)
+            self.events.call_after(0.3, self.answer, request, "honoured")
+        self.events.call_after(s.patience_s + 0.2, self.checker.on_deadline, request, now + s.patience_s + 0.2)
 
-    def planted_repeat(self, client: Client, visit: RoutedRequest) -> None:
-        if visit.attempts:
-            first = visit.attempts[0]
-            client.forward(AttemptParameters(first, first.server, 1.0, None, 0, None, False, False, False))
+    def _repeat_attempt(self, transport: SimulatedTransport, routed: RoutedRequest) -> None:
+        """Send a request's first attempt again, which is a planted fault."""
+        if routed.attempts:
+            first = routed.attempts[0]
+            transport.forward(AttemptParameters(first, first.server, 1.0, None, 0, None, False, False, False))
 
-    def answer(self, asked: Asked, word: str) -> None:
+    def answer(self, request: SimulatedRequest, result: str) -> None:
+        """Give the client a final answer, and record the first one of each request."""
         now = self.events.now
-        self.judge.answered(asked, now, word)
-        if asked.answers > 1:
+        self.checker.on_answer(request, now, result)
+        if request.answer_count > 1:
             return
-        late = word == "honoured" and now - asked.since > self.scenario.promised_s + 2.0 * self.scenario.part_s
-        word = "late" if late else word
-        if asked.since >= self.scenario.warm_s:
-            self.words[word] += 1
+        is_late = (
+            result == "honoured" and now - request.arrived_at > self.scenario.promised_s + 2.0 * self.scenario.part_s
+        )
+        result = "late" if is_late else result
+        if request.arrived_at >= self.scenario.warm_s:
+            self.result_counts[result] += 1
         self.rows.append(
             (
-                asked.number,
-                asked.since,
-                asked.router,
-                "results" if asked.exclusive else "clips",
-                asked.key,
-                asked.part,
-                word,
-                now - asked.since,
-                asked.forwards,
-                asked.again,
-                asked.hit,
+                request.number,
+                request.arrived_at,
+                request.router,
+                "results" if request.is_exclusive else "clips",
+                request.key,
+                request.part,
+                result,
+                now - request.arrived_at,
+                request.attempt_count,
+                request.retry_count,
+                request.is_hit,
             )
         )
 
-    def came_back(self, asked: Asked, wait: float) -> None:
-        if asked.again < 2 and self.random.random() < self.scenario.again:
+    def retry_rejected(self, request: SimulatedRequest, retry_after: float) -> None:
+        """Send a rejected request again after the announced delay, at most twice, with the scenario's probability."""
+        if request.retry_count < 2 and self.random.random() < self.scenario.again:
             self.events.call_after(
-                wait + 0.2 * self.random.random(), self.ask, asked.key, asked.part, asked.exclusive, asked.again + 1
+                retry_after + 0.2 * self.random.random(),
+                self.send_request,
+                request.key,
+                request.part,
+                request.is_exclusive,
+                request.retry_count + 1,
             )
 
     # Failures.
 
-    def fell(self, machine: Server, over: float) -> None:
-        self.judge.toppled(machine.mark, over, self.events.now)
+    def _on_overload(self, server: SimulatedServer, load_ratio: float) -> None:
+        self.checker.on_overload(server.server_id, load_ratio, self.events.now)
 
-    def boxes(self, share: float, zone: int | None) -> list[Server]:
-        """A share of all caches, or of those of one location where there are several."""
-        boxes = [
-            one
-            for one in self.machines.values()
-            if one.kind == "box" and (zone is None or (one.mark - 1) % self.scenario.zones == zone)
+    def _select_caches(self, share: float, zone: int | None) -> list[SimulatedServer]:
+        """Return a share of the caches of a zone, or of all zones if `zone` is None; at least one cache."""
+        caches = [
+            server
+            for server in self.servers.values()
+            if server.kind == "box" and (zone is None or (server.server_id - 1) % self.scenario.zones == zone)
         ]
-        return boxes[: max(round(share * len(boxes)), 1)]
+        return caches[: max(round(share * len(caches)), 1)]
 
-    def fail(self, failure: Failure) -> None:
-        target, s = self.machines[failure.target + 1], self.scenario
+    def _inject(self, failure: Failure) -> None:
+        target, s = self.servers[failure.target + 1], self.scenario
         match failure.kind:
             case "crash":
                 target.crash(failure.for_s)
-                self.events.call_after(failure.for_s, self.tell, [target.mark])
+                self.events.call_after(failure.for_s, self._announce, [target.server_id])
             case "hang":
-                target.hang(True)
+                target.set_hung(True)
                 self.events.call_after(failure.for_s, target.crash, s.restart_s)
             case "slow":
-                target.slower(failure.factor)
-                self.events.call_after(failure.for_s, target.slower, 1.0)
+                target.set_slowdown(failure.factor)
+                self.events.call_after(failure.for_s, target.set_slowdown, 1.0)
             case "drain":
                 target.state = "draining"
-                self.tell([target.mark])
+                self._announce([target.server_id])
             case "mass_restart" | "lost_zone":
                 zone = failure.target % s.zones if failure.kind == "lost_zone" and s.zones > 1 else None
-                for one in self.boxes(failure.share, zone):
-                    one.crash(failure.for_s if failure.kind == "lost_zone" else s.restart_s)
-                    self.events.call_after(failure.for_s + s.restart_s, self.tell, [one.mark])
+                for cache in self._select_caches(failure.share, zone):
+                    cache.crash(failure.for_s if failure.kind == "lost_zone" else s.restart_s)
+                    self.events.call_after(failure.for_s + s.restart_s, self._announce, [cache.server_id])
             case "origin_slow":
-                self.machines[ORIGIN].slower(failure.factor)
-                self.events.call_after(failure.for_s, self.machines[ORIGIN].slower, 1.0)
+                self.servers[ORIGIN_ID].set_slowdown(failure.factor)
+                self.events.call_after(failure.for_s, self.servers[ORIGIN_ID].set_slowdown, 1.0)
             case "purge":
                 for key in range(max(round(failure.share * s.objects), 1)):
-                    self.purge(key)
+                    self._purge(key)
             case "list_lost":
-                self.listing_lost = self.events.now + failure.for_s
+                self.list_lost_until = self.events.now + failure.for_s
 
-    def purge(self, key: int) -> None:
+    def _purge(self, key: int) -> None:
+        """Purge an object: routers learn it after `list_s`, and each server at a random time within 5 s."""
         now = self.events.now
-        self.judge.told_purge(key, now, now + self.scenario.list_s)
+        self.checker.on_purge(key, now, now + self.scenario.list_s)
         for number in range(len(self.routers)):
-            self.events.call_after(self.scenario.list_s, self.told_purge, number, key, now)
-        for machine in self.machines.values():  # done everywhere by and by
-            if machine.kind != "origin":
-                self.events.call_after(5.0 * self.random.random(), lambda machine=machine: machine.held.purge(key))
+            self.events.call_after(self.scenario.list_s, self._deliver_purge, number, key, now)
+        for server in self.servers.values():
+            if server.kind != "origin":
+                self.events.call_after(5.0 * self.random.random(), lambda server=server: server.store.purge(key))
 
-    def told_purge(self, number: int, key: int, stamp: float) -> None:
+    def _deliver_purge(self, number: int, key: int, stamp: float) -> None:
         self.routers[number].purges.record_purge(key, 0, stamp, self.events.now)
 
-    def tell(self, marks: list[int]) -> None:
-        delay = max(self.listing_lost - self.events.now, 0.0) + self.scenario.list_s
+    def _announce(self, server_ids: list[int]) -> None:
+        """Send the present state of servers to all routers, as a change of the endpoint list."""
+        delay = max(self.list_lost_until - self.events.now, 0.0) + self.scenario.list_s
         for number in range(len(self.routers)):
-            self.events.call_after(delay, self.told, number, [self.listing(mark) for mark in marks])
+            self.events.call_after(
+                delay, self._deliver_endpoints, number, [self._endpoint(server_id) for server_id in server_ids]
+            )
 
-    def told(self, number: int, listings: list[Endpoint]) -> None:
-        for one in listings:
-            if one.state != "ready":
-                self.judge.drained[number, one.server] = self.events.now
-        self.routers[number].endpoints.update(listings, self.events.now, complete=False)
+    def _deliver_endpoints(self, number: int, endpoints: list[Endpoint]) -> None:
+        for endpoint in endpoints:
+            if endpoint.state != "ready":
+                self.checker.drain_times[number, endpoint.server] = self.events.now
+        self.routers[number].endpoints.update(endpoints, self.events.now, complete=False)
 
     # Results.
 
     def run(self) -> dict[str, Any]:
+        """Run the scenario to its end and return the results."""
         s = self.scenario
         self.events.run(s.seconds)
-        counted = sum(self.words.values())
+        counted = sum(self.result_counts.values())
         served = [row for row in self.rows if row[6] in ("honoured", "late") and row[1] >= s.warm_s]
-        took = sorted(row[7] for row in served)
+        durations = sorted(row[7] for row in served)
         hits = [row[10] for row in served if row[3] == "clips"]
 
-        def at(share: float) -> float | None:
-            return round(took[min(int(share * len(took)), len(took) - 1)], 4) if took else None
+        def quantile(share: float) -> float | None:
+            return round(durations[min(int(share * len(durations)), len(durations) - 1)], 4) if durations else None
 
-        origin = self.machines[ORIGIN]
+        origin = self.servers[ORIGIN_ID]
         return {
             "scenario": s.name,
             "seed": s.seed,
             "policy": s.policy,
             "visits": counted,
             "events": self.events.processed_count,
-            "honoured_share": round(self.words["honoured"] / max(counted, 1), 4),
-            "late_share": round(self.words["late"] / max(counted, 1), 4),
-            "denied_share": round(self.words["denied"] / max(counted, 1), 4),
-            "abandoned": self.words["abandoned"],
+            "honoured_share": round(self.result_counts["honoured"] / max(counted, 1), 4),
+            "late_share": round(self.result_counts["late"] / max(counted, 1), 4),
+            "denied_share": round(self.result_counts["denied"] / max(counted, 1), 4),
+            "abandoned": self.result_counts["abandoned"],
             "hit_share": round(sum(hits) / max(len(hits), 1), 4),
-            "p50_s": at(0.5),
-            "p99_s": at(0.99),
-            "p999_s": at(0.999),
-            "origin_asked": origin.asked,
+            "p50_s": quantile(0.5),
+            "p99_s": quantile(0.99),
+            "p999_s": quantile(0.999),
+            "origin_asked": origin.request_count,
             "forwards_a_visit": round(sum(row[8] for row in self.rows) / max(len(self.rows), 1), 3),
-            "peak_over_cold": round(max(one.peak for one in self.machines.values()), 3),
-            "rules_broken": {str(rule): count for rule, count in sorted(self.judge.breaks.items())},
-            "first_breaks": self.judge.first[:5],
+            "peak_over_cold": round(max(server.max_load_ratio for server in self.servers.values()), 3),
+            "rules_broken": {str(rule): count for rule, count in sorted(self.checker.violation_counts.items())},
+            "first_breaks": self.checker.first_violations[:5],
         }
