--- a/wickhinge/lab/changelog/__init__.py
+++ b/wickhinge/lab/changelog/__init__.py
@@ -1,6 +1,7 @@
-"""A seeded random walk of replicas, relays and followers of the change log in virtual time.
+"""Simulation of the change log's replicas, relays and followers in virtual time, with faults drawn from a seed.
 
-Entered by `walk.walk`; `python -m wickhinge.lab.changelog.walk --help`. `schedule` draws what breaks when, `world` has
-the network and the processes (`process`), `oracle` sees what was stored and applied and judges it, `planted_faults`
-are put into the code for the walk to find. Used by tests; by no router.
+Its entry points are the function `walk.walk` and the command `python -m wickhinge.lab.changelog.walk --help`. The
+module `schedule` draws faults from a seed, `world` simulates the network and the processes, `process` holds the state
+of one process, and `oracle` records what was stored and applied and checks the invariants. The module `planted_faults`
+holds incorrect versions of the state machines, which the oracle must detect. Only tests and benchmarks use the package.
 """
--- a/wickhinge/lab/changelog/oracle.py
+++ b/wickhinge/lab/changelog/oracle.py
@@ -1,4 +1,4 @@
-"""Sees what replicas stored and committed and what followers applied and claim, and judges it by the invariants."""
+"""Records what replicas store and commit, and what followers apply and claim, and checks it against the invariants."""
 
 from __future__ import annotations
 
@@ -11,29 +11,44 @@
 from wickhinge.changelog.entries import Entry, Purge, Setting
 from wickhinge.changelog.messages import Record
 
-GRACE_S = 4.0  # a purge's, over the followers' bound and INGEST_S
-INGEST_S = 0.5  # from a purge's stamp to the replicas' majority, for the purges that are judged
-RECENT_S = 20.0  # purges so young are in each snapshot; replicas and relays keep them for longer
-MAX_FAULTS = 50  # noted
-ROUNDING_S = 0.002  # ages and echo delays are sent in milliseconds
+# Seconds after a purge's time stamp in which old copies may still be served; it exceeds the followers' bound for being
+# uninformed plus MAX_INGEST_S.
+PURGE_GRACE_S = 4.0
+# Maximum time from a purge's time stamp until a majority of the replicas stored it, for the purges that are checked.
+MAX_INGEST_S = 0.5
+# Purges of this age or younger must be in each snapshot; replicas and relays keep purges for longer.
+SNAPSHOT_PURGE_AGE_S = 20.0
+MAX_RECORDED_FAULTS = 50
+# Tolerance for rounding errors, because messages contain ages and echo delays in whole milliseconds.
+ROUNDING_TOLERANCE_S = 0.002
 
-Spans = dict[str, list[tuple[float, float]]]  # by process, from when until when
+Spans = dict[str, list[tuple[float, float]]]  # Start and end times of spans of true time, by process.
 
 
 class Sample(msgspec.Struct, frozen=True):
-    """What a follower claimed at the true time `at_s`."""
+    """What a process claimed at one time.
+
+    Attributes:
+        at_s: True time of the sample.
+        name: Name of the process.
+        epoch: Epoch of the last entry that the process has.
+        number: Sequence number of that entry.
+        informed_until_s: True time until which the process claims to have all stored entries.
+        uninformed: Whether the process states that it is uninformed; always true for replicas and relays.
+        any_copy: Whether a follower sets no maximum age of copies for a grace of PURGE_GRACE_S; false for others.
+    """
 
     at_s: float
     name: str
     epoch: int
     number: int
-    informed_until_s: float  # true time
+    informed_until_s: float
     uninformed: bool
-    any_copy: bool  # `oldest` sets no limit for a grace of GRACE_S
+    any_copy: bool
 
 
 class AppliedEntry(msgspec.Struct, frozen=True):
-    """An entry that a follower applied."""
+    """An entry that a follower applied, with the true time and the follower's name."""
 
     at_s: float
     name: str
@@ -41,7 +56,7 @@
 
 
 class LoadedSnapshot(msgspec.Struct, frozen=True):
-    """A snapshot that a follower loaded, and what it knew then."""
+    """A snapshot that a follower loaded, with the follower's settings and all purges that it knew afterwards."""
 
     at_s: float
     name: str
@@ -52,7 +67,7 @@
 
 
 class FollowerState:
-    """A router's state by the effects that its follower gave, as an application of the log would have it."""
+    """The settings and purges that a router has after the effects of its follower, and its position in the log."""
 
     def __init__(self) -> None:
         self.epoch = self.number = 0
@@ -61,192 +76,224 @@
 
 
 class Oracle:
-    """Collects what the processes did, and the invariants that they broke as `faults`. Times are true, in seconds."""
+    """Records what the processes did, and describes each broken invariant in `faults`.
+
+    All times are true times in seconds: the time of the simulation, not of a process's own clock.
+
+    Attributes:
+        faults: Descriptions of the first broken invariants.
+        samples: What processes claimed.
+        applied_entries: Entries that followers applied.
+        loaded_snapshots: Snapshots that followers loaded.
+        committed: Committed entries, by epoch and sequence number.
+        majority_times_s: When a majority of the replicas had stored a committed entry, by epoch and sequence number.
+        initial_settings: The settings at the start of each epoch.
+        initial_numbers: The sequence number at the start of each epoch.
+        leaders: The replica that led in a term, by epoch and term.
+    """
 
     def __init__(self, majority: int) -> None:
         self.faults: list[str] = []
         self.samples: list[Sample] = []
         self.applied_entries: list[AppliedEntry] = []
         self.loaded_snapshots: list[LoadedSnapshot] = []
-        self.committed: dict[int, dict[int, Entry]] = defaultdict(dict)  # by epoch and number
-        self.majority_times_s: dict[int, dict[int, float]] = defaultdict(dict)  # when a majority had it, likewise
-        self.initial_settings: dict[int, dict[str, bytes]] = {1: {}}  # settings at an epoch's start
+        self.committed: dict[int, dict[int, Entry]] = defaultdict(dict)
+        self.majority_times_s: dict[int, dict[int, float]] = defaultdict(dict)
+        self.initial_settings: dict[int, dict[str, bytes]] = {1: {}}
         self.initial_numbers: dict[int, int] = {1: 0}
         self._majority = majority
-        self.leaders: dict[tuple[int, int], str] = {}  # by epoch and term
-        self._terms: dict[tuple[str, int, int], int] = {}  # of each replica's records
+        self.leaders: dict[tuple[int, int], str] = {}
+        # Term of the stored record, by replica, epoch and sequence number.
+        self._record_terms: dict[tuple[str, int, int], int] = {}
+        # Replicas that stored a record, by its epoch, sequence number and term.
         self._holders: dict[tuple[int, int, int], set[str]] = defaultdict(set)
-        self._majority_s: dict[tuple[int, int, int], float] = {}
+        # When a majority of the replicas had stored a record, by its epoch, sequence number and term.
+        self._record_majority_times_s: dict[tuple[int, int, int], float] = {}
 
     def add_fault(self, text: str) -> None:
-        """Notes a broken invariant."""
-        if len(self.faults) < MAX_FAULTS:
+        """Record the description of a broken invariant."""
+        if len(self.faults) < MAX_RECORDED_FAULTS:
             self.faults.append(text)
 
-    # Replicas.
+    # Events of replicas.
 
     def on_store(self, at_s: float, replica: str, record: Record) -> None:
-        """Called when a replica has a record on stable storage."""
+        """Record that a replica has a record on stable storage; called when the write is complete."""
         key = (record.entry.epoch, record.entry.number, record.term)
-        self._terms[replica, record.entry.epoch, record.entry.number] = record.term
+        self._record_terms[replica, record.entry.epoch, record.entry.number] = record.term
         holders = self._holders[key]
         holders.add(replica)
         if len(holders) >= self._majority:
-            self._majority_s.setdefault(key, at_s)
+            self._record_majority_times_s.setdefault(key, at_s)
 
     def on_leading(self, at_s: float, replica: str, epoch: int, term: int) -> None:
-        """Called whenever a replica acts as the leader of a term, of which there may be one."""
+        """Check that a term has only one leader; called whenever a replica acts as a leader."""
         first = self.leaders.setdefault((epoch, term), replica)
         if first != replica:
-            self.add_fault(f"{at_s:.3f} {replica}: leads in term {term} of epoch {epoch}, as {first} does")
+            self.add_fault(
+                f"{at_s:.3f} {replica}: leads in term {term} of epoch {epoch}, in which {first} is the leader"
+            )
 
     def on_commit(self, at_s: float, replica: str, entry: Entry) -> None:
-        """Called when a replica commits an entry: a majority has stored it, and no other one has its number."""
-        term = self._terms.get((replica, entry.epoch, entry.number), 0)
+        """Check that a majority stored an entry and no other has its number; called when a replica commits it."""
+        term = self._record_terms.get((replica, entry.epoch, entry.number), 0)
         known = self.committed[entry.epoch]
         if entry.number not in known:
             known[entry.number] = entry
             key = (entry.epoch, entry.number, term)
-            if key not in self._majority_s:
+            if key not in self._record_majority_times_s:
                 self.add_fault(f"{at_s:.3f} {replica}: commits {key}, which no majority has stored")
-            self.majority_times_s[entry.epoch][entry.number] = self._majority_s.get(key, at_s)
+            self.majority_times_s[entry.epoch][entry.number] = self._record_majority_times_s.get(key, at_s)
         elif known[entry.number] != entry:
-            self.add_fault(f"{at_s:.3f} {replica}: commits another entry {entry.epoch}/{entry.number}")
+            self.add_fault(
+                f"{at_s:.3f} {replica}: commits an entry unlike the committed one, {entry.epoch}/{entry.number}"
+            )
 
-    # Followers.
+    # Events of followers.
 
-    def on_snapshot_load(self, at_s: float, name: str, model: FollowerState, effect: Reset) -> None:
-        """Called when a follower loads a snapshot, which must not be older than its state."""
+    def on_snapshot_load(self, at_s: float, name: str, state: FollowerState, effect: Reset) -> None:
+        """Check that a snapshot is not older than the follower's state; called when a follower loads it."""
         snapshot = effect.snapshot
-        if snapshot.epoch < model.epoch:
+        if snapshot.epoch < state.epoch:
             self.add_fault(f"{at_s:.3f} {name}: goes back to epoch {snapshot.epoch}")
-        if snapshot.epoch == model.epoch and snapshot.number < model.number:
-            self.add_fault(f"{at_s:.3f} {name}: goes back to {snapshot.number} from {model.number}")
-        model.epoch, model.number = snapshot.epoch, snapshot.number
-        model.settings = {setting.name: setting.value for setting in snapshot.settings}
-        model.purges |= set(snapshot.purges)
+        if snapshot.epoch == state.epoch and snapshot.number < state.number:
+            self.add_fault(f"{at_s:.3f} {name}: goes back to {snapshot.number} from {state.number}")
+        state.epoch, state.number = snapshot.epoch, snapshot.number
+        state.settings = {setting.name: setting.value for setting in snapshot.settings}
+        state.purges |= set(snapshot.purges)
         self.loaded_snapshots.append(
-            LoadedSnapshot(at_s, name, snapshot.epoch, snapshot.number, dict(model.settings), set(model.purges))
+            LoadedSnapshot(at_s, name, snapshot.epoch, snapshot.number, dict(state.settings), set(state.purges))
         )
 
-    def on_apply(self, at_s: float, name: str, model: FollowerState, effect: Apply) -> None:
-        """Called when a follower applies an entry, which must be the next one."""
+    def on_apply(self, at_s: float, name: str, state: FollowerState, effect: Apply) -> None:
+        """Check that an entry is the next one; called when a follower applies it."""
         entry = effect.entry
-        if entry.epoch != model.epoch or entry.number != model.number + 1:
+        if entry.epoch != state.epoch or entry.number != state.number + 1:
             self.add_fault(
-                f"{at_s:.3f} {name}: applies {entry.epoch}/{entry.number} after {model.epoch}/{model.number}"
+                f"{at_s:.3f} {name}: applies {entry.epoch}/{entry.number} after {state.epoch}/{state.number}"
             )
-        model.epoch, model.number = entry.epoch, entry.number
+        state.epoch, state.number = entry.epoch, entry.number
         if isinstance(entry.change, Setting):
-            model.settings[entry.change.name] = entry.change.value
+            state.settings[entry.change.name] = entry.change.value
         elif isinstance(entry.change, Purge):
-            model.purges.add(entry.change)
+            state.purges.add(entry.change)
         self.applied_entries.append(AppliedEntry(at_s, name, entry))
 
-    # Judging, at the end.
+    # Checks at the end of a walk.
 
     def judge_values(self) -> None:
-        """What followers applied and loaded was committed."""
+        """Check that the entries and settings that followers applied and loaded had been committed."""
         for applied in self.applied_entries:
             entry = applied.entry
             if self.committed[entry.epoch].get(entry.number) != entry:
                 self.add_fault(f"{applied.at_s:.3f} {applied.name}: applied {entry}, which was not committed")
         states: dict[tuple[int, int], dict[str, bytes]] = {}
         for loaded in self.loaded_snapshots:
-            place = (loaded.epoch, loaded.number)
-            if place not in states:
-                states[place] = self._settings_at(*place)
-            if loaded.settings != states[place]:
-                self.add_fault(f"{loaded.at_s:.3f} {loaded.name}: a snapshot at {place} with other settings")
+            position = (loaded.epoch, loaded.number)
+            if position not in states:
+                states[position] = self._settings_at(*position)
+            if loaded.settings != states[position]:
+                self.add_fault(
+                    f"{loaded.at_s:.3f} {loaded.name}: loaded a snapshot at {position} "
+                    "with other settings than the committed ones"
+                )
             self._judge_purges(loaded)
 
     def _judge_purges(self, loaded: LoadedSnapshot) -> None:
-        """Purges of the last RECENT_S are in a snapshot."""
+        """Check that a snapshot has the committed purges of the SNAPSHOT_PURGE_AGE_S seconds before its load."""
         for number, entry in self.committed[loaded.epoch].items():
-            recent = self.majority_times_s[loaded.epoch][number] >= loaded.at_s - RECENT_S
-            is_due = recent and number <= loaded.number and isinstance(entry.change, Purge)
+            is_recent = self.majority_times_s[loaded.epoch][number] >= loaded.at_s - SNAPSHOT_PURGE_AGE_S
+            is_due = is_recent and number <= loaded.number and isinstance(entry.change, Purge)
             if is_due and entry.change not in loaded.purges:
-                self.add_fault(f"{loaded.at_s:.3f} {loaded.name}: a snapshot without the purge {number}")
+                self.add_fault(f"{loaded.at_s:.3f} {loaded.name}: loaded a snapshot without the purge {number}")
 
     def judge_claims(self) -> None:
-        """Whoever claims to be informed until T has all that a majority had stored before T."""
-        reached = {epoch: self._completion_times(times) for epoch, times in self.majority_times_s.items()}
+        """Check that each process has all entries stored before the time until which it claims to be informed."""
+        completion_times = {epoch: self._completion_times(times) for epoch, times in self.majority_times_s.items()}
         for sample in self.samples:
-            for epoch, (times, numbers) in reached.items():
-                place = bisect_left(times, sample.informed_until_s - ROUNDING_S)
-                if not place or (epoch, numbers[place - 1]) <= (sample.epoch, sample.number):
+            for epoch, (times, numbers) in completion_times.items():
+                index = bisect_left(times, sample.informed_until_s - ROUNDING_TOLERANCE_S)
+                if not index or (epoch, numbers[index - 1]) <= (sample.epoch, sample.number):
                     continue
                 self.add_fault(
                     f"{sample.at_s:.3f} {sample.name}: claims to be informed until {sample.informed_until_s:.3f} at "
-                    f"{sample.epoch}/{sample.number}, and {epoch}/{numbers[place - 1]} was stored at "
-                    f"{times[place - 1]:.3f}"
+                    f"{sample.epoch}/{sample.number}, and {epoch}/{numbers[index - 1]} was stored at "
+                    f"{times[index - 1]:.3f}"
                 )
 
     def judge_copies(self) -> None:
-        """Whoever sets no limit to a copy's age has each purge whose grace is over."""
+        """Check that a follower that sets no maximum age of copies has all purges whose grace is over."""
         for epoch, entries in self.committed.items():
-            stamped = []
+            stamped_purges = []
             for number, entry in sorted(entries.items()):
                 stamp_s = getattr(entry.change, "stamp_ms", 0) / 1000
-                if isinstance(entry.change, Purge) and self.majority_times_s[epoch][number] - stamp_s <= INGEST_S:
-                    stamped.append((stamp_s, number))
-            stamped.sort()
+                if isinstance(entry.change, Purge) and self.majority_times_s[epoch][number] - stamp_s <= MAX_INGEST_S:
+                    stamped_purges.append((stamp_s, number))
+            stamped_purges.sort()
             for sample in self.samples:
-                place = bisect_left(stamped, (sample.at_s - GRACE_S, 0)) if sample.any_copy else 0
-                if place and (epoch, stamped[place - 1][1]) > (sample.epoch, sample.number):
+                index = bisect_left(stamped_purges, (sample.at_s - PURGE_GRACE_S, 0)) if sample.any_copy else 0
+                if index and (epoch, stamped_purges[index - 1][1]) > (sample.epoch, sample.number):
                     self.add_fault(
-                        f"{sample.at_s:.3f} {sample.name}: any copy will do, without {epoch}/{stamped[place - 1]}"
+                        f"{sample.at_s:.3f} {sample.name}: sets no maximum age of copies and lacks the purge "
+                        f"{epoch}/{stamped_purges[index - 1]}"
                     )
 
     def judge_outages(self, outages: list[tuple[float, float]], bound_s: float) -> None:
-        """Where no majority of replicas runs, all know after the bound that they are uninformed."""
+        """Check that all followers are uninformed when no majority of the replicas has run for `bound_s` seconds."""
         for start, end in outages:
             for sample in self.samples:
                 if start + bound_s < sample.at_s < end and not sample.uninformed:
                     self.add_fault(
-                        f"{sample.at_s:.3f} {sample.name}: counts as informed, without replicas since {start}"
+                        f"{sample.at_s:.3f} {sample.name}: is not uninformed, without a majority since {start}"
                     )
 
-    def judge_bound(self, calm: list[tuple[float, float]], up: Spans, bound_s: float) -> float:
-        """Each entry stored in a calm time is at each follower that ran within the bound. Returns the worst delay."""
-        first: dict[tuple[str, int, int], float] = {}
+    def judge_bound(self, calm_spans: list[tuple[float, float]], run_spans: Spans, max_delay_s: float) -> float:
+        """Check how long entries take from a majority of the replicas to the followers, and return the longest delay.
+
+        Args:
+            calm_spans: Spans without faults; entries that are stored near the end of a span are not checked.
+            run_spans: Spans in which each follower ran; a follower must run for the whole maximum delay.
+            max_delay_s: Maximum delay in seconds.
+        """
+        applied_at_s: dict[tuple[str, int, int], float] = {}
         for applied in self.applied_entries:
-            first.setdefault((applied.name, applied.entry.epoch, applied.entry.number), applied.at_s)
-        covered: dict[str, list[tuple[float, int, int]]] = defaultdict(list)
+            applied_at_s.setdefault((applied.name, applied.entry.epoch, applied.entry.number), applied.at_s)
+        loads: dict[str, list[tuple[float, int, int]]] = defaultdict(list)
         for loaded in self.loaded_snapshots:
-            covered[loaded.name].append((loaded.at_s, loaded.epoch, loaded.number))
-        worst = 0.0
+            loads[loaded.name].append((loaded.at_s, loaded.epoch, loaded.number))
+        worst_delay_s = 0.0
         for epoch, times in self.majority_times_s.items():
             for number, stored_s in times.items():
-                if not any(start <= stored_s and stored_s + bound_s <= end for start, end in calm):
+                if not any(start <= stored_s and stored_s + max_delay_s <= end for start, end in calm_spans):
                     continue
-                for name, spans in up.items():
-                    if not any(start <= stored_s and stored_s + bound_s <= end for start, end in spans):
+                for name, spans in run_spans.items():
+                    if not any(start <= stored_s and stored_s + max_delay_s <= end for start, end in spans):
                         continue
-                    came_s = [first.get((name, epoch, number), float("inf"))]
-                    came_s += [at_s for at_s, *place in covered[name] if tuple(place) >= (epoch, number)]
-                    delay_s = min(came_s) - stored_s
-                    worst = max(worst, delay_s)
-                    if delay_s > bound_s:
-                        self.add_fault(f"{stored_s:.3f} {name}: has {epoch}/{number} after {delay_s:.3f} s")
-        return worst
+                    arrival_times_s = [applied_at_s.get((name, epoch, number), float("inf"))]
+                    arrival_times_s += [at_s for at_s, *position in loads[name] if tuple(position) >= (epoch, number)]
+                    delay_s = min(arrival_times_s) - stored_s
+                    worst_delay_s = max(worst_delay_s, delay_s)
+                    if delay_s > max_delay_s:
+                        self.add_fault(f"{stored_s:.3f} {name}: got {epoch}/{number} after {delay_s:.3f} s")
+        return worst_delay_s
 
     def _settings_at(self, epoch: int, number: int) -> dict[str, bytes]:
-        state = dict(self.initial_settings[epoch])
-        for place in range(self.initial_numbers[epoch] + 1, number + 1):
-            entry = self.committed[epoch].get(place)
+        """Return the settings after the committed entry with a sequence number."""
+        settings = dict(self.initial_settings[epoch])
+        for entry_number in range(self.initial_numbers[epoch] + 1, number + 1):
+            entry = self.committed[epoch].get(entry_number)
             if entry is None:
-                self.add_fault(f"a snapshot at {epoch}/{number}, and {place} was not committed")
+                self.add_fault(f"a snapshot at {epoch}/{number} was loaded, and {entry_number} was not committed")
                 break
             if isinstance(entry.change, Setting):
-                state[entry.change.name] = entry.change.value
-        return state
+                settings[entry.change.name] = entry.change.value
+        return settings
 
     @staticmethod
     def _completion_times(times: dict[int, float]) -> tuple[list[float], list[int]]:
-        """Numbers in order, and by when all up to each had been stored."""
-        numbers, latest, running = sorted(times), float("-inf"), []
+        """Return when all entries up to each number had been stored, and the sorted numbers."""
+        numbers, latest_s, completion_times_s = sorted(times), float("-inf"), []
         for number in numbers:
-            latest = max(latest, times[number])
-            running.append(latest)
-        return running, numbers
+            latest_s = max(latest_s, times[number])
+            completion_times_s.append(latest_s)
+        return completion_times_s, numbers
--- a/wickhinge/lab/changelog/planted_faults.py
+++ b/wickhinge/lab/changelog/planted_faults.py
@@ -1,4 +1,4 @@
-"""Faults put into the code, one at a time, that the walk has to find."""
+"""Incorrect versions of the state machines; the oracle must detect each of these faults."""
 
 from __future__ import annotations
 
@@ -17,17 +17,17 @@
 from wickhinge.changelog.sequencer import Sequencer
 from wickhinge.changelog.subscription import Subscription
 
-STALE_AFTER_S = 1.0
+MIN_STALE_AGE_S = 1.0
 
 
 class PlantedFault(msgspec.Struct, frozen=True):
-    """What the walk runs in place of the product's state machines.
+    """The state machines that a walk runs, one of which may be incorrect.
 
     Attributes:
-        replica: Makes a replica.
-        relay: Makes a relay.
-        follower: Makes a follower.
-        persist_delay_s: A Persist is done so much later than the effects after it.
+        replica: Class of the replicas, or a function that creates one.
+        relay: Class of the relays, or a function that creates one.
+        follower: Class of the followers, or a function that creates one.
+        persist_delay_s: Seconds by which writes to stable storage are delayed after the effects that follow them.
     """
 
     replica: Callable[..., Replica] = Replica
@@ -37,20 +37,20 @@
 
 
 class StaleRelay(Relay):
-    """Reports its log as complete until now while it receives nothing from a replica."""
+    """A relay that reports its log as complete until now although it receives nothing from a replica."""
 
     def confirmed_until(self, now: float) -> float | None:
-        """The present time where the relay's knowledge is old."""
+        """Return the present time if the correct time is more than MIN_STALE_AGE_S ago."""
         until = super().confirmed_until(now)
-        is_stale = until is not None and now - until > STALE_AFTER_S
+        is_stale = until is not None and now - until > MIN_STALE_AGE_S
         return now if is_stale else until
 
 
 class GapSkippingSequencer(Sequencer):
-    """Goes on behind a gap."""
+    """A sequencer that skips missing entries."""
 
     def offer(self, entries: Iterable[Entry]) -> list[Entry]:
-        """All entries that are later than the last one."""
+        """Return all entries that are later than the last one, also after a gap."""
         ready = [entry for entry in entries if entry.number > self.last_number]
         for entry in ready:
             self._advance(entry)
@@ -58,59 +58,62 @@
 
 
 class RepeatingSequencer(Sequencer):
-    """Applies a batch again that it has had."""
+    """A sequencer that applies entries of a repeated batch a second time."""
 
     def offer(self, entries: Iterable[Entry]) -> list[Entry]:
-        """What is next in order, after the entries that were applied before."""
+        """Return the entries that were applied before, followed by the next entries in order."""
         entries = tuple(entries)
         repeated = [entry for entry in entries if entry.number <= self.last_number]
         return repeated + super().offer(entries)
 
 
 class GapSkippingSubscription(Subscription):
-    """A subscription that goes on behind a gap."""
+    """A subscription that skips missing entries."""
 
     sequencer_type = GapSkippingSequencer
 
 
 class RepeatingSubscription(Subscription):
-    """A subscription that applies a batch again."""
+    """A subscription that applies entries of a repeated batch a second time."""
 
     sequencer_type = RepeatingSequencer
 
 
 class GapSkippingFollower(Follower):
-    """A follower that goes on behind a gap."""
+    """A follower that skips missing entries."""
 
     subscription_type = GapSkippingSubscription
 
 
 class RepeatingFollower(Follower):
-    """A follower that applies a batch again."""
+    """A follower that applies entries of a repeated batch a second time."""
 
     subscription_type = RepeatingSubscription
 
 
 class AgreeingDisputeRecords(DisputeRecords):
-    """Takes all logs for the same."""
+    """Dispute records that consider all logs equal."""
 
     def record_digest(self, source: str, number: int, digest: bytes, now: float) -> None:
-        """Compares nothing."""
+        """Ignore the digest of a log."""
 
 
 class AgreeingSubscription(Subscription):
-    """A subscription that takes all logs for the same."""
+    """A subscription that considers all logs equal."""
 
     dispute_records_type = AgreeingDisputeRecords
 
 
 class EpochBlindFollower(Follower):
-    """Takes what comes for its own epoch's. Digests are not compared either, as they would show it."""
+    """A follower that accepts messages of any epoch as messages of its own epoch.
+
+    It does not compare digests of logs, because a comparison would detect the fault.
+    """
 
     subscription_type = AgreeingSubscription
 
     def receive(self, packet: Packet, now: float) -> list[Effect]:
-        """Takes the packet as if its epoch were our own."""
+        """Process a packet as if its epoch were the follower's own."""
         message, epoch = packet.message, self.epoch
         if epoch and isinstance(message, Heartbeat):
             message = msgspec.structs.replace(message, epoch=epoch)
@@ -121,10 +124,10 @@
 
 
 class OneAnswerLeadership(Leadership):
-    """Takes a round that one replica answered for one that a majority did."""
+    """A leader's records that treat an answer of one replica as the answers of a majority."""
 
     def record_answer(self, _peer: str, round_number: int, now: float) -> tuple[float, int] | None:
-        """Records the answer as all peers'."""
+        """Record the answer as if all peers had given it."""
         confirmed = [
             super(OneAnswerLeadership, self).record_answer(other, round_number, now) for other in self.match_numbers
         ]
@@ -132,13 +135,13 @@
 
 
 class OneAnswerReplica(Replica):
-    """Confirms as a leader though it may have been replaced."""
+    """A replica that, as a leader, confirms entries although another leader may have replaced it."""
 
     leadership_type = OneAnswerLeadership
 
 
-class DoubleVoter(Replica):
-    """Votes for whoever asks, also twice in a term."""
+class DoubleVotingReplica(Replica):
+    """A replica that votes for each candidate, also a second time in a term."""
 
     def _on_request_vote(self, sender: str, message: RequestVote, now: float) -> None:
         if not message.pre_vote and message.term == self.term:
@@ -152,7 +155,7 @@
     "skipped-gap": PlantedFault(follower=GapSkippingFollower),
     "ignored-epoch": PlantedFault(follower=EpochBlindFollower),
     "one-answer": PlantedFault(replica=OneAnswerReplica),
-    "double-vote": PlantedFault(replica=DoubleVoter),
+    "double-vote": PlantedFault(replica=DoubleVotingReplica),
     "batch-twice": PlantedFault(follower=RepeatingFollower),
     "ack-before-persist": PlantedFault(persist_delay_s=0.4),
 }
--- a/wickhinge/lab/changelog/process.py
+++ b/wickhinge/lab/changelog/process.py
@@ -1,4 +1,4 @@
-"""A process of the walk: its clock, what it has on stable storage, and its state machine while it runs."""
+"""A simulated process: its clock, its state on stable storage, and its state machine while it runs."""
 
 from __future__ import annotations
 
@@ -14,27 +14,41 @@
 from wickhinge.lab.changelog.oracle import FollowerState
 
 KEY = b"walk" * 8
-CLOCK_ERROR = 0.05  # of a clock's rate
+MAX_CLOCK_RATE_ERROR = 0.05  # Maximum relative error of the rate of a process's clock.
 
 
 class Clock:
-    """A process's own clock: its rate and its zero are its own."""
+    """A process's monotonic clock, with a rate and a starting value that differ from those of true time."""
 
     def __init__(self, rand: random.Random) -> None:
-        self._rate = 1 + rand.uniform(-CLOCK_ERROR, CLOCK_ERROR)
+        self._rate = 1 + rand.uniform(-MAX_CLOCK_RATE_ERROR, MAX_CLOCK_RATE_ERROR)
         self._offset = rand.uniform(0, 1e6)
 
     def at(self, true_s: float) -> float:
-        """What the clock shows at a true time."""
+        """Return the clock's time at a true time."""
         return self._offset + true_s * self._rate
 
-    def true(self, local: float) -> float:
-        """The true time at which the clock shows `local`."""
+    def to_true_time(self, local: float) -> float:
+        """Return the true time at which the clock shows the time `local`."""
         return (local - self._offset) / self._rate
 
 
 class Process:
-    """One name of the fleet over all its incarnations. `state_machine` is None while it does not run."""
+    """A replica, a relay or a follower, over all its incarnations.
+
+    Attributes:
+        name: Name of the process.
+        newest_format: Newest format of packets that the process can read.
+        clock: The process's own clock.
+        codec: Encodes and decodes the process's packets.
+        state_machine: The state machine of the running process; None while the process does not run.
+        incarnation: Number that increases with each start and end.
+        started_s: True time of the last start.
+        is_paused: Whether the process is paused, so that its packets are queued.
+        queued_packets: Packets that arrived while the process was paused.
+        stored: State on stable storage, which an end of the process does not change.
+        follower_state: What a follower's router has applied; unused for replicas and relays.
+    """
 
     def __init__(self, name: str, rand: random.Random, newest_format: int) -> None:
         self.name, self.newest_format = name, newest_format
@@ -43,31 +57,31 @@
         self.state_machine: Replica | Relay | Follower | None = None
         self.incarnation = 0
         self.started_s = 0.0
-        self.paused = False
-        self.queued: list[Packet] = []
+        self.is_paused = False
+        self.queued_packets: list[Packet] = []
         self.stored = StoredState()
-        self.model = FollowerState()
+        self.follower_state = FollowerState()
 
     @property
     def replica(self) -> Replica:
-        """The state machine of a replica that runs."""
+        """Return the state machine of a running replica."""
         assert isinstance(self.state_machine, Replica)
         return self.state_machine
 
     @property
     def relay(self) -> Relay:
-        """The state machine of a relay that runs."""
+        """Return the state machine of a running relay."""
         assert isinstance(self.state_machine, Relay)
         return self.state_machine
 
     @property
     def follower(self) -> Follower:
-        """The state machine of a follower that runs."""
+        """Return the state machine of a running follower."""
         assert isinstance(self.state_machine, Follower)
         return self.state_machine
 
     @property
     def log(self) -> Log:
-        """The log of a replica or a relay that runs."""
+        """Return the log of a running replica or relay."""
         assert isinstance(self.state_machine, Replica | Relay)
         return self.state_machine.log
--- a/wickhinge/lab/changelog/walk.py
+++ b/wickhinge/lab/changelog/walk.py
@@ -1,4 +1,4 @@
-"""Plays one seed's schedule and judges it. `python -m wickhinge.lab.changelog.walk --seeds 0-19 [--plant NAME]`."""
+"""Run schedules and check invariants: `python -m wickhinge.lab.changelog.walk --seeds 0-19 [--plant NAME]`."""
 
 from __future__ import annotations
 
@@ -19,58 +19,79 @@
 from wickhinge.lab.changelog.schedule import RELAYS, REPLICAS, Fault, FaultKind, Schedule
 from wickhinge.lab.changelog.world import FOLLOW_SETTINGS, World
 
-MAX_DELIVERY_DELAY_S = 3.1  # an entry is everywhere within
-RECOVERY_TIME_S = 9.0  # after a fault, until the bound holds again
-START_TIME_S = 4.0
-MAX_UNINFORMED_DELAY_S = FOLLOW_SETTINGS.bound_s + 0.2  # a sample comes each 0.2 s
-SAMPLE_S = 0.2
-BACKUP_S = 10.0  # when a backup is taken
+MAX_DELIVERY_DELAY_S = 3.1  # Maximum time from an entry's storage by a majority until followers have it.
+RECOVERY_TIME_S = 9.0  # Time after a fault until MAX_DELIVERY_DELAY_S holds again.
+START_TIME_S = 4.0  # Time after the start of a walk until MAX_DELIVERY_DELAY_S holds.
+# Time without a majority of the replicas after which all followers are uninformed: their bound and one sample interval.
+MAX_UNINFORMED_DELAY_S = FOLLOW_SETTINGS.bound_s + 0.2
+SAMPLE_INTERVAL_S = 0.2
+BACKUP_TIME_S = 10.0  # Time of the backup that a restore uses.
 
 
 class Report(msgspec.Struct, frozen=True):
-    """What came of one walk."""
+    """The results of one walk.
+
+    Attributes:
+        seed: Seed of the schedule.
+        faults: Descriptions of the broken invariants.
+        committed: Number of committed entries, of all epochs.
+        applied: Number of entries that followers applied, counted for each follower.
+        packets: Number of sent packets.
+        snapshots: Number of snapshots that followers loaded.
+        terms: Number of terms that had a leader, of all epochs.
+        epochs: Number of epochs with a committed entry.
+        worst_delay_s: Longest time from the storage of an entry by a majority until a follower had it, in calm times.
+        played_s: Wall time that the walk took, in seconds.
+    """
 
     seed: int
     faults: list[str]
     committed: int
     applied: int
     packets: int
-    snapshots: int  # loaded by followers
-    terms: int  # with a leader, of all epochs
+    snapshots: int
+    terms: int
     epochs: int
     worst_delay_s: float
-    played_s: float  # wall time
+    played_s: float
 
 
 class Walk:
-    """One schedule, played in a world and judged."""
+    """One run of a schedule.
+
+    Attributes:
+        schedule: The schedule.
+        world: The simulated processes and network.
+        backup: The stored state that a restore uses.
+        outages: Spans in which no majority of the replicas ran.
+    """
 
     def __init__(self, drawn: Schedule, planted: PlantedFault) -> None:
         self.schedule = drawn
         self.world = World(drawn, planted)
         self.rand = random.Random(drawn.seed * 104729 + 3)
         self.backup = StoredState()
-        self.outages: list[tuple[float, float]] = []  # no majority of replicas runs, or they are kept apart
-        self._changes = 0
+        self.outages: list[tuple[float, float]] = []
+        self._change_count = 0
 
     def play(self) -> None:
-        """Lets the schedule's time pass."""
+        """Run the schedule to its end."""
         world = self.world
         for name in world.processes:
             world.start(name)
         for fault in self.schedule.faults:
-            world.at(fault.at_s, partial(self._begin, fault))
-            world.at(fault.end_s, partial(self._end, fault))
-        world.at(BACKUP_S, self._back_up)
-        world.at(1.0, self._propose)
-        world.at(1.0, self._sample)
+            world.call_at(fault.at_s, partial(self._begin, fault))
+            world.call_at(fault.end_s, partial(self._end, fault))
+        world.call_at(BACKUP_TIME_S, self._back_up)
+        world.call_at(1.0, self._propose)
+        world.call_at(1.0, self._sample)
         world.run(self.schedule.end_s)
         for name, process in world.processes.items():
             if process.state_machine is not None:
-                world.up[name].append((process.started_s, world.now_s))
+                world.run_spans[name].append((process.started_s, world.now_s))
 
     def judge(self) -> float:
-        """Has the oracle judge; the worst delay of an entry in calm time, seconds."""
+        """Check the invariants; return the longest delay of an entry in calm times, in seconds."""
         oracle = self.world.oracle
         if oracle.faults:
             return 0.0
@@ -78,24 +99,24 @@
         oracle.judge_claims()
         oracle.judge_copies()
         oracle.judge_outages(self.outages, MAX_UNINFORMED_DELAY_S)
-        worst = oracle.judge_bound(self._calm_spans(), self._follower_spans(), MAX_DELIVERY_DELAY_S)
+        worst_delay_s = oracle.judge_bound(self._calm_spans(), self._follower_spans(), MAX_DELIVERY_DELAY_S)
         self._judge_final_state()
-        return worst
+        return worst_delay_s
 
-    # Load.
+    # Proposed changes.
 
     def _propose(self) -> None:
-        self.world.at(self.world.now_s + self.rand.expovariate(self.schedule.changes_s), self._propose)
+        self.world.call_at(self.world.now_s + self.rand.expovariate(self.schedule.changes_s), self._propose)
         self.world.propose(self._change())
 
     def _change(self) -> Change:
-        self._changes += 1
+        self._change_count += 1
         stamp_ms = int(self.world.now_s * 1000)
         if self.rand.random() < 0.1:
             value = self.rand.randbytes(self.rand.choice((0, 10, 300, 1000)))
             return Setting(f"name{self.rand.randrange(8)}", value, stamp_ms)
         group = self.rand.choice((0, 0, 0, 7))
-        key = None if group and self.rand.random() < 0.5 else self._changes
+        key = None if group and self.rand.random() < 0.5 else self._change_count
         return Purge(key, group, stamp_ms)
 
     # Faults.
@@ -115,7 +136,7 @@
         actions[FaultKind(fault.kind)](fault)
 
     def _end(self, fault: Fault) -> None:
-        """Ends a fault; those that are not here end by themselves."""
+        """End a fault of a kind that does not end by itself."""
         actions: dict[FaultKind, Callable[[Fault], None]] = {
             FaultKind.KILL: self._start,
             FaultKind.PAUSE: self._resume,
@@ -153,17 +174,17 @@
             self.world.propose(self._change())
 
     def _cut(self, fault: Fault) -> None:
-        self.world.cuts += self._cuts(fault)
+        self.world.cuts += self._cuts_of(fault)
 
     def _heal(self, fault: Fault) -> None:
-        for cut in self._cuts(fault):
+        for cut in self._cuts_of(fault):
             self.world.cuts.remove(cut)
 
     def _depose(self, fault: Fault) -> None:
         world, leader = self.world, self.world.leader()
         if leader is not None:
             world.pause(leader)
-            world.at(fault.end_s, partial(world.resume, leader))
+            world.call_at(fault.end_s, partial(world.resume, leader))
 
     def _isolate(self, fault: Fault) -> None:
         world, leader = self.world, self.world.leader()
@@ -174,9 +195,9 @@
         cuts = [(group, rest), (rest, group)]
         world.cuts += cuts
         for cut in cuts:
-            world.at(fault.end_s, partial(world.cuts.remove, cut))
+            world.call_at(fault.end_s, partial(world.cuts.remove, cut))
 
-    def _cuts(self, fault: Fault) -> list[tuple[frozenset[str], frozenset[str]]]:
+    def _cuts_of(self, fault: Fault) -> list[tuple[frozenset[str], frozenset[str]]]:
         names, others = frozenset(fault.names), frozenset(fault.others)
         outward, inward = (names, others), (others, names)
         directions = {
@@ -187,14 +208,14 @@
         return directions[FaultKind(fault.kind)]
 
     def _back_up(self) -> None:
-        """Takes a backup from the first replica that runs; where none does, later."""
+        """Take a backup from the first running replica that has a log; if there is none, try again after 0.5 s."""
         for name in REPLICAS:
             replica = self.world.processes[name].state_machine
             if isinstance(replica, Replica) and not replica.is_blank:
                 snapshot = replica.log.snapshot(self.world.processes[name].clock.at(self.world.now_s))
                 self.backup = StoredState(snapshot=snapshot)
                 return
-        self.world.at(self.world.now_s + 0.5, self._back_up)
+        self.world.call_at(self.world.now_s + 0.5, self._back_up)
 
     def _restore(self, fault: Fault) -> None:
         world = self.world
@@ -203,16 +224,16 @@
         world.oracle.initial_settings[epoch] = {setting.name: setting.value for setting in snapshot.settings}
         world.oracle.initial_numbers[epoch] = snapshot.number
         for name in fault.names:
-            world.kill(name)  # where another fault has ended meanwhile
+            world.kill(name)  # The end of another fault may have started the replica meanwhile.
             world.processes[name].stored = StoredState(epoch=epoch, snapshot=snapshot)
         for name in REPLICAS:
             world.start(name)
 
-    # Judging.
+    # Samples and checks.
 
     def _sample(self) -> None:
         world = self.world
-        world.at(world.now_s + SAMPLE_S, self._sample)
+        world.call_at(world.now_s + SAMPLE_INTERVAL_S, self._sample)
         for name in self.schedule.followers:
             if world.is_running(name):
                 world.sample(name)
@@ -222,21 +243,21 @@
         self._note_outage()
 
     def _note_outage(self) -> None:
-        """Spans in which fewer than a majority of replicas run; one that lasts is prolonged."""
+        """Record a time at which no majority of the replicas runs, and extend the span of an outage that goes on."""
         now_s = self.world.now_s
         if 2 * sum(self.world.is_running(name) for name in REPLICAS) > len(REPLICAS):
             return
-        if self.outages and now_s - self.outages[-1][1] < 1.5 * SAMPLE_S:
+        if self.outages and now_s - self.outages[-1][1] < 1.5 * SAMPLE_INTERVAL_S:
             self.outages[-1] = (self.outages[-1][0], now_s)
         else:
             self.outages.append((now_s, now_s))
 
     def _follower_spans(self) -> dict[str, list[tuple[float, float]]]:
-        """When each follower ran."""
-        return {name: self.world.up[name] for name in self.schedule.followers}
+        """Return the spans in which each follower ran."""
+        return {name: self.world.run_spans[name] for name in self.schedule.followers}
 
     def _calm_spans(self) -> list[tuple[float, float]]:
-        """Times in which each entry is due within the bound."""
+        """Return the spans in which MAX_DELIVERY_DELAY_S holds."""
         if schedule.loses_single_relays_only(self.schedule):
             return [(START_TIME_S, self.schedule.end_s)]
         spans, start = [], START_TIME_S
@@ -246,10 +267,10 @@
         return [*spans, (start, self.schedule.end_s)]
 
     def _judge_final_state(self) -> None:
-        """After the calm at the end all followers have all but the last changes, and are informed."""
+        """Check that at the end, after a calm time, followers are informed and lack only the newest entries."""
         world, oracle = self.world, self.world.oracle
         epoch = max(oracle.committed)
-        due = [
+        due_numbers = [
             number
             for number, at_s in oracle.majority_times_s[epoch].items()
             if at_s < world.now_s - MAX_DELIVERY_DELAY_S
@@ -257,39 +278,39 @@
         for name in self.schedule.followers:
             process = world.processes[name]
             follower, now = process.follower, process.clock.at(world.now_s)
-            if (follower.epoch, follower.number) < (epoch, max(due, default=0)) or follower.is_uninformed(now):
-                known_s = process.clock.true(follower.informed_until(now))
+            if (follower.epoch, follower.number) < (epoch, max(due_numbers, default=0)) or follower.is_uninformed(now):
+                informed_until_s = process.clock.to_true_time(follower.informed_until(now))
                 oracle.add_fault(
                     f"{world.now_s:.3f} {name}: ends at {follower.epoch}/{follower.number} of "
-                    f"{epoch}/{max(due, default=0)}, informed until {known_s:.3f}"
+                    f"{epoch}/{max(due_numbers, default=0)}, informed until {informed_until_s:.3f}"
                 )
 
 
 def walk(seed: int, planted: PlantedFault = NO_FAULT, followers: int = 24) -> Report:
-    """Plays and judges the schedule of a seed."""
-    began = time.monotonic()
-    played = Walk(schedule.draw(seed, followers), planted)
-    played.play()
-    worst_s = played.judge()
-    oracle = played.world.oracle
+    """Run the schedule of a seed and check the invariants."""
+    started_at = time.monotonic()
+    current = Walk(schedule.draw(seed, followers), planted)
+    current.play()
+    worst_delay_s = current.judge()
+    oracle = current.world.oracle
     return Report(
         seed,
         oracle.faults,
         sum(map(len, oracle.committed.values())),
         len(oracle.applied_entries),
-        played.world.packets,
+        current.world.packets,
         len(oracle.loaded_snapshots),
         len(oracle.leaders),
         len(oracle.committed),
-        worst_s,
-        time.monotonic() - began,
+        worst_delay_s,
+        time.monotonic() - started_at,
     )
 
 
 def main() -> None:
-    """Plays the seeds that the command line names; a line of JSON each."""
+    """Run the walks that the command line names; print one line of JSON for each."""
     parser = argparse.ArgumentParser(description=__doc__)
-    parser.add_argument("--seeds", default="0-9", help="one, or first-last")
+    parser.add_argument("--seeds", default="0-9", help="one seed, or a range: first-last")
     parser.add_argument("--plant", choices=sorted(PLANTED_FAULTS))
     parser.add_argument("--followers", type=int, default=24)
     options = parser.parse_args()
