--- a/tests/changelog/test_daemon_signals.py
+++ b/tests/changelog/test_daemon_signals.py
@@ -2,7 +2,7 @@
 
 The tests guard against three faults. SIGHUP and SIGTERM that arrived before the handlers were installed ended the
 relay with the exit codes -1 and -15. A reload that met a partly written file was logged as `changelog_reload_failed`
-and never repeated. An address that another socket held ended the start with exit code 2.
+and never repeated. The start failed with exit code 2 if another socket held the address.
 """
 
 import signal
@@ -46,7 +46,7 @@
         self.process.wait('"event":"changelog_start"')
 
     def handles_signals(self):
-        """Return whether the process catches SIGHUP, which its first lines arrange."""
+        """Return whether the process has installed its handler of SIGHUP, as it does in its first lines."""
         status = Path(f"/proc/{self.process.child.pid}/status").read_text()
         caught = int(status.split("SigCgt:")[1].split()[0], 16)
         return bool(caught >> (signal.SIGHUP - 1) & 1)
--- a/wickhinge/changelog/echo_tokens.py
+++ b/wickhinge/changelog/echo_tokens.py
@@ -53,6 +53,7 @@
     __slots__ = ("value", "received_at")
 
     def __init__(self) -> None:
+        """Create a record without a token."""
         self.value = 0
         self.received_at = 0.0
 
--- a/wickhinge/changelog/follower_endpoint.py
+++ b/wickhinge/changelog/follower_endpoint.py
@@ -43,6 +43,7 @@
         consumer: ChangeConsumer,
         settings: FollowSettings | None = None,
     ) -> None:
+        """Create an endpoint that passes entries and snapshots to `consumer`."""
         self._consumer = consumer
         self._no_age_limit_until = NEVER  # Cached time before which the age of copies has no limit.
         self._no_age_limit_grace_s = 0.0  # Grace for which `_no_age_limit_until` holds.
--- a/wickhinge/changelog/relay_endpoint.py
+++ b/wickhinge/changelog/relay_endpoint.py
@@ -14,6 +14,7 @@
     state_machine: Relay
 
     def __init__(self, config: EndpointConfig, runtime: Runtime, settings: RelaySettings | None = None) -> None:
+        """Create an endpoint with an empty log; the default settings are those of RelaySettings."""
         context = runtime.context(config.name)
         relay = Relay(context, list(config.peers), settings or RelaySettings(), runtime.clock())
         super().__init__(config, runtime, relay)
--- a/wickhinge/changelog/settings.py
+++ b/wickhinge/changelog/settings.py
@@ -13,10 +13,10 @@
 
     batch_interval_s: float = 0.25  # Interval of batches of new entries.
     heartbeat_interval_s: float = 0.5  # Interval of heartbeats while there are no new entries.
-    max_batches_per_push: int = 8  # Most batches of new entries that are sent at one time to each subscriber.
+    max_batches_per_push: int = 8  # Largest number of batches sent at one time to each subscriber.
     catch_up_bytes_per_s: float = 2_000_000.0  # Rate limit of all answers to requests for missed entries.
-    catch_up_burst_bytes: float = 200_000.0  # Credit that the rate limit saves up at most.
-    max_messages_per_request: int = 8  # Most datagrams in the answer to one request.
+    catch_up_burst_bytes: float = 200_000.0  # Largest unused credit of the rate limit, in bytes.
+    max_messages_per_request: int = 8  # Largest number of datagrams in the answer to one request.
     max_subscribers: int = 4096
     subscriber_expiry_s: float = 10.0  # Silence after which a subscriber is removed.
     snapshot_cache_s: float = 30.0  # Time for which an encoded snapshot is sent before a new one is made.
@@ -35,9 +35,9 @@
     max_fetch_timeout_s: float = 2.0  # Longest wait before a request is repeated.
     secondary_rotation_s: float = 20.0  # Shortest time between two regular changes of the secondary source.
     return_delay_s: float = 5.0  # Time of uninterrupted packets after which a preferred source is followed again.
-    max_buffered_entries: int = 4096  # Entries that are kept while earlier ones are missing.
+    max_buffered_entries: int = 4096  # Largest number of entries that are kept while earlier ones are missing.
     dispute_valid_s: float = 4.0  # Time for which the comparison with a source's digest counts.
-    max_digests: int = 1024  # Digests of this process's log that are kept for comparisons.
+    max_digests: int = 1024  # Largest number of digests of this process's log that are kept for comparisons.
 
 
 class ReplicaSettings(msgspec.Struct, frozen=True):
