--- a/bench/cold_sum.py
+++ b/bench/cold_sum.py
@@ -39,11 +39,10 @@
     Request,
     RequestClass,
 )
-from wickhinge.lab.many import stands
-from wickhinge.lab.many.rig import Rig
+from wickhinge.lab.many import stand_ins
+from wickhinge.lab.many.harness import Harness
 from wickhinge.lab.many.schedule import Fault, Schedule
-from wickhinge.lab.many.stands import AGE, LIMITS, WARM
-from wickhinge.lab.many.stands import Scene as StandScene
+from wickhinge.lab.many.stand_ins import INITIAL_AGE_S, SLOW_START, WARM_UP_S, Workload
 from wickhinge.routing.attempt import Attempt
 from wickhinge.routing.endpoints import Endpoints, Topology
 from wickhinge.routing.object_counts import ObjectCounts
@@ -417,34 +416,36 @@
     begins = 4.0
     killed = tuple(Fault("kill", begins + 1.0 + turn * 0.8, 0.5, (one,)) for turn, one in enumerate(place))
     share = loads(processes)
-    scene = StandScene(lambda process, now: 3.0 * float(share[process.place]) * (now > 0.0))
+    scene = Workload(lambda process, now: 3.0 * float(share[process.router_index]) * (now > 0.0))
     one_unit = (
-        LIMITS.overload_factor * (LIMITS.initial_capacity + (1 - LIMITS.initial_capacity) * AGE / WARM) * LIMITS.window
+        SLOW_START.overload_factor
+        * (SLOW_START.initial_capacity + (1 - SLOW_START.initial_capacity) * INITIAL_AGE_S / WARM_UP_S)
+        * SLOW_START.window
     )
     told_all = Schedule(seed, processes, 1, killed, processes, begins, seconds)
     with (
-        patch.object(stands, "WEIGHT", budget * stands.WORK / one_unit),
+        patch.object(stand_ins, "CACHE_WEIGHT", budget * stand_ins.REQUEST_WORK_S / one_unit),
         tempfile.TemporaryDirectory(prefix="wickhinge-") as folder,
-        Rig(Path(folder), told_all, scene, False) as rig,
+        Harness(Path(folder), told_all, scene, False) as harness,
     ):
-        made = rig.run().stands
-        sent = made.sent[made.caches[0].mark]
-        worst = worst_window([when for when, _, _ in sent], LIMITS.window, lambda when: budget_of(made, when))
-        answered = sum(took is not None for _, took, _ in made.visits)
+        made = harness.run().stand_ins
+        sent = made.sent[made.caches[0].server_id]
+        worst = worst_window([when for when, _, _ in sent], SLOW_START.window, lambda when: budget_of(made, when))
+        answered = sum(took is not None for _, took, _ in made.requests)
         return {
             "processes": processes,
             "N": budget,
             "killed": len(place),
-            "crashed": rig.crashed(),
+            "crashed": harness.find_crashes(),
             "worst": worst,
             "sent": len(sent),
-            "asked": len(made.visits),
-            "served": round(answered / max(len(made.visits), 1), 3),
+            "asked": len(made.requests),
+            "served": round(answered / max(len(made.requests), 1), 3),
         }
 
 
 def budget_of(made: Any, when: float) -> float:
-    return float(allowance(made.bears(when) / stands.WORK))
+    return float(allowance(made.overload_limit(when) / stand_ins.REQUEST_WORK_S))
 
 
 # The program.
--- a/bench/peers.py
+++ b/bench/peers.py
@@ -19,10 +19,10 @@
 import click
 import orjson
 
-from wickhinge.lab.many import judges, play, trial
-from wickhinge.lab.many.rig import Rig
+from wickhinge.lab.many import invariants, simulation, trial
+from wickhinge.lab.many.harness import Harness
 from wickhinge.lab.many.schedule import Fault, Schedule, draw
-from wickhinge.lab.many.stands import WORK, Scene
+from wickhinge.lab.many.stand_ins import REQUEST_WORK_S, Workload
 
 
 def told(answer: dict[str, Any]) -> None:
@@ -34,25 +34,25 @@
     """Measure what routers know of each other and share."""
 
 
-class Sized(play.Fleet):
+class Sized(simulation.Fleet):
     """Nothing is spent, and what each says is counted from `since` on."""
 
     since, bytes, sends = 1e9, 0, 0
 
-    def wants(self, process: play.Process, number: int) -> float:
+    def demand(self, process: simulation.Process, number: int) -> float:
         return 0.0
 
-    def carry(self, process: play.Process, to: int | None, data: bytes) -> None:
+    def send_datagram(self, process: simulation.Process, to: int | None, data: bytes) -> None:
         if self.now >= self.since:
             self.bytes += len(data)
             self.sends += 1
-        super().carry(process, to, data)
+        super().send_datagram(process, to, data)
 
 
-def penniless(process: play.Process) -> None:
+def penniless(process: simulation.Process) -> None:
     """Only what knowing each other costs."""
     process.limiter.tick = lambda now: None
-    process.spend = process.look = lambda: None
+    process.spend = process.log_view = lambda: None
     process.detector.attach_piggyback(lambda name: b"", lambda name, data, now: None)
 
 
@@ -71,13 +71,13 @@
         fleet.since = found
         began = time.perf_counter()
         for place in range(count):
-            fleet.start(place)
-        fleet.wheel.run(found + seconds)
+            fleet.start_process(place)
+        fleet.event_queue.run(found + seconds)
         sends, size_of = fleet.sends / count / seconds, fleet.bytes / count / seconds
         share = sum(one.detector.view(one.clock).alive_fraction for one in fleet.processes) / count
-        fleet.begin(kill)
+        fleet.begin_fault(kill)
         known = found + seconds
-        fleet.wheel.run(known + 40.0)
+        fleet.event_queue.run(known + 40.0)
         gone: dict[tuple[str, str], float] = {}
         false = 0
         for when, name, _number, event, more in fleet.history:
@@ -114,16 +114,16 @@
     )
 
 
-def alone(process: play.Process) -> None:
+def alone(process: simulation.Process) -> None:
     process.limiter.balance = lambda number, budget, now: None
 
 
 def used(routers: int, seed: int, plants: tuple[Any, ...]) -> float:
     """Of the first budget, where one router wants all of it and all hear each other."""
-    fleet = play.Fleet(Schedule(seed, routers, 1, (), routers, 50.0, 0.0), plants)
-    fleet.wants = lambda process, number: 2.0 * (process.place == 0)
+    fleet = simulation.Fleet(Schedule(seed, routers, 1, (), routers, 50.0, 0.0), plants)
+    fleet.demand = lambda process, number: 2.0 * (process.router_index == 0)
     fleet.run()
-    most, window, _ = play.BUDGETS[0]
+    most, window, _ = simulation.BUDGETS[0]
     since = 20.0 + 0.5 * routers
     return sum(amount for when, _name, amount in fleet.spent[0] if when > since) / (most / window * (50.0 - since))
 
@@ -135,17 +135,21 @@
     told = Schedule(seed, routers, 1, (), routers, 18.0, seconds)
     with (
         tempfile.TemporaryDirectory(prefix="wickhinge-") as folder,
-        Rig(Path(folder), told, Scene(lambda process, now: 2.0 * (process.place == 0) * (now > 0.0)), shared) as rig,
+        Harness(
+            Path(folder), told, Workload(lambda process, now: 2.0 * (process.router_index == 0) * (now > 0.0)), shared
+        ) as harness,
     ):
-        stands = rig.run().stands
-        if faults := rig.crashed() + stands.wrong:
+        stand_ins = harness.run().stand_ins
+        if faults := harness.find_crashes() + stand_ins.violations:
             raise click.ClickException("; ".join(faults))
-        sent = stands.sent[stands.caches[0].mark]
+        sent = stand_ins.sent[stand_ins.caches[0].server_id]
         until = 18.0 + seconds
-        could = sum(stands.bears(18.0 + 0.1 * turn) / stands.span * 0.1 for turn in range(int(seconds * 10)))
+        could = sum(
+            stand_ins.overload_limit(18.0 + 0.1 * turn) / stand_ins.window_s * 0.1 for turn in range(int(seconds * 10))
+        )
         return [
             sum(work for when, _, work in sent if 18.0 < when < until) / could,
-            judges.peak(sent, stands.bears, stands.span),
+            invariants.peak_usage(sent, stand_ins.overload_limit, stand_ins.window_s),
         ]
 
 
@@ -153,13 +157,13 @@
     peaks, broken, gone, routers = [], 0, 0, 0
     for place in range(count):
         drawn = draw(seed + place)
-        found = trial.virtual(drawn)
+        found = trial.run_simulated(drawn)
         peaks.append(max(found.peaks))
-        broken += bool(found.faults)
-        gone += found.gone
+        broken += bool(found.violations)
+        gone += found.unfounded_gone_reports
         routers += drawn.routers
-        if found.faults:
-            click.echo(f"seed {drawn.seed}: {found.faults[:3]}", err=True)
+        if found.violations:
+            click.echo(f"seed {drawn.seed}: {found.violations[:3]}", err=True)
     sizes = (2, 5, 9, 16)
     moved = {str(number): [round(used(number, seed + turn, ()), 3) for turn in range(2)] for number in sizes}
     kept = {str(number): [round(used(number, seed + turn, (alone,)), 3) for turn in range(2)] for number in sizes}
@@ -182,11 +186,11 @@
 
 
 def bad_cache(number: int, place: int, now: float) -> float:
-    return 1.5 if number == 0 and SINCE < now < SINCE + LASTS else WORK
+    return 1.5 if number == 0 and SINCE < now < SINCE + LASTS else REQUEST_WORK_S
 
 
 def sick_router(number: int, place: int, now: float) -> float:
-    return 1.5 if place == 0 and SINCE < now < SINCE + LASTS else WORK
+    return 1.5 if place == 0 and SINCE < now < SINCE + LASTS else REQUEST_WORK_S
 
 
 def judged(work: Any, seed: int, judgements: bool, faults: tuple[Fault, ...], rate: float) -> dict[str, Any]:
@@ -194,14 +198,18 @@
     told = Schedule(seed, 5, 1, faults, 5, SINCE + LASTS, 3.0)
     with (
         tempfile.TemporaryDirectory(prefix="wickhinge-") as folder,
-        Rig(Path(folder), told, Scene(lambda process, now: rate, False, BOXES, work), True, judgements) as rig,
+        Harness(
+            Path(folder), told, Workload(lambda process, now: rate, False, BOXES, work), True, judgements
+        ) as harness,
     ):
-        stands = rig.run().stands
-        if wrong := rig.crashed() + stands.wrong:
+        stand_ins = harness.run().stand_ins
+        if wrong := harness.find_crashes() + stand_ins.violations:
             raise click.ClickException("; ".join(wrong))
-        history = rig.history()
+        history = harness.history()
     sick = work is sick_router
-    during = [took for when, took, place in stands.visits if SINCE < when < SINCE + LASTS and not (sick and place == 0)]
+    during = [
+        took for when, took, place in stand_ins.requests if SINCE < when < SINCE + LASTS and not (sick and place == 0)
+    ]
     late = sum(took is None or took > PROMISED for took in during)
     acts: dict[str, float] = {}
     wrongly = set()
@@ -281,12 +289,12 @@
         peaks, broken, processes = [], 0, 0
         for place in range(sockets):
             drawn = draw(seed + place, routers)
-            found = trial.on_sockets(drawn)
+            found = trial.run_on_sockets(drawn)
             peaks += found.peaks
-            broken += bool(found.faults)
+            broken += bool(found.violations)
             processes += drawn.routers + sum(fault.kind in ("twin", "kill") for fault in drawn.faults)
             click.echo(
-                f"seed {drawn.seed}: peaks {[round(peak, 3) for peak in found.peaks]} {found.faults[:3]}", err=True
+                f"seed {drawn.seed}: peaks {[round(peak, 3) for peak in found.peaks]} {found.violations[:3]}", err=True
             )
         runs = [
             (on_sockets_used(routers, seed + turn, True), on_sockets_used(routers, seed + turn, False))
--- a/bench/scale/day_budgets.py
+++ b/bench/scale/day_budgets.py
@@ -9,9 +9,9 @@
 import msgspec
 
 from bench.scale.day_faults import Counts, Outages, times
-from wickhinge.lab.many import judges
-from wickhinge.lab.many.play import BUDGETS, COLD, Fleet, Process
+from wickhinge.lab.many import invariants
 from wickhinge.lab.many.schedule import Fault, Schedule
+from wickhinge.lab.many.simulation import BUDGETS, SLOW_START, Fleet, Process
 
 ZONES = 8  # of the routers played
 REGIONS = 2  # the first third of the routers, and the others
@@ -33,11 +33,11 @@
     peaks: list[float]
     over_budget: int  # windows
     lease_violations: int  # spends
-    lives_confused: int  # of judges.lives
+    lives_confused: int  # of invariants.check_sessions
 
 
 class Spends:
-    """Looks at each spend whether the name's lease is held once; a plant of `play.Fleet`, the last one.
+    """Looks at each spend whether the name's lease is held once; a plant of `simulation.Fleet`, the last one.
 
     Without the lease a life spends its floor, which is dealt for two lives of a name, too (lending); with it the
     name's own share, which one life may have.
@@ -64,7 +64,7 @@
         if not holds_lease(process):
             return
         self.under_lease += 1
-        others = (other for other in process.fleet.alive(process.place) if other is not process)
+        others = (other for other in process.fleet.running_processes(process.router_index) if other is not process)
         self.violations += any(holds_lease(other) for other in others)
 
 
@@ -80,9 +80,9 @@
         super().__init__(schedule, plants)
         self.twins = {fault.one[0] for fault in schedule.faults if fault.kind == "twin"}
 
-    def wants(self, process: Process, number: int) -> float:
-        wanted = super().wants(process, number)
-        return max(wanted, TWIN_NEED) if process.place in self.twins else wanted
+    def demand(self, process: Process, number: int) -> float:
+        wanted = super().demand(process, number)
+        return max(wanted, TWIN_NEED) if process.router_index in self.twins else wanted
 
 
 def windows_over(spent: Spent, most: float | Callable[[float], float], window_s: float) -> int:
@@ -128,15 +128,15 @@
     spends = Spends()
     fleet = DayFleet(draw(seed, routers, seconds, counts), (*plants, spends)).run()
     limits = [(spent, most, window_s) for spent, (most, window_s, _) in zip(fleet.spent, BUDGETS, strict=True)]
-    limits += [(sent, fleet.bears, COLD.window) for sent in fleet.sent.values()]
+    limits += [(sent, fleet.overload_limit, SLOW_START.window) for sent in fleet.sent.values()]
     return BudgetsDay(
         routers,
         counts.restarts,
         counts.lost,
         spends.count,
         spends.under_lease,
-        [round(judges.peak(*limit), 4) for limit in limits],
+        [round(invariants.peak_usage(*limit), 4) for limit in limits],
         sum(windows_over(*limit) for limit in limits),
         spends.violations,
-        len(judges.lives(fleet.history)),
+        len(invariants.check_sessions(fleet.history)),
     )
--- a/bench/scale/fleet_faults.py
+++ b/bench/scale/fleet_faults.py
@@ -10,7 +10,7 @@
 from bench.scale.meter import Meter, Watch
 from bench.scale.one_router import introduce
 from bench.scale.records import Row, row
-from wickhinge.lab.many import play
+from wickhinge.lab.many import simulation
 from wickhinge.lab.many.schedule import Fault, Schedule
 
 JOINT_START = 15.0  # seconds after which it is asked how much of the fleet each has heard
@@ -31,7 +31,7 @@
     time: float
 
 
-class CountedFleet(play.Fleet):
+class CountedFleet(simulation.Fleet):
     """A fleet that spends nothing; what it sends and computes is counted, the virtual network among it."""
 
     def __init__(self, routers: int, seed: int) -> None:
@@ -41,17 +41,17 @@
         self.watch = Watch()
         self.since = 0.0
 
-    def wants(self, process: play.Process, number: int) -> float:
+    def demand(self, process: simulation.Process, number: int) -> float:
         return 0.0
 
-    def carry(self, process: play.Process, to: int | None, data: bytes) -> None:
+    def send_datagram(self, process: simulation.Process, to: int | None, data: bytes) -> None:
         self.sends += 1
         self.bytes += len(data)
-        super().carry(process, to, data)
+        super().send_datagram(process, to, data)
 
     def start_all(self) -> None:
         for place in range(self.schedule.routers):
-            self.start(place)
+            self.start_process(place)
 
     def start_known(self) -> None:
         """All have known each other for long."""
@@ -59,7 +59,7 @@
         for process in self.processes:
             process.detector.identity.epoch = 1
         for one in self.processes:
-            for other in self.processes[: one.place]:
+            for other in self.processes[: one.router_index]:
                 introduce(one.detector, other.detector)
         for process in self.processes:  # clocks have zeros of their own
             for member in process.detector.members.values():
@@ -71,11 +71,11 @@
 
     def play_on(self, seconds: float) -> None:
         with self.watch:
-            self.wheel.run(self.now + seconds)
+            self.event_queue.run(self.now + seconds)
 
     def told(self, routers: int, time: float) -> Told:
         """Since `count_from_here`, for each of so many routers."""
-        each = routers * max(self.now - self.since, play.TICK)
+        each = routers * max(self.now - self.since, simulation.TICK_S)
         return Told(self.sends / each, self.bytes / each, self.watch.spent / each, time)
 
     def least_share(self) -> float:
@@ -83,9 +83,9 @@
         return min(one.detector.view(one.clock).alive_fraction for one in self.processes)
 
 
-def without_budgets(process: play.Process) -> None:
+def without_budgets(process: simulation.Process) -> None:
     process.limiter.tick = lambda now: None
-    process.spend = process.look = lambda: None
+    process.spend = process.log_view = lambda: None
     process.detector.attach_piggyback(lambda name: b"", lambda name, data, now: None)
 
 
@@ -93,7 +93,7 @@
     """How many others each has heard, in the mean, so long after all started together."""
     fleet = CountedFleet(size, seed)
     fleet.start_all()
-    fleet.wheel.run(JOINT_START)
+    fleet.event_queue.run(JOINT_START)
     return statistics.mean(size * one.detector.view(one.clock).alive_fraction - 1 for one in fleet.processes)
 
 
@@ -105,7 +105,7 @@
     fleet.play_on(CALM)
     fleet.count_from_here()
     began = fleet.now
-    fleet.begin(Fault("kill", began, 1e6, tuple(dead)))
+    fleet.begin_fault(Fault("kill", began, 1e6, tuple(dead)))
     fleet.play_on(WATCHED)
     known: dict[tuple[str, str], float] = {}
     for when, name, _, event, more in fleet.history:
@@ -122,7 +122,7 @@
     fleet.start_known()
     fleet.play_on(CALM)
     fleet.count_from_here()
-    fleet.begin(Fault("cut", fleet.now, CUT, tuple(range(size // 2)), tuple(range(size // 2, size))))
+    fleet.begin_fault(Fault("cut", fleet.now, CUT, tuple(range(size // 2)), tuple(range(size // 2, size))))
     fleet.play_on(CUT)
     meanwhile = fleet.told(size, CUT)
     fleet.count_from_here()
--- a/bench/scale/lending.py
+++ b/bench/scale/lending.py
@@ -8,7 +8,7 @@
 from bench.scale.meter import Meter
 from bench.scale.one_router import ZONES, OneRouter
 from bench.scale.records import Row, row
-from wickhinge.lab.many.play import BUDGETS
+from wickhinge.lab.many.simulation import BUDGETS
 from wickhinge.peers.detector import FailureDetector
 from wickhinge.shared import slow_start_quota
 from wickhinge.shared.budgets import BURST_S, BudgetDivision
--- a/tests/bench/test_bench_store.py
+++ b/tests/bench/test_bench_store.py
@@ -2,14 +2,14 @@
 
 import pytest
 
-from tests.support.measurements import together
+from tests.support.measurements import run_in_parallel
 
 KILL = "bench.store kill --kills 5 --seconds 14"
 
 
 @pytest.fixture(scope="module")
 def told():
-    return together(
+    return run_in_parallel(
         anew=KILL,
         continues=f"{KILL} --continues",
         checksums=f"{KILL} --plant checksums",
--- a/tests/changelog/test_daemon_signals.py
+++ b/tests/changelog/test_daemon_signals.py
@@ -12,7 +12,7 @@
 
 import pytest
 
-from tests.support.processes import PATIENT, Process, free
+from tests.support.processes import TIMEOUT_S, Process, find_free_ports
 from tests.support.running_router import wait_until
 
 KEY = "the key of this test's fleet"
@@ -23,7 +23,7 @@
     def __init__(self, folder):
         self.options_path, self.key_path = folder / "own.cue", folder / "key"
         self.key_path.write_text(KEY)
-        self.address = ("127.0.0.1", free(1))
+        self.address = ("127.0.0.1", find_free_ports(1))
         self.process = None
 
     def options_text(self):
@@ -104,4 +104,4 @@
             relay.send_signal(signal.SIGHUP)
             relay.send_signal(signal.SIGTERM)
             time.sleep(0.001)
-        assert relay.process.child.wait(PATIENT) == 0
+        assert relay.process.child.wait(TIMEOUT_S) == 0
--- a/tests/changelog/test_replicas_on_processes.py
+++ b/tests/changelog/test_replicas_on_processes.py
@@ -17,7 +17,7 @@
     running_fleet,
     seconds_until_uninformed,
 )
-from tests.support.processes import PATIENT
+from tests.support.processes import TIMEOUT_S
 from wickhinge.changelog.entries import Purge, Setting
 
 
@@ -64,7 +64,7 @@
     directory.rename(fleet.folder / "aside")
     try:
         fleet.start(name).wait("--new begins a new log")
-        assert fleet.processes[name].child.wait(PATIENT) == 2
+        assert fleet.processes[name].child.wait(TIMEOUT_S) == 2
     finally:
         (fleet.folder / "aside").rename(directory)
     fleet.start(name).wait('"event":"changelog_role"')
@@ -96,7 +96,7 @@
     try:
         fleet.append_purge(0xF1)
         assert fleet.next_request_max_age_s(0xF1) > 0
-        fleet.client.append(Purge(0xF2, 0, 0), PATIENT)
+        fleet.client.append(Purge(0xF2, 0, 0), TIMEOUT_S)
         lines_between = lines_until(fleet.router_harness.router, '"key":"00000000000000f2"')
         assert not [line for line in lines_between if "00000000000000f1" in line]
         statuses = [server.status for server in fleet.query_servers()]
@@ -107,11 +107,11 @@
 
 def test_settings_when_appended_are_applied_or_reported_as_refused_or_unknown(fleet):
     with socket.create_server(("127.0.0.1", 0)) as new_listener:
-        new_listener.settimeout(PATIENT)
+        new_listener.settimeout(TIMEOUT_S)
         line = fleet.append_setting("journal", f"127.0.0.1:{new_listener.getsockname()[1]}".encode())
         assert '"in force"' in line
         watch, _ = new_listener.accept()
-        watch.settimeout(PATIENT)
+        watch.settimeout(TIMEOUT_S)
         assert len(watch.recv(8)) == 8
         # The command line would refuse this value, so the test appends it directly.
         line = fleet.append_setting("journal", b"nowhere")
@@ -127,7 +127,7 @@
     backup = fleet.folder / "backup"
     assert fleet.run_command("backup", str(backup))[0] == 0
     fleet.append_setting("lost", b"1")
-    last_number = fleet.client.append(Setting("lost", b"2", 0), PATIENT).number
+    last_number = fleet.client.append(Setting("lost", b"2", 0), TIMEOUT_S).number
     for name in REPLICAS:
         fleet.stop(name)
     restored = REPLICAS[:3]
--- a/tests/changelog/test_router_on_processes.py
+++ b/tests/changelog/test_router_on_processes.py
@@ -20,7 +20,7 @@
     running_fleet,
     seconds_until_uninformed,
 )
-from tests.support.processes import PATIENT
+from tests.support.processes import TIMEOUT_S
 from wickhinge.changelog.entries import Purge
 from wickhinge.cli.changelog_client import Client
 from wickhinge.options import load
@@ -58,7 +58,7 @@
 def test_router_when_only_outward_links_are_cut_stays_informed_while_subscribed(fleet):
     """Relays continue to echo the router's last token with a growing delay until the subscription expires."""
     cut_links(fleet, ROUTER, RELAYS, inward=False)
-    fleet.client.append(Purge(0xB2, 0, 0), PATIENT)
+    fleet.client.append(Purge(0xB2, 0, 0), TIMEOUT_S)
     fleet.router_harness.router.wait('"key":"00000000000000b2"')
     assert fleet.next_request_max_age_s(0xB2) > 0 and fleet.next_request_max_age_s(0xB3) is None
     fleet.hub.cut_pairs.clear()
@@ -117,6 +117,6 @@
     reload_all("next-key", "")
     fleet.write_key_options("operator", "next-key", "")
     fleet.client = Client(load(str(fleet.operator)).changelog)
-    fleet.client.append(Purge(0xC6, 0, 0), PATIENT)
+    fleet.client.append(Purge(0xC6, 0, 0), TIMEOUT_S)
     between = lines_until(fleet.router_harness.router, '"key":"00000000000000c6"')
     assert not [line for line in between if "changelog_uninformed" in line]
--- a/tests/lab/test_many.py
+++ b/tests/lab/test_many.py
@@ -13,7 +13,7 @@
 
 from wickhinge.cli import main
 from wickhinge.lab.many import schedule, trial
-from wickhinge.lab.many.launch import wrong
+from wickhinge.lab.many.launch import faulty_clock
 from wickhinge.lab.many.schedule import Fault, Schedule
 from wickhinge.options.load import parse_options
 
@@ -30,16 +30,16 @@
         Fault("twin", 6.0, 2.0, (0,)),
     )
     told = Schedule(3, 5, 2, faults, 7, 8.0, 14.0)
-    assert trial.on_sockets(told).faults == [], schedule.text(told)
+    assert trial.run_on_sockets(told).violations == [], schedule.encode(told)
 
 
 def test_nothing_of_a_rig_is_left_where_the_rig_itself_is_killed(tmp_path):
     text = (
-        "import sys, time\nfrom pathlib import Path\nfrom wickhinge.lab.many.rig import Rig\n"
+        "import sys, time\nfrom pathlib import Path\nfrom wickhinge.lab.many.harness import Harness\n"
         "from wickhinge.lab.many.schedule import Schedule\n"
-        "rig = Rig(Path(sys.argv[1]), Schedule(1, 2, 1, (), 2, 0.0, 60.0))\nrig.open()\n"
-        "rig.start(0)\nrig.start(1)\n"
-        "print(*[one.child.pid for one in rig.processes], flush=True)\ntime.sleep(60)\n"
+        "harness = Harness(Path(sys.argv[1]), Schedule(1, 2, 1, (), 2, 0.0, 60.0))\nharness.open_relays()\n"
+        "harness.start_process(0)\nharness.start_process(1)\n"
+        "print(*[one.child.pid for one in harness.processes], flush=True)\ntime.sleep(60)\n"
     )
     made = subprocess.Popen([sys.executable, "-c", text, str(tmp_path)], cwd=ROOT, stdout=subprocess.PIPE, text=True)
     children = [int(number) for number in made.stdout.readline().split()]
@@ -66,7 +66,7 @@
     ran = CliRunner().invoke(main, ["lab", "many", "--seed", "7", "--count", "3", "--routers", "3", "--json"])
     told = json.loads(ran.output)
     assert ran.exit_code == 0 and (told["schedules"], told["broken"], told["routers"]) == (3, 0, 9)
-    (tmp_path / "s.json").write_text(schedule.text(schedule.draw(7, 3)))
+    (tmp_path / "s.json").write_text(schedule.encode(schedule.draw(7, 3)))
     assert CliRunner().invoke(main, ["lab", "many", "--schedule", str(tmp_path / "s.json")]).exit_code == 0
     (tmp_path / "s.json").write_text('{"seed": 1}')
     ran = CliRunner().invoke(main, ["lab", "many", "--schedule", str(tmp_path / "s.json")])
@@ -95,14 +95,14 @@
 def test_what_broke_is_shrunk_to_less_that_still_breaks():
     drawn = schedule.draw(11, 4, most=4)
     drawn = Schedule(**{**{name: getattr(drawn, name) for name in drawn.__struct_fields__}, "places": 4})
-    if trial.virtual(drawn, (lends_what_it_keeps,)).faults:
+    if trial.run_simulated(drawn, (lends_what_it_keeps,)).violations:
         least = trial.shrink(drawn, (lends_what_it_keeps,), 12)
-        assert len(least.faults) <= len(drawn.faults) and trial.virtual(least, (lends_what_it_keeps,)).faults
+        assert len(least.faults) <= len(drawn.faults) and trial.run_simulated(least, (lends_what_it_keeps,)).violations
 
 
 def test_a_clock_that_runs_wrong_runs_wrong_from_its_time_on():
     true = [0.0]
-    now = wrong(lambda: true[0], [[10.0, 1.05, 0.0], [20.0, 1.0, 0.0], [30.0, 1.0, 3600.0]])
+    now = faulty_clock(lambda: true[0], [[10.0, 1.05, 0.0], [20.0, 1.0, 0.0], [30.0, 1.0, 3600.0]])
     told = []
     for true[0] in (5.0, 10.0, 20.0, 25.0, 30.0, 40.0):
         told.append(now())
--- a/tests/membership/test_discovery.py
+++ b/tests/membership/test_discovery.py
@@ -8,14 +8,14 @@
 
 import pytest
 
-from tests.support.measurements import together
-from tests.support.processes import PATIENT, Client, Deployment, Process, free
+from tests.support.measurements import run_in_parallel
+from tests.support.processes import TIMEOUT_S, Client, Deployment, Process, find_free_ports
 
 
 @pytest.fixture(scope="module")
 def measurements():
     """Results of the measurements by name, each in its short form."""
-    return together(
+    return run_in_parallel(
         start="bench.discovery start --repeats 1 --alone",
         herd="bench.discovery herd --routers 1,100 --seeds 1",
         trust="bench.discovery start --repeats 1 --alone --ages 3d --plant trust",
@@ -57,7 +57,7 @@
     `key_suffix` is not empty.
     """
     folder.mkdir()
-    port = free(2)
+    port = find_free_ports(2)
     configuration = json.loads(deployment.path.read_text())
     configuration |= {"listen": f"127.0.0.1:{port}", "journal": f"127.0.0.1:{port + 1}", "name": "n2"}
     (folder / "config.json").write_text(json.dumps(configuration))
@@ -77,7 +77,7 @@
 def test_list_exchange_when_the_keys_agree_lets_a_router_start_without_discovery(
     tmp_path, monkeypatch, key_suffix, is_served
 ):
-    port = free(1)
+    port = find_free_ports(1)
     (tmp_path / "key").write_text("0123456789abcdef")
     (tmp_path / "o.cue").write_text(
         f'discovery: {{mode: "on", dir: "{tmp_path}/list", listen: "127.0.0.1:{port}", key_file: "{tmp_path}/key"}}'
@@ -92,7 +92,7 @@
             if is_served
             else second_router.wait('"event":"listener_opened"')
         )
-        assert is_request_served(Client(address), PATIENT if is_served else 1.0) is is_served
+        assert is_request_served(Client(address), TIMEOUT_S if is_served else 1.0) is is_served
     finally:
         second_router.close()
         deployment.close()
@@ -101,13 +101,13 @@
 def test_list_exchange_when_the_answer_stays_incomplete_times_out_and_is_retried(tmp_path, monkeypatch):
     deployment = Deployment(tmp_path)
     with socket.create_server(("127.0.0.1", 0)) as silent_listener:
-        silent_listener.settimeout(PATIENT)
+        silent_listener.settimeout(TIMEOUT_S)
         second_router, _ = start_second_router(
             deployment, tmp_path / "b", f"127.0.0.1:{silent_listener.getsockname()[1]}"
         )
         try:
             with silent_listener.accept()[0] as connection:
-                connection.settimeout(PATIENT)
+                connection.settimeout(TIMEOUT_S)
                 assert connection.recv(100)[:4] == b"WHL1"
                 connection.sendall(b"\x00\x00\x10\x00half")
                 assert "exchange did not finish" in second_router.wait('"event":"membership_exchange_failed"')
@@ -122,17 +122,17 @@
     monkeypatch.setenv("WICKHINGE_OPTIONS", str(tmp_path / "o.cue"))
     deployment = Deployment(tmp_path)
     try:
-        deadline = time.monotonic() + PATIENT
+        deadline = time.monotonic() + TIMEOUT_S
         while not list(tmp_path.glob("list/list-?.wh")) and time.monotonic() < deadline:
             time.sleep(0.05)
         deployment.router.close()
-        configuration = json.loads(deployment.path.read_text()) | {"journal": f"127.0.0.1:{free(1)}"}
+        configuration = json.loads(deployment.path.read_text()) | {"journal": f"127.0.0.1:{find_free_ports(1)}"}
         deployment.path.write_text(json.dumps(configuration))
         environment = {**os.environ, "RELAY_CONFIG": str(deployment.path)}
         deployment.router = Process("-m", "wickhinge", env=environment)
         assert '"source":"remembered"' in deployment.router.wait('"event":"membership_source_changed"')
         assert '"trusted"' in deployment.router.wait('"event":"listener_opened"')
-        assert is_request_served(deployment.client(), PATIENT)
+        assert is_request_served(deployment.client(), TIMEOUT_S)
     finally:
         deployment.close()
 
@@ -143,7 +143,7 @@
     deployment = Deployment(tmp_path)
     try:
         with socket.create_server(("127.0.0.1", 0)) as new_listener:
-            new_listener.settimeout(PATIENT)
+            new_listener.settimeout(TIMEOUT_S)
             configuration = json.loads(deployment.path.read_text())
             deployment.path.write_text(
                 json.dumps(configuration | {"journal": f"127.0.0.1:{new_listener.getsockname()[1]}"})
--- a/tests/membership/test_journal_resumed.py
+++ b/tests/membership/test_journal_resumed.py
@@ -2,13 +2,13 @@
 
 import pytest
 
-from tests.support.connections import reading
+from tests.support.connections import make_endpoint_watch
 from wickhinge.net.control.endpoint_watch import MalformedFrameError
 
 
 @pytest.mark.parametrize("frames, last_number", [([(3, 0)], 0), ([(9, 1)], 0), ([(7, 0)], 7), ([(8, 1)], 8)])
 def test_resumed_watch_when_event_numbers_restart_or_have_a_gap_requests_the_complete_list(frames, last_number):
-    watch, events = reading(0)
+    watch, events = make_endpoint_watch(0)
     caught_up = []
     watch.listener.caught_up = lambda: caught_up.append(watch.is_unbroken)
     watch.resume_list(7)
--- a/tests/net/test_client_gone.py
+++ b/tests/net/test_client_gone.py
@@ -11,8 +11,8 @@
 
 import pytest
 
-from tests.support.clients import patient, warmed
-from tests.support.processes import PATIENT
+from tests.support.clients import open_idle_connection, set_long_timeouts
+from tests.support.processes import TIMEOUT_S
 from tests.support.router_process import OK_FIELDS
 from wickhinge.net.downstream import msgpack
 
@@ -65,7 +65,7 @@
 def test_first_attempt_when_the_client_leaves_right_after_its_request_is_not_sent(stand, way):
     harness = stand()
     client, other = harness.client(), harness.client()
-    warmed(harness, other)
+    open_idle_connection(harness, other)
     with harness.suspended():
         call_id = client.ask()
         leave(client, call_id, way)
@@ -92,7 +92,7 @@
 def test_attempt_waiting_for_a_connection_when_it_is_established_before_the_client_leaving_is_read_is_not_sent(
     stand, way
 ):
-    harness = stand(change=patient)
+    harness = stand(change=set_long_timeouts)
     accept_again, client, other = harness.stop_accepting(0), harness.client(), harness.client()
     call_id = client.ask()
     assert client.ping() and other.ping()
@@ -128,8 +128,8 @@
 def harness_for(stand, waits):
     """Return a router on which make_request_wait() works."""
     if waits != "cold":
-        return stand(change=patient)
-    return stand(("box", "parent"), change=patient, list_change=make_parent_cold)
+        return stand(change=set_long_timeouts)
+    return stand(("box", "parent"), change=set_long_timeouts, list_change=make_parent_cold)
 
 
 def make_parent_cold(hosts):
@@ -188,7 +188,7 @@
 
 def next_request_on(connections):
     """Return the next request on any of these connections."""
-    end = time.monotonic() + PATIENT
+    end = time.monotonic() + TIMEOUT_S
     while time.monotonic() < end:
         for connection in connections:
             if (cache_request := connection.next_request(0.02)) is not None:
@@ -227,7 +227,7 @@
 def test_requests_cancelled_during_a_hold_are_never_sent_and_the_others_are_sent_after_it(stand):
     harness = stand()
     client, other = harness.client(), harness.client()
-    connection = warmed(harness, other, 1)
+    connection = open_idle_connection(harness, other, 1)
     put_on_hold(client)
     call_ids = [client.ask("results", LARGE_BODY) for _ in range(6)]
     for call_id in call_ids[::2]:
--- a/tests/net/test_clock_wrong_at_start.py
+++ b/tests/net/test_clock_wrong_at_start.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from tests.support.processes import PATIENT
+from tests.support.processes import TIMEOUT_S
 from wickhinge.net.control import endpoint_watch
 
 HOUR_S = 3600.0
@@ -130,7 +130,7 @@
     client.answer(client.calls)
     if clock_error_s < 0:
         send_purge(harness, OBJECT_KEY + 1)
-    harness.listeners[0].settimeout(PATIENT)
+    harness.listeners[0].settimeout(TIMEOUT_S)
     client.ask("pages", block="1")
     request = (harness.accept_connection(0) if connection.server_index == 1 else connection).next_request()
     assert "src" not in request.fields
--- a/tests/net/test_crossings.py
+++ b/tests/net/test_crossings.py
@@ -12,7 +12,7 @@
 
 import pytest
 
-from tests.support.connections import attempts, line
+from tests.support.connections import make_attempts, make_connection
 from tests.support.processes import ROOT, Client
 from tests.support.router_process import OK_FIELDS, endpoint_entry
 from tests.support.routing import end_attempt, make_request_class, make_router, route_request
@@ -405,8 +405,8 @@
 
 @pytest.mark.parametrize("room", [0, 4])
 def test_request_frame_when_not_fully_written_at_the_end_of_its_request_is_never_completed(room):
-    made, ends, soon, _ = line(room)
-    owner = attempts(made.pools)
+    made, ends, soon, _ = make_connection(room)
+    owner = make_attempts(made.pools)
     made.pools.set_owner(
         SimpleNamespace(
             build_frame=owner.build_frame,
@@ -430,14 +430,14 @@
 
 
 def test_response_when_the_request_with_its_id_is_unwritten_is_ignored():
-    made, ends, _, _ = line(0)
+    made, ends, _, _ = make_connection(0)
     made.send(b"a", 1, b"x")
     made.dataReceived(resp.pack(b"a", b"BUSY", b"-", b""))
     assert ends == {} and made.pending == {b"a": 1} and made.write_queue
 
 
 def test_abandoned_response_when_it_trickles_on_ends_the_connection_in_time():
-    made, ends, soon, now = line()
+    made, ends, soon, now = make_connection()
     made.send(b"a", 1, b"x")
     made.send(b"b", 2, b"x")
     made.dataReceived(resp.pack(b"a", b"OK", b"-", b"x" * 500)[:-99])
@@ -457,7 +457,7 @@
 
 
 def test_request_id_when_a_late_response_came_is_not_used_again():
-    made, *_ = line()
+    made, *_ = make_connection()
     made.send(b"a", 1, b"x")
     made.cancel(b"a", 100.0)
     made.dataReceived(resp.pack(b"a", b"OK", b"-", b""))  # A duplicate may follow milliseconds later.
@@ -468,8 +468,8 @@
     "status, may_be_reused", [(b"MISS", True), (b"BUSY", False), (b"ERR", False), (b"VOID", False)]
 )
 def test_request_id_after_a_response_is_blocked_on_the_connection_unless_it_was_a_miss(status, may_be_reused):
-    made, *_ = line()
-    owner = attempts(made.pools)
+    made, *_ = make_connection()
+    owner = make_attempts(made.pools)
     owner.attempt_ended = lambda *_: None
     request = DownstreamRequest(SimpleNamespace(taken=1), None, 1, "a", make_request_class(), 0.0)
     number = owner.slots.put(SentAttempt(request, None, None, 0.0, 1.0))
@@ -481,8 +481,8 @@
 @pytest.mark.parametrize("only_if_cached, is_sent", [(False, True), (True, False)])
 def test_only_if_cached_attempt_when_the_connection_had_a_miss_is_not_sent_there(only_if_cached, is_sent):
     """An only-if-cached attempt may end as a miss, so a duplicate of the first miss would be taken for its response."""
-    made, *_ = line()
-    owner = attempts(made.pools)
+    made, *_ = make_connection()
+    owner = make_attempts(made.pools)
     owner.attempt_ended = lambda *_: None
     request, server = (
         DownstreamRequest(SimpleNamespace(taken=1), None, 1, "a", make_request_class(), 0.0),
--- a/tests/net/test_descriptors.py
+++ b/tests/net/test_descriptors.py
@@ -19,8 +19,8 @@
 from twisted.internet.error import ConnectionDone
 from twisted.python.failure import Failure
 
-from tests.support.connections import Wire, pool
-from tests.support.processes import PATIENT
+from tests.support.connections import FakeSocket, make_buffer_pool
+from tests.support.processes import TIMEOUT_S
 from tests.support.router_process import OK_FIELDS, RouterHarness
 from wickhinge.net.downstream import msgpack
 from wickhinge.net.downstream.client_connections import ClientConnections
@@ -132,7 +132,7 @@
 def restart_discovery_service(harness, address):
     """Start the discovery service again; return the seconds until the router resumes with its last event number."""
     harness.discovery_listener = harness.stack.enter_context(socket.create_server(address))
-    harness.discovery_listener.settimeout(PATIENT)
+    harness.discovery_listener.settimeout(TIMEOUT_S)
     start = time.monotonic()
     harness.watch_connection = harness.accept_on(harness.discovery_listener)
     assert int.from_bytes(harness.watch_connection.recv(8)) == harness.last_event_number
@@ -211,7 +211,7 @@
     clients.pop().socket.close()  # The closed connection frees a descriptor.
     assert all(is_ping_answered(client) for client in new)  # An answered client is closed for the next one.
     first.answer("OK", OK_FIELDS, b"x")
-    assert readable(clients, PATIENT)
+    assert readable(clients, TIMEOUT_S)
 
 
 def test_client_when_answered_is_closed_for_a_waiting_connection(stand):
@@ -464,7 +464,9 @@
         time=100.0,
         reactor=ConnectingReactor(),
     )
-    pools = ConnectionPools(clock, pool()[0], PoolSettings(0.4, 15.0, 100, max_connections), lambda *_, **more: None)
+    pools = ConnectionPools(
+        clock, make_buffer_pool()[0], PoolSettings(0.4, 15.0, 100, max_connections), lambda *_, **more: None
+    )
     for server_id in range(server_count):
         pools.add_or_move(server_id, str(server_id), ("127.0.0.1", 1))
     return pools, clock
@@ -474,7 +476,7 @@
     """Return an idle connection to a server, which becomes idle a second later than the one before it."""
     clock.time += 1.0
     connection = pools.pools_by_id[server_id].send(b"a", server_id, b"")
-    connection.transport = Wire()
+    connection.transport = FakeSocket()
     connection.transport.getHandle = lambda: connection.transport
     connection.connectionMade()
     connection.pending.clear()
@@ -509,12 +511,14 @@
     with ExitStack() as stack:
         listeners = [stack.enter_context(socket.create_server(("127.0.0.1", 0))) for _ in range(4)]
         deadlines = Deadlines(reactor, [].append)
-        pools = ConnectionPools(deadlines, pool()[0], PoolSettings(5.0, 15.0, 100, 3), lambda *_, **more: None)
+        pools = ConnectionPools(
+            deadlines, make_buffer_pool()[0], PoolSettings(5.0, 15.0, 100, 3), lambda *_, **more: None
+        )
         for server_id, listener in enumerate(listeners):
             pools.add_or_move(server_id, str(server_id), listener.getsockname())
 
         def wait_until(is_true):
-            end = time.monotonic() + PATIENT
+            end = time.monotonic() + TIMEOUT_S
             while not is_true() and time.monotonic() < end:
                 reactor.iterate(0.01)
             assert is_true()
@@ -526,7 +530,7 @@
             )
             wait_until(lambda: connection.is_up)
             server_end = stack.enter_context(listeners[server_id].accept()[0])
-            server_end.settimeout(PATIENT)
+            server_end.settimeout(TIMEOUT_S)
             assert b"REQ" in server_end.recv(4096)
             server_end.sendall(resp.pack(b"%d" % server_id, b"OK", b"-", b""))
             wait_until(lambda: not connection.pending)
--- a/tests/net/test_failing_calls.py
+++ b/tests/net/test_failing_calls.py
@@ -13,7 +13,7 @@
 import pytest
 
 from bench.faults.shim import Call, Shim
-from tests.support.processes import PATIENT, Client
+from tests.support.processes import TIMEOUT_S, Client
 from tests.support.router_process import OK_FIELDS
 
 FAILURE_SHARE = 0.2
@@ -188,7 +188,7 @@
         time.sleep(0.005)
     for client, number in asked:
         assert client.answer(number)[0] == 1
-    assert made.router.child.wait(PATIENT) == 0
+    assert made.router.child.wait(TIMEOUT_S) == 0
 
 
 @pytest.mark.parametrize("call", [Call.SOCKET, Call.REGISTER, Call.OPEN])
--- a/tests/net/test_net.py
+++ b/tests/net/test_net.py
@@ -13,7 +13,7 @@
 from twisted.python import log
 from twisted.python.failure import Failure
 
-from tests.support.connections import Wire, attempts, line, pool, reading
+from tests.support.connections import FakeSocket, make_attempts, make_buffer_pool, make_connection, make_endpoint_watch
 from tests.support.routing import make_request_class, make_router
 from wickhinge.fields import MalformedError
 from wickhinge.interface import Outcome
@@ -95,12 +95,12 @@
 def test_resp_decodes_what_it_encodes_when_split_anywhere():
     data = b"".join(resp.pack(*items) for items in ANSWERS)
     for split in range(len(data) + 1):
-        decoder = resp.ReplyDecoder(pool()[0])
+        decoder = resp.ReplyDecoder(make_buffer_pool()[0])
         assert [with_bytes(items) for items in decoder.feed(data[:split]) + decoder.feed(data[split:])] == ANSWERS
 
 
 def test_resp_body_in_several_buffers_gives_them_back_to_the_pool():
-    buffer_pool, calls = pool(limit=3)
+    buffer_pool, calls = make_buffer_pool(limit=3)
     body = bytes(range(256)) * (BUFFER_BYTES // 256 * 7 // 2)
     (items,) = resp.ReplyDecoder(buffer_pool).feed(resp.pack(b"a", b"OK", b"-", body))
     assert with_bytes(items)[3] == body and buffer_pool.in_use == 4 and calls == ["stop"]
@@ -123,17 +123,17 @@
 )
 def test_resp_when_malformed_raises_an_error_that_names_the_problem(data, message):
     with pytest.raises(resp.MalformedReplyError, match=message):
-        resp.ReplyDecoder(pool()[0]).feed(data)
+        resp.ReplyDecoder(make_buffer_pool()[0]).feed(data)
 
 
 def test_request_body_can_be_read_completely_for_each_attempt():
-    buffer_pool, _ = pool()
+    buffer_pool, _ = make_buffer_pool()
     body = Body(buffer_pool, b"ab" * BUFFER_BYTES)
     assert b"".join(body.views()) == b"".join(body.views()) == b"ab" * BUFFER_BYTES and buffer_pool.in_use == 2
 
 
 def test_partly_read_response_of_a_lost_connection_gives_its_buffers_back():
-    buffer_pool, _ = pool()
+    buffer_pool, _ = make_buffer_pool()
     decoder = resp.ReplyDecoder(buffer_pool)
     decoder.feed(resp.pack(b"a", b"OK", b"-", b"x" * 100)[:-40])
     decoder.close()
@@ -169,7 +169,7 @@
         + frame(43, 4, endpoint_watch.GROUP_PURGE.pack(17, 6))
     )
     for split in range(len(data) + 1):
-        watch, events = reading()
+        watch, events = make_endpoint_watch()
         watch.receive_data(watch.connection, data[:split])
         watch.receive_data(watch.connection, data[split:])
         assert (
@@ -182,20 +182,20 @@
     "data", [frame(42, 0) + frame(42, 2), frame(41, 9), frame(41, 2, b"x"), frame(41, 3, b"x"), b"\x00\x00\x00\x01x"]
 )
 def test_endpoint_watch_after_a_gap_or_a_malformed_frame_drops_the_connection(data):
-    watch, events = reading()
+    watch, events = make_endpoint_watch()
     watch.receive_data(watch.connection, data)
     assert events == ["dropped"] and watch.last_number == 40 and watch.connection is None
 
 
 def test_discovery_event_when_sent_twice_is_applied_once():
-    watch, events = reading()
+    watch, events = make_endpoint_watch()
     for number in (40, 41, 41, 42, 41):
         watch.receive_data(watch.connection, frame(number, 4, endpoint_watch.GROUP_PURGE.pack(number, 6)))
     assert events == [(None, 41, 6), (None, 42, 6)] and watch.last_number == 42
 
 
 def test_endpoint_watch_when_the_address_changes_reconnects_and_ignores_the_old_connection():
-    watch, events = reading()
+    watch, events = make_endpoint_watch()
     watch.reactor = SimpleNamespace(connectTCP=lambda host, port, *_, **__: events.append(port))
     old = watch.connection
     watch.change_address(("127.0.0.1", 9))
@@ -287,7 +287,7 @@
 @pytest.mark.parametrize("room, written", [(0, b""), (4, b"*1\r\n")])
 def test_request_cancelled_before_it_is_written_is_never_sent(room, written):
     """Data held by the transport could be sent after its request was answered, while the router was stalled."""
-    connection, results, soon, _ = line(room)
+    connection, results, soon, _ = make_connection(room)
     connection.send(b"a", 1, resp.pack(b"REQ"))
     connection.send(b"b", 2, resp.pack(b"REQ"))
     connection.cancel(b"a", 100.0)
@@ -361,10 +361,10 @@
     received_later_s, is_other_suspect
 ):
     """Otherwise each connection would be found silent by requests of its own that time out."""
-    connection, _, _, now = line()
+    connection, _, _, now = make_connection()
     other = UpstreamConnection(connection.pool)
     connection.pool.connections.append(other)
-    other.is_up, other.transport, other.socket = True, Wire(), Wire()
+    other.is_up, other.transport, other.socket = True, FakeSocket(), FakeSocket()
     other.send(b"b", 2, b"x")
     now[0] += 0.1
     connection.send(b"a", 1, b"x")
@@ -375,7 +375,7 @@
 
 
 def test_response_that_stops_halfway_ends_its_connection():
-    connection, results, soon, now = line()
+    connection, results, soon, now = make_connection()
     connection.send(b"a", 1, b"x")
     connection.send(b"b", 2, b"x")
     connection.dataReceived(resp.pack(b"a", b"OK", b"-", b"x" * 50)[:-9])
@@ -393,7 +393,7 @@
 
 
 def test_retired_server_pool_is_removed_when_no_request_is_pending():
-    connection, *_ = line()
+    connection, *_ = make_connection()
     connection.send(b"a", 1, b"x")
     connection.pool.retire()
     assert connection.pools.pools_by_id
@@ -415,8 +415,8 @@
     ],
 )
 def test_response_status_that_does_not_fit_the_request_is_unreadable(status, fields, is_probe, is_valid):
-    pools, results = line()[0].pools, []
-    attempt_table = attempts(pools)
+    pools, results = make_connection()[0].pools, []
+    attempt_table = make_attempts(pools)
     attempt_table.attempt_ended = lambda number, result, fields, body: results.append(result)
     downstream_request = (
         None
@@ -486,7 +486,10 @@
             other.connect_ex(address)
         deadlines = Deadlines(reactor, log_lines.append)
         pools = ConnectionPools(
-            deadlines, pool()[0], PoolSettings(5.0, 15.0, 100, 50), lambda *_, **fields: log_lines.append(fields)
+            deadlines,
+            make_buffer_pool()[0],
+            PoolSettings(5.0, 15.0, 100, 50),
+            lambda *_, **fields: log_lines.append(fields),
         )
         pools.add_or_move(1, "1", address)
         gc.collect()
@@ -524,7 +527,7 @@
     decisions = make_router(caches=0, parents=0, direct_to_source=False)
     attempt_table = SimpleNamespace(decisions=decisions, local_copies=None)
     request_table = RequestTable(
-        attempt_table, clock, pool()[0], {"t": make_request_class()}, lambda *_, **more: None, [].append
+        attempt_table, clock, make_buffer_pool()[0], {"t": make_request_class()}, lambda *_, **more: None, [].append
     )
     references, route = [], decisions.route
     decisions.route = (
--- a/tests/net/test_sockets.py
+++ b/tests/net/test_sockets.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from tests.support.processes import PATIENT, ROOT, Client, Deployment, Process, free
+from tests.support.processes import ROOT, TIMEOUT_S, Client, Deployment, Process, find_free_ports
 from wickhinge.net.downstream import msgpack
 
 
@@ -35,7 +35,7 @@
 @pytest.mark.parametrize("request_class, error_name", [("pages", "Overloaded"), ("results", "Abandoned")])
 def test_request_when_no_server_answers_ends_in_time(deployment, request_class, error_name):
     for place in "1234":
-        deployment.toy.say(f"silent {place}")
+        deployment.toy.write_line(f"silent {place}")
     client = deployment.client()
     start = time.monotonic()
     _, _, error, _ = client.answer(client.ask(request_class, budget="1200"))
@@ -45,34 +45,34 @@
 
 def test_aborted_request_gets_no_answer(deployment):
     for place in "1234":
-        deployment.toy.say(f"silent {place}")
+        deployment.toy.write_line(f"silent {place}")
     client = deployment.client()
     call = client.ask(budget="2500")
     client.socket.sendall(msgpack.pack([2, "abort", [call]]))
     last = client.ask(budget="2000")
     client.answer(last)
-    assert client.had == []
+    assert client.unread_messages == []
 
 
 def test_request_when_all_server_connections_were_lost_is_served_on_new_ones(deployment):
     client = deployment.client()
     client.answer(client.ask())
     for place in "1234":
-        deployment.toy.say(f"kill {place}")
+        deployment.toy.write_line(f"kill {place}")
     assert deployment.router.wait('"event":"upstream_connection_lost"')
     assert client.answer(client.ask(block="1"))[2] is None
 
 
 def test_draining_cache_when_the_watch_connection_was_lost_still_gets_no_requests(deployment):
-    deployment.toy.say("drop")
+    deployment.toy.write_line("drop")
     assert '"last_event":1' in deployment.router.wait('"event":"endpoint_watch_connected"')
-    deployment.toy.say("drain 1")
+    deployment.toy.write_line("drain 1")
     assert "draining" in deployment.router.wait('"event":"endpoints_updated"')
-    deployment.toy.say("silent 1")
+    deployment.toy.write_line("silent 1")
     client = deployment.client()
     for call in [client.ask(block=str(part)) for part in range(20)]:
         assert client.answer(call)[2] is None
-    deployment.toy.say("purge 00000000000000aa")
+    deployment.toy.write_line("purge 00000000000000aa")
     assert "00000000000000aa" in deployment.router.wait('"event":"purge_applied"')
     assert client.answer(client.ask(block="1"))[2] is None
 
@@ -104,7 +104,7 @@
 
 def test_client_with_a_request_when_hundreds_of_silent_clients_are_connected_is_served(deployment):
     with ExitStack() as stack:
-        sockets = [socket.create_connection(deployment.address, PATIENT) for _ in range(150)]
+        sockets = [socket.create_connection(deployment.address, TIMEOUT_S) for _ in range(150)]
         silent = [stack.enter_context(each) for each in sockets]
         silent[0].settimeout(1.0)  # The time limit for silent clients alone is longer.
         with pytest.raises((AssertionError, ConnectionResetError)):
@@ -156,7 +156,7 @@
     late = deployment.client()
     assert late.answer(late.ask())[2] is None
     assert all(client.answer(call)[2] is None for call in calls)
-    assert deployment.router.child.wait(PATIENT) == 0
+    assert deployment.router.child.wait(TIMEOUT_S) == 0
 
 
 def test_sighup_moves_the_endpoint_watch_and_an_invalid_file_changes_nothing(
@@ -165,7 +165,7 @@
     path, client = deployment.path, deployment.client()
     conf = json.loads(path.read_text())
     with socket.create_server(("127.0.0.1", 0)) as place:
-        place.settimeout(PATIENT)
+        place.settimeout(TIMEOUT_S)
         path.write_text(json.dumps(conf | {"journal": "nowhere"}))
         deployment.router.child.send_signal(signal.SIGHUP)
         assert "field journal" in deployment.router.wait('"event":"config_reload_failed"')
@@ -173,7 +173,7 @@
         for _ in range(2):
             deployment.router.child.send_signal(signal.SIGHUP)
         with place.accept()[0] as watch:
-            watch.settimeout(PATIENT)
+            watch.settimeout(TIMEOUT_S)
             assert int.from_bytes(watch.recv(8)) == 1
             watch.sendall(b"\x00\x00\x00\x13" + (2).to_bytes(8) + b"\x04" + b"\x00\x07" + bytes(8))
             assert deployment.router.wait('"event":"purge_applied"')
@@ -184,11 +184,11 @@
     """A router with an outdated endpoint list in its configuration; the test plays the discovery service."""
 
     def __init__(self, folder):
-        self.toy_base = free(7)
+        self.toy_base = find_free_ports(7)
         self.toy = Process("example/toy.py", str(self.toy_base), "hidden")
         self.toy.wait("ready")
         self.discovery_listener = socket.create_server(("127.0.0.1", self.toy_base + 6))
-        self.discovery_listener.settimeout(PATIENT)
+        self.discovery_listener.settimeout(TIMEOUT_S)
         conf = json.loads((ROOT / "example/config.json").read_text())
         kinds = conf["settings"]["shapes"]
         hosts = [
@@ -216,7 +216,7 @@
 
     def assert_refuses_connections(self):
         with pytest.raises(ConnectionRefusedError):
-            socket.create_connection(self.address, PATIENT)
+            socket.create_connection(self.address, TIMEOUT_S)
 
     def close(self):
         self.router.close()
@@ -232,9 +232,9 @@
 
 
 def test_restarted_router_accepts_no_clients_before_it_knows_all_endpoint_changes(restarted):
-    restarted.toy.say("silent 1")
+    restarted.toy.write_line("silent 1")
     with restarted.discovery_listener.accept()[0] as watch:
-        watch.settimeout(PATIENT)
+        watch.settimeout(TIMEOUT_S)
         assert int.from_bytes(watch.recv(8)) == 1
         restarted.assert_refuses_connections()
         drained = (
@@ -249,7 +249,7 @@
         restarted.router.wait("draining")
         restarted.assert_refuses_connections()  # The discovery service may have more changes.
     with restarted.discovery_listener.accept()[0] as watch:  # The router asks here for further changes.
-        watch.settimeout(PATIENT)
+        watch.settimeout(TIMEOUT_S)
         assert int.from_bytes(watch.recv(8)) == 2
         restarted.assert_refuses_connections()
         watch.sendall((9).to_bytes(4) + (2).to_bytes(8) + b"\x00")
@@ -277,7 +277,7 @@
     with restarted.discovery_listener.accept()[0]:
         start = time.monotonic()
         restarted.router.child.send_signal(signal.SIGTERM)
-        assert restarted.router.child.wait(PATIENT) == 0
+        assert restarted.router.child.wait(TIMEOUT_S) == 0
         assert time.monotonic() - start < 0.7  # A router without clients need not wait for any.
     restarted.assert_refuses_connections()
 
@@ -287,7 +287,7 @@
     restarted.router.wait(f'"event":"{event}"')
     other = Process("-m", "wickhinge", env=restarted.environment)
     assert "field listen" in other.wait("config")
-    assert other.child.wait(PATIENT) == 2
+    assert other.child.wait(TIMEOUT_S) == 2
     assert Client(restarted.address).ping() is True
 
 
@@ -295,4 +295,4 @@
     (tmp_path / "config.json").write_text('{"name": "n1", "listen": "x"}')
     made = Process("-m", "wickhinge", env={**os.environ, "RELAY_CONFIG": str(tmp_path / "config.json")})
     assert "config" in made.wait("field")
-    assert made.child.wait(PATIENT) == 2
+    assert made.child.wait(TIMEOUT_S) == 2
--- a/tests/net/test_stalls.py
+++ b/tests/net/test_stalls.py
@@ -16,8 +16,8 @@
 import pytest
 
 from bench.faults.shim import Call
-from tests.support.clients import patient, warmed
-from tests.support.processes import PATIENT
+from tests.support.clients import open_idle_connection, set_long_timeouts
+from tests.support.processes import TIMEOUT_S
 from tests.support.router_process import OK_FIELDS, CacheConnection
 from wickhinge.net.downstream import msgpack
 
@@ -49,7 +49,7 @@
 def test_budget_passed_on_after_a_stall_is_what_the_client_has_left(stand, connection, stall):
     harness = stand()
     client = harness.client()
-    cache_connection = warmed(harness, client)
+    cache_connection = open_idle_connection(harness, client)
     with harness.suspended():
         if connection == "new":
             client = harness.client()
@@ -90,7 +90,7 @@
     """The requests arrive one by one while the router process is suspended, and are read together."""
     harness = stand()
     client = harness.client()
-    connection = warmed(harness, client)
+    connection = open_idle_connection(harness, client)
     collector = RequestCollector(harness)
     collector.follow(connection)
     sent_at = {}
@@ -106,7 +106,7 @@
 
 
 def test_budget_passed_on_when_the_connection_is_established_late_is_what_is_left(stand):
-    harness = stand(change=patient)
+    harness = stand(change=set_long_timeouts)
     accept_again, client = harness.stop_accepting(0), harness.client()
     sent_at = time.monotonic()
     client.ask("pages", budget="2500")
@@ -118,7 +118,7 @@
 def test_request_that_expired_during_a_stall_is_not_sent(stand):
     harness = stand()
     client = harness.client()
-    connection = warmed(harness, client)
+    connection = open_idle_connection(harness, client)
     with harness.suspended():
         ask(client)
         time.sleep(BUDGET_S + 0.1)
@@ -131,7 +131,7 @@
     """The process is suspended at the end of the time in which it accepts clients, 0.75 s after SIGTERM."""
     harness = stand()
     client, other = harness.client(), harness.client()
-    warmed(harness, client)
+    open_idle_connection(harness, client)
     assert other.ping()
     os.kill(harness.router.child.pid, signal.SIGTERM)
     time.sleep(0.7)
@@ -171,7 +171,11 @@
     harness = stand()
     stop = threading.Event()
     clients = [harness.client() for _ in range(4)]
-    threads = [threading.Thread(target=serve_until_stopped, args=(warmed(harness, clients[0]), stop), daemon=True)]
+    threads = [
+        threading.Thread(
+            target=serve_until_stopped, args=(open_idle_connection(harness, clients[0]), stop), daemon=True
+        )
+    ]
     threads[0].start()
     harness.listeners[0].settimeout(0.05)
     for turn in range(30):
@@ -217,7 +221,7 @@
     except ConnectionError:
         return True
     finally:
-        client.socket.settimeout(PATIENT)
+        client.socket.settimeout(TIMEOUT_S)
 
 
 def test_a_request_within_the_stop_of_an_idle_close_is_answered(stand):
@@ -250,7 +254,7 @@
     """Deadlines that expire during a stall are served after the data in the sockets has been read."""
     harness = stand()
     client = harness.client()
-    connection = warmed(harness, client)
+    connection = open_idle_connection(harness, client)
     call_id = client.ask("pages", budget="600")
     cache_request = connection.next_request()
     with harness.suspended():
@@ -268,7 +272,7 @@
     """
     harness, shim = faulty_stand()
     client = harness.client()
-    connection = warmed(harness, client)
+    connection = open_idle_connection(harness, client)
     shim.fail(Call.SHORT_READ, 1.0)
     with harness.suspended():
         asked_at = [time.monotonic()]
@@ -293,7 +297,7 @@
     """
     harness, shim = faulty_stand()
     client = harness.client()
-    connection = warmed(harness, client)
+    connection = open_idle_connection(harness, client)
     with harness.suspended():
         asked_at = time.monotonic()
         client.ask("pages", budget=str(round(BUDGET_S * 1000)), block="1")
--- a/tests/net/test_start.py
+++ b/tests/net/test_start.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from tests.support.imports import modules_of_a_start
+from tests.support.imports import modules_imported_at_start
 
 ROOT = Path(__file__).parents[2]
 ROUTER_MODULES = {
@@ -90,7 +90,7 @@
 
 @pytest.fixture(scope="module")
 def loaded_modules():
-    return modules_of_a_start()
+    return modules_imported_at_start()
 
 
 def test_start_imports_exactly_the_modules_of_wickhinge_that_it_runs(loaded_modules):
--- a/tests/options/test_options.py
+++ b/tests/options/test_options.py
@@ -5,7 +5,7 @@
 import pytest
 from click.testing import CliRunner
 
-from tests.support.imports import modules_of_a_start
+from tests.support.imports import modules_imported_at_start
 from wickhinge.cli import main
 from wickhinge.options import OptionsError, load
 from wickhinge.options.load import parse_options
@@ -16,7 +16,7 @@
 
 
 def test_router_start_when_optional_subsystems_are_off_imports_none_of_them():
-    loaded = modules_of_a_start()
+    loaded = modules_imported_at_start()
     optional = [
         f"wickhinge.{name}" for name in ("peers", "shared", "store", "membership", "options", "lab", "changelog")
     ]
--- a/tests/peers/test_running_routers.py
+++ b/tests/peers/test_running_routers.py
@@ -12,7 +12,7 @@
 from click.testing import CliRunner
 
 from wickhinge.cli import main
-from wickhinge.lab.many.rig import free_port, with_us
+from wickhinge.lab.many.harness import free_port, kill_with_parent
 
 ROOT = Path(__file__).parents[2]
 
@@ -48,7 +48,7 @@
                         env=env,
                         stdout=log,
                         stderr=log,
-                        preexec_fn=with_us,
+                        preexec_fn=kill_with_parent,
                     )
                 )
 
--- a/tests/peers/test_schedules.py
+++ b/tests/peers/test_schedules.py
@@ -4,7 +4,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from wickhinge.lab.many import judges, play, schedule
+from wickhinge.lab.many import invariants, schedule, simulation
 from wickhinge.lab.many.schedule import Fault, Schedule
 from wickhinge.peers.peer_session import PeerSession
 
@@ -12,10 +12,10 @@
 @pytest.mark.parametrize("seed", range(24))
 def test_a_random_schedule_when_played_breaks_no_rule_and_the_fleet_recovers(seed):
     drawn = schedule.draw(seed)
-    played = play.play(drawn)
-    assert judges.all_of(played.history, drawn) == [], schedule.text(drawn)
+    played = simulation.simulate(drawn)
+    assert invariants.check_membership(played.history, drawn) == [], schedule.encode(drawn)
     if sum(len(fault.one) for fault in drawn.faults if fault.kind == "lie") <= 1:
-        assert judges.unfounded(played.history, drawn) == [], schedule.text(drawn)
+        assert invariants.find_unfounded_gone_reports(played.history, drawn) == [], schedule.encode(drawn)
 
 
 class DowngradingSession(PeerSession):
@@ -60,17 +60,19 @@
 def test_judges_when_a_fault_is_planted_find_it_in_some_schedule(plant, expected_text, faults):
     schedules = [Schedule(seed, 4, 1, faults, 5, 20.0, 5.0) for seed in range(3, 9)]
     assert any(
-        expected_text in found for drawn in schedules for found in judges.lives(play.play(drawn, (plant,)).history)
+        expected_text in found
+        for drawn in schedules
+        for found in invariants.check_sessions(simulation.simulate(drawn, (plant,)).history)
     )
-    assert judges.lives(play.play(schedules[0]).history) == []
+    assert invariants.check_sessions(simulation.simulate(schedules[0]).history) == []
 
 
 @settings(max_examples=30, deadline=None)
 @given(st.integers(0, 10**6))
 def test_a_schedule_when_written_is_read_unchanged_and_its_shrunk_variants_are_smaller(seed):
     drawn = schedule.draw(seed)
-    assert schedule.read(schedule.text(drawn)) == drawn
+    assert schedule.decode(schedule.encode(drawn)) == drawn
     assert all(
         len(variant.faults) < len(drawn.faults) or variant.healed_s <= drawn.healed_s
-        for variant in schedule.smaller(drawn)
+        for variant in schedule.shrink_candidates(drawn)
     )
--- a/tests/shared/test_quota_lending.py
+++ b/tests/shared/test_quota_lending.py
@@ -7,7 +7,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from wickhinge.lab.many import judges, play, schedule, trial
+from wickhinge.lab.many import invariants, schedule, simulation, trial
 from wickhinge.lab.many.schedule import Fault, Schedule
 from wickhinge.peers.detector import FailureDetector
 from wickhinge.peers.identity import NameAnswer
@@ -42,7 +42,7 @@
         buckets[spender].set_share(shares[spender], now * rates[spender])
         while buckets[spender].take(piece, now * rates[spender]):
             spent.append((now, "", piece))
-    assert judges.peak(spent, amount, window_s) <= 1.0 if spent else True
+    assert invariants.peak_usage(spent, amount, window_s) <= 1.0 if spent else True
 
 
 def test_bucket_when_its_budget_is_too_small_or_lowered_spends_nothing():
@@ -201,9 +201,9 @@
 @pytest.mark.parametrize("seed", range(100, 118))
 def test_fleet_when_faults_are_random_never_overspends(seed):
     drawn = schedule.draw(seed)
-    played = play.play(drawn)
-    assert judges.budgets(played.spent, play.BUDGETS) == [], schedule.text(drawn)
-    assert judges.all_of(played.history, drawn) == [], schedule.text(drawn)
+    played = simulation.simulate(drawn)
+    assert invariants.check_budgets(played.spent, simulation.BUDGETS) == [], schedule.encode(drawn)
+    assert invariants.check_membership(played.history, drawn) == [], schedule.encode(drawn)
 
 
 # Schedules that once broke a fleet, by the fault that they showed.
@@ -244,7 +244,7 @@
 
 @pytest.mark.parametrize("fault", REGRESSION_SCHEDULES)
 def test_fleet_when_a_regression_schedule_is_replayed_has_no_faults(fault):
-    assert trial.virtual(REGRESSION_SCHEDULES[fault]).faults == []
+    assert trial.run_simulated(REGRESSION_SCHEDULES[fault]).violations == []
 
 
 def test_identity_when_a_name_left_the_roster_drops_its_answer():
@@ -265,24 +265,27 @@
 
 def used_share(routers, wants, plants=()):
     """Return the fraction of the first budget that a fleet spends after 12 s; `wants` gives each router's demand."""
-    fleet = play.Fleet(Schedule(5, routers, 1, (), routers, 20.0, 5.0), plants)
-    fleet.wants = wants
+    fleet = simulation.Fleet(Schedule(5, routers, 1, (), routers, 20.0, 5.0), plants)
+    fleet.demand = wants
     fleet.run()
-    budget_amount, window_s, _ = play.BUDGETS[0]
+    budget_amount, window_s, _ = simulation.BUDGETS[0]
     return sum(amount for when, _, amount in fleet.spent[0] if when > 12.0) / (budget_amount / window_s * 13.0)
 
 
 def test_budget_when_one_router_has_the_demand_is_lent_to_it():
-    used_by_one = used_share(5, lambda process, number: 2.0 * (process.place == 0))
+    used_by_one = used_share(5, lambda process, number: 2.0 * (process.router_index == 0))
     assert used_by_one > 0.8 and used_share(5, lambda process, number: 2.0) > 0.8
-    assert used_share(5, lambda process, number: 2.0 * (process.place == 0), (disable_balancing,)) < 0.25 * used_by_one
+    assert (
+        used_share(5, lambda process, number: 2.0 * (process.router_index == 0), (disable_balancing,))
+        < 0.25 * used_by_one
+    )
 
 
 def test_router_when_cut_off_spends_only_its_floor_after_its_lease_ends():
-    fleet = play.Fleet(Schedule(5, 4, 1, (Fault("cut", 10.0, 40.0, (0,), (1, 2, 3)),), 4, 50.0, 1.0))
-    fleet.wants = lambda process, number: 2.0
+    fleet = simulation.Fleet(Schedule(5, 4, 1, (Fault("cut", 10.0, 40.0, (0,), (1, 2, 3)),), 4, 50.0, 1.0))
+    fleet.demand = lambda process, number: 2.0
     fleet.run()
-    budget_amount, window_s, _ = play.BUDGETS[0]
+    budget_amount, window_s, _ = simulation.BUDGETS[0]
     cut_off = [amount for when, name, amount in fleet.spent[0] if name == "n0" and 20.0 < when < 50.0]
     connected = [amount for when, name, amount in fleet.spent[0] if name != "n0" and 20.0 < when < 50.0]
     assert 0.0 < sum(cut_off) / (budget_amount / window_s * 30.0) < 0.02
@@ -319,9 +322,9 @@
     schedule_with_faults = Schedule(5, 4, 1, faults, 6, 26.0, 4.0)
 
     def overspent_budgets(plants):
-        fleet = play.Fleet(schedule_with_faults, plants)
+        fleet = simulation.Fleet(schedule_with_faults, plants)
         # One router has all the demand for 14 s; then every router has it.
-        fleet.wants = lambda process, number: 2.0 * (process.place == 0 or fleet.now > 14.0)
-        return judges.budgets(fleet.run().spent, play.BUDGETS)
+        fleet.demand = lambda process, number: 2.0 * (process.router_index == 0 or fleet.now > 14.0)
+        return invariants.check_budgets(fleet.run().spent, simulation.BUDGETS)
 
     assert overspent_budgets((plant,)) and overspent_budgets(()) == []
--- a/tests/shared/test_slow_start_quota.py
+++ b/tests/shared/test_slow_start_quota.py
@@ -14,7 +14,7 @@
 
 from tests.support import routing as helpers
 from wickhinge.interface import Outcome
-from wickhinge.lab.many import judges, play
+from wickhinge.lab.many import invariants, simulation
 from wickhinge.lab.many.schedule import Schedule
 from wickhinge.options.errors import OptionsError
 from wickhinge.options.load import parse_options
@@ -69,7 +69,7 @@
     amount = LIMITS.overload_factor * 0.2 * cache.weight * LIMITS.window
     sent = send_all_admitted(quotas, cache, work, 30.0)
     max_piece = slow_start_quota.PIECES_SHARE_OF_LIMIT * amount / 4
-    assert judges.peak(sent, amount + max(work - max_piece, 0.0), LIMITS.window) <= 1.0
+    assert invariants.peak_usage(sent, amount + max(work - max_piece, 0.0), LIMITS.window) <= 1.0
     expected = (
         (1 - slow_start_quota.PIECES_SHARE_OF_LIMIT) * amount / (LIMITS.window + BURST_S) / (1 + MAX_CLOCK_DRIFT) * 29.0
     )
@@ -104,7 +104,7 @@
             caches[place].tokens -= work
             sent.append((now, "", work))
     credit = count * max(work - slow_start_quota.PIECES_SHARE_OF_LIMIT * amount / count, 0.0)
-    assert not sent or judges.peak(sent, amount + credit, LIMITS.window) <= 1.0
+    assert not sent or invariants.peak_usage(sent, amount + credit, LIMITS.window) <= 1.0
 
 
 def test_bucket_when_its_server_restarted_is_empty_and_when_idle_is_deleted():
@@ -166,8 +166,8 @@
 
 
 def test_quota_when_of_a_cache_is_lent_in_its_zone_and_when_of_a_parent_everywhere():
-    fleet = play.Fleet(Schedule(3, 6, 2, (), 6, 18.0, 4.0))
-    fleet.wants = lambda process, number: 2.0 * (process.place == 0)
+    fleet = simulation.Fleet(Schedule(3, 6, 2, (), 6, 18.0, 4.0))
+    fleet.demand = lambda process, number: 2.0 * (process.router_index == 0)
     fleet.run()
     shares = {
         process.name: [round(budget.share, 2) for budget in process.limiter.budgets[2:]] for process in fleet.processes
@@ -176,9 +176,9 @@
     assert all(shares[name][0] < 0.03 for name in ("n2", "n4")) and all(
         shares[name][0] > 0.3 for name in ("n1", "n3", "n5")
     )
-    assert judges.toppled(fleet.sent, fleet.bears, play.COLD.window) == []
+    assert invariants.check_overloads(fleet.sent, fleet.overload_limit, simulation.SLOW_START.window) == []
     sent_work = sum(work for when, _, work in fleet.sent[0] if when > 12.0)
-    possible_work = sum(fleet.bears(when / 10) / play.COLD.window / 10 for when in range(120, 220))
+    possible_work = sum(fleet.overload_limit(when / 10) / simulation.SLOW_START.window / 10 for when in range(120, 220))
     assert sent_work > 0.8 * possible_work
 
 
@@ -190,9 +190,9 @@
 
 def use_undivided_limit(process):
     """Plant a fault: each router uses the limit multiplied by the number of names, so its share of it is the whole."""
-    admits = process.colds.admits
-    process.colds.admits = lambda request, now: admits(
-        replace(request, capacity_share=request.capacity_share * len(process.fleet.names)), now
+    admits = process.slow_start_quotas.admits
+    process.slow_start_quotas.admits = lambda request, now: admits(
+        replace(request, capacity_share=request.capacity_share * len(process.fleet.router_names)), now
     )
 
 
@@ -201,9 +201,9 @@
     schedule_without_faults = Schedule(5, 4, 1, (), 6, 16.0, 4.0)
 
     def overloaded_servers(plants):
-        fleet = play.Fleet(schedule_without_faults, plants)
-        fleet.wants = lambda process, number: 2.0 * (process.place == 0 or fleet.now > 12.0)
-        return judges.toppled(fleet.run().sent, fleet.bears, play.COLD.window)
+        fleet = simulation.Fleet(schedule_without_faults, plants)
+        fleet.demand = lambda process, number: 2.0 * (process.router_index == 0 or fleet.now > 12.0)
+        return invariants.check_overloads(fleet.run().sent, fleet.overload_limit, simulation.SLOW_START.window)
 
     assert overloaded_servers((plant,)) and overloaded_servers(()) == []
 
--- a/tests/store/test_store.py
+++ b/tests/store/test_store.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from tests.support.connections import attempts, pool, reading
+from tests.support.connections import make_attempts, make_buffer_pool, make_endpoint_watch
 from tests.support.faulty_disk import FaultyDisk
 from tests.support.routing import end_attempt, make_request_class, make_router, route_request
 from tests.support.store_world import StoreWorld
@@ -282,7 +282,7 @@
 
 
 def test_journal_when_resumed_at_an_event_number_passes_on_purges_and_one_empty_list():
-    watch, notifications = reading(5)
+    watch, notifications = make_endpoint_watch(5)
     watch.resume_purges(2)
     caught_up_calls = []
     watch.listener.caught_up = lambda: caught_up_calls.append(watch.is_unbroken)
@@ -294,7 +294,7 @@
 
 @pytest.mark.parametrize("resumed_at, first_number", [(9, None), (0, None), (2, 4)])
 def test_journal_when_its_numbers_restart_or_have_a_gap_is_not_unbroken(resumed_at, first_number):
-    watch, _ = reading(5)
+    watch, _ = make_endpoint_watch(5)
     caught_up_calls = []
     watch.listener.caught_up = lambda: caught_up_calls.append(watch.is_unbroken)
     watch.resume_purges(resumed_at)
@@ -472,7 +472,7 @@
 def make_connected_router(with_store=True):
     """Return a router with a request table and upstream connections that record the sent frames in `sent`."""
     world = start_world()
-    deadlines, (buffers, _) = FakeDeadlines(), pool(100)
+    deadlines, (buffers, _) = FakeDeadlines(), make_buffer_pool(100)
     faults, sent = [], []
     connection = SimpleNamespace(block_tag=lambda tag: None, unwritten_tags=())
     connection_pool = SimpleNamespace(
@@ -491,7 +491,7 @@
             world.store, deadlines, buffers, LinkBandwidth(1e6, 1e6), 0.1, faults.append, RemoteClock()
         )
         world.store.journal_caught_up(deadlines.clock, False)
-    router_attempts = attempts(caches, faults, decisions=router, local_copies=copies)
+    router_attempts = make_attempts(caches, faults, decisions=router, local_copies=copies)
     request_table = RequestTable(
         router_attempts, deadlines, buffers, {"t": make_request_class()}, lambda *a, **k: None, faults.append
     )
@@ -520,7 +520,7 @@
 
 def sent_fields(setup):
     """Return the fields of the frame that was sent last."""
-    (reply_items,) = resp.ReplyDecoder(pool()[0]).feed(setup.sent[-1][2])
+    (reply_items,) = resp.ReplyDecoder(make_buffer_pool()[0]).feed(setup.sent[-1][2])
     return resp.parse_fields(reply_items[2])
 
 
--- a/tests/support/changelog_fleet.py
+++ b/tests/support/changelog_fleet.py
@@ -13,7 +13,7 @@
 from collections import Counter
 from contextlib import ExitStack, contextmanager
 
-from tests.support.processes import PATIENT, ROOT, Process
+from tests.support.processes import ROOT, TIMEOUT_S, Process
 from tests.support.router_process import OK_FIELDS, CacheConnection, RouterHarness
 from wickhinge.changelog.entries import Purge, Setting
 from wickhinge.cli.changelog_client import Client, NotAppendedError, list_routers
@@ -81,7 +81,7 @@
 
     def close(self):
         self._stopped.set()
-        self._thread.join(PATIENT)
+        self._thread.join(TIMEOUT_S)
 
     def _run(self):
         while not self._stopped.is_set():
@@ -186,12 +186,12 @@
 
     def kill(self, name):
         self.processes[name].child.kill()
-        self.processes[name].child.wait(PATIENT)
+        self.processes[name].child.wait(TIMEOUT_S)
 
     def stop(self, name):
         """Send SIGTERM, and wait until the process has ended with exit code 0."""
         self.processes[name].child.terminate()
-        assert self.processes[name].child.wait(PATIENT) == 0
+        assert self.processes[name].child.wait(TIMEOUT_S) == 0
 
     def pause(self, name):
         child = self.processes[name].child
@@ -217,7 +217,7 @@
         """Return the router's row in the answers of the relays, or None."""
         return next(iter(list_routers(self.query_servers())), None)
 
-    def append_purge(self, key, timeout_s=PATIENT):
+    def append_purge(self, key, timeout_s=TIMEOUT_S):
         """Append a purge, and wait until the router has applied it."""
         answer = self.client.append(Purge(key, 0, 0), timeout_s)
         self.router_harness.router.wait(
@@ -227,7 +227,7 @@
 
     def append_setting(self, name, value):
         """Append a setting, and return the router's log line about it."""
-        self.client.append(Setting(name, value, 0), PATIENT)
+        self.client.append(Setting(name, value, 0), TIMEOUT_S)
         line = self.router_harness.router.wait('"event":"changelog_setting')
         assert f'"name":"{name}"' in line
         return line
@@ -244,7 +244,7 @@
         environment = {**os.environ, "WICKHINGE_OPTIONS": str(self.operator)}
         command = [sys.executable, "-m", "wickhinge", "changelog", *arguments]
         completed = subprocess.run(
-            command, cwd=ROOT, env=environment, capture_output=True, text=True, timeout=2 * PATIENT
+            command, cwd=ROOT, env=environment, capture_output=True, text=True, timeout=2 * TIMEOUT_S
         )
         return completed.returncode, completed.stdout + completed.stderr
 
@@ -259,7 +259,7 @@
         """
         client = self.router_harness.client()
         eventually(lambda: client.answer(client.ask(obj=f"{key:016x}"))[2] is None)
-        found = self.requests.get(timeout=PATIENT).get("maxage")
+        found = self.requests.get(timeout=TIMEOUT_S).get("maxage")
         assert self.requests.empty()
         client.socket.close()
         return None if found is None else int(found) / 1000
@@ -287,7 +287,7 @@
 
 def eventually(ask):
     """Call `ask` until it returns a true value, and return that value."""
-    deadline = time.monotonic() + PATIENT
+    deadline = time.monotonic() + TIMEOUT_S
     while time.monotonic() < deadline:
         found = ask()
         if found:
@@ -331,9 +331,9 @@
 
 def lines_until(process, text):
     found = []
-    deadline = time.monotonic() + PATIENT
+    deadline = time.monotonic() + TIMEOUT_S
     while time.monotonic() < deadline:
-        line = process.lines.get(timeout=PATIENT)
+        line = process.lines.get(timeout=TIMEOUT_S)
         if text in line:
             return found
         found.append(line)
--- a/tests/support/clients.py
+++ b/tests/support/clients.py
@@ -3,13 +3,13 @@
 from tests.support.router_process import OK_FIELDS
 
 
-def patient(conf):
+def set_long_timeouts(conf):
     """Connections may take long to come up, and results are worth waiting for."""
     conf["limits"]["connectTimeoutMs"] = 9000
     conf["classes"][1]["onTimeMs"] = 2900
 
 
-def warmed(made, client, place=0):
+def open_idle_connection(made, client, place=0):
     """The machine's connection, up and idle."""
     call = client.ask("pages" if place == 0 else "results", block="7")
     line = made.accept_connection(place)
--- a/tests/support/connections.py
+++ b/tests/support/connections.py
@@ -10,19 +10,19 @@
 from wickhinge.net.upstream.connection_pools import ConnectionPools, PoolSettings, UpstreamConnection
 
 
-def attempts(pools, faults=None, **ports):
+def make_attempts(pools, faults=None, **ports):
     """Attempts over these pools, with no decisions unless they are given."""
     ports = {"decisions": None, "others_time": RemoteClock(), **ports}
     return Attempts(pools, pools.deadlines, AttemptPorts(**ports), 0.25, [].append if faults is None else faults.append)
 
 
-def pool(limit=8):
+def make_buffer_pool(limit=8):
     told = []
     made = BufferPool(limit, lambda: told.append("stop"), lambda: told.append("go"))
     return made, told
 
 
-class Wire:
+class FakeSocket:
     """A socket with room for so many bytes, and the transport over it."""
 
     def __init__(self, room=1 << 20):
@@ -42,7 +42,7 @@
         return lambda *told: self.calls.append(name)
 
 
-def line(room=1 << 20):
+def make_connection(room=1 << 20):
     """A connection that is up, its machine and the deadlines' calls; ends tells what became of numbers."""
     soon, ends, now = [], {}, [100.0]
     clock = SimpleNamespace(
@@ -51,7 +51,7 @@
         call_soon=lambda call, *told: soon.append((call, told)),
         arrivals=Arrivals(0.0),
     )
-    caches = ConnectionPools(clock, pool()[0], PoolSettings(0.4, 15.0, 100, 50), lambda *_, **more: None)
+    caches = ConnectionPools(clock, make_buffer_pool()[0], PoolSettings(0.4, 15.0, 100, 50), lambda *_, **more: None)
     caches.set_owner(
         SimpleNamespace(
             build_frame=lambda number: None,
@@ -62,12 +62,12 @@
     caches.add_or_move(1, "1", ("127.0.0.1", 1))
     made = UpstreamConnection(caches.pools_by_id[1])
     made.pool.connections.append(made)
-    made.transport = made.socket = Wire(room)
+    made.transport = made.socket = FakeSocket(room)
     made.is_up = True
     return made, ends, soon, now
 
 
-def reading(last=40):
+def make_endpoint_watch(last=40):
     told = []
     clock = SimpleNamespace(call_after=lambda *_: None, now=lambda: 1.0)
     listener = SimpleNamespace(
--- a/tests/support/imports.py
+++ b/tests/support/imports.py
@@ -10,7 +10,7 @@
 IMPORTED = re.compile(r"import time: +\d+ \| +\d+ \| +(\S+)")
 
 
-def modules_of_a_start():
+def modules_imported_at_start():
     """The modules that a plain start has executed when the router says `start`."""
     child = subprocess.Popen(
         [sys.executable, "-X", "importtime", "-m", "wickhinge"],
--- a/tests/support/measurements.py
+++ b/tests/support/measurements.py
@@ -9,7 +9,7 @@
 ROOT = Path(__file__).parents[2]
 
 
-def together(**commands):
+def run_in_parallel(**commands):
     """Last lines by name, of `python -m COMMAND --json` each."""
     started = {
         name: subprocess.Popen(
--- a/tests/support/processes.py
+++ b/tests/support/processes.py
@@ -16,7 +16,7 @@
 ROOT = Path(__file__).parents[2]
 
 
-PATIENT = 20.0  # seconds: only a failing test waits so long, also where cores are busy
+TIMEOUT_S = 20.0  # seconds: only a failing test waits so long, also where cores are busy
 
 
 class Process:
@@ -40,24 +40,24 @@
             self.lines.put(line)
 
     def wait(self, word):
-        end = time.monotonic() + PATIENT
+        end = time.monotonic() + TIMEOUT_S
         while time.monotonic() < end:
-            line = self.lines.get(timeout=PATIENT)
+            line = self.lines.get(timeout=TIMEOUT_S)
             if word in line:
                 return line
         raise AssertionError(f"no {word}")
 
-    def say(self, text):
+    def write_line(self, text):
         self.child.stdin.write(text + "\n")
         self.child.stdin.flush()
 
     def close(self):
         if self.child.poll() is None:
             self.child.kill()
-        self.child.wait(PATIENT)
+        self.child.wait(TIMEOUT_S)
 
 
-def free(count):
+def find_free_ports(count):
     """A port with so many free ones after it."""
     while True:
         with ExitStack() as stack:
@@ -73,7 +73,7 @@
 
 class Deployment:
     def __init__(self, folder):
-        base = free(6)
+        base = find_free_ports(6)
         conf = json.loads((ROOT / "example/config.json").read_text())
         conf |= {
             "listen": f"127.0.0.1:{base + 5}",
@@ -99,8 +99,8 @@
 
 class Client:
     def __init__(self, address):
-        self.socket = socket.create_connection(address, PATIENT)
-        self.stream, self.had, self.calls = msgpack.MessageDecoder(300_000), [], 0
+        self.socket = socket.create_connection(address, TIMEOUT_S)
+        self.stream, self.unread_messages, self.calls = msgpack.MessageDecoder(300_000), [], 0
 
     def ask(self, request_class="pages", body=b"", drop=(), **fields):
         self.calls += 1
@@ -123,10 +123,10 @@
 
     def answer(self, call):
         while True:
-            for message in self.had:
+            for message in self.unread_messages:
                 if message[1] == call:
-                    self.had.remove(message)
+                    self.unread_messages.remove(message)
                     return message
             data = self.socket.recv(65536)
             assert data, "closed"
-            self.had += self.stream.feed(data)
+            self.unread_messages += self.stream.feed(data)
--- a/tests/support/router_process.py
+++ b/tests/support/router_process.py
@@ -11,7 +11,7 @@
 from contextlib import ExitStack, contextmanager, suppress
 from pathlib import Path
 
-from tests.support.processes import PATIENT, ROOT, Client, Process, free
+from tests.support.processes import ROOT, TIMEOUT_S, Client, Process, find_free_ports
 from wickhinge.net.control import endpoint_watch
 from wickhinge.net.runtime.buffers import BufferPool
 from wickhinge.net.upstream import resp
@@ -58,9 +58,9 @@
             resp.ReplyDecoder(BufferPool(99, lambda: None, lambda: None)),
             [],
         )
-        accepted_socket.settimeout(PATIENT)
+        accepted_socket.settimeout(TIMEOUT_S)
 
-    def next_request(self, timeout_s=PATIENT):
+    def next_request(self, timeout_s=TIMEOUT_S):
         """Return the next REQ, or None if the connection ends or no REQ arrives within the timeout."""
         self.socket.settimeout(timeout_s)
         while True:
@@ -130,7 +130,7 @@
         self.stack = ExitStack()
         self.connections = []
         self.folder = folder
-        base = free(1)
+        base = find_free_ports(1)
         self.listeners = [self.open_listener() for _ in machines]
         self.discovery_listener = self.open_listener()
         conf = json.loads((ROOT / "example/config.json").read_text())
@@ -159,12 +159,12 @@
 
     def open_listener(self, backlog=64):
         listener = self.stack.enter_context(socket.create_server(("127.0.0.1", 0), backlog=backlog))
-        listener.settimeout(PATIENT)
+        listener.settimeout(TIMEOUT_S)
         return listener
 
     def accept_on(self, listener):
         accepted_socket = self.stack.enter_context(listener.accept()[0])
-        accepted_socket.settimeout(PATIENT)
+        accepted_socket.settimeout(TIMEOUT_S)
         return accepted_socket
 
     def accept_connection(self, index):
@@ -215,7 +215,7 @@
         The router aborts an unfinished connect attempt after a while and starts another. This method makes sure that
         the process is not stopped between the two, when no attempt is under way.
         """
-        deadline = time.monotonic() + PATIENT
+        deadline = time.monotonic() + TIMEOUT_S
         while time.monotonic() < deadline:
             with self.suspended():
                 if is_connecting(self.router.child.pid, self.listeners[index].getsockname()[1]):
--- a/tests/support/running_router.py
+++ b/tests/support/running_router.py
@@ -10,7 +10,7 @@
 from contextlib import ExitStack, suppress
 from pathlib import Path
 
-from tests.support.processes import PATIENT, ROOT, free
+from tests.support.processes import ROOT, TIMEOUT_S, find_free_ports
 
 DEPLOY_FILE = ROOT / "deploy/balancer.toml"
 POLL_INTERVAL_S = 0.002
@@ -21,7 +21,7 @@
     return tomllib.loads(DEPLOY_FILE.read_text())["run"]
 
 
-def wait_until(is_true, timeout_s=PATIENT):
+def wait_until(is_true, timeout_s=TIMEOUT_S):
     deadline = time.monotonic() + timeout_s
     while not is_true():
         assert time.monotonic() < deadline, "the awaited condition did not become true"
@@ -36,7 +36,7 @@
         self.listener = stack.enter_context(socket.create_server(("127.0.0.1", 0), backlog=64))
         self.address = "{}:{}".format(*self.listener.getsockname())
 
-    def answer_next_watch(self, timeout_s=PATIENT) -> bool:
+    def answer_next_watch(self, timeout_s=TIMEOUT_S) -> bool:
         """Return whether a router connects within the timeout, and tell it that there are no more events.
 
         Connections that the router has closed in the meantime because they were silent are skipped.
@@ -47,7 +47,7 @@
                 connection = self._stack.enter_context(self.listener.accept()[0])
             except TimeoutError:
                 return False
-            connection.settimeout(PATIENT)
+            connection.settimeout(TIMEOUT_S)
             with suppress(ConnectionError):
                 number = connection.recv(8)
                 connection.sendall((9).to_bytes(4) + number + b"\0")
@@ -61,7 +61,7 @@
         self._stack = ExitStack()
         self.folder, self.config_file = folder, folder / "config.json"
         self.service, self.other_service = DiscoveryService(self._stack), DiscoveryService(self._stack)
-        self.address = ("127.0.0.1", free(1))
+        self.address = ("127.0.0.1", find_free_ports(1))
         self.environment = {**os.environ, "RELAY_CONFIG": str(self.config_file), **environment}
         self.output_file = folder / "output.txt"
         self.child: subprocess.Popen | None = None
@@ -96,7 +96,7 @@
         """Return the output that the program has written so far."""
         return self.output_file.read_text()
 
-    def wait_for_output(self, text: str, timeout_s=PATIENT) -> None:
+    def wait_for_output(self, text: str, timeout_s=TIMEOUT_S) -> None:
         wait_until(lambda: text in self.read_output(), timeout_s)
 
     def launch_and_wait(self) -> None:
@@ -109,12 +109,12 @@
     def send_signal(self, number: signal.Signals) -> None:
         self.child.send_signal(number)
 
-    def wait_for_exit(self, timeout_s=PATIENT) -> int:
+    def wait_for_exit(self, timeout_s=TIMEOUT_S) -> int:
         return self.child.wait(timeout_s)
 
     def close(self) -> None:
         if self.child is not None:
             if self.child.poll() is None:
                 self.child.kill()
-            self.child.wait(PATIENT)
+            self.child.wait(TIMEOUT_S)
         self._stack.close()
--- a/wickhinge/cli/lab.py
+++ b/wickhinge/cli/lab.py
@@ -309,7 +309,7 @@
         return [schedule.draw(values.seed + index, values.routers) for index in range(values.count)]
     try:
         with open(values.path, encoding="utf-8") as file:
-            return [schedule.read(file.read())]
+            return [schedule.decode(file.read())]
     except ValueError as error:
         fail(f"{values.path}: {error}")
 
@@ -319,12 +319,12 @@
     from wickhinge.lab.many import schedule as schedules
     from wickhinge.lab.many import trial
 
-    result = trial.on_sockets(schedule) if values.sockets else trial.virtual(schedule)
-    if not result.faults:
+    result = trial.run_on_sockets(schedule) if values.sockets else trial.run_simulated(schedule)
+    if not result.violations:
         return []
     printed_schedule = trial.shrink(schedule) if values.shrink and not values.sockets else schedule
-    faults = result.faults[:MAX_SHOWN_FAULTS]
-    return [{"seed": schedule.seed, "faults": faults, "schedule": schedules.text(printed_schedule)}]
+    faults = result.violations[:MAX_SHOWN_FAULTS]
+    return [{"seed": schedule.seed, "faults": faults, "schedule": schedules.encode(printed_schedule)}]
 
 
 @lab.command()
--- a/wickhinge/lab/many/director.py
+++ b/wickhinge/lab/many/fault_injector.py
@@ -5,14 +5,14 @@
 import random
 from typing import Any
 
-from wickhinge.lab.many.between import Between
+from wickhinge.lab.many.network_faults import Between
 from wickhinge.lab.many.schedule import Fault, Schedule
 
 REPLAYED = 300  # datagrams heard earlier that are sent once more by one fault
 RECORDED = 2000
 
 
-class Director:
+class FaultInjector:
     """Its players have processes that can `kill`, `stop`, `go_on` and `reroster`, and say `now`, `at`, `start` and
     `arrive`.
     """
@@ -20,7 +20,7 @@
     def __init__(self, schedule: Schedule) -> None:
         self.schedule = schedule
         self.random = random.Random(schedule.seed * 7919 + 1)
-        self.names = [f"n{place}" for place in range(schedule.routers)]
+        self.router_names = [f"n{place}" for place in range(schedule.routers)]
         self.between = Between(self.random)
         self.processes: list[Any] = []
         self.recorded: list[tuple[int, int, bytes]] = []
@@ -42,15 +42,15 @@
                 if other.kind == "roster" and place in other.one
                 for one in other.other
             }
-            for process in self.alive(place):
+            for process in self.running_processes(place):
                 process.reroster(missing)
 
-    def begin(self, fault: Fault) -> None:
+    def begin_fault(self, fault: Fault) -> None:
         self.between.active.append(fault)
         until = fault.at_s + fault.for_s
         self.at(until, self.end, fault)
         for place in fault.one:
-            for process in self.alive(place):
+            for process in self.running_processes(place):
                 if fault.kind == "kill":
                     process.kill()
                 elif fault.kind == "pause":
@@ -62,7 +62,7 @@
         if fault.kind == "roster":
             self.rosters(fault)
         if fault.kind == "twin":
-            self.start(fault.one[0])
+            self.start_process(fault.one[0])
         if fault.kind == "replay":
             for number, what in enumerate(self.random.sample(self.recorded, min(len(self.recorded), REPLAYED))):
                 self.at(fault.at_s + fault.for_s * number / REPLAYED, self.arrive, *what)
@@ -81,9 +81,9 @@
         if fault.kind == "roster":
             self.rosters(fault)
         for place in fault.one:
-            found = self.alive(place)
+            found = self.running_processes(place)
             if fault.kind == "kill" and not found:
-                self.start(place)
+                self.start_process(place)
             elif fault.kind == "pause" and not any(
                 other.kind == "pause" and place in other.one for other in self.between.active
             ):
--- a/wickhinge/lab/many/rig.py
+++ b/wickhinge/lab/many/harness.py
@@ -1,8 +1,8 @@
 """A schedule on sockets: real router processes on loopback, a relay between any two, faults as the schedule says.
 
-What the processes say to each other goes through the rig, one socket for each way, and is written down there with the
-machine's clock; the judges look at that and at what each process wrote, and ask none of them. All that was started ends
-with the rig, also where the rig itself is killed.
+What the processes say to each other goes through the harness, one socket for each way, and is written down there with
+the machine's clock; the judges look at that and at what each process wrote, and ask none of them. All that was
+started ends with the harness, also where the harness itself is killed.
 """
 
 from __future__ import annotations
@@ -23,10 +23,10 @@
 from pathlib import Path
 from typing import Any
 
-from wickhinge.lab.many.director import Director
-from wickhinge.lab.many.play import foul
+from wickhinge.lab.many.fault_injector import FaultInjector
 from wickhinge.lab.many.schedule import Schedule
-from wickhinge.lab.many.stands import Client, Scene, Stands
+from wickhinge.lab.many.simulation import foul
+from wickhinge.lab.many.stand_ins import Client, StandIns, Workload
 from wickhinge.peers import wire
 
 ROOT = Path(__file__).parents[3]
@@ -35,8 +35,8 @@
 PR_SET_PDEATHSIG = 1
 
 
-def with_us() -> None:
-    """In the child: it is killed when the rig has gone, however that went."""
+def kill_with_parent() -> None:
+    """In the child: it is killed when the harness has gone, however that went."""
     ctypes.CDLL(None).prctl(PR_SET_PDEATHSIG, signal.SIGKILL)
 
 
@@ -72,11 +72,11 @@
 
 
 class Process:
-    def __init__(self, rig: Rig, place: int, number: int) -> None:
-        self.rig, self.place, self.number = rig, place, number
-        self.name = rig.names[place]
+    def __init__(self, harness: Harness, place: int, number: int) -> None:
+        self.harness, self.router_index, self.number = harness, place, number
+        self.name = harness.router_names[place]
         self.port = free_port()
-        folder = rig.folder / f"{self.name}-{number}"
+        folder = harness.folder / f"{self.name}-{number}"
         folder.mkdir()
         self.log = folder / "log"
         conf = json.loads((ROOT / "example/config.json").read_text())
@@ -84,43 +84,47 @@
         conf |= {
             "name": self.name,
             "listen": "{}:{}".format(*listen),
-            "journal": f"{HOST}:{rig.nowhere}",
+            "journal": f"{HOST}:{harness.nowhere}",
             "limits": {"memory_mb": 64, "sockets": 128},
-            "seed": f"{rig.random.getrandbits(64):016x}",
+            "seed": f"{harness.random.getrandbits(64):016x}",
         }
-        if rig.stands is not None:
-            conf |= {"known": rig.stands.known(rig.wall), "settings": rig.stands.settings(conf["settings"], place)}
+        if harness.stand_ins is not None:
+            conf |= {
+                "known": harness.stand_ins.known(harness.wall),
+                "settings": harness.stand_ins.settings(conf["settings"], place),
+            }
         (folder / "config.json").write_text(json.dumps(conf))
         self.options = folder / "o.cue"
         self.write(set())
         env = {**os.environ, "RELAY_CONFIG": str(folder / "config.json"), "WICKHINGE_OPTIONS": str(self.options)}
-        turns = rig.turns.get(place, []) if number <= len(rig.names) else []
+        turns = harness.turns.get(place, []) if number <= len(harness.router_names) else []
         command = ["wickhinge.lab.many.launch", json.dumps(turns)] if turns else ["wickhinge"]
         with open(self.log, "wb") as log:
             self.child = subprocess.Popen(
-                [sys.executable, "-m", *command], cwd=ROOT, env=env, stdout=log, stderr=log, preexec_fn=with_us
+                [sys.executable, "-m", *command], cwd=ROOT, env=env, stdout=log, stderr=log, preexec_fn=kill_with_parent
             )
         self.began = clock()
         self.ended: float | None = None
-        self.halts: list[list[float]] = []  # when it stood still, on the rig's clock: from, to
-        if rig.stands is not None:
-            Client(rig.stands, self, listen)
+        self.halts: list[list[float]] = []  # when it stood still, on the harness's clock: from, to
+        if harness.stand_ins is not None:
+            Client(harness.stand_ins, self, listen)
 
     def write(self, missing: set[int]) -> None:
         """Its settings, with a roster on which some do not stand."""
-        rig = self.rig
+        harness = self.harness
         roster = ", ".join(
-            f'{{name: "{name}", address: "{HOST}:{self.port if to == self.place else rig.ways[self.place, to]}", '
-            f'zone: "z{to % rig.schedule.zones}"}}'
-            for to, name in enumerate(rig.names)
+            f'{{name: "{name}", address: "{HOST}:'
+            f"{self.port if to == self.router_index else harness.ways[self.router_index, to]}"
+            f'", zone: "z{to % harness.schedule.zones}"}}'
+            for to, name in enumerate(harness.router_names)
             if to not in missing
         )
-        text = f'peers: {{mode: "on", key_file: "{rig.folder}/key", roster: [{roster}]}}\n'
-        if rig.shared and rig.stands is not None:  # the list's zones are the stand-ins'
+        text = f'peers: {{mode: "on", key_file: "{harness.folder}/key", roster: [{roster}]}}\n'
+        if harness.shared and harness.stand_ins is not None:  # the list's zones are the stand-ins'
             text += (
-                f'shared: {{mode: "on", names: {len(rig.names)}, processes: {rig.schedule.places}, '
-                f'judgements: "{"on" if rig.judgements else "off"}", '
-                f'counts: "{"on" if rig.counts else "off"}"}}\n'
+                f'shared: {{mode: "on", names: {len(harness.router_names)}, processes: {harness.schedule.places}, '
+                f'judgements: "{"on" if harness.judgements else "off"}", '
+                f'counts: "{"on" if harness.counts else "off"}"}}\n'
             )
         replace_file(self.options, text)
 
@@ -137,12 +141,12 @@
             self.child.send_signal(number)
 
     def stop(self) -> None:
-        self.halts.append([self.rig.now, 1e9])
+        self.halts.append([self.harness.now, 1e9])
         self.signal(signal.SIGSTOP)
 
     def go_on(self) -> None:
         for halt in self.halts[-1:]:
-            halt[1] = min(halt[1], self.rig.now)
+            halt[1] = min(halt[1], self.harness.now)
         self.signal(signal.SIGCONT)
 
     def kill(self) -> None:
@@ -154,14 +158,14 @@
         return [json.loads(line) for line in self.log.read_bytes().splitlines() if line.startswith(b'{"t"')]
 
 
-class Rig(Director):
-    """with Rig(folder, schedule) as rig: rig.run()"""
+class Harness(FaultInjector):
+    """with Harness(folder, schedule) as harness: harness.run()"""
 
     def __init__(
         self,
         folder: Path,
         schedule: Schedule,
-        scene: Scene | None = None,
+        scene: Workload | None = None,
         shared: bool = True,
         judgements: bool = False,
         counts: bool = False,
@@ -181,13 +185,13 @@
         self.turns: dict[int, list[list[float]]] = defaultdict(list)
         self.zero = clock()
         self.wall = time.time()  # Unix seconds at zero
-        self.stands = Stands(self, scene) if scene is not None else None
+        self.stand_ins = StandIns(self, scene) if scene is not None else None
         with socket.socket() as away:
             away.bind((HOST, 0))
             self.nowhere = away.getsockname()[1]  # where no journal service is
         (folder / "key").write_bytes(KEY)
 
-    def __enter__(self) -> Rig:
+    def __enter__(self) -> Harness:
         return self
 
     def __exit__(self, *_: Any) -> None:
@@ -196,8 +200,8 @@
                 process.kill()
         for one in [*self.sockets, self.out]:
             one.close()
-        if self.stands is not None:
-            self.stands.close()
+        if self.stand_ins is not None:
+            self.stand_ins.close()
         self.selector.close()
 
     @property
@@ -208,10 +212,10 @@
         self.serial += 1
         heappush(self.due, (when, self.serial, call, args))
 
-    def alive(self, place: int) -> list[Process]:
-        return [one for one in self.processes if one.place == place and one.ended is None]
+    def running_processes(self, place: int) -> list[Process]:
+        return [one for one in self.processes if one.router_index == place and one.ended is None]
 
-    def start(self, place: int) -> Process:
+    def start_process(self, place: int) -> Process:
         self.numbers += 1
         made = Process(self, place, self.numbers)
         self.processes.append(made)
@@ -219,9 +223,9 @@
 
     # The relays.
 
-    def open(self) -> None:
-        for one in range(len(self.names)):
-            for to in range(len(self.names)):
+    def open_relays(self) -> None:
+        for one in range(len(self.router_names)):
+            for to in range(len(self.router_names)):
                 if one != to:
                     made = bound_socket()
                     self.sockets.append(made)
@@ -235,7 +239,7 @@
             except OSError:
                 return
             if self.between.lies(one):
-                data = foul(data, self.names, self.random)
+                data = foul(data, self.router_names, self.random)
             self.seen.append((self.now, one, data))
             self.record(one, to, data)
             for delay in self.between.fate(one, to, self.now, 0.0):
@@ -246,7 +250,7 @@
 
     def arrive(self, one: int, to: int, data: bytes) -> None:
         if not self.between.cut(one, to, self.now):
-            for process in self.alive(to):
+            for process in self.running_processes(to):
                 try:
                     self.out.sendto(data, (HOST, process.port))
                 except OSError:
@@ -254,9 +258,9 @@
 
     # The schedule.
 
-    def run(self) -> Rig:
+    def run(self) -> Harness:
         """Returns when the schedule and the calm after it are over."""
-        self.open()
+        self.open_relays()
         # Processes start within it where the machine is idle; faults come 3 s later at least.
         self.zero, self.wall = clock() + 2.5, time.time() + 2.5
         for fault in self.schedule.faults:
@@ -270,10 +274,10 @@
                         self.turns[place] += [[at, rate, 0.0], [at + fault.for_s, 1.0, 0.0]]
         for turns in self.turns.values():
             turns.sort()
-        for place in range(len(self.names)):
-            self.start(place)
+        for place in range(len(self.router_names)):
+            self.start_process(place)
         for fault in self.schedule.faults:
-            self.at(fault.at_s, self.begin, fault)
+            self.at(fault.at_s, self.begin_fault, fault)
         until = self.schedule.healed_s + self.schedule.calm_s
         while self.now < until:
             wait = min([until, *(one[0] for one in self.due[:1])]) - self.now
@@ -308,7 +312,7 @@
                     )
         return sorted(found, key=lambda one: one[:3])
 
-    def crashed(self) -> list[str]:
+    def find_crashes(self) -> list[str]:
         """Processes that ended by themselves, and defects that they wrote down."""
         faults = [
             f"{one.name}: process {one.number} ended with {one.child.returncode}"
@@ -324,7 +328,7 @@
             ][:3]
         return faults
 
-    def believed(self) -> list[str]:
+    def check_beliefs(self) -> list[str]:
         """What each life was heard to believe of the others' names: it only rises, and no datagram goes out twice."""
         top: dict[tuple[int, int, str], tuple[int, int]] = defaultdict(lambda: (0, 0))
         faults = []
--- a/wickhinge/lab/many/judges.py
+++ b/wickhinge/lab/many/invariants.py
@@ -11,7 +11,7 @@
 History = list[tuple[float, str, int, str, dict[str, Any]]]
 
 
-def lives(history: History) -> list[str]:
+def check_sessions(history: History) -> list[str]:
     """Safety: each datagram is believed once by a life of the receiver; what a process believes of a name only rises;
     a process that was replaced claims nothing by its old life.
     """
@@ -31,7 +31,7 @@
     return faults
 
 
-def together(history: History, schedule: Schedule) -> list[str]:
+def check_recovery(history: History, schedule: Schedule) -> list[str]:
     """Liveness: at the end each process that runs hears all of the roster, is not cut off and has its name; where two
     run under one name, one has it.
     """
@@ -57,7 +57,7 @@
     return faults
 
 
-def unfounded(history: History, schedule: Schedule, after: float = 8.0) -> list[str]:
+def find_unfounded_gone_reports(history: History, schedule: Schedule, after: float = 8.0) -> list[str]:
     """Each time that a process calls another gone to which nothing has happened lately: its own trouble, or a third's,
     taken for the other's. Not forbidden, since a lossy link looks the same from both its ends; counted.
     """
@@ -74,7 +74,7 @@
     return found
 
 
-def peak(spent: list[tuple[float, str, float]], most: float | Callable[[float], float], window: float) -> float:
+def peak_usage(spent: list[tuple[float, str, float]], most: float | Callable[[float], float], window: float) -> float:
     """The worst window of what was spent, over the budget, or over what it was as that window ended."""
     worst = total = 0.0
     first = 0
@@ -87,18 +87,20 @@
     return worst
 
 
-def budgets(spent: list[list[tuple[float, str, float]]], told: list[tuple[float, float, float]]) -> list[str]:
+def check_budgets(spent: list[list[tuple[float, str, float]]], told: list[tuple[float, float, float]]) -> list[str]:
     faults = []
     for number, (most, window, _) in enumerate(told):
-        worst = peak(spent[number], most, window)
+        worst = peak_usage(spent[number], most, window)
         if worst > 1.0 + 1e-9:
             faults.append(f"budget {number}: {worst:.4f} of it in {window} s")
     return faults
 
 
-def toppled(sent: dict[int, list[tuple[float, str, float]]], bears: Callable[[float], float], span: float) -> list[str]:
+def check_overloads(
+    sent: dict[int, list[tuple[float, str, float]]], bears: Callable[[float], float], span: float
+) -> list[str]:
     """Cold machines that were sent more than they bear."""
-    peaks = {mark: peak(works, bears, span) for mark, works in sent.items()}
+    peaks = {mark: peak_usage(works, bears, span) for mark, works in sent.items()}
     return [
         f"cold machine {mark}: {worst:.4f} of what it bears in {span} s"
         for mark, worst in peaks.items()
@@ -106,5 +108,5 @@
     ]
 
 
-def all_of(history: History, schedule: Schedule) -> list[str]:
-    return lives(history) + together(history, schedule)
+def check_membership(history: History, schedule: Schedule) -> list[str]:
+    return check_sessions(history) + check_recovery(history, schedule)
--- a/wickhinge/lab/many/launch.py
+++ b/wickhinge/lab/many/launch.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable
 
 
-def wrong(clock: Callable[[], float], turns: list[list[float]]) -> Callable[[], float]:
+def faulty_clock(clock: Callable[[], float], turns: list[list[float]]) -> Callable[[], float]:
     def now() -> float:
         true = clock()
         told = true
@@ -28,7 +28,7 @@
     from wickhinge.net.control import peer_transport
     from wickhinge.net.control.start import main as start
 
-    peer_transport.clock = wrong(peer_transport.clock, json.loads(sys.argv[1]))
+    peer_transport.clock = faulty_clock(peer_transport.clock, json.loads(sys.argv[1]))
     return start()
 
 
--- a/wickhinge/lab/many/schedule.py
+++ b/wickhinge/lab/many/schedule.py
@@ -39,11 +39,11 @@
     plant: str = ""
 
 
-def text(schedule: Schedule) -> str:
+def encode(schedule: Schedule) -> str:
     return msgspec.json.encode(schedule).decode()
 
 
-def read(data: str) -> Schedule:
+def decode(data: str) -> Schedule:
     return msgspec.json.decode(data, type=Schedule)
 
 
@@ -100,7 +100,7 @@
     return max(fault.at_s + fault.for_s for fault in faults)
 
 
-def smaller(schedule: Schedule) -> list[Schedule]:
+def shrink_candidates(schedule: Schedule) -> list[Schedule]:
     """The same with a fault less, or with one that lasts half as long: for finding the least that still fails."""
     found = []
     for place in range(len(schedule.faults)):
--- a/wickhinge/lab/many/play.py
+++ b/wickhinge/lab/many/simulation.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 from wickhinge.common.sealing import DatagramError
-from wickhinge.lab.many.director import Director
+from wickhinge.lab.many.fault_injector import FaultInjector
 from wickhinge.lab.many.schedule import Fault, Schedule
 from wickhinge.lab.wheel import Wheel
 from wickhinge.peers import wire
@@ -24,11 +24,11 @@
 from wickhinge.shared.quota_lending import LendingLimiter
 
 KEY = b"of this fleet and of no other"
-TICK = 0.1
+TICK_S = 0.1
 HOP = 0.001
 LOOK = 3  # ticks between two looks at what the layers above are told
 BUDGETS = [(120.0, 3.0, 1.0), (30.0, 1.0, 0.2)]  # most, window, unit
-COLD = SlowStart(4.0, 3.0, 0.2, 120.0)  # machines that warm up all the time
+SLOW_START = SlowStart(4.0, 3.0, 0.2, 120.0)  # machines that warm up all the time
 WEIGHT = 50.0
 BUFFER = 128  # datagrams that wait for a process that stands still
 
@@ -37,8 +37,8 @@
     """One router process of the virtual fleet: a life of its own, a clock of its own."""
 
     def __init__(self, fleet: Fleet, place: int, number: int) -> None:
-        self.fleet, self.place, self.number = fleet, place, number
-        self.name = fleet.names[place]
+        self.fleet, self.router_index, self.number = fleet, place, number
+        self.name = fleet.router_names[place]
         self.rate, self.ahead = 1.0, fleet.random.uniform(0.0, 1e6)  # the clocks of processes have nothing in common
         self.since = fleet.now
         self.stopped = self.dead = False
@@ -50,7 +50,7 @@
         )
         self.limiter = LendingLimiter(
             self.detector,
-            BudgetDivision(len(fleet.names), fleet.schedule.places),
+            BudgetDivision(len(fleet.router_names), fleet.schedule.places),
             [
                 *(BudgetScope(quota=Quota(*budget)) for budget in BUDGETS),
                 *slow_start_quota.budget_scopes(f"z{place % fleet.schedule.zones}"),
@@ -58,18 +58,18 @@
             self.clock,
             self.log,
         )
-        self.colds = slow_start_quota.SlowStartQuotas(self.limiter, len(BUDGETS))
+        self.slow_start_quotas = slow_start_quota.SlowStartQuotas(self.limiter, len(BUDGETS))
         # One machine of the own zone, one parent: as `policy` sees them.
         self.machines = [
             SimpleNamespace(id=mark, weight=WEIGHT, tokens=-0.1) for mark in (place % fleet.schedule.zones, -1)
         ]
         self.wants = [0.0] * len(BUDGETS)  # times the whole budget's rate
         self.works = [0.0] * len(self.machines)
-        for plant in fleet.plants:
-            plant(self)
+        for planted_fault in fleet.planted_faults:
+            planted_fault(self)
         fleet.processes.append(self)
         fleet.write(self, "started")
-        fleet.wheel.after(TICK * fleet.random.random(), self.tick)
+        fleet.event_queue.after(TICK_S * fleet.random.random(), self.tick)
 
     @property
     def clock(self) -> float:
@@ -89,11 +89,11 @@
             self.limiter.tick(self.clock)
             self.turns += 1
             if self.turns % LOOK == 0:
-                self.look()
+                self.log_view()
             self.spend()
-        self.fleet.wheel.after(TICK, self.tick)
+        self.fleet.event_queue.after(TICK_S, self.tick)
 
-    def look(self) -> None:
+    def log_view(self) -> None:
         """Writes down what the layers above are told, where it changed."""
         seen = self.detector.view(self.clock).summary()
         if seen != self.seen:
@@ -103,24 +103,24 @@
     def spend(self) -> None:
         """As much as is wanted, in pieces of UNIT; what is spent reaches a stand-in at once."""
         for number, (most, window, unit) in enumerate(BUDGETS):
-            self.wants[number] += self.fleet.wants(self, number) * most / window * TICK
+            self.wants[number] += self.fleet.demand(self, number) * most / window * TICK_S
             while self.wants[number] >= unit:
                 self.wants[number] -= unit
                 if self.limiter.take(number, unit, self.clock):
                     self.fleet.spent[number].append((self.fleet.now, self.name, unit))
         part = self.fleet.warmth(self.fleet.now)
         for number, machine in enumerate(self.machines):
-            self.works[number] += self.fleet.wants(self, number) * COLD.overload_factor * part * WEIGHT * TICK
+            self.works[number] += self.fleet.demand(self, number) * SLOW_START.overload_factor * part * WEIGHT * TICK_S
             work = self.fleet.work
             while self.works[number] >= work:
                 self.works[number] -= work
-                request = slow_start_quota.SlowStartRequest(machine, machine.id < 0, COLD, part, work)
-                if self.colds.admits(request, self.clock):
+                request = slow_start_quota.SlowStartRequest(machine, machine.id < 0, SLOW_START, part, work)
+                if self.slow_start_quotas.admits(request, self.clock):
                     machine.tokens -= work
                     self.fleet.sent[machine.id].append((self.fleet.now, self.name, work))
 
     def send(self, item: Message) -> None:
-        self.fleet.carry(self, self.fleet.places.get(item.receiver), wire.encode(KEY, item))
+        self.fleet.send_datagram(self, self.fleet.places.get(item.receiver), wire.encode(KEY, item))
 
     def take(self, data: bytes) -> None:
         if self.dead:
@@ -162,21 +162,21 @@
             self.take(self.waiting.popleft())
 
 
-class Fleet(Director):
-    def __init__(self, schedule: Schedule, plants: tuple[Any, ...] = ()) -> None:
+class Fleet(FaultInjector):
+    def __init__(self, schedule: Schedule, planted_faults: tuple[Any, ...] = ()) -> None:
         super().__init__(schedule)
-        self.plants = plants
-        self.wheel = Wheel()
-        self.places = {name: place for place, name in enumerate(self.names)}
+        self.planted_faults = planted_faults
+        self.event_queue = Wheel()
+        self.places = {name: place for place, name in enumerate(self.router_names)}
         self.history: list[tuple[float, str, int, str, dict[str, Any]]] = []
         self.spent: list[list[tuple[float, str, float]]] = [[] for _ in BUDGETS]
-        self.needs = [[self.random.choice((0.0, 0.1, 0.5, 1.3)) for _ in BUDGETS] for _ in self.names]
+        self.needs = [[self.random.choice((0.0, 0.1, 0.5, 1.3)) for _ in BUDGETS] for _ in self.router_names]
         self.sent: dict[int, list[tuple[float, str, float]]] = defaultdict(list)  # to cold machines, by their marks
         self.work = (
             slow_start_quota.PIECES_SHARE_OF_LIMIT
-            * COLD.initial_capacity
-            * COLD.overload_factor
-            * COLD.window
+            * SLOW_START.initial_capacity
+            * SLOW_START.overload_factor
+            * SLOW_START.window
             * WEIGHT
             / schedule.places
         )  # of a visit
@@ -184,13 +184,13 @@
 
     @property
     def now(self) -> float:
-        return self.wheel.now
+        return self.event_queue.now
 
     def roster(self, mine: str, missing: set[int] | frozenset[int] = frozenset()) -> Roster:
         return Roster(
             [
                 RosterEntry(name, ("127.0.0.1", place + 1), f"z{place % self.schedule.zones}")
-                for place, name in enumerate(self.names)
+                for place, name in enumerate(self.router_names)
                 if place not in missing
             ],
             mine,
@@ -199,46 +199,46 @@
     def write(self, process: Process, event: str, **fields: Any) -> None:
         self.history.append((self.now, process.name, process.number, event, fields))
 
-    def wants(self, process: Process, number: int) -> float:
+    def demand(self, process: Process, number: int) -> float:
         """The whole budget's rate times this is wanted there; needs move to the next router each 7 s."""
         turn = int(self.now / 7.0)
-        return self.needs[(process.place + turn) % len(self.names)][number]
+        return self.needs[(process.router_index + turn) % len(self.router_names)][number]
 
     def warmth(self, when: float) -> float:
-        return min(COLD.initial_capacity + (1 - COLD.initial_capacity) * when / COLD.duration, 0.99)
+        return min(SLOW_START.initial_capacity + (1 - SLOW_START.initial_capacity) * when / SLOW_START.duration, 0.99)
 
-    def bears(self, when: float) -> float:
-        """Seconds of work in COLD.window over which a machine topples then."""
-        return COLD.overload_factor * self.warmth(when) * WEIGHT * COLD.window
+    def overload_limit(self, when: float) -> float:
+        """Seconds of work in SLOW_START.window over which a machine topples then."""
+        return SLOW_START.overload_factor * self.warmth(when) * WEIGHT * SLOW_START.window
 
-    def start(self, place: int) -> Process:
+    def start_process(self, place: int) -> Process:
         self.numbers += 1
         return Process(self, place, self.numbers)
 
-    def alive(self, place: int) -> list[Process]:
-        return [one for one in self.processes if one.place == place and not one.dead]
+    def running_processes(self, place: int) -> list[Process]:
+        return [one for one in self.processes if one.router_index == place and not one.dead]
 
     # The network.
 
-    def carry(self, process: Process, to: int | None, data: bytes) -> None:
+    def send_datagram(self, process: Process, to: int | None, data: bytes) -> None:
         self.carried += 1
         if to is None:
             return
-        self.record(process.place, to, data)
-        if self.between.lies(process.place):
-            data = foul(data, self.names, self.random)
-        for delay in self.between.fate(process.place, to, self.now, HOP * (0.5 + self.random.random())):
-            self.wheel.after(delay, self.arrive, process.place, to, data)
+        self.record(process.router_index, to, data)
+        if self.between.lies(process.router_index):
+            data = foul(data, self.router_names, self.random)
+        for delay in self.between.fate(process.router_index, to, self.now, HOP * (0.5 + self.random.random())):
+            self.event_queue.after(delay, self.arrive, process.router_index, to, data)
 
     def arrive(self, one: int, to: int, data: bytes) -> None:
         if not self.between.cut(one, to, self.now):
-            for process in self.alive(to):  # a twin under one address hears the same
+            for process in self.running_processes(to):  # a twin under one address hears the same
                 process.take(data)
 
     # The schedule.
 
     def at(self, when: float, call: Any, *args: Any) -> None:
-        self.wheel.at(when, call, *args)
+        self.event_queue.at(when, call, *args)
 
     def turn(self, process: Process, fault: Fault, on: bool) -> None:
         if fault.kind == "jump":
@@ -248,10 +248,10 @@
 
     def run(self) -> Fleet:
         for place in range(self.schedule.routers):
-            self.start(place)
+            self.start_process(place)
         for fault in self.schedule.faults:
-            self.wheel.at(fault.at_s, self.begin, fault)
-        self.wheel.run(self.schedule.healed_s + self.schedule.calm_s)
+            self.event_queue.at(fault.at_s, self.begin_fault, fault)
+        self.event_queue.run(self.schedule.healed_s + self.schedule.calm_s)
         return self
 
 
@@ -270,5 +270,5 @@
     return wire.encode(KEY, replace(item, gossip=news, belief=known))
 
 
-def play(schedule: Schedule, plants: tuple[Any, ...] = ()) -> Fleet:
-    return Fleet(schedule, plants).run()
+def simulate(schedule: Schedule, planted_faults: tuple[Any, ...] = ()) -> Fleet:
+    return Fleet(schedule, planted_faults).run()
--- a/wickhinge/lab/many/trial.py
+++ b/wickhinge/lab/many/trial.py
@@ -9,33 +9,33 @@
 from pathlib import Path
 from typing import Any
 
-from wickhinge.lab.many import judges, play
-from wickhinge.lab.many.schedule import Schedule, smaller
+from wickhinge.lab.many import invariants, simulation
+from wickhinge.lab.many.schedule import Schedule, shrink_candidates
 
 
 @dataclass(frozen=True)
 class Trial:
-    faults: list[str]  # rules broken; none is well
+    violations: list[str]  # rules broken; none is well
     peaks: list[float]  # worst window of each budget, over it
-    gone: int  # times that one was called gone to which nothing had happened lately
+    unfounded_gone_reports: int  # times that one was called gone to which nothing had happened lately
     datagrams: int
 
 
-def virtual(schedule: Schedule, plants: tuple[Any, ...] = ()) -> Trial:
-    fleet = play.play(schedule, plants)
-    span = play.COLD.window
+def run_simulated(schedule: Schedule, plants: tuple[Any, ...] = ()) -> Trial:
+    fleet = simulation.simulate(schedule, plants)
+    span = simulation.SLOW_START.window
     return Trial(
-        judges.all_of(fleet.history, schedule)
-        + judges.budgets(fleet.spent, play.BUDGETS)
-        + judges.toppled(fleet.sent, fleet.bears, span),
+        invariants.check_membership(fleet.history, schedule)
+        + invariants.check_budgets(fleet.spent, simulation.BUDGETS)
+        + invariants.check_overloads(fleet.sent, fleet.overload_limit, span),
         [
             *(
-                judges.peak(spent, most, window)
-                for spent, (most, window, _) in zip(fleet.spent, play.BUDGETS, strict=True)
+                invariants.peak_usage(spent, most, window)
+                for spent, (most, window, _) in zip(fleet.spent, simulation.BUDGETS, strict=True)
             ),
-            *(judges.peak(sent, fleet.bears, span) for sent in fleet.sent.values()),
+            *(invariants.peak_usage(sent, fleet.overload_limit, span) for sent in fleet.sent.values()),
         ],
-        len(judges.unfounded(fleet.history, schedule)),
+        len(invariants.find_unfounded_gone_reports(fleet.history, schedule)),
         fleet.carried,
     )
 
@@ -47,28 +47,31 @@
     """What each place wants of its zone's cold machine's limit, drawn from the schedule's seed."""
     rand = random.Random(schedule.seed * 31 + 7)
     wanted = [rand.choice((0.0, 0.1, 0.5, 1.3)) for _ in range(schedule.routers)]
-    return lambda process, now: wanted[(process.place + int(max(now, 0.0) / TURN)) % schedule.routers]
+    return lambda process, now: wanted[(process.router_index + int(max(now, 0.0) / TURN)) % schedule.routers]
 
 
-def on_sockets(schedule: Schedule) -> Trial:
+def run_on_sockets(schedule: Schedule) -> Trial:
     """In real time, under load: clients ask for more than the cold machines bear."""
-    from wickhinge.lab.many.rig import Rig
-    from wickhinge.lab.many.stands import Scene
+    from wickhinge.lab.many.harness import Harness
+    from wickhinge.lab.many.stand_ins import Workload
 
     with (
         tempfile.TemporaryDirectory(prefix="wickhinge-") as folder,
-        Rig(Path(folder), schedule, Scene(needs(schedule)), judgements=True, counts=True) as rig,
+        Harness(Path(folder), schedule, Workload(needs(schedule)), judgements=True, counts=True) as harness,
     ):
-        history, stands = rig.run().history(), rig.stands
+        history, stand_ins = harness.run().history(), harness.stand_ins
         return Trial(
-            judges.together(history, schedule)
-            + rig.believed()
-            + rig.crashed()
-            + stands.wrong
-            + judges.toppled(stands.cold(), stands.bears, stands.span),
-            [judges.peak(sent, stands.bears, stands.span) for sent in stands.cold().values()],
-            len(judges.unfounded(history, schedule)),
-            len(rig.seen),
+            invariants.check_recovery(history, schedule)
+            + harness.check_beliefs()
+            + harness.find_crashes()
+            + stand_ins.violations
+            + invariants.check_overloads(stand_ins.cold(), stand_ins.overload_limit, stand_ins.window_s),
+            [
+                invariants.peak_usage(sent, stand_ins.overload_limit, stand_ins.window_s)
+                for sent in stand_ins.cold().values()
+            ],
+            len(invariants.find_unfounded_gone_reports(history, schedule)),
+            len(harness.seen),
         )
 
 
@@ -76,11 +79,11 @@
     """Plays at most so many; each must still break something."""
     tried = 0
     while True:
-        for less in smaller(schedule):
+        for less in shrink_candidates(schedule):
             tried += 1
             if tried > most:
                 return schedule
-            if virtual(less, plants).faults:
+            if run_simulated(less, plants).violations:
                 schedule = less
                 break
         else:
