--- a/bench/cold_sum.py
+++ b/bench/cold_sum.py
@@ -27,7 +27,7 @@
 import click
 import numpy as np
 
-from bench import told
+from bench import print_result
 from wickhinge.interface import (
     AttemptParameters,
     Capabilities,
@@ -536,7 +536,7 @@
         answer["plays"] = plays(seeds, {tier: TIERS[tier]} if tier else TIERS)
     if sockets:
         answer["sockets"] = [on_sockets(sockets, budget, seed) for budget in (6, 36)]
-    told(answer)
+    print_result(answer)
 
 
 if __name__ == "__main__":
--- a/bench/discovery.py
+++ b/bench/discovery.py
@@ -20,7 +20,7 @@
 import click
 import numpy as np
 
-from bench import told
+from bench import print_result
 from wickhinge.interface import (
     AttemptParameters,
     Completion,
@@ -76,8 +76,8 @@
                 self.world.marks[place] += 0x100
         if age == "3d":  # all have: other ids, also at the old addresses
             self.world.marks = [mark + 0x100 for mark in self.world.marks]
-        self.world.tell(1, self.world.records())
-        self.world.heard = self.heard
+        self.world.publish(1, self.world.records())
+        self.world.on_request = self.heard
         self.folder = folder
         folder.mkdir()
         now = time.time()
@@ -206,19 +206,19 @@
 
     def back(self) -> None:
         self.service = time.time()
-        self.world.followed = self.followed
+        self.world.on_watch_begun = self.followed
         self.world.serve_journal()
 
     def followed(self) -> None:
         from twisted.internet import reactor
 
-        self.world.followed = lambda: None
+        self.world.on_watch_begun = lambda: None
         self.followed_at = time.time()
         reactor.callLater(0.7, self.drain, 4)
 
     def drain(self, place: int) -> None:
         self.world.states[place - 1] = 1
-        self.world.tell(2, self.world.record(place))
+        self.world.publish(2, self.world.record(place))
         self.drained[place] = time.time()
 
     def finish(self) -> None:
@@ -304,7 +304,7 @@
         answer["unanswered" + end] = sum(one["unanswered"] for age in ages.split(",") for one in found[age, how])
         answer["faults" + end] = sum(one["faults"] for age in ages.split(",") for one in found[age, how])
     answer["by_kind"] = {age: found[age, "ours"][0]["by_kind"] for age in ages.split(",")}
-    told(answer)
+    print_result(answer)
 
 
 # herd
@@ -551,7 +551,7 @@
     answer["peaks"] = answer["peak_over_limit"]
     answer["peak_over_limit"] = max(max(answer["peaks"].values()), max(answer["peak_over_limit_parents"].values()))
     answer["peak_over_limit_blind"] = max(answer["peak_over_limit_blind"].values())
-    told(answer)
+    print_result(answer)
 
 
 if __name__ == "__main__":
--- a/bench/faults/shim.py
+++ b/bench/faults/shim.py
@@ -73,15 +73,15 @@
         """So many of the next such calls fail."""
         self._write(call, 0, count, error)
 
-    def failed(self, call: Call) -> int:
+    def failed_count(self, call: Call) -> int:
         """How many have been made to fail."""
         return self._read(call)[3]
 
-    def calls(self, call: Call) -> int:
+    def call_count(self, call: Call) -> int:
         """How many were made, failed ones among them."""
         return self._read(call)[4]
 
-    def calm(self) -> None:
+    def stop_failing(self) -> None:
         """Nothing fails any more; the wall clock stays where it is."""
         for call in Call:
             self.fail(call, 0.0)
--- a/bench/fleet.py
+++ b/bench/fleet.py
@@ -43,7 +43,7 @@
     return data + xxh3_64_digest(data)
 
 
-def proof(data: bytes) -> tuple[Any, ...] | None:
+def verified_stamp(data: bytes) -> tuple[Any, ...] | None:
     """The stamp's fields of a body that is whole and unchanged; None for any other bytes."""
     if len(data) < STAMP.size + 8 or xxh3_64_digest(data[:-8]) != data[-8:]:
         return None
@@ -57,17 +57,17 @@
     def __init__(self, size: Callable[[int, int], int], kinds: tuple[str, ...] = KINDS) -> None:
         self.kinds, self.states = kinds, [0] * len(kinds)
         self.marks = [0xA0 + place for place in range(1, len(kinds) + 1)]
-        self.heard: Callable[[int, dict[str, str], bytes], None] = lambda place, fields, data: None
+        self.on_request: Callable[[int, dict[str, str], bytes], None] = lambda place, fields, data: None
         self.size = size
         self.versions: dict[int, int] = {}
-        self.serial = self.given = self.same = 0
-        self.vouched: dict[tuple[int, int], float] = {}  # when the newest was last given out or said to hold
+        self.serial = self.bodies_sent = self.not_modified_count = 0
+        self.newest_sent_at: dict[tuple[int, int], float] = {}  # when the newest was last given out or said to hold
         self.kept: dict[str, set[tuple[int, int]]] = {}
         self.frames: list[bytes] = []
         self.readers: set[Feed] = set()
         self.purges: list[tuple[int | None, int, float, dict[int, int]]] = []
         self.ports: list[Any] = []
-        self.followed: Callable[[], None] = lambda: None  # a router has begun to read the journal
+        self.on_watch_begun: Callable[[], None] = lambda: None  # a router has begun to read the journal
 
     def version(self, key: int) -> int:
         return self.versions.get(key, 0)
@@ -83,11 +83,13 @@
         now = time.time()
         self.purges.append((key, group, now, {one: self.version(one) for one in changed}))
         stamp = int(now * 1000)
-        self.tell(3, OBJECT_PURGE.pack(key, stamp)) if key is not None else self.tell(4, GROUP_PURGE.pack(group, stamp))
+        self.publish(3, OBJECT_PURGE.pack(key, stamp)) if key is not None else self.publish(
+            4, GROUP_PURGE.pack(group, stamp)
+        )
 
     # The journal service.
 
-    def tell(self, kind: int, payload: bytes) -> None:
+    def publish(self, kind: int, payload: bytes) -> None:
         number = len(self.frames) + 1
         self.frames.append(FRAME_HEADER.pack(9 + len(payload), number, kind) + payload)
         for reader in self.readers:
@@ -209,7 +211,7 @@
             last = int.from_bytes(self.data[:8])
             self.transport.write(b"".join(self.world.frames[last:]))
             self.world.readers.add(self)
-            self.world.followed()
+            self.world.on_watch_begun()
             self.beat = task.LoopingCall(self.nothing)
             self.beat.start(1.0)
 
@@ -236,12 +238,12 @@
             if items[0] == b"REQ":
                 self.asked(*items[1:])
             elif items[0] != b"STOP":
-                self.world.heard(self.place, {}, b"")
+                self.world.on_request(self.place, {}, b"")
                 self.transport.write(resp.pack(items[1], b"UP", b"use=util:0.1;x1:0.2", b""))
 
     def asked(self, tag: bytes, told: bytes, body_in: bytes) -> None:
         fields, world = resp.parse_fields(told), self.world
-        world.heard(self.place, fields, body_in)
+        world.on_request(self.place, fields, body_in)
         key, part = int(fields.get("path", "0"), 16), int(fields.get("blk", "0"))
         held = self.kind == "origin" or (key, part) in self.kept
         if not held and "src" not in fields:
@@ -250,14 +252,14 @@
         if fields.get("keep", "0") != "0":
             self.kept.add((key, part))
         now = time.time()
-        made, world.vouched[key, part] = int(now * 1000), now
+        made, world.newest_sent_at[key, part] = int(now * 1000), now
         note = f"etag={world.tag(key)},made={made},detail={'h' if held else 'f'},ttfb=1".encode()
         if fields.get("have") == world.tag(key):
-            world.same += 1
+            world.not_modified_count += 1
             self.transport.write(resp.pack(tag, b"SAME", note, b""))
             return
         world.serial += 1
-        world.given += 1
+        world.bodies_sent += 1
         data = body_in or body(key, part, world.version(key), made, world.serial, world.size(key, part))
         self.transport.write(resp.pack(tag, b"OK", note, data))
 
@@ -321,7 +323,7 @@
         "oneFlowKbPerS": 30000,
     },
 }
-FRESH = {"clips": float("inf"), "pages": 3.0}
+FRESHNESS_S = {"clips": float("inf"), "pages": 3.0}
 
 
 class RouterProcess:
@@ -370,10 +372,10 @@
         return found
 
 
-class Asker(protocol.Protocol):
+class ClientConnection(protocol.Protocol):
     """A client's connection. answered(error or None, body, fields) for each call; lost() when it ends."""
 
-    def __init__(self, up: Callable[[Asker], None], lost: Callable[[Asker], None]) -> None:
+    def __init__(self, up: Callable[[ClientConnection], None], lost: Callable[[ClientConnection], None]) -> None:
         self.up, self.lost = up, lost
         self.stream, self.calls, self.open = msgpack.MessageDecoder(300_000), 0, {}
 
@@ -402,11 +404,14 @@
 
 
 def connect(
-    address: tuple[str, int], up: Callable[[Asker], None], lost: Callable[[Asker], None], again: Callable[[], None]
+    address: tuple[str, int],
+    up: Callable[[ClientConnection], None],
+    lost: Callable[[ClientConnection], None],
+    again: Callable[[], None],
 ) -> None:
-    """An Asker to there; again() a little later where nobody listens yet."""
+    """An ClientConnection to there; again() a little later where nobody listens yet."""
     factory = protocol.ClientFactory()
     factory.noisy = False
-    factory.protocol = lambda: Asker(up, lost)
+    factory.protocol = lambda: ClientConnection(up, lost)
     factory.clientConnectionFailed = lambda *_: reactor.callLater(0.05, again)
     reactor.connectTCP(*address, factory)
--- a/bench/scale/fleet_caches.py
+++ b/bench/scale/fleet_caches.py
@@ -17,7 +17,7 @@
 from twisted.internet import reactor
 from twisted.internet.task import LoopingCall
 
-from bench.fleet import Asker, World, connect
+from bench.fleet import ClientConnection, World, connect
 from bench.scale.fleet_judge import PURGE_BOUND_S
 from bench.scale.fleet_network import POLL_S, SCHEDULE_FILE
 from bench.scale.fleet_records import Schedule, read, write
@@ -57,17 +57,17 @@
     def __init__(self, path: Path, caches: Caches) -> None:
         host, port = orjson.loads(path.read_bytes())["listen"].split(":")
         self.name, self._address, self._caches = path.stem, (host, int(port)), caches
-        self._asker: Asker | None = None
+        self._asker: ClientConnection | None = None
         self._connecting = False
 
     def _connect(self) -> None:
         self._connecting = True
         connect(self._address, self._up, self._lost, self._connect)
 
-    def _up(self, asker: Asker) -> None:
+    def _up(self, asker: ClientConnection) -> None:
         self._asker, self._connecting = asker, False
 
-    def _lost(self, asker: Asker) -> None:
+    def _lost(self, asker: ClientConnection) -> None:
         self._asker = None
 
     def ask(self, key: int) -> None:
@@ -100,7 +100,7 @@
         self._clients: list[Client] = []
         self._turns = 0
         self._world = World(lambda key, part: BODY_BYTES)
-        self._world.heard = self._heard
+        self._world.on_request = self._heard
         print(self._world.listen(), flush=True)
         self._await_schedule()
 
--- a/bench/soak/judge.py
+++ b/bench/soak/judge.py
@@ -11,7 +11,7 @@
 from collections.abc import Iterator
 from math import sqrt
 
-from bench.fleet import proof
+from bench.fleet import verified_stamp
 from bench.soak.connection_checks import connection_faults
 from bench.soak.play import SLOW_START
 from bench.soak.record import Attempt, Record, Request, Told
@@ -102,7 +102,7 @@
             if answer.body != request.body:
                 yield "served other bytes than it brought"
             continue
-        told = proof(answer.body)
+        told = verified_stamp(answer.body)
         if told is None or told[:2] != (request.key, request.part):
             yield "served bytes that no server made for it"
             continue
--- a/bench/soak/stand_ins.py
+++ b/bench/soak/stand_ins.py
@@ -78,18 +78,18 @@
     def serve_journal(self) -> None:
         """The services of the schedule stand in for the one of the base class."""
 
-    def tell(self, kind: int, payload: bytes) -> None:
+    def publish(self, kind: int, payload: bytes) -> None:
         """As the base class; a silent service writes nothing."""
         if self.is_silent:
             readers, self.readers = self.readers, set()
-            super().tell(kind, payload)
+            super().publish(kind, payload)
             self.readers = readers
         else:
-            super().tell(kind, payload)
+            super().publish(kind, payload)
 
     def tell_of(self, what: str, kind: int, payload: bytes, **details: int) -> Told:
         """Tells of an event, and notes when all routers count as told."""
-        self.tell(kind, payload)
+        self.publish(kind, payload)
         for reader in self.readers:
             reader.transport.doWrite()  # now, not on the next turn: the time is taken here
         now = time.monotonic()
--- a/bench/store.py
+++ b/bench/store.py
@@ -27,7 +27,7 @@
 import psutil
 from hdrh.histogram import HdrHistogram
 
-from bench import told
+from bench import print_result
 from wickhinge.store.admission import AdmissionPolicy, TailEviction
 from wickhinge.store.copies import Copy, StoredObject
 from wickhinge.store.file_format import SnapshotMeta
@@ -75,7 +75,7 @@
         self.parts = self.random.integers(1, 9, objects)
         self.world = World(lambda key, part: int(sizes[key % objects]))
         self.world.listen()
-        self.world.tell(1, self.world.records())
+        self.world.publish(1, self.world.records())
         weights = 1.0 / np.arange(1, objects + 1) ** 0.9
         self.weights = weights / weights.sum()
         options = (
@@ -128,8 +128,8 @@
             "continues": self.continues,
             "seconds": round(time.time() - self.began, 1),
             "purges": len(self.world.purges),
-            "same": self.world.same,
-            "given_by_machines": self.world.given,
+            "same": self.world.not_modified_count,
+            "given_by_machines": self.world.bodies_sent,
             **self.counted,
         }
 
@@ -142,7 +142,7 @@
     def boot(self) -> None:
         if not self.continues:  # numbered from 1 at each start: what is past is not told again
             self.world.renumber()
-            self.world.tell(1, self.world.records())
+            self.world.publish(1, self.world.records())
         self.router.start()
         self.starts += 1
         self.up = True
@@ -245,7 +245,7 @@
     def judge(
         self, method: str, key: int, part: int, since: float, data: bytes, more: dict[str, str], held: Any
     ) -> None:
-        from bench.fleet import FRESH, proof
+        from bench.fleet import FRESHNESS_S, verified_stamp
 
         self.counted["served"] += 1
         needed = max(
@@ -260,7 +260,7 @@
             self.counted["own_told"] += 1
             self.counted["older_than_purge"] += held[1] < needed
             return
-        stamp = proof(data)
+        stamp = verified_stamp(data)
         if stamp is None or stamp[:2] != (key, part):
             self.counted["corrupt"] += 1
             return
@@ -270,8 +270,8 @@
         self.counted["served_from_earlier_start"] += first < self.starts
         self.seen.add(serial)
         self.counted["older_than_purge"] += version < needed
-        vouched = max(made / 1000.0, self.world.vouched.get((key, part), 0.0))
-        self.counted["too_old"] += since - vouched > FRESH[method] + 0.1
+        vouched = max(made / 1000.0, self.world.newest_sent_at.get((key, part), 0.0))
+        self.counted["too_old"] += since - vouched > FRESHNESS_S[method] + 0.1
         if version == self.world.version(key):
             self.tags[key, part] = (self.world.tag(key), version)
 
@@ -329,7 +329,7 @@
             name: event.get("copies", event.get("reason", event.get("cause", True)))
             for name, event in answer["log"].items()
         }
-        told(answer)
+        print_result(answer)
 
 
 # scan
@@ -482,7 +482,7 @@
     answer = {name: round(statistics.median(values), 4) for name, values in found.items()}
     answer["spread_regular_drop"] = round(max(found["regular_drop"]) - min(found["regular_drop"]), 4)
     answer |= {"seeds": seeds, "sessions": count, "simulated": True}
-    told(answer)
+    print_result(answer)
 
 
 # counts
@@ -528,7 +528,7 @@
         "get_us": round(get / objects * 1e6, 2),
         "put_time_ratio": round(put / max(dict_put, 1e-9), 1),
     }
-    told(answer)
+    print_result(answer)
 
 
 # speed
@@ -705,7 +705,7 @@
     answer["recovery"] = [recovery(int(size), base) for size in recover_mb.split(",") if size]
     answer["write_amplification_ratio"] = amplification(base)
     answer |= {"rounds": rounds, "mb": mb, "page_cache": True}
-    told(answer)
+    print_result(answer)
 
 
 class Inline:
@@ -901,7 +901,7 @@
         opened = made.tier.breaker.opened_count
         made.close()
         well, stalled = (late[name].get_value_at_percentile(99) for name in ("well", "stalled"))
-        told(
+        print_result(
             {
                 "stall_s": seconds,
                 "well_p99_us": well,
--- a/tests/net/test_failing_calls.py
+++ b/tests/net/test_failing_calls.py
@@ -104,10 +104,10 @@
         undisturbed_s += time_block_s()
         shim.fail(Call.ACCEPT, FAILURE_SHARE)
         disturbed_s += time_block_s()
-        shim.calm()
-        if shim.failed(Call.ACCEPT) >= MIN_FAILED_ACCEPTS:
+        shim.stop_failing()
+        if shim.failed_count(Call.ACCEPT) >= MIN_FAILED_ACCEPTS:
             break
-    assert shim.failed(Call.ACCEPT) >= MIN_FAILED_ACCEPTS
+    assert shim.failed_count(Call.ACCEPT) >= MIN_FAILED_ACCEPTS
     assert disturbed_s <= 2 * undisturbed_s
     for client in resting:
         assert client.ping()
@@ -124,7 +124,7 @@
         calls = [(client, client.ask("pages")) for client in clients]
         for client, number in calls:
             assert client.answer(number)[2] is None
-    assert shim.failed(call) > 5 or call is Call.CLIENT_PEEK
+    assert shim.failed_count(call) > 5 or call is Call.CLIENT_PEEK
 
 
 @pytest.mark.parametrize(
@@ -140,7 +140,7 @@
         calls = [client.ask("pages", block=str(part)) for part in range(4)]
         for number in calls:
             assert client.answer(number)[2] is None
-    assert shim.failed(call) > 5
+    assert shim.failed_count(call) > 5
 
 
 def test_endpoint_watch_when_its_connection_breaks_connects_again(faulty_stand):
@@ -171,7 +171,7 @@
         shim.fail_next(Call.REGISTER)
         client = made.client()
         assert client.answer(client.ask("pages"))[2] is None
-        assert shim.failed(Call.REGISTER)
+        assert shim.failed_count(Call.REGISTER)
 
 
 def test_requests_on_new_connections_during_the_shutdown_are_answered(faulty_stand):
@@ -198,7 +198,7 @@
     shim.fail_next(call, count)
     made = stand(environment=shim.environment)
     assert made.client().ping()
-    assert shim.failed(call)
+    assert shim.failed_count(call)
 
 
 def test_reload_when_opening_the_file_fails_is_retried(faulty_stand):
--- a/tests/net/test_stalls.py
+++ b/tests/net/test_stalls.py
@@ -281,7 +281,7 @@
         remaining = asked_at[int(cache_request.fields["blk"]) - 1] + BUDGET_S - time.monotonic()
         assert float(cache_request.fields["budget"]) / 1000 <= remaining + BUDGET_SLACK_S
         cache_request.answer("OK", OK_FIELDS, b"x")
-    shim.calm()
+    shim.stop_failing()
 
 
 @pytest.mark.parametrize("failures", [1, 4])
@@ -301,4 +301,4 @@
         shim.fail_next(Call.CLIENT_READ, failures, errno.ENOMEM if failures > 1 else errno.EAGAIN)
     cache_request = connection.next_request()
     assert float(cache_request.fields["budget"]) / 1000 <= asked_at + BUDGET_S - time.monotonic() + BUDGET_SLACK_S
-    assert shim.failed(Call.CLIENT_READ) == failures
+    assert shim.failed_count(Call.CLIENT_READ) == failures
