--- a/bench/__init__.py
+++ b/bench/__init__.py
@@ -8,6 +8,6 @@
 import orjson
 
 
-def told(answer: dict[str, Any]) -> None:
+def write_result(answer: dict[str, Any]) -> None:
     """The last line of a measurement."""
     click.echo(orjson.dumps(answer, option=orjson.OPT_SERIALIZE_NUMPY).decode())
--- a/bench/cold_sum.py
+++ b/bench/cold_sum.py
@@ -27,7 +27,7 @@
 import click
 import numpy as np
 
-from bench import told
+from bench import write_result
 from wickhinge.interface import (
     AttemptParameters,
     Capabilities,
@@ -82,9 +82,9 @@
         return 2 * 0.6 * 1.5 / (self.multiple * self.floor)
 
 
-EDGE = Limits(2.0, 1.0, 0.18, 17.0)  # the tightest that the kit's pages allow
-PARENT = Limits(2.0, 1.0, 0.068, 20.0)
-TIERS = {"edge": EDGE, "parent": PARENT}
+EDGE_LIMITS = Limits(2.0, 1.0, 0.18, 17.0)  # the tightest that the kit's pages allow
+PARENT_LIMITS = Limits(2.0, 1.0, 0.068, 20.0)
+TIERS = {"edge": EDGE_LIMITS, "parent": PARENT_LIMITS}
 
 
 def allowance(budget: Any) -> Any:
@@ -102,7 +102,7 @@
     return processes - 1 - processes // 4
 
 
-def chernoff(budget: float) -> float:
+def chernoff_bound(budget: float) -> float:
     """Bound for one window that begins in steady load: the sum of independent sends with a mean of 0.65 N."""
     most, mean = allowance(budget), 0.65 * budget
     return math.exp(-(most * math.log(most / mean) - most + mean))
@@ -241,7 +241,7 @@
 class Client:
     """One visit's, who counts how it ended."""
 
-    def __init__(self, play: Play, place: int) -> None:
+    def __init__(self, play: ColdStart, place: int) -> None:
         self.play, self.place = play, place
 
     def forward(self, parameters: AttemptParameters) -> None:
@@ -284,7 +284,7 @@
 class SharedBucket:
     """The ideal, beside which a denial shows: one count for all routers, all of what the cache bears."""
 
-    def __init__(self, play: Play) -> None:
+    def __init__(self, play: ColdStart) -> None:
         self.play = play
 
     def room(self, cache: Server, visit: Any, now: float) -> bool:
@@ -304,7 +304,7 @@
     at_the_cold_one: float
 
 
-class Play:
+class ColdStart:
     """One cold start: a location of two caches, of which one has just started and the other leaves at `step`."""
 
     def __init__(
@@ -452,7 +452,7 @@
 WORKS = (0.25, 0.57, 1.0)  # seconds of sending for a visit: a mix of the kit's classes, its largest, and beyond
 HALF_SECOND = 0.5  # the debt at a start before it was counted in visits
 TWO_VISITS = Rule("two visits", 2.0)
-PRESENT = Rule("two visits, saved by root of N", 2.0, by_root=True)
+CURRENT_RULE = Rule("two visits, saved by root of N", 2.0, by_root=True)
 PLAYED = (4, 9, 16, 64)  # the decisions of larger budgets take minutes to play
 PLAY_SCENES = (SCENES[0], SCENES[1], SCENES[4])
 
@@ -460,7 +460,7 @@
 def draws(trials: int, seed: int, tiers: dict[str, Limits], present: bool) -> list[dict[str, Any]]:
     """A row for each tier, number of routers, N and rule. present: of the rule as it is alone."""
     rules = [Rule(f"half a second, visits of {work} s", HALF_SECOND / work) for work in WORKS]
-    rules = [PRESENT] if present else [*rules, TWO_VISITS, PRESENT]
+    rules = [CURRENT_RULE] if present else [*rules, TWO_VISITS, CURRENT_RULE]
     rows = []
     for tier, limits in tiers.items():
         for processes in PROCESSES:
@@ -483,7 +483,7 @@
                             "worst": max(one.worst for one in found.values()),
                             "taken_herd": found["herd"].taken,
                             "taken_thin": found["thin"].taken,
-                            "one_window_bound": float(f"{chernoff(budget):.1e}"),
+                            "one_window_bound": float(f"{chernoff_bound(budget):.1e}"),
                         }
                     )
                     click.echo(rows[-1], err=True)
@@ -495,8 +495,8 @@
     rows = []
     told_apart = product(tiers.items(), PROCESSES, PLAYED, WORKS, PLAY_SCENES)
     for (tier, limits), processes, budget, work, scene in told_apart:
-        ours = [Play(limits, budget, processes, scene, work, seed).run() for seed in range(1, seeds + 1)]
-        ideal = Play(limits, budget, processes, scene, work, 1, ideal=True).run()
+        ours = [ColdStart(limits, budget, processes, scene, work, seed).run() for seed in range(1, seeds + 1)]
+        ideal = ColdStart(limits, budget, processes, scene, work, 1, ideal=True).run()
         rows.append(
             {
                 "tier": tier,
@@ -536,7 +536,7 @@
         answer["plays"] = plays(seeds, {tier: TIERS[tier]} if tier else TIERS)
     if sockets:
         answer["sockets"] = [on_sockets(sockets, budget, seed) for budget in (6, 36)]
-    told(answer)
+    write_result(answer)
 
 
 if __name__ == "__main__":
--- a/bench/discovery.py
+++ b/bench/discovery.py
@@ -20,7 +20,7 @@
 import click
 import numpy as np
 
-from bench import told
+from bench import write_result
 from wickhinge.interface import (
     AttemptParameters,
     Completion,
@@ -304,7 +304,7 @@
         answer["unanswered" + end] = sum(one["unanswered"] for age in ages.split(",") for one in found[age, how])
         answer["faults" + end] = sum(one["faults"] for age in ages.split(",") for one in found[age, how])
     answer["by_kind"] = {age: found[age, "ours"][0]["by_kind"] for age in ages.split(",")}
-    told(answer)
+    write_result(answer)
 
 
 # herd
@@ -551,7 +551,7 @@
     answer["peaks"] = answer["peak_over_limit"]
     answer["peak_over_limit"] = max(max(answer["peaks"].values()), max(answer["peak_over_limit_parents"].values()))
     answer["peak_over_limit_blind"] = max(answer["peak_over_limit_blind"].values())
-    told(answer)
+    write_result(answer)
 
 
 if __name__ == "__main__":
--- a/bench/lab.py
+++ b/bench/lab.py
@@ -17,7 +17,7 @@
 import msgspec
 import psutil
 
-from bench import told
+from bench import write_result
 from wickhinge.lab.play import Play
 from wickhinge.lab.scenario import check
 from wickhinge.lab.wheel import Wheel
@@ -106,7 +106,7 @@
             ratios.append(churned(Wheel(), pending, 300_000) / plain)
         answer[f"wheel_over_heapq_{pending}_ratio"] = round(statistics.median(ratios), 3)
         answer[f"wheel_over_heapq_{pending}_spread"] = [round(min(ratios), 3), round(max(ratios), 3)]
-    told(answer)
+    write_result(answer)
 
 
 if __name__ == "__main__":
--- a/bench/peers.py
+++ b/bench/peers.py
@@ -118,7 +118,7 @@
     process.limiter.balance = lambda number, budget, now: None
 
 
-def used(routers: int, seed: int, plants: tuple[Any, ...]) -> float:
+def used_budget_share(routers: int, seed: int, plants: tuple[Any, ...]) -> float:
     """Of the first budget, where one router wants all of it and all hear each other."""
     fleet = play.Fleet(Schedule(seed, routers, 1, (), routers, 50.0, 0.0), plants)
     fleet.wants = lambda process, number: 2.0 * (process.place == 0)
@@ -161,8 +161,13 @@
         if found.faults:
             click.echo(f"seed {drawn.seed}: {found.faults[:3]}", err=True)
     sizes = (2, 5, 9, 16)
-    moved = {str(number): [round(used(number, seed + turn, ()), 3) for turn in range(2)] for number in sizes}
-    kept = {str(number): [round(used(number, seed + turn, (alone,)), 3) for turn in range(2)] for number in sizes}
+    moved = {
+        str(number): [round(used_budget_share(number, seed + turn, ()), 3) for turn in range(2)] for number in sizes
+    }
+    kept = {
+        str(number): [round(used_budget_share(number, seed + turn, (alone,)), 3) for turn in range(2)]
+        for number in sizes
+    }
     return {
         "processes": routers,
         "schedules": count,
--- a/bench/scale/lending.py
+++ b/bench/scale/lending.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Callable
 
-from bench.peers import used
+from bench.peers import used_budget_share
 from bench.scale.meter import Meter
 from bench.scale.one_router import ZONES, OneRouter
 from bench.scale.records import Row, row
@@ -73,7 +73,7 @@
         lending.run(10.0)
         more_bytes.append((lending.bytes_sent - plain.bytes_sent) / 10.0)
     few = meter.sizes(2, 3, 4, 5) if meter.quick else [2, 4, 8, 16, 32]
-    shares = [used(size, meter.seed, ()) for size in few]
+    shares = [used_budget_share(size, meter.seed, ()) for size in few]
     many = meter.sizes(2, 16, 60, 100, 400, 1600)
     left = [usable(size) for size in many]
     return [
--- a/bench/soak/__main__.py
+++ b/bench/soak/__main__.py
@@ -13,7 +13,7 @@
 import click
 import orjson
 
-from bench import told
+from bench import write_result
 from bench.soak.planted import FAULTS
 from bench.soak.served_share import Share, pooled_share_faults, pooled_shares
 
@@ -116,7 +116,7 @@
                 click.echo(f"  not judged: the play itself was {result['max_lag_s']} s late")
         for fault in pooled_faults:
             click.echo(fault)
-    told(results[0] if seed is not None else summary(results))
+    write_result(results[0] if seed is not None else summary(results))
     sys.exit(bool(failed or pooled_faults))
 
 
--- a/bench/store.py
+++ b/bench/store.py
@@ -27,7 +27,7 @@
 import psutil
 from hdrh.histogram import HdrHistogram
 
-from bench import told
+from bench import write_result
 from wickhinge.store.admission import AdmissionPolicy, TailEviction
 from wickhinge.store.copies import Copy, StoredObject
 from wickhinge.store.file_format import SnapshotMeta
@@ -329,7 +329,7 @@
             name: event.get("copies", event.get("reason", event.get("cause", True)))
             for name, event in answer["log"].items()
         }
-        told(answer)
+        write_result(answer)
 
 
 # scan
@@ -482,7 +482,7 @@
     answer = {name: round(statistics.median(values), 4) for name, values in found.items()}
     answer["spread_regular_drop"] = round(max(found["regular_drop"]) - min(found["regular_drop"]), 4)
     answer |= {"seeds": seeds, "sessions": count, "simulated": True}
-    told(answer)
+    write_result(answer)
 
 
 # counts
@@ -528,7 +528,7 @@
         "get_us": round(get / objects * 1e6, 2),
         "put_time_ratio": round(put / max(dict_put, 1e-9), 1),
     }
-    told(answer)
+    write_result(answer)
 
 
 # speed
@@ -705,7 +705,7 @@
     answer["recovery"] = [recovery(int(size), base) for size in recover_mb.split(",") if size]
     answer["write_amplification_ratio"] = amplification(base)
     answer |= {"rounds": rounds, "mb": mb, "page_cache": True}
-    told(answer)
+    write_result(answer)
 
 
 class Inline:
@@ -901,7 +901,7 @@
         opened = made.tier.breaker.opened_count
         made.close()
         well, stalled = (late[name].get_value_at_percentile(99) for name in ("well", "stalled"))
-        told(
+        write_result(
             {
                 "stall_s": seconds,
                 "well_p99_us": well,
--- a/tests/routing/test_cold_sum.py
+++ b/tests/routing/test_cold_sum.py
@@ -5,7 +5,17 @@
 
 import pytest
 
-from bench.cold_sum import EDGE, PARENT, PRESENT, SCENES, Play, Rule, Scene, chernoff, distribution
+from bench.cold_sum import (
+    CURRENT_RULE,
+    EDGE_LIMITS,
+    PARENT_LIMITS,
+    SCENES,
+    ColdStart,
+    Rule,
+    Scene,
+    chernoff_bound,
+    distribution,
+)
 from tests.support.routing import make_endpoint, make_request_class, make_router
 from wickhinge.routing.slow_start import MAX_INITIAL_DEBT_REQUESTS, SlowStart
 
@@ -20,24 +30,27 @@
     )
 
 
-@pytest.mark.parametrize("limits, processes, budget", [(PARENT, 20, 4), (PARENT, 30, 9), (EDGE, 30, 4), (EDGE, 20, 9)])
+@pytest.mark.parametrize(
+    "limits, processes, budget",
+    [(PARENT_LIMITS, 20, 4), (PARENT_LIMITS, 30, 9), (EDGE_LIMITS, 30, 4), (EDGE_LIMITS, 20, 9)],
+)
 def test_starting_cache_when_all_routers_have_large_requests_is_not_overloaded(limits, processes, budget):
-    plays = [Play(limits, budget, processes, HERD, 1.0, seed).run() for seed in SEEDS]
+    plays = [ColdStart(limits, budget, processes, HERD, 1.0, seed).run() for seed in SEEDS]
     assert max(play.worst for play in plays) <= 1.0
     # The limit is not kept by rejecting nearly all requests.
     assert min(play.served for play in plays) > 0.2
 
 
 def test_limit_per_router_serves_less_than_a_shared_limit_and_prevents_the_overload_that_no_limit_causes(monkeypatch):
-    ideal = Play(EDGE, 9, 30, HERD, 0.57, 1, ideal=True).run()
-    limited = Play(EDGE, 9, 30, HERD, 0.57, 1).run()
+    ideal = ColdStart(EDGE_LIMITS, 9, 30, HERD, 0.57, 1, ideal=True).run()
+    limited = ColdStart(EDGE_LIMITS, 9, 30, HERD, 0.57, 1).run()
     assert 0.4 * ideal.served < limited.served < ideal.served and ideal.worst <= 1.0
     monkeypatch.setattr(SlowStart, "admits", lambda self, server, own_capacity, share, work, now: True)
-    assert Play(EDGE, 9, 30, HERD, 0.57, 1).run().worst > 1.5
+    assert ColdStart(EDGE_LIMITS, 9, 30, HERD, 0.57, 1).run().worst > 1.5
 
 
 def test_low_load_while_a_cache_is_in_slow_start_is_served_by_other_servers():
-    assert Play(EDGE, 16, 30, THIN, 1.0, 1).run().served > 0.95
+    assert ColdStart(EDGE_LIMITS, 16, 30, THIN, 1.0, 1).run().served > 0.95
 
 
 @pytest.mark.parametrize("work", [0.05, 0.3, 1.5])
@@ -87,13 +100,13 @@
 def test_simulated_starts_fail_with_a_debt_of_half_a_second_but_not_with_a_debt_of_two_requests():
     scene = Scene("herd", 0.0)
     # A request takes one second, so this debt is half a request at most.
-    short = distribution(EDGE, 4, 30, scene, Rule("half a second", 0.5), 2000, 1)
-    limited = distribution(EDGE, 4, 30, scene, PRESENT, 2000, 1)
+    short = distribution(EDGE_LIMITS, 4, 30, scene, Rule("half a second", 0.5), 2000, 1)
+    limited = distribution(EDGE_LIMITS, 4, 30, scene, CURRENT_RULE, 2000, 1)
     assert short.fell > 0.005 and limited.fell == 0.0 and limited.taken > 0.75 * short.taken
 
 
 def test_probability_bound_for_an_overloaded_window_falls_with_its_budget():
-    bounds = [chernoff(budget) for budget in (6, 16, 64, 400)]
+    bounds = [chernoff_bound(budget) for budget in (6, 16, 64, 400)]
     assert bounds == sorted(bounds, reverse=True) and bounds[0] < 2e-3 and bounds[-1] < 1e-15
 
 
@@ -118,6 +131,6 @@
 
 def test_parent_when_one_router_does_not_know_of_its_restart_is_not_overloaded_by_a_step_in_load():
     step = Scene("step", 2.0)
-    half_window = distribution(PARENT, 100, 30, step, Rule("half a span", 2.0), 300, 1)
-    limited = distribution(PARENT, 100, 30, step, PRESENT, 300, 1)
+    half_window = distribution(PARENT_LIMITS, 100, 30, step, Rule("half a span", 2.0), 300, 1)
+    limited = distribution(PARENT_LIMITS, 100, 30, step, CURRENT_RULE, 300, 1)
     assert half_window.broke > 0.1 and limited.broke == 0.0 and limited.taken > 0.95 * half_window.taken
