--- a/bench/cold_sum.py
+++ b/bench/cold_sum.py
@@ -81,9 +81,9 @@
         return 2 * 0.6 * 1.5 / (self.multiple * self.floor)
 
 
-EDGE = Limits(2.0, 1.0, 0.18, 17.0)  # the tightest that the kit's pages allow
-PARENT = Limits(2.0, 1.0, 0.068, 20.0)
-TIERS = {"edge": EDGE, "parent": PARENT}
+EDGE_LIMITS = Limits(2.0, 1.0, 0.18, 17.0)  # the tightest that the kit's pages allow
+PARENT_LIMITS = Limits(2.0, 1.0, 0.068, 20.0)
+TIERS = {"edge": EDGE_LIMITS, "parent": PARENT_LIMITS}
 
 
 def allowance(budget: Any) -> Any:
@@ -101,7 +101,7 @@
     return processes - 1 - processes // 4
 
 
-def chernoff(budget: float) -> float:
+def chernoff_bound(budget: float) -> float:
     """Bound for one window that begins in steady load: the sum of independent sends with a mean of 0.65 N."""
     most, mean = allowance(budget), 0.65 * budget
     return math.exp(-(most * math.log(most / mean) - most + mean))
@@ -240,7 +240,7 @@
 class Client:
     """One visit's, who counts how it ended."""
 
-    def __init__(self, play: Play, place: int) -> None:
+    def __init__(self, play: ColdStart, place: int) -> None:
         self.play, self.place = play, place
 
     def forward(self, parameters: AttemptParameters) -> None:
@@ -283,7 +283,7 @@
 class SharedBucket:
     """The ideal, beside which a denial shows: one count for all routers, all of what the cache bears."""
 
-    def __init__(self, play: Play) -> None:
+    def __init__(self, play: ColdStart) -> None:
         self.play = play
 
     def room(self, cache: Server, visit: Any, now: float) -> bool:
@@ -303,7 +303,7 @@
     at_the_cold_one: float
 
 
-class Play:
+class ColdStart:
     """One cold start: a location of two caches, of which one has just started and the other leaves at `step`."""
 
     def __init__(
@@ -453,7 +453,7 @@
 WORKS = (0.25, 0.57, 1.0)  # seconds of sending for a visit: a mix of the kit's classes, its largest, and beyond
 HALF_SECOND = 0.5  # the debt at a start before it was counted in visits
 TWO_VISITS = Rule("two visits", 2.0)
-PRESENT = Rule("two visits, saved by root of N", 2.0, by_root=True)
+CURRENT_RULE = Rule("two visits, saved by root of N", 2.0, by_root=True)
 PLAYED = (4, 9, 16, 64)  # the decisions of larger budgets take minutes to play
 PLAY_SCENES = (SCENES[0], SCENES[1], SCENES[4])
 
@@ -461,7 +461,7 @@
 def draws(trials: int, seed: int, tiers: dict[str, Limits], present: bool) -> list[dict[str, Any]]:
     """A row for each tier, number of routers, N and rule. present: of the rule as it is alone."""
     rules = [Rule(f"half a second, visits of {work} s", HALF_SECOND / work) for work in WORKS]
-    rules = [PRESENT] if present else [*rules, TWO_VISITS, PRESENT]
+    rules = [CURRENT_RULE] if present else [*rules, TWO_VISITS, CURRENT_RULE]
     rows = []
     for tier, limits in tiers.items():
         for processes in PROCESSES:
@@ -484,7 +484,7 @@
                             "worst": max(one.worst for one in found.values()),
                             "taken_herd": found["herd"].taken,
                             "taken_thin": found["thin"].taken,
-                            "one_window_bound": float(f"{chernoff(budget):.1e}"),
+                            "one_window_bound": float(f"{chernoff_bound(budget):.1e}"),
                         }
                     )
                     click.echo(rows[-1], err=True)
@@ -496,8 +496,8 @@
     rows = []
     told_apart = product(tiers.items(), PROCESSES, PLAYED, WORKS, PLAY_SCENES)
     for (tier, limits), processes, budget, work, scene in told_apart:
-        ours = [Play(limits, budget, processes, scene, work, seed).run() for seed in range(1, seeds + 1)]
-        ideal = Play(limits, budget, processes, scene, work, 1, ideal=True).run()
+        ours = [ColdStart(limits, budget, processes, scene, work, seed).run() for seed in range(1, seeds + 1)]
+        ideal = ColdStart(limits, budget, processes, scene, work, 1, ideal=True).run()
         rows.append(
             {
                 "tier": tier,
