--- a/tests/changelog/test_storage.py
+++ b/tests/changelog/test_storage.py
@@ -137,7 +137,7 @@
         persisted_count = run_effects(disk)
         for second_call in range(1, 12):
             second = disk.after_restart(call)
-            second.fault = (second_call, "crash")
+            second.planned_fault = (second_call, "crash")
             try:
                 FileStorage.open(DIRECTORY, second)
             except (CrashError, StorageMissingError):
