--- a/tests/changelog/test_replicas_on_processes.py
+++ b/tests/changelog/test_replicas_on_processes.py
@@ -78,9 +78,8 @@
         for name in killed:
             fleet.kill(name)
 
-    assert (
-        seconds_until_uninformed(fleet, kill_majority) <= BOUND_S + 0.5
-    )  # Killing three processes takes some of the 0.5 s.
+    # Killing three processes takes some of the 0.5 s.
+    assert seconds_until_uninformed(fleet, kill_majority) <= BOUND_S + 0.5
     assert not fleet.can_append(1.0)
     assert 0 < fleet.next_request_max_age_s(0xE1) <= MAX_COPY_AGE_S
     assert all(server.status.number <= number for server in fleet.query_servers() if server.status)
--- a/wickhinge/changelog/replica.py
+++ b/wickhinge/changelog/replica.py
@@ -103,7 +103,7 @@
         return self.log.last_number
 
     def tick(self, now: float) -> list[Effect]:
-        """Do what is due at `now`; called every MAX_TICK_INTERVAL_S.
+        """Do what is due at `now`; called at least every MAX_TICK_INTERVAL_S seconds.
 
         Returns:
             Effects of the types Persist, Send and Committed.
