--- a/tests/changelog/test_daemon_signals.py
+++ b/tests/changelog/test_daemon_signals.py
@@ -2,7 +2,7 @@
 
 The tests guard against three faults. SIGHUP and SIGTERM that arrived before the handlers were installed ended the
 relay with the exit codes -1 and -15. A reload that met a partly written file was logged as `changelog_reload_failed`
-and never repeated. An address that another socket held ended the start with exit code 2.
+and never repeated. The start failed with exit code 2 if another socket held the address.
 """
 
 import signal
@@ -12,7 +12,7 @@
 
 import pytest
 
-from tests.support.processes import PATIENT, Process, free
+from tests.support.processes import TIMEOUT_S, Process, find_free_ports
 from tests.support.running_router import wait_until
 
 KEY = "the key of this test's fleet"
@@ -23,7 +23,7 @@
     def __init__(self, folder):
         self.options_path, self.key_path = folder / "own.cue", folder / "key"
         self.key_path.write_text(KEY)
-        self.address = ("127.0.0.1", free(1))
+        self.address = ("127.0.0.1", find_free_ports(1))
         self.process = None
 
     def options_text(self):
@@ -46,7 +46,7 @@
         self.process.wait('"event":"changelog_start"')
 
     def handles_signals(self):
-        """Return whether the process catches SIGHUP, which its first lines arrange."""
+        """Return whether the process has installed its handler of SIGHUP, as it does in its first lines."""
         status = Path(f"/proc/{self.process.child.pid}/status").read_text()
         caught = int(status.split("SigCgt:")[1].split()[0], 16)
         return bool(caught >> (signal.SIGHUP - 1) & 1)
@@ -104,4 +104,4 @@
             relay.send_signal(signal.SIGHUP)
             relay.send_signal(signal.SIGTERM)
             time.sleep(0.001)
-        assert relay.process.child.wait(PATIENT) == 0
+        assert relay.process.child.wait(TIMEOUT_S) == 0
