--- a/wickhinge/lab/changelog/schedule.py
+++ b/wickhinge/lab/changelog/schedule.py
@@ -10,7 +10,7 @@
 REPLICAS = tuple(f"p{index}" for index in range(5))
 RELAYS = tuple(f"r{index}" for index in range(6))
 REGIONS = 3
-FIRST_FAULT_S, LAST_FAULT_S = 6.0, 34.0
+FIRST_FAULT_S, LAST_FAULT_S = 6.0, 34.0  # Earliest and latest start of a drawn fault.
 MIN_INDEPENDENT_GAP_S = 8.0  # Faults that are at least this far apart do not affect each other.
 FINAL_CALM_S = 16.0  # Time without faults at the end of a schedule.
 CHURN_FOLLOWERS = 6  # Number of followers in schedules whose faults all concern replicas.
--- a/wickhinge/lab/changelog/walk.py
+++ b/wickhinge/lab/changelog/walk.py
@@ -236,7 +236,7 @@
         world.call_at(world.now_s + SAMPLE_INTERVAL_S, self._sample)
         for name in self.schedule.followers:
             if world.is_running(name):
-                world.sample(name)
+                world.sample_follower(name)
         for name in (*REPLICAS, *RELAYS):
             if world.is_running(name):
                 world.sample_server(name)
@@ -298,7 +298,7 @@
         oracle.faults,
         sum(map(len, oracle.committed.values())),
         len(oracle.applied_entries),
-        current.world.packets,
+        current.world.sent_count,
         len(oracle.loaded_snapshots),
         len(oracle.leaders),
         len(oracle.committed),
--- a/wickhinge/lab/changelog/world.py
+++ b/wickhinge/lab/changelog/world.py
@@ -45,8 +45,8 @@
         now_s: The current true time.
         cuts: Pairs of senders and receivers between which no packet arrives.
         run_spans: The spans of true time in which each process ran, paused or not, once they have ended.
-        packets: Number of sent packets.
-        lost: Number of packets that the network lost.
+        sent_count: Number of sent packets.
+        lost_count: Number of packets that the network lost.
         processes: All processes by name.
     """
 
@@ -57,7 +57,7 @@
         self.now_s = 0.0
         self.cuts: list[tuple[frozenset[str], frozenset[str]]] = []
         self.run_spans: dict[str, list[tuple[float, float]]] = defaultdict(list)
-        self.packets = self.lost = 0
+        self.sent_count = self.lost_count = 0
         self._events: list[tuple[float, int, Callable[[], object]]] = []
         self._action_count = 0
         self.processes: dict[str, Process] = {}
@@ -150,7 +150,7 @@
             return True
         return False
 
-    def sample(self, name: str) -> None:
+    def sample_follower(self, name: str) -> None:
         """Record what a follower claims now."""
         process = self.processes[name]
         now, follower = process.clock.at(self.now_s), process.follower
@@ -258,13 +258,13 @@
     # The network.
 
     def _send(self, process: Process, effect: Send) -> None:
-        self.packets += 1
+        self.sent_count += 1
         receiver = self.processes[effect.to]
         if self._is_cut(process.name, effect.to) or self.rand.random() < self.schedule.loss:
-            self.lost += 1
+            self.lost_count += 1
             return
         packet = effect.packet
-        if self.packets % ENCODED_PACKET_INTERVAL == 0:
+        if self.sent_count % ENCODED_PACKET_INTERVAL == 0:
             packet = receiver.codec.decode(process.codec.encode(effect.to, packet))
             if packet != effect.packet:
                 self.oracle.add_fault(f"{self.now_s:.3f} {process.name}: the codec changes the packet {effect.packet}")
