--- a/tests/lab/test_many.py
+++ b/tests/lab/test_many.py
@@ -93,7 +93,7 @@
 
 
 def test_what_broke_is_shrunk_to_less_that_still_breaks():
-    drawn = schedule.draw(11, 4, most=4)
+    drawn = schedule.draw(11, 4, max_faults=4)
     drawn = Schedule(**{**{name: getattr(drawn, name) for name in drawn.__struct_fields__}, "places": 4})
     if trial.run_simulated(drawn, (lends_what_it_keeps,)).violations:
         least = trial.shrink(drawn, (lends_what_it_keeps,), 12)
--- a/wickhinge/lab/many/__init__.py
+++ b/wickhinge/lab/many/__init__.py
@@ -1,6 +1,7 @@
-"""Many routers of one fleet, and what breaks between them: schedules drawn from a seed, played and judged.
+"""Runs a fleet of routers under injected faults: schedules are drawn from a seed, run, and checked against invariants.
 
-Entered by `schedule.draw` and `play.play`: the same schedule goes to the virtual fleet here, thousands in a minute,
-and to real processes behind relays. Judges (`judges`) see what was sent and what each process wrote down, and ask
-no router what it believes. Used by tests, `bench` and `wickhinge lab many`; by no router.
+The entry points are `schedule.draw` and `simulation.simulate`. The same schedule can run on a fleet in virtual time
+(`simulation`; thousands of schedules in a minute) and on real processes that talk through relays (`harness`). The
+checks in `invariants` use only what was sent and what each process logged; they query no router about its own state.
+Tests, `bench` and `wickhinge lab many` use this package; routers do not.
 """
--- a/wickhinge/lab/many/fault_injector.py
+++ b/wickhinge/lab/many/fault_injector.py
@@ -1,96 +1,104 @@
-"""A schedule's faults begun and ended, in either way to play: what is done to processes, and when."""
+"""Starts and ends the faults of a schedule at their times, for simulated and for real router processes."""
 
 from __future__ import annotations
 
 import random
 from typing import Any
 
-from wickhinge.lab.many.network_faults import Between
+from wickhinge.lab.many.network_faults import NetworkFaults
 from wickhinge.lab.many.schedule import Fault, Schedule
 
-REPLAYED = 300  # datagrams heard earlier that are sent once more by one fault
-RECORDED = 2000
+MAX_REPLAYED_DATAGRAMS = 300  # Number of recorded datagrams that one "replay" fault sends again.
+MAX_RECORDED_DATAGRAMS = 2000
 
 
 class FaultInjector:
-    """Its players have processes that can `kill`, `stop`, `go_on` and `reroster`, and say `now`, `at`, `start` and
-    `arrive`.
+    """Base class of the fleets that run a schedule.
+
+    A subclass provides `now`, `call_at`, `start_process`, `running_processes` and `deliver`; its processes provide
+    `kill`, `pause`, `resume` and `reload_roster`.
     """
 
     def __init__(self, schedule: Schedule) -> None:
         self.schedule = schedule
         self.random = random.Random(schedule.seed * 7919 + 1)
-        self.router_names = [f"n{place}" for place in range(schedule.routers)]
-        self.between = Between(self.random)
+        self.router_names = [f"n{index}" for index in range(schedule.routers)]
+        self.network_faults = NetworkFaults(self.random)
         self.processes: list[Any] = []
-        self.recorded: list[tuple[int, int, bytes]] = []
-        self.numbers = 0
+        self.recorded_datagrams: list[tuple[int, int, bytes]] = []  # Rows are (sender's index, receiver's index, data).
+        self.started_count = 0
+
+    def record_datagram(self, sender: int, receiver: int, data: bytes) -> None:
+        if len(self.recorded_datagrams) < MAX_RECORDED_DATAGRAMS:
+            self.recorded_datagrams.append((sender, receiver, data))
 
-    def record(self, one: int, to: int, data: bytes) -> None:
-        if len(self.recorded) < RECORDED:
-            self.recorded.append((one, to, data))
+    def apply_clock_fault(self, process: Any, fault: Fault, is_beginning: bool) -> None:
+        """Change the process's clock as the fault says.
 
-    def turn(self, process: Any, fault: Fault, on: bool) -> None:
-        """Its clock runs or jumps as the fault says; nothing where that was arranged before the start."""
+        Does nothing in a fleet that sets the clocks' faults when it starts the processes.
+        """
 
-    def rosters(self, fault: Fault) -> None:
-        """Whom it concerns reads its roster anew, as it is by all faults that are active now."""
-        for place in fault.one:
+    def reload_rosters(self, fault: Fault) -> None:
+        """Give each router of a "roster" fault the roster that results from all active faults."""
+        for router_index in fault.one:
             missing = {
-                one
-                for other in self.between.active
-                if other.kind == "roster" and place in other.one
-                for one in other.other
+                missing_index
+                for active_fault in self.network_faults.active
+                if active_fault.kind == "roster" and router_index in active_fault.one
+                for missing_index in active_fault.other
             }
-            for process in self.running_processes(place):
-                process.reroster(missing)
+            for process in self.running_processes(router_index):
+                process.reload_roster(missing)
 
     def begin_fault(self, fault: Fault) -> None:
-        self.between.active.append(fault)
+        self.network_faults.active.append(fault)
         until = fault.at_s + fault.for_s
-        self.at(until, self.end, fault)
-        for place in fault.one:
-            for process in self.running_processes(place):
+        self.call_at(until, self.end_fault, fault)
+        for router_index in fault.one:
+            for process in self.running_processes(router_index):
                 if fault.kind == "kill":
                     process.kill()
                 elif fault.kind == "pause":
-                    process.stop()
+                    process.pause()
                 elif fault.kind == "starve":
                     self.starve(process, until)
                 elif fault.kind in ("fast", "slow", "jump"):
-                    self.turn(process, fault, True)
+                    self.apply_clock_fault(process, fault, True)
         if fault.kind == "roster":
-            self.rosters(fault)
+            self.reload_rosters(fault)
         if fault.kind == "twin":
             self.start_process(fault.one[0])
         if fault.kind == "replay":
-            for number, what in enumerate(self.random.sample(self.recorded, min(len(self.recorded), REPLAYED))):
-                self.at(fault.at_s + fault.for_s * number / REPLAYED, self.arrive, *what)
+            for number, datagram in enumerate(
+                self.random.sample(self.recorded_datagrams, min(len(self.recorded_datagrams), MAX_REPLAYED_DATAGRAMS))
+            ):
+                self.call_at(fault.at_s + fault.for_s * number / MAX_REPLAYED_DATAGRAMS, self.deliver, *datagram)
 
     def starve(self, process: Any, until: float) -> None:
-        """Runs for 20 ms in each 300."""
+        """Let the process run for only 20 ms of every 300 ms until the given time."""
         if self.now >= until:
-            process.go_on()
+            process.resume()
             return
-        process.stop()
-        self.at(self.now + 0.28, process.go_on)
-        self.at(self.now + 0.3, self.starve, process, until)
+        process.pause()
+        self.call_at(self.now + 0.28, process.resume)
+        self.call_at(self.now + 0.3, self.starve, process, until)
 
-    def end(self, fault: Fault) -> None:
-        self.between.active.remove(fault)
+    def end_fault(self, fault: Fault) -> None:
+        self.network_faults.active.remove(fault)
         if fault.kind == "roster":
-            self.rosters(fault)
-        for place in fault.one:
-            found = self.running_processes(place)
-            if fault.kind == "kill" and not found:
-                self.start_process(place)
+            self.reload_rosters(fault)
+        for router_index in fault.one:
+            running = self.running_processes(router_index)
+            if fault.kind == "kill" and not running:
+                self.start_process(router_index)
             elif fault.kind == "pause" and not any(
-                other.kind == "pause" and place in other.one for other in self.between.active
+                active_fault.kind == "pause" and router_index in active_fault.one
+                for active_fault in self.network_faults.active
             ):
-                for process in found:
-                    process.go_on()
+                for process in running:
+                    process.resume()
             elif fault.kind in ("fast", "slow"):
-                for process in found:
-                    self.turn(process, fault, False)
-            elif fault.kind == "twin" and len(found) > 1:
-                found[-1].kill()
+                for process in running:
+                    self.apply_clock_fault(process, fault, False)
+            elif fault.kind == "twin" and len(running) > 1:
+                running[-1].kill()
--- a/wickhinge/lab/many/harness.py
+++ b/wickhinge/lab/many/harness.py
@@ -25,12 +25,12 @@
 
 from wickhinge.lab.many.fault_injector import FaultInjector
 from wickhinge.lab.many.schedule import Schedule
-from wickhinge.lab.many.simulation import foul
+from wickhinge.lab.many.simulation import falsify
 from wickhinge.lab.many.stand_ins import Client, StandIns, Workload
 from wickhinge.peers import wire
 
 ROOT = Path(__file__).parents[3]
-KEY = b"of this fleet and of no other"  # as play.foul takes it
+KEY = b"of this fleet and of no other"  # as play.falsify takes it
 HOST = "127.0.0.1"
 PR_SET_PDEATHSIG = 1
 
@@ -128,7 +128,7 @@
             )
         replace_file(self.options, text)
 
-    def reroster(self, missing: set[int]) -> None:
+    def reload_roster(self, missing: set[int]) -> None:
         self.write(missing)
         self.signal(signal.SIGHUP)
 
@@ -140,11 +140,11 @@
         if self.child.poll() is None:
             self.child.send_signal(number)
 
-    def stop(self) -> None:
+    def pause(self) -> None:
         self.halts.append([self.harness.now, 1e9])
         self.signal(signal.SIGSTOP)
 
-    def go_on(self) -> None:
+    def resume(self) -> None:
         for halt in self.halts[-1:]:
             halt[1] = min(halt[1], self.harness.now)
         self.signal(signal.SIGCONT)
@@ -180,7 +180,9 @@
         self.serial = 0
         self.ways: dict[tuple[int, int], int] = {}
         self.sockets: list[socket.socket] = []
-        self.seen: list[tuple[float, int, bytes]] = []  # when, from which place, what was said, before anything broke
+        self.observed_datagrams: list[
+            tuple[float, int, bytes]
+        ] = []  # when, from which place, what was said, before anything broke
         self.out = bound_socket()
         self.turns: dict[int, list[list[float]]] = defaultdict(list)
         self.zero = clock()
@@ -208,7 +210,7 @@
     def now(self) -> float:
         return clock() - self.zero
 
-    def at(self, when: float, call: Callable[..., None], *args: Any) -> None:
+    def call_at(self, when: float, call: Callable[..., None], *args: Any) -> None:
         self.serial += 1
         heappush(self.due, (when, self.serial, call, args))
 
@@ -216,8 +218,8 @@
         return [one for one in self.processes if one.router_index == place and one.ended is None]
 
     def start_process(self, place: int) -> Process:
-        self.numbers += 1
-        made = Process(self, place, self.numbers)
+        self.started_count += 1
+        made = Process(self, place, self.started_count)
         self.processes.append(made)
         return made
 
@@ -238,18 +240,18 @@
                 data = made.recv(65536)
             except OSError:
                 return
-            if self.between.lies(one):
-                data = foul(data, self.router_names, self.random)
-            self.seen.append((self.now, one, data))
-            self.record(one, to, data)
-            for delay in self.between.fate(one, to, self.now, 0.0):
+            if self.network_faults.is_lying(one):
+                data = falsify(data, self.router_names, self.random)
+            self.observed_datagrams.append((self.now, one, data))
+            self.record_datagram(one, to, data)
+            for delay in self.network_faults.draw_arrival_delays(one, to, self.now, 0.0):
                 if delay:
-                    self.at(self.now + delay, self.arrive, one, to, data)
+                    self.call_at(self.now + delay, self.deliver, one, to, data)
                 else:
-                    self.arrive(one, to, data)
+                    self.deliver(one, to, data)
 
-    def arrive(self, one: int, to: int, data: bytes) -> None:
-        if not self.between.cut(one, to, self.now):
+    def deliver(self, one: int, to: int, data: bytes) -> None:
+        if not self.network_faults.is_cut(one, to, self.now):
             for process in self.running_processes(to):
                 try:
                     self.out.sendto(data, (HOST, process.port))
@@ -277,7 +279,7 @@
         for place in range(len(self.router_names)):
             self.start_process(place)
         for fault in self.schedule.faults:
-            self.at(fault.at_s, self.begin_fault, fault)
+            self.call_at(fault.at_s, self.begin_fault, fault)
         until = self.schedule.healed_s + self.schedule.calm_s
         while self.now < until:
             wait = min([until, *(one[0] for one in self.due[:1])]) - self.now
@@ -332,7 +334,7 @@
         """What each life was heard to believe of the others' names: it only rises, and no datagram goes out twice."""
         top: dict[tuple[int, int, str], tuple[int, int]] = defaultdict(lambda: (0, 0))
         faults = []
-        for when, place, data in self.seen:
+        for when, place, data in self.observed_datagrams:
             item = wire.decode(KEY, data)
             told = item.belief[:2]
             if told < top[place, item.incarnation, item.receiver]:
--- a/wickhinge/lab/many/launch.py
+++ b/wickhinge/lab/many/launch.py
@@ -1,7 +1,7 @@
-"""A router whose clock runs wrong: python -m wickhinge.lab.many.launch '[[since, rate, ahead], ...]'
+"""Runs a router with a faulty clock: python -m wickhinge.lab.many.launch '[[since, rate, step], ...]'
 
-From each `since` on (seconds of the machine's clock since its start) the router's clock goes at `rate`, and is set
-`ahead` by so many seconds at that moment. The product itself knows of none of this.
+From `since` on (seconds on the machine's boot-time clock), the router's clock runs at `rate`; at `since` it is also set
+ahead by `step` seconds. The router's own code has no support for this: the clock function is replaced before the start.
 """
 
 from __future__ import annotations
@@ -11,15 +11,17 @@
 from collections.abc import Callable
 
 
-def faulty_clock(clock: Callable[[], float], turns: list[list[float]]) -> Callable[[], float]:
+def faulty_clock(clock: Callable[[], float], changes: list[list[float]]) -> Callable[[], float]:
+    """Return a clock that follows `clock`, with the given changes (since, rate, step) in the order of their times."""
+
     def now() -> float:
-        true = clock()
-        told = true
-        for since, rate, ahead in turns:
-            if true >= since:
-                until = min([one[0] for one in turns if one[0] > since] + [true])
-                told += ahead + (rate - 1.0) * (until - since)
-        return told
+        true_time = clock()
+        faulty_time = true_time
+        for since, rate, step in changes:
+            if true_time >= since:
+                until = min([change[0] for change in changes if change[0] > since] + [true_time])
+                faulty_time += step + (rate - 1.0) * (until - since)
+        return faulty_time
 
     return now
 
--- a/wickhinge/lab/many/network_faults.py
+++ b/wickhinge/lab/many/network_faults.py
@@ -1,6 +1,4 @@
-"""What becomes of a datagram on its way from one place to another, by the faults that are active: for both ways to
-play a schedule.
-"""
+"""Loss, delay, duplication and cuts of datagrams by the active faults, for simulated and for real fleets."""
 
 from __future__ import annotations
 
@@ -9,33 +7,37 @@
 from wickhinge.lab.many.schedule import Fault
 
 
-class Between:
+class NetworkFaults:
+    """The active faults of a schedule, and their effect on each datagram."""
+
     def __init__(self, rand: random.Random) -> None:
         self.random = rand
         self.active: list[Fault] = []
 
-    def cut(self, one: int, to: int, now: float) -> bool:
+    def is_cut(self, sender: int, receiver: int, now: float) -> bool:
+        """Return whether an active fault blocks datagrams from the sender's router to the receiver's."""
         for fault in self.active:
             if fault.kind == "flap" and int((now - fault.at_s) / fault.amount) % 2:
                 continue
             if fault.kind in ("cut", "flap", "one_way") and (
-                one in fault.one
-                and to in fault.other
+                sender in fault.one
+                and receiver in fault.other
                 or fault.kind != "one_way"
-                and to in fault.one
-                and one in fault.other
+                and receiver in fault.one
+                and sender in fault.other
             ):
                 return True
         return False
 
-    def lies(self, one: int) -> bool:
-        return any(fault.kind == "lie" and one in fault.one for fault in self.active)
+    def is_lying(self, router_index: int) -> bool:
+        """Return whether an active fault makes this router send false statements."""
+        return any(fault.kind == "lie" and router_index in fault.one for fault in self.active)
 
-    def fate(self, one: int, to: int, now: float, hop: float) -> list[float]:
-        """Seconds after which each of its copies arrives; none for a lost one."""
-        copies, delay = 1, hop
+    def draw_arrival_delays(self, sender: int, receiver: int, now: float, hop_delay_s: float) -> list[float]:
+        """Return the delay in seconds of each copy of a datagram that arrives; the list is empty if it is lost."""
+        copies, delay = 1, hop_delay_s
         for fault in self.active:
-            if one not in fault.one and to not in fault.one:
+            if sender not in fault.one and receiver not in fault.one:
                 continue
             if fault.kind == "loss" and self.random.random() < fault.amount:
                 return []
@@ -45,6 +47,6 @@
                 delay += fault.amount * self.random.random()
             elif fault.kind == "double" and self.random.random() < fault.amount:
                 copies += 1
-        if self.cut(one, to, now):
+        if self.is_cut(sender, receiver, now):
             return []
         return [delay * (1 + copy * self.random.random()) for copy in range(copies)]
--- a/wickhinge/lab/many/simulation.py
+++ b/wickhinge/lab/many/simulation.py
@@ -1,4 +1,4 @@
-"""A schedule in virtual time: the routers' own deciding code and codecs, a network that breaks as the schedule says."""
+"""Simulates a fleet in virtual time: the routers' own decision code and codecs, over a network with injected faults."""
 
 from __future__ import annotations
 
@@ -25,26 +25,27 @@
 
 KEY = b"of this fleet and of no other"
 TICK_S = 0.1
-HOP = 0.001
-LOOK = 3  # ticks between two looks at what the layers above are told
-BUDGETS = [(120.0, 3.0, 1.0), (30.0, 1.0, 0.2)]  # most, window, unit
-SLOW_START = SlowStart(4.0, 3.0, 0.2, 120.0)  # machines that warm up all the time
-WEIGHT = 50.0
-BUFFER = 128  # datagrams that wait for a process that stands still
+HOP_DELAY_S = 0.001
+VIEW_INTERVAL_TICKS = 3  # Ticks between two comparisons of a detector's view with the view that was last recorded.
+BUDGETS = [(120.0, 3.0, 1.0), (30.0, 1.0, 0.2)]  # Rows are (amount, window in seconds, amount of one request).
+SLOW_START = SlowStart(4.0, 3.0, 0.2, 120.0)  # The simulated servers stay in slow start for the whole schedule.
+SERVER_WEIGHT = 50.0
+RECEIVE_BUFFER_DATAGRAMS = 128  # Capacity of the buffer in which datagrams wait for a paused process.
 
 
 class Process:
-    """One router process of the virtual fleet: a life of its own, a clock of its own."""
-
-    def __init__(self, fleet: Fleet, place: int, number: int) -> None:
-        self.fleet, self.router_index, self.number = fleet, place, number
-        self.name = fleet.router_names[place]
-        self.rate, self.ahead = 1.0, fleet.random.uniform(0.0, 1e6)  # the clocks of processes have nothing in common
-        self.since = fleet.now
-        self.stopped = self.dead = False
-        self.turns = 0
-        self.seen: dict[str, Any] | None = None  # of the last view that was written down
-        self.waiting: deque[bytes] = deque(maxlen=BUFFER)
+    """One router process of the simulated fleet, with its own incarnation and clock."""
+
+    def __init__(self, fleet: Fleet, router_index: int, number: int) -> None:
+        self.fleet, self.router_index, self.number = fleet, router_index, number
+        self.name = fleet.router_names[router_index]
+        # The clock's reading at a random start, since the clocks of different processes have no common zero.
+        self.clock_rate, self.clock_base = 1.0, fleet.random.uniform(0.0, 1e6)
+        self.clock_base_at = fleet.now
+        self.is_paused = self.is_dead = False
+        self.ticks = 0
+        self.last_view: dict[str, Any] | None = None  # Summary of the view that was last recorded in the history.
+        self.buffered_datagrams: deque[bytes] = deque(maxlen=RECEIVE_BUFFER_DATAGRAMS)
         self.detector = FailureDetector(
             fleet.roster(self.name), RandomSource(fleet.random.getrandbits(62)), self.clock, self.send, self.log
         )
@@ -53,222 +54,250 @@
             BudgetDivision(len(fleet.router_names), fleet.schedule.places),
             [
                 *(BudgetScope(quota=Quota(*budget)) for budget in BUDGETS),
-                *slow_start_quota.budget_scopes(f"z{place % fleet.schedule.zones}"),
+                *slow_start_quota.budget_scopes(f"z{router_index % fleet.schedule.zones}"),
             ],
             self.clock,
             self.log,
         )
         self.slow_start_quotas = slow_start_quota.SlowStartQuotas(self.limiter, len(BUDGETS))
-        # One machine of the own zone, one parent: as `policy` sees them.
-        self.machines = [
-            SimpleNamespace(id=mark, weight=WEIGHT, tokens=-0.1) for mark in (place % fleet.schedule.zones, -1)
+        # One cache of the router's own zone and one parent, with the attributes that the routing policy reads.
+        self.servers = [
+            SimpleNamespace(id=server_id, weight=SERVER_WEIGHT, tokens=-0.1)
+            for server_id in (router_index % fleet.schedule.zones, -1)
         ]
-        self.wants = [0.0] * len(BUDGETS)  # times the whole budget's rate
-        self.works = [0.0] * len(self.machines)
+        self.pending_amounts = [0.0] * len(BUDGETS)  # Amount of each budget that is in demand and not yet requested.
+        self.pending_work = [0.0] * len(
+            self.servers
+        )  # Seconds of work for each server, in demand and not yet requested.
         for planted_fault in fleet.planted_faults:
             planted_fault(self)
         fleet.processes.append(self)
-        fleet.write(self, "started")
+        fleet.record_event(self, "started")
         fleet.event_queue.after(TICK_S * fleet.random.random(), self.tick)
 
     @property
     def clock(self) -> float:
-        return self.ahead + (self.fleet.now - self.since) * self.rate
+        return self.clock_base + (self.fleet.now - self.clock_base_at) * self.clock_rate
 
-    def turn_clock(self, rate: float, jump: float = 0.0) -> None:
-        self.ahead, self.since, self.rate = self.clock + jump, self.fleet.now, rate
+    def change_clock(self, rate: float, jump_s: float = 0.0) -> None:
+        """Set the clock ahead by `jump_s` seconds, and let it run at `rate` from now on."""
+        self.clock_base, self.clock_base_at, self.clock_rate = self.clock + jump_s, self.fleet.now, rate
 
     def log(self, event: str, **fields: Any) -> None:
-        self.fleet.write(self, event, **fields)
+        self.fleet.record_event(self, event, **fields)
 
     def tick(self) -> None:
-        if self.dead:
+        if self.is_dead:
             return
-        if not self.stopped:
+        if not self.is_paused:
             self.detector.tick(self.clock)
             self.limiter.tick(self.clock)
-            self.turns += 1
-            if self.turns % LOOK == 0:
+            self.ticks += 1
+            if self.ticks % VIEW_INTERVAL_TICKS == 0:
                 self.log_view()
             self.spend()
         self.fleet.event_queue.after(TICK_S, self.tick)
 
     def log_view(self) -> None:
-        """Writes down what the layers above are told, where it changed."""
-        seen = self.detector.view(self.clock).summary()
-        if seen != self.seen:
-            self.seen = seen
-            self.log("view", **seen)
+        """Record the detector's view of the fleet in the history if it has changed."""
+        view = self.detector.view(self.clock).summary()
+        if view != self.last_view:
+            self.last_view = view
+            self.log("view", **view)
 
     def spend(self) -> None:
-        """As much as is wanted, in pieces of UNIT; what is spent reaches a stand-in at once."""
-        for number, (most, window, unit) in enumerate(BUDGETS):
-            self.wants[number] += self.fleet.demand(self, number) * most / window * TICK_S
-            while self.wants[number] >= unit:
-                self.wants[number] -= unit
+        """Request one tick's demand from the limiter, in units of one request.
+
+        Admitted work reaches its server at once.
+        """
+        for number, (budget_amount, window_s, unit) in enumerate(BUDGETS):
+            self.pending_amounts[number] += self.fleet.demand(self, number) * budget_amount / window_s * TICK_S
+            while self.pending_amounts[number] >= unit:
+                self.pending_amounts[number] -= unit
                 if self.limiter.take(number, unit, self.clock):
                     self.fleet.spent[number].append((self.fleet.now, self.name, unit))
-        part = self.fleet.warmth(self.fleet.now)
-        for number, machine in enumerate(self.machines):
-            self.works[number] += self.fleet.demand(self, number) * SLOW_START.overload_factor * part * WEIGHT * TICK_S
-            work = self.fleet.work
-            while self.works[number] >= work:
-                self.works[number] -= work
-                request = slow_start_quota.SlowStartRequest(machine, machine.id < 0, SLOW_START, part, work)
+        capacity_share = self.fleet.capacity_share(self.fleet.now)
+        for number, server in enumerate(self.servers):
+            self.pending_work[number] += (
+                self.fleet.demand(self, number) * SLOW_START.overload_factor * capacity_share * SERVER_WEIGHT * TICK_S
+            )
+            work = self.fleet.request_work_s
+            while self.pending_work[number] >= work:
+                self.pending_work[number] -= work
+                request = slow_start_quota.SlowStartRequest(server, server.id < 0, SLOW_START, capacity_share, work)
                 if self.slow_start_quotas.admits(request, self.clock):
-                    machine.tokens -= work
-                    self.fleet.sent[machine.id].append((self.fleet.now, self.name, work))
+                    server.tokens -= work
+                    self.fleet.sent[server.id].append((self.fleet.now, self.name, work))
 
-    def send(self, item: Message) -> None:
-        self.fleet.send_datagram(self, self.fleet.places.get(item.receiver), wire.encode(KEY, item))
+    def send(self, message: Message) -> None:
+        self.fleet.send_datagram(self, self.fleet.index_by_name.get(message.receiver), wire.encode(KEY, message))
 
-    def take(self, data: bytes) -> None:
-        if self.dead:
+    def receive(self, data: bytes) -> None:
+        if self.is_dead:
             return
-        if self.stopped:
-            self.waiting.append(data)
+        if self.is_paused:
+            self.buffered_datagrams.append(data)
             return
         try:
-            item = wire.decode(KEY, data)
+            message = wire.decode(KEY, data)
         except DatagramError:
-            self.fleet.unreadable += 1
+            self.fleet.unreadable_datagrams += 1
             return
-        line = self.detector.sessions.get(item.sender)
-        was = (line.epoch, line.incarnation, line.last_accepted_at) if line is not None else None
-        self.detector.receive(item, self.clock)
+        session = self.detector.sessions.get(message.sender)
+        before = (session.epoch, session.incarnation, session.last_accepted_at) if session is not None else None
+        self.detector.receive(message, self.clock)
         if (
-            line is not None
-            and (line.epoch, line.incarnation) == (item.epoch, item.incarnation)
-            and ((line.epoch, line.incarnation, line.last_accepted_at) != was)
+            session is not None
+            and (session.epoch, session.incarnation) == (message.epoch, message.incarnation)
+            and ((session.epoch, session.incarnation, session.last_accepted_at) != before)
         ):
-            self.fleet.write(
-                self, "believed", of=item.sender, epoch=item.epoch, incarnation=item.incarnation, counter=item.counter
+            self.fleet.record_event(
+                self,
+                "believed",
+                of=message.sender,
+                epoch=message.epoch,
+                incarnation=message.incarnation,
+                counter=message.counter,
             )
 
-    def reroster(self, missing: set[int]) -> None:
+    def reload_roster(self, missing: set[int]) -> None:
         self.detector.reload(self.fleet.roster(self.name, missing), self.clock)
         self.limiter.reload(self.clock)
 
-    def stop(self) -> None:
-        self.stopped = True
+    def pause(self) -> None:
+        self.is_paused = True
 
     def kill(self) -> None:
-        self.dead = True
-        self.fleet.write(self, "killed")
+        self.is_dead = True
+        self.fleet.record_event(self, "killed")
 
-    def go_on(self) -> None:
-        self.stopped = False
-        while self.waiting and not self.dead:
-            self.take(self.waiting.popleft())
+    def resume(self) -> None:
+        self.is_paused = False
+        while self.buffered_datagrams and not self.is_dead:
+            self.receive(self.buffered_datagrams.popleft())
 
 
 class Fleet(FaultInjector):
+    """A simulated fleet, its network, and the history that the invariants are checked by."""
+
     def __init__(self, schedule: Schedule, planted_faults: tuple[Any, ...] = ()) -> None:
         super().__init__(schedule)
         self.planted_faults = planted_faults
         self.event_queue = Wheel()
-        self.places = {name: place for place, name in enumerate(self.router_names)}
+        self.index_by_name = {name: index for index, name in enumerate(self.router_names)}
         self.history: list[tuple[float, str, int, str, dict[str, Any]]] = []
         self.spent: list[list[tuple[float, str, float]]] = [[] for _ in BUDGETS]
-        self.needs = [[self.random.choice((0.0, 0.1, 0.5, 1.3)) for _ in BUDGETS] for _ in self.router_names]
-        self.sent: dict[int, list[tuple[float, str, float]]] = defaultdict(list)  # to cold machines, by their marks
-        self.work = (
+        self.demands = [[self.random.choice((0.0, 0.1, 0.5, 1.3)) for _ in BUDGETS] for _ in self.router_names]
+        # By server ID, the work sent to each server: rows are (time, router's name, seconds of work).
+        self.sent: dict[int, list[tuple[float, str, float]]] = defaultdict(list)
+        self.request_work_s = (
             slow_start_quota.PIECES_SHARE_OF_LIMIT
             * SLOW_START.initial_capacity
             * SLOW_START.overload_factor
             * SLOW_START.window
-            * WEIGHT
+            * SERVER_WEIGHT
             / schedule.places
-        )  # of a visit
-        self.unreadable = self.carried = 0
+        )
+        self.unreadable_datagrams = self.datagram_count = 0
 
     @property
     def now(self) -> float:
         return self.event_queue.now
 
-    def roster(self, mine: str, missing: set[int] | frozenset[int] = frozenset()) -> Roster:
+    def roster(self, local_name: str, missing: set[int] | frozenset[int] = frozenset()) -> Roster:
+        """Return the roster of the router `local_name`, without the routers of the indexes in `missing`."""
         return Roster(
             [
-                RosterEntry(name, ("127.0.0.1", place + 1), f"z{place % self.schedule.zones}")
-                for place, name in enumerate(self.router_names)
-                if place not in missing
+                RosterEntry(name, ("127.0.0.1", index + 1), f"z{index % self.schedule.zones}")
+                for index, name in enumerate(self.router_names)
+                if index not in missing
             ],
-            mine,
+            local_name,
         )
 
-    def write(self, process: Process, event: str, **fields: Any) -> None:
+    def record_event(self, process: Process, event: str, **fields: Any) -> None:
         self.history.append((self.now, process.name, process.number, event, fields))
 
     def demand(self, process: Process, number: int) -> float:
-        """The whole budget's rate times this is wanted there; needs move to the next router each 7 s."""
-        turn = int(self.now / 7.0)
-        return self.needs[(process.router_index + turn) % len(self.router_names)][number]
+        """Return the demand at a process's router as a multiple of the whole budget of this number.
 
-    def warmth(self, when: float) -> float:
+        Each router takes over the demand of the next router every 7 s.
+        """
+        rotations = int(self.now / 7.0)
+        return self.demands[(process.router_index + rotations) % len(self.router_names)][number]
+
+    def capacity_share(self, when: float) -> float:
+        """Return the fraction of its full capacity that a server in slow start has at the given time."""
         return min(SLOW_START.initial_capacity + (1 - SLOW_START.initial_capacity) * when / SLOW_START.duration, 0.99)
 
     def overload_limit(self, when: float) -> float:
-        """Seconds of work in SLOW_START.window over which a machine topples then."""
-        return SLOW_START.overload_factor * self.warmth(when) * WEIGHT * SLOW_START.window
+        """Return the seconds of work in one SLOW_START window that overload a server at the given time."""
+        return SLOW_START.overload_factor * self.capacity_share(when) * SERVER_WEIGHT * SLOW_START.window
 
-    def start_process(self, place: int) -> Process:
-        self.numbers += 1
-        return Process(self, place, self.numbers)
+    def start_process(self, router_index: int) -> Process:
+        self.started_count += 1
+        return Process(self, router_index, self.started_count)
 
-    def running_processes(self, place: int) -> list[Process]:
-        return [one for one in self.processes if one.router_index == place and not one.dead]
+    def running_processes(self, router_index: int) -> list[Process]:
+        return [process for process in self.processes if process.router_index == router_index and not process.is_dead]
 
     # The network.
 
-    def send_datagram(self, process: Process, to: int | None, data: bytes) -> None:
-        self.carried += 1
-        if to is None:
+    def send_datagram(self, process: Process, receiver: int | None, data: bytes) -> None:
+        self.datagram_count += 1
+        if receiver is None:
             return
-        self.record(process.router_index, to, data)
-        if self.between.lies(process.router_index):
-            data = foul(data, self.router_names, self.random)
-        for delay in self.between.fate(process.router_index, to, self.now, HOP * (0.5 + self.random.random())):
-            self.event_queue.after(delay, self.arrive, process.router_index, to, data)
+        self.record_datagram(process.router_index, receiver, data)
+        if self.network_faults.is_lying(process.router_index):
+            data = falsify(data, self.router_names, self.random)
+        for delay in self.network_faults.draw_arrival_delays(
+            process.router_index, receiver, self.now, HOP_DELAY_S * (0.5 + self.random.random())
+        ):
+            self.event_queue.after(delay, self.deliver, process.router_index, receiver, data)
 
-    def arrive(self, one: int, to: int, data: bytes) -> None:
-        if not self.between.cut(one, to, self.now):
-            for process in self.running_processes(to):  # a twin under one address hears the same
-                process.take(data)
+    def deliver(self, sender: int, receiver: int, data: bytes) -> None:
+        if not self.network_faults.is_cut(sender, receiver, self.now):
+            for process in self.running_processes(receiver):  # Two processes of one router share its address.
+                process.receive(data)
 
     # The schedule.
 
-    def at(self, when: float, call: Any, *args: Any) -> None:
+    def call_at(self, when: float, call: Any, *args: Any) -> None:
         self.event_queue.at(when, call, *args)
 
-    def turn(self, process: Process, fault: Fault, on: bool) -> None:
+    def apply_clock_fault(self, process: Process, fault: Fault, is_beginning: bool) -> None:
         if fault.kind == "jump":
-            process.turn_clock(process.rate, fault.amount)
+            process.change_clock(process.clock_rate, fault.amount)
         else:
-            process.turn_clock(1.0 + on * (fault.amount if fault.kind == "fast" else -fault.amount))
+            process.change_clock(1.0 + is_beginning * (fault.amount if fault.kind == "fast" else -fault.amount))
 
     def run(self) -> Fleet:
-        for place in range(self.schedule.routers):
-            self.start_process(place)
+        for router_index in range(self.schedule.routers):
+            self.start_process(router_index)
         for fault in self.schedule.faults:
             self.event_queue.at(fault.at_s, self.begin_fault, fault)
         self.event_queue.run(self.schedule.healed_s + self.schedule.calm_s)
         return self
 
 
-def foul(data: bytes, names: list[str], rand: random.Random) -> bytes:
-    """A process that has the key and lies: about counts, and about others' lives."""
-    item = wire.decode(KEY, data)
-    news = tuple(
-        (name, epoch, life, rand.choice((count, count + 1, 1 << 62)), rand.choice((1, 2, 3)))
-        for name, epoch, life, count, _ in item.gossip
+def falsify(data: bytes, names: list[str], rand: random.Random) -> bytes:
+    """Return the datagram with false statements, as from a process that holds the key and lies.
+
+    They are about other routers' incarnations, and about the counts and states in its gossip.
+    """
+    message = wire.decode(KEY, data)
+    gossip = tuple(
+        (name, epoch, incarnation, rand.choice((count, count + 1, 1 << 62)), rand.choice((1, 2, 3)))
+        for name, epoch, incarnation, count, _ in message.gossip
     )
     name = rand.choice(names)
-    news += ((name, rand.choice((1, 2, 1 << 40)), rand.getrandbits(60) | 1, 0, 1),)
-    known = item.belief
+    gossip += ((name, rand.choice((1, 2, 1 << 40)), rand.getrandbits(60) | 1, 0, 1),)
+    belief = message.belief
     if rand.random() < 0.1:
-        known = (rand.choice((known[0] + 1, 1 << 40)), rand.getrandbits(60) | 1, 0, 1)
-    return wire.encode(KEY, replace(item, gossip=news, belief=known))
+        belief = (rand.choice((belief[0] + 1, 1 << 40)), rand.getrandbits(60) | 1, 0, 1)
+    return wire.encode(KEY, replace(message, gossip=gossip, belief=belief))
 
 
 def simulate(schedule: Schedule, planted_faults: tuple[Any, ...] = ()) -> Fleet:
+    """Run a schedule in virtual time and return the fleet; `planted_faults` are called with each started process."""
     return Fleet(schedule, planted_faults).run()
--- a/wickhinge/lab/many/stand_ins.py
+++ b/wickhinge/lab/many/stand_ins.py
@@ -112,7 +112,7 @@
                 place = int(resp.parse_fields(told[2]).get("path", "0"), 16) >> 20  # as clients number their objects
                 work = self.stand_ins.scene.work(self.number, place, now) if self.number >= 0 else REQUEST_WORK_S
                 note = f"etag=1,made={int(time.time() * 1000)},detail=h,ttfb=1".encode()
-                self.stand_ins.harness.at(now + work, link.send, resp.pack(told[1], b"OK", note, b"x" * 64))
+                self.stand_ins.harness.call_at(now + work, link.send, resp.pack(told[1], b"OK", note, b"x" * 64))
             elif told[0] != b"STOP":
                 link.send(resp.pack(told[1], b"UP", b"use=util:0.1;x1:0.2", b""))
 
@@ -143,12 +143,12 @@
     def lost(self, link: Link) -> None:
         self.open.clear()  # judged where it happens to visits in the router's own tests
         self.link = None
-        self.stand_ins.harness.at(self.stand_ins.harness.now + 0.1, self.connect)
+        self.stand_ins.harness.call_at(self.stand_ins.harness.now + 0.1, self.connect)
 
     def plan(self) -> None:
         rate = self.stand_ins.rate(self.process)
         wait = self.random.expovariate(rate) if rate > 0 else 0.2
-        self.stand_ins.harness.at(
+        self.stand_ins.harness.call_at(
             self.stand_ins.harness.now + min(wait, 0.2), self.ask, self.link, wait <= 0.2 and rate > 0
         )
 
@@ -225,7 +225,7 @@
 
     window_s = SLOW_START.window
 
-    def cold(self) -> dict[int, list[tuple[float, str, float]]]:
+    def sent_to_slow_starting(self) -> dict[int, list[tuple[float, str, float]]]:
         """What reached the cold machines: (when, "", seconds of work) by their marks."""
         return {one.server_id: self.sent[one.server_id] for one in (*self.caches, self.parent)}
 
