--- a/wickhinge/lab/many/simulation.py
+++ b/wickhinge/lab/many/simulation.py
@@ -9,9 +9,9 @@
 from typing import Any
 
 from wickhinge.common.sealing import DatagramError
+from wickhinge.lab.event_queue import EventQueue
 from wickhinge.lab.many.fault_injector import FaultInjector
 from wickhinge.lab.many.schedule import Fault, Schedule
-from wickhinge.lab.wheel import Wheel
 from wickhinge.peers import wire
 from wickhinge.peers.detector import FailureDetector
 from wickhinge.peers.messages import Message
@@ -73,7 +73,7 @@
             planted_fault(self)
         fleet.processes.append(self)
         fleet.record_event(self, "started")
-        fleet.event_queue.after(TICK_S * fleet.random.random(), self.tick)
+        fleet.event_queue.call_after(TICK_S * fleet.random.random(), self.tick)
 
     @property
     def clock(self) -> float:
@@ -96,7 +96,7 @@
             if self.ticks % VIEW_INTERVAL_TICKS == 0:
                 self.log_view()
             self.spend()
-        self.fleet.event_queue.after(TICK_S, self.tick)
+        self.fleet.event_queue.call_after(TICK_S, self.tick)
 
     def log_view(self) -> None:
         """Record the detector's view of the fleet in the history if it has changed."""
@@ -183,7 +183,7 @@
     def __init__(self, schedule: Schedule, planted_faults: tuple[Any, ...] = ()) -> None:
         super().__init__(schedule)
         self.planted_faults = planted_faults
-        self.event_queue = Wheel()
+        self.event_queue = EventQueue()
         self.index_by_name = {name: index for index, name in enumerate(self.router_names)}
         self.history: list[tuple[float, str, int, str, dict[str, Any]]] = []
         self.spent: list[list[tuple[float, str, float]]] = [[] for _ in BUDGETS]
@@ -253,7 +253,7 @@
         for delay in self.network_faults.draw_arrival_delays(
             process.router_index, receiver, self.now, HOP_DELAY_S * (0.5 + self.random.random())
         ):
-            self.event_queue.after(delay, self.deliver, process.router_index, receiver, data)
+            self.event_queue.call_after(delay, self.deliver, process.router_index, receiver, data)
 
     def deliver(self, sender: int, receiver: int, data: bytes) -> None:
         if not self.network_faults.is_cut(sender, receiver, self.now):
@@ -263,7 +263,7 @@
     # The schedule.
 
     def call_at(self, when: float, call: Any, *args: Any) -> None:
-        self.event_queue.at(when, call, *args)
+        self.event_queue.call_at(when, call, *args)
 
     def apply_clock_fault(self, process: Process, fault: Fault, is_beginning: bool) -> None:
         if fault.kind == "jump":
@@ -275,7 +275,7 @@
         for router_index in range(self.schedule.routers):
             self.start_process(router_index)
         for fault in self.schedule.faults:
-            self.event_queue.at(fault.at_s, self.begin_fault, fault)
+            self.event_queue.call_at(fault.at_s, self.begin_fault, fault)
         self.event_queue.run(self.schedule.healed_s + self.schedule.calm_s)
         return self
 
