--- a/tests/support/connections.py
+++ b/tests/support/connections.py
@@ -1,4 +1,4 @@
-"""A connection to a machine without a socket."""
+"""Upstream connections, attempts and endpoint watches that use no real socket."""
 
 from types import SimpleNamespace
 
@@ -11,19 +11,26 @@
 
 
 def make_attempts(pools, faults=None, **ports):
-    """Attempts over these pools, with no decisions unless they are given."""
+    """Return attempts over these connection pools; without a `decisions` port they can decide nothing."""
     ports = {"decisions": None, "others_time": RemoteClock(), **ports}
     return Attempts(pools, pools.deadlines, AttemptPorts(**ports), 0.25, [].append if faults is None else faults.append)
 
 
 def make_buffer_pool(limit=8):
-    told = []
-    made = BufferPool(limit, lambda: told.append("stop"), lambda: told.append("go"))
-    return made, told
+    """Return a buffer pool and the list of its calls: "stop" when buffers run out, "go" when some are free again."""
+    calls = []
+    buffer_pool = BufferPool(limit, lambda: calls.append("stop"), lambda: calls.append("go"))
+    return buffer_pool, calls
 
 
 class FakeSocket:
-    """A socket with room for so many bytes, and the transport over it."""
+    """A socket that takes `room` bytes before it blocks, and that also serves as the transport over itself.
+
+    Attributes:
+        room: Number of bytes that it still takes.
+        data: The bytes that it took.
+        calls: The names of all other methods that were called, in order.
+    """
 
     def __init__(self, room=1 << 20):
         self.room, self.data, self.calls = room, b"", []
@@ -39,46 +46,53 @@
         raise BlockingIOError
 
     def __getattr__(self, name):
-        return lambda *told: self.calls.append(name)
+        return lambda *arguments: self.calls.append(name)
 
 
 def make_connection(room=1 << 20):
-    """A connection that is up, its machine and the deadlines' calls; ends tells what became of numbers."""
-    soon, ends, now = [], {}, [100.0]
+    """Return an open connection to a cache, and what the test needs to observe and drive it.
+
+    Returns:
+        The connection; the result of each attempt by its number, "answered" for a response; the list of scheduled calls
+        as (function, arguments); and a list whose only item is the current time.
+    """
+    scheduled_calls, results, now = [], {}, [100.0]
     clock = SimpleNamespace(
         now=lambda: now[0],
-        call_after=lambda delay, call, *told: soon.append((call, told)),
-        call_soon=lambda call, *told: soon.append((call, told)),
+        call_after=lambda delay, call, *arguments: scheduled_calls.append((call, arguments)),
+        call_soon=lambda call, *arguments: scheduled_calls.append((call, arguments)),
         arrivals=Arrivals(0.0),
     )
-    caches = ConnectionPools(clock, make_buffer_pool()[0], PoolSettings(0.4, 15.0, 100, 50), lambda *_, **more: None)
-    caches.set_owner(
+    pools = ConnectionPools(clock, make_buffer_pool()[0], PoolSettings(0.4, 15.0, 100, 50), lambda *_, **fields: None)
+    pools.set_owner(
         SimpleNamespace(
             build_frame=lambda number: None,
-            response_received=lambda number, *_: ends.setdefault(number, "answered") == "answered",
-            attempt_ended=ends.__setitem__,
+            response_received=lambda number, *_: results.setdefault(number, "answered") == "answered",
+            attempt_ended=results.__setitem__,
         )
     )
-    caches.add_or_move(1, "1", ("127.0.0.1", 1))
-    made = UpstreamConnection(caches.pools_by_id[1])
-    made.pool.connections.append(made)
-    made.transport = made.socket = FakeSocket(room)
-    made.is_up = True
-    return made, ends, soon, now
+    pools.add_or_move(1, "1", ("127.0.0.1", 1))
+    connection = UpstreamConnection(pools.pools_by_id[1])
+    connection.pool.connections.append(connection)
+    connection.transport = connection.socket = FakeSocket(room)
+    connection.is_up = True
+    return connection, results, scheduled_calls, now
 
 
-def make_endpoint_watch(last=40):
-    told = []
+def make_endpoint_watch(last_number=40):
+    """Return a connected endpoint watch that resumes after event `last_number`, and the list of what it reports."""
+    events = []
     clock = SimpleNamespace(call_after=lambda *_: None, now=lambda: 1.0)
     listener = SimpleNamespace(
-        endpoints_changed=lambda records, *, complete: told.append((complete, records)),
-        purged=lambda *purge: told.append(purge),
+        endpoints_changed=lambda records, *, complete: events.append((complete, records)),
+        purged=lambda *purge: events.append(purge),
         caught_up=lambda: None,
     )
-    made = endpoint_watch.EndpointWatch(
-        None, clock, endpoint_watch.WatchSettings(("127.0.0.1", 1), last, 0.4), listener, lambda *a, **k: None
+    watch = endpoint_watch.EndpointWatch(
+        None, clock, endpoint_watch.WatchSettings(("127.0.0.1", 1), last_number, 0.4), listener, lambda *a, **k: None
     )
-    made.connection = SimpleNamespace(
-        decoder=endpoint_watch.FrameDecoder(), transport=SimpleNamespace(abortConnection=lambda: told.append("dropped"))
+    watch.connection = SimpleNamespace(
+        decoder=endpoint_watch.FrameDecoder(),
+        transport=SimpleNamespace(abortConnection=lambda: events.append("dropped")),
     )
-    return made, told
+    return watch, events
--- a/tests/support/imports.py
+++ b/tests/support/imports.py
@@ -1,4 +1,4 @@
-"""Which modules a start of the program imports."""
+"""Lists the modules that the program imports when it starts."""
 
 import os
 import re
@@ -7,11 +7,11 @@
 
 from tests.support.processes import ROOT
 
-IMPORTED = re.compile(r"import time: +\d+ \| +\d+ \| +(\S+)")
+IMPORT_TIME_LINE = re.compile(r"import time: +\d+ \| +\d+ \| +(\S+)")
 
 
 def modules_imported_at_start():
-    """The modules that a plain start has executed when the router says `start`."""
+    """Return the names of the modules that a router without options has imported when it logs `router_started`."""
     child = subprocess.Popen(
         [sys.executable, "-X", "importtime", "-m", "wickhinge"],
         cwd=ROOT,
@@ -24,5 +24,5 @@
         assert '"event":"router_started"' in child.stdout.readline()
     finally:
         child.kill()
-        told = child.communicate()[1]
-    return set(IMPORTED.findall(told))
+        import_times = child.communicate()[1]
+    return set(IMPORT_TIME_LINE.findall(import_times))
--- a/tests/support/measurements.py
+++ b/tests/support/measurements.py
@@ -1,4 +1,4 @@
-"""The measurements' short forms, several side by side: each is mostly waiting."""
+"""Runs short forms of the benchmarks in parallel, since each of them mostly waits."""
 
 import subprocess
 import sys
@@ -10,16 +10,16 @@
 
 
 def run_in_parallel(**commands):
-    """Last lines by name, of `python -m COMMAND --json` each."""
-    started = {
+    """Run `python -m COMMAND --json` for each command; return the last line of each one's output, decoded, by name."""
+    children = {
         name: subprocess.Popen(
             [sys.executable, "-m", *command.split(), "--json"], cwd=ROOT, stdout=subprocess.PIPE, stderr=subprocess.PIPE
         )
         for name, command in commands.items()
     }
-    told = {}
-    for name, child in started.items():
-        out, problem = child.communicate(timeout=150)
-        assert child.returncode == 0, problem.decode()
-        told[name] = orjson.loads(out.splitlines()[-1])
-    return told
+    results = {}
+    for name, child in children.items():
+        output, errors = child.communicate(timeout=150)
+        assert child.returncode == 0, errors.decode()
+        results[name] = orjson.loads(output.splitlines()[-1])
+    return results
