--- a/bench/store.py
+++ b/bench/store.py
@@ -1,12 +1,13 @@
-"""The disk tier, measured: python -m bench.store kill|scan|counts|speed|stall
+"""Measurements of the disk tier: python -m bench.store kill|scan|counts|speed|stall
 
-    kill    the program on a real directory under load, killed again and again; every byte served is judged
-    scan    the tier's choice beside LRU and admit-all, on the same traces, and beside hindsight
-    counts  the compact table of k beside a dict
-    speed   segments beside one file a part, SQLite and LMDB: reads, writes, recovery, memory, bytes written
-    stall   the reactor's delay while the disk stands still
+    kill    a router process on a real directory is killed repeatedly under load; every response body is verified
+    scan    hit ratios of the tier's admission policy, LRU, admit-all and Belady's optimal policy on the same traces
+    counts  memory, time and errors of the compact frequency table, compared with a dict
+    speed   segments compared with one file per part, SQLite and LMDB: reads, writes, recovery, memory, bytes written
+    stall   delay of the reactor's timers while calls of the disk block
 
-The last line is one JSON object. Seeds and sizes are options; everything is on loopback or in a directory given.
+The last line of the output is one JSON object. Seeds and sizes are command-line options. All connections are on the
+loopback interface; files are written to temporary directories only.
 """
 
 from __future__ import annotations
@@ -38,7 +39,7 @@
 from wickhinge.store.volume import Volume
 from wickhinge.store.writing import CopyOffer
 
-MEGA = 1 << 20
+MIB = 1 << 20
 
 
 @click.group()
@@ -46,14 +47,22 @@
     """Measure the disk tier."""
 
 
-# kill
+# Measurement "kill".
 
 
-class Kill:
-    """Clients, stand-ins and the one router, with the judge of what it serves."""
+class KillTest:
+    """Load of clients on one router process that is killed repeatedly, with verification of every response.
 
-    PATIENCE = 2.0
-    GRACE = 1.0  # after a purge was told, by the rules
+    Attributes:
+        REQUEST_TIMEOUT_S: Seconds within which the router has to answer a request.
+        PURGE_GRACE_S: Seconds after a purge event in which the purged version may still be served.
+        first_start_by_serial: Number of the router's start in which the body with this serial number was first served.
+        served_serials: Serial numbers of all bodies served. The stand-in servers never send a serial number twice.
+        etags: Entity tag and version of the newest body served, by object key and part.
+    """
+
+    REQUEST_TIMEOUT_S = 2.0
+    PURGE_GRACE_S = 1.0
 
     def __init__(
         self,
@@ -61,18 +70,23 @@
         kills: int,
         seconds: float,
         seed: int,
-        continues: bool,
-        plant: str,
-        harm: bool,
+        event_numbers_persist: bool,
+        planted_fault: str,
+        damages_segments: bool,
         objects: int,
         clients: int,
     ) -> None:
         from bench.fleet import RouterProcess, World
 
         self.random = np.random.default_rng(seed)
-        self.objects, self.continues, self.harm, self.folder = objects, continues, harm, folder
+        self.object_count, self.event_numbers_persist, self.damages_segments, self.folder = (
+            objects,
+            event_numbers_persist,
+            damages_segments,
+            folder,
+        )
         sizes = self.random.choice([2_000, 8_000, 20_000, 40_000, 240_000], objects, p=[0.3, 0.3, 0.25, 0.1, 0.05])
-        self.parts = self.random.integers(1, 9, objects)
+        self.part_counts = self.random.integers(1, 9, objects)
         self.world = World(lambda key, part: int(sizes[key % objects]))
         self.world.listen()
         self.world.tell(1, self.world.records())
@@ -80,12 +94,12 @@
         self.weights = weights / weights.sum()
         options = (
             f'store: {{mode: "on", dir: "{folder}/tier", size_mb: 48, segment_mb: 4, memory_mb: 0, '
-            f"snapshot_s: 0.7, objects: 16384}}\njournal: continues: {str(continues).lower()}\n"
+            f"snapshot_s: 0.7, objects: 16384}}\njournal: continues: {str(event_numbers_persist).lower()}\n"
         )
-        start = ["-m", "bench.planted", plant] if plant else None
-        self.router = RouterProcess(folder, self.world, options, start)
-        self.clients, self.kills, self.seconds = clients, kills, seconds
-        self.counted = dict.fromkeys(
+        arguments = ["-m", "bench.planted", planted_fault] if planted_fault else None
+        self.router = RouterProcess(folder, self.world, options, arguments)
+        self.client_count, self.kill_count, self.seconds = clients, kills, seconds
+        self.counts = dict.fromkeys(
             (
                 "visits",
                 "served",
@@ -102,64 +116,67 @@
             ),
             0,
         )
-        self.serials: dict[int, int] = {}  # a body's serial: the start in which it was first served
-        self.seen: set[int] = set()
-        self.starts, self.up, self.over = 0, False, False
-        self.lines: set[Any] = set()
-        self.tags: dict[tuple[int, int], tuple[str, int]] = {}
+        self.first_start_by_serial: dict[int, int] = {}
+        self.served_serials: set[int] = set()
+        self.start_count, self.is_up, self.is_over = 0, False, False
+        self.connections: set[Any] = set()
+        self.etags: dict[tuple[int, int], tuple[str, int]] = {}
 
     def run(self) -> dict[str, Any]:
         from twisted.internet import reactor, task
 
-        reactor.callWhenRunning(self.boot)
-        for every, call in ((0.13, self.purge_one), (1.7, self.purge_group), (0.5, self.sweep)):
+        reactor.callWhenRunning(self.start_router)
+        for interval_s, call in ((0.13, self.purge_one), (1.7, self.purge_group), (0.5, self.expire_requests)):
             loop = task.LoopingCall(call)
-            loop.start(every, now=False).addErrback(self.wrong)
-        for _ in range(self.clients):
+            loop.start(interval_s, now=False).addErrback(self.stop_on_failure)
+        for _ in range(self.client_count):
             reactor.callLater(0.2, self.connect)
-        for number in range(1, self.kills + 1):
-            reactor.callLater(0.5 + number * self.seconds / (self.kills + 1), self.kill)
+        for number in range(1, self.kill_count + 1):
+            reactor.callLater(0.5 + number * self.seconds / (self.kill_count + 1), self.kill_router)
         reactor.callLater(self.seconds + 1.0, self.finish)
-        self.began = time.time()
+        self.started_at = time.time()
         reactor.run()
         self.router.end()
         return {
-            "kills": self.starts - 1,
-            "continues": self.continues,
-            "seconds": round(time.time() - self.began, 1),
+            "kills": self.start_count - 1,
+            "continues": self.event_numbers_persist,
+            "seconds": round(time.time() - self.started_at, 1),
             "purges": len(self.world.purges),
             "same": self.world.same,
             "given_by_machines": self.world.given,
-            **self.counted,
+            **self.counts,
         }
 
-    def wrong(self, failure: Any) -> None:
+    def stop_on_failure(self, failure: Any) -> None:
+        """Print an exception of a repeated call, and end the measurement."""
         from twisted.internet import reactor
 
         failure.printTraceback()
         reactor.stop()
 
-    def boot(self) -> None:
-        if not self.continues:  # numbered from 1 at each start: what is past is not told again
+    def start_router(self) -> None:
+        # Without persistent numbers, the events are numbered from 1 at each start, and past events are not sent again.
+        if not self.event_numbers_persist:
             self.world.renumber()
             self.world.tell(1, self.world.records())
         self.router.start()
-        self.starts += 1
-        self.up = True
+        self.start_count += 1
+        self.is_up = True
 
-    def kill(self) -> None:
+    def kill_router(self) -> None:
         from twisted.internet import reactor
 
-        self.up = False
+        self.is_up = False
         self.router.end()
-        if self.harm:
-            self.damage()
-        for _ in range(3):  # while it is down
+        if self.damages_segments:
+            self.damage_segments()
+        # These purges happen while the router is down.
+        for _ in range(3):
             self.purge_one()
-        reactor.callLater(0.05, self.boot)
+        reactor.callLater(0.05, self.start_router)
 
-    def damage(self) -> None:
-        """As a power cut or a bad sector may leave it: the newest segment cut short, a byte changed somewhere."""
+    def damage_segments(self) -> None:
+        """Cut the newest segment short and flip bits in a random one, as a power failure or a bad sector may do."""
         paths = sorted((self.folder / "tier").glob("segment-*.wh"))
         if not paths:
             return
@@ -170,153 +187,173 @@
         with open(path, "r+b") as file:
             size = path.stat().st_size
             for _ in range(20 + size // 20_000):
-                at = int(self.random.integers(max(size, 1)))
-                file.seek(at)
-                was = file.read(1)
-                if was:
-                    file.seek(at)
-                    file.write(bytes([was[0] ^ 1 << int(self.random.integers(8))]))
+                offset = int(self.random.integers(max(size, 1)))
+                file.seek(offset)
+                old_byte = file.read(1)
+                if old_byte:
+                    file.seek(offset)
+                    file.write(bytes([old_byte[0] ^ 1 << int(self.random.integers(8))]))
 
     def connect(self) -> None:
         from bench.fleet import connect
 
-        if self.over:
+        if self.is_over:
             return
-        connect(self.router.address, self.ready, self.lost, self.connect)
+        connect(self.router.address, self.client_connected, self.client_disconnected, self.connect)
 
-    def ready(self, line: Any) -> None:
-        self.lines.add(line)
-        line.asked = {}
-        line.ping(lambda said: self.session(line))
+    def client_connected(self, connection: Any) -> None:
+        self.connections.add(connection)
+        connection.sent_at_by_rid = {}
+        connection.ping(lambda is_answered: self.start_session(connection))
 
-    def lost(self, line: Any) -> None:
+    def client_disconnected(self, connection: Any) -> None:
         from twisted.internet import reactor
 
-        self.lines.discard(line)
-        for since in line.asked.values():
-            if self.up and time.time() - since > self.PATIENCE:
-                self.counted["lost_visits"] += 1
+        self.connections.discard(connection)
+        for sent_at in connection.sent_at_by_rid.values():
+            if self.is_up and time.time() - sent_at > self.REQUEST_TIMEOUT_S:
+                self.counts["lost_visits"] += 1
             else:
-                self.counted["cut_by_kills"] += 1
-        line.asked = {}
+                self.counts["cut_by_kills"] += 1
+        connection.sent_at_by_rid = {}
         reactor.callLater(0.02, self.connect)
 
-    def session(self, line: Any) -> None:
-        if self.over or line not in self.lines:
+    def start_session(self, connection: Any) -> None:
+        if self.is_over or connection not in self.connections:
             return
-        key = int(self.random.choice(self.objects, p=self.weights))
+        key = int(self.random.choice(self.object_count, p=self.weights))
+        # A tenth of the sessions are for objects that are rarely requested a second time.
         if self.random.random() < 0.1:
-            key = int(self.random.integers(self.objects, 50 * self.objects))  # wanted once
-        self.part(line, key, 0, int(self.random.integers(1, self.parts[key % self.objects] + 1)))
+            key = int(self.random.integers(self.object_count, 50 * self.object_count))
+        self.request_part(
+            connection, key, 0, int(self.random.integers(1, self.part_counts[key % self.object_count] + 1))
+        )
 
-    def part(self, line: Any, key: int, part: int, last: int) -> None:
+    def request_part(self, connection: Any, key: int, part: int, part_count: int) -> None:
         from twisted.internet import reactor
 
-        if part >= last or self.over or line not in self.lines:
-            reactor.callLater(0.005, self.session, line)
+        if part >= part_count or self.is_over or connection not in self.connections:
+            reactor.callLater(0.005, self.start_session, connection)
             return
         method = "pages" if key % 3 == 0 else "clips"
         fields = {
             "rid": f"{int(self.random.integers(1 << 63)):016x}",
-            "budget": str(int(self.PATIENCE * 1000)),
+            "budget": str(int(self.REQUEST_TIMEOUT_S * 1000)),
             "obj": f"{key:016x}",
             "block": str(part),
             "family": str(key % 8),
         }
-        held = self.tags.get((key, part))
-        if held is not None and self.random.random() < 0.2:
-            fields["cached"] = held[0]
-        since = time.time()
-        self.counted["visits"] += 1
-        line.asked[fields["rid"]] = since
-
-        def then(error: Any, data: bytes, more: dict[str, str]) -> None:
-            line.asked.pop(fields["rid"], None)
+        known_etag = self.etags.get((key, part))
+        if known_etag is not None and self.random.random() < 0.2:
+            fields["cached"] = known_etag[0]
+        sent_at = time.time()
+        self.counts["visits"] += 1
+        connection.sent_at_by_rid[fields["rid"]] = sent_at
+
+        def on_answer(error: Any, data: bytes, answer_fields: dict[str, str]) -> None:
+            connection.sent_at_by_rid.pop(fields["rid"], None)
             if error is None:
-                self.judge(method, key, part, since, data, more, held)
+                self.verify_response(method, key, part, sent_at, data, answer_fields, known_etag)
             elif error[0] == "Overloaded":
-                self.counted["denied"] += 1
+                self.counts["denied"] += 1
             else:
-                self.counted["failed"] += 1
-            self.part(line, key, part + 1, last)
+                self.counts["failed"] += 1
+            self.request_part(connection, key, part + 1, part_count)
 
-        line.ask(method, fields, then)
+        connection.ask(method, fields, on_answer)
 
-    def judge(
-        self, method: str, key: int, part: int, since: float, data: bytes, more: dict[str, str], held: Any
+    def verify_response(
+        self,
+        method: str,
+        key: int,
+        part: int,
+        sent_at: float,
+        data: bytes,
+        answer_fields: dict[str, str],
+        known_etag: Any,
     ) -> None:
+        """Count a response, and whether it is corrupt, older than a purge, or older than its freshness lifetime."""
         from bench.fleet import FRESH, proof
 
-        self.counted["served"] += 1
-        needed = max(
+        self.counts["served"] += 1
+        required_version = max(
             (
                 versions[key]
                 for _, _, when, versions in self.world.purges
-                if key in versions and when + self.GRACE < since
+                if key in versions and when + self.PURGE_GRACE_S < sent_at
             ),
             default=0,
         )
-        if more.get("keep") == "1":
-            self.counted["own_told"] += 1
-            self.counted["older_than_purge"] += held[1] < needed
+        if answer_fields.get("keep") == "1":
+            self.counts["own_told"] += 1
+            self.counts["older_than_purge"] += known_etag[1] < required_version
             return
         stamp = proof(data)
         if stamp is None or stamp[:2] != (key, part):
-            self.counted["corrupt"] += 1
+            self.counts["corrupt"] += 1
             return
-        _, _, version, made, serial, _ = stamp
-        first = self.serials.setdefault(serial, self.starts)
-        self.counted["served_from_disk"] += serial in self.seen  # no machine gives a serial out twice
-        self.counted["served_from_earlier_start"] += first < self.starts
-        self.seen.add(serial)
-        self.counted["older_than_purge"] += version < needed
-        vouched = max(made / 1000.0, self.world.vouched.get((key, part), 0.0))
-        self.counted["too_old"] += since - vouched > FRESH[method] + 0.1
+        _, _, version, made_ms, serial, _ = stamp
+        first_start = self.first_start_by_serial.setdefault(serial, self.start_count)
+        # A body that was served before comes from the disk, because the servers never send a serial number twice.
+        self.counts["served_from_disk"] += serial in self.served_serials
+        self.counts["served_from_earlier_start"] += first_start < self.start_count
+        self.served_serials.add(serial)
+        self.counts["older_than_purge"] += version < required_version
+        confirmed_at = max(made_ms / 1000.0, self.world.vouched.get((key, part), 0.0))
+        self.counts["too_old"] += sent_at - confirmed_at > FRESH[method] + 0.1
         if version == self.world.version(key):
-            self.tags[key, part] = (self.world.tag(key), version)
+            self.etags[key, part] = (self.world.tag(key), version)
 
     def purge_one(self) -> None:
-        self.world.purge(int(self.random.choice(self.objects, p=self.weights)), 0, range(self.objects))
+        self.world.purge(int(self.random.choice(self.object_count, p=self.weights)), 0, range(self.object_count))
 
     def purge_group(self) -> None:
-        self.world.purge(None, int(self.random.integers(8)), range(self.objects))
+        self.world.purge(None, int(self.random.integers(8)), range(self.object_count))
 
-    def sweep(self) -> None:
+    def expire_requests(self) -> None:
+        """Count overdue requests as lost, and abort their connections."""
         now = time.time()
-        for line in list(self.lines):
-            for rid, since in list(line.asked.items()):
-                if now - since > self.PATIENCE + 1.0:
-                    self.counted["lost_visits"] += 1
-                    del line.asked[rid]
-                    line.transport.abortConnection()
+        for connection in list(self.connections):
+            for rid, sent_at in list(connection.sent_at_by_rid.items()):
+                if now - sent_at > self.REQUEST_TIMEOUT_S + 1.0:
+                    self.counts["lost_visits"] += 1
+                    del connection.sent_at_by_rid[rid]
+                    connection.transport.abortConnection()
 
     def finish(self) -> None:
         from twisted.internet import reactor
 
-        self.over = True
-        reactor.callLater(self.PATIENCE + 0.5, reactor.stop)
+        self.is_over = True
+        reactor.callLater(self.REQUEST_TIMEOUT_S + 0.5, reactor.stop)
 
 
 @main.command()
 @click.option("--kills", default=20, show_default=True)
-@click.option("--seconds", default=30.0, show_default=True, help="Of load, the kills spread over them.")
+@click.option(
+    "--seconds", default=30.0, show_default=True, help="Duration of the load, over which the kills are spread evenly."
+)
 @click.option("--seed", default=7, show_default=True)
-@click.option("--continues/--anew", default=False, show_default=True, help="The journal keeps its numbers.")
+@click.option(
+    "--continues/--anew",
+    default=False,
+    show_default=True,
+    help="Whether the journal service keeps its event numbers over a restart.",
+)
 @click.option("--plant", type=click.Choice(["", "checksums", "purges"]), default="")
 @click.option("--harm/--no-harm", default=True, show_default=True, help="Damage segments at each kill.")
 @click.option("--objects", default=300, show_default=True)
 @click.option("--clients", default=12, show_default=True)
-@click.option("--json", "_", is_flag=True, help="The last line is JSON anyway.")
+@click.option("--json", "_", is_flag=True, help="Ignored: the last line is always JSON.")
 def kill(
     kills: int, seconds: float, seed: int, continues: bool, plant: str, harm: bool, objects: int, clients: int, _: bool
 ) -> None:
-    """Kill the program under load; corrupt, older_than_purge and lost_visits have to be 0."""
+    """Kill the router under load; corrupt, older_than_purge and lost_visits must be 0."""
     with tempfile.TemporaryDirectory(prefix="wickhinge-") as folder:
-        made = Kill(Path(folder), kills, seconds, seed, continues, plant, harm, objects, clients)
-        answer = made.run()
+        test = KillTest(Path(folder), kills, seconds, seed, continues, plant, harm, objects, clients)
+        answer = test.run()
         answer["log"] = {
             event["event"]: event
-            for event in made.router.events(
+            for event in test.router.events(
                 "store_recovered",
                 "store_copies_discarded",
                 "store_disabled",
@@ -332,160 +369,186 @@
         write_result(answer)
 
 
-# scan
+# Measurement "scan".
 
 
-def lru_part(trace: list[tuple[int, int]], room: int, size: Any) -> list[bool]:
-    """Plain LRU of parts, everything admitted."""
-    held, used, hits = OrderedDict(), 0, []
-    for name in trace:
-        hits.append(name in held)
-        if name in held:
-            held.move_to_end(name)
+def lru_hits(trace: list[tuple[int, int]], capacity: int, size_of: Any) -> list[bool]:
+    """Return whether each request of the trace is a hit under plain LRU of parts, which admits every part."""
+    stored, used, hits = OrderedDict(), 0, []
+    for item in trace:
+        hits.append(item in stored)
+        if item in stored:
+            stored.move_to_end(item)
             continue
-        held[name] = size(name)
-        used += held[name]
-        while used > room:
-            used -= held.popitem(last=False)[1]
+        stored[item] = size_of(item)
+        used += stored[item]
+        while used > capacity:
+            used -= stored.popitem(last=False)[1]
     return hits
 
 
-def admit_all(trace: list[tuple[int, int]], room: int, size: Any) -> list[bool]:
-    """The tier's order of eviction, tails of the last object first, but everything is let in."""
-    tails, hits = TailEviction(room), []
+def admit_all_hits(trace: list[tuple[int, int]], capacity: int, size_of: Any) -> list[bool]:
+    """Return the hits under the tier's eviction, which removes tail parts, but with admission of every part."""
+    eviction, hits = TailEviction(capacity), []
     for serial, (key, part) in enumerate(trace):
-        hits.append(tails.find(key, part) is not None)
-        tails.touch(key)
+        hits.append(eviction.find(key, part) is not None)
+        eviction.touch(key)
         if not hits[-1]:
-            tails.add(Copy(key, part, 0, b"", 0.0, size((key, part)), serial))
+            eviction.add(Copy(key, part, 0, b"", 0.0, size_of((key, part)), serial))
     return hits
 
 
-def tier(trace: list[tuple[int, int]], room: int, size: Any) -> list[bool]:
-    keep, hits = AdmissionPolicy(room, FrequencyTable(65536)), []
+def tier_hits(trace: list[tuple[int, int]], capacity: int, size_of: Any) -> list[bool]:
+    """Return the hits under the tier's own admission and eviction."""
+    policy, hits = AdmissionPolicy(capacity, FrequencyTable(65536)), []
     for serial, (key, part) in enumerate(trace):
-        keep.record_request(key, part)
-        hits.append(keep.find(key, part) is not None)
-        if not hits[-1] and keep.admits(key, part, size((key, part))):
-            keep.add(Copy(key, part, 0, b"", 0.0, size((key, part)), serial))
+        policy.record_request(key, part)
+        hits.append(policy.find(key, part) is not None)
+        if not hits[-1] and policy.admits(key, part, size_of((key, part))):
+            policy.add(Copy(key, part, 0, b"", 0.0, size_of((key, part)), serial))
     return hits
 
 
-def hindsight(trace: list[tuple[int, int]], room: int, size: Any) -> list[bool]:
-    """Belady's choice with the future known, by parts; the best possible where all have one size."""
-    following, last = [0] * len(trace), {}
-    for place in range(len(trace) - 1, -1, -1):
-        following[place] = last.get(trace[place], 1 << 60)
-        last[trace[place]] = place
-    held: dict[tuple[int, int], int] = {}
+def belady_hits(trace: list[tuple[int, int]], capacity: int, size_of: Any) -> list[bool]:
+    """Return the hits under Belady's policy, which evicts the part whose next request is furthest in the future.
+
+    The policy is optimal where all parts have the same size.
+    """
+    next_use, next_use_of_item = [0] * len(trace), {}
+    for index in range(len(trace) - 1, -1, -1):
+        next_use[index] = next_use_of_item.get(trace[index], 1 << 60)
+        next_use_of_item[trace[index]] = index
+    stored: dict[tuple[int, int], int] = {}
     heap: list[tuple[int, tuple[int, int]]] = []
     used, hits = 0, []
-    for place, name in enumerate(trace):
-        hits.append(name in held)
-        if name not in held:
-            used += size(name)
-        held[name] = following[place]
-        heappush(heap, (-following[place], name))
-        while used > room:
-            when, other = heappop(heap)
-            if held.get(other) == -when:
-                del held[other]
-                used -= size(other)
+    for index, item in enumerate(trace):
+        hits.append(item in stored)
+        if item not in stored:
+            used += size_of(item)
+        stored[item] = next_use[index]
+        heappush(heap, (-next_use[index], item))
+        while used > capacity:
+            negated_next_use, evicted = heappop(heap)
+            if stored.get(evicted) == -negated_next_use:
+                del stored[evicted]
+                used -= size_of(evicted)
     return hits
 
 
-POLICIES = {"tier": tier, "lru": lru_part, "admit_all": admit_all, "hindsight": hindsight}
+POLICIES = {"tier": tier_hits, "lru": lru_hits, "admit_all": admit_all_hits, "hindsight": belady_hits}
+
 
+def session_trace(
+    random: Any, count: int, objects: int, skew: float, sessions_per_shift: int = 0, parts: int = 17
+) -> list[Any]:
+    """Return requests for parts; each session reads the parts of one object in order and mostly ends early.
 
-def sessions(random: Any, count: int, objects: int, skew: float, shift: int = 0, parts: int = 17) -> list[Any]:
-    """Zipf over objects; a session reads parts in order and mostly ends early. shift: every so many sessions the
-    popularity moves on by a tenth of the objects.
+    Args:
+        random: Generator of random numbers.
+        count: Number of sessions.
+        objects: Number of objects.
+        skew: Exponent of the Zipf distribution of the objects' popularity.
+        sessions_per_shift: Number of sessions after which the popularity moves on by a tenth of the objects; 0: never.
+        parts: Number of parts of an object.
     """
     weights = 1.0 / np.arange(1, objects + 1) ** skew
     keys = random.choice(objects, count, p=weights / weights.sum())
-    lasts = np.minimum(random.geometric(0.2, count), parts)
+    part_counts = np.minimum(random.geometric(0.2, count), parts)
     trace = []
-    for place, (key, last) in enumerate(zip(keys.tolist(), lasts.tolist(), strict=True)):
-        key = (key + (place // shift) * objects // 10) % objects if shift else key
-        trace += [(key, part) for part in range(last)]
+    for index, (key, part_count) in enumerate(zip(keys.tolist(), part_counts.tolist(), strict=True)):
+        key = (key + (index // sessions_per_shift) * objects // 10) % objects if sessions_per_shift else key
+        trace += [(key, part) for part in range(part_count)]
     return trace
 
 
-def mixed(regular: list[Any], scan: list[Any], share: float, start: int, random: Any) -> tuple[list[Any], list[bool]]:
-    """The scan's visits between the regular ones from start on, about share of all; and which are regular."""
-    trace, ours, scan = list(regular[:start]), [True] * start, iter(scan)
-    for name in regular[start:]:
+def interleave_scan(
+    regular: list[Any], scan: list[Any], share: float, start: int, random: Any
+) -> tuple[list[Any], list[bool]]:
+    """Mix a scan into the regular requests after the first `start` of them, as about `share` of the mixed requests.
+
+    Returns the mixed trace, and for each of its requests whether the request is regular.
+    """
+    trace, is_regular, scan = list(regular[:start]), [True] * start, iter(scan)
+    for item in regular[start:]:
         while random.random() < share:
-            one = next(scan, None)
-            if one is None:
+            scanned = next(scan, None)
+            if scanned is None:
                 break
-            trace.append(one)
-            ours.append(False)
-        trace.append(name)
-        ours.append(True)
-    return trace, ours
+            trace.append(scanned)
+            is_regular.append(False)
+        trace.append(item)
+        is_regular.append(True)
+    return trace, is_regular
 
 
-def ratio(hits: list[bool], ours: list[bool], start: int) -> float:
-    """The regular workload's hits over its visits, past its first `start`."""
-    seen = [hit for hit, our in zip(hits, ours, strict=True) if our][start:]
-    return sum(seen) / len(seen)
+def regular_hit_ratio(hits: list[bool], is_regular: list[bool], start: int) -> float:
+    """Return the hit ratio of the regular requests, without the first `start` of them."""
+    regular_hits = [hit for hit, regular in zip(hits, is_regular, strict=True) if regular][start:]
+    return sum(regular_hits) / len(regular_hits)
 
 
 @main.command()
 @click.option("--seeds", default=3, show_default=True)
-@click.option("--count", default=30_000, show_default=True, help="Sessions.")
+@click.option("--count", default=30_000, show_default=True, help="Sessions per trace.")
 @click.option("--json", "_", is_flag=True)
 def scan(seeds: int, count: int, _: bool) -> None:
-    """Hit ratio of the regular workload with and without a one-pass scan, and other traces."""
-    found: dict[str, list[float]] = defaultdict(list)
-    objects, room = 4000, 5000  # parts of one size: a catalogue of 4,000 objects of 17 parts, over ten times the room
+    """Compare hit ratios of the regular workload with and without a one-pass scan, and of other traces."""
+    ratios: dict[str, list[float]] = defaultdict(list)
+    # A catalogue of 4,000 objects of 17 parts of one size has over ten times the capacity of 5,000 parts.
+    objects, capacity = 4000, 5000
 
-    def one(name: Any) -> int:
+    def unit_size(item: Any) -> int:
         return 1
 
     for seed in range(seeds):
         random = np.random.default_rng(seed)
-        regular = sessions(random, count, objects, 0.9)
-        once = [(1_000_000 + place // 5, place % 5) for place in range(len(regular))]
+        regular = session_trace(random, count, objects, 0.9)
+        scanned = [(1_000_000 + index // 5, index % 5) for index in range(len(regular))]
         start = len(regular) // 3
-        trace, ours = mixed(regular, once, 0.5, start, random)
+        trace, is_regular = interleave_scan(regular, scanned, 0.5, start, random)
         for name, policy in POLICIES.items():
-            alone = ratio(policy(regular, room, one), [True] * len(regular), start)
-            beside = ratio(policy(trace, room, one), ours, start)
-            found[f"regular_{name}"].append(alone)
-            found[f"regular_drop{'' if name == 'tier' else '_' + name}"].append(alone - beside)
+            without_scan = regular_hit_ratio(policy(regular, capacity, unit_size), [True] * len(regular), start)
+            with_scan = regular_hit_ratio(policy(trace, capacity, unit_size), is_regular, start)
+            ratios[f"regular_{name}"].append(without_scan)
+            ratios[f"regular_drop{'' if name == 'tier' else '_' + name}"].append(without_scan - with_scan)
         hot = list(regular)
-        for place in range(0, 17 * 40, 1):  # a new large object, asked for whole forty times
-            hot.insert(2 * start + place, (5_000_000, place % 17))
-        for title, other in (
-            ("zipf", sessions(random, count, objects, 1.1)),
+        # A new object of 17 parts is requested as a whole forty times in a row.
+        for index in range(0, 17 * 40, 1):
+            hot.insert(2 * start + index, (5_000_000, index % 17))
+        for title, other_trace in (
+            ("zipf", session_trace(random, count, objects, 1.1)),
             ("hot_new", hot),
-            ("shifting", sessions(random, count, objects, 0.9, count // 10)),
-            ("ten_times", sessions(random, count, objects * 3, 0.8)),
+            ("shifting", session_trace(random, count, objects, 0.9, count // 10)),
+            ("ten_times", session_trace(random, count, objects * 3, 0.8)),
         ):
             for name, policy in POLICIES.items():
-                found[f"{title}_{name}"].append(ratio(policy(other, room, one), [True] * len(other), len(other) // 3))
+                ratios[f"{title}_{name}"].append(
+                    regular_hit_ratio(
+                        policy(other_trace, capacity, unit_size),
+                        [True] * len(other_trace),
+                        len(other_trace) // 3,
+                    )
+                )
         sizes = {}
 
-        def varied(name: Any, sizes: Any = sizes) -> int:
-            if name[0] not in sizes:
-                sizes[name[0]] = int(np.random.default_rng(name[0]).choice([2, 8, 20, 40, 240]))
-            return sizes[name[0]]
+        def size_of_object(item: Any, sizes: Any = sizes) -> int:
+            if item[0] not in sizes:
+                sizes[item[0]] = int(np.random.default_rng(item[0]).choice([2, 8, 20, 40, 240]))
+            return sizes[item[0]]
 
         for name, policy in POLICIES.items():
-            hits = policy(regular, room * 20, varied)
-            total = sum(varied(one) for one in regular[start:])
-            found[f"bytes_{name}"].append(
-                sum(varied(regular[place]) for place in range(start, len(regular)) if hits[place]) / total
+            hits = policy(regular, capacity * 20, size_of_object)
+            total = sum(size_of_object(item) for item in regular[start:])
+            ratios[f"bytes_{name}"].append(
+                sum(size_of_object(regular[index]) for index in range(start, len(regular)) if hits[index]) / total
             )
-    answer = {name: round(statistics.median(values), 4) for name, values in found.items()}
-    answer["spread_regular_drop"] = round(max(found["regular_drop"]) - min(found["regular_drop"]), 4)
+    answer = {name: round(statistics.median(values), 4) for name, values in ratios.items()}
+    answer["spread_regular_drop"] = round(max(ratios["regular_drop"]) - min(ratios["regular_drop"]), 4)
     answer |= {"seeds": seeds, "sessions": count, "simulated": True}
     write_result(answer)
 
 
-# counts
+# Measurement "counts".
 
 
 @main.command()
@@ -493,61 +556,64 @@
 @click.option("--seed", default=3, show_default=True)
 @click.option("--json", "_", is_flag=True)
 def counts(objects: int, seed: int, _: bool) -> None:
-    """Bytes an object and error of the compact table, beside a dict of the same."""
-    chance = random.Random(seed)
-    keys = [chance.getrandbits(64) for _ in range(objects)]
+    """Compare the compact table with a dict of the same frequencies: bytes per object, errors and times."""
+    random_source = random.Random(seed)
+    keys = [random_source.getrandbits(64) for _ in range(objects)]
     gc.collect()
     before = psutil.Process().memory_info().rss
-    plain = {key + 0: index % 17 + 1 for index, key in enumerate(keys)}
-    plain = {int(str(key)): value for key, value in plain.items()}  # keys of its own, as a table would hold
+    frequencies = {key + 0: index % 17 + 1 for index, key in enumerate(keys)}
+    # Copies of the integers are the keys, so that the dict's memory includes its keys, as the table's memory does.
+    frequencies = {int(str(key)): value for key, value in frequencies.items()}
     gc.collect()
     dict_bytes = (psutil.Process().memory_info().rss - before) / objects
     table = FrequencyTable(objects)
     answer: dict[str, Any] = {"objects": objects, "dict_bytes_an_object": round(dict_bytes, 1)}
     began = time.perf_counter()
-    for key, value in plain.items():
+    for key, value in frequencies.items():
         table.put(key, value)
-    put = time.perf_counter() - began
+    put_s = time.perf_counter() - began
     began = time.perf_counter()
-    wrong = [value - table.get(key) for key, value in plain.items()]
-    get = time.perf_counter() - began
+    errors = [value - table.get(key) for key, value in frequencies.items()]
+    get_s = time.perf_counter() - began
     began = time.perf_counter()
     copy = {}
-    for key, value in plain.items():
+    for key, value in frequencies.items():
         copy[key] = value
-    dict_put = time.perf_counter() - began
-    strangers = sum(table.get(chance.getrandbits(64)) > 0 for _ in range(objects))
+    dict_put_s = time.perf_counter() - began
+    absent_found = sum(table.get(random_source.getrandbits(64)) > 0 for _ in range(objects))
     size = 4 * len(table.entries)
     answer |= {
         "table_bytes_an_object": round(size / objects, 2),
         "bytes_ratio": round(size / objects / dict_bytes, 4),
         "load": round(objects / len(table.entries), 3),
-        "wrong_share": round(sum(one != 0 for one in wrong) / objects, 5),
-        "strangers_share": round(strangers / objects, 5),
-        "put_us": round(put / objects * 1e6, 2),
-        "get_us": round(get / objects * 1e6, 2),
-        "put_time_ratio": round(put / max(dict_put, 1e-9), 1),
+        "wrong_share": round(sum(error != 0 for error in errors) / objects, 5),
+        "strangers_share": round(absent_found / objects, 5),
+        "put_us": round(put_s / objects * 1e6, 2),
+        "get_us": round(get_s / objects * 1e6, 2),
+        "put_time_ratio": round(put_s / max(dict_put_s, 1e-9), 1),
     }
     write_result(answer)
 
 
-# speed
+# Measurement "speed".
 
 
-class Segments:
+class SegmentStore:
+    """The tier's own segments; `sync` ends the current segment."""
+
     def __init__(self, folder: str) -> None:
-        self.volume = Volume(Files(), folder, 64 * MEGA)
+        self.volume = Volume(Files(), folder, 64 * MIB)
         self.volume.open()
-        self.places: dict[tuple[int, int], Any] = {}
+        self.locations: dict[tuple[int, int], Any] = {}
         self.serial = 0
 
     def write(self, key: int, part: int, data: bytes) -> None:
         self.serial += 1
         copy = Copy(key, part, 0, b"0123456789abcdef", 1000.0, len(data), self.serial)
-        self.places[key, part] = self.volume.segments.append(copy, data)
+        self.locations[key, part] = self.volume.segments.append(copy, data)
 
     def read(self, key: int, part: int) -> bytes:
-        return self.volume.segments.read(self.places[key, part], key, part)
+        return self.volume.segments.read(self.locations[key, part], key, part)
 
     def sync(self) -> None:
         self.volume.segments.begin_segment()
@@ -556,8 +622,8 @@
         self.volume.close()
 
 
-class OneFile:
-    """Plain: a file a part, written aside and renamed, so that half a clip is never seen."""
+class FilePerPartStore:
+    """One file per part, written under a temporary name and renamed, so that no incomplete part can be read."""
 
     def __init__(self, folder: str) -> None:
         self.folder = Path(folder)
@@ -568,9 +634,9 @@
     def write(self, key: int, part: int, data: bytes) -> None:
         path = self.path(key, part)
         path.parent.mkdir(parents=True, exist_ok=True)
-        aside = path.with_suffix(".new")
-        aside.write_bytes(data)
-        aside.rename(path)
+        temporary = path.with_suffix(".new")
+        temporary.write_bytes(data)
+        temporary.rename(path)
 
     def read(self, key: int, part: int) -> bytes:
         return self.path(key, part).read_bytes()
@@ -582,70 +648,73 @@
         pass
 
 
-class Sqlite:
-    """Plain: one table, write-ahead log, a commit every 64 parts."""
+class SqliteStore:
+    """SQLite with one table, a write-ahead log and a commit after every 64 parts."""
 
     def __init__(self, folder: str) -> None:
-        self.base = sqlite3.connect(f"{folder}/parts.db", isolation_level=None)
-        self.base.execute("pragma journal_mode=wal")
-        self.base.execute("pragma synchronous=normal")
-        self.base.execute("create table parts (key int, part int, data blob, primary key (key, part)) without rowid")
-        self.count = 0
+        self.database = sqlite3.connect(f"{folder}/parts.db", isolation_level=None)
+        self.database.execute("pragma journal_mode=wal")
+        self.database.execute("pragma synchronous=normal")
+        self.database.execute(
+            "create table parts (key int, part int, data blob, primary key (key, part)) without rowid"
+        )
+        self.write_count = 0
 
     def write(self, key: int, part: int, data: bytes) -> None:
-        if self.count % 64 == 0:
-            self.base.execute("begin")
-        self.base.execute("insert or replace into parts values (?, ?, ?)", (key, part, data))
-        self.count += 1
-        if self.count % 64 == 0:
-            self.base.execute("commit")
+        if self.write_count % 64 == 0:
+            self.database.execute("begin")
+        self.database.execute("insert or replace into parts values (?, ?, ?)", (key, part, data))
+        self.write_count += 1
+        if self.write_count % 64 == 0:
+            self.database.execute("commit")
 
     def read(self, key: int, part: int) -> bytes:
-        return self.base.execute("select data from parts where key = ? and part = ?", (key, part)).fetchone()[0]
+        return self.database.execute("select data from parts where key = ? and part = ?", (key, part)).fetchone()[0]
 
     def sync(self) -> None:
-        if self.base.in_transaction:
-            self.base.execute("commit")
-        self.count = 0
+        if self.database.in_transaction:
+            self.database.execute("commit")
+        self.write_count = 0
 
     def close(self) -> None:
-        self.base.close()
+        self.database.close()
 
 
-class Lmdb:
-    """Plain: one map, a commit every 64 parts, without a sync of each."""
+class LmdbStore:
+    """LMDB with one map and a commit after every 64 parts; a commit does not sync the file."""
 
     def __init__(self, folder: str) -> None:
         import lmdb
 
-        self.base = lmdb.open(folder, map_size=16 << 30, sync=False, writemap=False)
-        self.writing: Any = None
-        self.count = 0
+        self.environment = lmdb.open(folder, map_size=16 << 30, sync=False, writemap=False)
+        self.transaction: Any = None
+        self.write_count = 0
 
-    def name(self, key: int, part: int) -> bytes:
+    def encode_key(self, key: int, part: int) -> bytes:
         return key.to_bytes(8) + part.to_bytes(4)
 
     def write(self, key: int, part: int, data: bytes) -> None:
-        self.writing = self.writing or self.base.begin(write=True)
-        self.writing.put(self.name(key, part), data)
-        self.count += 1
-        if self.count % 64 == 0:
+        self.transaction = self.transaction or self.environment.begin(write=True)
+        self.transaction.put(self.encode_key(key, part), data)
+        self.write_count += 1
+        if self.write_count % 64 == 0:
             self.sync()
 
     def read(self, key: int, part: int) -> bytes:
-        with self.base.begin() as reading:
-            return reading.get(self.name(key, part))
+        with self.environment.begin() as transaction:
+            return transaction.get(self.encode_key(key, part))
 
     def sync(self) -> None:
-        if self.writing is not None:
-            self.writing.commit()
-            self.writing = None
+        if self.transaction is not None:
+            self.transaction.commit()
+            self.transaction = None
 
     def close(self) -> None:
-        self.base.close()
+        self.environment.close()
 
 
-def timed(histogram: HdrHistogram, call: Any, *args: Any) -> Any:
+def record_duration(histogram: HdrHistogram, call: Any, *args: Any) -> Any:
+    """Call a function, record its duration in microseconds, and return its result."""
     began = time.perf_counter_ns()
     result = call(*args)
     histogram.record_value(max((time.perf_counter_ns() - began) // 1000, 1))
@@ -653,63 +722,76 @@
 
 
 def disk_bytes(folder: Path) -> int:
+    """Return the total size of all files in a folder and its subfolders."""
     return sum(path.stat().st_size for path in folder.rglob("*") if path.is_file())
 
 
 @main.command()
 @click.option("--rounds", default=3, show_default=True)
-@click.option("--mb", default=256, show_default=True, help="Bodies written a round, by each.")
-@click.option("--recover-mb", default="256,1024", show_default=True, help="Stored bytes of the recovery figures.")
-@click.option("--dir", "base", default=None, help="Where; default the system's temporary directory.")
+@click.option("--mb", default=256, show_default=True, help="MiB of bodies that each kind of store writes per round.")
+@click.option(
+    "--recover-mb",
+    default="256,1024",
+    show_default=True,
+    help="MiB stored before each measured recovery, separated by commas.",
+)
+@click.option("--dir", "base", default=None, help="Parent of the temporary directories; default: the system's.")
 @click.option("--json", "_", is_flag=True)
 def speed(rounds: int, mb: int, recover_mb: str, base: str | None, _: bool) -> None:
-    """Writes, reads, recovery, memory, bytes written, beside one file a part, SQLite and LMDB in the same rounds."""
-    kinds = {"segments": Segments, "file": OneFile, "sqlite": Sqlite, "lmdb": Lmdb}
+    """Compare segments with one file per part, SQLite and LMDB in the same rounds: writes, reads and disk usage.
+
+    Recovery, memory and write amplification are measured for segments only.
+    """
+    kinds = {"segments": SegmentStore, "file": FilePerPartStore, "sqlite": SqliteStore, "lmdb": LmdbStore}
     rates: dict[str, list[float]] = defaultdict(list)
     tails = {f"{kind}_{what}": HdrHistogram(1, 60_000_000, 3) for kind in kinds for what in ("write", "read")}
-    for turn in range(rounds):
-        chance = random.Random(turn)
-        sizes = [chance.choice([2_000, 8_000, 20_000, 40_000, 240_000]) for _ in range(mb * MEGA // 62_000)]
-        noise = chance.randbytes(300_000)
+    for round_index in range(rounds):
+        random_source = random.Random(round_index)
+        sizes = [random_source.choice([2_000, 8_000, 20_000, 40_000, 240_000]) for _ in range(mb * MIB // 62_000)]
+        noise = random_source.randbytes(300_000)
         order = list(range(len(sizes)))
-        chance.shuffle(order)
-        for name in chance.sample(sorted(kinds), len(kinds)):
+        random_source.shuffle(order)
+        for name in random_source.sample(sorted(kinds), len(kinds)):
             with tempfile.TemporaryDirectory(prefix="wickhinge-", dir=base) as folder:
-                made = kinds[name](folder)
+                store = kinds[name](folder)
                 began = time.perf_counter()
                 for index, size in enumerate(sizes):
-                    timed(tails[f"{name}_write"], made.write, index // 8, index % 8, noise[index % 997 :][:size])
-                made.sync()
+                    record_duration(
+                        tails[f"{name}_write"], store.write, index // 8, index % 8, noise[index % 997 :][:size]
+                    )
+                store.sync()
                 rates[f"{name}_writes_s"].append(len(sizes) / (time.perf_counter() - began))
                 began = time.perf_counter()
                 for index in order:
-                    data = timed(tails[f"{name}_read"], made.read, index // 8, index % 8)
+                    data = record_duration(tails[f"{name}_read"], store.read, index // 8, index % 8)
                     assert len(data) == sizes[index]
                 rates[f"{name}_reads_s"].append(len(sizes) / (time.perf_counter() - began))
                 rates[f"{name}_disk_ratio"].append(disk_bytes(Path(folder)) / sum(sizes))
-                made.close()
+                store.close()
     answer: dict[str, Any] = {name: round(statistics.median(values), 3) for name, values in rates.items()}
-    for other in ("file", "sqlite", "lmdb"):
+    for other_kind in ("file", "sqlite", "lmdb"):
         for what in ("writes", "reads"):
             pairs = [
-                ours / theirs
-                for ours, theirs in zip(rates[f"segments_{what}_s"], rates[f"{other}_{what}_s"], strict=True)
+                segment_rate / other_rate
+                for segment_rate, other_rate in zip(
+                    rates[f"segments_{what}_s"], rates[f"{other_kind}_{what}_s"], strict=True
+                )
             ]
-            answer[f"{what}_over_{other}_ratio"] = round(statistics.median(pairs), 3)
-            answer[f"{what}_over_{other}_spread"] = [round(min(pairs), 3), round(max(pairs), 3)]
+            answer[f"{what}_over_{other_kind}_ratio"] = round(statistics.median(pairs), 3)
+            answer[f"{what}_over_{other_kind}_spread"] = [round(min(pairs), 3), round(max(pairs), 3)]
     for name, histogram in tails.items():
         answer[f"{name}_p50_us"], answer[f"{name}_p99_us"] = (
             histogram.get_value_at_percentile(50),
             histogram.get_value_at_percentile(99),
         )
-    answer["recovery"] = [recovery(int(size), base) for size in recover_mb.split(",") if size]
-    answer["write_amplification_ratio"] = amplification(base)
+    answer["recovery"] = [measure_recovery(int(size), base) for size in recover_mb.split(",") if size]
+    answer["write_amplification_ratio"] = measure_write_amplification(base)
     answer |= {"rounds": rounds, "mb": mb, "page_cache": True}
     write_result(answer)
 
 
-class Inline:
-    """Workers without threads: what is asked for is done when `go` is called."""
+class QueuedWorkers:
+    """Stand-in for the store's worker threads: calls are queued, and run in the caller's thread by `run_queued`."""
 
     def __init__(self) -> None:
         self.queue: list[Any] = []
@@ -720,34 +802,35 @@
     def run_streaming(self, lane: str, work: Any, part: Any, then: Any) -> None:
         self.queue.append((lambda: work(part), then))
 
-    def go(self) -> None:
+    def run_queued(self) -> None:
         while self.queue:
             work, then = self.queue.pop(0)
             try:
-                result, problem = work(), None
-            except Exception as fault:
-                result, problem = None, fault
-            then(result, problem)
+                result, error = work(), None
+            except Exception as exception:
+                result, error = None, exception
+            then(result, error)
 
     def close(self) -> None:
         self.queue.clear()
 
 
-def store(
+def make_store(
     folder: str,
-    size: int,
-    segment: int,
+    disk_bytes: int,
+    segment_bytes: int,
     clock: list[float],
     workers: Any,
     files: Files | None = None,
-    after: Any = lambda *_: None,
+    call_later: Any = lambda *_: None,
 ) -> Store:
+    """Create a store whose write rate is practically unlimited; `clock` holds the current time as its only item."""
     limits = StoreLimits(
-        disk_bytes=size,
-        segment_bytes=segment,
+        disk_bytes=disk_bytes,
+        segment_bytes=segment_bytes,
         memory_bytes=0,
         frequency_table_objects=1 << 20,
-        max_queued_write_bytes=64 * MEGA,
+        max_queued_write_bytes=64 * MIB,
         write_bytes_per_s=1e12,
         slow_read_s=0.1,
         max_concurrent_reads=16,
@@ -755,116 +838,119 @@
         max_journal_silence_s=3.0,
         event_numbers_persist=False,
     )
-    runtime = Runtime(workers, lambda: clock[0], after, lambda *a, **k: None)
-    return Store(Volume(files or Files(), folder, segment), runtime, limits)
+    runtime = Runtime(workers, lambda: clock[0], call_later, lambda *a, **k: None)
+    return Store(Volume(files or Files(), folder, segment_bytes), runtime, limits)
 
 
-def recovery(mb: int, base: str | None) -> dict[str, Any]:
-    """Seconds from nothing to all copies, by the snapshot and by a scan of everything; bytes of memory a part."""
+def measure_recovery(mb: int, base: str | None) -> dict[str, Any]:
+    """Measure the seconds until a new store knows all copies, from a snapshot and from a scan of all segments.
+
+    The result also holds the bytes of memory per part after recovery from the snapshot.
+    """
     with tempfile.TemporaryDirectory(prefix="wickhinge-", dir=base) as folder:
-        volume = Volume(Files(), folder, 64 * MEGA)
+        volume = Volume(Files(), folder, 64 * MIB)
         volume.open()
         noise, objects = random.Random(1).randbytes(40_000), {}
-        count = mb * MEGA // 20_000
+        count = mb * MIB // 20_000
         for index in range(count):
             copy = Copy(index // 8, index % 8, 0, b"0123456789abcdef", 1000.0, 20_000, index)
             copy.location = volume.segments.append(copy, noise[index % 9_973 :][:20_000])
             objects.setdefault(index // 8, []).append(copy)
-        marks = volume.segments.current_sizes()
+        segment_sizes = volume.segments.current_sizes()
         rows = [StoredObject(key, 8, parts) for key, parts in objects.items()]
-        volume.write_snapshot(rows, SnapshotMeta(count, list(marks.items()), b""))
+        volume.write_snapshot(rows, SnapshotMeta(count, list(segment_sizes.items()), b""))
         volume.close()
         del objects
         gc.collect()
         answer: dict[str, Any] = {"mb": mb, "copies": count}
-        for how in ("snapshot", "scan"):
-            if how == "scan":
+        for source in ("snapshot", "scan"):
+            if source == "scan":
                 for path in Path(folder).glob("index-*"):
                     path.unlink()
-            before, workers = psutil.Process().memory_info().rss, Inline()
+            before, workers = psutil.Process().memory_info().rss, QueuedWorkers()
             began = time.perf_counter()
-            made = store(folder, mb * MEGA * 3 + 512 * MEGA, 64 * MEGA, [1000.0], workers)
-            made.start()
-            first = time.perf_counter() - began
-            workers.go()
-            answer[f"{how}_s"] = round(time.perf_counter() - began, 3)
-            answer["serves_after_s"] = round(first, 4)
-            assert made.tier.admission.copy_count == count, (made.tier.admission.copy_count, count)
-            if how == "snapshot":
+            store = make_store(folder, mb * MIB * 3 + 512 * MIB, 64 * MIB, [1000.0], workers)
+            store.start()
+            start_s = time.perf_counter() - began
+            workers.run_queued()
+            answer[f"{source}_s"] = round(time.perf_counter() - began, 3)
+            answer["serves_after_s"] = round(start_s, 4)
+            assert store.tier.admission.copy_count == count, (store.tier.admission.copy_count, count)
+            if source == "snapshot":
                 answer["memory_a_part"] = round((psutil.Process().memory_info().rss - before) / count)
-            made.close()
-            del made
+            store.close()
+            del store
             gc.collect()
         answer["snapshot_over_scan_ratio"] = round(answer["snapshot_s"] / answer["scan_s"], 4)
         return answer
 
 
-def amplification(base: str | None) -> float:
-    """Bytes written to the disk over bytes of bodies kept, once the tier is full and recycles."""
+def measure_write_amplification(base: str | None) -> float:
+    """Return the bytes written to the disk per byte of admitted bodies, in a run that fills the tier."""
     with tempfile.TemporaryDirectory(prefix="wickhinge-", dir=base) as folder:
-        clock, workers, chance = [1000.0], Inline(), np.random.default_rng(5)
-        made = store(folder, 64 * MEGA, 4 * MEGA, clock, workers)
-        made.start()
-        workers.go()
+        clock, workers, random_source = [1000.0], QueuedWorkers(), np.random.default_rng(5)
+        store = make_store(folder, 64 * MIB, 4 * MIB, clock, workers)
+        store.start()
+        workers.run_queued()
         noise, offered = random.Random(1).randbytes(40_000), 0
-        trace = sessions(chance, 9_000, 3_000, 0.8, 600, parts=8)
-        for place, (key, part) in enumerate(trace):
+        trace = session_trace(random_source, 9_000, 3_000, 0.8, 600, parts=8)
+        for index, (key, part) in enumerate(trace):
             clock[0] += 0.01
-            made.record_request(key, part)
+            store.record_request(key, part)
             offer = CopyOffer(key, part, 0, b"tag", clock[0], 20_000)
-            if made.find(key, part, clock[0]) is None and made.admit(offer, clock[0]):
-                made.write(offer, noise[place % 9_973 :][:20_000])
+            if store.find(key, part, clock[0]) is None and store.admit(offer, clock[0]):
+                store.write(offer, noise[index % 9_973 :][:20_000])
                 offered += 20_000
-            if place % 20 == 0:
-                workers.go()
-                made.maintain()
-        workers.go()
-        assert made.tier.counters.recycled, "never full"
-        made.close()
-        return round(made.tier.volume.bytes_written / offered, 3)
+            if index % 20 == 0:
+                workers.run_queued()
+                store.maintain()
+        workers.run_queued()
+        assert store.tier.counters.recycled, "no segment was recycled: the tier never became full"
+        store.close()
+        return round(store.tier.volume.bytes_written / offered, 3)
 
 
-# stall
+# Measurement "stall".
 
 
-class Stalling(Files):
-    """Every write and read of a segment takes so long."""
+class StallingFiles(Files):
+    """Files whose reads and writes block for `seconds` while `stalled` is true."""
 
     def __init__(self, seconds: float) -> None:
         self.seconds, self.stalled = seconds, False
 
-    def wait(self) -> None:
+    def block_if_stalled(self) -> None:
         if self.stalled:
             time.sleep(self.seconds)
 
     def write(self, handle: int, data: bytes, offset: int) -> None:
-        self.wait()
+        self.block_if_stalled()
         super().write(handle, data, offset)
 
     def read(self, handle: int, size: int, offset: int) -> bytes:
-        self.wait()
+        self.block_if_stalled()
         return super().read(handle, size, offset)
 
 
 @main.command()
-@click.option("--seconds", default=2.0, show_default=True, help="How long each file call stands still.")
+@click.option("--seconds", default=2.0, show_default=True, help="Duration for which each file call blocks.")
 @click.option("--json", "_", is_flag=True)
 def stall(seconds: float, _: bool) -> None:
-    """How late the reactor's timers are while the disk stands still, beside while it does not."""
+    """Compare the delay of the reactor's timers while the disk blocks with the delay while it does not."""
     from twisted.internet import reactor, task
 
     from wickhinge.store.workers import Workers
 
     with tempfile.TemporaryDirectory(prefix="wickhinge-") as folder:
-        files = Stalling(seconds)
-        late = {"well": HdrHistogram(1, 60_000_000, 3), "stalled": HdrHistogram(1, 60_000_000, 3)}
+        files = StallingFiles(seconds)
+        delays = {"well": HdrHistogram(1, 60_000_000, 3), "stalled": HdrHistogram(1, 60_000_000, 3)}
         workers = Workers(reactor, 8, lambda where: None)
         limits = StoreLimits(
-            disk_bytes=64 * MEGA,
-            segment_bytes=4 * MEGA,
+            disk_bytes=64 * MIB,
+            segment_bytes=4 * MIB,
             memory_bytes=0,
             frequency_table_objects=4096,
-            max_queued_write_bytes=8 * MEGA,
+            max_queued_write_bytes=8 * MIB,
             write_bytes_per_s=1e9,
             slow_read_s=0.1,
             max_concurrent_reads=16,
@@ -873,23 +959,23 @@
             event_numbers_persist=False,
         )
         runtime = Runtime(workers, time.time, reactor.callLater, lambda *a, **k: None)
-        made = Store(Volume(files, folder, 4 * MEGA), runtime, limits)
-        made.start()
+        store = Store(Volume(files, folder, 4 * MIB), runtime, limits)
+        store.start()
         state = {"due": time.perf_counter(), "key": 0, "answers": 0, "none": 0}
         body = random.Random(2).randbytes(20_000)
 
         def tick() -> None:
             now = time.perf_counter()
-            late["stalled" if files.stalled else "well"].record_value(max(int((now - state["due"] - 0.002) * 1e6), 1))
+            delays["stalled" if files.stalled else "well"].record_value(max(int((now - state["due"] - 0.002) * 1e6), 1))
             state["key"] += 1
             key, wall = state["key"] % 400, time.time()
-            made.record_request(key, 0)
-            copy = made.find(key, 0, wall)
+            store.record_request(key, 0)
+            copy = store.find(key, 0, wall)
             if copy is not None:
                 state["answers"] += 1
-                made.read(copy, lambda data, memory: state.__setitem__("none", state["none"] + (data is None)))
-            elif made.admit(offer := CopyOffer(key, 0, 0, b"tag", wall, len(body)), wall):
-                made.write(offer, body)
+                store.read(copy, lambda data, memory: state.__setitem__("none", state["none"] + (data is None)))
+            elif store.admit(offer := CopyOffer(key, 0, 0, b"tag", wall, len(body)), wall):
+                store.write(offer, body)
             state["due"] = time.perf_counter()
             reactor.callLater(0.002, tick)
 
@@ -898,15 +984,15 @@
         reactor.callLater(4.0 + 3 * seconds, lambda: setattr(files, "stalled", False))
         task.deferLater(reactor, 4.5 + 3 * seconds, reactor.stop)
         reactor.run()
-        opened = made.tier.breaker.opened_count
-        made.close()
-        well, stalled = (late[name].get_value_at_percentile(99) for name in ("well", "stalled"))
+        opened = store.tier.breaker.opened_count
+        store.close()
+        well, stalled = (delays[name].get_value_at_percentile(99) for name in ("well", "stalled"))
         write_result(
             {
                 "stall_s": seconds,
                 "well_p99_us": well,
                 "stalled_p99_us": stalled,
-                "stalled_max_us": late["stalled"].get_max_value(),
+                "stalled_max_us": delays["stalled"].get_max_value(),
                 "breaker_opened": opened,
                 "reads": state["answers"],
                 "reads_passed_by": state["none"],
