--- a/bench/cold_sum.py
+++ b/bench/cold_sum.py
@@ -1,14 +1,15 @@
-"""What all routers together send to a cold cache, beside what it bears: python -m bench.cold_sum --json
+"""Total load that all routers send to a cold cache, compared with its limit: python -m bench.cold_sum --json
 
-A cold cache falls over when it gets more than N + 2 sqrt(N) + 2 requests of mean work within the rule's span, where N
-is what the settings allow it then. The routers cannot talk, so each spends a share of the budget alone.
+A cold cache fails when it gets more than N + 2 sqrt(N) + 2 requests of mean work within one slow-start window, where N
+is the number that the settings allow at that time. N rises during the warm-up. The routers have no communication, so
+each router spends a fixed share of N.
 
-    distribution   seeded draws of whole cold starts (numpy): how often some window of the ramp goes over, by rule
-    play           the decision classes themselves, as 20 and 30 routers in virtual time, before one cold cache
-    sockets        real router processes before a stand-in for a cold cache, in true time
+    distribution   random cold starts drawn with numpy: how often a window exceeds the limit, by slow-start rule
+    plays          the routing classes of 20 and 30 routers in simulated time, with one cold cache
+    sockets        real router processes with a stand-in for a cold cache, in real time
 
-In the first two the routers' loads differ by a factor of ten, a third of the routers is restarted in the ramp, and one
-is not told of the start for its first seconds. The last output line is one JSON object.
+In the first two, the routers' loads differ by a factor of ten, a third of the routers restart during the warm-up, and
+one router learns of the cache's start only after some seconds. The last line of the output is one JSON object.
 """
 
 from __future__ import annotations
@@ -53,95 +54,142 @@
 from wickhinge.routing.server import Server
 from wickhinge.routing.slow_start import SlowStart
 
-BUDGETS = (4, 6, 9, 16, 25, 36, 64, 100, 200, 400)  # N at the start
+# Values of N, the allowed requests per window, at the start of the cache.
+BUDGETS = (4, 6, 9, 16, 25, 36, 64, 100, 200, 400)
+# Numbers of routers for which each measurement is made.
 PROCESSES = (20, 30)
-STARTS_A_DAY = 200  # as many as the largest list has caches: each is replaced once
-UNEVEN = 10.0  # the busiest router's load over the quietest one's
-RESTARTED = 1 / 3  # of the routers, once each
-RESTARTS_UNTIL = 10.0  # seconds after the start
-DEAF_FOR = 5.0  # seconds in which one router has not been told of the start
-THIN = 0.5  # of N at the start: what is asked of the cache while its fellow is up
-TOLD_SHARE = 2 / 3  # of a window's calls: a fall with fewer from routers that had been told is not the rule's
-STEPS = 20  # of a span, in the distribution
+# The largest endpoint list has this many caches, and each is replaced once a day.
+STARTS_A_DAY = 200
+# Load of the busiest router, as a multiple of the load of the least busy one.
+MAX_LOAD_RATIO = 10.0
+# Fraction of the routers that restart once each during a cold start.
+RESTARTED_FRACTION = 1 / 3
+# Time after the start of the cache within which the routers restart.
+LAST_RESTART_S = 10.0
+# Time for which one router does not know that the cache has started.
+UNINFORMED_S = 5.0
+# Requests per window for the cold cache while the other cache of its zone is up, as a fraction of N at the start.
+LOW_LOAD = 0.5
+# An overloaded window counts as the rule's failure only if informed routers sent more than this share of its requests.
+MIN_INFORMED_SHARE = 2 / 3
+# Time steps of a window in the distribution.
+STEPS_PER_WINDOW = 20
 
 
 @dataclass(frozen=True)
 class Limits:
-    """What the settings say of a tier's cold machines."""
+    """Slow-start settings of a tier.
+
+    Attributes:
+        multiple: Load at which a warm server fails, as a multiple of its weight.
+        span: Length in seconds of the window in which the load is compared with the limit.
+        floor: Fraction of the limit that a server bears when it starts cold.
+        warm: Seconds in which the limit rises from that fraction to all of it.
+    """
 
     multiple: float
     span: float
     floor: float
     warm: float
 
-    def part(self, age: float) -> float:
+    def capacity_fraction(self, age: float) -> float:
+        """Return the fraction of the full limit that a server bears at this age."""
         return min(self.floor + (1 - self.floor) * max(age, 0.0) / self.warm, 1.0)
 
-    def herd(self) -> float:
-        """Asked of a cold machine alone, in N at the start: all that two machines at 0.6 do, and half as much again."""
+    def high_load(self) -> float:
+        """Return the load of a cold server that is alone in its zone, as a multiple of N at the start.
+
+        It is one and a half times the load of two warm servers with a utilization of 0.6.
+        """
         return 2 * 0.6 * 1.5 / (self.multiple * self.floor)
 
 
-EDGE_LIMITS = Limits(2.0, 1.0, 0.18, 17.0)  # the tightest that the kit's pages allow
+# The strictest settings that the documented ranges allow.
+EDGE_LIMITS = Limits(2.0, 1.0, 0.18, 17.0)
 PARENT_LIMITS = Limits(2.0, 1.0, 0.068, 20.0)
 TIERS = {"edge": EDGE_LIMITS, "parent": PARENT_LIMITS}
 
 
 def allowance(budget: Any) -> Any:
+    """Return the most requests in one window that the cache bears, where `budget` is N."""
     return budget + 2 * np.sqrt(budget) + 2
 
 
-def loads(processes: int) -> np.ndarray:
-    """Each router's part of what is asked."""
-    made = np.geomspace(1.0, UNEVEN, processes)
-    return made / made.sum()
+def load_shares(processes: int) -> np.ndarray:
+    """Return each router's share of all requests."""
+    loads = np.geomspace(1.0, MAX_LOAD_RATIO, processes)
+    return loads / loads.sum()
 
 
-def deaf_place(processes: int) -> int:
-    """A router with more than the usual load."""
+def uninformed_router(processes: int) -> int:
+    """Return the index of the router that learns of the start late; its load is above the median."""
     return processes - 1 - processes // 4
 
 
 def chernoff_bound(budget: float) -> float:
-    """Bound for one window that begins in steady load: the sum of independent sends with a mean of 0.65 N."""
-    most, mean = allowance(budget), 0.65 * budget
-    return math.exp(-(most * math.log(most / mean) - most + mean))
+    """Return a bound on the probability that one window in steady load exceeds the limit.
+
+    The requests of the window are a sum of independent sends with a mean of 0.65 N.
+    """
+    limit, mean = allowance(budget), 0.65 * budget
+    return math.exp(-(limit * math.log(limit / mean) - limit + mean))
 
 
-# The distribution.
+# Distribution: random cold starts.
 
 
 @dataclass(frozen=True)
 class Scene:
-    """What is asked of the cold machine: thin until `step`, then all of the location's load; and who misses what."""
+    """Load of the cold cache.
+
+    Attributes:
+        name: Name of the scene in the result.
+        step: Time in seconds at which the load rises from LOW_LOAD to all of the zone's load.
+        troubled: Whether routers restart and one router learns late of the cache's start.
+    """
 
     name: str
     step: float
-    troubled: bool = True  # restarts and a router that has not been told
+    troubled: bool = True
 
 
 @dataclass(frozen=True)
 class Rule:
-    """How a router spends its share. debt: visits, the most that it owes the machine at its start; by_root: it saves
-    up its part of the rule's 2 sqrt(N), while the machine bears less than a warm one can do; else half a span.
+    """Rule by which a router spends its share of N.
+
+    Attributes:
+        name: Name of the rule in the result.
+        debt: Largest initial debt of a router, in requests.
+        by_root: Whether a router's saved credit is bounded by its share of 2 sqrt(N), as long as the cache bears less
+            than a warm one. Otherwise the bound is the credit of half a window.
     """
 
     name: str
     debt: float
     by_root: bool = False
 
-    def saved(self, budget: float, bears: float) -> float:
-        """In spans of the router's rate. bears: in what a warm machine can do."""
-        return min(0.5, 2 / math.sqrt(budget)) if self.by_root and bears < 1 else 0.5
+    def max_saved_windows(self, budget: float, capacity: float) -> float:
+        """Return the largest credit that a router saves, as a number of windows at its rate.
+
+        Args:
+            budget: Allowed requests per window, N.
+            capacity: Load that the cache bears, as a multiple of what a warm cache can serve.
+        """
+        return min(0.5, 2 / math.sqrt(budget)) if self.by_root and capacity < 1 else 0.5
 
 
 SCENES = (Scene("herd", 0.0), Scene("thin", 1e9), *(Scene(f"step at {at:g} s", at) for at in (2.0, 4.0, 6.0, 9.0)))
 
 
 @dataclass(frozen=True)
-class Found:
-    """Of many cold starts: how many had a window over the allowance, how many of those broke the rule, the worst
-    window over its allowance, and the share of what was asked that the cold machine took.
+class StartStatistics:
+    """Results of many cold starts.
+
+    Attributes:
+        fell: Share of the starts that had a window above the limit.
+        broke: Share of the starts that had such a window and in which the rule is the cause, see MIN_INFORMED_SHARE.
+        worst: Requests of the worst window, divided by its limit.
+        taken: Share of the clients' requests that were sent to the cold cache.
     """
 
     fell: float
@@ -152,57 +200,64 @@
 
 def distribution(
     limits: Limits, budget: float, processes: int, scene: Scene, rule: Rule, trials: int, seed: int
-) -> Found:
-    """The arithmetic of routing.SlowStart.admits for all routers at once, in requests of mean work."""
-    draw, share = np.random.default_rng(seed), loads(processes)
-    count = int(limits.warm * STEPS / limits.span)
-    second = limits.span / STEPS
-    budgets = budget * np.array([limits.part(step * second) for step in range(count)]) / limits.floor
-    restarts = draw.integers(0, int(RESTARTS_UNTIL / second), (trials, processes))
-    restarts[:, draw.permutation(processes)[: processes - int(RESTARTED * processes)]] = -1
-    deaf = deaf_place(processes)
+) -> StartStatistics:
+    """Draw cold starts and return their statistics.
+
+    The arithmetic is that of routing.SlowStart.admits for all routers at once, in requests of mean work.
+    """
+    draw, share = np.random.default_rng(seed), load_shares(processes)
+    step_count = int(limits.warm * STEPS_PER_WINDOW / limits.span)
+    step_s = limits.span / STEPS_PER_WINDOW
+    budgets = budget * np.array([limits.capacity_fraction(step * step_s) for step in range(step_count)]) / limits.floor
+    restarts = draw.integers(0, int(LAST_RESTART_S / step_s), (trials, processes))
+    restarts[:, draw.permutation(processes)[: processes - int(RESTARTED_FRACTION * processes)]] = -1
+    uninformed = uninformed_router(processes)
     credit = -rule.debt * draw.random((trials, processes))
-    sent, untold, asked = np.zeros((trials, count)), np.zeros((trials, count)), 0
-    for step in range(count):
-        now = step * second
-        per_span = budget * (limits.herd() if now >= scene.step else THIN)
-        arrivals = draw.poisson(share * per_span / STEPS, (trials, processes))
-        asked += arrivals.sum()
+    sent, sent_uninformed, requested = np.zeros((trials, step_count)), np.zeros((trials, step_count)), 0
+    for step in range(step_count):
+        now = step * step_s
+        per_span = budget * (limits.high_load() if now >= scene.step else LOW_LOAD)
+        arrivals = draw.poisson(share * per_span / STEPS_PER_WINDOW, (trials, processes))
+        requested += arrivals.sum()
         if scene.troubled:
-            again = restarts == step
-            credit[again] = -rule.debt * draw.random(int(again.sum()))
-        rate = 0.65 * budgets[step] / processes  # visits a span
-        credit = np.minimum(credit + rate / STEPS, rule.saved(budgets[step], limits.multiple * limits.part(now)) * rate)
-        goes = np.minimum(arrivals, np.ceil(np.maximum(credit, 0.0)))
-        credit = credit - goes
-        if scene.troubled and now < DEAF_FOR:
-            untold[:, step] = goes[:, deaf] = arrivals[:, deaf]
-        sent[:, step] = goes.sum(axis=1)
-    windows, theirs = sums(sent), sums(untold)
-    bears = allowance((budgets[: windows.shape[1]] + budgets[STEPS - 1 :]) / 2)
-    over = windows > bears
-    first = over.argmax(axis=1)
+            is_restarting = restarts == step
+            credit[is_restarting] = -rule.debt * draw.random(int(is_restarting.sum()))
+        # Rate at which a router earns credit, in requests per window.
+        rate = 0.65 * budgets[step] / processes
+        credit = np.minimum(
+            credit + rate / STEPS_PER_WINDOW,
+            rule.max_saved_windows(budgets[step], limits.multiple * limits.capacity_fraction(now)) * rate,
+        )
+        admitted = np.minimum(arrivals, np.ceil(np.maximum(credit, 0.0)))
+        credit = credit - admitted
+        if scene.troubled and now < UNINFORMED_S:
+            sent_uninformed[:, step] = admitted[:, uninformed] = arrivals[:, uninformed]
+        sent[:, step] = admitted.sum(axis=1)
+    windows, uninformed_windows = window_sums(sent), window_sums(sent_uninformed)
+    window_limits = allowance((budgets[: windows.shape[1]] + budgets[STEPS_PER_WINDOW - 1 :]) / 2)
+    exceeds_limit = windows > window_limits
+    first = exceeds_limit.argmax(axis=1)
     rows = np.arange(trials)
-    ours = 1 - theirs[rows, first] / np.maximum(windows[rows, first], 1)
-    fell = over.any(axis=1)
-    return Found(
+    informed_share = 1 - uninformed_windows[rows, first] / np.maximum(windows[rows, first], 1)
+    fell = exceeds_limit.any(axis=1)
+    return StartStatistics(
         float(fell.mean()),
-        float((fell & (ours > TOLD_SHARE)).mean()),
-        round(float((windows / bears).max()), 3),
-        round(float(sent.sum() / asked), 3),
+        float((fell & (informed_share > MIN_INFORMED_SHARE)).mean()),
+        round(float((windows / window_limits).max()), 3),
+        round(float(sent.sum() / requested), 3),
     )
 
 
-def sums(counts: np.ndarray) -> np.ndarray:
-    """Of every window of one span."""
+def window_sums(counts: np.ndarray) -> np.ndarray:
+    """Return the sum of the counts in each window, for windows that begin with any step."""
     total = np.cumsum(np.pad(counts, ((0, 0), (1, 0))), axis=1)
-    return total[:, STEPS:] - total[:, :-STEPS]
+    return total[:, STEPS_PER_WINDOW:] - total[:, :-STEPS_PER_WINDOW]
 
 
-# The play.
+# Plays: cold starts of the routing classes in simulated time.
 
-FELLOW, COLD, PARENT_MARK, ORIGIN = 1, 2, 100, 200
-ALLOWED = Capabilities(
+OTHER_CACHE_ID, COLD_CACHE_ID, PARENT_ID, ORIGIN_ID = 1, 2, 100, 200
+CAPABILITIES = Capabilities(
     collapse_fills=False,
     direct_to_source=False,
     hedging=False,
@@ -211,68 +266,71 @@
     load_reports=False,
     polls_endpoints=False,
 )
-KEYS = 2000
+OBJECT_COUNT = 2000
+
 
+def make_request_class(work: float) -> RequestClass:
+    """Create a class whose requests take `work` seconds, which is half of the latency objective.
 
-def offers(work: float) -> RequestClass:
-    """A class of visits with `work` seconds of sending each, as a router believes before it has learned."""
+    A router assumes this work before it has measured any.
+    """
     return RequestClass(
         "video", 2 * work, 1.6, 6.0, 2.0, 0.2, Idempotency.IDEMPOTENT, "all", 5.0, 0.0, 0.0, 0.7, True, False
     )
 
 
-class Wheel:
-    """Calls in the order of their times."""
+class EventQueue:
+    """Simulated time: calls run in the order of their times."""
 
     def __init__(self) -> None:
-        self.now, self.calls, self.number = 0.0, [], 0
+        self.now, self.calls, self.serial = 0.0, [], 0
 
-    def wake(self, delay: float, call: Callable[[float], None]) -> None:
-        self.number += 1
-        heapq.heappush(self.calls, (self.now + max(delay, 0.0), self.number, call))
+    def call_after(self, delay: float, call: Callable[[float], None]) -> None:
+        self.serial += 1
+        heapq.heappush(self.calls, (self.now + max(delay, 0.0), self.serial, call))
 
-    def run(self, until: float) -> None:
-        while self.calls and self.calls[0][0] <= until:
+    def run(self, end: float) -> None:
+        while self.calls and self.calls[0][0] <= end:
             self.now, _, call = heapq.heappop(self.calls)
             call(self.now)
-        self.now = until
+        self.now = end
 
 
 class Client:
-    """One visit's, who counts how it ended."""
+    """Client of one request; it counts how the request ended, and stands in for the servers."""
 
-    def __init__(self, play: ColdStart, place: int) -> None:
-        self.play, self.place = play, place
+    def __init__(self, cold_start: ColdStart, router_index: int) -> None:
+        self.cold_start, self.router_index = cold_start, router_index
 
     def forward(self, parameters: AttemptParameters) -> None:
-        play, forward, cache = self.play, parameters.attempt, parameters.server
-        if cache.id == COLD:
-            play.sent.append((play.wheel.now, self.place))
-        play.wheel.wake(play.work, lambda now: self.answered(forward, now))
+        cold_start, attempt, server = self.cold_start, parameters.attempt, parameters.server
+        if server.id == COLD_CACHE_ID:
+            cold_start.sent.append((cold_start.events.now, self.router_index))
+        cold_start.events.call_after(cold_start.work, lambda now: self.end_attempt(attempt, now))
 
-    def answered(self, forward: Attempt, now: float) -> None:
-        if forward.is_pending:
-            self.play.served += 1
-            forward.request.attempt_ended(forward, Completion(Outcome.SUCCEEDED, self.play.work, True), now)
+    def end_attempt(self, attempt: Attempt, now: float) -> None:
+        if attempt.is_pending:
+            self.cold_start.served += 1
+            attempt.request.attempt_ended(attempt, Completion(Outcome.SUCCEEDED, self.cold_start.work, True), now)
 
-    def cancel(self, forward: Attempt) -> None:
-        forward.request.attempt_ended(forward, Completion(Outcome.CANCELLED, 0.0, True), self.play.wheel.now)
+    def cancel(self, attempt: Attempt) -> None:
+        attempt.request.attempt_ended(attempt, Completion(Outcome.CANCELLED, 0.0, True), self.cold_start.events.now)
 
-    def reject(self, wait: float, why: RejectionReason) -> None:
-        self.play.denied += 1
+    def reject(self, wait: float, reason: RejectionReason) -> None:
+        self.cold_start.denied += 1
 
-    def fail(self, why: RejectionReason) -> None:
-        self.play.denied += 1
+    def fail(self, reason: RejectionReason) -> None:
+        self.cold_start.denied += 1
 
 
-class World:
-    """What a router calls out to, besides its clients; nothing of a router that has ended is called."""
+class SimulatedEnvironment:
+    """Environment of one router; its timers no longer run once the router has ended."""
 
-    def __init__(self, wheel: Wheel) -> None:
-        self.wheel, self.up = wheel, True
+    def __init__(self, events: EventQueue) -> None:
+        self.events, self.is_up = events, True
 
     def call_later(self, delay: float, call: Callable[[float], None]) -> None:
-        self.wheel.wake(delay, lambda now: call(now) if self.up else None)
+        self.events.call_after(delay, lambda now: call(now) if self.is_up else None)
 
     def check_health(self, server: Server) -> None:
         pass
@@ -282,22 +340,28 @@
 
 
 class SharedBucket:
-    """The ideal, beside which a denial shows: one count for all routers, all of what the cache bears."""
+    """Ideal limit for comparison: all routers share one count, and use all that the cache bears."""
 
-    def __init__(self, play: ColdStart) -> None:
-        self.play = play
+    def __init__(self, cold_start: ColdStart) -> None:
+        self.cold_start = cold_start
 
-    def room(self, cache: Server, visit: Any, now: float) -> bool:
-        if cache.id != COLD:
+    def admits(self, server: Server, request: Any, now: float) -> bool:
+        if server.id != COLD_CACHE_ID:
             return True
-        play = self.play
-        recent = sum(when > now - play.limits.span for when, _ in play.sent[-2000:])
-        return recent + 1 <= play.bears(now - play.limits.span)
+        cold_start = self.cold_start
+        recent = sum(when > now - cold_start.limits.span for when, _ in cold_start.sent[-2000:])
+        return recent + 1 <= cold_start.window_limit(now - cold_start.limits.span)
 
 
 @dataclass(frozen=True)
 class Ending:
-    """Worst window over what the cache bears then; served, and the cold cache's own part of it, of what was asked."""
+    """Result of one simulated cold start.
+
+    Attributes:
+        worst: Requests of the cold cache in the worst window, divided by its limit.
+        served: Share of the clients' requests that were served.
+        at_the_cold_one: Requests sent to the cold cache, as a share of the clients' requests.
+    """
 
     worst: float
     served: float
@@ -305,7 +369,7 @@
 
 
 class ColdStart:
-    """One cold start: a location of two caches, of which one has just started and the other leaves at `step`."""
+    """Simulated cold start in a zone of two caches: one has just started, and the other is gone at `scene.step`."""
 
     def __init__(
         self,
@@ -317,124 +381,153 @@
         seed: int,
         ideal: bool = False,
     ) -> None:
+        """Prepare a cold start.
+
+        Args:
+            limits: Slow-start settings of the caches.
+            budget: Requests that the cold cache bears in a window at its start, N.
+            processes: Number of routers.
+            scene: Load of the cold cache.
+            work: Seconds of work of each request.
+            seed: Seed of all random choices.
+            ideal: Whether the routers share one limit, see SharedBucket.
+        """
         self.limits, self.budget, self.processes, self.scene = limits, budget, processes, scene
-        self.work, self.offers = work, offers(work)
-        self.random, self.wheel = random.Random(seed), Wheel()
+        self.work, self.request_class = work, make_request_class(work)
+        self.random, self.events = random.Random(seed), EventQueue()
         self.weight = budget * work / (limits.multiple * limits.floor * limits.span)
         self.bucket = SharedBucket(self) if ideal else None
         self.sent: list[tuple[float, int]] = []
-        self.served = self.denied = self.asked = 0
-        self.worlds: list[World] = [World(self.wheel) for _ in range(processes)]
-        self.deaf = deaf_place(processes) if scene.troubled else -1
-        self.routers: list[Router] = [self.router(place) for place in range(processes)]
-
-    def bears(self, age: float) -> float:
-        """Requests, of a window that begins then: at the middle of the window."""
-        part = self.limits.part(age + self.limits.span / 2)
-        return float(allowance(self.budget * part / self.limits.floor))
-
-    def router(self, place: int) -> Router:
-        tier = (self.limits.multiple, self.limits.span, self.limits.floor, self.limits.warm)
-        chance = RandomSource(self.random.getrandbits(60))
+        self.served = self.denied = self.requested = 0
+        self.environments: list[SimulatedEnvironment] = [SimulatedEnvironment(self.events) for _ in range(processes)]
+        self.uninformed = uninformed_router(processes) if scene.troubled else -1
+        self.routers: list[Router] = [self.make_router(index) for index in range(processes)]
+
+    def window_limit(self, age: float) -> float:
+        """Return the largest number of requests that the cache bears in the window that begins at this age.
+
+        The limit rises in the window; its value at the middle of the window counts.
+        """
+        capacity_fraction = self.limits.capacity_fraction(age + self.limits.span / 2)
+        return float(allowance(self.budget * capacity_fraction / self.limits.floor))
+
+    def make_router(self, index: int) -> Router:
+        slow_start_settings = (self.limits.multiple, self.limits.span, self.limits.floor, self.limits.warm)
+        random_source = RandomSource(self.random.getrandbits(60))
         topology = Topology("here", self.processes, "parent", "origin", has_weights=True)
-        endpoints = Endpoints(chance, topology, SlowStart(*tier), SlowStart(*tier))
+        endpoints = Endpoints(random_source, topology, SlowStart(*slow_start_settings), SlowStart(*slow_start_settings))
         settings = RouterSettings(
-            ALLOWED, transfer_kb_per_s=1000.0, max_attempts=6, max_list_age=0.0, max_retry_after=0.5
+            CAPABILITIES, transfer_kb_per_s=1000.0, max_attempts=6, max_list_age=0.0, max_retry_after=0.5
         )
-        made = Router(self.worlds[place], endpoints, ObjectCounts(self.processes), Purges(6.0), settings)
+        router = Router(self.environments[index], endpoints, ObjectCounts(self.processes), Purges(6.0), settings)
         if self.bucket:
-            endpoints.admits = self.bucket.room
-        now = self.wheel.now
-        known = place != self.deaf or now >= DEAF_FOR
-        endpoints.update(self.listings(0.0 if known else None), now, complete=True)
-        made.start()
-        return made
+            endpoints.admits = self.bucket.admits
+        now = self.events.now
+        is_informed = index != self.uninformed or now >= UNINFORMED_S
+        endpoints.update(self.listings(0.0 if is_informed else None), now, complete=True)
+        router.start()
+        return router
 
     def listings(self, started: float | None) -> list[Endpoint]:
-        fellow = "ready" if self.wheel.now < self.scene.step else "gone"
+        """Return all endpoints; `started` is the start of the cold cache, or None for a router that is not informed."""
+        other_cache_state = "ready" if self.events.now < self.scene.step else "gone"
         return [
-            Endpoint(FELLOW, "here", "box", 0, fellow, self.weight, None),
-            Endpoint(COLD, "here", "box", 0, "ready", self.weight, started),
-            Endpoint(PARENT_MARK, "hub", "parent", 0, "ready", 1000.0, None),
-            Endpoint(ORIGIN, "hub", "origin", 0, "ready", 1000.0, None),
+            Endpoint(OTHER_CACHE_ID, "here", "box", 0, other_cache_state, self.weight, None),
+            Endpoint(COLD_CACHE_ID, "here", "box", 0, "ready", self.weight, started),
+            Endpoint(PARENT_ID, "hub", "parent", 0, "ready", 1000.0, None),
+            Endpoint(ORIGIN_ID, "hub", "origin", 0, "ready", 1000.0, None),
         ]
 
-    def restart(self, place: int) -> None:
-        self.worlds[place].up = False
-        self.worlds[place] = World(self.wheel)
-        self.routers[place] = self.router(place)
+    def restart(self, index: int) -> None:
+        self.environments[index].is_up = False
+        self.environments[index] = SimulatedEnvironment(self.events)
+        self.routers[index] = self.make_router(index)
 
-    def tell(self, now: float) -> None:
-        for place, router in enumerate(self.routers):
-            known = place != self.deaf or now >= DEAF_FOR
-            router.endpoints.update(self.listings(0.0 if known else None), now, complete=True)
+    def update_endpoints(self, now: float) -> None:
+        for index, router in enumerate(self.routers):
+            is_informed = index != self.uninformed or now >= UNINFORMED_S
+            router.endpoints.update(self.listings(0.0 if is_informed else None), now, complete=True)
 
-    def ask(self, place: int, rate: float, now: float) -> None:
+    def send_request(self, index: int, rate: float, now: float) -> None:
         if now > self.limits.warm:
             return
-        self.asked += 1
-        request = Request(self.random.randrange(KEYS), 0, 0, 1000.0 * self.work, self.offers.timeout)
-        self.routers[place].route(Client(self, place), self.offers, request, now)
-        self.wheel.wake(self.random.expovariate(rate), lambda then: self.ask(place, rate, then))
+        self.requested += 1
+        request = Request(self.random.randrange(OBJECT_COUNT), 0, 0, 1000.0 * self.work, self.request_class.timeout)
+        self.routers[index].route(Client(self, index), self.request_class, request, now)
+        self.events.call_after(self.random.expovariate(rate), lambda then: self.send_request(index, rate, then))
 
     def run(self) -> Ending:
-        rate = self.budget * self.limits.herd() / self.limits.span
-        for place, share in enumerate(loads(self.processes)):
-            one = float(rate * share)
-            self.wheel.wake(self.random.expovariate(one), lambda now, place=place, one=one: self.ask(place, one, now))
+        rate = self.budget * self.limits.high_load() / self.limits.span
+        for index, share in enumerate(load_shares(self.processes)):
+            router_rate = float(rate * share)
+            self.events.call_after(
+                self.random.expovariate(router_rate),
+                lambda now, index=index, router_rate=router_rate: self.send_request(index, router_rate, now),
+            )
         if self.scene.troubled:
-            for place in self.random.sample(range(self.processes), int(RESTARTED * self.processes)):
-                when = self.random.uniform(0.0, RESTARTS_UNTIL)
-                self.wheel.wake(when, lambda now, place=place: self.restart(place))
-            self.wheel.wake(DEAF_FOR, self.tell)
-        self.wheel.wake(self.scene.step, self.tell)
-        self.wheel.run(self.limits.warm + 2.0)
+            for index in self.random.sample(range(self.processes), int(RESTARTED_FRACTION * self.processes)):
+                when = self.random.uniform(0.0, LAST_RESTART_S)
+                self.events.call_after(when, lambda now, index=index: self.restart(index))
+            self.events.call_after(UNINFORMED_S, self.update_endpoints)
+        self.events.call_after(self.scene.step, self.update_endpoints)
+        self.events.run(self.limits.warm + 2.0)
         return Ending(
-            worst_window([when for when, _ in self.sent], self.limits.span, self.bears),
-            round(self.served / self.asked, 3),
-            round(len(self.sent) / self.asked, 3),
+            worst_window([when for when, _ in self.sent], self.limits.span, self.window_limit),
+            round(self.served / self.requested, 3),
+            round(len(self.sent) / self.requested, 3),
         )
 
 
-def worst_window(times: list[float], span: float, bears: Callable[[float], float]) -> float:
-    """Over all windows that begin with a send, over what the machine bears then."""
-    worst, last = 0.0, 0
+def worst_window(times: list[float], window_s: float, window_limit: Callable[[float], float]) -> float:
+    """Return the largest number of sends in a window, divided by the limit of that window.
+
+    Args:
+        times: Times of the sends, in order; each begins a window.
+        window_s: Length of a window.
+        window_limit: Returns the limit of the window that begins at a time.
+    """
+    worst, end = 0.0, 0
     for first, begins in enumerate(times):
-        while last < len(times) and times[last] < begins + span:
-            last += 1
-        worst = max(worst, (last - first) / bears(begins))
+        while end < len(times) and times[end] < begins + window_s:
+            end += 1
+        worst = max(worst, (end - first) / window_limit(begins))
     return round(worst, 3)
 
 
-# Real processes.
+# Sockets: cold starts with router processes.
 
 
 def on_sockets(processes: int, budget: float, seed: int, seconds: float = 12.0) -> dict[str, Any]:
-    """Router processes before the rig's cold cache, asked for three times what it bears; a third of them is killed and
-    started again. The cache is a minute old and warms slowly, so N hardly changes.
+    """Run router processes with three times the load that the cold cache bears; a third are killed and restarted.
+
+    The cache is a minute old and warms up slowly, so N hardly changes during the run.
     """
-    place = random.Random(seed).sample(range(processes), int(RESTARTED * processes))
-    begins = 4.0
-    killed = tuple(Fault("kill", begins + 1.0 + turn * 0.8, 0.5, (one,)) for turn, one in enumerate(place))
-    share = loads(processes)
+    killed_routers = random.Random(seed).sample(range(processes), int(RESTARTED_FRACTION * processes))
+    start_s = 4.0
+    killed = tuple(
+        Fault("kill", start_s + 1.0 + turn * 0.8, 0.5, (router,)) for turn, router in enumerate(killed_routers)
+    )
+    share = load_shares(processes)
     scene = StandScene(lambda process, now: 3.0 * float(share[process.place]) * (now > 0.0))
-    one_unit = (
+    window_work_per_weight = (
         LIMITS.overload_factor * (LIMITS.initial_capacity + (1 - LIMITS.initial_capacity) * AGE / WARM) * LIMITS.window
     )
-    told_all = Schedule(seed, processes, 1, killed, processes, begins, seconds)
+    schedule = Schedule(seed, processes, 1, killed, processes, start_s, seconds)
     with (
-        patch.object(stands, "WEIGHT", budget * stands.WORK / one_unit),
+        patch.object(stands, "WEIGHT", budget * stands.WORK / window_work_per_weight),
         tempfile.TemporaryDirectory(prefix="wickhinge-") as folder,
-        Rig(Path(folder), told_all, scene, False) as rig,
+        Rig(Path(folder), schedule, scene, False) as rig,
     ):
         made = rig.run().stands
         sent = made.sent[made.caches[0].mark]
-        worst = worst_window([when for when, _, _ in sent], LIMITS.window, lambda when: budget_of(made, when))
+        worst = worst_window(
+            [when for when, _, _ in sent], LIMITS.window, lambda when: window_limit_of_stand_in(made, when)
+        )
         answered = sum(took is not None for _, took, _ in made.visits)
         return {
             "processes": processes,
             "N": budget,
-            "killed": len(place),
+            "killed": len(killed_routers),
             "crashed": rig.crashed(),
             "worst": worst,
             "sent": len(sent),
@@ -443,34 +536,40 @@
         }
 
 
-def budget_of(made: Any, when: float) -> float:
+def window_limit_of_stand_in(made: Any, when: float) -> float:
+    """Return the largest number of requests that the cold stand-in bears in the window that begins at a time."""
     return float(allowance(made.bears(when) / stands.WORK))
 
 
-# The program.
+# Rows of the result, and the command.
 
-WORKS = (0.25, 0.57, 1.0)  # seconds of sending for a visit: a mix of the kit's classes, its largest, and beyond
-HALF_SECOND = 0.5  # the debt at a start before it was counted in visits
-TWO_VISITS = Rule("two visits", 2.0)
+# Seconds of work of a request: a mix of the documented classes, the largest of them, and a larger one.
+REQUEST_WORKS_S = (0.25, 0.57, 1.0)
+# Initial debt in seconds of work, of the rule that did not count the debt in requests.
+TIME_BASED_DEBT_S = 0.5
+TWO_REQUESTS_RULE = Rule("two visits", 2.0)
 CURRENT_RULE = Rule("two visits, saved by root of N", 2.0, by_root=True)
-PLAYED = (4, 9, 16, 64)  # the decisions of larger budgets take minutes to play
-PLAY_SCENES = (SCENES[0], SCENES[1], SCENES[4])
+# Larger values of N take minutes to simulate.
+SIMULATED_BUDGETS = (4, 9, 16, 64)
+SIMULATED_SCENES = (SCENES[0], SCENES[1], SCENES[4])
 
 
-def draws(trials: int, seed: int, tiers: dict[str, Limits], present: bool) -> list[dict[str, Any]]:
-    """A row for each tier, number of routers, N and rule. present: of the rule as it is alone."""
-    rules = [Rule(f"half a second, visits of {work} s", HALF_SECOND / work) for work in WORKS]
-    rules = [CURRENT_RULE] if present else [*rules, TWO_VISITS, CURRENT_RULE]
+def distribution_rows(
+    trials: int, seed: int, tiers: dict[str, Limits], current_rule_only: bool
+) -> list[dict[str, Any]]:
+    """Return a row for each tier, number of routers, N and rule, or for CURRENT_RULE only."""
+    rules = [Rule(f"half a second, visits of {work} s", TIME_BASED_DEBT_S / work) for work in REQUEST_WORKS_S]
+    rules = [CURRENT_RULE] if current_rule_only else [*rules, TWO_REQUESTS_RULE, CURRENT_RULE]
     rows = []
     for tier, limits in tiers.items():
         for processes in PROCESSES:
             for budget in BUDGETS:
                 for rule in rules:
-                    found = {
+                    results = {
                         scene.name: distribution(limits, budget, processes, scene, rule, trials, seed)
                         for scene in SCENES
                     }
-                    worst = max(found.values(), key=lambda one: (one.broke, one.worst))
+                    worst = max(results.values(), key=lambda result: (result.broke, result.worst))
                     rows.append(
                         {
                             "tier": tier,
@@ -478,11 +577,11 @@
                             "N": budget,
                             "rule": rule.name,
                             "breaks_a_start": worst.broke,
-                            "falls_a_start": max(one.fell for one in found.values()),
+                            "falls_a_start": max(result.fell for result in results.values()),
                             "breaks_a_day": round(1 - (1 - worst.broke) ** STARTS_A_DAY, 4),
-                            "worst": max(one.worst for one in found.values()),
-                            "taken_herd": found["herd"].taken,
-                            "taken_thin": found["thin"].taken,
+                            "worst": max(result.worst for result in results.values()),
+                            "taken_herd": results["herd"].taken,
+                            "taken_thin": results["thin"].taken,
                             "one_window_bound": float(f"{chernoff_bound(budget):.1e}"),
                         }
                     )
@@ -490,12 +589,12 @@
     return rows
 
 
-def plays(seeds: int, tiers: dict[str, Limits]) -> list[dict[str, Any]]:
-    """A row for each tier, number of routers, N, work of a visit and scene."""
+def simulation_rows(seeds: int, tiers: dict[str, Limits]) -> list[dict[str, Any]]:
+    """Return a row for each tier, number of routers, N, work of a request and scene."""
     rows = []
-    told_apart = product(tiers.items(), PROCESSES, PLAYED, WORKS, PLAY_SCENES)
-    for (tier, limits), processes, budget, work, scene in told_apart:
-        ours = [ColdStart(limits, budget, processes, scene, work, seed).run() for seed in range(1, seeds + 1)]
+    combinations = product(tiers.items(), PROCESSES, SIMULATED_BUDGETS, REQUEST_WORKS_S, SIMULATED_SCENES)
+    for (tier, limits), processes, budget, work, scene in combinations:
+        limited = [ColdStart(limits, budget, processes, scene, work, seed).run() for seed in range(1, seeds + 1)]
         ideal = ColdStart(limits, budget, processes, scene, work, 1, ideal=True).run()
         rows.append(
             {
@@ -504,11 +603,11 @@
                 "processes": processes,
                 "N": budget,
                 "scene": scene.name,
-                "worst": max(one.worst for one in ours),
-                "over": sum(one.worst > 1.0 for one in ours),
+                "worst": max(result.worst for result in limited),
+                "over": sum(result.worst > 1.0 for result in limited),
                 "plays": seeds,
-                "served": round(sum(one.served for one in ours) / seeds, 3),
-                "at_the_cold_one": round(sum(one.at_the_cold_one for one in ours) / seeds, 3),
+                "served": round(sum(result.served for result in limited) / seeds, 3),
+                "at_the_cold_one": round(sum(result.at_the_cold_one for result in limited) / seeds, 3),
                 "ideal": asdict(ideal),
             }
         )
@@ -517,23 +616,25 @@
 
 
 @click.command()
-@click.option("--trials", default=1000, show_default=True, help="Cold starts drawn for each row and scene.")
-@click.option("--seed", default=1, show_default=True, help="Of the draws.")
-@click.option("--seeds", default=2, show_default=True, help="Plays of the decision classes for each row.")
-@click.option("--only", type=click.Choice(["draws", "plays", "sockets"]), help="One of these.")
-@click.option("--tier", type=click.Choice(list(TIERS)), help="One of the two.")
-@click.option("--sockets", default=0, show_default=True, help="Router processes of a play on sockets; 0: none.")
-@click.option("--present", is_flag=True, help="Draw for the rule as it is alone.")
+@click.option("--trials", default=1000, show_default=True, help="Random cold starts for each row and scene.")
+@click.option("--seed", default=1, show_default=True, help="Seed of the random cold starts.")
+@click.option("--seeds", default=2, show_default=True, help="Simulated cold starts for each row.")
+@click.option("--only", type=click.Choice(["draws", "plays", "sockets"]), help="Run one of the measurements only.")
+@click.option("--tier", type=click.Choice(list(TIERS)), help="Measure one tier only.")
+@click.option(
+    "--sockets", default=0, show_default=True, help="Router processes of the measurement with sockets; 0: none."
+)
+@click.option("--present", is_flag=True, help="Draw cold starts for the current rule only.")
 @click.option("--json", "_", is_flag=True)
 def main(
     trials: int, seed: int, seeds: int, only: str | None, tier: str | None, sockets: int, present: bool, _: bool
 ) -> None:
-    """What all routers together send to a cold cache, beside what it bears."""
+    """Compare the total load that all routers send to a cold cache with the limit of the cache."""
     answer: dict[str, Any] = {"virtual": True, "trials": trials, "starts_a_day": STARTS_A_DAY}
     if only in (None, "draws"):
-        answer["distribution"] = draws(trials, seed, {tier: TIERS[tier]} if tier else TIERS, present)
+        answer["distribution"] = distribution_rows(trials, seed, {tier: TIERS[tier]} if tier else TIERS, present)
     if only in (None, "plays"):
-        answer["plays"] = plays(seeds, {tier: TIERS[tier]} if tier else TIERS)
+        answer["plays"] = simulation_rows(seeds, {tier: TIERS[tier]} if tier else TIERS)
     if sockets:
         answer["sockets"] = [on_sockets(sockets, budget, seed) for budget in (6, 36)]
     write_result(answer)
