--- a/bench/lab.py
+++ b/bench/lab.py
@@ -1,8 +1,9 @@
-"""The laboratory, measured: python -m bench.lab speed
+"""Measurement of the simulator of routers and caches, wickhinge.lab: python -m bench.lab speed
 
-    speed   simulated visits a second, the cost of an event from 10 to 1,000 caches, memory, the queue beside heapq
+    speed   simulated requests per second, cost per event for 10 to 1,000 caches, memory, and the rate of the event
+            queue compared with heapq
 
-The last line is one JSON object.
+The last line of the output is one JSON object.
 """
 
 from __future__ import annotations
@@ -25,11 +26,11 @@
 
 @click.group()
 def main() -> None:
-    """Measure the laboratory."""
+    """Measure the simulator."""
 
 
-class Heap:
-    """The plain queue: one heap of everything."""
+class HeapQueue:
+    """Event queue for comparison: one heap of all pending calls."""
 
     def __init__(self) -> None:
         self.now, self.heap, self.serial = 0.0, [], 0
@@ -44,66 +45,79 @@
             call(*args)
 
 
-def churned(queue: Any, pending: int, events: int) -> float:
-    """Events a second where each makes the next, so many always waiting; delays as a fleet's, hops and patiences."""
-    chance = random.Random(4)
-    delays = [chance.choice([0.001, 0.05 * chance.random(), 2.0]) * (0.5 + chance.random()) for _ in range(4096)]
-    left = [events]
+def events_per_second(queue: Any, pending: int, events: int) -> float:
+    """Return the rate at which a queue runs events that each schedule the next one.
 
-    def call(place: int) -> None:
-        left[0] -= 1
-        if left[0] > 0:
-            queue.after(delays[place & 4095], call, place + 17)
+    The delays are like those of a fleet: network hops and request timeouts.
 
-    for place in range(pending):
-        queue.after(delays[place & 4095], call, place)
+    Args:
+        queue: The queue to measure.
+        pending: Number of events that are pending at any time.
+        events: Number of events to run.
+    """
+    random_source = random.Random(4)
+    delays = [
+        random_source.choice([0.001, 0.05 * random_source.random(), 2.0]) * (0.5 + random_source.random())
+        for _ in range(4096)
+    ]
+    remaining = [events]
+
+    def call(index: int) -> None:
+        remaining[0] -= 1
+        if remaining[0] > 0:
+            queue.after(delays[index & 4095], call, index + 17)
+
+    for index in range(pending):
+        queue.after(delays[index & 4095], call, index)
     began = time.perf_counter()
-    while left[0] > 0:
+    while remaining[0] > 0:
         queue.run(queue.now + 1.0)
     return events / (time.perf_counter() - began)
 
 
 @main.command()
 @click.option("--caches", default="10,100,1000", show_default=True)
-@click.option("--seconds", default=10.0, show_default=True, help="Of virtual time.")
+@click.option("--seconds", default=10.0, show_default=True, help="Simulated seconds of each run.")
 @click.option("--rounds", default=3, show_default=True)
 @click.option("--json", "_", is_flag=True)
 def speed(caches: str, seconds: float, rounds: int, _: bool) -> None:
-    """What a visit and an event cost by the fleet's size: ten caches and five routers a location, the same visits a
-    second a cache at each size.
+    """Measure the cost of a request and of an event by the size of the fleet.
+
+    Each zone has ten caches and five routers, and each cache gets the same request rate at all sizes.
     """
     answer: dict[str, Any] = {"rounds": rounds, "virtual_seconds": seconds}
-    sizes = [int(one) for one in caches.split(",")]
+    sizes = [int(size) for size in caches.split(",")]
     by_size: dict[int, dict[str, float]] = {}
     for size in sizes:
-        virtual = seconds if size < 1000 else seconds / 5  # scaled down: its figures are a visit's and an event's
-        made = check(
-            f'name: "speed"\nseconds: {virtual}\nwarm_s: 0\nzones: {max(size // 10, 1)}\n'
+        # Large fleets are simulated for a shorter time, since the results are costs per request and per event.
+        simulated_s = seconds if size < 1000 else seconds / 5
+        scenario = check(
+            f'name: "speed"\nseconds: {simulated_s}\nwarm_s: 0\nzones: {max(size // 10, 1)}\n'
             f"routers: {max(size // 2, 1)}\ncaches: {size}\n"
             f"parents: {max(size // 10, 1)}\nvisits_per_s: {8 * size}\nobjects: {200 * size}\n",
             "speed",
         )
         costs, visits = [], []
-        for turn in range(rounds if size < 1000 else 1):
-            played = Play(msgspec.structs.replace(made, seed=turn))
-            began = time.perf_counter()
-            played.run()
-            took = time.perf_counter() - began
-            costs.append(took / played.wheel.done * 1e6)
-            visits.append(played.count / took)
+        for round_index in range(rounds if size < 1000 else 1):
+            simulation = Play(msgspec.structs.replace(scenario, seed=round_index))
+            started_at = time.perf_counter()
+            simulation.run()
+            duration_s = time.perf_counter() - started_at
+            costs.append(duration_s / simulation.wheel.done * 1e6)
+            visits.append(simulation.count / duration_s)
         by_size[size] = {
             "us_an_event": round(statistics.median(costs), 2),
             "visits_per_s": round(statistics.median(visits)),
         }
-    answer["by_caches"] = {str(size): one for size, one in by_size.items()}
+    answer["by_caches"] = {str(size): result for size, result in by_size.items()}
     answer["visits_per_s"] = by_size[sizes[0]]["visits_per_s"]
     answer["growth"] = round(by_size[sizes[-1]]["us_an_event"] / by_size[sizes[0]]["us_an_event"], 2)
     answer["memory_mb"] = round(psutil.Process().memory_info().rss / 1e6)
     for pending in (1_000, 100_000):
         ratios = []
         for _round in range(rounds):
-            plain = churned(Heap(), pending, 300_000)
-            ratios.append(churned(Wheel(), pending, 300_000) / plain)
+            heap_rate = events_per_second(HeapQueue(), pending, 300_000)
+            ratios.append(events_per_second(Wheel(), pending, 300_000) / heap_rate)
         answer[f"wheel_over_heapq_{pending}_ratio"] = round(statistics.median(ratios), 3)
         answer[f"wheel_over_heapq_{pending}_spread"] = [round(min(ratios), 3), round(max(ratios), 3)]
     write_result(answer)
--- a/tests/bench/test_capacity.py
+++ b/tests/bench/test_capacity.py
@@ -1,4 +1,4 @@
-"""docs/CAPACITY.md against the records that it is computed from."""
+"""Tests that docs/CAPACITY.md agrees with the records from which it is computed."""
 
 import json
 import shutil
@@ -10,19 +10,19 @@
 from bench.scale.records import FOLDER, Known, Measured, Record, Unusable, row, write
 
 
-def test_the_page_is_what_the_records_give():
+def test_page_equals_the_text_generated_from_the_records():
     text = page.PAGE.read_text()
     assert page.generated(text, Known()) == text, "run python -m bench.scale capacity"
 
 
-def test_a_figure_edited_by_hand_is_refused(tmp_path):
-    """By its fit where it is one of the values; by the page's digest wherever it stands."""
+def test_record_when_a_value_was_edited_by_hand_is_refused_or_changes_the_page(tmp_path):
+    """An edited value contradicts the fit of its row; any edit changes the digest of the record on the page."""
     shutil.copytree(FOLDER, tmp_path, dirs_exist_ok=True)
     path = tmp_path / "slopes.json"
     data = path.read_text()
     edited = json.loads(data)
-    row_of_joins = next(one for one in edited["rows"] if one["mechanism"] == "join")
-    row_of_joins["values"][2] *= 1.5
+    join_row = next(each for each in edited["rows"] if each["mechanism"] == "join")
+    join_row["values"][2] *= 1.5
     path.write_text(json.dumps(edited))
     with pytest.raises(Unusable, match=r"slopes.json: rows\[\d+\] router.join.time: .* is not what its values fit"):
         Known(tmp_path)
@@ -31,14 +31,14 @@
     assert page.generated(text, Known(tmp_path)) != text
 
 
-def test_a_page_whose_marks_differ_is_refused():
+def test_page_when_a_marker_of_a_generated_part_is_misspelled_is_refused():
     with pytest.raises(Unusable, match="its marked parts are"):
         page.generated(page.PAGE.read_text().replace("generated: roles", "generated: rolls"), Known())
 
 
 @pytest.fixture
 def known(tmp_path):
-    """A record of two routers' rows: one seen up to the design size, one not."""
+    """A record with two rows of the router; only the row "far" was measured at 1600 routers, the size of the design."""
     rows = [
         row("near", "router", "cpu", "routers", [100, 200, 400, 800], [0.01, 0.02, 0.04, 0.08], "core", "virtual", "m"),
         row("far", "router", "bytes", "routers", [2, 4, 8, 1600], [2, 4, 8, 1600], "B/s", "sockets", "m"),
@@ -62,22 +62,23 @@
     return Known(tmp_path)
 
 
-def test_extrapolations_and_what_is_over_are_marked(known):
+def test_tables_mark_extrapolated_values_and_values_above_their_budget(known):
     costs = Costs(cpu=(Term("router.near.cpu", 1600),), bytes=(Term("router.far.bytes", 1600, 2.0),))
     role = RoleModel("Router", (Mechanism("it", "s", "c", "b", costs),), {"cpu": 0.1, "bytes": 4000})
     text = tables.totals(role, known)
     assert "| core | 10% | **OVER** 16%\\* |" in text
-    assert "| bytes/s | 4,000 | 3,200 |" in text  # seen, and within
+    # A value that was measured up to the design size, and is below its budget, has no mark.
+    assert "| bytes/s | 4,000 | 3,200 |" in text
     assert "16%\\*" in tables.mechanisms(role, known)
 
 
-def test_figures_of_other_runs_have_their_place(known):
+def test_planned_tables_contain_the_rows_and_figures_of_records_other_than_slopes(known):
     text = tables.planned(known)
     assert "| relay | change_log | bytes | ordinary | 1600 routers | 1,230 | B/s | virtual, one | m |" in text
     assert "`router.near.cpu`" in text and "`router.near.cpu`" not in tables.slopes(known)
 
 
-def test_what_is_over_on_the_page_is_marked_there():
+def test_page_marks_each_value_above_its_budget_and_lists_five_limitations():
     known, text = Known(), page.PAGE.read_text()
     found = page.over(known)
     assert found and text.count("**OVER** ") == len(found)
