--- a/bench/peers.py
+++ b/bench/peers.py
@@ -1,11 +1,12 @@
-"""Routers that know each other, measured: python -m bench.peers size|budget|judge
+"""Measurements of the routers' peer-to-peer protocol: python -m bench.peers size|budget|judge
 
-    size     virtual: what a router sends a second, how soon a dead one is known, by the fleet's size
-    budget   drawn schedules against what cold machines bear, with real processes behind relays and in virtual time, and
-             how much of it is used where the need is one router's
-    judge    real processes: what is late while a cache or a router's link is bad, with words of others and alone
+    size     simulated time: datagrams of a router per second and time to detect a dead router, by the size of the fleet
+    budget   random fault schedules, with router processes behind relays and in simulated time: the load of cold
+             servers compared with their limit, and the share of the limit that is used where one router has all demand
+    judge    router processes: share of late answers while a cache or a router's link is slow, with and without outlier
+             reports of other routers
 
-The last line is one JSON object. Virtual time is the routers' own deciding code and codecs on one core.
+The last line of the output is one JSON object. In simulated time, the routers' own code and codecs run on one core.
 """
 
 from __future__ import annotations
@@ -25,32 +26,39 @@
 from wickhinge.lab.many.stands import WORK, Scene
 
 
-def told(answer: dict[str, Any]) -> None:
+def write_result(answer: dict[str, Any]) -> None:
+    """Write the result of a measurement as the last line of the output."""
     click.echo(orjson.dumps(answer).decode())
 
 
 @click.group()
 def main() -> None:
-    """Measure what routers know of each other and share."""
+    """Measure the failure detector, quota lending and outlier detection of the routers."""
 
 
-class Sized(play.Fleet):
-    """Nothing is spent, and what each says is counted from `since` on."""
+class CountingFleet(play.Fleet):
+    """Simulated fleet without demand, which counts the datagrams sent.
 
-    since, bytes, sends = 1e9, 0, 0
+    Attributes:
+        count_from: Simulated time at which counting begins.
+        bytes: Total size of the counted datagrams.
+        sends: Number of counted datagrams.
+    """
+
+    count_from, bytes, sends = 1e9, 0, 0
 
     def wants(self, process: play.Process, number: int) -> float:
         return 0.0
 
     def carry(self, process: play.Process, to: int | None, data: bytes) -> None:
-        if self.now >= self.since:
+        if self.now >= self.count_from:
             self.bytes += len(data)
             self.sends += 1
         super().carry(process, to, data)
 
 
-def penniless(process: play.Process) -> None:
-    """Only what knowing each other costs."""
+def disable_quota_lending(process: play.Process) -> None:
+    """Leave only the failure detector of a process active, so that only its datagrams are counted."""
     process.limiter.tick = lambda now: None
     process.spend = process.look = lambda: None
     process.detector.attach_piggyback(lambda name: b"", lambda name, data, now: None)
@@ -58,51 +66,61 @@
 
 @main.command()
 @click.option("--sizes", default="10,50,200,500", show_default=True)
-@click.option("--seconds", default=20.0, show_default=True, help="Counted, after the fleet has found itself.")
+@click.option(
+    "--seconds",
+    default=20.0,
+    show_default=True,
+    help="Simulated seconds of counting, after all routers have contacted each other.",
+)
 @click.option("--json", "_", is_flag=True)
 def size(sizes: str, seconds: float, _: bool) -> None:
-    """One tenth of the fleet dies; when do the others know, and what does knowing each other cost?"""
+    """Measure the traffic of the failure detector, and how soon it detects that a tenth of the fleet died."""
     rows = []
     for count in map(int, sizes.split(",")):
-        found = 10.0 + 0.6 * count  # until each has spoken to each
+        # After this time, each router has exchanged messages with each other one.
+        contact_s = 10.0 + 0.6 * count
         dead = tuple(range(max(count // 10, 1)))
-        kill = Fault("kill", found + seconds, 1e6, dead)
-        fleet = Sized(Schedule(7, count, 3, (kill,), count, 0.0, 0.0), (penniless,))
-        fleet.since = found
+        kill = Fault("kill", contact_s + seconds, 1e6, dead)
+        fleet = CountingFleet(Schedule(7, count, 3, (kill,), count, 0.0, 0.0), (disable_quota_lending,))
+        fleet.count_from = contact_s
         began = time.perf_counter()
-        for place in range(count):
-            fleet.start(place)
-        fleet.wheel.run(found + seconds)
-        sends, size_of = fleet.sends / count / seconds, fleet.bytes / count / seconds
-        share = sum(one.detector.view(one.clock).alive_fraction for one in fleet.processes) / count
+        for router_index in range(count):
+            fleet.start(router_index)
+        fleet.wheel.run(contact_s + seconds)
+        messages_per_s, bytes_per_s = fleet.sends / count / seconds, fleet.bytes / count / seconds
+        alive_share = sum(process.detector.view(process.clock).alive_fraction for process in fleet.processes) / count
         fleet.begin(kill)
-        known = found + seconds
-        fleet.wheel.run(known + 40.0)
-        gone: dict[tuple[str, str], float] = {}
-        false = 0
-        for when, name, _number, event, more in fleet.history:
-            if event == "member_state" and more["state"] == "gone" and when > found:
-                if int(more["name"][1:]) in dead and when >= known:
-                    gone.setdefault((name, more["name"]), when - known)
+        killed_at = contact_s + seconds
+        fleet.wheel.run(killed_at + 40.0)
+        detection_s: dict[tuple[str, str], float] = {}
+        false_suspicions = 0
+        for when, name, _number, event, event_fields in fleet.history:
+            if event == "member_state" and event_fields["state"] == "gone" and when > contact_s:
+                if int(event_fields["name"][1:]) in dead and when >= killed_at:
+                    detection_s.setdefault((name, event_fields["name"]), when - killed_at)
                 else:
-                    false += 1
-        spans = sorted(gone.values())
+                    false_suspicions += 1
+        sorted_detection_s = sorted(detection_s.values())
         rows.append(
             {
                 "routers": count,
-                "messages_per_s": round(sends, 2),
-                "bytes_per_s": round(size_of),
-                "heard_share": round(share, 3),
-                "known_by": len(spans) / (len(dead) * (count - len(dead))),
-                "detect_p50_s": round(spans[len(spans) // 2], 2) if spans else None,
-                "detect_p99_s": round(spans[int(0.99 * (len(spans) - 1))], 2) if spans else None,
-                "false_suspicions": false,
+                "messages_per_s": round(messages_per_s, 2),
+                "bytes_per_s": round(bytes_per_s),
+                "heard_share": round(alive_share, 3),
+                "known_by": len(sorted_detection_s) / (len(dead) * (count - len(dead))),
+                "detect_p50_s": round(sorted_detection_s[len(sorted_detection_s) // 2], 2)
+                if sorted_detection_s
+                else None,
+                "detect_p99_s": round(sorted_detection_s[int(0.99 * (len(sorted_detection_s) - 1))], 2)
+                if sorted_detection_s
+                else None,
+                "false_suspicions": false_suspicions,
                 "played_s": round(time.perf_counter() - began, 1),
             }
         )
         click.echo(rows[-1], err=True)
     growth = rows[-1]["messages_per_s"] / rows[0]["messages_per_s"]
-    told(
+    write_result(
         {
             "virtual": True,
             "rows": rows,
@@ -114,12 +132,13 @@
     )
 
 
-def alone(process: play.Process) -> None:
+def disable_loans(process: play.Process) -> None:
+    """Keep a process from lending or borrowing quota, so that it spends its own share only."""
     process.limiter.balance = lambda number, budget, now: None
 
 
 def used_budget_share(routers: int, seed: int, plants: tuple[Any, ...]) -> float:
-    """Of the first budget, where one router wants all of it and all hear each other."""
+    """Return the used share of the first budget, where one router has demand for all of it and none has failed."""
     fleet = play.Fleet(Schedule(seed, routers, 1, (), routers, 50.0, 0.0), plants)
     fleet.wants = lambda process, number: 2.0 * (process.place == 0)
     fleet.run()
@@ -128,187 +147,232 @@
     return sum(amount for when, _name, amount in fleet.spent[0] if when > since) / (most / window * (50.0 - since))
 
 
-def on_sockets_used(routers: int, seed: int, shared: bool, seconds: float = 16.0) -> list[float]:
-    """Of what a cold cache bears, in true time, where one router of its zone wants twice that and all hear each other;
-    and the worst window.
+def measure_use_on_sockets(routers: int, seed: int, shared: bool, seconds: float = 16.0) -> list[float]:
+    """Measure the used share of a cold cache's limit with router processes, none of which fails.
+
+    One router of the zone has demand for twice the limit.
+
+    Returns:
+        The used share, and the load of the worst window divided by the limit.
     """
-    told = Schedule(seed, routers, 1, (), routers, 18.0, seconds)
+    schedule = Schedule(seed, routers, 1, (), routers, 18.0, seconds)
     with (
         tempfile.TemporaryDirectory(prefix="wickhinge-") as folder,
-        Rig(Path(folder), told, Scene(lambda process, now: 2.0 * (process.place == 0) * (now > 0.0)), shared) as rig,
+        Rig(
+            Path(folder), schedule, Scene(lambda process, now: 2.0 * (process.place == 0) * (now > 0.0)), shared
+        ) as rig,
     ):
         stands = rig.run().stands
         if faults := rig.crashed() + stands.wrong:
             raise click.ClickException("; ".join(faults))
         sent = stands.sent[stands.caches[0].mark]
-        until = 18.0 + seconds
-        could = sum(stands.bears(18.0 + 0.1 * turn) / stands.span * 0.1 for turn in range(int(seconds * 10)))
+        end_s = 18.0 + seconds
+        possible_work = sum(stands.bears(18.0 + 0.1 * turn) / stands.span * 0.1 for turn in range(int(seconds * 10)))
         return [
-            sum(work for when, _, work in sent if 18.0 < when < until) / could,
+            sum(work for when, _, work in sent if 18.0 < when < end_s) / possible_work,
             judges.peak(sent, stands.bears, stands.span),
         ]
 
 
-def virtual_budget(seed: int, count: int) -> dict[str, Any]:
-    peaks, broken, gone, routers = [], 0, 0, 0
-    for place in range(count):
-        drawn = draw(seed + place)
-        found = trial.virtual(drawn)
+def simulated_budget(seed: int, count: int) -> dict[str, Any]:
+    """Simulate random fault schedules, and return the result of the measurement `budget` in simulated time."""
+    peaks, broken, unfounded_gone, routers = [], 0, 0, 0
+    for index in range(count):
+        schedule = draw(seed + index)
+        found = trial.virtual(schedule)
         peaks.append(max(found.peaks))
         broken += bool(found.faults)
-        gone += found.gone
-        routers += drawn.routers
+        unfounded_gone += found.gone
+        routers += schedule.routers
         if found.faults:
-            click.echo(f"seed {drawn.seed}: {found.faults[:3]}", err=True)
+            click.echo(f"seed {schedule.seed}: {found.faults[:3]}", err=True)
     sizes = (2, 5, 9, 16)
-    moved = {
+    used_with_loans = {
         str(number): [round(used_budget_share(number, seed + turn, ()), 3) for turn in range(2)] for number in sizes
     }
-    kept = {
-        str(number): [round(used_budget_share(number, seed + turn, (alone,)), 3) for turn in range(2)]
+    used_without_loans = {
+        str(number): [round(used_budget_share(number, seed + turn, (disable_loans,)), 3) for turn in range(2)]
         for number in sizes
     }
     return {
         "processes": routers,
         "schedules": count,
         "budget_peak": round(max(peaks), 4),
-        "used_share": min(map(min, moved.values())),
-        "used_by_routers": moved,
-        "used_share_alone": kept,
-        "gone_unfounded": gone,
+        "used_share": min(map(min, used_with_loans.values())),
+        "used_by_routers": used_with_loans,
+        "used_share_alone": used_without_loans,
+        "gone_unfounded": unfounded_gone,
         "broken": broken,
     }
 
 
-PROMISED = 1.0  # seconds, as the example's settings promise pages
-BOXES = 6
-BAD = 0x100  # the first cache's mark
-SINCE, LASTS = 10.0, 14.0  # of the trouble
+# Latency objective of pages in the example's settings.
+LATENCY_OBJECTIVE_S = 1.0
+# Caches of the zone.
+CACHE_COUNT = 6
+# Endpoint id of the first cache, which is the slow one.
+SLOW_CACHE_ID = 0x100
+# Start and duration of the time in which the cache or the router is slow.
+SLOW_FROM_S, SLOW_FOR_S = 10.0, 14.0
+
 
+def work_at_slow_cache(number: int, place: int, now: float) -> float:
+    """Return the seconds of an answer where the first cache is slow for a time, whichever router asks."""
+    return 1.5 if number == 0 and SLOW_FROM_S < now < SLOW_FROM_S + SLOW_FOR_S else WORK
 
-def bad_cache(number: int, place: int, now: float) -> float:
-    return 1.5 if number == 0 and SINCE < now < SINCE + LASTS else WORK
 
+def work_for_slow_router(number: int, place: int, now: float) -> float:
+    """Return the seconds of an answer where the first router has a slow link for a time, whichever cache answers."""
+    return 1.5 if place == 0 and SLOW_FROM_S < now < SLOW_FROM_S + SLOW_FOR_S else WORK
 
-def sick_router(number: int, place: int, now: float) -> float:
-    return 1.5 if place == 0 and SINCE < now < SINCE + LASTS else WORK
 
+def measure_slowness(work: Any, seed: int, judgements: bool, faults: tuple[Fault, ...], rate: float) -> dict[str, Any]:
+    """Run five router processes of one zone while a cache or a router is slow, with a low request rate at each.
 
-def judged(work: Any, seed: int, judgements: bool, faults: tuple[Fault, ...], rate: float) -> dict[str, Any]:
-    """Five routers of one zone, each with few visits a second: what was late while the trouble lasted, who acted."""
-    told = Schedule(seed, 5, 1, faults, 5, SINCE + LASTS, 3.0)
+    Returns:
+        The late share of the requests in that time, and which routers applied a verdict on the slow cache and when.
+    """
+    schedule = Schedule(seed, 5, 1, faults, 5, SLOW_FROM_S + SLOW_FOR_S, 3.0)
     with (
         tempfile.TemporaryDirectory(prefix="wickhinge-") as folder,
-        Rig(Path(folder), told, Scene(lambda process, now: rate, False, BOXES, work), True, judgements) as rig,
+        Rig(
+            Path(folder), schedule, Scene(lambda process, now: rate, False, CACHE_COUNT, work), True, judgements
+        ) as rig,
     ):
         stands = rig.run().stands
-        if wrong := rig.crashed() + stands.wrong:
-            raise click.ClickException("; ".join(wrong))
+        if violations := rig.crashed() + stands.wrong:
+            raise click.ClickException("; ".join(violations))
         history = rig.history()
-    sick = work is sick_router
-    during = [took for when, took, place in stands.visits if SINCE < when < SINCE + LASTS and not (sick and place == 0)]
-    late = sum(took is None or took > PROMISED for took in during)
-    acts: dict[str, float] = {}
-    wrongly = set()
-    for when, name, _, event, more in history:
-        if event in ("seen", "told") and more["verdict"] != "well" and when > SINCE:
-            if int(more["machine"], 16) == BAD and not sick:
-                acts.setdefault(name, when)
+    is_router_slow = work is work_for_slow_router
+    during = [
+        took
+        for when, took, place in stands.visits
+        if SLOW_FROM_S < when < SLOW_FROM_S + SLOW_FOR_S and not (is_router_slow and place == 0)
+    ]
+    late_count = sum(took is None or took > LATENCY_OBJECTIVE_S for took in during)
+    verdict_at_by_router: dict[str, float] = {}
+    unfounded_verdicts = set()
+    for when, name, _, event, event_fields in history:
+        if event in ("seen", "told") and event_fields["verdict"] != "well" and when > SLOW_FROM_S:
+            if int(event_fields["machine"], 16) == SLOW_CACHE_ID and not is_router_slow:
+                verdict_at_by_router.setdefault(name, when)
             elif event == "told":
-                wrongly.add((name, more["machine"]))
-    first = min(acts.values(), default=0.0)
+                unfounded_verdicts.add((name, event_fields["machine"]))
+    first_verdict_at = min(verdict_at_by_router.values(), default=0.0)
     return {
         "visits": len(during),
-        "late": late / max(len(during), 1),
-        "wrongly": len(wrongly),
-        "spread": [when - first for when in acts.values()],
-        "acted": len(acts),
+        "late": late_count / max(len(during), 1),
+        "wrongly": len(unfounded_verdicts),
+        "spread": [when - first_verdict_at for when in verdict_at_by_router.values()],
+        "acted": len(verdict_at_by_router),
     }
 
 
 @main.command()
 @click.option("--seed", default=1, show_default=True)
-@click.option("--plays", default=2, show_default=True, help="Of each scene, with and without words.")
-@click.option("--rate", default=10.0, show_default=True, help="Visits a second at each router.")
-@click.option("--only", multiple=True, help="These scenes alone.")
+@click.option(
+    "--plays", default=2, show_default=True, help="Runs of each scene, with and without reports of other routers."
+)
+@click.option("--rate", default=10.0, show_default=True, help="Requests per second at each router.")
+@click.option("--only", multiple=True, help="Run only these scenes.")
 @click.option("--json", "_", is_flag=True)
 def judge(seed: int, plays: int, rate: float, only: tuple[str, ...], _: bool) -> None:
-    """Real processes: a bad cache, a router whose own link is sick, a cut beside a bad cache; with words and alone."""
-    cut = (Fault("cut", SINCE - 1.0, LASTS, (0, 1), (2, 3, 4)),)
-    scenes = {"bad_cache": (bad_cache, ()), "sick_router": (sick_router, ()), "bad_cache_cut": (bad_cache, cut)}
-    rows, spreads, wrongly, worse = {}, [], 0, 0
+    """Measure late answers with a slow cache, a router with a slow link, and a slow cache in a partitioned fleet.
+
+    Each scene runs with outlier reports of other routers, and without them.
+    """
+    cut = (Fault("cut", SLOW_FROM_S - 1.0, SLOW_FOR_S, (0, 1), (2, 3, 4)),)
+    scenes = {
+        "bad_cache": (work_at_slow_cache, ()),
+        "sick_router": (work_for_slow_router, ()),
+        "bad_cache_cut": (work_at_slow_cache, cut),
+    }
+    rows, spreads, wrongly, worse_scenes = {}, [], 0, 0
     for name, (work, faults) in scenes.items():
         if only and name not in only:
             continue
-        ours, alone = [], []
-        for turn in range(plays):
-            found = judged(work, seed + turn, True, faults, rate)
-            ours.append(found["late"])
+        late_with_reports, late_without_reports = [], []
+        for run_index in range(plays):
+            found = measure_slowness(work, seed + run_index, True, faults, rate)
+            late_with_reports.append(found["late"])
             wrongly = max(wrongly, found["wrongly"])
             spreads += found["spread"] if not faults else []
-            alone.append(judged(work, seed + turn, False, faults, rate)["late"])
-            click.echo(f"{name}: {found}, alone {alone[-1]:.4f}", err=True)
+            late_without_reports.append(measure_slowness(work, seed + run_index, False, faults, rate)["late"])
+            click.echo(f"{name}: {found}, without reports {late_without_reports[-1]:.4f}", err=True)
         rows[name] = {
-            "late_share": [round(one, 4) for one in ours],
-            "late_share_alone": [round(one, 4) for one in alone],
+            "late_share": [round(share, 4) for share in late_with_reports],
+            "late_share_alone": [round(share, 4) for share in late_without_reports],
         }
-        worse += sum(ours) / plays > sum(alone) / plays + 0.02
+        worse_scenes += sum(late_with_reports) / plays > sum(late_without_reports) / plays + 0.02
     spreads.sort()
-    bad = rows.get("bad_cache") or next(iter(rows.values()))
-    told(
+    slow_cache_result = rows.get("bad_cache") or next(iter(rows.values()))
+    write_result(
         {
             "sockets": True,
             "processes": 5,
             "plays": plays,
-            "late_share": max(bad["late_share"]),
-            "late_share_alone": max(bad["late_share_alone"]),
+            "late_share": max(slow_cache_result["late_share"]),
+            "late_share_alone": max(slow_cache_result["late_share_alone"]),
             "scenes": rows,
             "spread_p99_ms": round(1000 * spreads[int(0.99 * (len(spreads) - 1))]) if spreads else None,
             "shunned_wrongly": wrongly,
-            "shunned_bound": 5 * max(BOXES // 3, 1),
-            "worse_than_alone": worse,
+            "shunned_bound": 5 * max(CACHE_COUNT // 3, 1),
+            "worse_than_alone": worse_scenes,
         }
     )
-    sys.exit(1 if worse else 0)
+    sys.exit(1 if worse_scenes else 0)
 
 
 @main.command()
 @click.option("--seed", default=1000, show_default=True)
-@click.option("--count", default=100, show_default=True, help="Schedules drawn in virtual time.")
-@click.option("--sockets", default=6, show_default=True, help="Schedules drawn for real processes; 0: virtual only.")
-@click.option("--routers", default=5, show_default=True, help="Real processes of each, besides those started twice.")
-@click.option("--plays", default=2, show_default=True, help="Of what is used, with shares and alone.")
+@click.option("--count", default=100, show_default=True, help="Random schedules in simulated time.")
+@click.option(
+    "--sockets", default=6, show_default=True, help="Random schedules for router processes; 0: simulated time only."
+)
+@click.option(
+    "--routers",
+    default=5,
+    show_default=True,
+    help="Router processes of each schedule, without those that a fault starts a second time.",
+)
+@click.option("--plays", default=2, show_default=True, help="Runs that measure the used share, with and without loans.")
 @click.option("--json", "_", is_flag=True)
 def budget(seed: int, count: int, sockets: int, routers: int, plays: int, _: bool) -> None:
-    """No schedule may topple a cold machine; where all hear each other little of its limit may stay unused."""
-    answer = virtual = virtual_budget(seed, count)
+    """Measure whether a schedule overloads a cold server, and the used share of its limit without faults.
+
+    The exit status is 1 if a rule was broken.
+    """
+    answer = virtual = simulated_budget(seed, count)
     if sockets:
         peaks, broken, processes = [], 0, 0
-        for place in range(sockets):
-            drawn = draw(seed + place, routers)
-            found = trial.on_sockets(drawn)
+        for index in range(sockets):
+            schedule = draw(seed + index, routers)
+            found = trial.on_sockets(schedule)
             peaks += found.peaks
             broken += bool(found.faults)
-            processes += drawn.routers + sum(fault.kind in ("twin", "kill") for fault in drawn.faults)
+            processes += schedule.routers + sum(fault.kind in ("twin", "kill") for fault in schedule.faults)
             click.echo(
-                f"seed {drawn.seed}: peaks {[round(peak, 3) for peak in found.peaks]} {found.faults[:3]}", err=True
+                f"seed {schedule.seed}: peaks {[round(peak, 3) for peak in found.peaks]} {found.faults[:3]}", err=True
             )
         runs = [
-            (on_sockets_used(routers, seed + turn, True), on_sockets_used(routers, seed + turn, False))
-            for turn in range(plays)
+            (
+                measure_use_on_sockets(routers, seed + run_index, True),
+                measure_use_on_sockets(routers, seed + run_index, False),
+            )
+            for run_index in range(plays)
         ]
         answer = {
             "processes": processes,
             "schedules": sockets,
             "budget_peak": round(max(peaks), 4),
-            "used_share": round(min(ours[0] for ours, _ in runs), 3),
-            "used_shares": [round(ours[0], 3) for ours, _ in runs],
-            "used_share_alone": [round(theirs[0], 3) for _, theirs in runs],
-            "used_peak": round(max(ours[1] for ours, _ in runs), 4),
+            "used_share": round(min(with_loans[0] for with_loans, _ in runs), 3),
+            "used_shares": [round(with_loans[0], 3) for with_loans, _ in runs],
+            "used_share_alone": [round(without_loans[0], 3) for _, without_loans in runs],
+            "used_peak": round(max(with_loans[1] for with_loans, _ in runs), 4),
             "broken": broken,
             "virtual": virtual,
         }
-    told(answer)
+    write_result(answer)
     sys.exit(1 if answer["broken"] or virtual["broken"] else 0)
 
 
