--- a/bench/cold_sum.py
+++ b/bench/cold_sum.py
@@ -28,7 +28,7 @@
 import click
 import numpy as np
 
-from bench import write_result
+from bench import print_result
 from wickhinge.interface import (
     AttemptParameters,
     Capabilities,
@@ -40,11 +40,10 @@
     Request,
     RequestClass,
 )
-from wickhinge.lab.many import stands
-from wickhinge.lab.many.rig import Rig
+from wickhinge.lab.many import stand_ins
+from wickhinge.lab.many.harness import Harness
 from wickhinge.lab.many.schedule import Fault, Schedule
-from wickhinge.lab.many.stands import AGE, LIMITS, WARM
-from wickhinge.lab.many.stands import Scene as StandScene
+from wickhinge.lab.many.stand_ins import INITIAL_AGE_S, SLOW_START, WARM_UP_S, Workload
 from wickhinge.routing.attempt import Attempt
 from wickhinge.routing.endpoints import Endpoints, Topology
 from wickhinge.routing.object_counts import ObjectCounts
@@ -508,37 +507,39 @@
         Fault("kill", start_s + 1.0 + turn * 0.8, 0.5, (router,)) for turn, router in enumerate(killed_routers)
     )
     share = load_shares(processes)
-    scene = StandScene(lambda process, now: 3.0 * float(share[process.place]) * (now > 0.0))
+    workload = Workload(lambda process, now: 3.0 * float(share[process.router_index]) * (now > 0.0))
     window_work_per_weight = (
-        LIMITS.overload_factor * (LIMITS.initial_capacity + (1 - LIMITS.initial_capacity) * AGE / WARM) * LIMITS.window
+        SLOW_START.overload_factor
+        * (SLOW_START.initial_capacity + (1 - SLOW_START.initial_capacity) * INITIAL_AGE_S / WARM_UP_S)
+        * SLOW_START.window
     )
     schedule = Schedule(seed, processes, 1, killed, processes, start_s, seconds)
     with (
-        patch.object(stands, "WEIGHT", budget * stands.WORK / window_work_per_weight),
+        patch.object(stand_ins, "CACHE_WEIGHT", budget * stand_ins.REQUEST_WORK_S / window_work_per_weight),
         tempfile.TemporaryDirectory(prefix="wickhinge-") as folder,
-        Rig(Path(folder), schedule, scene, False) as rig,
+        Harness(Path(folder), schedule, workload, False) as harness,
     ):
-        made = rig.run().stands
-        sent = made.sent[made.caches[0].mark]
+        servers = harness.run().stand_ins
+        sent = servers.sent[servers.caches[0].server_id]
         worst = worst_window(
-            [when for when, _, _ in sent], LIMITS.window, lambda when: window_limit_of_stand_in(made, when)
+            [when for when, _, _ in sent], SLOW_START.window, lambda when: window_limit_of_stand_in(servers, when)
         )
-        answered = sum(took is not None for _, took, _ in made.visits)
+        answered = sum(took is not None for _, took, _ in servers.requests)
         return {
             "processes": processes,
             "N": budget,
             "killed": len(killed_routers),
-            "crashed": rig.crashed(),
+            "crashed": harness.find_crashes(),
             "worst": worst,
             "sent": len(sent),
-            "asked": len(made.visits),
-            "served": round(answered / max(len(made.visits), 1), 3),
+            "asked": len(servers.requests),
+            "served": round(answered / max(len(servers.requests), 1), 3),
         }
 
 
-def window_limit_of_stand_in(made: Any, when: float) -> float:
+def window_limit_of_stand_in(servers: Any, when: float) -> float:
     """Return the largest number of requests that the cold stand-in bears in the window that begins at a time."""
-    return float(allowance(made.bears(when) / stands.WORK))
+    return float(allowance(servers.overload_limit(when) / stand_ins.REQUEST_WORK_S))
 
 
 # Rows of the result, and the command.
@@ -637,7 +638,7 @@
         answer["plays"] = simulation_rows(seeds, {tier: TIERS[tier]} if tier else TIERS)
     if sockets:
         answer["sockets"] = [on_sockets(sockets, budget, seed) for budget in (6, 36)]
-    write_result(answer)
+    print_result(answer)
 
 
 if __name__ == "__main__":
--- a/bench/discovery.py
+++ b/bench/discovery.py
@@ -21,7 +21,7 @@
 import click
 import numpy as np
 
-from bench import write_result
+from bench import print_result
 from wickhinge.interface import (
     AttemptParameters,
     Completion,
@@ -32,8 +32,8 @@
     Request,
     RequestClass,
 )
-from wickhinge.lab.play import emulated
-from wickhinge.lab.wheel import Wheel
+from wickhinge.lab.event_queue import EventQueue
+from wickhinge.lab.simulation import build_router
 from wickhinge.membership.controller import MembershipController
 from wickhinge.membership.endpoint_list_file import EndpointListFile
 from wickhinge.membership.port import EndpointListing, MembershipSettings
@@ -97,8 +97,8 @@
         # After three days, all servers have new endpoint ids, also those at former addresses.
         if age == "3d":
             self.world.marks = [mark + 0x100 for mark in self.world.marks]
-        self.world.tell(1, self.world.records())
-        self.world.heard = self.message_received
+        self.world.publish(1, self.world.records())
+        self.world.on_request = self.message_received
         self.folder = folder
         folder.mkdir()
         now = time.time()
@@ -236,19 +236,19 @@
 
     def start_service(self) -> None:
         self.service_started_at = time.time()
-        self.world.followed = self.watch_connected
+        self.world.on_watch_begun = self.watch_connected
         self.world.serve_journal()
 
     def watch_connected(self) -> None:
         from twisted.internet import reactor
 
-        self.world.followed = lambda: None
+        self.world.on_watch_begun = lambda: None
         self.watched_at = time.time()
         reactor.callLater(0.7, self.drain_server, 4)
 
     def drain_server(self, place: int) -> None:
         self.world.states[place - 1] = 1
-        self.world.tell(2, self.world.record(place))
+        self.world.publish(2, self.world.record(place))
         self.drained_at[place] = time.time()
 
     def finish(self) -> None:
@@ -364,7 +364,7 @@
             result["faults"] for age in ages.split(",") for result in results_by_run[age, policy]
         )
     answer["by_kind"] = {age: results_by_run[age, "ours"][0]["by_kind"] for age in ages.split(",")}
-    write_result(answer)
+    print_result(answer)
 
 
 # Measurement "herd".
@@ -390,7 +390,7 @@
     WINDOW_S, OVERLOAD_FACTOR, INITIAL_CAPACITY, WARM_UP_S = 3.0, 4.0, 0.2, 10.0
 
     def __init__(self, routers: int, seed: int, trusts_list: bool, load: float) -> None:
-        self.wheel, self.random = Wheel(1000.0), random.Random(seed)
+        self.events, self.random = EventQueue(1000.0), random.Random(seed)
         self.started_at, self.routers, self.trusts_list = self.now, [], trusts_list
         self.servers = {endpoint_id: ColdServer(4.0) for endpoint_id in range(1, 9)} | {
             100: ColdServer(40.0),
@@ -427,10 +427,10 @@
 
     @property
     def now(self) -> float:
-        return self.wheel.now
+        return self.events.now
 
     def at(self, when: float, call: Any) -> None:
-        self.wheel.at(when, call)
+        self.events.call_at(when, call)
 
     def add_router(self, number: int, routers: int) -> None:
         random_source = RandomSource(number + 1)
@@ -439,7 +439,7 @@
             check_health=lambda cache: None,
             watch=lambda: None,
         )
-        router = emulated(
+        router = build_router(
             environment,
             random_source,
             "here",
@@ -493,7 +493,7 @@
         router.route(HerdCaller(self, router, members), self.request_class, request, self.now)
 
     def run(self, seconds: float) -> dict[str, Any]:
-        self.wheel.run(self.started_at + seconds)
+        self.events.run(self.started_at + seconds)
         peak = peak_upper = 0.0
         for endpoint_id, server in self.servers.items():
             if endpoint_id == 200:
@@ -647,7 +647,7 @@
     answer["peaks"] = answer["peak_over_limit"]
     answer["peak_over_limit"] = max(max(answer["peaks"].values()), max(answer["peak_over_limit_parents"].values()))
     answer["peak_over_limit_blind"] = max(answer["peak_over_limit_blind"].values())
-    write_result(answer)
+    print_result(answer)
 
 
 if __name__ == "__main__":
--- a/bench/lab.py
+++ b/bench/lab.py
@@ -18,10 +18,10 @@
 import msgspec
 import psutil
 
-from bench import write_result
-from wickhinge.lab.play import Play
-from wickhinge.lab.scenario import check
-from wickhinge.lab.wheel import Wheel
+from bench import print_result
+from wickhinge.lab.event_queue import EventQueue
+from wickhinge.lab.scenario import parse_scenario
+from wickhinge.lab.simulation import Simulation
 
 
 @click.group()
@@ -35,7 +35,7 @@
     def __init__(self) -> None:
         self.now, self.heap, self.serial = 0.0, [], 0
 
-    def after(self, delay: float, call: Any, *args: Any) -> None:
+    def call_after(self, delay: float, call: Any, *args: Any) -> None:
         self.serial += 1
         heappush(self.heap, (self.now + delay, self.serial, call, args))
 
@@ -65,10 +65,10 @@
     def call(index: int) -> None:
         remaining[0] -= 1
         if remaining[0] > 0:
-            queue.after(delays[index & 4095], call, index + 17)
+            queue.call_after(delays[index & 4095], call, index + 17)
 
     for index in range(pending):
-        queue.after(delays[index & 4095], call, index)
+        queue.call_after(delays[index & 4095], call, index)
     began = time.perf_counter()
     while remaining[0] > 0:
         queue.run(queue.now + 1.0)
@@ -91,7 +91,7 @@
     for size in sizes:
         # Large fleets are simulated for a shorter time, since the results are costs per request and per event.
         simulated_s = seconds if size < 1000 else seconds / 5
-        scenario = check(
+        scenario = parse_scenario(
             f'name: "speed"\nseconds: {simulated_s}\nwarm_s: 0\nzones: {max(size // 10, 1)}\n'
             f"routers: {max(size // 2, 1)}\ncaches: {size}\n"
             f"parents: {max(size // 10, 1)}\nvisits_per_s: {8 * size}\nobjects: {200 * size}\n",
@@ -99,12 +99,12 @@
         )
         costs, visits = [], []
         for round_index in range(rounds if size < 1000 else 1):
-            simulation = Play(msgspec.structs.replace(scenario, seed=round_index))
+            simulation = Simulation(msgspec.structs.replace(scenario, seed=round_index))
             started_at = time.perf_counter()
             simulation.run()
             duration_s = time.perf_counter() - started_at
-            costs.append(duration_s / simulation.wheel.done * 1e6)
-            visits.append(simulation.count / duration_s)
+            costs.append(duration_s / simulation.events.processed_count * 1e6)
+            visits.append(simulation.request_count / duration_s)
         by_size[size] = {
             "us_an_event": round(statistics.median(costs), 2),
             "visits_per_s": round(statistics.median(visits)),
@@ -117,10 +117,10 @@
         ratios = []
         for _round in range(rounds):
             heap_rate = events_per_second(HeapQueue(), pending, 300_000)
-            ratios.append(events_per_second(Wheel(), pending, 300_000) / heap_rate)
+            ratios.append(events_per_second(EventQueue(), pending, 300_000) / heap_rate)
         answer[f"wheel_over_heapq_{pending}_ratio"] = round(statistics.median(ratios), 3)
         answer[f"wheel_over_heapq_{pending}_spread"] = [round(min(ratios), 3), round(max(ratios), 3)]
-    write_result(answer)
+    print_result(answer)
 
 
 if __name__ == "__main__":
--- a/bench/peers.py
+++ b/bench/peers.py
@@ -20,13 +20,13 @@
 import click
 import orjson
 
-from wickhinge.lab.many import judges, play, trial
-from wickhinge.lab.many.rig import Rig
+from wickhinge.lab.many import invariants, simulation, trial
+from wickhinge.lab.many.harness import Harness
 from wickhinge.lab.many.schedule import Fault, Schedule, draw
-from wickhinge.lab.many.stands import WORK, Scene
+from wickhinge.lab.many.stand_ins import REQUEST_WORK_S, Workload
 
 
-def write_result(answer: dict[str, Any]) -> None:
+def print_result(answer: dict[str, Any]) -> None:
     """Write the result of a measurement as the last line of the output."""
     click.echo(orjson.dumps(answer).decode())
 
@@ -36,7 +36,7 @@
     """Measure the failure detector, quota lending and outlier detection of the routers."""
 
 
-class CountingFleet(play.Fleet):
+class CountingFleet(simulation.Fleet):
     """Simulated fleet without demand, which counts the datagrams sent.
 
     Attributes:
@@ -47,20 +47,20 @@
 
     count_from, bytes, sends = 1e9, 0, 0
 
-    def wants(self, process: play.Process, number: int) -> float:
+    def demand(self, process: simulation.Process, number: int) -> float:
         return 0.0
 
-    def carry(self, process: play.Process, to: int | None, data: bytes) -> None:
+    def send_datagram(self, process: simulation.Process, to: int | None, data: bytes) -> None:
         if self.now >= self.count_from:
             self.bytes += len(data)
             self.sends += 1
-        super().carry(process, to, data)
+        super().send_datagram(process, to, data)
 
 
-def disable_quota_lending(process: play.Process) -> None:
+def disable_quota_lending(process: simulation.Process) -> None:
     """Leave only the failure detector of a process active, so that only its datagrams are counted."""
     process.limiter.tick = lambda now: None
-    process.spend = process.look = lambda: None
+    process.spend = process.log_view = lambda: None
     process.detector.attach_piggyback(lambda name: b"", lambda name, data, now: None)
 
 
@@ -85,13 +85,13 @@
         fleet.count_from = contact_s
         began = time.perf_counter()
         for router_index in range(count):
-            fleet.start(router_index)
-        fleet.wheel.run(contact_s + seconds)
+            fleet.start_process(router_index)
+        fleet.event_queue.run(contact_s + seconds)
         messages_per_s, bytes_per_s = fleet.sends / count / seconds, fleet.bytes / count / seconds
         alive_share = sum(process.detector.view(process.clock).alive_fraction for process in fleet.processes) / count
-        fleet.begin(kill)
+        fleet.begin_fault(kill)
         killed_at = contact_s + seconds
-        fleet.wheel.run(killed_at + 40.0)
+        fleet.event_queue.run(killed_at + 40.0)
         detection_s: dict[tuple[str, str], float] = {}
         false_suspicions = 0
         for when, name, _number, event, event_fields in fleet.history:
@@ -120,7 +120,7 @@
         )
         click.echo(rows[-1], err=True)
     growth = rows[-1]["messages_per_s"] / rows[0]["messages_per_s"]
-    write_result(
+    print_result(
         {
             "virtual": True,
             "rows": rows,
@@ -132,17 +132,17 @@
     )
 
 
-def disable_loans(process: play.Process) -> None:
+def disable_loans(process: simulation.Process) -> None:
     """Keep a process from lending or borrowing quota, so that it spends its own share only."""
     process.limiter.balance = lambda number, budget, now: None
 
 
 def used_budget_share(routers: int, seed: int, plants: tuple[Any, ...]) -> float:
     """Return the used share of the first budget, where one router has demand for all of it and none has failed."""
-    fleet = play.Fleet(Schedule(seed, routers, 1, (), routers, 50.0, 0.0), plants)
-    fleet.wants = lambda process, number: 2.0 * (process.place == 0)
+    fleet = simulation.Fleet(Schedule(seed, routers, 1, (), routers, 50.0, 0.0), plants)
+    fleet.demand = lambda process, number: 2.0 * (process.router_index == 0)
     fleet.run()
-    most, window, _ = play.BUDGETS[0]
+    most, window, _ = simulation.BUDGETS[0]
     since = 20.0 + 0.5 * routers
     return sum(amount for when, _name, amount in fleet.spent[0] if when > since) / (most / window * (50.0 - since))
 
@@ -158,19 +158,24 @@
     schedule = Schedule(seed, routers, 1, (), routers, 18.0, seconds)
     with (
         tempfile.TemporaryDirectory(prefix="wickhinge-") as folder,
-        Rig(
-            Path(folder), schedule, Scene(lambda process, now: 2.0 * (process.place == 0) * (now > 0.0)), shared
-        ) as rig,
+        Harness(
+            Path(folder),
+            schedule,
+            Workload(lambda process, now: 2.0 * (process.router_index == 0) * (now > 0.0)),
+            shared,
+        ) as harness,
     ):
-        stands = rig.run().stands
-        if faults := rig.crashed() + stands.wrong:
+        stand_ins = harness.run().stand_ins
+        if faults := harness.find_crashes() + stand_ins.violations:
             raise click.ClickException("; ".join(faults))
-        sent = stands.sent[stands.caches[0].mark]
+        sent = stand_ins.sent[stand_ins.caches[0].server_id]
         end_s = 18.0 + seconds
-        possible_work = sum(stands.bears(18.0 + 0.1 * turn) / stands.span * 0.1 for turn in range(int(seconds * 10)))
+        possible_work = sum(
+            stand_ins.overload_limit(18.0 + 0.1 * turn) / stand_ins.window_s * 0.1 for turn in range(int(seconds * 10))
+        )
         return [
             sum(work for when, _, work in sent if 18.0 < when < end_s) / possible_work,
-            judges.peak(sent, stands.bears, stands.span),
+            invariants.peak_usage(sent, stand_ins.overload_limit, stand_ins.window_s),
         ]
 
 
@@ -179,13 +184,13 @@
     peaks, broken, unfounded_gone, routers = [], 0, 0, 0
     for index in range(count):
         schedule = draw(seed + index)
-        found = trial.virtual(schedule)
+        found = trial.run_simulated(schedule)
         peaks.append(max(found.peaks))
-        broken += bool(found.faults)
-        unfounded_gone += found.gone
+        broken += bool(found.violations)
+        unfounded_gone += found.unfounded_gone_reports
         routers += schedule.routers
-        if found.faults:
-            click.echo(f"seed {schedule.seed}: {found.faults[:3]}", err=True)
+        if found.violations:
+            click.echo(f"seed {schedule.seed}: {found.violations[:3]}", err=True)
     sizes = (2, 5, 9, 16)
     used_with_loans = {
         str(number): [round(used_budget_share(number, seed + turn, ()), 3) for turn in range(2)] for number in sizes
@@ -218,12 +223,12 @@
 
 def work_at_slow_cache(number: int, place: int, now: float) -> float:
     """Return the seconds of an answer where the first cache is slow for a time, whichever router asks."""
-    return 1.5 if number == 0 and SLOW_FROM_S < now < SLOW_FROM_S + SLOW_FOR_S else WORK
+    return 1.5 if number == 0 and SLOW_FROM_S < now < SLOW_FROM_S + SLOW_FOR_S else REQUEST_WORK_S
 
 
 def work_for_slow_router(number: int, place: int, now: float) -> float:
     """Return the seconds of an answer where the first router has a slow link for a time, whichever cache answers."""
-    return 1.5 if place == 0 and SLOW_FROM_S < now < SLOW_FROM_S + SLOW_FOR_S else WORK
+    return 1.5 if place == 0 and SLOW_FROM_S < now < SLOW_FROM_S + SLOW_FOR_S else REQUEST_WORK_S
 
 
 def measure_slowness(work: Any, seed: int, judgements: bool, faults: tuple[Fault, ...], rate: float) -> dict[str, Any]:
@@ -235,18 +240,18 @@
     schedule = Schedule(seed, 5, 1, faults, 5, SLOW_FROM_S + SLOW_FOR_S, 3.0)
     with (
         tempfile.TemporaryDirectory(prefix="wickhinge-") as folder,
-        Rig(
-            Path(folder), schedule, Scene(lambda process, now: rate, False, CACHE_COUNT, work), True, judgements
-        ) as rig,
+        Harness(
+            Path(folder), schedule, Workload(lambda process, now: rate, False, CACHE_COUNT, work), True, judgements
+        ) as harness,
     ):
-        stands = rig.run().stands
-        if violations := rig.crashed() + stands.wrong:
+        stand_ins = harness.run().stand_ins
+        if violations := harness.find_crashes() + stand_ins.violations:
             raise click.ClickException("; ".join(violations))
-        history = rig.history()
+        history = harness.history()
     is_router_slow = work is work_for_slow_router
     during = [
         took
-        for when, took, place in stands.visits
+        for when, took, place in stand_ins.requests
         if SLOW_FROM_S < when < SLOW_FROM_S + SLOW_FOR_S and not (is_router_slow and place == 0)
     ]
     late_count = sum(took is None or took > LATENCY_OBJECTIVE_S for took in during)
@@ -306,7 +311,7 @@
         worse_scenes += sum(late_with_reports) / plays > sum(late_without_reports) / plays + 0.02
     spreads.sort()
     slow_cache_result = rows.get("bad_cache") or next(iter(rows.values()))
-    write_result(
+    print_result(
         {
             "sockets": True,
             "processes": 5,
@@ -347,12 +352,13 @@
         peaks, broken, processes = [], 0, 0
         for index in range(sockets):
             schedule = draw(seed + index, routers)
-            found = trial.on_sockets(schedule)
+            found = trial.run_on_sockets(schedule)
             peaks += found.peaks
-            broken += bool(found.faults)
+            broken += bool(found.violations)
             processes += schedule.routers + sum(fault.kind in ("twin", "kill") for fault in schedule.faults)
             click.echo(
-                f"seed {schedule.seed}: peaks {[round(peak, 3) for peak in found.peaks]} {found.faults[:3]}", err=True
+                f"seed {schedule.seed}: peaks {[round(peak, 3) for peak in found.peaks]} {found.violations[:3]}",
+                err=True,
             )
         runs = [
             (
@@ -372,7 +378,7 @@
             "broken": broken,
             "virtual": virtual,
         }
-    write_result(answer)
+    print_result(answer)
     sys.exit(1 if answer["broken"] or virtual["broken"] else 0)
 
 
--- a/bench/store.py
+++ b/bench/store.py
@@ -28,7 +28,7 @@
 import psutil
 from hdrh.histogram import HdrHistogram
 
-from bench import write_result
+from bench import print_result
 from wickhinge.store.admission import AdmissionPolicy, TailEviction
 from wickhinge.store.copies import Copy, StoredObject
 from wickhinge.store.file_format import SnapshotMeta
@@ -89,7 +89,7 @@
         self.part_counts = self.random.integers(1, 9, objects)
         self.world = World(lambda key, part: int(sizes[key % objects]))
         self.world.listen()
-        self.world.tell(1, self.world.records())
+        self.world.publish(1, self.world.records())
         weights = 1.0 / np.arange(1, objects + 1) ** 0.9
         self.weights = weights / weights.sum()
         options = (
@@ -142,8 +142,8 @@
             "continues": self.event_numbers_persist,
             "seconds": round(time.time() - self.started_at, 1),
             "purges": len(self.world.purges),
-            "same": self.world.same,
-            "given_by_machines": self.world.given,
+            "same": self.world.not_modified_count,
+            "given_by_machines": self.world.bodies_sent,
             **self.counts,
         }
 
@@ -158,7 +158,7 @@
         # Without persistent numbers, the events are numbered from 1 at each start, and past events are not sent again.
         if not self.event_numbers_persist:
             self.world.renumber()
-            self.world.tell(1, self.world.records())
+            self.world.publish(1, self.world.records())
         self.router.start()
         self.start_count += 1
         self.is_up = True
@@ -273,7 +273,7 @@
         known_etag: Any,
     ) -> None:
         """Count a response, and whether it is corrupt, older than a purge, or older than its freshness lifetime."""
-        from bench.fleet import FRESH, proof
+        from bench.fleet import FRESHNESS_S, verified_stamp
 
         self.counts["served"] += 1
         required_version = max(
@@ -288,7 +288,7 @@
             self.counts["own_told"] += 1
             self.counts["older_than_purge"] += known_etag[1] < required_version
             return
-        stamp = proof(data)
+        stamp = verified_stamp(data)
         if stamp is None or stamp[:2] != (key, part):
             self.counts["corrupt"] += 1
             return
@@ -299,8 +299,8 @@
         self.counts["served_from_earlier_start"] += first_start < self.start_count
         self.served_serials.add(serial)
         self.counts["older_than_purge"] += version < required_version
-        confirmed_at = max(made_ms / 1000.0, self.world.vouched.get((key, part), 0.0))
-        self.counts["too_old"] += sent_at - confirmed_at > FRESH[method] + 0.1
+        confirmed_at = max(made_ms / 1000.0, self.world.newest_sent_at.get((key, part), 0.0))
+        self.counts["too_old"] += sent_at - confirmed_at > FRESHNESS_S[method] + 0.1
         if version == self.world.version(key):
             self.etags[key, part] = (self.world.tag(key), version)
 
@@ -366,7 +366,7 @@
             name: event.get("copies", event.get("reason", event.get("cause", True)))
             for name, event in answer["log"].items()
         }
-        write_result(answer)
+        print_result(answer)
 
 
 # Measurement "scan".
@@ -545,7 +545,7 @@
     answer = {name: round(statistics.median(values), 4) for name, values in ratios.items()}
     answer["spread_regular_drop"] = round(max(ratios["regular_drop"]) - min(ratios["regular_drop"]), 4)
     answer |= {"seeds": seeds, "sessions": count, "simulated": True}
-    write_result(answer)
+    print_result(answer)
 
 
 # Measurement "counts".
@@ -592,7 +592,7 @@
         "get_us": round(get_s / objects * 1e6, 2),
         "put_time_ratio": round(put_s / max(dict_put_s, 1e-9), 1),
     }
-    write_result(answer)
+    print_result(answer)
 
 
 # Measurement "speed".
@@ -787,7 +787,7 @@
     answer["recovery"] = [measure_recovery(int(size), base) for size in recover_mb.split(",") if size]
     answer["write_amplification_ratio"] = measure_write_amplification(base)
     answer |= {"rounds": rounds, "mb": mb, "page_cache": True}
-    write_result(answer)
+    print_result(answer)
 
 
 class QueuedWorkers:
@@ -987,7 +987,7 @@
         opened = store.tier.breaker.opened_count
         store.close()
         well, stalled = (delays[name].get_value_at_percentile(99) for name in ("well", "stalled"))
-        write_result(
+        print_result(
             {
                 "stall_s": seconds,
                 "well_p99_us": well,
--- a/tests/bench/test_bench_store.py
+++ b/tests/bench/test_bench_store.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from tests.support.measurements import together
+from tests.support.measurements import run_in_parallel
 
 KILL_COMMAND = "bench.store kill --kills 5 --seconds 14"
 
@@ -10,7 +10,7 @@
 @pytest.fixture(scope="module")
 def results():
     """Results of the measurements by name."""
-    return together(
+    return run_in_parallel(
         anew=KILL_COMMAND,
         continues=f"{KILL_COMMAND} --continues",
         checksums=f"{KILL_COMMAND} --plant checksums",
