--- a/bench/cold_sum.py
+++ b/bench/cold_sum.py
@@ -204,23 +204,23 @@
 
     The arithmetic is that of routing.SlowStart.admits for all routers at once, in requests of mean work.
     """
-    draw, share = np.random.default_rng(seed), load_shares(processes)
+    random_generator, shares = np.random.default_rng(seed), load_shares(processes)
     step_count = int(limits.warm * STEPS_PER_WINDOW / limits.span)
     step_s = limits.span / STEPS_PER_WINDOW
     budgets = budget * np.array([limits.capacity_fraction(step * step_s) for step in range(step_count)]) / limits.floor
-    restarts = draw.integers(0, int(LAST_RESTART_S / step_s), (trials, processes))
-    restarts[:, draw.permutation(processes)[: processes - int(RESTARTED_FRACTION * processes)]] = -1
+    restarts = random_generator.integers(0, int(LAST_RESTART_S / step_s), (trials, processes))
+    restarts[:, random_generator.permutation(processes)[: processes - int(RESTARTED_FRACTION * processes)]] = -1
     uninformed = uninformed_router(processes)
-    credit = -rule.debt * draw.random((trials, processes))
+    credit = -rule.debt * random_generator.random((trials, processes))
     sent, sent_uninformed, requested = np.zeros((trials, step_count)), np.zeros((trials, step_count)), 0
     for step in range(step_count):
         now = step * step_s
-        per_span = budget * (limits.high_load() if now >= scene.step else LOW_LOAD)
-        arrivals = draw.poisson(share * per_span / STEPS_PER_WINDOW, (trials, processes))
+        requests_per_window = budget * (limits.high_load() if now >= scene.step else LOW_LOAD)
+        arrivals = random_generator.poisson(shares * requests_per_window / STEPS_PER_WINDOW, (trials, processes))
         requested += arrivals.sum()
         if scene.troubled:
             is_restarting = restarts == step
-            credit[is_restarting] = -rule.debt * draw.random(int(is_restarting.sum()))
+            credit[is_restarting] = -rule.debt * random_generator.random(int(is_restarting.sum()))
         # Rate at which a router earns credit, in requests per window.
         rate = 0.65 * budgets[step] / processes
         credit = np.minimum(
@@ -235,9 +235,11 @@
     windows, uninformed_windows = window_sums(sent), window_sums(sent_uninformed)
     window_limits = allowance((budgets[: windows.shape[1]] + budgets[STEPS_PER_WINDOW - 1 :]) / 2)
     exceeds_limit = windows > window_limits
-    first = exceeds_limit.argmax(axis=1)
-    rows = np.arange(trials)
-    informed_share = 1 - uninformed_windows[rows, first] / np.maximum(windows[rows, first], 1)
+    first_exceeding = exceeds_limit.argmax(axis=1)
+    trial_indices = np.arange(trials)
+    informed_share = 1 - uninformed_windows[trial_indices, first_exceeding] / np.maximum(
+        windows[trial_indices, first_exceeding], 1
+    )
     fell = exceeds_limit.any(axis=1)
     return StartStatistics(
         float(fell.mean()),
--- a/bench/discovery.py
+++ b/bench/discovery.py
@@ -58,7 +58,7 @@
     """Measure starts without discovery."""
 
 
-class Start:
+class RouterStart:
     """One router process, its servers and its client; an older stored list differs more from the present servers.
 
     Attributes:
@@ -80,6 +80,8 @@
 
         self.fleet, self.age, self.policy = fleet, age, policy
         self.random = np.random.default_rng(seed)
+        # The stored list names the servers of the first nine places. The other three places have a server only where
+        # the list is an hour or three days old.
         kinds = list(LISTED_KINDS) + [""] * 3
         listed_ids = list(range(0xA1, 0xA1 + len(kinds)))
         # An empty kind is a place without a server, whose port is closed.
@@ -91,6 +93,7 @@
             kinds = ["", "parent", "", "box", "box", "box", "parent", "", "origin", "box", "box", "parent"]
         self.world = fleet.World(lambda key, part: 4000, tuple(kinds))
         self.world.listen()
+        # After an hour, the servers at these places are others than before, and have new endpoint ids.
         if age == "1h":
             for place in (1, 9, 10, 11):
                 self.world.marks[place] += 0x100
@@ -310,7 +313,7 @@
                             repeat,
                             age,
                             policy,
-                            Start(directory, age, policy, 11 + repeat, plant if policy == "ours" else ""),
+                            RouterStart(directory, age, policy, 11 + repeat, plant if policy == "ours" else ""),
                         )
                     )
         repeat_duration_s = UNREACHABLE_S + REACHABLE_S + 5.0
@@ -429,15 +432,15 @@
     def now(self) -> float:
         return self.events.now
 
-    def at(self, when: float, call: Any) -> None:
+    def call_at(self, when: float, call: Any) -> None:
         self.events.call_at(when, call)
 
     def add_router(self, number: int, routers: int) -> None:
         random_source = RandomSource(number + 1)
         environment = SimpleNamespace(
-            call_later=lambda delay, call: self.at(self.now + delay, lambda: call(self.now)),
+            call_later=lambda delay, call: self.call_at(self.now + delay, lambda: call(self.now)),
             check_health=lambda cache: None,
-            watch=lambda: None,
+            watch_endpoints=lambda: None,
         )
         router = build_router(
             environment,
@@ -481,10 +484,10 @@
 
     def tick_repeatedly(self, members: MembershipController) -> None:
         members.tick(self.now)
-        self.at(self.now + 0.1, lambda: self.tick_repeatedly(members))
+        self.call_at(self.now + 0.1, lambda: self.tick_repeatedly(members))
 
     def schedule_request(self, rate: float) -> None:
-        self.at(self.now + self.random.expovariate(rate), lambda: self.send_request(rate))
+        self.call_at(self.now + self.random.expovariate(rate), lambda: self.send_request(rate))
 
     def send_request(self, rate: float) -> None:
         self.schedule_request(rate)
@@ -575,7 +578,7 @@
     def check_health(self, statement: Statement) -> None:
         endpoint_id, herd = statement.endpoint_id, self.herd
         herd.servers[endpoint_id].probes.append(herd.now)
-        herd.at(herd.now + 0.005, lambda: self.members.record_health_check(endpoint_id, herd.now, healthy=True))
+        herd.call_at(herd.now + 0.005, lambda: self.members.record_health_check(endpoint_id, herd.now, healthy=True))
 
     def apply_purge(self, purge: Any) -> None:
         pass
@@ -609,11 +612,11 @@
             completion = Completion(outcome, duration, outcome is Outcome.SUCCEEDED)
             attempt.request.attempt_ended(attempt, completion, herd.now)
 
-        herd.at(herd.now + duration, end_attempt)
+        herd.call_at(herd.now + duration, end_attempt)
 
     def cancel(self, attempt: Any) -> None:
         self.cancelled.add(attempt)
-        self.herd.at(
+        self.herd.call_at(
             self.herd.now,
             lambda: attempt.request.attempt_ended(attempt, Completion(Outcome.CANCELLED, 0.0, False), self.herd.now),
         )
--- a/bench/lab.py
+++ b/bench/lab.py
@@ -97,17 +97,17 @@
             f"parents: {max(size // 10, 1)}\nvisits_per_s: {8 * size}\nobjects: {200 * size}\n",
             "speed",
         )
-        costs, visits = [], []
+        costs, request_rates = [], []
         for round_index in range(rounds if size < 1000 else 1):
             simulation = Simulation(msgspec.structs.replace(scenario, seed=round_index))
             started_at = time.perf_counter()
             simulation.run()
             duration_s = time.perf_counter() - started_at
             costs.append(duration_s / simulation.events.processed_count * 1e6)
-            visits.append(simulation.request_count / duration_s)
+            request_rates.append(simulation.request_count / duration_s)
         by_size[size] = {
             "us_an_event": round(statistics.median(costs), 2),
-            "visits_per_s": round(statistics.median(visits)),
+            "visits_per_s": round(statistics.median(request_rates)),
         }
     answer["by_caches"] = {str(size): result for size, result in by_size.items()}
     answer["visits_per_s"] = by_size[sizes[0]]["visits_per_s"]
--- a/bench/peers.py
+++ b/bench/peers.py
@@ -249,12 +249,12 @@
             raise click.ClickException("; ".join(violations))
         history = harness.history()
     is_router_slow = work is work_for_slow_router
-    during = [
-        took
-        for when, took, place in stand_ins.requests
+    durations = [
+        duration
+        for when, duration, place in stand_ins.requests
         if SLOW_FROM_S < when < SLOW_FROM_S + SLOW_FOR_S and not (is_router_slow and place == 0)
     ]
-    late_count = sum(took is None or took > LATENCY_OBJECTIVE_S for took in during)
+    late_count = sum(duration is None or duration > LATENCY_OBJECTIVE_S for duration in durations)
     verdict_at_by_router: dict[str, float] = {}
     unfounded_verdicts = set()
     for when, name, _, event, event_fields in history:
@@ -265,8 +265,8 @@
                 unfounded_verdicts.add((name, event_fields["machine"]))
     first_verdict_at = min(verdict_at_by_router.values(), default=0.0)
     return {
-        "visits": len(during),
-        "late": late_count / max(len(during), 1),
+        "visits": len(durations),
+        "late": late_count / max(len(durations), 1),
         "wrongly": len(unfounded_verdicts),
         "spread": [when - first_verdict_at for when in verdict_at_by_router.values()],
         "acted": len(verdict_at_by_router),
@@ -292,7 +292,7 @@
         "sick_router": (work_for_slow_router, ()),
         "bad_cache_cut": (work_at_slow_cache, cut),
     }
-    rows, spreads, wrongly, worse_scenes = {}, [], 0, 0
+    rows, spreads, max_unfounded_verdicts, worse_scenes = {}, [], 0, 0
     for name, (work, faults) in scenes.items():
         if only and name not in only:
             continue
@@ -300,7 +300,7 @@
         for run_index in range(plays):
             found = measure_slowness(work, seed + run_index, True, faults, rate)
             late_with_reports.append(found["late"])
-            wrongly = max(wrongly, found["wrongly"])
+            max_unfounded_verdicts = max(max_unfounded_verdicts, found["wrongly"])
             spreads += found["spread"] if not faults else []
             late_without_reports.append(measure_slowness(work, seed + run_index, False, faults, rate)["late"])
             click.echo(f"{name}: {found}, without reports {late_without_reports[-1]:.4f}", err=True)
@@ -320,7 +320,7 @@
             "late_share_alone": max(slow_cache_result["late_share_alone"]),
             "scenes": rows,
             "spread_p99_ms": round(1000 * spreads[int(0.99 * (len(spreads) - 1))]) if spreads else None,
-            "shunned_wrongly": wrongly,
+            "shunned_wrongly": max_unfounded_verdicts,
             "shunned_bound": 5 * max(CACHE_COUNT // 3, 1),
             "worse_than_alone": worse_scenes,
         }
--- a/bench/start.py
+++ b/bench/start.py
@@ -90,7 +90,7 @@
 def cpu_seconds(process: int) -> float:
     """Return the CPU time of all living threads of a process.
 
-    It is the first field of schedstat, which has a resolution of a nanosecond.
+    The time is the first field of the file schedstat of each thread, in nanoseconds.
     """
     tasks = Path(f"/proc/{process}/task").glob("*/schedstat")
     return sum(int(task.read_text().split()[0]) for task in tasks) / 1e9
