--- a/bench/soak/__main__.py
+++ b/bench/soak/__main__.py
@@ -15,15 +15,15 @@
 
 from bench import print_result
 from bench.soak.planted import FAULTS
-from bench.soak.served_share import Share, pooled_share_faults, pooled_shares
+from bench.soak.served_share import Share, pooled_share_violations, pooled_shares
 
-FOUND = Path("found/soak")
-MAX_PLAYS = 4  # of a seed whose play was itself too late to judge
-MAX_SECONDS = 120.0  # of one seed; a play takes some twelve
+FAILED_PLAYS_FOLDER = Path("found/soak")
+MAX_PLAYS_PER_SEED = 4  # of a seed whose play was itself too late to judge
+PLAY_TIMEOUT_S = 120.0  # of one seed; a play takes some twelve
 MAX_PRINTED_FAULTS = 5
 
 
-def play_here(seed: int, plant: str, folder: Path) -> dict[str, object]:
+def play_in_this_process(seed: int, plant: str, folder: Path) -> dict[str, object]:
     """Plays a seed in this process; its record is written to the folder."""
     from bench.soak import judge, schedule, served_share
     from bench.soak.play import Play
@@ -31,7 +31,7 @@
     plan = schedule.draw(seed)
     record = Play(plan, folder, plant).run()
     is_judged = judge.is_judged(record)
-    faults = judge.faults(record) if is_judged else []
+    faults = judge.violations(record) if is_judged else []
     (folder / "record.json").write_bytes(orjson.dumps(record.as_json(), option=orjson.OPT_NON_STR_KEYS))
     (folder / "schedule.json").write_bytes(orjson.dumps(plan, option=orjson.OPT_SERIALIZE_DATACLASS))
     requests = record.requests.values()
@@ -53,10 +53,10 @@
     }
 
 
-def play_apart(seed: int, plant: str) -> dict[str, object]:
+def play_until_judged(seed: int, plant: str) -> dict[str, object]:
     """Plays a seed until it can be judged, some times at most; the result tells how often."""
     plays, result = 1, _play_once(seed, plant)
-    while not result.get("is_judged", True) and plays < MAX_PLAYS:
+    while not result.get("is_judged", True) and plays < MAX_PLAYS_PER_SEED:
         plays, result = plays + 1, _play_once(seed, plant)
     return result | {"plays": plays}
 
@@ -66,7 +66,7 @@
     command = [sys.executable, "-m", "bench.soak", "--seed", str(seed), "--json"]
     command += ["--plant", plant] if plant else []
     try:
-        done = subprocess.run(command, capture_output=True, text=True, timeout=MAX_SECONDS)
+        done = subprocess.run(command, capture_output=True, text=True, timeout=PLAY_TIMEOUT_S)
         return orjson.loads(done.stdout.splitlines()[-1])
     except (subprocess.TimeoutExpired, IndexError, orjson.JSONDecodeError) as problem:
         return {"seed": seed, "requests": 0, "ends": {}, "faults": [f"the play itself failed: {problem!r}"]}
@@ -75,7 +75,7 @@
 def play_all(seeds: list[int], plant: str, jobs: int) -> Iterator[dict[str, object]]:
     """Plays seeds side by side, in order."""
     with ThreadPoolExecutor(jobs) as pool:
-        yield from pool.map(lambda seed: play_apart(seed, plant), seeds)
+        yield from pool.map(lambda seed: play_until_judged(seed, plant), seeds)
 
 
 def replay_command(seed: object, plant: str) -> str:
@@ -95,16 +95,16 @@
     plant = plant or ""
     if seed is not None:
         folder = Path(tempfile.mkdtemp(prefix=f"soak-{seed}-"))
-        result = play_here(seed, plant, folder)
+        result = play_in_this_process(seed, plant, folder)
         if result["faults"]:
-            kept = FOUND / f"seed-{seed}{'-' * bool(plant)}{plant}"
-            keep(folder, kept)
+            kept = FAILED_PLAYS_FOLDER / f"seed-{seed}{'-' * bool(plant)}{plant}"
+            move_folder(folder, kept)
             result["kept"] = str(kept)
         results = [result]
     else:
         results = list(play_all(list(range(first, first + seeds)), plant, jobs))
     failed = [result for result in results if result["faults"] or not result.get("is_judged", True)]
-    pooled_faults = list(pooled_share_faults(shares_of(results)))
+    pooled_faults = list(pooled_share_violations(judged_shares(results)))
     if not as_json:
         for result in failed:
             click.echo(
@@ -120,7 +120,7 @@
     sys.exit(bool(failed or pooled_faults))
 
 
-def shares_of(results: list[dict[str, object]]) -> list[dict[str, Share]]:
+def judged_shares(results: list[dict[str, object]]) -> list[dict[str, Share]]:
     """The shares in each result of a play that was judged."""
     return [
         {name: Share(*counts) for name, counts in result.get("shares", {}).items()}
@@ -129,7 +129,7 @@
     ]
 
 
-def keep(folder: Path, place: Path) -> None:
+def move_folder(folder: Path, place: Path) -> None:
     """Moves a play's folder to where it is kept, in place of an older one."""
     import shutil
 
@@ -150,7 +150,7 @@
         **{name: sum(result.get(name, 0) for result in results) for name in counts},
         "ends": dict(ends),
         "crowds": dict(Counter(str(result.get("crowd")) for result in results)),
-        "shares": pooled_shares(shares_of(results)),
+        "shares": pooled_shares(judged_shares(results)),
         "max_lag_s": max(result.get("max_lag_s", 0.0) for result in results),
         "not_judged": [result["seed"] for result in results if not result.get("is_judged", True)],
         "played_again": sum(result.get("plays", 1) - 1 for result in results),
--- a/bench/soak/clients.py
+++ b/bench/soak/clients.py
@@ -15,11 +15,11 @@
 from bench.soak.record import Answer, Record, Refusal, Request
 from wickhinge.net.downstream import msgpack
 
-MAX_OPEN = 32  # PROTOCOL
+MAX_OPEN_REQUESTS = 32  # PROTOCOL
 METHODS = ("clips", "clips", "pages", "results")
-KEYS = 40
-PARTS = 4
-ABORT_SHARE, CLOSE_SHARE = 0.1, 0.01
+OBJECT_COUNT = 40
+PARTS_PER_OBJECT = 4
+CANCELLATION_SHARE, CONNECTION_CLOSE_SHARE = 0.1, 0.01
 RECONNECT_DELAY_S = 0.05
 CONNECT_TIMEOUT_S = 2
 MAX_MESSAGE_BYTES = 300_000
@@ -33,14 +33,14 @@
         self.stream = msgpack.MessageDecoder(MAX_MESSAGE_BYTES)
         self.open: dict[int, Request] = {}
         self.pings: dict[int, Callable[[bool], None]] = {}
-        self.given_up: set[int] = set()  # whose answer may still come, or not
+        self.cancelled: set[int] = set()  # whose answer may still come, or not
         self.is_up = False
 
     def connectionMade(self) -> None:
         """Called by Twisted."""
         self.transport.setTcpNoDelay(True)
         self.is_up = True
-        self.client.connected(self)
+        self.client.connection_made(self)
 
     def send(self, message: list[Any]) -> bool:
         """Straight into the socket, so that the time of the last byte is known; False where it takes no more."""
@@ -69,7 +69,7 @@
         request = self.open.pop(call, None)
         if request is not None and self.send([2, "abort", [call]]):
             request.left_at = time.monotonic()
-            self.given_up.add(call)
+            self.cancelled.add(call)
 
     def leave(self) -> None:
         """Closes with what is open."""
@@ -90,8 +90,8 @@
                 content, fields = result or (b"", {})
                 answer = Answer(now, error is None, error[0] if error else "", content, fields.get("keep") == "1")
                 request.answers.append(answer)
-            elif call in self.given_up:
-                self.given_up.discard(call)
+            elif call in self.cancelled:
+                self.cancelled.discard(call)
             else:
                 self.client.record.stray_answers.append((now, call))
 
@@ -102,7 +102,7 @@
         for request in self.open.values():
             request.lost_at = now
         self.open = {}
-        self.client.disconnected(self)
+        self.client.connection_ended(self)
 
 
 class SoakClient:
@@ -113,9 +113,9 @@
         self.chance, self.pipelining = random.Random(seed), pipelining
         self.connection: SoakConnection | None = None
         self.life = 0  # of the router, as it was when the connection came up
-        self.current_life: Callable[[], int] = lambda: 0
+        self.router_life: Callable[[], int] = lambda: 0
         self.is_stopped = self.is_idle = False
-        self.is_tried_once = False  # connects once, and not again
+        self.connects_once = False  # connects once, and not again
 
     def connect(self) -> None:
         """Tries until it is stopped."""
@@ -124,20 +124,20 @@
         factory = protocol.ClientFactory()
         factory.noisy = False
         factory.protocol = lambda: SoakConnection(self)
-        factory.clientConnectionFailed = lambda *_: self.failed()
+        factory.clientConnectionFailed = lambda *_: self.connection_failed()
         reactor.connectTCP(*self.address, factory, timeout=CONNECT_TIMEOUT_S)
-        self.is_stopped = self.is_tried_once
+        self.is_stopped = self.connects_once
 
-    def failed(self) -> None:
+    def connection_failed(self) -> None:
         """Called where a connection did not come up."""
         self.record.refusals.append(Refusal(self.router, time.monotonic()))
         reactor.callLater(RECONNECT_DELAY_S, self.connect)
 
-    def connected(self, connection: SoakConnection) -> None:
+    def connection_made(self, connection: SoakConnection) -> None:
         """Called by its connection."""
-        self.connection, self.life = connection, self.current_life()
+        self.connection, self.life = connection, self.router_life()
 
-    def disconnected(self, connection: SoakConnection) -> None:
+    def connection_ended(self, connection: SoakConnection) -> None:
         """Called by its connection."""
         if self.connection is connection:
             self.connection = None
@@ -149,19 +149,19 @@
         if connection is None or self.is_idle:
             return
         for _ in range(self.chance.randint(1, self.pipelining)):
-            if len(connection.open) >= MAX_OPEN - 1:
+            if len(connection.open) >= MAX_OPEN_REQUESTS - 1:
                 return
-            self.ask_one(self.chance.choice(budgets_ms))
-        if self.chance.random() < ABORT_SHARE and connection.open:
+            self.send_request(self.chance.choice(budgets_ms))
+        if self.chance.random() < CANCELLATION_SHARE and connection.open:
             call = self.chance.choice(list(connection.open))
             reactor.callLater(self.chance.uniform(0.0, 0.2), connection.abort, call)
-        if self.chance.random() < CLOSE_SHARE:
+        if self.chance.random() < CONNECTION_CLOSE_SHARE:
             reactor.callLater(self.chance.uniform(0.0, 0.1), connection.leave)
 
-    def ask_one(self, budget_ms: int, method: str = "") -> str:
+    def send_request(self, budget_ms: int, method: str = "") -> str:
         """Writes one request on the open connection, of a drawn method unless one is named; returns its id."""
         method = method or self.chance.choice(METHODS)
-        key, part = self.chance.randrange(KEYS), self.chance.randrange(PARTS)
+        key, part = self.chance.randrange(OBJECT_COUNT), self.chance.randrange(PARTS_PER_OBJECT)
         rid = os.urandom(8).hex()
         content = f"{rid} of {method}".encode() * 20 if method == "results" else b""
         request = Request(rid, method, key, part, budget_ms / 1000, 0.0, content, self.router, self.life)
--- a/bench/soak/lag.py
+++ b/bench/soak/lag.py
@@ -8,8 +8,8 @@
 
 from bench.soak.record import Record
 
-INTERVAL_S = 0.01
-MIN_NOTED_S = 0.002
+LAG_CHECK_INTERVAL_S = 0.01
+MIN_RECORDED_LAG_S = 0.002
 
 
 class LagMonitor:
@@ -21,12 +21,12 @@
 
     def start(self) -> None:
         """Begins; the reactor's end is its own."""
-        task.LoopingCall(self._note).start(INTERVAL_S)
+        task.LoopingCall(self._record_lag).start(LAG_CHECK_INTERVAL_S)
 
-    def _note(self) -> None:
+    def _record_lag(self) -> None:
         now = time.monotonic()
-        lag_s = now - self._last_at - INTERVAL_S
+        lag_s = now - self._last_at - LAG_CHECK_INTERVAL_S
         self._last_at = now
-        if lag_s > MIN_NOTED_S:
+        if lag_s > MIN_RECORDED_LAG_S:
             self._record.lags.append((now, lag_s))
             self._record.max_lag_s = max(self._record.max_lag_s, lag_s)
--- a/bench/soak/planted.py
+++ b/bench/soak/planted.py
@@ -8,10 +8,10 @@
 import time
 from collections.abc import Callable
 
-EVERY = 40  # requests: one of so many is harmed
+HARM_INTERVAL = 40  # requests: one of so many is harmed
 
 
-def _every(count: int) -> Callable[[], bool]:
+def _every_nth_call(count: int) -> Callable[[], bool]:
     numbers = itertools.count(1)
     return lambda: next(numbers) % count == 0
 
@@ -48,7 +48,7 @@
 def _harm_answers(harm: Callable[..., object]) -> None:
     from wickhinge.net.downstream.client_connection import ClientConnection
 
-    serve, is_harmed = ClientConnection.send_answer, _every(EVERY)
+    serve, is_harmed = ClientConnection.send_answer, _every_nth_call(HARM_INTERVAL)
 
     def harmed(self, call, body, fields):
         if is_harmed():
@@ -84,7 +84,7 @@
     """Some requests begin 0.3 s after they were read, whether or not their client has left or cancelled meanwhile."""
     from wickhinge.net.downstream.client_connection import ClientConnection
 
-    begin, is_harmed = ClientConnection.begin_request, _every(3)
+    begin, is_harmed = ClientConnection.begin_request, _every_nth_call(3)
 
     def late(self, call, method, params, arrival):
         if is_harmed():
--- a/bench/soak/play.py
+++ b/bench/soak/play.py
@@ -12,13 +12,13 @@
 
 from bench.faults.shim import Call, build
 from bench.soak.clients import SoakClient
-from bench.soak.disturbances import SERVICES, Disturbances
+from bench.soak.disturbances import SERVICE_NAMES, Disturbances
 from bench.soak.lag import LagMonitor
 from bench.soak.record import LateConnection, Ping, Record, Span
 from bench.soak.routers import MEMORY_MB, SoakRouter
 from bench.soak.schedule import (
     BUDGETS_MS,
-    EARLIEST_KILL_S,
+    EARLIEST_KILL_AFTER_SIGTERM_S,
     SERVERS,
     Crowd,
     Schedule,
@@ -26,12 +26,15 @@
 from bench.soak.stand_ins import SoakServer, SoakWorld, settings
 
 SLOW_START = {"fallMultiple": 4, "fallMs": 3000, "coldFrom": 0.05, "coldMs": 40000}
-READY_WITHIN_S = 30.0  # STANDING: a router over 30 s to be ready has failed
+MAX_READY_S = 30.0  # STANDING: a router over 30 s to be ready has failed
 TICK_S = 0.02
 PING_INTERVAL_S = 0.25
-LATE_CONNECTIONS_AT_S = (0.0, 0.1, 0.2, 0.3, 0.38)  # PROTOCOL: after SIGTERM, new ones come for 0.2 to 0.4 s
-LATE_METHOD, LATE_BUDGET_MS = "results", 3000  # of the requests that have the most to lose by an early end
-SOCKETS, CROWDED_SOCKETS = 256, 128
+LATE_CONNECTION_TIMES_S = (0.0, 0.1, 0.2, 0.3, 0.38)  # PROTOCOL: after SIGTERM, new ones come for 0.2 to 0.4 s
+LATE_REQUEST_METHOD, LATE_REQUEST_BUDGET_MS = (
+    "results",
+    3000,
+)  # of the requests that have the most to lose by an early end
+ROUTER_SOCKET_LIMIT, IDLE_CLIENTS_SOCKET_LIMIT = 256, 128
 
 
 class Play:
@@ -47,7 +50,7 @@
         self.settings = settings(SLOW_START if is_many else None)
         self.world = SoakWorld(schedule, self.record, SLOW_START if is_many else None)
         start_with = ["-m", "bench.soak.planted", plant] if plant else ["-m", "wickhinge"]
-        sockets = CROWDED_SOCKETS if schedule.crowd is Crowd.IDLE_CLIENTS else SOCKETS
+        sockets = IDLE_CLIENTS_SOCKET_LIMIT if schedule.crowd is Crowd.IDLE_CLIENTS else ROUTER_SOCKET_LIMIT
         base = self._listen()
         library = build(folder)
         self.routers = [
@@ -74,7 +77,7 @@
         self.world.kinds = SERVERS + ("",) * self.schedule.routers  # ports for the routers behind the servers'
         base = self.world.listen_servers(lambda place, kind: SoakServer(self.world, place, kind))
         self.world.kinds = SERVERS
-        for name in SERVICES:
+        for name in SERVICE_NAMES:
             self.world.open_service(name)
         return base
 
@@ -89,16 +92,16 @@
             text = self.disturbances.text(router)
             router.launch()
             reactor.callLater(schedule.absent_at_start_s, router.write, text)
-            self._at_program(router, lambda router=router: self._signal_start(router))
+            self._call_once_program_runs(router, lambda router=router: self._schedule_start_signals(router))
         self._await_ready(time.monotonic())
 
-    def _at_program(self, router: SoakRouter, then: Callable[[], None]) -> None:
+    def _call_once_program_runs(self, router: SoakRouter, then: Callable[[], None]) -> None:
         if router.is_running_program():
             then()
         else:
-            reactor.callLater(0.002, self._at_program, router, then)
+            reactor.callLater(0.002, self._call_once_program_runs, router, then)
 
-    def _signal_start(self, router: SoakRouter) -> None:
+    def _schedule_start_signals(self, router: SoakRouter) -> None:
         for delay_s in self.schedule.start_signals:
             reactor.callLater(delay_s, router.signal, "HUP")
 
@@ -116,21 +119,21 @@
 
         for router in self.routers:
             probe = SoakClient(self.record, router.number, router.address, 0, 1)
-            up = probe.connected
+            up = probe.connection_made
 
-            def connected(
+            def connection_made(
                 connection: Any, probe: SoakClient = probe, up: Any = up, number: int = router.number
             ) -> None:
                 up(connection)
                 connection.ping(lambda yes: is_ready(number, probe, yes=yes))
 
-            probe.connected = connected
+            probe.connection_made = connection_made
             probe.connect()
         self._watch_readiness(waiting, since)
 
     def _watch_readiness(self, waiting: set[int], since: float) -> None:
         ended = [router for router in self.routers if router.has_ended()]
-        if waiting and (time.monotonic() - since > READY_WITHIN_S or ended):
+        if waiting and (time.monotonic() - since > MAX_READY_S or ended):
             self.record.unready += [f"n{number}" for number in sorted(waiting)]
             reactor.stop()
         elif waiting:
@@ -149,7 +152,7 @@
             for number in range(schedule.clients):
                 seed = schedule.seed * 1009 + router.number * 101 + number
                 client = SoakClient(self.record, router.number, router.address, seed, schedule.pipelining)
-                client.current_life = lambda router=router: router.life
+                client.router_life = lambda router=router: router.life
                 client.connect()
                 self.clients.append(client)
         if schedule.crowd is Crowd.IDLE_CLIENTS:
@@ -157,12 +160,12 @@
         reactor.callLater(0.1, self._tick)
         for event in schedule.events:
             reactor.callLater(event.at, self.disturbances.act, event)
-        reactor.callLater(schedule.load_s, self._settle)
+        reactor.callLater(schedule.load_s, self._end_load)
         reactor.callLater(PING_INTERVAL_S, self._ping)
 
     def _add_idle_clients(self) -> None:
         router = self.routers[0]
-        for number in range(CROWDED_SOCKETS // 3):  # PROTOCOL: clients hold a third of the limit at most
+        for number in range(IDLE_CLIENTS_SOCKET_LIMIT // 3):  # PROTOCOL: clients hold a third of the limit at most
             client = SoakClient(self.record, 0, router.address, number, 1)
             client.is_idle = True
             client.connect()
@@ -171,7 +174,7 @@
     def _tick(self) -> None:
         """Each client asks at its own times."""
         has_ended = all(router.has_ended() for router in self.routers)
-        if has_ended or (self._sigterm_at and time.monotonic() - self._sigterm_at > EARLIEST_KILL_S):
+        if has_ended or (self._sigterm_at and time.monotonic() - self._sigterm_at > EARLIEST_KILL_AFTER_SIGTERM_S):
             return
         per_tick = self.schedule.requests_per_s * TICK_S / self.schedule.clients / (1 + self.schedule.pipelining) * 2
         for client in self.clients:
@@ -181,7 +184,7 @@
 
     def _ping(self) -> None:
         """One client of each router asks now and then whether it takes clients, until the end."""
-        if self._sigterm_at and time.monotonic() - self._sigterm_at > EARLIEST_KILL_S:
+        if self._sigterm_at and time.monotonic() - self._sigterm_at > EARLIEST_KILL_AFTER_SIGTERM_S:
             return
         for router in self.routers:
             client = next((one for one in self.clients if one.router == router.number and one.connection), None)
@@ -200,39 +203,39 @@
 
     # The end.
 
-    def _settle(self) -> None:
+    def _end_load(self) -> None:
         """What the newest file asks for is in force by now, if there was time enough."""
         wait_s = self.disturbances.seconds_to_settle()
         if self.schedule.awaits_reload and self.disturbances.reloaded_at < time.monotonic() and wait_s >= 0.0:
-            reactor.callLater(wait_s + TICK_S, self._settle)
+            reactor.callLater(wait_s + TICK_S, self._end_load)
             return
-        self.disturbances.note_watched()
+        self.disturbances.record_watched_services()
         for router in self.routers:
             if router.has_ended():
-                router.note_end(self.record, "by itself", time.monotonic())
+                router.record_end(self.record, "by itself", time.monotonic())
             else:
-                self.record.usages.append(router.usage(self._connections(router)))
+                self.record.usages.append(router.usage(self._client_count(router)))
         self._terminate()
 
-    def _connections(self, router: SoakRouter) -> int:
+    def _client_count(self, router: SoakRouter) -> int:
         return sum(client.router == router.number for client in [*self.clients, *self.idle_clients])
 
     def _terminate(self) -> None:
         self._sigterm_at = self.record.sigterm_at = time.monotonic()
-        self.disturbances.is_ended = True
+        self.disturbances.is_shutting_down = True
         waiting = [router for router in self.routers if not router.has_ended()]
         for router in waiting:
             router.signal("CONT")
-            router.is_told_to_end_early = not router.handles_signals()
+            router.got_sigterm_before_handler = not router.handles_signals()
             router.signal("TERM")
             for delay_s, name in self.schedule.end_signals:
                 reactor.callLater(delay_s, router.signal, name)
-            if self.schedule.crowd is not Crowd.IDLE_CLIENTS and self._is_taken_in(router):
-                for delay_s in LATE_CONNECTIONS_AT_S:
+            if self.schedule.crowd is not Crowd.IDLE_CLIENTS and self._takes_clients(router):
+                for delay_s in LATE_CONNECTION_TIMES_S:
                     reactor.callLater(delay_s, self._connect_late, router)
-        self._await_end(waiting)
+        self._await_exits(waiting)
 
-    def _is_taken_in(self, router: SoakRouter) -> bool:
+    def _takes_clients(self, router: SoakRouter) -> bool:
         """Whether this process of it takes clients: one that is still starting ends at once."""
         return any(one.router == router.number and one.life == router.life and one.connection for one in self.clients)
 
@@ -242,31 +245,31 @@
         self.record.late_connections.append(late)
         client = SoakClient(self.record, router.number, router.address, router.number, 1)
         client.life = router.life
-        client.current_life = lambda: router.life
-        client.is_tried_once = True
-        up = client.connected
+        client.router_life = lambda: router.life
+        client.connects_once = True
+        up = client.connection_made
 
-        def connected(connection: Any) -> None:
+        def connection_made(connection: Any) -> None:
             late.up_at = time.monotonic()
             up(connection)
             self._ping_by(client)
-            late.rid = client.ask_one(LATE_BUDGET_MS, LATE_METHOD)
+            late.rid = client.send_request(LATE_REQUEST_BUDGET_MS, LATE_REQUEST_METHOD)
 
-        client.connected = connected
+        client.connection_made = connection_made
         client.connect()
 
-    def _await_end(self, waiting: list[SoakRouter]) -> None:
+    def _await_exits(self, waiting: list[SoakRouter]) -> None:
         elapsed_s = time.monotonic() - self._sigterm_at
         for router in list(waiting):
             if router.has_ended():
-                how = "SIGTERM before its first line" if router.is_told_to_end_early else "SIGTERM"
-                router.note_end(self.record, how, self._sigterm_at)
+                how = "SIGTERM before its first line" if router.got_sigterm_before_handler else "SIGTERM"
+                router.record_end(self.record, how, self._sigterm_at)
                 waiting.remove(router)
             elif elapsed_s >= self.schedule.shutdown_limit_s:
                 router.kill()
-                router.note_end(self.record, "SIGTERM, then SIGKILL", self._sigterm_at)
+                router.record_end(self.record, "SIGTERM, then SIGKILL", self._sigterm_at)
                 waiting.remove(router)
         if waiting:
-            reactor.callLater(0.005, self._await_end, waiting)
+            reactor.callLater(0.005, self._await_exits, waiting)
         else:
             reactor.callLater(0.3, reactor.stop)  # what was written last is read
--- a/bench/soak/record.py
+++ b/bench/soak/record.py
@@ -49,7 +49,7 @@
 
 
 @dataclass(slots=True)
-class Told:
+class Announcement:
     """A drain, purge or cold start, and when all routers had been told of it; at the latest 7 s later."""
 
     what: str
@@ -132,7 +132,7 @@
     is_killed: bool = False  # SIGKILL comes at the page's earliest
     requests: dict[str, Request] = field(default_factory=dict)
     attempts: list[Attempt] = field(default_factory=list)
-    told: list[Told] = field(default_factory=list)
+    told: list[Announcement] = field(default_factory=list)
     ends: list[RouterEnd] = field(default_factory=list)
     usages: list[Usage] = field(default_factory=list)
     stray_answers: list[tuple[float, int]] = field(default_factory=list)  # to no open request: time, id
--- a/bench/soak/routers.py
+++ b/bench/soak/routers.py
@@ -36,7 +36,7 @@
         self.child: subprocess.Popen[bytes] | None = None
         self.life = 0
         self.known: dict[str, Any] = {"pos": 0, "entries": []}
-        self.is_told_to_end_early = False  # by SIGTERM, before its first lines had run
+        self.got_sigterm_before_handler = False  # by SIGTERM, before its first lines had run
 
     def text(self, service_port: int, settings: dict[str, Any]) -> bytes:
         """A whole configuration; of all that changes, the address of the discovery service may while it runs."""
@@ -63,7 +63,7 @@
         environment = {**os.environ, **self.shim.environment, "RELAY_CONFIG": str(self.path)}
         environment.pop("WICKHINGE_OPTIONS", None)
         self.life += 1
-        self.is_told_to_end_early = False
+        self.got_sigterm_before_handler = False
         with self.log.open("ab") as log:
             self.child = subprocess.Popen(
                 ["/bin/sh", "-c", "trap '' HUP; exec \"$@\"", "sh", sys.executable, *self.start_with],
@@ -82,7 +82,7 @@
         """Whether the process is over."""
         return self.child is not None and self.child.poll() is not None
 
-    def note_end(self, record: Record, how: str, since: float) -> None:
+    def record_end(self, record: Record, how: str, since: float) -> None:
         """Notes how an ended process ended."""
         seconds = time.monotonic() - since
         record.ends.append(RouterEnd(self.number, self.life, how, self.child.returncode, seconds, since))
--- a/bench/soak/schedule.py
+++ b/bench/soak/schedule.py
@@ -7,19 +7,27 @@
 from enum import StrEnum
 
 SERVERS = ("box", "box", "box", "box", "parent", "origin")
-LOAD_S = (4.0, 6.0)  # from the first client to SIGTERM
+LOAD_DURATION_RANGE_S = (4.0, 6.0)  # from the first client to SIGTERM
 BUDGETS_MS = (20, 50, 100, 250, 500, 1000, 1500, 3000)
-MAX_STOP_S = 0.4  # a request's answer may come half a second late
-STEPS_S = (-3600.0, -3.0, 3.0, 3600.0)
-CROWD_EVERY = 5  # seeds
-SHUTDOWN_SEED = 0x5D0  # of what is drawn for the shutdown, so that all else of a seed stays what it was
-EARLIEST_KILL_S = 3.0 + 0.7  # PROTOCOL: no sooner than the longest deadline and 0.7 s after SIGTERM
-LAST_REQUEST_S = 0.6  # PROTOCOL: requests on open connections come for so long after SIGTERM
-MAX_STANDSTILL_S = 0.5  # of a process that shares its core
-SETTLE_S = 2.6  # after the last reload: its backoff of a second at most, and a connection that is tried again
+MAX_ROUTER_STOP_S = 0.4  # a request's answer may come half a second late
+CLOCK_STEPS_S = (-3600.0, -3.0, 3.0, 3600.0)
+CROWD_SEED_INTERVAL = 5  # seeds
+SHUTDOWN_SEED_MASK = 0x5D0  # of what is drawn for the shutdown, so that all else of a seed stays what it was
+EARLIEST_KILL_AFTER_SIGTERM_S = 3.0 + 0.7  # PROTOCOL: no sooner than the longest deadline and 0.7 s after SIGTERM
+LAST_REQUEST_AFTER_SIGTERM_S = 0.6  # PROTOCOL: requests on open connections come for so long after SIGTERM
+MAX_SCHEDULING_STALL_S = 0.5  # of a process that shares its core
+RELOAD_SETTLE_S = 2.6  # after the last reload: its backoff of a second at most, and a connection that is tried again
 EARLY_RELOAD_SHARE = 0.8  # that come so long before the end that what is in force can be judged
-FAILING_CALLS = ("ACCEPT", "CLIENT_READ", "CLIENT_PEEK", "CLIENT_SEND", "SERVER_READ", "SERVER_SEND", "SOCKET")
-MORE_FAILING_CALLS = ("CONNECT", "REGISTER", "WAIT", "OPEN", "SHORT_READ", "SHORT_SEND")
+FAILABLE_CONNECTION_CALLS = (
+    "ACCEPT",
+    "CLIENT_READ",
+    "CLIENT_PEEK",
+    "CLIENT_SEND",
+    "SERVER_READ",
+    "SERVER_SEND",
+    "SOCKET",
+)
+OTHER_FAILABLE_CALLS = ("CONNECT", "REGISTER", "WAIT", "OPEN", "SHORT_READ", "SHORT_SEND")
 
 
 class Crowd(StrEnum):
@@ -90,14 +98,16 @@
     @property
     def shutdown_limit_s(self) -> float:
         """When SIGKILL comes, in seconds after SIGTERM."""
-        return EARLIEST_KILL_S if self.is_killed else EARLIEST_KILL_S + MAX_STANDSTILL_S
+        return (
+            EARLIEST_KILL_AFTER_SIGTERM_S if self.is_killed else EARLIEST_KILL_AFTER_SIGTERM_S + MAX_SCHEDULING_STALL_S
+        )
 
 
-def draw(seed: int) -> Schedule:
+def draw_schedule(seed: int) -> Schedule:
     """The play of a seed."""
     chance = random.Random(seed)
     crowd = Crowd.NONE
-    if seed % CROWD_EVERY == 0:
+    if seed % CROWD_SEED_INTERVAL == 0:
         crowd = chance.choice((Crowd.IDLE_CLIENTS, Crowd.MANY_ROUTERS))
     is_many = crowd is Crowd.MANY_ROUTERS
     schedule = Schedule(
@@ -106,26 +116,26 @@
         routers=chance.randint(20, 30) if is_many else 1,
         clients=2 if is_many else chance.randint(3, 10),
         requests_per_s=chance.uniform(8, 12) if is_many else chance.uniform(30, 120),
-        load_s=chance.uniform(*LOAD_S),
+        load_s=chance.uniform(*LOAD_DURATION_RANGE_S),
         pipelining=chance.choice((1, 2, 6)),
     )
     schedule.start_signals = sorted(chance.uniform(0.0, 0.8) for _ in range(chance.choice((0, 1, 3, 12))))
     schedule.absent_at_start_s = chance.choice((0.0, 0.0, 0.3, 1.0))
-    schedule.misbehaviours = [_misbehaviour(chance, schedule.load_s) for _ in range(chance.randint(0, 4))]
-    for name in chance.sample(FAILING_CALLS + MORE_FAILING_CALLS, chance.choice((0, 1, 3, 5))):
+    schedule.misbehaviours = [_draw_misbehaviour(chance, schedule.load_s) for _ in range(chance.randint(0, 4))]
+    for name in chance.sample(FAILABLE_CONNECTION_CALLS + OTHER_FAILABLE_CALLS, chance.choice((0, 1, 3, 5))):
         schedule.failing_calls[name] = chance.uniform(0.005, 0.05)
     schedule.is_killed = chance.random() < 0.5
-    schedule.events = sorted(_events(chance, schedule), key=lambda event: event.at)
+    schedule.events = sorted(_draw_events(chance, schedule), key=lambda event: event.at)
     schedule.end_signals = sorted(
         (chance.choice((chance.uniform(0.0, 0.1), chance.uniform(0.0, 4.0))), chance.choice(("HUP", "INT", "TERM")))
         for _ in range(chance.choice((0, 4, 30)))
     )
     schedule.awaits_reload = chance.random() < 0.5
-    schedule.misbehaviours += _hang_of_the_shutdown(random.Random(seed ^ SHUTDOWN_SEED), schedule.load_s)
+    schedule.misbehaviours += _draw_shutdown_hang(random.Random(seed ^ SHUTDOWN_SEED_MASK), schedule.load_s)
     return schedule
 
 
-def _hang_of_the_shutdown(chance: random.Random, load_s: float) -> list[Misbehaviour]:
+def _draw_shutdown_hang(chance: random.Random, load_s: float) -> list[Misbehaviour]:
     """In half of the seeds the origin hangs on many requests from shortly before SIGTERM on."""
     if chance.random() < 0.5:
         return []
@@ -133,15 +143,15 @@
     return [Misbehaviour(origin, "hang", load_s - 0.5, load_s + 10.0, chance.choice((0.5, 0.8)))]
 
 
-def _misbehaviour(chance: random.Random, load_s: float) -> Misbehaviour:
+def _draw_misbehaviour(chance: random.Random, load_s: float) -> Misbehaviour:
     since = chance.uniform(0.0, load_s)
     until = chance.choice((since + chance.uniform(0.3, 2.0), load_s + 10.0))  # also through the whole shutdown
     how = chance.choice(("busy", "miss", "error", "reset", "hang", "hang", "slow"))
     return Misbehaviour(chance.randrange(len(SERVERS)), how, since, until, chance.choice((0.1, 0.5, 1.0)))
 
 
-def _events(chance: random.Random, schedule: Schedule) -> list[Event]:
-    def moment() -> float:
+def _draw_events(chance: random.Random, schedule: Schedule) -> list[Event]:
+    def draw_time_s() -> float:
         return chance.uniform(0.2, schedule.load_s - 0.2)
 
     events = []
@@ -149,22 +159,27 @@
         events.append(Event(0.5, Action.COLD_RESTART, place=chance.randrange(3)))
     for _ in range(chance.randint(1, 2)):
         is_early = chance.random() < EARLY_RELOAD_SHARE
-        at = chance.uniform(0.2, schedule.load_s - SETTLE_S) if is_early else moment()
+        at = chance.uniform(0.2, schedule.load_s - RELOAD_SETTLE_S) if is_early else draw_time_s()
         events.append(Event(at, Action.RELOAD, count=chance.choice((1, 3, 6))))
     if chance.random() < 0.4:
-        events.append(Event(moment(), Action.HALF_WRITTEN_RELOAD, chance.uniform(0.1, 1.0)))
+        events.append(Event(draw_time_s(), Action.HALF_WRITTEN_RELOAD, chance.uniform(0.1, 1.0)))
     if chance.random() < 0.3:
         away = chance.choice((Action.DISCOVERY_AWAY, Action.DISCOVERY_SILENT))
-        events.append(Event(moment(), away, chance.uniform(0.3, 2.5)))
+        events.append(Event(draw_time_s(), away, chance.uniform(0.3, 2.5)))
     if chance.random() < 0.7:
-        events.append(Event(moment(), Action.DRAIN, place=chance.randrange(3)))
-    events += [Event(moment(), Action.PURGE, place=chance.randrange(40)) for _ in range(chance.randint(0, 4))]
+        events.append(Event(draw_time_s(), Action.DRAIN, place=chance.randrange(3)))
+    events += [Event(draw_time_s(), Action.PURGE, place=chance.randrange(40)) for _ in range(chance.randint(0, 4))]
     events += [
-        Event(moment(), Action.STOP, chance.uniform(0.05, MAX_STOP_S), place=chance.randrange(schedule.routers))
+        Event(
+            draw_time_s(),
+            Action.STOP,
+            chance.uniform(0.05, MAX_ROUTER_STOP_S),
+            place=chance.randrange(schedule.routers),
+        )
         for _ in range(chance.randint(0, 3))
     ]
     if chance.random() < 0.4:
-        events.append(Event(moment(), Action.CLOCK_STEP, chance.choice(STEPS_S)))
+        events.append(Event(draw_time_s(), Action.CLOCK_STEP, chance.choice(CLOCK_STEPS_S)))
     if schedule.crowd is not Crowd.MANY_ROUTERS and chance.random() < 0.25:
-        events.append(Event(moment(), Action.KILL_AND_RESTART))
+        events.append(Event(draw_time_s(), Action.KILL_AND_RESTART))
     return events
--- a/bench/soak/stand_ins.py
+++ b/bench/soak/stand_ins.py
@@ -11,17 +11,17 @@
 from twisted.internet import reactor
 
 from bench.fleet import SETTINGS, SHAPES, Feed, Listener, Machine, World, body
-from bench.soak.record import Attempt, Record, Told
+from bench.soak.record import Announcement, Attempt, Record
 from bench.soak.schedule import SERVERS, Schedule
 from wickhinge.net.control.endpoint_watch import ENDPOINT_RECORD, OBJECT_PURGE
 from wickhinge.net.upstream import resp
 
-TOLD_AT_LATEST_S = 7.0  # PROTOCOL: what the service has to tell counts as told 7 s later at the latest
-MAX_UNREAD_S = 0.3  # for which a frame may lie unread at a router
-WORK_S = 0.1  # of an answer where slow starts are judged
+MAX_DELIVERY_DELAY_S = 7.0  # PROTOCOL: what the service has to tell counts as told 7 s later at the latest
+MAX_UNREAD_FRAME_AGE_S = 0.3  # for which a frame may lie unread at a router
+WORK_PER_ANSWER_S = 0.1  # of an answer where slow starts are judged
 OBJECT_BYTES = 3000
 NEVER_RAN = ("MISS", "BUSY", "VOID")
-FRESH_S = {"clips": float("inf"), "pages": 2.0}  # SETTINGS: maxAgeMs, 0 for ever
+FRESHNESS_LIFETIME_S = {"clips": float("inf"), "pages": 2.0}  # SETTINGS: maxAgeMs, 0 for ever
 READY, DRAINING = 0, 1
 
 
@@ -48,15 +48,15 @@
         self.services: dict[str, int] = {}  # their ports by name
         self.service_ports: dict[str, Any] = {}
         self.is_silent = False
-        self.work_s = WORK_S if slow_start else 0.0
-        self.on_asked: Callable[[str], None] = lambda name: None
+        self.work_s = WORK_PER_ANSWER_S if slow_start else 0.0
+        self.on_service_request: Callable[[str], None] = lambda name: None
 
     # The discovery service, at several addresses.
 
     def open_service(self, name: str) -> None:
         """Listens; the same port as before, if it had one."""
         port = reactor.listenTCP(
-            self.services.get(name, 0), Listener(lambda: ServiceFeed(self, name)), interface="127.0.0.1"
+            self.services.get(name, 0), Listener(lambda: ServiceConnection(self, name)), interface="127.0.0.1"
         )
         self.services[name], self.service_ports[name] = port.getHost().port, port
 
@@ -66,8 +66,8 @@
         A reset takes what was written and not read yet with it: that counts as told when the page says at the latest.
         """
         for told in self.record.told:
-            if time.monotonic() - told.at < MAX_UNREAD_S:
-                told.told_at = told.at + TOLD_AT_LATEST_S
+            if time.monotonic() - told.at < MAX_UNREAD_FRAME_AGE_S:
+                told.told_at = told.at + MAX_DELIVERY_DELAY_S
         for port in self.service_ports.values():
             port.stopListening()
         self.service_ports = {}
@@ -87,18 +87,18 @@
         else:
             super().publish(kind, payload)
 
-    def tell_of(self, what: str, kind: int, payload: bytes, **details: int) -> Told:
+    def announce(self, what: str, kind: int, payload: bytes, **details: int) -> Announcement:
         """Tells of an event, and notes when all routers count as told."""
         self.publish(kind, payload)
         for reader in self.readers:
             reader.transport.doWrite()  # now, not on the next turn: the time is taken here
         now = time.monotonic()
         is_told = not self.is_silent and len(self.readers) >= self.schedule.routers
-        told = Told(what, now, now if is_told else now + TOLD_AT_LATEST_S, **details)
+        told = Announcement(what, now, now if is_told else now + MAX_DELIVERY_DELAY_S, **details)
         self.record.told.append(told)
         return told
 
-    def record_of(self, place: int) -> bytes:
+    def endpoint_record(self, place: int) -> bytes:
         """A server's record in a list."""
         kind = SERVERS[place]
         return ENDPOINT_RECORD.pack(
@@ -125,19 +125,19 @@
     def drain(self, place: int) -> None:
         """A server takes nothing new from now on."""
         self.states[place] = DRAINING
-        self.tell_of("drain", 2, self.record_of(place), place=place)
+        self.announce("drain", 2, self.endpoint_record(place), place=place)
 
     def restart_cold(self, place: int) -> None:
         """A server comes back with nothing in it."""
         self.born_ms[place] = int(time.time() * 1000)
         self.copies = {key: copy for key, copy in self.copies.items() if key[0] != place}
-        self.tell_of("cold", 2, self.record_of(place), place=place)
+        self.announce("cold", 2, self.endpoint_record(place), place=place)
 
     def purge_object(self, key: int) -> None:
         """Another version from now on; copies stay where they are, as old as they are."""
         self.versions[key] = self.version(key) + 1
         stamp = int(time.time() * 1000)
-        self.tell_of("purge", 3, OBJECT_PURGE.pack(key, stamp), key=key, version=self.version(key))
+        self.announce("purge", 3, OBJECT_PURGE.pack(key, stamp), key=key, version=self.version(key))
 
     def behaviour(self, place: int) -> str:
         """What a server does to the request that has come now."""
@@ -151,7 +151,7 @@
         return "well"
 
 
-class ServiceFeed(Feed):
+class ServiceConnection(Feed):
     """A router's connection to one of the services."""
 
     def __init__(self, world: SoakWorld, name: str) -> None:
@@ -160,7 +160,7 @@
 
     def dataReceived(self, data: bytes) -> None:
         """As the base class; a service that is silent says nothing to who comes either."""
-        self.world.on_asked(self.name)
+        self.world.on_service_request(self.name)
         if not self.world.is_silent:
             super().dataReceived(data)
 
@@ -234,7 +234,7 @@
         world, now = self.world, time.time()
         place = (self.server, key, part)
         max_age_ms = float(fields.get("maxage", "0"))
-        max_age_s = max_age_ms / 1000 if max_age_ms else FRESH_S.get(fields.get("queue", ""), 0.0)
+        max_age_s = max_age_ms / 1000 if max_age_ms else FRESHNESS_LIFETIME_S.get(fields.get("queue", ""), 0.0)
         held = world.copies.get(place)
         if held is not None and now - held.made_at <= max_age_s:
             return held
--- a/bench/soak/terms.py
+++ b/bench/soak/terms.py
@@ -1,6 +1,6 @@
-"""Bounds of the users' pages that several checks use."""
+"""Allowances from the documentation that several checks of the soak test use."""
 
 from __future__ import annotations
 
-SOCKET_SLACK_S = 0.05  # PROTOCOL: each time limit is 50 ms longer on sockets
-BUDGET_SLACK_S = 0.15  # the deadline passed on is at most what the client has left, 0.15 s of slack
+SOCKET_ALLOWANCE_S = 0.05  # PROTOCOL: over sockets, each time limit is 50 ms longer.
+BUDGET_ALLOWANCE_S = 0.15  # A budget passed on may exceed the client's remaining time by up to 0.15 s.
--- a/tests/bench/test_soak.py
+++ b/tests/bench/test_soak.py
@@ -1,6 +1,6 @@
-"""The soak's short form: fixed seeds on the code as it is, and a planted fault for each of its checks.
+"""Short soak test: twelve fixed seeds on the unchanged router, and a planted fault for each check of the soak.
 
-The long run is started by hand; docs/standing.md reports it.
+A longer run of `python -m bench.soak` is started by hand, and docs/standing.md reports it.
 """
 
 import re
@@ -9,98 +9,103 @@
 import pytest
 
 from bench.soak import judge
-from bench.soak.__main__ import play_apart, replay_command, shares_of
+from bench.soak.__main__ import judged_shares, play_until_judged, replay_command
 from bench.soak.planted import FAULTS
-from bench.soak.record import Answer, Attempt, Record, Request, RouterEnd, Told
-from bench.soak.schedule import Crowd, draw
-from bench.soak.served_share import pooled_share_faults
+from bench.soak.record import Announcement, Answer, Attempt, Record, Request, RouterEnd
+from bench.soak.schedule import Crowd, draw_schedule
+from bench.soak.served_share import pooled_share_violations
 
 SEEDS = range(1, 13)
 JOBS = 3
-PLANT_SEEDS = range(1, 13)  # within which each planted fault is found
+PLANT_SEEDS = range(1, 13)  # The checks must find each planted fault within these seeds.
 NO_PLANT = ""
 
 
 @pytest.fixture(scope="module")
 def results(request):
-    """By seed, of those that are to be tested in this run, played some at once."""
-    ids = [item.callspec.params["seed"] for item in request.session.items if "soak.py::test_seed[" in item.nodeid]
+    """Play the seeds that the selected tests need, JOBS at a time, and return a future result for each seed."""
+    seeds = [item.callspec.params["seed"] for item in request.session.items if "soak.py::test_seed[" in item.nodeid]
     if any("soak.py::test_over_all_seeds" in item.nodeid for item in request.session.items):
-        ids = SEEDS
+        seeds = SEEDS
     with ThreadPoolExecutor(JOBS) as pool:
-        yield {seed: pool.submit(play_apart, seed, NO_PLANT) for seed in ids}
+        yield {seed: pool.submit(play_until_judged, seed, NO_PLANT) for seed in seeds}
 
 
 @pytest.mark.parametrize("seed", SEEDS)
 def test_seed(results, seed):
+    """A play of the seed on the unchanged router can be judged, violates nothing and has over 100 requests."""
     result = results[seed].result()
-    assert result["is_judged"], f"played {result['plays']} times, the last {result['max_lag_s']} s late itself"
+    assert result["is_judged"], (
+        f"played {result['plays']} times, last with a lag of {result['max_lag_s']} s of the soak process"
+    )
     assert not result["faults"], f"{replay_command(seed, NO_PLANT)}: {result['faults'][:5]}"
     assert result["requests"] > 100
 
 
-def test_over_all_seeds_half_of_what_could_be_served_is_as_a_whole_and_of_each_class(results):
-    assert not list(pooled_share_faults(shares_of([results[seed].result() for seed in SEEDS])))
+def test_over_all_seeds_half_of_the_servable_requests_are_served_in_total_and_of_each_class(results):
+    assert not list(pooled_share_violations(judged_shares([results[seed].result() for seed in SEEDS])))
 
 
-FOUND_AS = {
+# The name of each planted fault, with a regular expression that one of the violations reported for it has to match.
+VIOLATION_PATTERNS = {
     "dropped_answer": "with no answer",
-    "second_answer": "an answer to no open request",
+    "second_answer": "an answer that belongs to no open request",
     "late_answer": "answered after",
     "wrong_bytes": "bytes",
-    "forgotten_reload": "was asked for|after the reload",
-    "deaf_to_the_last_reload": "was asked for|after the reload",
-    "attempt_after_the_end": "after its end",
-    "sent_twice": "times, the earlier ones ended as",
-    "whole_budget": "passed on",
-    "drain_ignored": "after its drain's grace",
+    "forgotten_reload": "was configured|after the reload",
+    "deaf_to_the_last_reload": "was configured|after the reload",
+    "attempt_after_the_end": "after the request ended",
+    "sent_twice": "times; the earlier attempts ended as",
+    "whole_budget": "passed on a budget",
+    "drain_ignored": "after the grace period of its drain",
     "purge_ignored": "after the purge",
     "cold_ignored": "cold server",
-    "exit_code": "ended with 3 after SIGTERM",
+    "exit_code": "ended with exit code 3 after SIGTERM",
     "no_end": "had not ended",
     "all_rejected": "all: served",
     "class_rejected": "pages: served",
-    "early_end": "before its end, with an attempt out",
+    "early_end": "before its deadline, with an attempt outstanding",
     "closed_listener": "after SIGTERM",
-    "deaf_ping": "said yes to a ping",
+    "deaf_ping": "answered true to a ping",
     "descriptors_kept": "descriptors",
 }
 
 
 @pytest.fixture(scope="module")
-def planted():
+def searches():
+    """Search for all planted faults at once, and return a future result for each."""
     with ThreadPoolExecutor(JOBS + 2) as pool:
-        yield {plant: pool.submit(find, plant) for plant in FAULTS}
+        yield {plant: pool.submit(find_planted_fault, plant) for plant in FAULTS}
 
 
-def find(plant):
-    """The first seed that finds it for what it is, None where none does; and what all seeds up to that one found."""
+def find_planted_fault(plant):
+    """Return the first seed whose violations match the planted fault, or None, and all violations found until then."""
     found = []
     for seed in PLANT_SEEDS:
-        faults = play_apart(seed, plant)["faults"]
-        found += faults
-        if any(re.search(FOUND_AS[plant], fault) for fault in faults):
+        violations = play_until_judged(seed, plant)["faults"]
+        found += violations
+        if any(re.search(VIOLATION_PATTERNS[plant], violation) for violation in violations):
             return seed, found
     return None, found
 
 
 @pytest.mark.parametrize("plant", sorted(FAULTS))
-def test_a_planted_fault_is_found_for_what_it_is_within_twelve_seeds(planted, plant):
-    seed, found = planted[plant].result()
+def test_a_planted_fault_is_reported_by_the_matching_check_within_twelve_seeds(searches, plant):
+    seed, found = searches[plant].result()
     assert seed is not None, found[:5]
 
 
-def test_a_seed_draws_the_same_play_each_time():
-    assert draw(17) == draw(17) and draw(17) != draw(18)
-    drawn = [draw(seed) for seed in range(60)]
-    assert {schedule.crowd for schedule in drawn} == set(Crowd)
-    assert all(20 <= schedule.routers <= 30 for schedule in drawn if schedule.crowd is Crowd.MANY_ROUTERS)
+def test_a_seed_draws_the_same_schedule_each_time():
+    assert draw_schedule(17) == draw_schedule(17) and draw_schedule(17) != draw_schedule(18)
+    schedules = [draw_schedule(seed) for seed in range(60)]
+    assert {schedule.crowd for schedule in schedules} == set(Crowd)
+    assert all(20 <= schedule.routers <= 30 for schedule in schedules if schedule.crowd is Crowd.MANY_ROUTERS)
 
 
-# The judge, without a play.
+# Tests of the judge on hand-written records, without router processes.
 
 
-def asked(**changes):
+def make_request(**changes):
     fields = {"rid": "a", "method": "results", "key": 1, "part": 0, "budget_s": 1.0, "written_at": 10.0}
     request = Request(**fields, body=b"mark", router=0, life=1)
     for name, value in changes.items():
@@ -108,72 +113,78 @@
     return request
 
 
-def judged(request, *attempts, **more):
+def judge_request(request, *attempts, **more):
     record = Record(1, 1, 64, requests={request.rid: request}, attempts=list(attempts), **more)
-    return judge.faults(record)
+    return judge.violations(record)
 
 
-def served(at, body=b"mark"):
+def served_answer(at, body=b"mark"):
     return Answer(at, True, "", body, False)
 
 
-def test_what_was_answered_in_time_is_no_fault():
-    assert judged(asked(answers=[served(10.5)]), Attempt("a", 5, 10.1, {"budget": "900"}, "OK")) == []
+def test_a_request_answered_in_time_is_no_violation():
+    assert (
+        judge_request(make_request(answers=[served_answer(10.5)]), Attempt("a", 5, 10.1, {"budget": "900"}, "OK")) == []
+    )
 
 
 @pytest.mark.parametrize(
-    "request_, said",
+    "request_, expected_text",
     [
-        (asked(answers=[served(11.56)]), "answered after 1.560 s"),
-        (asked(answers=[served(10.5), served(10.6)]), "2 answers"),
-        (asked(), "never answered"),
-        (asked(lost_at=10.06), "ended 0.060 s after it"),
-        (asked(answers=[served(10.5, b"other")]), "other bytes"),
+        (make_request(answers=[served_answer(11.56)]), "answered after 1.560 s"),
+        (make_request(answers=[served_answer(10.5), served_answer(10.6)]), "2 answers"),
+        (make_request(), "never answered"),
+        (make_request(lost_at=10.06), "ended 0.060 s after the request was written"),
+        (make_request(answers=[served_answer(10.5, b"other")]), "other bytes"),
     ],
 )
-def test_a_request_without_its_one_answer_in_time_is_a_fault(request_, said):
-    [fault] = judged(request_)
-    assert said in fault
+def test_a_request_without_exactly_one_answer_in_time_is_a_violation(request_, expected_text):
+    [violation] = judge_request(request_)
+    assert expected_text in violation
 
 
-@pytest.mark.parametrize("request_", [asked(lost_at=10.04), asked(left_at=10.3), asked(lost_at=10.4)])
-def test_what_crossed_a_close_or_was_given_up_or_killed_is_excused(request_):
+@pytest.mark.parametrize(
+    "request_", [make_request(lost_at=10.04), make_request(left_at=10.3), make_request(lost_at=10.4)]
+)
+def test_a_missing_answer_when_the_connection_closed_or_the_client_left_or_the_router_was_killed_is_excused(request_):
     ends = [RouterEnd(0, 1, "killed", -9, 0.0, signalled_at=10.36)] if request_.lost_at == 10.4 else []
-    assert judged(request_, ends=ends) == []
+    assert judge_request(request_, ends=ends) == []
 
 
 @pytest.mark.parametrize(
-    "attempt, said",
+    "attempt, expected_text",
     [
-        (Attempt("a", 5, 10.45, {"budget": "100"}, "OK"), "0.150 s after its end"),
-        (Attempt("a", 5, 10.1, {"budget": "1051"}, "OK"), "passed on 1.051 s with 0.900 s left"),
-        (Attempt("b", 5, 10.1, {}, "OK"), "no client asked it"),
+        (Attempt("a", 5, 10.45, {"budget": "100"}, "OK"), "0.150 s after the request ended"),
+        (Attempt("a", 5, 10.1, {"budget": "1051"}, "OK"), "passed on a budget of 1.051 s with 0.900 s left"),
+        (Attempt("b", 5, 10.1, {}, "OK"), "which no client sent"),
     ],
 )
-def test_an_attempt_after_the_end_or_with_too_large_a_budget_or_of_nobody_is_a_fault(attempt, said):
-    [fault] = judged(asked(left_at=10.3), attempt)
-    assert said in fault
+def test_an_attempt_after_the_end_or_with_too_large_a_budget_or_of_an_unknown_request_is_a_violation(
+    attempt, expected_text
+):
+    [violation] = judge_request(make_request(left_at=10.3), attempt)
+    assert expected_text in violation
 
 
 @pytest.mark.parametrize("outcome, is_allowed", [("BUSY", True), ("MISS", True), ("ERR", False), ("hang", False)])
-def test_a_result_is_repeated_only_where_it_never_ran(outcome, is_allowed):
+def test_a_non_idempotent_request_sent_again_is_allowed_only_if_the_first_attempt_never_ran(outcome, is_allowed):
     attempts = [Attempt("a", 5, 10.1, {}, outcome), Attempt("a", 5, 10.2, {}, "OK")]
-    assert (judged(asked(answers=[served(10.5)]), *attempts) == []) is is_allowed
+    assert (judge_request(make_request(answers=[served_answer(10.5)]), *attempts) == []) is is_allowed
 
 
 @pytest.mark.parametrize("late_s, is_allowed", [(0.54, True), (0.56, False)])
-def test_a_draining_server_is_sent_nothing_after_its_grace(late_s, is_allowed):
-    told = [Told("drain", 9.0, 10.0, place=2)]
+def test_a_draining_server_used_after_its_grace_period_is_a_violation(late_s, is_allowed):
+    announcements = [Announcement("drain", 9.0, 10.0, place=2)]
     attempt = Attempt("a", 2, 10.0 + late_s, {"budget": "300"}, "OK")
     source = Attempt("a", 1, 10.0 + late_s, {"budget": "300", "src": "s-000000a3"}, "OK")
     for one in (attempt, source):
-        assert (judged(asked(answers=[served(10.9)]), one, told=told) == []) is is_allowed
+        assert (judge_request(make_request(answers=[served_answer(10.9)]), one, told=announcements) == []) is is_allowed
 
 
 @pytest.mark.parametrize("count, is_allowed", [(16, True), (17, False)])
-def test_a_cold_server_gets_what_the_sum_of_all_routers_may_send(count, is_allowed):
-    """4 times 0.05 of its capacity for 3 s, 0.1 s each: 6 calls, 3 x root of 6 and 3 more."""
-    record = Record(1, 20, 64, told=[Told("cold", 10.0, 10.0, place=0)])
-    record.requests = {"a": asked(answers=[served(10.5)], method="none")}
+def test_a_cold_server_gets_at_most_the_requests_that_slow_start_allows_all_routers_together(count, is_allowed):
+    """Expected are 4 * 0.05 * 3 s / 0.1 s = 6 requests, so that 6 + 3 * sqrt(6) + 3 = 16.3 are allowed."""
+    record = Record(1, 20, 64, told=[Announcement("cold", 10.0, 10.0, place=0)])
+    record.requests = {"a": make_request(answers=[served_answer(10.5)], method="none")}
     record.attempts = [Attempt("a", 0, 10.0 + 1e-6 * (1 + number), {}, "OK") for number in range(count)]
-    assert any("cold server" in fault for fault in judge.faults(record)) is not is_allowed
+    assert any("cold server" in violation for violation in judge.violations(record)) is not is_allowed
