--- a/bench/fleet.py
+++ b/bench/fleet.py
@@ -212,10 +212,10 @@
             self.transport.write(b"".join(self.world.frames[last:]))
             self.world.readers.add(self)
             self.world.on_watch_begun()
-            self.beat = task.LoopingCall(self.nothing)
+            self.beat = task.LoopingCall(self.send_heartbeat)
             self.beat.start(1.0)
 
-    def nothing(self) -> None:
+    def send_heartbeat(self) -> None:
         self.transport.write(FRAME_HEADER.pack(9, len(self.world.frames), 0))
 
     def connectionLost(self, reason: Any = None) -> None:
@@ -236,13 +236,13 @@
         for items in self.stream.feed(data):
             items = [b"".join(item.views()) if isinstance(item, Body) else item for item in items]
             if items[0] == b"REQ":
-                self.asked(*items[1:])
+                self.on_request_received(*items[1:])
             elif items[0] != b"STOP":
                 self.world.on_request(self.place, {}, b"")
                 self.transport.write(resp.pack(items[1], b"UP", b"use=util:0.1;x1:0.2", b""))
 
-    def asked(self, tag: bytes, told: bytes, body_in: bytes) -> None:
-        fields, world = resp.parse_fields(told), self.world
+    def on_request_received(self, tag: bytes, packed_fields: bytes, body_in: bytes) -> None:
+        fields, world = resp.parse_fields(packed_fields), self.world
         world.on_request(self.place, fields, body_in)
         key, part = int(fields.get("path", "0"), 16), int(fields.get("blk", "0"))
         held = self.kind == "origin" or (key, part) in self.kept
--- a/bench/soak/__main__.py
+++ b/bench/soak/__main__.py
@@ -1,4 +1,4 @@
-"""The soak's command line; see the package."""
+"""Command line of the soak test: plays seeds, prints violations and a summary."""
 
 from __future__ import annotations
 
@@ -18,17 +18,17 @@
 from bench.soak.served_share import Share, pooled_share_violations, pooled_shares
 
 FAILED_PLAYS_FOLDER = Path("found/soak")
-MAX_PLAYS_PER_SEED = 4  # of a seed whose play was itself too late to judge
-PLAY_TIMEOUT_S = 120.0  # of one seed; a play takes some twelve
+MAX_PLAYS_PER_SEED = 4  # A seed is played again while its play can't be judged because of lag.
+PLAY_TIMEOUT_S = 120.0  # Timeout of one play, which normally takes about twelve seconds.
 MAX_PRINTED_FAULTS = 5
 
 
 def play_in_this_process(seed: int, plant: str, folder: Path) -> dict[str, object]:
-    """Plays a seed in this process; its record is written to the folder."""
+    """Play a seed in this process, and write record.json and schedule.json to the folder."""
     from bench.soak import judge, schedule, served_share
     from bench.soak.play import Play
 
-    plan = schedule.draw(seed)
+    plan = schedule.draw_schedule(seed)
     record = Play(plan, folder, plant).run()
     is_judged = judge.is_judged(record)
     faults = judge.violations(record) if is_judged else []
@@ -54,7 +54,7 @@
 
 
 def play_until_judged(seed: int, plant: str) -> dict[str, object]:
-    """Plays a seed until it can be judged, some times at most; the result tells how often."""
+    """Play a seed until it can be judged, at most MAX_PLAYS_PER_SEED times; the result holds the number of plays."""
     plays, result = 1, _play_once(seed, plant)
     while not result.get("is_judged", True) and plays < MAX_PLAYS_PER_SEED:
         plays, result = plays + 1, _play_once(seed, plant)
@@ -62,7 +62,7 @@
 
 
 def _play_once(seed: int, plant: str) -> dict[str, object]:
-    """Plays a seed in a process of its own; record and logs are kept where it fails."""
+    """Play a seed in a process of its own, which keeps its record and logs if the seed fails."""
     command = [sys.executable, "-m", "bench.soak", "--seed", str(seed), "--json"]
     command += ["--plant", plant] if plant else []
     try:
@@ -73,33 +73,33 @@
 
 
 def play_all(seeds: list[int], plant: str, jobs: int) -> Iterator[dict[str, object]]:
-    """Plays seeds side by side, in order."""
+    """Play several seeds at once, and yield their results in the order of the seeds."""
     with ThreadPoolExecutor(jobs) as pool:
         yield from pool.map(lambda seed: play_until_judged(seed, plant), seeds)
 
 
 def replay_command(seed: object, plant: str) -> str:
-    """What plays a seed again."""
+    """Return the command that plays a seed again."""
     return f"python -m bench.soak --seed {seed}" + (f" --plant {plant}" if plant else "")
 
 
 @click.command()
-@click.option("--seeds", type=int, default=1, show_default=True, help="How many to play.")
-@click.option("--first", type=int, default=1, show_default=True, help="The first of them.")
-@click.option("--seed", type=int, help="One seed to play in this process.")
-@click.option("--jobs", type=int, default=3, show_default=True, help="How many seeds at once.")
-@click.option("--plant", type=click.Choice(sorted(FAULTS)), default=None, help="A fault planted in the routers.")
-@click.option("--json", "as_json", is_flag=True, help="With --seed: nothing but the last line.")
+@click.option("--seeds", type=int, default=1, show_default=True, help="Number of seeds to play.")
+@click.option("--first", type=int, default=1, show_default=True, help="The first seed to play.")
+@click.option("--seed", type=int, help="Play only this seed, in this process.")
+@click.option("--jobs", type=int, default=3, show_default=True, help="Number of seeds to play at once.")
+@click.option("--plant", type=click.Choice(sorted(FAULTS)), default=None, help="A fault to plant in the routers.")
+@click.option("--json", "as_json", is_flag=True, help="With --seed: print only the last line.")
 def main(seeds: int, first: int, seed: int | None, jobs: int, plant: str | None, *, as_json: bool) -> None:
-    """Exit code 1 where a seed failed."""
+    """Play seeds, and exit with code 1 if one failed or could not be judged."""
     plant = plant or ""
     if seed is not None:
         folder = Path(tempfile.mkdtemp(prefix=f"soak-{seed}-"))
         result = play_in_this_process(seed, plant, folder)
         if result["faults"]:
-            kept = FAILED_PLAYS_FOLDER / f"seed-{seed}{'-' * bool(plant)}{plant}"
-            move_folder(folder, kept)
-            result["kept"] = str(kept)
+            kept_folder = FAILED_PLAYS_FOLDER / f"seed-{seed}{'-' * bool(plant)}{plant}"
+            move_folder(folder, kept_folder)
+            result["kept"] = str(kept_folder)
         results = [result]
     else:
         results = list(play_all(list(range(first, first + seeds)), plant, jobs))
@@ -108,12 +108,12 @@
     if not as_json:
         for result in failed:
             click.echo(
-                f"seed {result['seed']}: {len(result['faults'])} faults; {replay_command(result['seed'], plant)}"
+                f"seed {result['seed']}: {len(result['faults'])} violations; {replay_command(result['seed'], plant)}"
             )
             for fault in result["faults"][:MAX_PRINTED_FAULTS]:
                 click.echo(f"  {fault}")
             if not result.get("is_judged", True):
-                click.echo(f"  not judged: the play itself was {result['max_lag_s']} s late")
+                click.echo(f"  not judged: the soak process had a lag of {result['max_lag_s']} s")
         for fault in pooled_faults:
             click.echo(fault)
     print_result(results[0] if seed is not None else summary(results))
@@ -121,7 +121,7 @@
 
 
 def judged_shares(results: list[dict[str, object]]) -> list[dict[str, Share]]:
-    """The shares in each result of a play that was judged."""
+    """Return the served shares of each play that was judged."""
     return [
         {name: Share(*counts) for name, counts in result.get("shares", {}).items()}
         for result in results
@@ -130,7 +130,7 @@
 
 
 def move_folder(folder: Path, place: Path) -> None:
-    """Moves a play's folder to where it is kept, in place of an older one."""
+    """Move a play's folder to `place`, replacing an older folder there."""
     import shutil
 
     shutil.rmtree(place, ignore_errors=True)
@@ -139,7 +139,7 @@
 
 
 def summary(results: list[dict[str, object]]) -> dict[str, object]:
-    """The sums over all seeds."""
+    """Return the sums over all seeds, for the last line."""
     ends: Counter[str] = Counter()
     for result in results:
         ends.update(result["ends"])
--- a/bench/soak/lag.py
+++ b/bench/soak/lag.py
@@ -1,4 +1,4 @@
-"""How late the play's own process was: its times are no better than that."""
+"""Measures the reactor lag of the soak process, which limits how exact the recorded times are."""
 
 from __future__ import annotations
 
@@ -8,25 +8,27 @@
 
 from bench.soak.record import Record
 
-LAG_CHECK_INTERVAL_S = 0.01
-MIN_RECORDED_LAG_S = 0.002
+LAG_CHECK_INTERVAL_S = 0.01  # Interval at which the reactor should take a turn of the monitor.
+MIN_RECORDED_LAG_S = 0.002  # A shorter lag is not recorded.
 
 
 class LagMonitor:
-    """Notes each turn of the reactor that came late."""
+    """Records each reactor turn that began late."""
 
     def __init__(self, record: Record) -> None:
+        """Write the lags to `record`."""
         self._record = record
-        self._last_at = time.monotonic()
+        self._last_turn_at = time.monotonic()
 
     def start(self) -> None:
-        """Begins; the reactor's end is its own."""
+        """Begin to measure; the measurement ends with the reactor."""
         task.LoopingCall(self._record_lag).start(LAG_CHECK_INTERVAL_S)
 
     def _record_lag(self) -> None:
+        """Record by how much this turn is later than LAG_CHECK_INTERVAL_S after the previous one."""
         now = time.monotonic()
-        lag_s = now - self._last_at - LAG_CHECK_INTERVAL_S
-        self._last_at = now
+        lag_s = now - self._last_turn_at - LAG_CHECK_INTERVAL_S
+        self._last_turn_at = now
         if lag_s > MIN_RECORDED_LAG_S:
             self._record.lags.append((now, lag_s))
             self._record.max_lag_s = max(self._record.max_lag_s, lag_s)
--- a/bench/soak/planted.py
+++ b/bench/soak/planted.py
@@ -1,4 +1,7 @@
-"""A router with a planted fault, so that each check can be seen to fail: python -m bench.soak.planted FAULT"""
+"""Runs a router with a planted fault, so that the checks of the soak test can be seen to fail.
+
+python -m bench.soak.planted FAULT
+"""
 
 from __future__ import annotations
 
@@ -8,31 +11,32 @@
 import time
 from collections.abc import Callable
 
-HARM_INTERVAL = 40  # requests: one of so many is harmed
+HARM_INTERVAL = 40  # One of this many answers is harmed.
 
 
 def _every_nth_call(count: int) -> Callable[[], bool]:
+    """Return a function that returns true on each call whose number is a multiple of `count`."""
     numbers = itertools.count(1)
     return lambda: next(numbers) % count == 0
 
 
 def dropped_answer() -> None:
-    """One answer in EVERY is not written."""
+    """Drop one answer in HARM_INTERVAL."""
     _harm_answers(lambda connection, call, body, fields, serve: connection.open_requests.pop(call, None))
 
 
 def second_answer() -> None:
-    """One answer in EVERY is written twice."""
+    """Write a second answer, a rejection, after one answer in HARM_INTERVAL."""
 
-    def twice(connection, call, body, fields, serve) -> None:
+    def answer_twice(connection, call, body, fields, serve) -> None:
         serve(connection, call, body, fields)
         connection.send_error(call, "Overloaded", {})
 
-    _harm_answers(twice)
+    _harm_answers(answer_twice)
 
 
 def late_answer() -> None:
-    """One answer in EVERY comes four seconds late."""
+    """Delay one answer in HARM_INTERVAL by four seconds."""
     _harm_answers(
         lambda connection, call, body, fields, serve: connection.clients.deadlines.call_after(
             4.0, serve, connection, call, body, fields
@@ -41,63 +45,64 @@
 
 
 def wrong_bytes() -> None:
-    """One answer in EVERY is served with no bytes."""
+    """Serve one answer in HARM_INTERVAL without its body."""
     _harm_answers(lambda connection, call, body, fields, serve: serve(connection, call, None, fields))
 
 
 def _harm_answers(harm: Callable[..., object]) -> None:
+    """Call `harm` in place of ClientConnection.send_answer for one answer in HARM_INTERVAL."""
     from wickhinge.net.downstream.client_connection import ClientConnection
 
     serve, is_harmed = ClientConnection.send_answer, _every_nth_call(HARM_INTERVAL)
 
-    def harmed(self, call, body, fields):
+    def send_or_harm(self, call, body, fields):
         if is_harmed():
             harm(self, call, body, fields, serve)
         else:
             serve(self, call, body, fields)
 
-    ClientConnection.send_answer = harmed
+    ClientConnection.send_answer = send_or_harm
 
 
 def forgotten_reload() -> None:
-    """Reloads are noted and never done."""
+    """Ignore each request to reload the configuration."""
     from wickhinge.common.config_reload import ConfigReload
 
     ConfigReload.request = lambda self, number: None
 
 
 def deaf_to_the_last_reload() -> None:
-    """A reload that follows another is taken for the same one."""
+    """Ignore a reload that follows another one within half a second."""
     from wickhinge.common.config_reload import ConfigReload
 
-    request, last = ConfigReload.request, [0.0]
+    request, last_time = ConfigReload.request, [0.0]
 
-    def deaf(self, number):
-        now, last[0] = last[0], time.monotonic()
-        if last[0] - now > 0.5:
+    def request_unless_recent(self, number):
+        previous_time, last_time[0] = last_time[0], time.monotonic()
+        if last_time[0] - previous_time > 0.5:
             request(self, number)
 
-    ConfigReload.request = deaf
+    ConfigReload.request = request_unless_recent
 
 
 def attempt_after_the_end() -> None:
-    """Some requests begin 0.3 s after they were read, whether or not their client has left or cancelled meanwhile."""
+    """Begin one request in three 0.3 s late, even if its client has closed the connection or cancelled meanwhile."""
     from wickhinge.net.downstream.client_connection import ClientConnection
 
     begin, is_harmed = ClientConnection.begin_request, _every_nth_call(3)
 
-    def late(self, call, method, params, arrival):
+    def begin_late(self, call, method, params, arrival):
         if is_harmed():
             self.clients.deadlines.call_after(0.3, begin, self, call, method, params, arrival)
         else:
             begin(self, call, method, params, arrival)
 
-    ClientConnection.begin_request = late
+    ClientConnection.begin_request = begin_late
     ClientConnection.is_request_open = lambda self, call: True
 
 
 def sent_twice() -> None:
-    """What may not be repeated is taken for what may."""
+    """Treat all classes of requests as idempotent, so that side effects may be repeated."""
     from wickhinge import interface, settings
 
     build = settings.build_router
@@ -105,33 +110,33 @@
     def all_idempotent(*arguments):
         decisions, classes = build(*arguments)
         for request_class in classes.values():
-            object.__setattr__(request_class, "idempotency", interface.Idempotency.IDEMPOTENT)  # it is frozen
+            object.__setattr__(request_class, "idempotency", interface.Idempotency.IDEMPOTENT)  # The struct is frozen.
         return decisions, classes
 
     settings.build_router = all_idempotent
 
 
 def whole_budget() -> None:
-    """A server is told of a second more than the client has left."""
+    """Pass on to servers a budget of one second more than the client has left."""
     from wickhinge.net.upstream import attempts
 
     pack = attempts.resp.pack
 
-    def generous(*items: bytes) -> bytes:
+    def pack_with_larger_budget(*items: bytes) -> bytes:
         if items[0] == b"REQ":
             fields = [pair.partition(b"=") for pair in items[2].split(b",")]
-            told = [
+            changed_fields = [
                 (name + b"=" + (b"%d" % (int(value) + 1000) if name == b"budget" else value))
                 for name, _, value in fields
             ]
-            items = (*items[:2], b",".join(told), *items[3:])
+            items = (*items[:2], b",".join(changed_fields), *items[3:])
         return pack(*items)
 
-    attempts.resp.pack = generous
+    attempts.resp.pack = pack_with_larger_budget
 
 
 def drain_ignored() -> None:
-    """Draining servers stay in use."""
+    """Keep using draining servers: their state in an endpoint list is ignored."""
     from wickhinge.routing.endpoints import Endpoints
 
     update = Endpoints.update
@@ -141,42 +146,42 @@
 
 
 def purge_ignored() -> None:
-    """Purges are read and forgotten."""
+    """Ignore all purges."""
     from wickhinge.routing.purges import Purges
 
     Purges.record_purge = lambda self, key, group, stamp, now: None
 
 
 def cold_ignored() -> None:
-    """Slow start limits nothing."""
+    """Give servers that restarted empty their full capacity at once, without slow start."""
     from wickhinge.routing.slow_start import SlowStart
 
     SlowStart.capacity_share = lambda self, server, now: 1.0
 
 
 def exit_code() -> None:
-    """The program ends with 3."""
+    """Exit with code 3 instead of 0."""
     from wickhinge.net.control import start
 
     start.EXIT_OK = 3
 
 
 def no_end() -> None:
-    """SIGTERM is heard, and nothing follows."""
+    """Ignore SIGTERM."""
     from wickhinge.net.control.graceful_shutdown import GracefulShutdown
 
     GracefulShutdown.begin = lambda self, *arguments: None
 
 
 def all_rejected() -> None:
-    """Every request after the first hundred is rejected at once."""
+    """Reject each request after the first hundred at once."""
     from wickhinge.interface import RejectionReason
     from wickhinge.routing.routed_request import RoutedRequest
 
-    numbers, try_edge_cache = itertools.count(1), RoutedRequest.try_edge_cache
+    request_numbers, try_edge_cache = itertools.count(1), RoutedRequest.try_edge_cache
 
     def reject(self, now):
-        if next(numbers) > 100:
+        if next(request_numbers) > 100:
             self.give_up(now, RejectionReason.TOO_LATE)
         else:
             try_edge_cache(self, now)
@@ -185,7 +190,7 @@
 
 
 def class_rejected() -> None:
-    """One class gets nothing."""
+    """Reject all requests of the class `pages`."""
     from wickhinge.interface import RejectionReason
     from wickhinge.routing.routed_request import RoutedRequest
 
@@ -201,7 +206,7 @@
 
 
 def early_end() -> None:
-    """The shutdown gives up a second before the end of the last requests."""
+    """End the shutdown up to a second before the deadline of the last requests."""
     from wickhinge.net.control import graceful_shutdown
 
     graceful_shutdown.GIVE_UP_AFTER_DEADLINE_S = -0.4
@@ -209,37 +214,37 @@
 
 
 def closed_listener() -> None:
-    """From SIGTERM on no connection is accepted."""
+    """Accept no connection from SIGTERM on."""
     from wickhinge.net.control.readiness import Readiness
 
     drain = Readiness.drain
 
-    def closing(self):
+    def drain_and_close(self):
         drain(self)
         self.close()
 
-    Readiness.drain = closing
+    Readiness.drain = drain_and_close
 
 
 def deaf_ping() -> None:
-    """`ping` says yes to the very end."""
+    """Answer `ping` with true even after SIGTERM."""
     from wickhinge.net.downstream.client_connections import ClientConnections
 
     ClientConnections.drain = lambda self: None
 
 
 def descriptors_kept() -> None:
-    """Each accepted connection leaves a descriptor behind."""
+    """Leak eight descriptors for each accepted connection."""
     from wickhinge.net.downstream.client_connection import ClientConnection
 
-    made = ClientConnection.connectionMade
+    connection_made = ClientConnection.connectionMade
 
-    def leaking(self):
+    def leak_descriptors(self):
         for _ in range(8):
             os.open(os.devnull, os.O_RDONLY)
-        made(self)
+        connection_made(self)
 
-    ClientConnection.connectionMade = leaking
+    ClientConnection.connectionMade = leak_descriptors
 
 
 FAULTS = {
@@ -270,7 +275,7 @@
 
 
 def main(fault: str) -> None:
-    """Runs a router with this fault to its end."""
+    """Plant the fault and run a router until it exits."""
     from wickhinge.common.process_signals import received_signals
 
     received_signals.install()
--- a/bench/soak/play.py
+++ b/bench/soak/play.py
@@ -1,4 +1,4 @@
-"""Plays one seed: starts the routers, carries the schedule out, ends them, and returns what was seen."""
+"""Plays one seed: starts the routers, carries out the schedule, ends the routers, and returns the record."""
 
 from __future__ import annotations
 
@@ -23,32 +23,33 @@
     Crowd,
     Schedule,
 )
-from bench.soak.stand_ins import SoakServer, SoakWorld, settings
+from bench.soak.stand_ins import SoakServer, SoakWorld, deployment_settings
 
+# Slow-start rules of the settings in plays with many routers; `coldMs` and `fallMs` are milliseconds.
 SLOW_START = {"fallMultiple": 4, "fallMs": 3000, "coldFrom": 0.05, "coldMs": 40000}
-MAX_READY_S = 30.0  # STANDING: a router over 30 s to be ready has failed
-TICK_S = 0.02
+MAX_READY_S = 30.0  # STANDING: a router that needs over 30 s to become ready has failed.
+TICK_S = 0.02  # Interval at which each client draws whether it sends requests.
 PING_INTERVAL_S = 0.25
-LATE_CONNECTION_TIMES_S = (0.0, 0.1, 0.2, 0.3, 0.38)  # PROTOCOL: after SIGTERM, new ones come for 0.2 to 0.4 s
+LATE_CONNECTION_TIMES_S = (0.0, 0.1, 0.2, 0.3, 0.38)  # PROTOCOL: new connections come for 0.2 to 0.4 s after SIGTERM.
 LATE_REQUEST_METHOD, LATE_REQUEST_BUDGET_MS = (
     "results",
     3000,
-)  # of the requests that have the most to lose by an early end
-ROUTER_SOCKET_LIMIT, IDLE_CLIENTS_SOCKET_LIMIT = 256, 128
+)  # Non-idempotent requests with a long budget, which an early exit would lose first.
+ROUTER_SOCKET_LIMIT, IDLE_CLIENTS_SOCKET_LIMIT = 256, 128  # The second applies in plays with idle clients.
 
 
 class Play:
-    """One seed from its first start to its last end."""
+    """One play of a seed, from the first start of a router to the last exit."""
 
     def __init__(self, schedule: Schedule, folder: Path, plant: str = "") -> None:
-        """plant: a fault of `bench.soak.planted`; "" for none."""
+        """Prepare a play with its files in `folder`; `plant` is a fault of `bench.soak.planted`, or "" for none."""
         self.schedule, self.folder = schedule, folder
-        self.chance = random.Random(schedule.seed ^ 0x9E37)
+        self.rng = random.Random(schedule.seed ^ 0x9E37)
         unix_offset = time.time() - time.monotonic()
         self.record = Record(schedule.seed, schedule.routers, MEMORY_MB, unix_offset, schedule.is_killed)
-        is_many = schedule.crowd is Crowd.MANY_ROUTERS
-        self.settings = settings(SLOW_START if is_many else None)
-        self.world = SoakWorld(schedule, self.record, SLOW_START if is_many else None)
+        has_many_routers = schedule.crowd is Crowd.MANY_ROUTERS
+        self.settings = deployment_settings(SLOW_START if has_many_routers else None)
+        self.world = SoakWorld(schedule, self.record, SLOW_START if has_many_routers else None)
         start_with = ["-m", "bench.soak.planted", plant] if plant else ["-m", "wickhinge"]
         sockets = IDLE_CLIENTS_SOCKET_LIMIT if schedule.crowd is Crowd.IDLE_CLIENTS else ROUTER_SOCKET_LIMIT
         base = self._listen()
@@ -59,11 +60,11 @@
         ]
         self.clients: list[SoakClient] = []
         self.idle_clients: list[SoakClient] = []
-        self.disturbances = Disturbances(schedule, self.record, self.world, self.routers, self.settings, self.chance)
+        self.disturbances = Disturbances(schedule, self.record, self.world, self.routers, self.settings, self.rng)
         self._sigterm_at = 0.0
 
     def run(self) -> Record:
-        """Blocks in the reactor until the play is over."""
+        """Run the reactor until the play is over, and return its record."""
         LagMonitor(self.record).start()
         reactor.callLater(0, self._start)
         reactor.run(installSignalHandlers=False)
@@ -71,10 +72,13 @@
             router.kill()
         return self.record
 
-    # The start.
+    # Start of the stand-ins and routers, until all routers are ready.
 
     def _listen(self) -> int:
-        self.world.kinds = SERVERS + ("",) * self.schedule.routers  # ports for the routers behind the servers'
+        """Open the servers and discovery services, and return the base of the servers' ports."""
+        self.world.kinds = (
+            SERVERS + ("",) * self.schedule.routers
+        )  # Reserves ports for the routers after those of the servers.
         base = self.world.listen_servers(lambda place, kind: SoakServer(self.world, place, kind))
         self.world.kinds = SERVERS
         for name in SERVICE_NAMES:
@@ -82,56 +86,63 @@
         return base
 
     def _start(self) -> None:
+        """Launch all routers, with the failing calls of the schedule, and wait until they are ready."""
         schedule = self.schedule
         known = {"pos": 0, "entries": [{"pos": 0, "hosts": {"seq": 1, "whole": True, "hosts": self.world.known()}}]}
-        for name, chance in schedule.failing_calls.items():
+        for name, probability in schedule.failing_calls.items():
             for router in self.routers:
-                router.shim.fail(Call[name], chance)
+                router.shim.fail(Call[name], probability)
         for router in self.routers:
             router.known = known
-            text = self.disturbances.text(router)
+            configuration = self.disturbances.configuration(router)
             router.launch()
-            reactor.callLater(schedule.absent_at_start_s, router.write, text)
+            reactor.callLater(schedule.absent_at_start_s, router.write, configuration)
             self._call_once_program_runs(router, lambda router=router: self._schedule_start_signals(router))
         self._await_ready(time.monotonic())
 
-    def _call_once_program_runs(self, router: SoakRouter, then: Callable[[], None]) -> None:
+    def _call_once_program_runs(self, router: SoakRouter, function: Callable[[], None]) -> None:
+        """Call a function once the launching shell has been replaced by the program."""
         if router.is_running_program():
-            then()
+            function()
         else:
-            reactor.callLater(0.002, self._call_once_program_runs, router, then)
+            reactor.callLater(0.002, self._call_once_program_runs, router, function)
 
     def _schedule_start_signals(self, router: SoakRouter) -> None:
+        """Schedule the SIGHUPs that a router gets while it starts."""
         for delay_s in self.schedule.start_signals:
             reactor.callLater(delay_s, router.signal, "HUP")
 
     def _await_ready(self, since: float) -> None:
-        """Clients come once all routers answer `ping` with true."""
+        """Begin the load once all routers have answered `ping` with true."""
         waiting = {router.number for router in self.routers}
 
-        def is_ready(number: int, client: SoakClient, *, yes: bool) -> None:
+        def on_ping_answer(number: int, client: SoakClient, *, yes: bool) -> None:
             if yes and number in waiting:
                 waiting.discard(number)
                 client.is_stopped = True
                 client.stop()
                 if not waiting:
-                    self._load()
+                    self._begin_load()
 
         for router in self.routers:
             probe = SoakClient(self.record, router.number, router.address, 0, 1)
-            up = probe.connection_made
+            base_connection_made = probe.connection_made
 
             def connection_made(
-                connection: Any, probe: SoakClient = probe, up: Any = up, number: int = router.number
+                connection: Any,
+                probe: SoakClient = probe,
+                base: Any = base_connection_made,
+                number: int = router.number,
             ) -> None:
-                up(connection)
-                connection.ping(lambda yes: is_ready(number, probe, yes=yes))
+                base(connection)
+                connection.ping(lambda yes: on_ping_answer(number, probe, yes=yes))
 
             probe.connection_made = connection_made
             probe.connect()
         self._watch_readiness(waiting, since)
 
     def _watch_readiness(self, waiting: set[int], since: float) -> None:
+        """End the play if a router exits or is not ready within MAX_READY_S."""
         ended = [router for router in self.routers if router.has_ended()]
         if waiting and (time.monotonic() - since > MAX_READY_S or ended):
             self.record.unready += [f"n{number}" for number in sorted(waiting)]
@@ -139,9 +150,10 @@
         elif waiting:
             reactor.callLater(0.1, self._watch_readiness, waiting, since)
 
-    # The load.
+    # Load, from the first client to SIGTERM.
 
-    def _load(self) -> None:
+    def _begin_load(self) -> None:
+        """Connect the clients and schedule the events and the end of the load."""
         schedule = self.schedule
         self.world.began_at = self.record.load_began_at = time.monotonic()
         self.record.unwell = [
@@ -164,47 +176,55 @@
         reactor.callLater(PING_INTERVAL_S, self._ping)
 
     def _add_idle_clients(self) -> None:
+        """Connect as many idle clients as PROTOCOL allows connections of clients."""
         router = self.routers[0]
-        for number in range(IDLE_CLIENTS_SOCKET_LIMIT // 3):  # PROTOCOL: clients hold a third of the limit at most
+        # PROTOCOL: clients hold at most a third of the socket limit.
+        for number in range(IDLE_CLIENTS_SOCKET_LIMIT // 3):
             client = SoakClient(self.record, 0, router.address, number, 1)
             client.is_idle = True
             client.connect()
             self.idle_clients.append(client)
 
     def _tick(self) -> None:
-        """Each client asks at its own times."""
+        """Let each client send a batch of requests with the probability that gives the rate of the schedule."""
         has_ended = all(router.has_ended() for router in self.routers)
         if has_ended or (self._sigterm_at and time.monotonic() - self._sigterm_at > EARLIEST_KILL_AFTER_SIGTERM_S):
             return
-        per_tick = self.schedule.requests_per_s * TICK_S / self.schedule.clients / (1 + self.schedule.pipelining) * 2
+        batch_probability = (
+            self.schedule.requests_per_s * TICK_S / self.schedule.clients / (1 + self.schedule.pipelining) * 2
+        )
         for client in self.clients:
-            if self.chance.random() < per_tick:
-                client.ask(BUDGETS_MS)
+            if self.rng.random() < batch_probability:
+                client.send_batch(BUDGETS_MS)
         reactor.callLater(TICK_S, self._tick)
 
     def _ping(self) -> None:
-        """One client of each router asks now and then whether it takes clients, until the end."""
+        """Let one client of each router send a ping, at intervals until EARLIEST_KILL_AFTER_SIGTERM_S after SIGTERM."""
         if self._sigterm_at and time.monotonic() - self._sigterm_at > EARLIEST_KILL_AFTER_SIGTERM_S:
             return
         for router in self.routers:
             client = next((one for one in self.clients if one.router == router.number and one.connection), None)
             if client is not None:
-                self._ping_by(client)
+                self._send_ping(client)
         reactor.callLater(PING_INTERVAL_S, self._ping)
 
-    def _ping_by(self, client: SoakClient) -> None:
+    def _send_ping(self, client: SoakClient) -> None:
+        """Send one ping and record it with its answer."""
         ping = Ping(client.router, client.life, time.monotonic())
 
-        def answered(yes: bool) -> None:
+        def on_answer(yes: bool) -> None:
             ping.answered_at, ping.is_yes = time.monotonic(), yes
 
         self.record.pings.append(ping)
-        client.connection.ping(answered)
+        client.connection.ping(on_answer)
 
-    # The end.
+    # End of the load, SIGTERM and the exits of the routers.
 
     def _end_load(self) -> None:
-        """What the newest file asks for is in force by now, if there was time enough."""
+        """Record the watched services and each router's resource usage, then send SIGTERM.
+
+        If the schedule says so, first wait until the newest reload has to be in force.
+        """
         wait_s = self.disturbances.seconds_to_settle()
         if self.schedule.awaits_reload and self.disturbances.reloaded_at < time.monotonic() and wait_s >= 0.0:
             reactor.callLater(wait_s + TICK_S, self._end_load)
@@ -218,13 +238,15 @@
         self._terminate()
 
     def _client_count(self, router: SoakRouter) -> int:
+        """Return the number of active and idle clients of a router."""
         return sum(client.router == router.number for client in [*self.clients, *self.idle_clients])
 
     def _terminate(self) -> None:
+        """Send SIGTERM to all routers, and schedule the late connections and the further signals."""
         self._sigterm_at = self.record.sigterm_at = time.monotonic()
         self.disturbances.is_shutting_down = True
-        waiting = [router for router in self.routers if not router.has_ended()]
-        for router in waiting:
+        running = [router for router in self.routers if not router.has_ended()]
+        for router in running:
             router.signal("CONT")
             router.got_sigterm_before_handler = not router.handles_signals()
             router.signal("TERM")
@@ -233,32 +255,33 @@
             if self.schedule.crowd is not Crowd.IDLE_CLIENTS and self._takes_clients(router):
                 for delay_s in LATE_CONNECTION_TIMES_S:
                     reactor.callLater(delay_s, self._connect_late, router)
-        self._await_exits(waiting)
+        self._await_exits(running)
 
     def _takes_clients(self, router: SoakRouter) -> bool:
-        """Whether this process of it takes clients: one that is still starting ends at once."""
+        """Return whether the router process accepts clients; one that is still starting exits at once on SIGTERM."""
         return any(one.router == router.number and one.life == router.life and one.connection for one in self.clients)
 
     def _connect_late(self, router: SoakRouter) -> None:
-        """A new connection after SIGTERM, with one request."""
+        """Open a new connection after SIGTERM, and send one ping and one request on it."""
         late = LateConnection(router.number, router.life, time.monotonic())
         self.record.late_connections.append(late)
         client = SoakClient(self.record, router.number, router.address, router.number, 1)
         client.life = router.life
         client.router_life = lambda: router.life
         client.connects_once = True
-        up = client.connection_made
+        base_connection_made = client.connection_made
 
         def connection_made(connection: Any) -> None:
             late.up_at = time.monotonic()
-            up(connection)
-            self._ping_by(client)
+            base_connection_made(connection)
+            self._send_ping(client)
             late.rid = client.send_request(LATE_REQUEST_BUDGET_MS, LATE_REQUEST_METHOD)
 
         client.connection_made = connection_made
         client.connect()
 
     def _await_exits(self, waiting: list[SoakRouter]) -> None:
+        """Record the exit of each router, kill those that run past the limit, and end the play after the last."""
         elapsed_s = time.monotonic() - self._sigterm_at
         for router in list(waiting):
             if router.has_ended():
@@ -272,4 +295,4 @@
         if waiting:
             reactor.callLater(0.005, self._await_exits, waiting)
         else:
-            reactor.callLater(0.3, reactor.stop)  # what was written last is read
+            reactor.callLater(0.3, reactor.stop)  # Gives the clients time to read what the routers wrote last.
--- a/bench/soak/record.py
+++ b/bench/soak/record.py
@@ -1,4 +1,7 @@
-"""What clients, servers and the discovery service saw; all times are seconds of one monotonic clock."""
+"""Records of what the clients, stand-in servers and stand-in discovery service saw in a play.
+
+All times are seconds of the monotonic clock of the soak process, unless a field says otherwise.
+"""
 
 from __future__ import annotations
 
@@ -8,18 +11,18 @@
 
 @dataclass(slots=True)
 class Answer:
-    """A final answer as a client read it."""
+    """A final answer that a client read."""
 
     at: float
     is_served: bool
     error: str
     body: bytes
-    is_current: bool  # the client's own copy was called the current one
+    is_current: bool  # The answer says that the copy in the client is still current.
 
 
 @dataclass(slots=True)
 class Request:
-    """A request from its last byte on."""
+    """A request that a client wrote completely to its connection."""
 
     rid: str
     method: str
@@ -29,71 +32,71 @@
     written_at: float
     body: bytes
     router: int
-    life: int  # of the router process, counted from its first start
+    life: int  # Number of starts of the router until the connection was made.
     answers: list[Answer] = field(default_factory=list)
-    left_at: float | None = None  # the client closed its connection or cancelled
-    lost_at: float | None = None  # the connection ended under it
+    left_at: float | None = None  # When the client closed its connection or cancelled the request.
+    lost_at: float | None = None  # When the connection ended while the request was open.
 
 
 @dataclass(slots=True)
 class Attempt:
-    """A request as it came whole to a server."""
+    """An attempt of a request that a server received completely."""
 
     rid: str
-    place: int
-    at: float
+    place: int  # Index of the server in SERVERS.
+    at: float  # When the server had received the whole request.
     fields: dict[str, str]
-    outcome: str = "none"  # the word of the answer, reset or hang
-    is_harmed: bool = False  # the server misbehaved
-    cut_at: float | None = None  # its connection ended while the server had not answered
+    outcome: str = "none"  # Status word of the answer, "reset", "hang" or "pending".
+    is_harmed: bool = False  # The server misbehaved in this attempt.
+    cut_at: float | None = None  # When the connection ended, if the server had not answered by then.
 
 
 @dataclass(slots=True)
 class Announcement:
-    """A drain, purge or cold start, and when all routers had been told of it; at the latest 7 s later."""
+    """A drain, purge or cold restart that the discovery service announced to the routers."""
 
-    what: str
-    at: float
-    told_at: float
-    place: int = -1  # of the server
-    key: int = -1
-    version: int = 0
+    what: str  # "drain", "purge" or "cold".
+    at: float  # When the event took place.
+    told_at: float  # When all routers count as informed of it, at most 7 s after the event.
+    place: int = -1  # Index of the server in SERVERS; -1 for a purge.
+    key: int = -1  # Key of the purged object; -1 for other events.
+    version: int = 0  # Version of the object after the purge.
 
 
 @dataclass(slots=True)
 class RouterEnd:
-    """How a router process ended."""
+    """The end of a router process."""
 
     router: int
-    life: int
-    how: str  # killed by the schedule, ended by SIGTERM
-    code: int
-    seconds: float  # from the signal on
+    life: int  # Number of starts of the router until this process.
+    how: str  # What ended the process: a kill by the schedule, SIGTERM, or the process itself.
+    code: int  # Exit code of the process; negative for the number of a signal.
+    seconds: float  # Seconds from the signal to the end of the process.
     signalled_at: float = 0.0
 
 
 @dataclass(slots=True)
 class Usage:
-    """What a router process held when nothing was asked of it any more."""
+    """The resources of a router process at the end of the load."""
 
     router: int
     descriptors: int
-    clients: int  # connections of our clients
+    clients: int  # Number of clients that the soak connected to the router.
     rss_kb: int
 
 
 @dataclass(slots=True)
 class Span:
-    """A time in which a server or a router was not as usual."""
+    """A time span in which a server misbehaved, or a router was stopped or restarting."""
 
-    number: int  # of the router, or the server's place
+    number: int  # Number of the router, or index of the server in SERVERS.
     since: float
     until: float
 
 
 @dataclass(slots=True)
 class Ping:
-    """A client's question whether the router takes clients."""
+    """A client's `ping` request, which asks whether the router accepts clients."""
 
     router: int
     life: int
@@ -104,7 +107,7 @@
 
 @dataclass(slots=True)
 class Refusal:
-    """A client's connection that did not come up."""
+    """A client's attempt to connect that the router did not accept."""
 
     router: int
     at: float
@@ -112,54 +115,61 @@
 
 @dataclass(slots=True)
 class LateConnection:
-    """A connection that a client began after SIGTERM."""
+    """A connection that a client began to open after SIGTERM."""
 
     router: int
     life: int
     at: float
     up_at: float | None = None
-    rid: str = ""  # of its one request
+    rid: str = ""  # Id of the single request on the connection.
 
 
 @dataclass(slots=True)
 class Record:
-    """All that was seen in one play."""
+    """Everything recorded in one play."""
 
     seed: int
-    routers: int
-    memory_mb: int
-    unix_offset: float = 0.0  # Unix seconds less those of the clock
-    is_killed: bool = False  # SIGKILL comes at the page's earliest
+    routers: int  # Number of routers in the play.
+    memory_mb: int  # Configured memory limit of each router.
+    unix_offset: float = 0.0  # Unix time minus the monotonic clock, in seconds.
+    is_killed: bool = False  # The play sends SIGKILL at the earliest time that PROTOCOL allows.
     requests: dict[str, Request] = field(default_factory=dict)
     attempts: list[Attempt] = field(default_factory=list)
     told: list[Announcement] = field(default_factory=list)
     ends: list[RouterEnd] = field(default_factory=list)
     usages: list[Usage] = field(default_factory=list)
-    stray_answers: list[tuple[float, int]] = field(default_factory=list)  # to no open request: time, id
-    watched_services: list[tuple[str, str, float]] = field(default_factory=list)  # wanted, watched, seconds since asked
-    old_watches: list[str] = field(default_factory=list)  # an older service that was asked after a newer was in force
-    unready: list[str] = field(default_factory=list)  # routers that did not become ready
-    max_lag_s: float = 0.0  # by which this process itself was late at most
-    lags: list[tuple[float, float]] = field(default_factory=list)  # when, by how much
+    # Time and id of each answer that belongs to no open request.
+    stray_answers: list[tuple[float, int]] = field(default_factory=list)
+    # Service named in the newest file, services that the routers watch, and seconds since that reload.
+    watched_services: list[tuple[str, str, float]] = field(default_factory=list)
+    # A line for each contact with an outdated discovery service after a newer one had to be in force.
+    old_watches: list[str] = field(default_factory=list)
+    unready: list[str] = field(default_factory=list)  # Names of the routers that did not become ready.
+    max_lag_s: float = 0.0  # Greatest lag of the soak process's own reactor.
+    lags: list[tuple[float, float]] = field(
+        default_factory=list
+    )  # Time and length of each lag of the soak process's reactor.
     load_began_at: float = 0.0
     sigterm_at: float = 0.0
-    unwell: list[Span] = field(default_factory=list)  # servers that misbehave
-    stops: list[Span] = field(default_factory=list)  # of routers
-    starts: list[Span] = field(default_factory=list)  # of routers that were killed: the time that a start may take
+    unwell: list[Span] = field(default_factory=list)  # Time spans in which a server misbehaved.
+    stops: list[Span] = field(default_factory=list)  # Time spans in which a router was stopped by SIGSTOP.
+    # From each kill of a router, the time that its restart may take.
+    starts: list[Span] = field(default_factory=list)
     pings: list[Ping] = field(default_factory=list)
     refusals: list[Refusal] = field(default_factory=list)
     late_connections: list[LateConnection] = field(default_factory=list)
 
     def lag_between(self, since: float, until: float) -> float:
-        """By how much this process itself may have been late in a span.
+        """Return by how much the soak process may have been late within a time span.
 
-        What comes in waits for the turn of the loop that is under way and, at most, for the one that handles it.
+        Incoming data waits at most for the reactor turn under way and for the turn that handles it, so that the two
+        longest lags are added.
         """
         lags = sorted(lag for at, lag in self.lags if since - lag <= at <= until + lag)
         return sum(lags[-2:])
 
     def as_json(self) -> dict[str, Any]:
-        """For the file beside a failing seed."""
+        """Return the record as plain data for record.json; each body is replaced by its length."""
         plain = asdict(self)
         for request in plain["requests"].values():
             request["body"] = len(request["body"])
--- a/bench/soak/routers.py
+++ b/bench/soak/routers.py
@@ -1,4 +1,4 @@
-"""Router processes of the soak: their files, starts, signals and ends."""
+"""Router processes of the soak test: configuration files, starts, signals and exits."""
 
 from __future__ import annotations
 
@@ -17,15 +17,19 @@
 from bench.fleet import HOST, ROOT
 from bench.soak.record import Record, RouterEnd, Usage
 
-MEMORY_MB = 64
+MEMORY_MB = 64  # Memory limit in the configuration of each router.
 
 
 class SoakRouter:
-    """One router of the deployment, started anew under its name and address as often as wanted."""
+    """One router of the deployment, which may be started several times under the same name and address."""
 
     def __init__(
         self, folder: Path, number: int, port: int, library: Path, start_with: list[str], sockets: int
     ) -> None:
+        """Prepare the router's folder and fault-injection shim, built as `library`.
+
+        `start_with` are the interpreter's arguments; `sockets` is the limit in the router's configuration.
+        """
         self.folder, self.number, self.port, self.sockets = folder, number, port, sockets
         folder.mkdir(parents=True)
         self.address = (HOST, port)
@@ -34,12 +38,15 @@
         self.path = folder / "config.json"
         self.log = folder / "router.log"
         self.child: subprocess.Popen[bytes] | None = None
-        self.life = 0
-        self.known: dict[str, Any] = {"pos": 0, "entries": []}
-        self.got_sigterm_before_handler = False  # by SIGTERM, before its first lines had run
+        self.life = 0  # Number of starts so far.
+        self.known: dict[str, Any] = {"pos": 0, "entries": []}  # Endpoint lists in the configuration.
+        self.got_sigterm_before_handler = False  # SIGTERM came before the program had installed its handler.
+
+    def configuration(self, service_port: int, settings: dict[str, Any]) -> bytes:
+        """Return the content of the configuration file.
 
-    def text(self, service_port: int, settings: dict[str, Any]) -> bytes:
-        """A whole configuration; of all that changes, the address of the discovery service may while it runs."""
+        Only the address of the discovery service may change while the router runs.
+        """
         return orjson.dumps(
             {
                 "name": f"n{self.number}",
@@ -52,14 +59,14 @@
             }
         )
 
-    def write(self, text: bytes) -> None:
-        """Replaces the configuration in one step."""
-        new = self.folder / "config.new"
-        new.write_bytes(text)
-        new.rename(self.path)
+    def write(self, content: bytes) -> None:
+        """Replace the configuration file atomically."""
+        new_file = self.folder / "config.new"
+        new_file.write_bytes(content)
+        new_file.rename(self.path)
 
     def launch(self) -> None:
-        """Starts it; SIGHUP is ignored until its first line, as the deploy file's command has it."""
+        """Start the process; it ignores SIGHUP until the program's first line, as with the deploy file's command."""
         environment = {**os.environ, **self.shim.environment, "RELAY_CONFIG": str(self.path)}
         environment.pop("WICKHINGE_OPTIONS", None)
         self.life += 1
@@ -74,42 +81,42 @@
             )
 
     def signal(self, name: str) -> None:
-        """Does nothing to one that has ended."""
+        """Send a signal by its name without SIG, unless the process has ended."""
         if self.child is not None and self.child.poll() is None:
             self.child.send_signal(getattr(signal, f"SIG{name}"))
 
     def has_ended(self) -> bool:
-        """Whether the process is over."""
+        """Return whether the process was started and has ended."""
         return self.child is not None and self.child.poll() is not None
 
     def record_end(self, record: Record, how: str, since: float) -> None:
-        """Notes how an ended process ended."""
+        """Record the end of a process that has ended; `since` is when it was signalled."""
         seconds = time.monotonic() - since
         record.ends.append(RouterEnd(self.number, self.life, how, self.child.returncode, seconds, since))
 
     def kill(self) -> None:
-        """By SIGKILL, to its end."""
+        """Kill the process by SIGKILL and wait for its end."""
         if self.child is not None:
             self.child.kill()
             self.child.wait()
 
     def is_running_program(self) -> bool:
-        """Whether the shell has made way for the program."""
+        """Return whether the shell has been replaced by the program."""
         try:
             return "python" in os.readlink(f"/proc/{self.child.pid}/exe")
         except OSError:
             return False
 
     def handles_signals(self) -> bool:
-        """Whether its first lines have run: proc(5), status."""
+        """Return whether the program has installed its SIGTERM handler, by SigCgt in /proc/PID/status (proc(5))."""
         try:
             status = Path(f"/proc/{self.child.pid}/status").read_text()
         except OSError:
             return False
-        caught = int(status.split("SigCgt:")[1].split()[0], 16)
-        return bool(caught >> (signal.SIGTERM - 1) & 1)
+        caught_signals = int(status.split("SigCgt:")[1].split()[0], 16)
+        return bool(caught_signals >> (signal.SIGTERM - 1) & 1)
 
     def usage(self, clients: int) -> Usage:
-        """What it holds now."""
+        """Return the descriptors and the memory that the process holds now."""
         process = psutil.Process(self.child.pid)
         return Usage(self.number, process.num_fds(), clients, process.memory_info().rss // 1024)
--- a/bench/soak/schedule.py
+++ b/bench/soak/schedule.py
@@ -1,4 +1,4 @@
-"""What happens in one seed: load, faults of caches, calls and clocks, and signals, all drawn before the play."""
+"""Draws the schedule of a seed before its play: load, signals, and faults of servers, system calls and clocks."""
 
 from __future__ import annotations
 
@@ -7,17 +7,22 @@
 from enum import StrEnum
 
 SERVERS = ("box", "box", "box", "box", "parent", "origin")
-LOAD_DURATION_RANGE_S = (4.0, 6.0)  # from the first client to SIGTERM
-BUDGETS_MS = (20, 50, 100, 250, 500, 1000, 1500, 3000)
-MAX_ROUTER_STOP_S = 0.4  # a request's answer may come half a second late
-CLOCK_STEPS_S = (-3600.0, -3.0, 3.0, 3600.0)
-CROWD_SEED_INTERVAL = 5  # seeds
-SHUTDOWN_SEED_MASK = 0x5D0  # of what is drawn for the shutdown, so that all else of a seed stays what it was
-EARLIEST_KILL_AFTER_SIGTERM_S = 3.0 + 0.7  # PROTOCOL: no sooner than the longest deadline and 0.7 s after SIGTERM
-LAST_REQUEST_AFTER_SIGTERM_S = 0.6  # PROTOCOL: requests on open connections come for so long after SIGTERM
-MAX_SCHEDULING_STALL_S = 0.5  # of a process that shares its core
-RELOAD_SETTLE_S = 2.6  # after the last reload: its backoff of a second at most, and a connection that is tried again
-EARLY_RELOAD_SHARE = 0.8  # that come so long before the end that what is in force can be judged
+LOAD_DURATION_RANGE_S = (4.0, 6.0)  # Bounds of the time from the first client to SIGTERM.
+BUDGETS_MS = (20, 50, 100, 250, 500, 1000, 1500, 3000)  # Budgets that a client draws for its requests.
+MAX_ROUTER_STOP_S = 0.4  # Below the half second by which an answer may be late.
+CLOCK_STEPS_S = (-3600.0, -3.0, 3.0, 3600.0)  # Offsets that a router's wall clock may be given.
+CROWD_SEED_INTERVAL = 5  # Each seed divisible by this plays with idle clients or many routers.
+# The shutdown has a generator of its own, seeded with this mask, so that its draws don't change a seed's other draws.
+SHUTDOWN_SEED_MASK = 0x5D0
+# PROTOCOL: SIGKILL follows SIGTERM no sooner than after the longest deadline, 3 s, plus 0.7 s.
+EARLIEST_KILL_AFTER_SIGTERM_S = 3.0 + 0.7
+LAST_REQUEST_AFTER_SIGTERM_S = 0.6  # PROTOCOL: clients send requests on open connections until 0.6 s after SIGTERM.
+MAX_SCHEDULING_STALL_S = 0.5  # The longest time for which a process that shares its core may not run.
+# Time after which the last reload has to be in force: a backoff of at most 1 s and another connection attempt.
+RELOAD_SETTLE_S = 2.6
+# Share of reloads that come at least RELOAD_SETTLE_S before the load ends, so that their effect can be judged.
+EARLY_RELOAD_SHARE = 0.8
+# Members of bench.faults.shim.Call that a schedule may make fail.
 FAILABLE_CONNECTION_CALLS = (
     "ACCEPT",
     "CLIENT_READ",
@@ -27,11 +32,12 @@
     "SERVER_SEND",
     "SOCKET",
 )
+# Further members of bench.faults.shim.Call that a schedule may make fail.
 OTHER_FAILABLE_CALLS = ("CONNECT", "REGISTER", "WAIT", "OPEN", "SHORT_READ", "SHORT_SEND")
 
 
 class Crowd(StrEnum):
-    """Who else there is."""
+    """The unusual population of a play, if any: idle clients or many routers."""
 
     NONE = "none"
     IDLE_CLIENTS = "idle clients"
@@ -39,9 +45,9 @@
 
 
 class Action(StrEnum):
-    """What is done at a moment of the load."""
+    """The kinds of events during the load."""
 
-    RELOAD = "reload"  # a burst, each with a file of its own
+    RELOAD = "reload"  # A burst of reloads, each with its own configuration file.
     HALF_WRITTEN_RELOAD = "half-written reload"
     DISCOVERY_AWAY = "discovery away"
     DISCOVERY_SILENT = "discovery silent"
@@ -50,136 +56,142 @@
     STOP = "stop"
     CLOCK_STEP = "clock step"
     KILL_AND_RESTART = "kill and restart"
-    COLD_RESTART = "cold restart"  # of a cache
+    COLD_RESTART = "cold restart"  # A cache comes back empty.
 
 
 @dataclass(frozen=True, slots=True)
 class Event:
-    """One action, `at` seconds after the load began."""
+    """An action at a time of the load."""
 
-    at: float
+    at: float  # Seconds after the load began.
     action: Action
-    seconds: float = 0.0  # of its duration, or of the clock's step
-    count: int = 1
-    place: int = 0  # of the server or the router
+    seconds: float = 0.0  # Duration of the action, or the step of the clock.
+    count: int = 1  # Number of reloads in a burst.
+    place: int = 0  # Index of the server or router, or the key of the purged object.
 
 
 @dataclass(frozen=True, slots=True)
 class Misbehaviour:
-    """A server that answers badly from `since` to `until`, seconds after the load began."""
+    """A time span of the load in which a server fails or delays a share of its requests."""
 
-    place: int
-    how: str  # busy, miss, error, reset, hang, slow
-    since: float
-    until: float
-    share: float
+    place: int  # Index of the server in SERVERS.
+    how: str  # busy, miss, error, reset, hang or slow.
+    since: float  # Seconds after the load began.
+    until: float  # Seconds after the load began.
+    share: float  # Share of the requests that are affected.
 
 
 @dataclass(slots=True)
 class Schedule:
-    """One seed's play."""
+    """Everything that is drawn for one seed."""
 
     seed: int
     crowd: Crowd
     routers: int
-    clients: int  # connections to each router
-    requests_per_s: float  # to each router
-    load_s: float
-    pipelining: int
-    start_signals: list[float] = field(default_factory=list)  # SIGHUP, seconds after exec
-    absent_at_start_s: float = 0.0  # the configuration is
+    clients: int  # Number of clients of each router, each with one connection.
+    requests_per_s: float  # Request rate of each router.
+    load_s: float  # Duration from the first client to SIGTERM.
+    pipelining: int  # The most requests that a client writes at once.
+    start_signals: list[float] = field(default_factory=list)  # Times of SIGHUP, in seconds after the program's exec.
+    absent_at_start_s: float = 0.0  # Time after the launch at which the configuration file is written.
     events: list[Event] = field(default_factory=list)
     misbehaviours: list[Misbehaviour] = field(default_factory=list)
-    failing_calls: dict[str, float] = field(default_factory=dict)  # chances by the shim's name
-    end_signals: list[tuple[float, str]] = field(default_factory=list)  # seconds after SIGTERM, name
-    awaits_reload: bool = False  # SIGTERM comes when the newest reload has had its time
-    is_killed: bool = True  # at the earliest time; else clients go on until then, and the process has to end by itself
+    failing_calls: dict[str, float] = field(default_factory=dict)  # Failure probability by member name of shim.Call.
+    end_signals: list[tuple[float, str]] = field(default_factory=list)  # Seconds after SIGTERM, and name of the signal.
+    awaits_reload: bool = False  # SIGTERM waits until the newest reload has to be in force.
+    # SIGKILL comes at the earliest allowed time; otherwise clients go on until then, and the router exits by itself.
+    is_killed: bool = True
 
     @property
     def shutdown_limit_s(self) -> float:
-        """When SIGKILL comes, in seconds after SIGTERM."""
+        """The time of SIGKILL for a router that is still running, in seconds after SIGTERM."""
         return (
             EARLIEST_KILL_AFTER_SIGTERM_S if self.is_killed else EARLIEST_KILL_AFTER_SIGTERM_S + MAX_SCHEDULING_STALL_S
         )
 
 
 def draw_schedule(seed: int) -> Schedule:
-    """The play of a seed."""
-    chance = random.Random(seed)
+    """Draw the schedule of a seed; the order of the draws is part of what a seed means."""
+    rng = random.Random(seed)
     crowd = Crowd.NONE
     if seed % CROWD_SEED_INTERVAL == 0:
-        crowd = chance.choice((Crowd.IDLE_CLIENTS, Crowd.MANY_ROUTERS))
+        crowd = rng.choice((Crowd.IDLE_CLIENTS, Crowd.MANY_ROUTERS))
     is_many = crowd is Crowd.MANY_ROUTERS
     schedule = Schedule(
         seed,
         crowd,
-        routers=chance.randint(20, 30) if is_many else 1,
-        clients=2 if is_many else chance.randint(3, 10),
-        requests_per_s=chance.uniform(8, 12) if is_many else chance.uniform(30, 120),
-        load_s=chance.uniform(*LOAD_DURATION_RANGE_S),
-        pipelining=chance.choice((1, 2, 6)),
+        routers=rng.randint(20, 30) if is_many else 1,
+        clients=2 if is_many else rng.randint(3, 10),
+        requests_per_s=rng.uniform(8, 12) if is_many else rng.uniform(30, 120),
+        load_s=rng.uniform(*LOAD_DURATION_RANGE_S),
+        pipelining=rng.choice((1, 2, 6)),
     )
-    schedule.start_signals = sorted(chance.uniform(0.0, 0.8) for _ in range(chance.choice((0, 1, 3, 12))))
-    schedule.absent_at_start_s = chance.choice((0.0, 0.0, 0.3, 1.0))
-    schedule.misbehaviours = [_draw_misbehaviour(chance, schedule.load_s) for _ in range(chance.randint(0, 4))]
-    for name in chance.sample(FAILABLE_CONNECTION_CALLS + OTHER_FAILABLE_CALLS, chance.choice((0, 1, 3, 5))):
-        schedule.failing_calls[name] = chance.uniform(0.005, 0.05)
-    schedule.is_killed = chance.random() < 0.5
-    schedule.events = sorted(_draw_events(chance, schedule), key=lambda event: event.at)
+    schedule.start_signals = sorted(rng.uniform(0.0, 0.8) for _ in range(rng.choice((0, 1, 3, 12))))
+    schedule.absent_at_start_s = rng.choice((0.0, 0.0, 0.3, 1.0))
+    schedule.misbehaviours = [_draw_misbehaviour(rng, schedule.load_s) for _ in range(rng.randint(0, 4))]
+    for name in rng.sample(FAILABLE_CONNECTION_CALLS + OTHER_FAILABLE_CALLS, rng.choice((0, 1, 3, 5))):
+        schedule.failing_calls[name] = rng.uniform(0.005, 0.05)
+    schedule.is_killed = rng.random() < 0.5
+    schedule.events = sorted(_draw_events(rng, schedule), key=lambda event: event.at)
     schedule.end_signals = sorted(
-        (chance.choice((chance.uniform(0.0, 0.1), chance.uniform(0.0, 4.0))), chance.choice(("HUP", "INT", "TERM")))
-        for _ in range(chance.choice((0, 4, 30)))
+        (rng.choice((rng.uniform(0.0, 0.1), rng.uniform(0.0, 4.0))), rng.choice(("HUP", "INT", "TERM")))
+        for _ in range(rng.choice((0, 4, 30)))
     )
-    schedule.awaits_reload = chance.random() < 0.5
+    schedule.awaits_reload = rng.random() < 0.5
     schedule.misbehaviours += _draw_shutdown_hang(random.Random(seed ^ SHUTDOWN_SEED_MASK), schedule.load_s)
     return schedule
 
 
-def _draw_shutdown_hang(chance: random.Random, load_s: float) -> list[Misbehaviour]:
-    """In half of the seeds the origin hangs on many requests from shortly before SIGTERM on."""
-    if chance.random() < 0.5:
+def _draw_shutdown_hang(rng: random.Random, load_s: float) -> list[Misbehaviour]:
+    """Draw for half of the seeds an origin that hangs on many requests from 0.5 s before SIGTERM on."""
+    if rng.random() < 0.5:
         return []
     origin = SERVERS.index("origin")
-    return [Misbehaviour(origin, "hang", load_s - 0.5, load_s + 10.0, chance.choice((0.5, 0.8)))]
+    return [Misbehaviour(origin, "hang", load_s - 0.5, load_s + 10.0, rng.choice((0.5, 0.8)))]
 
 
-def _draw_misbehaviour(chance: random.Random, load_s: float) -> Misbehaviour:
-    since = chance.uniform(0.0, load_s)
-    until = chance.choice((since + chance.uniform(0.3, 2.0), load_s + 10.0))  # also through the whole shutdown
-    how = chance.choice(("busy", "miss", "error", "reset", "hang", "hang", "slow"))
-    return Misbehaviour(chance.randrange(len(SERVERS)), how, since, until, chance.choice((0.1, 0.5, 1.0)))
+def _draw_misbehaviour(rng: random.Random, load_s: float) -> Misbehaviour:
+    """Draw one misbehaviour of a server."""
+    since = rng.uniform(0.0, load_s)
+    # A misbehaviour until `load_s + 10.0` lasts through the whole shutdown.
+    until = rng.choice((since + rng.uniform(0.3, 2.0), load_s + 10.0))
+    how = rng.choice(("busy", "miss", "error", "reset", "hang", "hang", "slow"))
+    return Misbehaviour(rng.randrange(len(SERVERS)), how, since, until, rng.choice((0.1, 0.5, 1.0)))
 
 
-def _draw_events(chance: random.Random, schedule: Schedule) -> list[Event]:
+def _draw_events(rng: random.Random, schedule: Schedule) -> list[Event]:
+    """Draw the events of the load."""
+
     def draw_time_s() -> float:
-        return chance.uniform(0.2, schedule.load_s - 0.2)
+        """Draw a time of the load, in seconds after its beginning, with 0.2 s kept free at both ends."""
+        return rng.uniform(0.2, schedule.load_s - 0.2)
 
     events = []
     if schedule.crowd is Crowd.MANY_ROUTERS:
-        events.append(Event(0.5, Action.COLD_RESTART, place=chance.randrange(3)))
-    for _ in range(chance.randint(1, 2)):
-        is_early = chance.random() < EARLY_RELOAD_SHARE
-        at = chance.uniform(0.2, schedule.load_s - RELOAD_SETTLE_S) if is_early else draw_time_s()
-        events.append(Event(at, Action.RELOAD, count=chance.choice((1, 3, 6))))
-    if chance.random() < 0.4:
-        events.append(Event(draw_time_s(), Action.HALF_WRITTEN_RELOAD, chance.uniform(0.1, 1.0)))
-    if chance.random() < 0.3:
-        away = chance.choice((Action.DISCOVERY_AWAY, Action.DISCOVERY_SILENT))
-        events.append(Event(draw_time_s(), away, chance.uniform(0.3, 2.5)))
-    if chance.random() < 0.7:
-        events.append(Event(draw_time_s(), Action.DRAIN, place=chance.randrange(3)))
-    events += [Event(draw_time_s(), Action.PURGE, place=chance.randrange(40)) for _ in range(chance.randint(0, 4))]
+        events.append(Event(0.5, Action.COLD_RESTART, place=rng.randrange(3)))
+    for _ in range(rng.randint(1, 2)):
+        is_early = rng.random() < EARLY_RELOAD_SHARE
+        at = rng.uniform(0.2, schedule.load_s - RELOAD_SETTLE_S) if is_early else draw_time_s()
+        events.append(Event(at, Action.RELOAD, count=rng.choice((1, 3, 6))))
+    if rng.random() < 0.4:
+        events.append(Event(draw_time_s(), Action.HALF_WRITTEN_RELOAD, rng.uniform(0.1, 1.0)))
+    if rng.random() < 0.3:
+        outage = rng.choice((Action.DISCOVERY_AWAY, Action.DISCOVERY_SILENT))
+        events.append(Event(draw_time_s(), outage, rng.uniform(0.3, 2.5)))
+    if rng.random() < 0.7:
+        events.append(Event(draw_time_s(), Action.DRAIN, place=rng.randrange(3)))
+    events += [Event(draw_time_s(), Action.PURGE, place=rng.randrange(40)) for _ in range(rng.randint(0, 4))]
     events += [
         Event(
             draw_time_s(),
             Action.STOP,
-            chance.uniform(0.05, MAX_ROUTER_STOP_S),
-            place=chance.randrange(schedule.routers),
+            rng.uniform(0.05, MAX_ROUTER_STOP_S),
+            place=rng.randrange(schedule.routers),
         )
-        for _ in range(chance.randint(0, 3))
+        for _ in range(rng.randint(0, 3))
     ]
-    if chance.random() < 0.4:
-        events.append(Event(draw_time_s(), Action.CLOCK_STEP, chance.choice(CLOCK_STEPS_S)))
-    if schedule.crowd is not Crowd.MANY_ROUTERS and chance.random() < 0.25:
+    if rng.random() < 0.4:
+        events.append(Event(draw_time_s(), Action.CLOCK_STEP, rng.choice(CLOCK_STEPS_S)))
+    if schedule.crowd is not Crowd.MANY_ROUTERS and rng.random() < 0.25:
         events.append(Event(draw_time_s(), Action.KILL_AND_RESTART))
     return events
