--- a/bench/__init__.py
+++ b/bench/__init__.py
@@ -1,4 +1,7 @@
-"""Measured experiments; each program's last output line is one JSON object. Not part of a router."""
+"""Measurements and experiments, which are not part of a router.
+
+The last output line of each program is one JSON object.
+"""
 
 from __future__ import annotations
 
@@ -8,6 +11,6 @@
 import orjson
 
 
-def print_result(answer: dict[str, Any]) -> None:
-    """The last line of a measurement."""
-    click.echo(orjson.dumps(answer, option=orjson.OPT_SERIALIZE_NUMPY).decode())
+def print_result(result: dict[str, Any]) -> None:
+    """Print the result of a measurement as its last output line, in JSON."""
+    click.echo(orjson.dumps(result, option=orjson.OPT_SERIALIZE_NUMPY).decode())
--- a/bench/faults/__init__.py
+++ b/bench/faults/__init__.py
@@ -1,1 +1,1 @@
-"""Real router processes on few cores, with faults put between them and everything they talk to, judged from outside."""
+"""Fault injection for router processes: failing system calls and a stepped wall clock, by a preloaded library."""
--- a/bench/faults/shim.c
+++ b/bench/faults/shim.c
@@ -1,10 +1,10 @@
 /*
- * Preloaded into one router: its wall clock is stepped and its system calls fail, as a shared page says.
+ * Fault-injection library, preloaded into a router process: steps its wall clock and lets its system calls fail.
  *
- * The page (struct page) is mapped from the file that WICKHINGE_SHIM names. Whoever started the router writes to it
- * while the router runs; the layout stands in shim.py as well. A call that is to fail returns an error that its manual
- * page lists for a passing condition and does nothing, but for BREAK, which ends the connection first, as a network
- * does. Only TCP sockets and regular files are touched, never pipes or the event loop's own descriptors.
+ * The faults are controlled by struct page, which is mapped from the file that WICKHINGE_SHIM names. The test process
+ * writes to that file while the router runs; shim.py has the same layout. A failing call does nothing and returns an
+ * error that its manual page lists for a temporary condition. Only BREAK first shuts the connection down, as a network
+ * fault does. Only TCP sockets and regular files are affected, never pipes or the event loop's own descriptors.
  */
 #define _GNU_SOURCE
 #include <dlfcn.h>
@@ -28,12 +28,12 @@
 };
 
 struct page {
-    int64_t wall_offset_ns; /* added to the wall clock */
-    uint64_t state;         /* of the generator of chance */
+    int64_t wall_offset_ns; /* Added to the wall clock. */
+    uint64_t state;         /* State of the random generator. */
     struct entry {
-        uint32_t per_65536; /* chance that a call fails */
-        uint32_t next;      /* so many of the next calls fail, whatever the chance */
-        int32_t error;      /* the error to give; 0: one drawn from the list below */
+        uint32_t per_65536; /* Probability that a call fails, in 65536ths. */
+        uint32_t next;      /* Number of next calls that fail whatever the probability. */
+        int32_t error;      /* The errno of a failure; 0 for a random one of ERRORS. */
         uint32_t failed;
         uint64_t calls;
     } calls[CALLS];
@@ -85,7 +85,7 @@
     return page->state >> 33;
 }
 
-/* Whether this call is to fail; errno is set then. */
+/* Returns whether this call has to fail, and sets errno if so. */
 static int fails(enum call call) {
     if (!page) return 0;
     struct entry *entry = &page->calls[call];
@@ -113,7 +113,7 @@
     return page && role(descriptor) == OTHER && fstat(descriptor, &told) == 0 && S_ISREG(told.st_mode);
 }
 
-/* Clocks. */
+/* Intercepted calls that read the wall clock. */
 
 int clock_gettime(clockid_t clock, struct timespec *now) {
     REAL(clock_gettime);
@@ -142,7 +142,7 @@
     return told.tv_sec;
 }
 
-/* Sockets. */
+/* Intercepted calls on TCP sockets and the event loop. */
 
 int socket(int domain, int type, int protocol) {
     REAL(socket);
@@ -224,10 +224,10 @@
     return real(poller, events, most, timeout);
 }
 
-/* Files. */
+/* Intercepted calls on regular files. */
 
 static int opens(const char *path, int flags, mode_t mode, int (*real)(const char *, int, ...)) {
-    /* Python reads its own modules and the system its own files: only what the test names may fail. */
+    /* Only files below the test's folder may fail to open, so that Python can read its modules. */
     const char *folder = getenv("WICKHINGE_SHIM_FILES");
     size_t length = 0;
     while (folder && folder[length] && folder[length] == path[length]) length++;
@@ -253,7 +253,7 @@
 ssize_t write(int descriptor, const void *data, size_t size) {
     REAL(write);
     if (regular(descriptor) && fails(FILE_WRITE)) {
-        /* A full disk takes a part first. */
+        /* A disk that is nearly full writes a part of the data before it fails. */
         if (size > 1 && draw() % 2) return real(descriptor, data, 1 + draw() % (size - 1));
         return -1;
     }
--- a/bench/faults/shim.py
+++ b/bench/faults/shim.py
@@ -1,6 +1,6 @@
-"""Builds the library of shim.c and steers one preloaded copy of it through the page that both map.
+"""Builds the fault-injection library shim.c, and controls its copy in one router process.
 
-Where no C compiler is found, or it refuses, `build` raises what subprocess raises.
+Both sides map the same file, called the page: this side writes which calls have to fail, the library counts calls.
 """
 
 from __future__ import annotations
@@ -12,13 +12,13 @@
 from struct import Struct
 
 SOURCE = Path(__file__).with_name("shim.c")
-HEAD = Struct("=qQ")  # offset of the wall clock in ns, state of the generator
-ENTRY = Struct("=IIiIQ")  # chance in 65536, failures to come, error, failed, calls
-CERTAIN = 65536
+HEADER = Struct("=qQ")  # Offset of the wall clock in ns, and state of the random generator.
+ENTRY = Struct("=IIiIQ")  # Failure probability in 65536ths, calls still to fail, errno, failed calls, calls.
+PROBABILITY_ONE = 65536  # A probability of 1 in an entry of the page.
 
 
 class Call(IntEnum):
-    """A kind of call that can be made to fail, by its place in the page."""
+    """The kinds of system calls that can be made to fail, by index in the page; shim.c has the same enum."""
 
     ACCEPT = 0
     CLIENT_READ = 1
@@ -29,19 +29,22 @@
     SERVER_SEND = 6
     SHORT_READ = 7
     SHORT_SEND = 8
-    BREAK = 9  # a connection to a server ends with ETIMEDOUT, EHOSTUNREACH, ...
+    BREAK = 9  # A read from a server ends the connection, with ETIMEDOUT, EHOSTUNREACH, ...
     SOCKET = 10
     CONNECT = 11
-    REGISTER = 12  # of a descriptor with the event loop
-    WAIT = 13  # EINTR
-    OPEN = 14  # only below the folder that WICKHINGE_SHIM_FILES names
+    REGISTER = 12  # Adding a descriptor to the event loop.
+    WAIT = 13  # Waiting for events; fails with EINTR.
+    OPEN = 14  # Opening a file; only below the folder that WICKHINGE_SHIM_FILES names.
     FILE_WRITE = 15
     FILE_SYNC = 16
     FILE_RENAME = 17
 
 
 def build(folder: Path) -> Path:
-    """Compiles the library into the folder, once."""
+    """Compile the library into a folder unless it is there already, and return its path.
+
+    Without a working C compiler, an exception of `subprocess` or OSError is raised.
+    """
     library = folder / "shim.so"
     if not library.exists():
         command = ["cc", "-shared", "-fPIC", "-O2", "-Wall", "-o", str(library), str(SOURCE), "-ldl"]
@@ -50,44 +53,45 @@
 
 
 class Shim:
-    """One router's page. `environment` goes into the router's own."""
+    """Controls the library in one router process, whose environment has to include `environment`."""
 
     def __init__(self, library: Path, page: Path, seed: int = 1, files: Path | None = None) -> None:
-        page.write_bytes(bytes(HEAD.size + len(Call) * ENTRY.size))
+        """Create the page; `files` is the folder in which opening files may fail, None for no folder."""
+        page.write_bytes(bytes(HEADER.size + len(Call) * ENTRY.size))
         with page.open("r+b") as file:
             self._page = mmap.mmap(file.fileno(), 0)
-        HEAD.pack_into(self._page, 0, 0, seed)
+        HEADER.pack_into(self._page, 0, 0, seed)
         self.environment = {"LD_PRELOAD": str(library), "WICKHINGE_SHIM": str(page)}
         if files is not None:
             self.environment["WICKHINGE_SHIM_FILES"] = str(files)
 
     def step_wall_clock(self, seconds: float) -> None:
-        """From now on the router's wall clock is off by so much; its monotonic clock runs on."""
+        """Set the router's wall clock off by `seconds` from now on; the monotonic clock is not changed."""
         Struct("=q").pack_into(self._page, 0, round(seconds * 1e9))
 
-    def fail(self, call: Call, chance: float, error: int = 0) -> None:
-        """Each such call fails with this chance. error: which errno; 0 for one drawn from the call's manual page."""
-        self._write(call, round(chance * CERTAIN), 0, error)
+    def fail(self, call: Call, probability: float, error: int = 0) -> None:
+        """Let each call of a kind fail with a probability; errno 0 stands for a random one from ERRORS in shim.c."""
+        self._write(call, round(probability * PROBABILITY_ONE), 0, error)
 
     def fail_next(self, call: Call, count: int = 1, error: int = 0) -> None:
-        """So many of the next such calls fail."""
+        """Let the next `count` calls of a kind fail."""
         self._write(call, 0, count, error)
 
     def failed_count(self, call: Call) -> int:
-        """How many have been made to fail."""
+        """Return how many calls of a kind have been made to fail."""
         return self._read(call)[3]
 
     def call_count(self, call: Call) -> int:
-        """How many were made, failed ones among them."""
+        """Return how many calls of a kind the router has made, including failed ones."""
         return self._read(call)[4]
 
     def stop_failing(self) -> None:
-        """Nothing fails any more; the wall clock stays where it is."""
+        """Let no call fail any more; the offset of the wall clock stays."""
         for call in Call:
             self.fail(call, 0.0)
 
     def _read(self, call: Call) -> tuple[int, ...]:
-        return ENTRY.unpack_from(self._page, HEAD.size + call * ENTRY.size)
+        return ENTRY.unpack_from(self._page, HEADER.size + call * ENTRY.size)
 
-    def _write(self, call: Call, chance: int, count: int, error: int) -> None:
-        Struct("=IIi").pack_into(self._page, HEAD.size + call * ENTRY.size, chance, count, error)
+    def _write(self, call: Call, probability: int, count: int, error: int) -> None:
+        Struct("=IIi").pack_into(self._page, HEADER.size + call * ENTRY.size, probability, count, error)
--- a/bench/soak/stand_ins.py
+++ b/bench/soak/stand_ins.py
@@ -13,7 +13,7 @@
 
 from twisted.internet import reactor
 
-from bench.fleet import SETTINGS, SHAPES, Feed, Listener, Machine, World, body
+from bench.fleet import SETTINGS, SHAPES, ConnectionFactory, JournalConnection, ServerConnection, World, make_body
 from bench.soak.record import Announcement, Attempt, Record
 from bench.soak.schedule import SERVERS, Schedule
 from wickhinge.net.control.endpoint_watch import ENDPOINT_RECORD, OBJECT_PURGE
@@ -64,7 +64,9 @@
     def open_service(self, name: str) -> None:
         """Open a discovery service, on the same port as before if it was open earlier."""
         port = reactor.listenTCP(
-            self.port_numbers.get(name, 0), Listener(lambda: ServiceConnection(self, name)), interface="127.0.0.1"
+            self.port_numbers.get(name, 0),
+            ConnectionFactory(lambda: ServiceConnection(self, name)),
+            interface="127.0.0.1",
         )
         self.port_numbers[name], self.open_ports[name] = port.getHost().port, port
 
@@ -160,7 +162,7 @@
         return "well"
 
 
-class ServiceConnection(Feed):
+class ServiceConnection(JournalConnection):
     """A router's connection to one of the discovery services."""
 
     def __init__(self, world: SoakWorld, name: str) -> None:
@@ -180,7 +182,7 @@
             super().send_heartbeat()
 
 
-class SoakServer(Machine):
+class SoakServer(ServerConnection):
     """A router's connection to a stand-in cache, parent or origin that keeps older copies and may misbehave."""
 
     def __init__(self, world: SoakWorld, place: int, kind: str) -> None:
@@ -230,7 +232,7 @@
         made_ms = int(copy.made_at * 1000)
         world.serial += 1
         note = f"etag={key:08x}{copy.version:08x},made={made_ms},detail=h,ttfb=1".encode()
-        data = body_in or body(key, part, copy.version, made_ms, world.serial, OBJECT_BYTES)
+        data = body_in or make_body(key, part, copy.version, made_ms, world.serial, OBJECT_BYTES)
         attempt.outcome = "OK"
         self.transport.write(resp.pack(tag, b"OK", note, data))
 
