--- a/bench/scale/fleet_caches.py
+++ b/bench/scale/fleet_caches.py
@@ -19,19 +19,19 @@
 
 from bench.fleet import Asker, World, connect
 from bench.scale.fleet_judge import PURGE_BOUND_S
-from bench.scale.fleet_network import POLL_S, SCHEDULE_FILE
+from bench.scale.fleet_network import POLL_INTERVAL_S, SCHEDULE_FILE
 from bench.scale.fleet_records import Schedule, read, write
 
 REPORT_FILE = "caches.json"
 BODY_BYTES = 2000
-ASK_S = 0.5  # between two requests to a router
-YOUNGEST_S, OLDEST_S = PURGE_BOUND_S + 0.1, 5.0  # since a purge: in force by now, and not done yet
-SLACK_S = 0.3  # of a purge's stamp behind the time when it was due
-TARIFF, FAMILY = "clips", "0"  # without an age limit of its own
+REQUEST_INTERVAL_S = 0.5  # between two requests to a router
+MIN_PURGE_AGE_S, MAX_PURGE_AGE_S = PURGE_BOUND_S + 0.1, 5.0  # since a purge: in force by now, and not done yet
+MAX_STAMP_DELAY_S = 0.3  # of a purge's stamp behind the time when it was due
+REQUEST_CLASS, FAMILY = "clips", "0"  # without an age limit of its own
 BUDGET_MS = 3000
 
 
-def machine_records(port: int) -> bytes:
+def endpoint_records(port: int) -> bytes:
     """The machines as the list service tells of them."""
     world = World(lambda key, part: BODY_BYTES)
     world.base = port
@@ -51,10 +51,10 @@
     too_loose: int = 0
 
 
-class Client:
+class RouterClient:
     """Asks one router. It connects with the first request, as a router ends a connection without one."""
 
-    def __init__(self, path: Path, caches: Caches) -> None:
+    def __init__(self, path: Path, caches: CacheStandIns) -> None:
         host, port = orjson.loads(path.read_bytes())["listen"].split(":")
         self.name, self._address, self._caches = path.stem, (host, int(port)), caches
         self._asker: Asker | None = None
@@ -62,21 +62,21 @@
 
     def _connect(self) -> None:
         self._connecting = True
-        connect(self._address, self._up, self._lost, self._connect)
+        connect(self._address, self._on_connected, self._on_connection_lost, self._connect)
 
-    def _up(self, asker: Asker) -> None:
+    def _on_connected(self, asker: Asker) -> None:
         self._asker, self._connecting = asker, False
 
-    def _lost(self, asker: Asker) -> None:
+    def _on_connection_lost(self, asker: Asker) -> None:
         self._asker = None
 
-    def ask(self, key: int) -> None:
+    def request_object(self, key: int) -> None:
         if self._asker is None:
             if not self._connecting:
                 self._connect()
             return
         self._caches.report.requests += 1
-        self._caches.open[key] = self.name
+        self._caches.router_by_key[key] = self.name
         fields = {
             "rid": os.urandom(8).hex(),
             "budget": str(BUDGET_MS),
@@ -84,63 +84,63 @@
             "block": "0",
             "family": FAMILY,
         }
-        self._asker.ask(TARIFF, fields, lambda error, data, told: self._answered(key, error))
+        self._asker.ask(REQUEST_CLASS, fields, lambda error, data, told: self._on_answer(key, error))
 
-    def _answered(self, key: int, error: object) -> None:
-        self._caches.open.pop(key, None)
+    def _on_answer(self, key: int, error: object) -> None:
+        self._caches.router_by_key.pop(key, None)
         self._caches.report.answered += error is None
         self._caches.report.failed += error is not None
 
 
-class Caches:
+class CacheStandIns:
     def __init__(self, folder: Path) -> None:
         self._folder = folder
         self.report = CachesReport()
-        self.open: dict[int, str] = {}  # key asked for: the router
-        self._clients: list[Client] = []
-        self._turns = 0
+        self.router_by_key: dict[int, str] = {}  # key asked for: the router
+        self._clients: list[RouterClient] = []
+        self._turn_count = 0
         self._world = World(lambda key, part: BODY_BYTES)
-        self._world.heard = self._heard
+        self._world.heard = self._on_machine_request
         print(self._world.listen(), flush=True)
         self._await_schedule()
 
     def _await_schedule(self) -> None:
         path = self._folder / SCHEDULE_FILE
         if not path.exists():
-            reactor.callLater(POLL_S, self._await_schedule)
+            reactor.callLater(POLL_INTERVAL_S, self._await_schedule)
             return
         self._schedule = read(path, Schedule)
         names = [*self._folder.glob("*real-*.json"), *self._folder.glob("plain-*.json")]
-        self._clients = [Client(name, self) for name in sorted(names)]
-        LoopingCall(self._turn).start(ASK_S / max(len(self._clients), 1))
+        self._clients = [RouterClient(name, self) for name in sorted(names)]
+        LoopingCall(self._send_next_request).start(REQUEST_INTERVAL_S / max(len(self._clients), 1))
 
-    def _turn(self) -> None:
+    def _send_next_request(self) -> None:
         """One router after the other."""
         now = time.monotonic()
         if now >= self._schedule.end:
             write(self._folder / REPORT_FILE, self.report)
             reactor.stop()
             return
-        self._turns += 1
-        age_s = YOUNGEST_S + (OLDEST_S - YOUNGEST_S) * (self._turns % 7) / 7
+        self._turn_count += 1
+        age_s = MIN_PURGE_AGE_S + (MAX_PURGE_AGE_S - MIN_PURGE_AGE_S) * (self._turn_count % 7) / 7
         key = int((now - age_s - self._schedule.start) * self._schedule.rate)
-        if key > 0 and key not in self.open and now < self._schedule.last_change and self._clients:
-            self._clients[self._turns % len(self._clients)].ask(key)
+        if key > 0 and key not in self.router_by_key and now < self._schedule.last_change and self._clients:
+            self._clients[self._turn_count % len(self._clients)].request_object(key)
 
-    def _heard(self, place: int, fields: dict[str, str], data: bytes) -> None:
+    def _on_machine_request(self, place: int, fields: dict[str, str], data: bytes) -> None:
         key = int(fields.get("path", "0"), 16)
-        if "real" not in self.open.get(key, ""):
+        if "real" not in self.router_by_key.get(key, ""):
             return
         self.report.judged += 1
         if "maxage" not in fields:
             self.report.unlimited += 1
             return
         age_s = time.monotonic() - self._schedule.start - key / self._schedule.rate
-        self.report.too_loose += int(fields["maxage"]) / 1000 > age_s + SLACK_S
+        self.report.too_loose += int(fields["maxage"]) / 1000 > age_s + MAX_STAMP_DELAY_S
 
 
 def main() -> None:
-    Caches(Path(sys.argv[1]))
+    CacheStandIns(Path(sys.argv[1]))
     reactor.run()
 
 
--- a/bench/scale/fleet_faults.py
+++ b/bench/scale/fleet_faults.py
@@ -13,16 +13,16 @@
 from wickhinge.lab.many import play
 from wickhinge.lab.many.schedule import Fault, Schedule
 
-JOINT_START = 15.0  # seconds after which it is asked how much of the fleet each has heard
-CALM = 3.0  # seconds before a fault
-WATCHED = 20.0  # seconds after a death
-CUT = 12.0  # seconds of a cut in two halves
-PATIENCE = 100.0  # seconds for which a reunion is waited for
-ZONES = 4
+JOINT_START_S = 15.0  # seconds after which it is asked how much of the fleet each has heard
+CALM_S = 3.0  # seconds before a fault
+WATCH_AFTER_DEATH_S = 20.0  # seconds after a death
+CUT_S = 12.0  # seconds of a cut in two halves
+MAX_REUNION_S = 100.0  # seconds for which a reunion is waited for
+ZONE_COUNT = 4
 
 
 @dataclass(frozen=True, slots=True)
-class Told:
+class RouterLoad:
     """What one router sent and computed a second, and the seconds that the matter took."""
 
     messages: float
@@ -36,7 +36,7 @@
 
     def __init__(self, routers: int, seed: int) -> None:
         gc.collect()  # the fleet before, which is bound in circles
-        super().__init__(Schedule(seed, routers, min(routers, ZONES), (), routers, 0.0, 0.0), (without_budgets,))
+        super().__init__(Schedule(seed, routers, min(routers, ZONE_COUNT), (), routers, 0.0, 0.0), (without_budgets,))
         self.sends = self.bytes = 0
         self.watch = Watch()
         self.since = 0.0
@@ -53,7 +53,7 @@
         for place in range(self.schedule.routers):
             self.start(place)
 
-    def start_known(self) -> None:
+    def start_acquainted(self) -> None:
         """All have known each other for long."""
         self.start_all()
         for process in self.processes:
@@ -65,20 +65,20 @@
             for member in process.detector.members.values():
                 member.state_since = member.last_evidence_at = process.clock
 
-    def count_from_here(self) -> None:
+    def reset_counts(self) -> None:
         self.sends = self.bytes = 0
         self.watch.spent, self.since = 0.0, self.now
 
-    def play_on(self, seconds: float) -> None:
+    def run_for(self, seconds: float) -> None:
         with self.watch:
             self.wheel.run(self.now + seconds)
 
-    def told(self, routers: int, time: float) -> Told:
-        """Since `count_from_here`, for each of so many routers."""
+    def load_per_router(self, routers: int, time: float) -> RouterLoad:
+        """Since `reset_counts`, for each of so many routers."""
         each = routers * max(self.now - self.since, play.TICK)
-        return Told(self.sends / each, self.bytes / each, self.watch.spent / each, time)
+        return RouterLoad(self.sends / each, self.bytes / each, self.watch.spent / each, time)
 
-    def least_share(self) -> float:
+    def min_alive_fraction(self) -> float:
         """The least that any hears of the roster."""
         return min(one.detector.view(one.clock).alive_fraction for one in self.processes)
 
@@ -93,49 +93,49 @@
     """How many others each has heard, in the mean, so long after all started together."""
     fleet = CountedFleet(size, seed)
     fleet.start_all()
-    fleet.wheel.run(JOINT_START)
+    fleet.wheel.run(JOINT_START_S)
     return statistics.mean(size * one.detector.view(one.clock).alive_fraction - 1 for one in fleet.processes)
 
 
-def death(size: int, seed: int) -> Told:
+def death(size: int, seed: int) -> RouterLoad:
     """A tenth of the fleet ends; time: the 99th percentile until another knows of one."""
     dead = range(max(size // 10, 1))
     fleet = CountedFleet(size, seed)
-    fleet.start_known()
-    fleet.play_on(CALM)
-    fleet.count_from_here()
+    fleet.start_acquainted()
+    fleet.run_for(CALM_S)
+    fleet.reset_counts()
     began = fleet.now
     fleet.begin(Fault("kill", began, 1e6, tuple(dead)))
-    fleet.play_on(WATCHED)
+    fleet.run_for(WATCH_AFTER_DEATH_S)
     known: dict[tuple[str, str], float] = {}
     for when, name, _, event, more in fleet.history:
         if event == "member_state" and more["state"] == "gone" and when > began and int(more["name"][1:]) in dead:
             known.setdefault((name, more["name"]), when - began)
     missing = len(dead) * (size - len(dead)) - len(known)
-    spans = sorted([*known.values(), *[WATCHED] * missing])
-    return fleet.told(size - len(dead), spans[int(0.99 * (len(spans) - 1))])
+    spans = sorted([*known.values(), *[WATCH_AFTER_DEATH_S] * missing])
+    return fleet.load_per_router(size - len(dead), spans[int(0.99 * (len(spans) - 1))])
 
 
-def cut_in_halves(size: int, seed: int) -> tuple[Told, Told]:
+def cut_in_halves(size: int, seed: int) -> tuple[RouterLoad, RouterLoad]:
     """While two halves are cut off from each other, and from the healing until all hear all."""
     fleet = CountedFleet(size, seed)
-    fleet.start_known()
-    fleet.play_on(CALM)
-    fleet.count_from_here()
-    fleet.begin(Fault("cut", fleet.now, CUT, tuple(range(size // 2)), tuple(range(size // 2, size))))
-    fleet.play_on(CUT)
-    meanwhile = fleet.told(size, CUT)
-    fleet.count_from_here()
+    fleet.start_acquainted()
+    fleet.run_for(CALM_S)
+    fleet.reset_counts()
+    fleet.begin(Fault("cut", fleet.now, CUT_S, tuple(range(size // 2)), tuple(range(size // 2, size))))
+    fleet.run_for(CUT_S)
+    meanwhile = fleet.load_per_router(size, CUT_S)
+    fleet.reset_counts()
     healed = fleet.now
-    while fleet.least_share() < 1.0 and fleet.now < healed + PATIENCE:
-        fleet.play_on(0.5)
-    return meanwhile, fleet.told(size, fleet.now - healed)
+    while fleet.min_alive_fraction() < 1.0 and fleet.now < healed + MAX_REUNION_S:
+        fleet.run_for(0.5)
+    return meanwhile, fleet.load_per_router(size, fleet.now - healed)
 
 
-def told_rows(mechanism: str, sizes: list[int], told: list[Told], method: str) -> list[Row]:
+def load_rows(mechanism: str, sizes: list[int], told: list[RouterLoad], method: str) -> list[Row]:
     """Messages, bytes and processor time a router and second."""
 
-    def one(resource: str, unit: str, take: Callable[[Told], float], how: str) -> Row:
+    def one(resource: str, unit: str, take: Callable[[RouterLoad], float], how: str) -> Row:
         values = [take(each) for each in told]
         return row(mechanism, "router", resource, "routers", sizes, values, unit, "virtual", f"{method}: {how}")
 
@@ -164,7 +164,7 @@
             heard,
             "others heard",
             "virtual",
-            f"mean, {JOINT_START:g} s after all started together",
+            f"mean, {JOINT_START_S:g} s after all started together",
         ),
         row(
             "death",
@@ -175,11 +175,11 @@
             [one.time for one in ended],
             "s",
             "virtual",
-            f"a tenth ends: 99th percentile until another knows, {WATCHED:g} s at most",
+            f"a tenth ends: 99th percentile until another knows, {WATCH_AFTER_DEATH_S:g} s at most",
         ),
-        *told_rows("death", deaths, ended, f"a tenth ends, the {WATCHED:g} s after"),
-        *told_rows("parted", cuts, [one[0] for one in apart], f"halves cut for {CUT:g} s, meanwhile"),
-        *told_rows("reunion", cuts, reunions, "from the healing until all hear all"),
+        *load_rows("death", deaths, ended, f"a tenth ends, the {WATCH_AFTER_DEATH_S:g} s after"),
+        *load_rows("parted", cuts, [one[0] for one in apart], f"halves cut for {CUT_S:g} s, meanwhile"),
+        *load_rows("reunion", cuts, reunions, "from the healing until all hear all"),
         row(
             "reunion",
             "router",
@@ -189,6 +189,6 @@
             [one.time for one in reunions],
             "s",
             "virtual",
-            f"from the healing until all hear all, {PATIENCE:g} s at most",
+            f"from the healing until all hear all, {MAX_REUNION_S:g} s at most",
         ),
     ]
--- a/bench/scale/fleet_judge.py
+++ b/bench/scale/fleet_judge.py
@@ -8,11 +8,11 @@
 
 import msgspec
 
-from bench.scale.fleet_records import Change, Cut, HollowReport, Vouched, ZoneTimes
+from bench.scale.fleet_records import AgeLimitSample, Change, Cut, HollowReport, ZoneTimes
 
 PURGE_BOUND_S, SETTING_BOUND_S = 3.1, 7.0
-BIN_S = 1.0
-PEAK_WITHIN_S = 6.0
+RATE_BIN_S = 1.0
+REUNION_PEAK_WINDOW_S = 6.0
 
 
 class Pause(msgspec.Struct, frozen=True):
@@ -56,85 +56,85 @@
 
 class Judge:
     def __init__(
-        self, truth: list[Change], cuts: list[Cut], pauses: list[Pause], quiet_until: float, grace_s: float
+        self, changes: list[Change], cuts: list[Cut], pauses: list[Pause], quiet_until: float, grace_s: float
     ) -> None:
-        self._truth = sorted(truth, key=lambda change: change.number)
+        self._changes = sorted(changes, key=lambda change: change.number)
         self._cuts, self._pauses = cuts, pauses
         self._quiet_until, self._grace_s = quiet_until, grace_s
-        self._earliest = self._earliest_after()
+        self._missing_stamp_by_number = self._earliest_missing_stamps()
 
     def verdict(self, reports: list[HollowReport]) -> Verdict:
-        found = Verdict(Delays(), Delays(), 0, 0, 0, 0, 0, 0, 0.0)
-        for change in self._truth:
-            delays = self._phase(found, change)
+        result = Verdict(Delays(), Delays(), 0, 0, 0, 0, 0, 0, 0.0)
+        for change in self._changes:
+            delays = self._delays_of_phase(result, change)
             delays.purges += change.identity >= 0
             delays.settings += change.identity < 0
         for group, report in enumerate(reports):
-            self._judge_report(found, group, report)
+            self._judge_report(result, group, report)
         digests = [digest for report in reports for digest in report.digests]
-        found.unequal = len(digests) - max(digests.count(digest) for digest in set(digests)) if digests else 0
-        return found
+        result.unequal = len(digests) - max(digests.count(digest) for digest in set(digests)) if digests else 0
+        return result
 
-    def _phase(self, found: Verdict, change: Change) -> Delays:
-        return found.quiet if change.asked < self._quiet_until else found.faults
+    def _delays_of_phase(self, result: Verdict, change: Change) -> Delays:
+        return result.quiet if change.asked < self._quiet_until else result.faults
 
-    def _judge_report(self, found: Verdict, group: int, report: HollowReport) -> None:
-        found.missed += report.missed
-        found.out_of_order += report.out_of_order + report.different
-        found.late_resets += report.late_resets
+    def _judge_report(self, result: Verdict, group: int, report: HollowReport) -> None:
+        result.missed += report.missed
+        result.out_of_order += report.out_of_order + report.different
+        result.late_resets += report.late_resets
         if all(one.group != group for one in self._pauses):
-            found.sample_late_max_s = max(found.sample_late_max_s, report.late_max_s)
-        for change in self._truth:
-            found.out_of_order += report.changes.get(change.number, change.identity) != change.identity
+            result.sample_late_max_s = max(result.sample_late_max_s, report.late_max_s)
+        for change in self._changes:
+            result.out_of_order += report.changes.get(change.number, change.identity) != change.identity
             for zone in report.zones:
-                found.missed += zone.routers - zone.counts.get(change.number, 0)
+                result.missed += zone.routers - zone.counts.get(change.number, 0)
                 if change.number in zone.latest:
-                    delay_s = zone.latest[change.number] - self._counts_from(change, group, zone)
-                    self._phase(found, change).add(change.identity, delay_s)
-        found.stale_seen += len(report.vouched)
-        found.stale_served += sum(one.routers for one in report.vouched if self._stale(one))
+                    delay_s = zone.latest[change.number] - self._delay_start(change, group, zone)
+                    self._delays_of_phase(result, change).add(change.identity, delay_s)
+        result.stale_seen += len(report.vouched)
+        result.stale_served += sum(one.routers for one in report.vouched if self._is_stale(one))
 
-    def _counts_from(self, change: Change, group: int, zone: ZoneTimes) -> float:
+    def _delay_start(self, change: Change, group: int, zone: ZoneTimes) -> float:
         bound_s = PURGE_BOUND_S if change.identity >= 0 else SETTING_BOUND_S
         times = [change.asked]
-        times += [cut.until for cut in self._cuts if cut.region == zone.region and within(cut, change, bound_s)]
-        times += [one.until for one in self._pauses if one.group == group and within(one, change, bound_s)]
+        times += [cut.until for cut in self._cuts if cut.region == zone.region and overlaps_fault(cut, change, bound_s)]
+        times += [one.until for one in self._pauses if one.group == group and overlaps_fault(one, change, bound_s)]
         return max(times)
 
-    def _earliest_after(self) -> dict[int, float]:
+    def _earliest_missing_stamps(self) -> dict[int, float]:
         """By the number after which a router stands: when the earliest purge that it lacks was stamped."""
         earliest, found = float("inf"), {}
-        for change in reversed(self._truth):
+        for change in reversed(self._changes):
             found[change.number] = earliest
             if change.identity >= 0:
                 earliest = min(earliest, change.stamped)
-        self._before_all = earliest
+        self._earliest_purge_stamp = earliest
         return found
 
-    def _stale(self, one: Vouched) -> bool:
-        known = self._truth[self._place(one.number) - 1].number if self._place(one.number) else None
-        stamped = self._before_all if known is None else self._earliest[known]
+    def _is_stale(self, one: AgeLimitSample) -> bool:
+        known = self._changes[self._changes_up_to(one.number) - 1].number if self._changes_up_to(one.number) else None
+        stamped = self._earliest_purge_stamp if known is None else self._missing_stamp_by_number[known]
         if one.time - stamped < self._grace_s:
             return False
         if one.limit is None:
             return True
-        lacking = self._truth[self._place(one.number) :]
+        lacking = self._changes[self._changes_up_to(one.number) :]
         ages = [one.time - change.stamped for change in lacking if change.identity >= 0]
         return any(self._grace_s <= age <= one.limit for age in ages)
 
-    def _place(self, number: int) -> int:
+    def _changes_up_to(self, number: int) -> int:
         """How many changes have numbers up to this one."""
-        low, high = 0, len(self._truth)
+        low, high = 0, len(self._changes)
         while low < high:
             middle = (low + high) // 2
-            if self._truth[middle].number <= number:
+            if self._changes[middle].number <= number:
                 low = middle + 1
             else:
                 high = middle
         return low
 
 
-def within(fault: Cut | Pause, change: Change, bound_s: float) -> bool:
+def overlaps_fault(fault: Cut | Pause, change: Change, bound_s: float) -> bool:
     return fault.since - bound_s <= change.asked < fault.until
 
 
@@ -159,13 +159,13 @@
         for zone in wanted:
             samples = report.traffic[zone]
             for former, sample in zip(samples, samples[1:], strict=False):
-                place = int((sample.time - start) / BIN_S)
+                place = int((sample.time - start) / RATE_BIN_S)
                 bins[place] = bins.get(place, 0) + sample.messages - former.messages
-    quiet = [bins.get(place, 0) for place in range(1, int((quiet_until - start) / BIN_S))]
-    first = int((reunion - start) / BIN_S)
-    after = [bins.get(place, 0) for place in range(first, first + int(PEAK_WITHIN_S / BIN_S))]
-    ordinary = sum(quiet) / len(quiet) / BIN_S if quiet else 0.0
-    return MessageRate(ordinary, max(after) / BIN_S)
+    quiet = [bins.get(place, 0) for place in range(1, int((quiet_until - start) / RATE_BIN_S))]
+    first = int((reunion - start) / RATE_BIN_S)
+    after = [bins.get(place, 0) for place in range(first, first + int(REUNION_PEAK_WINDOW_S / RATE_BIN_S))]
+    ordinary = sum(quiet) / len(quiet) / RATE_BIN_S if quiet else 0.0
+    return MessageRate(ordinary, max(after) / RATE_BIN_S)
 
 
 class ByteRate(msgspec.Struct):
--- a/bench/scale/fleet_keep.py
+++ b/bench/scale/fleet_keep.py
@@ -10,7 +10,7 @@
 from bench.scale.meter import reference
 from bench.scale.records import FOLDER, Measured, Record, Resource, Role, write
 
-WHOLE = FOLDER / "fleet"  # the last lines of the runs, whole
+RESULTS_FOLDER = FOLDER / "fleet"  # the last lines of the runs, whole
 NETWORK_SEED = 7  # fleet_network.Network
 
 # Key of the answer, role, resource, situation, unit.
@@ -32,7 +32,7 @@
 ]
 
 
-def figures(answer: dict[str, Any], mechanism: str, suffix: str) -> list[Measured]:
+def measured_figures(answer: dict[str, Any], mechanism: str, suffix: str) -> list[Measured]:
     def one(role: Role, resource: Resource, situation: str, value: float, unit: str, method: str) -> Measured:
         return Measured(
             mechanism=mechanism,
@@ -59,7 +59,7 @@
     return found
 
 
-def keep(answer: dict[str, Any]) -> None:
+def save_records(answer: dict[str, Any]) -> None:
     name = f"fleet-{answer['routers']}"
     record = Record(
         run=f"python -m bench.scale fleet --routers {answer['routers']}",
@@ -68,9 +68,9 @@
         rounds=1,
         reference_s=round(reference(), 4),
         rows=[],
-        figures=figures(answer, "change_log", "") + figures(answer, "flat_watch", "_flat"),
+        figures=measured_figures(answer, "change_log", "") + measured_figures(answer, "flat_watch", "_flat"),
     )
     write(FOLDER / f"{name}.json", record)
-    WHOLE.mkdir(exist_ok=True)
+    RESULTS_FOLDER.mkdir(exist_ok=True)
     whole = msgspec.json.format(msgspec.json.encode(answer), indent=1)
-    (WHOLE / f"{answer['routers']}.json").write_bytes(whole + b"\n")
+    (RESULTS_FOLDER / f"{answer['routers']}.json").write_bytes(whole + b"\n")
--- a/bench/scale/fleet_launch.py
+++ b/bench/scale/fleet_launch.py
@@ -5,7 +5,7 @@
 import sys
 from pathlib import Path
 
-from bench.scale.fleet_network import Network, install
+from bench.scale.fleet_network import Network, intercept_datagrams
 from bench.scale.fleet_records import Plan, read
 
 
@@ -15,7 +15,7 @@
     from wickhinge.cli import main as command_line
 
     network = Network(read(Path(sys.argv[1]), Plan))
-    install(network)
+    intercept_datagrams(network)
     network.watch_for_schedule(reactor)
     command_line(["changelog", *sys.argv[2:]])
 
--- a/bench/scale/fleet_layout.py
+++ b/bench/scale/fleet_layout.py
@@ -7,40 +7,40 @@
 
 from bench.scale.fleet_records import Machine, Router
 
-REGIONS, ZONES, SITES = 22, 52, 110
-REPLICAS, RELAYS = 5, 6
-FIRST_BLOCK, BLOCKS = 100, 100  # the second parts of the addresses that runs use: one a run
-NOT_PLACED = -1  # the region of an address outside of the blocks: neither delayed nor cut
+REGION_COUNT, ZONE_COUNT, SITE_COUNT = 22, 52, 110
+REPLICA_COUNT, RELAY_COUNT = 5, 6
+FIRST_BLOCK, BLOCK_COUNT = 100, 100  # the second parts of the addresses that runs use: one a run
+OUTSIDE_REGIONS = -1  # the region of an address outside of the blocks: neither delayed nor cut
 PORT = 7400
 CUT_REGION, ONE_WAY_REGION, REAL_REGION = 3, 16, 10
 REPLICA_REGIONS = (0, 5, 9, 13, 17)  # none in a region that is cut
 RELAY_REGIONS = (0, 3, 7, 11, 14, 18)  # one in CUT_REGION: cut off from all replicas
-ROUTERS_A_PROCESS = 100
-LEAST_PROCESSES = 3
+MAX_ROUTERS_PER_PROCESS = 100
+MIN_PROCESSES = 3
 
 
-def block_of(run: int) -> int:
+def address_block(run: int) -> int:
     """The second part of the addresses of a run, by its process id: runs beside each other do not meet."""
-    return FIRST_BLOCK + run % BLOCKS
+    return FIRST_BLOCK + run % BLOCK_COUNT
 
 
-def region_of(host: str) -> int:
+def region_of_address(host: str) -> int:
     network, block, region, _ = (int(part) for part in host.split("."))
-    return region if network == 127 and FIRST_BLOCK <= block < FIRST_BLOCK + BLOCKS else NOT_PLACED
+    return region if network == 127 and FIRST_BLOCK <= block < FIRST_BLOCK + BLOCK_COUNT else OUTSIDE_REGIONS
 
 
 def address(block: int, region: int, place: int) -> str:
     return f"127.{block}.{region}.{place}"
 
 
-def replicas(block: int) -> list[Machine]:
+def replica_machines(block: int) -> list[Machine]:
     return [
         Machine(f"replica-{place}", region, address(block, region, 10), PORT)
         for place, region in enumerate(REPLICA_REGIONS)
     ]
 
 
-def relays(block: int) -> list[Machine]:
+def relay_machines(block: int) -> list[Machine]:
     return [
         Machine(f"relay-{place}", region, address(block, region, 20), PORT)
         for place, region in enumerate(RELAY_REGIONS)
@@ -49,21 +49,21 @@
 
 def relay_order(region: int) -> list[str]:
     """The relay of this part of the world first, then the next ones."""
-    first = region * RELAYS // REGIONS
+    first = region * RELAY_COUNT // REGION_COUNT
     if region in RELAY_REGIONS:
         first = RELAY_REGIONS.index(region)
-    return [f"relay-{(first + step) % RELAYS}" for step in range(RELAYS)]
+    return [f"relay-{(first + step) % RELAY_COUNT}" for step in range(RELAY_COUNT)]
 
 
-def router(place: int, total: int) -> Router:
-    site = place * SITES // total
-    zone = site * ZONES // SITES
-    region = zone * REGIONS // ZONES
+def hollow_router(place: int, total: int) -> Router:
+    site = place * SITE_COUNT // total
+    zone = site * ZONE_COUNT // SITE_COUNT
+    region = zone * REGION_COUNT // ZONE_COUNT
     return Router(f"hollow-{place}", region, zone, relay_order(region))
 
 
-def groups(hollow: int) -> list[list[Router]]:
+def hollow_groups(hollow: int) -> list[list[Router]]:
     """The routers of each hollow process: neighbours together."""
-    routers = [router(place, hollow) for place in range(hollow)]
-    most = min(ROUTERS_A_PROCESS, -(-hollow // LEAST_PROCESSES))
-    return [routers[start : start + most] for start in range(0, hollow, most)]
+    routers = [hollow_router(place, hollow) for place in range(hollow)]
+    group_size = min(MAX_ROUTERS_PER_PROCESS, -(-hollow // MIN_PROCESSES))
+    return [routers[start : start + group_size] for start in range(0, hollow, group_size)]
--- a/bench/scale/fleet_network.py
+++ b/bench/scale/fleet_network.py
@@ -11,15 +11,15 @@
 from pathlib import Path
 from typing import Any
 
-from bench.scale.fleet_layout import NOT_PLACED, region_of
+from bench.scale.fleet_layout import OUTSIDE_REGIONS, region_of_address
 from bench.scale.fleet_records import Cut, Plan, Schedule, read
 from wickhinge.changelog.endpoint import Endpoint
 
 SCHEDULE_FILE = "schedule.json"
-POLL_S = 0.1
+POLL_INTERVAL_S = 0.1
 
 
-def is_cut(cuts: list[Cut], sender: int, receiver: int, now: float) -> bool:
+def is_link_cut(cuts: list[Cut], sender: int, receiver: int, now: float) -> bool:
     for cut in cuts:
         if not cut.since <= now < cut.until:
             continue
@@ -29,7 +29,7 @@
 
 
 class Network:
-    """Delay `delay_s` to `delay_s + jitter_s` each way between two regions, none within one. Without NOT_PLACED."""
+    """Delay `delay_s` to `delay_s + jitter_s` each way between two regions, none within one."""
 
     def __init__(self, plan: Plan) -> None:
         self._plan = plan
@@ -40,15 +40,15 @@
 
     def region(self, host: str) -> int:
         if host not in self._regions:
-            self._regions[host] = region_of(host)
+            self._regions[host] = region_of_address(host)
         return self._regions[host]
 
-    def fate(self, sender: str, receiver: str) -> float | None:
+    def arrival_delay_s(self, sender: str, receiver: str) -> float | None:
         """Seconds until it arrives; None: it does not."""
         one, other = self.region(sender), self.region(receiver)
-        if one == other or NOT_PLACED in (one, other):
+        if one == other or OUTSIDE_REGIONS in (one, other):
             return 0.0
-        if self.schedule is not None and is_cut(self.schedule.cuts, one, other, time.monotonic()):
+        if self.schedule is not None and is_link_cut(self.schedule.cuts, one, other, time.monotonic()):
             self.dropped += 1
             return None
         return self._plan.delay_s + self._random.random() * self._plan.jitter_s
@@ -59,15 +59,15 @@
         if path.exists():
             self.schedule = read(path, Schedule)
         else:
-            reactor.callLater(POLL_S, self.watch_for_schedule, reactor)
+            reactor.callLater(POLL_INTERVAL_S, self.watch_for_schedule, reactor)
 
 
-def install(network: Network) -> None:
+def intercept_datagrams(network: Network) -> None:
     """From now on each node of this process receives by `network`."""
     received = Endpoint.datagramReceived
 
     def datagram_received(node: Endpoint, datagram: bytes, sender: tuple[str, int]) -> None:
-        delay_s = network.fate(sender[0], node.address[0])
+        delay_s = network.arrival_delay_s(sender[0], node.address[0])
         if delay_s is None:
             return
         if delay_s:
--- a/bench/scale/fleet_real.py
+++ b/bench/scale/fleet_real.py
@@ -16,9 +16,9 @@
 from bench.scale.fleet_processes import ROOT, Processes
 from bench.scale.fleet_records import Change, Plan
 
-LISTEN_BLOCK = "127.91.1"
-FIRST_PLACE = 100
-OPEN = b'"event":"listener_opened"'
+LISTEN_NETWORK = "127.91.1"
+FIRST_HOST_PART = 100
+LISTENER_OPENED_EVENT = b'"event":"listener_opened"'
 
 
 def free_port(host: str) -> int:
@@ -28,7 +28,7 @@
 
 
 def write_configuration(folder: Path, name: str, place: int, service: str) -> Path:
-    host = f"{LISTEN_BLOCK}.{place + 1}"
+    host = f"{LISTEN_NETWORK}.{place + 1}"
     configuration = json.loads((ROOT / "example/config.json").read_text())
     configuration |= {"listen": f"{host}:{free_port(host)}", "journal": service, "name": name, "settings": SETTINGS}
     path = folder / f"{name}.json"
@@ -40,7 +40,7 @@
     known = {relay.name: relay for relay in plan.relays}
     relays = [known[relay] for relay in relay_order(REAL_REGION)]
     listed = ", ".join(f'{{name: "{one.name}", address: "{one.host}:{one.port}"}}' for one in relays)
-    bind = f"{address(plan.block, REAL_REGION, FIRST_PLACE + place)}:{PORT}"
+    bind = f"{address(plan.block, REAL_REGION, FIRST_HOST_PART + place)}:{PORT}"
     path = folder / f"{name}.cue"
     path.write_text(
         f'changelog: {{mode: "on", key_file: "{folder}/key", bind: "{bind}", grace_s: {plan.grace_s}\n'
@@ -49,7 +49,7 @@
     return path
 
 
-def start(processes: Processes, folder: Path, plan: Plan, name: str, place: int, with_log: bool) -> None:
+def start_router(processes: Processes, folder: Path, plan: Plan, name: str, place: int, with_log: bool) -> None:
     """A router that follows the change log, or one that knows nothing of it. Returns before it is open."""
     service = f"{plan.service_host}:{plan.service_port}"
     environment = {"RELAY_CONFIG": str(write_configuration(folder, name, place, service))}
@@ -66,8 +66,8 @@
     faults_logged: int = 0
 
 
-def purges_of(output: Path, ahead_s: float) -> tuple[dict[int, float], int]:
-    """By key the time at which the router had the purge, in their order, and how many faults it logged. Of a purge that
+def parse_purge_times(output: Path, wall_clock_offset_s: float) -> tuple[dict[int, float], int]:
+    """By key the time at which the router had the purge, in order, and how many faults it logged. Of a purge that
     is in the log twice, as its proposer had no answer to the first, the later one counts.
     """
     times: dict[int, float] = {}
@@ -79,22 +79,22 @@
         event = orjson.loads(line)
         key = int(event["key"], 16)
         times.pop(key, None)
-        times[key] = event["t"] - ahead_s
+        times[key] = event["t"] - wall_clock_offset_s
     return times, faults
 
 
-def judge(outputs: list[Path], truth: list[Change], quiet_until: float) -> RealVerdict:
+def judge_routers(outputs: list[Path], changes: list[Change], quiet_until: float) -> RealVerdict:
     """Purges alone: a router's log tells of settings, too, but not of each one's value."""
     found = RealVerdict(Delays(), Delays())
-    ahead_s = time.time() - time.monotonic()
-    purges = sorted((change for change in truth if change.identity >= 0), key=lambda change: change.number)
-    wanted = [change.identity for change in purges]
+    wall_clock_offset_s = time.time() - time.monotonic()
+    purges = sorted((change for change in changes if change.identity >= 0), key=lambda change: change.number)
+    keys_in_order = [change.identity for change in purges]
     for output in outputs:
-        times, faults = purges_of(output, ahead_s)
+        times, faults = parse_purge_times(output, wall_clock_offset_s)
         found.faults_logged += faults
         found.missed += sum(change.identity not in times for change in purges)
-        had = [key for key in wanted if key in times]
-        found.out_of_order += sum(one != other for one, other in zip(times, had, strict=False))
+        applied_keys = [key for key in keys_in_order if key in times]
+        found.out_of_order += sum(one != other for one, other in zip(times, applied_keys, strict=False))
         for change in purges:
             if change.identity in times:
                 delays = found.quiet if change.asked < quiet_until else found.faults
--- a/bench/scale/fleet_recorder.py
+++ b/bench/scale/fleet_recorder.py
@@ -8,9 +8,17 @@
 from collections import Counter, deque
 from zlib import crc32
 
-from bench.scale.fleet_records import SAMPLE_S, WORST_SPAN_S, HollowReport, Router, Traffic, Vouched, ZoneTimes
+from bench.scale.fleet_records import (
+    PEAK_RATE_WINDOW_S,
+    SAMPLE_INTERVAL_S,
+    AgeLimitSample,
+    HollowReport,
+    Router,
+    TrafficSample,
+    ZoneTimes,
+)
 
-SAMPLES_A_SPAN = int(WORST_SPAN_S / SAMPLE_S)
+SAMPLES_PER_WINDOW = int(PEAK_RATE_WINDOW_S / SAMPLE_INTERVAL_S)
 
 
 class Recorder:
@@ -23,17 +31,17 @@
         self._digests = [0] * len(routers)  # over the run's changes in the order in which they were applied
         self._changes: dict[int, int] = {}
         self._out_of_order = self._different = self._missed = self._late_resets = 0
-        self._vouched: list[Vouched] = []
-        self._traffic: dict[int, list[Traffic]] = {zone: [] for zone in self._zones}
-        self._recent: list[deque[int]] = [deque(maxlen=SAMPLES_A_SPAN + 1) for _ in routers]
-        self._sampled_at = 0.0
+        self._vouched: list[AgeLimitSample] = []
+        self._traffic: dict[int, list[TrafficSample]] = {zone: [] for zone in self._zones}
+        self._recent: list[deque[int]] = [deque(maxlen=SAMPLES_PER_WINDOW + 1) for _ in routers]
+        self._last_sample_at = 0.0
         self.late_max_s = 0.0  # of a sample: how busy the process, or the machine, was
 
-    def began(self, place: int, number: int) -> None:
+    def start_at(self, place: int, number: int) -> None:
         """The router's first state holds all up to `number`."""
         self._last[place] = number
 
-    def applied(self, place: int, number: int, identity: int | None, now: float) -> None:
+    def record_applied(self, place: int, number: int, identity: int | None, now: float) -> None:
         """`identity` of the change as in Change; None: of a kind that the run does not propose."""
         last, self._last[place] = self._last[place], max(number, self._last[place])
         if number <= last:
@@ -48,32 +56,32 @@
         zone.latest[number] = now
         zone.counts[number] = zone.counts.get(number, 0) + 1
 
-    def was_reset(self, place: int, number: int, identities: set[int], now: float) -> None:
+    def record_reset(self, place: int, number: int, identities: set[int], now: float) -> None:
         """A later state replaced the log up to `number`: its purges must hold each one that others had."""
         self._late_resets += 1
         for skipped in range(self._last[place] + 1, number + 1):
             identity = self._changes.get(skipped)
             if identity is None or (identity >= 0 and identity not in identities):
                 self._missed += 1
-            self.applied(place, skipped, identity, now)
+            self.record_applied(place, skipped, identity, now)
 
-    def sample(self, now: float, limits: list[float | None], messages: list[int], sizes: list[int]) -> None:
-        """Every SAMPLE_S: what each router would let pass, its messages and bytes so far."""
-        if self._sampled_at:
-            self.late_max_s = max(self.late_max_s, now - self._sampled_at - SAMPLE_S)
-        self._sampled_at = now
+    def record_sample(self, now: float, limits: list[float | None], messages: list[int], sizes: list[int]) -> None:
+        """Every SAMPLE_INTERVAL_S: what each router would let pass, its messages and bytes so far."""
+        if self._last_sample_at:
+            self.late_max_s = max(self.late_max_s, now - self._last_sample_at - SAMPLE_INTERVAL_S)
+        self._last_sample_at = now
         seen = Counter(zip(self._last, limits, strict=True))
-        self._vouched += [Vouched(now, number, limit, count) for (number, limit), count in seen.items()]
+        self._vouched += [AgeLimitSample(now, number, limit, count) for (number, limit), count in seen.items()]
         totals = {zone: [0, 0, 0] for zone in self._zones}
         for place, router in enumerate(self._routers):
             recent, total = self._recent[place], totals[router.zone]
             recent.append(sizes[place])
             total[0] += messages[place]
             total[1] += sizes[place]
-            if len(recent) > SAMPLES_A_SPAN:
+            if len(recent) > SAMPLES_PER_WINDOW:
                 total[2] = max(total[2], recent[-1] - recent[0])
         for zone, (count, size, worst) in totals.items():
-            self._traffic[zone].append(Traffic(now, count, size, worst))
+            self._traffic[zone].append(TrafficSample(now, count, size, worst))
 
     def report(self, dropped: int, unsent: int) -> HollowReport:
         return HollowReport(
--- a/bench/scale/fleet_records.py
+++ b/bench/scale/fleet_records.py
@@ -8,8 +8,8 @@
 
 import msgspec
 
-SAMPLE_S = 0.5  # between two samples of a hollow router
-WORST_SPAN_S = 10.0  # of the worst bytes a second
+SAMPLE_INTERVAL_S = 0.5  # between two samples of a hollow router
+PEAK_RATE_WINDOW_S = 10.0  # of the worst bytes a second
 Record = TypeVar("Record")
 
 
@@ -87,7 +87,7 @@
     counts: dict[int, int] = {}
 
 
-class Vouched(msgspec.Struct, frozen=True):
+class AgeLimitSample(msgspec.Struct, frozen=True):
     """At `time`, `routers` routers had applied all up to `number` and let copies pass up to the age `limit` (seconds);
     None: of any age.
     """
@@ -98,9 +98,9 @@
     routers: int
 
 
-class Traffic(msgspec.Struct, frozen=True):
+class TrafficSample(msgspec.Struct, frozen=True):
     """Of the routers of one zone in one process, up to `time`: messages and bytes with their headers; `worst`: the most
-    bytes that one router had in the last WORST_SPAN_S.
+    bytes that one router had in the last PEAK_RATE_WINDOW_S.
     """
 
     time: float
@@ -113,8 +113,8 @@
     """What one hollow process saw. `changes`: what each number held. `last`, `digests`: of each router at the end."""
 
     zones: list[ZoneTimes]
-    vouched: list[Vouched]
-    traffic: dict[int, list[Traffic]]
+    vouched: list[AgeLimitSample]
+    traffic: dict[int, list[TrafficSample]]
     changes: dict[int, int]
     out_of_order: int
     different: int
--- a/bench/scale/fleet_report.py
+++ b/bench/scale/fleet_report.py
@@ -9,11 +9,11 @@
 from bench.scale.fleet_flat_run import SERVICE, FlatRun
 from bench.scale.fleet_judge import PURGE_BOUND_S, SETTING_BOUND_S, byte_rate, message_rate
 from bench.scale.fleet_layout import CUT_REGION
-from bench.scale.fleet_log_run import LogRun, Moment
-from bench.scale.fleet_measure import MB, cores
-from bench.scale.fleet_records import WORST_SPAN_S
+from bench.scale.fleet_log_run import LogRun, Measurement
+from bench.scale.fleet_measure import MB, core_share
+from bench.scale.fleet_records import PEAK_RATE_WINDOW_S
 
-MOST_CORE_SHARE, MOST_BYTES_PER_S, MOST_MEMORY_MB, MOST_MEMORY_SHARE, MOST_MACHINES = 0.019, 2048.0, 32.0, 0.5, 11
+MAX_CORE_SHARE, MAX_BYTES_PER_S, MAX_MEMORY_MB, MAX_MEMORY_SHARE, MAX_MACHINES = 0.019, 2048.0, 32.0, 0.5, 11
 
 
 class Figures(msgspec.Struct, omit_defaults=False):
@@ -67,32 +67,32 @@
     return statistics.fmean(values) if values else 0.0
 
 
-def shares(moments: list[Moment], place: int, prefix: str) -> list[float]:
+def core_shares(moments: list[Measurement], place: int, prefix: str) -> list[float]:
     """Parts of a core of the processes whose names begin so, from moment `place` to the next one."""
     before, after = moments[place].usages, moments[place + 1].usages
-    found = [cores(before, after, name) for name in before if name.startswith(prefix)]
+    found = [core_share(before, after, name) for name in before if name.startswith(prefix)]
     return [share for share in found if share is not None]
 
 
-def added(values: list[float], without: list[float]) -> float | None:
+def mean_difference(values: list[float], without: list[float]) -> float | None:
     return round(mean(values) - mean(without), 5) if values and without else None
 
 
-def resident_mb(moment: Moment, prefix: str) -> list[float]:
+def resident_mb(moment: Measurement, prefix: str) -> list[float]:
     return [one.resident / MB for name, one in moment.usages.items() if name.startswith(prefix)]
 
 
-def figures_of(
-    run: LogRun | FlatRun, real: str, hollow: str, plain: list[Moment], machines: int, routers: int
+def compute_figures(
+    run: LogRun | FlatRun, real: str, hollow: str, plain: list[Measurement], machines: int, routers: int
 ) -> Figures:
     """`real` and `hollow`: how the names of these processes begin. `plain`: moments of a run with routers that have
     no control, whose names begin with "plain".
     """
     verdict, moments, found = run.verdict, run.moments, run.schedule
-    with_control, without = shares(moments, 0, real), shares(plain, 0, "plain")
-    memory = added(resident_mb(moments[-1], real), resident_mb(plain[-1], "plain"))
-    quiet = byte_rate(run.reports, found.start, found.quiet_until, WORST_SPAN_S)
-    faults = byte_rate(run.reports, found.quiet_until, found.end, WORST_SPAN_S)
+    with_control, without = core_shares(moments, 0, real), core_shares(plain, 0, "plain")
+    memory = mean_difference(resident_mb(moments[-1], real), resident_mb(plain[-1], "plain"))
+    quiet = byte_rate(run.reports, found.start, found.quiet_until, PEAK_RATE_WINDOW_S)
+    faults = byte_rate(run.reports, found.quiet_until, found.end, PEAK_RATE_WINDOW_S)
     reunion = found.cuts[0].until
     everywhere = message_rate(run.reports, found.start, found.quiet_until, reunion)
     region = message_rate(run.reports, found.start, found.quiet_until, reunion, CUT_REGION)
@@ -109,16 +109,16 @@
         late_resets=verdict.late_resets,
         stale_served=verdict.stale_served,
         stale_samples=verdict.stale_seen,
-        control_core_share=added(with_control, without),
-        control_core_share_worst=added([max(with_control, default=0.0)], without),
-        control_core_share_faults=added(shares(moments, 1, real), shares(plain, 1, "plain")),
-        hollow_core_share=round(sum(shares(moments, 0, hollow)) / max(routers, 1), 5),
+        control_core_share=mean_difference(with_control, without),
+        control_core_share_worst=mean_difference([max(with_control, default=0.0)], without),
+        control_core_share_faults=mean_difference(core_shares(moments, 1, real), core_shares(plain, 1, "plain")),
+        hollow_core_share=round(sum(core_shares(moments, 0, hollow)) / max(routers, 1), 5),
         control_bytes_per_s=quiet.mean,
         control_bytes_per_s_worst_10s=quiet.worst,
         control_bytes_per_s_faults=faults.mean,
         control_bytes_per_s_faults_worst_10s=faults.worst,
         control_memory_mb=memory,
-        control_memory_part=None if memory is None else round(memory / MOST_MEMORY_MB, 3),
+        control_memory_part=None if memory is None else round(memory / MAX_MEMORY_MB, 3),
         messages_per_s=round(everywhere.ordinary / max(routers, 1), 2),
         reunion_peak=everywhere.ratio,
         reunion_peak_region=region.ratio,
@@ -129,7 +129,7 @@
     )
 
 
-def measured(value: float | None) -> float:
+def value_or_infinity(value: float | None) -> float:
     """What was not measured passes no check."""
     return float("inf") if value is None else value
 
@@ -145,12 +145,12 @@
         ("out_of_order", figures.out_of_order, 0),
         ("unequal", figures.unequal, 0),
         ("stale_served", figures.stale_served, 0),
-        ("control_core_share", measured(figures.control_core_share), MOST_CORE_SHARE),
-        ("control_bytes_per_s", figures.control_bytes_per_s, MOST_BYTES_PER_S),
-        ("control_bytes_per_s_worst_10s", figures.control_bytes_per_s_worst_10s, MOST_BYTES_PER_S),
-        ("control_memory_mb", measured(figures.control_memory_mb), MOST_MEMORY_MB),
-        ("memory_share", figures.memory_share, MOST_MEMORY_SHARE),
-        ("machines", figures.machines, MOST_MACHINES),
+        ("control_core_share", value_or_infinity(figures.control_core_share), MAX_CORE_SHARE),
+        ("control_bytes_per_s", figures.control_bytes_per_s, MAX_BYTES_PER_S),
+        ("control_bytes_per_s_worst_10s", figures.control_bytes_per_s_worst_10s, MAX_BYTES_PER_S),
+        ("control_memory_mb", value_or_infinity(figures.control_memory_mb), MAX_MEMORY_MB),
+        ("memory_share", figures.memory_share, MAX_MEMORY_SHARE),
+        ("machines", figures.machines, MAX_MACHINES),
     ]
     failed = [name for name, value, most in bounds if value > most]
     return failed + ["nothing was played"] * (figures.purges == 0 or figures.stale_samples == 0)
@@ -171,7 +171,7 @@
         role,
         round(max(moved, default=0) / span_s, 1),
         round(max(messages, default=0) / span_s, 1),
-        round(max(shares(run.moments, 0, prefix), default=0.0), 4),
+        round(max(core_shares(run.moments, 0, prefix), default=0.0), 4),
         round(max(resident_mb(second, prefix), default=0.0), 1),
     )
 
@@ -180,5 +180,5 @@
     """The one service of the present design; its messages are those of all its watchers."""
     found = run.schedule
     messages = message_rate(run.reports, found.start, found.quiet_until, found.cuts[0].until).ordinary
-    core, memory = shares(run.moments, 0, SERVICE), resident_mb(run.moments[1], SERVICE)
+    core, memory = core_shares(run.moments, 0, SERVICE), resident_mb(run.moments[1], SERVICE)
     return RoleFigures("list_service", None, round(messages, 1), round(max(core), 4), round(max(memory), 1))
--- a/bench/scale/fleet_schedule.py
+++ b/bench/scale/fleet_schedule.py
@@ -26,7 +26,7 @@
     one_way: tuple[float, float] | None = None
 
 
-FULL = Timing(
+FULL_TIMING = Timing(
     quiet_s=20.0,
     cut=(3.5, 25.5),
     end=39.0,
@@ -38,10 +38,10 @@
     replicas_back=20.0,
     one_way=(20.0, 24.0),
 )
-QUICK = Timing(quiet_s=2.0, cut=(0.5, 7.0), end=11.5, last_change=8.0, leader_killed=2.5)
+QUICK_TIMING = Timing(quiet_s=2.0, cut=(0.5, 7.0), end=11.5, last_change=8.0, leader_killed=2.5)
 
 
-def schedule(timing: Timing, start: float, rate: float) -> Schedule:
+def make_schedule(timing: Timing, start: float, rate: float) -> Schedule:
     quiet_until = start + timing.quiet_s
     cuts = [Cut(CUT_REGION, quiet_until + timing.cut[0], quiet_until + timing.cut[1])]
     if timing.one_way is not None:
--- a/bench/scale/fleet_service.py
+++ b/bench/scale/fleet_service.py
@@ -14,7 +14,7 @@
 
 from twisted.internet.protocol import Factory, Protocol
 
-from bench.scale.fleet_caches import machine_records
+from bench.scale.fleet_caches import endpoint_records
 from bench.scale.fleet_network import Network
 from bench.scale.fleet_records import Change, Plan, read, write
 from wickhinge.net.control.endpoint_watch import (
@@ -26,79 +26,79 @@
     FrameKind,
 )
 
-BEAT_S = 1.0
-TURN_S = 0.005
-TRUTH_FILE = "flat-truth.json"
-BACKLOG = 4096
-NO_ADDRESS = (0, 0, 3, 0, 0, 0, 1000, 0)  # of a machine in a list change: nobody asks it
+HEARTBEAT_INTERVAL_S = 1.0
+TICK_S = 0.005
+CHANGES_FILE = "flat-truth.json"
+LISTEN_BACKLOG = 4096
+UNUSED_ENDPOINT_FIELDS = (0, 0, 3, 0, 0, 0, 1000, 0)  # of a machine in a list change: nobody asks it
 
 
-def frame(number: int, kind: int, payload: bytes = b"") -> bytes:
+def encode_frame(number: int, kind: int, payload: bytes = b"") -> bytes:
     return FRAME_HEADER.pack(MIN_FRAME_BYTES + len(payload), number, kind) + payload
 
 
-class Watcher(Protocol):
+class WatcherConnection(Protocol):
     """One connection: eight bytes name the last number had, then events go out."""
 
-    def __init__(self, service: Service) -> None:
-        self._service, self._asked = service, b""
+    def __init__(self, service: EndpointListService) -> None:
+        self._service, self._buffer = service, b""
 
     def connectionMade(self) -> None:
         self.transport.setTcpNoDelay(True)
 
     def dataReceived(self, data: bytes) -> None:
-        if len(self._asked) < EVENT_NUMBER.size:
-            self._asked += data
-            if len(self._asked) >= EVENT_NUMBER.size:
-                self._service.watch(self, EVENT_NUMBER.unpack(self._asked[: EVENT_NUMBER.size])[0])
+        if len(self._buffer) < EVENT_NUMBER.size:
+            self._buffer += data
+            if len(self._buffer) >= EVENT_NUMBER.size:
+                self._service.add_watcher(self, EVENT_NUMBER.unpack(self._buffer[: EVENT_NUMBER.size])[0])
 
     def connectionLost(self, reason: Any) -> None:
         self._service.watchers.discard(self)
 
 
-class Service(Factory):
+class EndpointListService(Factory):
     noisy = False
 
     def __init__(self, plan: Plan, reactor: Any) -> None:
         self._plan, self._reactor, self._network = plan, reactor, Network(plan)
-        self.watchers: set[Watcher] = set()
-        self._frames = [frame(1, FrameKind.ALL_ENDPOINTS, machine_records(plan.caches_port))]
-        self._truth: list[Change] = []
+        self.watchers: set[WatcherConnection] = set()
+        self._frames = [encode_frame(1, FrameKind.ALL_ENDPOINTS, endpoint_records(plan.caches_port))]
+        self._changes: list[Change] = []
         self._purges = self._settings = 0
 
-    def buildProtocol(self, addr: Any) -> Watcher:
-        return Watcher(self)
+    def buildProtocol(self, addr: Any) -> WatcherConnection:
+        return WatcherConnection(self)
 
     def start(self) -> None:
         port = self._reactor.listenTCP(
-            self._plan.service_port, self, backlog=BACKLOG, interface=self._plan.service_host
+            self._plan.service_port, self, backlog=LISTEN_BACKLOG, interface=self._plan.service_host
         )
         print(port.getHost().port, flush=True)
         self._network.watch_for_schedule(self._reactor)
-        self._beat()
-        self._turn()
+        self._send_heartbeat()
+        self._make_due_changes()
 
-    def watch(self, watcher: Watcher, number: int) -> None:
+    def add_watcher(self, watcher: WatcherConnection, number: int) -> None:
         missed = self._frames[number:]
-        watcher.transport.write(b"".join(missed) + frame(len(self._frames), FrameKind.NO_MORE_EVENTS))
+        watcher.transport.write(b"".join(missed) + encode_frame(len(self._frames), FrameKind.NO_MORE_EVENTS))
         self.watchers.add(watcher)
 
-    def _beat(self) -> None:
-        self._reactor.callLater(BEAT_S, self._beat)
-        self._tell(frame(len(self._frames), FrameKind.NO_MORE_EVENTS))
+    def _send_heartbeat(self) -> None:
+        self._reactor.callLater(HEARTBEAT_INTERVAL_S, self._send_heartbeat)
+        self._broadcast(encode_frame(len(self._frames), FrameKind.NO_MORE_EVENTS))
 
-    def _tell(self, data: bytes) -> None:
+    def _broadcast(self, data: bytes) -> None:
         for watcher in self.watchers:
             watcher.transport.write(data)
 
-    def _turn(self) -> None:
+    def _make_due_changes(self) -> None:
         """Makes what is due by the schedule."""
         now, schedule = time.monotonic(), self._network.schedule
         if schedule is not None and now >= schedule.end:
-            write(Path(self._plan.folder) / TRUTH_FILE, self._truth)
+            write(Path(self._plan.folder) / CHANGES_FILE, self._changes)
             self._reactor.stop()
             return
-        self._reactor.callLater(TURN_S, self._turn)
+        self._reactor.callLater(TICK_S, self._make_due_changes)
         if schedule is None or not schedule.start <= now < schedule.last_change:
             return
         elapsed = now - schedule.start
@@ -106,27 +106,30 @@
             self._purges += 1
             due = schedule.start + self._purges / self._plan.rate_flat
             payload = OBJECT_PURGE.pack(self._purges, int(time.time() * 1000))
-            self._make(FrameKind.OBJECT_PURGED, payload, self._purges, min(due, now))
+            self._publish_change(FrameKind.OBJECT_PURGED, payload, self._purges, min(due, now))
         if self._settings < elapsed * self._plan.settings_rate:
             self._settings += 1
-            self._make(
-                FrameKind.CHANGED_ENDPOINTS, ENDPOINT_RECORD.pack(self._settings, *NO_ADDRESS), -self._settings, now
+            self._publish_change(
+                FrameKind.CHANGED_ENDPOINTS,
+                ENDPOINT_RECORD.pack(self._settings, *UNUSED_ENDPOINT_FIELDS),
+                -self._settings,
+                now,
             )
 
-    def _make(self, kind: int, payload: bytes, identity: int, asked: float) -> None:
+    def _publish_change(self, kind: int, payload: bytes, identity: int, asked: float) -> None:
         """`asked`: when it was due, so that a service that can't keep up shows it."""
         number = len(self._frames) + 1
-        data = frame(number, kind, payload)
+        data = encode_frame(number, kind, payload)
         self._frames.append(data)
         stamped = time.monotonic()
-        self._tell(data)
-        self._truth.append(Change(number, identity, asked, stamped, time.monotonic()))
+        self._broadcast(data)
+        self._changes.append(Change(number, identity, asked, stamped, time.monotonic()))
 
 
 def main() -> None:
     from twisted.internet import reactor
 
-    service = Service(read(Path(sys.argv[1]), Plan), reactor)
+    service = EndpointListService(read(Path(sys.argv[1]), Plan), reactor)
     reactor.callWhenRunning(service.start)
     reactor.run()
 
--- a/tests/bench/test_flat_routers.py
+++ b/tests/bench/test_flat_routers.py
@@ -6,8 +6,8 @@
 
 import pytest
 
-from bench.scale.fleet_hollow import READY
-from bench.scale.fleet_layout import groups
+from bench.scale.fleet_hollow import READY_LINE
+from bench.scale.fleet_layout import hollow_groups
 from bench.scale.fleet_records import Plan, write
 
 ROOT = Path(__file__).parents[2]
@@ -45,7 +45,7 @@
         jitter_s=0.0,
         replicas=[],
         relays=[],
-        groups=groups(3),
+        groups=hollow_groups(3),
         plant="",
         service_host="127.0.0.1",
         service_port=service_port,
@@ -62,4 +62,4 @@
     write(tmp_path / "routers.json", plan_at(tmp_path, port))
     routers = start("fleet_flat", str(tmp_path / "routers.json"), "0")
     line = routers.stdout.readline()
-    assert line.strip() == READY, routers.stderr.read()
+    assert line.strip() == READY_LINE, routers.stderr.read()
--- a/tests/bench/test_fleet_judge.py
+++ b/tests/bench/test_fleet_judge.py
@@ -7,20 +7,20 @@
 from bench.scale.fleet_judge import Judge, Pause, byte_rate, message_rate
 from bench.scale.fleet_layout import (
     CUT_REGION,
-    NOT_PLACED,
-    REGIONS,
+    OUTSIDE_REGIONS,
+    REGION_COUNT,
     RELAY_REGIONS,
-    ZONES,
+    ZONE_COUNT,
     address,
-    block_of,
-    groups,
-    region_of,
+    address_block,
+    hollow_groups,
+    region_of_address,
     relay_order,
 )
-from bench.scale.fleet_measure import cores, usage
-from bench.scale.fleet_network import is_cut
+from bench.scale.fleet_measure import core_share, process_usage
+from bench.scale.fleet_network import is_link_cut
 from bench.scale.fleet_recorder import Recorder
-from bench.scale.fleet_records import Change, Cut, HollowReport, Router, Traffic, Vouched, ZoneTimes
+from bench.scale.fleet_records import AgeLimitSample, Change, Cut, HollowReport, Router, TrafficSample, ZoneTimes
 
 GRACE_S = 6.0
 QUIET_UNTIL = 100.0
@@ -83,19 +83,19 @@
 )
 def test_stale_copies(time, number, limit, stale):
     truth = [change(1, 10.0), change(2, 20.0)]
-    vouched = [Vouched(time, number, limit, 2)]
+    vouched = [AgeLimitSample(time, number, limit, 2)]
     assert verdict(truth, report({1: 10.5, 2: 20.5}, vouched=vouched)).stale_served == stale
 
 
 def test_recorder_tells_gaps_repeats_and_differences():
     recorder = Recorder(TWO_ROUTERS)
     for place in (0, 1):
-        recorder.began(place, 5)
-        recorder.applied(place, 6, 60, 1.0)
-    recorder.applied(0, 8, 80, 2.0)  # without 7
-    recorder.applied(0, 6, 60, 3.0)  # again
-    recorder.applied(1, 7, 70, 4.0)
-    recorder.applied(1, 8, 81, 5.0)  # another change than the first router's
+        recorder.start_at(place, 5)
+        recorder.record_applied(place, 6, 60, 1.0)
+    recorder.record_applied(0, 8, 80, 2.0)  # without 7
+    recorder.record_applied(0, 6, 60, 3.0)  # again
+    recorder.record_applied(1, 7, 70, 4.0)
+    recorder.record_applied(1, 8, 81, 5.0)  # another change than the first router's
     found = recorder.report(0, 0)
     assert (found.missed, found.out_of_order, found.different) == (1, 1, 1)
     assert (found.zones[0].latest[8], found.zones[0].counts) == (5.0, {6: 2, 7: 1, 8: 2})
@@ -105,15 +105,15 @@
 def test_a_late_snapshot_must_hold_the_purges_it_stands_for():
     recorder = Recorder(TWO_ROUTERS)
     for number in (1, 2, 3):
-        recorder.applied(0, number, number, 1.0)
-    recorder.was_reset(1, 3, {1, 2}, 2.0)
+        recorder.record_applied(0, number, number, 1.0)
+    recorder.record_reset(1, 3, {1, 2}, 2.0)
     found = recorder.report(0, 0)
     assert (found.missed, found.late_resets) == (1, 1)
 
 
 def test_bytes_and_messages():
-    samples = [Traffic(second, 10 * second, 1000 * second, 4000) for second in range(11)]
-    samples += [Traffic(11, 200, 12_000, 9000)]
+    samples = [TrafficSample(second, 10 * second, 1000 * second, 4000) for second in range(11)]
+    samples += [TrafficSample(11, 200, 12_000, 9000)]
     one = report({})
     one.traffic = {7: samples}
     assert byte_rate([one], 0, 10, 2.0).mean == 500.0
@@ -125,25 +125,25 @@
 
 def test_cuts_go_both_ways_or_one():
     cut, one_way = Cut(3, 10.0, 20.0), Cut(3, 10.0, 20.0, one_way=True)
-    assert is_cut([cut], 3, 5, 15.0) and is_cut([cut], 5, 3, 15.0)
-    assert is_cut([one_way], 5, 3, 15.0) and not is_cut([one_way], 3, 5, 15.0)
-    assert not is_cut([cut], 5, 3, 20.0) and not is_cut([cut], 5, 6, 15.0)
+    assert is_link_cut([cut], 3, 5, 15.0) and is_link_cut([cut], 5, 3, 15.0)
+    assert is_link_cut([one_way], 5, 3, 15.0) and not is_link_cut([one_way], 3, 5, 15.0)
+    assert not is_link_cut([cut], 5, 3, 20.0) and not is_link_cut([cut], 5, 6, 15.0)
 
 
 def test_layout():
-    routers = [one for group in groups(1592) for one in group]
-    assert len(routers) == 1592 and max(len(group) for group in groups(1592)) == 100
-    assert {one.region for one in routers} == set(range(REGIONS))
-    assert {one.zone for one in routers} == set(range(ZONES))
-    assert all(sorted(relay_order(region)) == sorted(relay_order(0)) for region in range(REGIONS))
+    routers = [one for group in hollow_groups(1592) for one in group]
+    assert len(routers) == 1592 and max(len(group) for group in hollow_groups(1592)) == 100
+    assert {one.region for one in routers} == set(range(REGION_COUNT))
+    assert {one.zone for one in routers} == set(range(ZONE_COUNT))
+    assert all(sorted(relay_order(region)) == sorted(relay_order(0)) for region in range(REGION_COUNT))
     assert relay_order(CUT_REGION)[0] == f"relay-{RELAY_REGIONS.index(CUT_REGION)}"
-    assert region_of(address(block_of(12345), 9, 1)) == 9
-    assert region_of("127.0.0.1") == region_of("127.91.0.1") == NOT_PLACED
+    assert region_of_address(address(address_block(12345), 9, 1)) == 9
+    assert region_of_address("127.0.0.1") == region_of_address("127.91.0.1") == OUTSIDE_REGIONS
 
 
 def test_cores_of_a_process():
-    before = {"this": usage(os.getpid())}
+    before = {"this": process_usage(os.getpid())}
     sum(range(200_000))
-    share = cores(before, {"this": usage(os.getpid())}, "this")
+    share = core_share(before, {"this": process_usage(os.getpid())}, "this")
     assert share is not None and share > 0
-    assert cores(before, {}, "this") is None
+    assert core_share(before, {}, "this") is None
