--- a/bench/cold_sum.py
+++ b/bench/cold_sum.py
@@ -27,7 +27,7 @@
 import click
 import numpy as np
 
-from bench import told
+from bench import print_result
 from wickhinge.interface import (
     AttemptParameters,
     Capabilities,
@@ -39,11 +39,10 @@
     Request,
     RequestClass,
 )
-from wickhinge.lab.many import stands
-from wickhinge.lab.many.rig import Rig
+from wickhinge.lab.many import stand_ins
+from wickhinge.lab.many.harness import Harness
 from wickhinge.lab.many.schedule import Fault, Schedule
-from wickhinge.lab.many.stands import AGE, LIMITS, WARM
-from wickhinge.lab.many.stands import Scene as StandScene
+from wickhinge.lab.many.stand_ins import INITIAL_AGE_S, SLOW_START, WARM_UP_S, Workload
 from wickhinge.routing.attempt import Attempt
 from wickhinge.routing.endpoints import Endpoints, Topology
 from wickhinge.routing.object_counts import ObjectCounts
@@ -82,9 +81,9 @@
         return 2 * 0.6 * 1.5 / (self.multiple * self.floor)
 
 
-EDGE = Limits(2.0, 1.0, 0.18, 17.0)  # the tightest that the kit's pages allow
-PARENT = Limits(2.0, 1.0, 0.068, 20.0)
-TIERS = {"edge": EDGE, "parent": PARENT}
+EDGE_LIMITS = Limits(2.0, 1.0, 0.18, 17.0)  # the tightest that the kit's pages allow
+PARENT_LIMITS = Limits(2.0, 1.0, 0.068, 20.0)
+TIERS = {"edge": EDGE_LIMITS, "parent": PARENT_LIMITS}
 
 
 def allowance(budget: Any) -> Any:
@@ -102,7 +101,7 @@
     return processes - 1 - processes // 4
 
 
-def chernoff(budget: float) -> float:
+def chernoff_bound(budget: float) -> float:
     """Bound for one window that begins in steady load: the sum of independent sends with a mean of 0.65 N."""
     most, mean = allowance(budget), 0.65 * budget
     return math.exp(-(most * math.log(most / mean) - most + mean))
@@ -241,7 +240,7 @@
 class Client:
     """One visit's, who counts how it ended."""
 
-    def __init__(self, play: Play, place: int) -> None:
+    def __init__(self, play: ColdStart, place: int) -> None:
         self.play, self.place = play, place
 
     def forward(self, parameters: AttemptParameters) -> None:
@@ -284,7 +283,7 @@
 class SharedBucket:
     """The ideal, beside which a denial shows: one count for all routers, all of what the cache bears."""
 
-    def __init__(self, play: Play) -> None:
+    def __init__(self, play: ColdStart) -> None:
         self.play = play
 
     def room(self, cache: Server, visit: Any, now: float) -> bool:
@@ -304,7 +303,7 @@
     at_the_cold_one: float
 
 
-class Play:
+class ColdStart:
     """One cold start: a location of two caches, of which one has just started and the other leaves at `step`."""
 
     def __init__(
@@ -417,34 +416,36 @@
     begins = 4.0
     killed = tuple(Fault("kill", begins + 1.0 + turn * 0.8, 0.5, (one,)) for turn, one in enumerate(place))
     share = loads(processes)
-    scene = StandScene(lambda process, now: 3.0 * float(share[process.place]) * (now > 0.0))
+    scene = Workload(lambda process, now: 3.0 * float(share[process.router_index]) * (now > 0.0))
     one_unit = (
-        LIMITS.overload_factor * (LIMITS.initial_capacity + (1 - LIMITS.initial_capacity) * AGE / WARM) * LIMITS.window
+        SLOW_START.overload_factor
+        * (SLOW_START.initial_capacity + (1 - SLOW_START.initial_capacity) * INITIAL_AGE_S / WARM_UP_S)
+        * SLOW_START.window
     )
     told_all = Schedule(seed, processes, 1, killed, processes, begins, seconds)
     with (
-        patch.object(stands, "WEIGHT", budget * stands.WORK / one_unit),
+        patch.object(stand_ins, "CACHE_WEIGHT", budget * stand_ins.REQUEST_WORK_S / one_unit),
         tempfile.TemporaryDirectory(prefix="wickhinge-") as folder,
-        Rig(Path(folder), told_all, scene, False) as rig,
+        Harness(Path(folder), told_all, scene, False) as harness,
     ):
-        made = rig.run().stands
-        sent = made.sent[made.caches[0].mark]
-        worst = worst_window([when for when, _, _ in sent], LIMITS.window, lambda when: budget_of(made, when))
-        answered = sum(took is not None for _, took, _ in made.visits)
+        made = harness.run().stand_ins
+        sent = made.sent[made.caches[0].server_id]
+        worst = worst_window([when for when, _, _ in sent], SLOW_START.window, lambda when: budget_of(made, when))
+        answered = sum(took is not None for _, took, _ in made.requests)
         return {
             "processes": processes,
             "N": budget,
             "killed": len(place),
-            "crashed": rig.crashed(),
+            "crashed": harness.find_crashes(),
             "worst": worst,
             "sent": len(sent),
-            "asked": len(made.visits),
-            "served": round(answered / max(len(made.visits), 1), 3),
+            "asked": len(made.requests),
+            "served": round(answered / max(len(made.requests), 1), 3),
         }
 
 
 def budget_of(made: Any, when: float) -> float:
-    return float(allowance(made.bears(when) / stands.WORK))
+    return float(allowance(made.overload_limit(when) / stand_ins.REQUEST_WORK_S))
 
 
 # The program.
@@ -452,7 +453,7 @@
 WORKS = (0.25, 0.57, 1.0)  # seconds of sending for a visit: a mix of the kit's classes, its largest, and beyond
 HALF_SECOND = 0.5  # the debt at a start before it was counted in visits
 TWO_VISITS = Rule("two visits", 2.0)
-PRESENT = Rule("two visits, saved by root of N", 2.0, by_root=True)
+CURRENT_RULE = Rule("two visits, saved by root of N", 2.0, by_root=True)
 PLAYED = (4, 9, 16, 64)  # the decisions of larger budgets take minutes to play
 PLAY_SCENES = (SCENES[0], SCENES[1], SCENES[4])
 
@@ -460,7 +461,7 @@
 def draws(trials: int, seed: int, tiers: dict[str, Limits], present: bool) -> list[dict[str, Any]]:
     """A row for each tier, number of routers, N and rule. present: of the rule as it is alone."""
     rules = [Rule(f"half a second, visits of {work} s", HALF_SECOND / work) for work in WORKS]
-    rules = [PRESENT] if present else [*rules, TWO_VISITS, PRESENT]
+    rules = [CURRENT_RULE] if present else [*rules, TWO_VISITS, CURRENT_RULE]
     rows = []
     for tier, limits in tiers.items():
         for processes in PROCESSES:
@@ -483,7 +484,7 @@
                             "worst": max(one.worst for one in found.values()),
                             "taken_herd": found["herd"].taken,
                             "taken_thin": found["thin"].taken,
-                            "one_window_bound": float(f"{chernoff(budget):.1e}"),
+                            "one_window_bound": float(f"{chernoff_bound(budget):.1e}"),
                         }
                     )
                     click.echo(rows[-1], err=True)
@@ -495,8 +496,8 @@
     rows = []
     told_apart = product(tiers.items(), PROCESSES, PLAYED, WORKS, PLAY_SCENES)
     for (tier, limits), processes, budget, work, scene in told_apart:
-        ours = [Play(limits, budget, processes, scene, work, seed).run() for seed in range(1, seeds + 1)]
-        ideal = Play(limits, budget, processes, scene, work, 1, ideal=True).run()
+        ours = [ColdStart(limits, budget, processes, scene, work, seed).run() for seed in range(1, seeds + 1)]
+        ideal = ColdStart(limits, budget, processes, scene, work, 1, ideal=True).run()
         rows.append(
             {
                 "tier": tier,
@@ -536,7 +537,7 @@
         answer["plays"] = plays(seeds, {tier: TIERS[tier]} if tier else TIERS)
     if sockets:
         answer["sockets"] = [on_sockets(sockets, budget, seed) for budget in (6, 36)]
-    told(answer)
+    print_result(answer)
 
 
 if __name__ == "__main__":
--- a/bench/scale/fleet_faults.py
+++ b/bench/scale/fleet_faults.py
@@ -10,7 +10,7 @@
 from bench.scale.meter import Meter, Watch
 from bench.scale.one_router import introduce
 from bench.scale.records import Row, row
-from wickhinge.lab.many import play
+from wickhinge.lab.many import simulation
 from wickhinge.lab.many.schedule import Fault, Schedule
 
 JOINT_START_S = 15.0  # seconds after which it is asked how much of the fleet each has heard
@@ -31,7 +31,7 @@
     time: float
 
 
-class CountedFleet(play.Fleet):
+class CountedFleet(simulation.Fleet):
     """A fleet that spends nothing; what it sends and computes is counted, the virtual network among it."""
 
     def __init__(self, routers: int, seed: int) -> None:
@@ -41,17 +41,17 @@
         self.watch = Watch()
         self.since = 0.0
 
-    def wants(self, process: play.Process, number: int) -> float:
+    def demand(self, process: simulation.Process, number: int) -> float:
         return 0.0
 
-    def carry(self, process: play.Process, to: int | None, data: bytes) -> None:
+    def send_datagram(self, process: simulation.Process, to: int | None, data: bytes) -> None:
         self.sends += 1
         self.bytes += len(data)
-        super().carry(process, to, data)
+        super().send_datagram(process, to, data)
 
     def start_all(self) -> None:
         for place in range(self.schedule.routers):
-            self.start(place)
+            self.start_process(place)
 
     def start_acquainted(self) -> None:
         """All have known each other for long."""
@@ -59,7 +59,7 @@
         for process in self.processes:
             process.detector.identity.epoch = 1
         for one in self.processes:
-            for other in self.processes[: one.place]:
+            for other in self.processes[: one.router_index]:
                 introduce(one.detector, other.detector)
         for process in self.processes:  # clocks have zeros of their own
             for member in process.detector.members.values():
@@ -71,11 +71,11 @@
 
     def run_for(self, seconds: float) -> None:
         with self.watch:
-            self.wheel.run(self.now + seconds)
+            self.event_queue.run(self.now + seconds)
 
     def load_per_router(self, routers: int, time: float) -> RouterLoad:
         """Since `reset_counts`, for each of so many routers."""
-        each = routers * max(self.now - self.since, play.TICK)
+        each = routers * max(self.now - self.since, simulation.TICK_S)
         return RouterLoad(self.sends / each, self.bytes / each, self.watch.spent / each, time)
 
     def min_alive_fraction(self) -> float:
@@ -83,9 +83,9 @@
         return min(one.detector.view(one.clock).alive_fraction for one in self.processes)
 
 
-def without_budgets(process: play.Process) -> None:
+def without_budgets(process: simulation.Process) -> None:
     process.limiter.tick = lambda now: None
-    process.spend = process.look = lambda: None
+    process.spend = process.log_view = lambda: None
     process.detector.attach_piggyback(lambda name: b"", lambda name, data, now: None)
 
 
@@ -93,7 +93,7 @@
     """How many others each has heard, in the mean, so long after all started together."""
     fleet = CountedFleet(size, seed)
     fleet.start_all()
-    fleet.wheel.run(JOINT_START_S)
+    fleet.event_queue.run(JOINT_START_S)
     return statistics.mean(size * one.detector.view(one.clock).alive_fraction - 1 for one in fleet.processes)
 
 
@@ -105,7 +105,7 @@
     fleet.run_for(CALM_S)
     fleet.reset_counts()
     began = fleet.now
-    fleet.begin(Fault("kill", began, 1e6, tuple(dead)))
+    fleet.begin_fault(Fault("kill", began, 1e6, tuple(dead)))
     fleet.run_for(WATCH_AFTER_DEATH_S)
     known: dict[tuple[str, str], float] = {}
     for when, name, _, event, more in fleet.history:
@@ -122,7 +122,7 @@
     fleet.start_acquainted()
     fleet.run_for(CALM_S)
     fleet.reset_counts()
-    fleet.begin(Fault("cut", fleet.now, CUT_S, tuple(range(size // 2)), tuple(range(size // 2, size))))
+    fleet.begin_fault(Fault("cut", fleet.now, CUT_S, tuple(range(size // 2)), tuple(range(size // 2, size))))
     fleet.run_for(CUT_S)
     meanwhile = fleet.load_per_router(size, CUT_S)
     fleet.reset_counts()
