--- a/bench/scale/fleet.py
+++ b/bench/scale/fleet.py
@@ -1,8 +1,9 @@
-"""The fleet of the design on this machine's sockets: python -m bench.scale fleet [--routers 1600] --json
+"""Measures a whole fleet on this machine's sockets: python -m bench.scale fleet [--routers 1600] --json
 
-The change log by its own replicas and relays, real router processes and hollow routers; then the present design, in the
-same way. Exit code 1 where a check on the change log fails. Last line: one JSON object (fleet_report.Figures, those of
-the present design with _flat).
+The first run plays the change log: its replicas and relays, real router processes, and hollow routers (cheap stand-ins
+for routers). The second run plays the flat design, in which every router watches one endpoint list service. The
+exit code is 1 if a check on the change log fails. The last output line is one JSON object with the fields of
+fleet_report.Figures; the keys of the flat design end in _flat.
 """
 
 from __future__ import annotations
@@ -28,14 +29,15 @@
 
 SERVICE_HOST = "127.91.0.1"
 PURGES_PER_S = 27.0
-SETTINGS_PER_S = 0.5  # 7,300 a day are 0.084: more, so that a short run has some
+# The design expects 7,300 setting changes a day, 0.084 a second. The higher rate gives a short run some changes.
+SETTINGS_PER_S = 0.5
 REGION_DELAY_S, REGION_JITTER_S = 0.04, 0.01
 PURGE_GRACE_S, QUICK_PURGE_GRACE_S = 6.0, 4.0
 PLANTED_FAULTS = ("", "skip", "vouch", "deaf")
 
 
 class FleetOptions(msgspec.Struct, frozen=True):
-    """What the command gets."""
+    """Options of the `fleet` command, apart from those that select the output."""
 
     routers: int
     real_routers: int
@@ -70,7 +72,8 @@
 
 
 def run_change_log(options: FleetOptions, folder: Path) -> LogRun:
-    idle = folder / "idle"  # where no schedule comes: the real routers' list service has nothing to tell
+    # No schedule is ever written to this folder, so the endpoint list service of the real routers makes no changes.
+    idle = folder / "idle"
     idle.mkdir()
     with Processes(folder) as processes:
         plan = make_plan(options, folder, start_caches(processes, folder))
@@ -107,7 +110,7 @@
 
 
 def failed_checks_without_bound(run: LogRun) -> list[str]:
-    """What is not a figure with a bound."""
+    """Return the names of failed checks that compare no figure with a bound."""
     caches = run.caches
     failed = ["not appended"] * bool(run.failures) + ["logged"] * bool(run.real.faults_logged)
     failed += ["copies of before a purge allowed"] * bool(caches.unlimited + caches.too_loose)
@@ -150,14 +153,22 @@
 
 
 @click.command()
-@click.option("--routers", default=1600, show_default=True, type=click.IntRange(10, 5000), help="Real and hollow ones.")
+@click.option(
+    "--routers",
+    default=1600,
+    show_default=True,
+    type=click.IntRange(10, 5000),
+    help="Number of routers, real and hollow.",
+)
 @click.option("--real-routers", default=8, show_default=True, type=click.IntRange(1, 20))
-@click.option("--rate", default=PURGES_PER_S, show_default=True, help="Purges a second.")
-@click.option("--rate-flat", default=PURGES_PER_S, show_default=True, help="The same for the present design.")
-@click.option("--quick", is_flag=True, help="Fewer faults in a quarter of the time: for CI.")
-@click.option("--flat/--no-flat", default=True, help="Play the present design, too.")
-@click.option("--plant", default="", type=click.Choice(PLANTED_FAULTS), help="A fault put in, which the run must find.")
-@click.option("--record", is_flag=True, help="Keep the result as bench/records/fleet-ROUTERS.json.")
+@click.option("--rate", default=PURGES_PER_S, show_default=True, help="Purges a second in the run of the change log.")
+@click.option(
+    "--rate-flat", default=PURGES_PER_S, show_default=True, help="Purges a second in the run of the flat design."
+)
+@click.option("--quick", is_flag=True, help="Play fewer faults in a quarter of the time, for CI.")
+@click.option("--flat/--no-flat", default=True, help="Also play the flat design: one endpoint list service.")
+@click.option("--plant", default="", type=click.Choice(PLANTED_FAULTS), help="Plant a fault that the run must find.")
+@click.option("--record", is_flag=True, help="Save the result as bench/records/fleet-ROUTERS.json.")
 @click.option("--json", "_", is_flag=True)
 def fleet(
     routers: int,
@@ -170,7 +181,7 @@
     record: bool,
     _: bool,
 ) -> None:
-    """The whole fleet on sockets, without faults and with them."""
+    """Measure the whole fleet on sockets, without faults and with them."""
     started_at = time.monotonic()
     results = run_experiment(FleetOptions(routers, real_routers, rate, rate_flat, quick, plant), flat)
     results["seconds"] = round(time.monotonic() - started_at, 1)
--- a/bench/scale/fleet_caches.py
+++ b/bench/scale/fleet_caches.py
@@ -1,8 +1,8 @@
-"""Stand-ins for caches, and a client of each real router: python -m bench.scale.fleet_caches FOLDER
+"""Runs stand-ins for caches, and a client of each real router: python -m bench.scale.fleet_caches FOLDER
 
-The client asks for objects whose purge must be in force everywhere by now and isn't done yet: the machine that the
-router asks must hear a greatest age (`maxage`) that leaves out all copies of before the purge. So a router's purges
-are seen from outside. The first line of output is the port from which on the machines listen (bench.fleet.World).
+The clients request objects whose purge must be in force at every router by now and has not expired yet. The cache that
+the router asks must receive an age limit (`maxage`) that excludes all copies from before the purge, which shows from
+outside that the router applied the purge. The first output line is the base port of the stand-ins (bench.fleet.World).
 """
 
 from __future__ import annotations
@@ -24,23 +24,26 @@
 
 REPORT_FILE = "caches.json"
 BODY_BYTES = 2000
-REQUEST_INTERVAL_S = 0.5  # between two requests to a router
-MIN_PURGE_AGE_S, MAX_PURGE_AGE_S = PURGE_BOUND_S + 0.1, 5.0  # since a purge: in force by now, and not done yet
-MAX_STAMP_DELAY_S = 0.3  # of a purge's stamp behind the time when it was due
-REQUEST_CLASS, FAMILY = "clips", "0"  # without an age limit of its own
+REQUEST_INTERVAL_S = 0.5  # Time between two requests to one router.
+# A purge of an age between these is in force at every router and has not expired.
+MIN_PURGE_AGE_S, MAX_PURGE_AGE_S = PURGE_BOUND_S + 0.1, 5.0
+MAX_STAMP_DELAY_S = 0.3  # Greatest delay of a purge's stamp behind the time at which the purge was due.
+REQUEST_CLASS, FAMILY = "clips", "0"  # This class and family have no age limit of their own.
 BUDGET_MS = 3000
 
 
 def endpoint_records(port: int) -> bytes:
-    """The machines as the list service tells of them."""
+    """Return the endpoint records of the cache stand-ins, as the endpoint list service sends them."""
     world = World(lambda key, part: BODY_BYTES)
     world.base = port
     return world.records()
 
 
 class CachesReport(msgspec.Struct):
-    """`judged`: requests at machines for purged objects, of routers with control; `unlimited` of them set no limit, and
-    `too_loose` let copies of before the purge pass.
+    """Counts of the clients' requests and their results.
+
+    `judged` counts requests for purged objects from routers with control to caches. Of these, `unlimited` had no age
+    limit, and `too_loose` admitted copies from before the purge.
     """
 
     requests: int = 0
@@ -52,7 +55,7 @@
 
 
 class RouterClient:
-    """Asks one router. It connects with the first request, as a router ends a connection without one."""
+    """Client of one router. It connects at its first request, since a router closes a connection without requests."""
 
     def __init__(self, path: Path, caches: CacheStandIns) -> None:
         host, port = orjson.loads(path.read_bytes())["listen"].split(":")
@@ -93,10 +96,12 @@
 
 
 class CacheStandIns:
+    """The stand-ins for caches, and the clients that send requests to one router after another."""
+
     def __init__(self, folder: Path) -> None:
         self._folder = folder
         self.report = CachesReport()
-        self.router_by_key: dict[int, str] = {}  # key asked for: the router
+        self.router_by_key: dict[int, str] = {}  # Name of the router asked, by the key of the open request.
         self._clients: list[RouterClient] = []
         self._turn_count = 0
         self._world = World(lambda key, part: BODY_BYTES)
@@ -115,7 +120,7 @@
         LoopingCall(self._send_next_request).start(REQUEST_INTERVAL_S / max(len(self._clients), 1))
 
     def _send_next_request(self) -> None:
-        """One router after the other."""
+        """Send a request for a purged object to the next router, or write the report at the schedule's end."""
         now = time.monotonic()
         if now >= self._schedule.end:
             write(self._folder / REPORT_FILE, self.report)
--- a/bench/scale/fleet_faults.py
+++ b/bench/scale/fleet_faults.py
@@ -1,4 +1,4 @@
-"""Whole fleets in virtual time, of some hundred routers: a joint start, a tenth that ends, a cut in halves."""
+"""Measures fleets of some hundred routers in virtual time: a joint start, a tenth that ends, a cut into two halves."""
 
 from __future__ import annotations
 
@@ -13,17 +13,17 @@
 from wickhinge.lab.many import simulation
 from wickhinge.lab.many.schedule import Fault, Schedule
 
-JOINT_START_S = 15.0  # seconds after which it is asked how much of the fleet each has heard
-CALM_S = 3.0  # seconds before a fault
-WATCH_AFTER_DEATH_S = 20.0  # seconds after a death
-CUT_S = 12.0  # seconds of a cut in two halves
-MAX_REUNION_S = 100.0  # seconds for which a reunion is waited for
+JOINT_START_S = 15.0  # Time from the joint start to the count of known routers.
+CALM_S = 3.0  # Time without faults before each fault.
+WATCH_AFTER_DEATH_S = 20.0  # Time for which a fleet is observed after a tenth of it ended.
+CUT_S = 12.0  # Length of the cut between the two halves.
+MAX_REUNION_S = 100.0  # Longest wait for all routers to know each other after a cut.
 ZONE_COUNT = 4
 
 
 @dataclass(frozen=True, slots=True)
 class RouterLoad:
-    """What one router sent and computed a second, and the seconds that the matter took."""
+    """Messages, bytes and CPU seconds of one router per second, and the duration of the observed event in seconds."""
 
     messages: float
     bytes: float
@@ -32,10 +32,10 @@
 
 
 class CountedFleet(simulation.Fleet):
-    """A fleet that spends nothing; what it sends and computes is counted, the virtual network among it."""
+    """A fleet without quota demand, whose datagrams, bytes and CPU time (with the virtual network's) are counted."""
 
     def __init__(self, routers: int, seed: int) -> None:
-        gc.collect()  # the fleet before, which is bound in circles
+        gc.collect()  # Frees the previous fleet, whose objects form reference cycles.
         super().__init__(Schedule(seed, routers, min(routers, ZONE_COUNT), (), routers, 0.0, 0.0), (without_budgets,))
         self.sends = self.bytes = 0
         self.watch = Watch()
@@ -54,14 +54,14 @@
             self.start_process(place)
 
     def start_acquainted(self) -> None:
-        """All have known each other for long."""
+        """Start all routers as if each had known every other one for a long time."""
         self.start_all()
         for process in self.processes:
             process.detector.identity.epoch = 1
         for one in self.processes:
             for other in self.processes[: one.router_index]:
                 introduce(one.detector, other.detector)
-        for process in self.processes:  # clocks have zeros of their own
+        for process in self.processes:  # Each process's clock has its own zero, so times are set per process.
             for member in process.detector.members.values():
                 member.state_since = member.last_evidence_at = process.clock
 
@@ -74,12 +74,12 @@
             self.event_queue.run(self.now + seconds)
 
     def load_per_router(self, routers: int, time: float) -> RouterLoad:
-        """Since `reset_counts`, for each of so many routers."""
+        """Return the load since `reset_counts`, divided by `routers` and by the elapsed time."""
         each = routers * max(self.now - self.since, simulation.TICK_S)
         return RouterLoad(self.sends / each, self.bytes / each, self.watch.spent / each, time)
 
     def min_alive_fraction(self) -> float:
-        """The least that any hears of the roster."""
+        """Return the smallest share of the roster that any router sees alive."""
         return min(one.detector.view(one.clock).alive_fraction for one in self.processes)
 
 
@@ -90,7 +90,7 @@
 
 
 def joint_start(size: int, seed: int) -> float:
-    """How many others each has heard, in the mean, so long after all started together."""
+    """Return the mean number of other routers that each router knows JOINT_START_S after all started together."""
     fleet = CountedFleet(size, seed)
     fleet.start_all()
     fleet.event_queue.run(JOINT_START_S)
@@ -98,7 +98,10 @@
 
 
 def death(size: int, seed: int) -> RouterLoad:
-    """A tenth of the fleet ends; time: the 99th percentile until another knows of one."""
+    """Measure the load after a tenth of the fleet ended.
+
+    `time` is the 99th percentile of the delays until a surviving router declared an ended one gone.
+    """
     dead = range(max(size // 10, 1))
     fleet = CountedFleet(size, seed)
     fleet.start_acquainted()
@@ -117,7 +120,7 @@
 
 
 def cut_in_halves(size: int, seed: int) -> tuple[RouterLoad, RouterLoad]:
-    """While two halves are cut off from each other, and from the healing until all hear all."""
+    """Measure the load during a cut into two halves, and from its end until every router sees every other one alive."""
     fleet = CountedFleet(size, seed)
     fleet.start_acquainted()
     fleet.run_for(CALM_S)
@@ -133,7 +136,7 @@
 
 
 def load_rows(mechanism: str, sizes: list[int], told: list[RouterLoad], method: str) -> list[Row]:
-    """Messages, bytes and processor time a router and second."""
+    """Return rows of the messages, bytes and CPU time of one router per second."""
 
     def one(resource: str, unit: str, take: Callable[[RouterLoad], float], how: str) -> Row:
         values = [take(each) for each in told]
--- a/bench/scale/fleet_judge.py
+++ b/bench/scale/fleet_judge.py
@@ -1,7 +1,7 @@
-"""What the hollow routers reported against what the proposer knows: delay, completeness, order, stale copies.
+"""Judges the hollow routers' reports against the accepted changes: delay, completeness, order, stale copies.
 
-A change asked for while routers were cut off, or so shortly before that it was still on its way, counts for them from
-the moment of their reunion.
+If a change was requested while a router was cut off, or so shortly before the cut that it was still in transit, its
+delay at that router counts from the end of the cut.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 
 class Pause(msgspec.Struct, frozen=True):
-    """The hollow process at `group` stood still."""
+    """A time during which a hollow process was stopped. `group` is its index in Plan.groups."""
 
     group: int
     since: float
@@ -24,7 +24,7 @@
 
 
 class Delays(msgspec.Struct):
-    """Seconds from asking to the last router, of purges and of settings, and how many there were."""
+    """Greatest seconds from a change's request to its last router, and the numbers of purges and settings."""
 
     purge_max_s: float = 0.0
     config_max_s: float = 0.0
@@ -39,8 +39,11 @@
 
 
 class Verdict(msgspec.Struct):
-    """`stale_served`: times that a router would have let a copy pass that a purge, over its grace, had voided.
-    `unequal`: routers whose changes at the end differ from the others'.
+    """Result of judging one run.
+
+    `stale_served` counts the samples of routers that would have served a copy from before a purge whose grace time was
+    over. `stale_seen` counts the records of age limits that were judged. `unequal` counts the routers whose changes at
+    the end differ from those of the largest group of equal routers.
     """
 
     quiet: Delays
@@ -48,13 +51,15 @@
     missed: int
     out_of_order: int
     stale_served: int
-    stale_seen: int  # samples that were judged
+    stale_seen: int
     unequal: int
     late_resets: int
     sample_late_max_s: float
 
 
 class Judge:
+    """Judges the reports of one run; `changes` are all changes that were accepted in it."""
+
     def __init__(
         self, changes: list[Change], cuts: list[Cut], pauses: list[Pause], quiet_until: float, grace_s: float
     ) -> None:
@@ -102,7 +107,7 @@
         return max(times)
 
     def _earliest_missing_stamps(self) -> dict[int, float]:
-        """By the number after which a router stands: when the earliest purge that it lacks was stamped."""
+        """Return, by change number, the stamp of the earliest purge that a router at this number still lacks."""
         earliest, found = float("inf"), {}
         for change in reversed(self._changes):
             found[change.number] = earliest
@@ -112,6 +117,7 @@
         return found
 
     def _is_stale(self, one: AgeLimitSample) -> bool:
+        """Whether the age limit admits a copy from before a missing purge whose grace time is over."""
         known = self._changes[self._changes_up_to(one.number) - 1].number if self._changes_up_to(one.number) else None
         stamped = self._earliest_purge_stamp if known is None else self._missing_stamp_by_number[known]
         if one.time - stamped < self._grace_s:
@@ -123,7 +129,7 @@
         return any(self._grace_s <= age <= one.limit for age in ages)
 
     def _changes_up_to(self, number: int) -> int:
-        """How many changes have numbers up to this one."""
+        """Return how many changes have numbers up to this one."""
         low, high = 0, len(self._changes)
         while low < high:
             middle = (low + high) // 2
@@ -135,11 +141,12 @@
 
 
 def overlaps_fault(fault: Cut | Pause, change: Change, bound_s: float) -> bool:
+    """Whether the change was requested during the fault, or at most `bound_s` before its start."""
     return fault.since - bound_s <= change.asked < fault.until
 
 
 class MessageRate(msgspec.Struct):
-    """Messages a second of all hollow routers: in the quiet time, and at most in a second after the reunion."""
+    """Messages a second of all hollow routers: mean of the quiet time, and maximum of one second after the cut ends."""
 
     ordinary: float
     peak: float
@@ -152,7 +159,7 @@
 def message_rate(
     reports: list[HollowReport], start: float, quiet_until: float, reunion: float, region: int | None = None
 ) -> MessageRate:
-    """Of one region's routers, or of all."""
+    """Return the message rate of one region's routers; None for `region` means all routers."""
     bins: dict[int, int] = {}
     for report in reports:
         wanted = [zone.zone for zone in report.zones if region in (None, zone.region)]
@@ -169,14 +176,14 @@
 
 
 class ByteRate(msgspec.Struct):
-    """Bytes a second of a hollow router with headers: the mean, and the worst router's worst 10 s."""
+    """Bytes a second of a hollow router, with headers: the mean, and the maximum over all routers and 10 s windows."""
 
     mean: float
     worst: float
 
 
 def byte_rate(reports: list[HollowReport], since: float, until: float, span_s: float) -> ByteRate:
-    """Between two times; the worst span counts where it lies whole between them."""
+    """Return the byte rate between two times; the maximum counts only windows that lie wholly between them."""
     total, router_seconds, worst = 0.0, 0.0, 0
     for report in reports:
         for zone in report.zones:
--- a/bench/scale/fleet_log_run.py
+++ b/bench/scale/fleet_log_run.py
@@ -1,4 +1,4 @@
-"""One run of the change log: replicas, relays, real and hollow routers as processes, changes, faults, the figures."""
+"""One run of the change log: starts all processes, proposes changes, plays faults and collects measurements."""
 
 from __future__ import annotations
 
@@ -28,14 +28,14 @@
 START_EVENT = b'"event":"changelog_start"'
 CACHES = "caches"
 KILLED_RELAY = "relay-4"
-SCHEDULE_LEAD_S = 1.0  # from the schedule's writing to its start
+SCHEDULE_LEAD_S = 1.0  # Time from writing the schedule to its start.
 END_TIMEOUT_S = 30.0
-BASELINE_ROUTERS = 2  # real routers without the change log
+BASELINE_ROUTERS = 2  # Real routers without the change log, whose CPU and memory are the baseline.
 FIRST_MEASUREMENT_DELAY_S = 1.0
 
 
 class Measurement(msgspec.Struct):
-    """What was measured at one time: of processes by the kernel, of replicas and relays by themselves."""
+    """Measurements at one time: the kernel's counts of each process, and the statuses of replicas and relays."""
 
     time: float
     usages: dict[str, ProcessUsage]
@@ -43,7 +43,7 @@
 
 
 class LogRun(msgspec.Struct):
-    """What a run gave. `moments`: at the start, at the end of the quiet time, and before the end."""
+    """Result of a run. `moments`: measurements at the start, at the end of the quiet time and at the last change."""
 
     schedule: Schedule
     reports: list[HollowReport]
@@ -58,7 +58,7 @@
 
 
 class ChangeLogFleet:
-    """The processes of one run. `play` once."""
+    """The processes of one run. Call `start`, then `run`, once each."""
 
     def __init__(self, processes: Processes, folder: Path, plan: Plan, real_routers: int, rate: float) -> None:
         self._processes, self._folder, self._plan, self._rate = processes, folder, plan, rate
@@ -72,7 +72,7 @@
         self._moments: list[Measurement] = []
 
     def start(self) -> None:
-        """Returns when all routers are informed."""
+        """Start all processes; return when every router that follows the change log is informed."""
         write(self._plan_path, self._plan)
         (self._folder / KEY_FILE).write_text("the key of the fleet run, for it alone")
         self._options = self._write_options()
--- a/bench/scale/fleet_records.py
+++ b/bench/scale/fleet_records.py
@@ -1,4 +1,4 @@
-"""Typed records that the processes of the fleet run hand to each other as JSON files. Times are CLOCK_MONOTONIC."""
+"""Records that the processes of a fleet run exchange as JSON files. All times are CLOCK_MONOTONIC seconds."""
 
 from __future__ import annotations
 
@@ -8,13 +8,13 @@
 
 import msgspec
 
-SAMPLE_INTERVAL_S = 0.5  # between two samples of a hollow router
-PEAK_RATE_WINDOW_S = 10.0  # of the worst bytes a second
+SAMPLE_INTERVAL_S = 0.5  # Time between two samples of a hollow router.
+PEAK_RATE_WINDOW_S = 10.0  # Window over which the greatest byte rate of a router is averaged.
 Record = TypeVar("Record")
 
 
 class Machine(msgspec.Struct, frozen=True):
-    """A replica or a relay."""
+    """A replica or a relay of the change log."""
 
     name: str
     region: int
@@ -23,7 +23,7 @@
 
 
 class Router(msgspec.Struct, frozen=True):
-    """A hollow router. `relays`: names in its order of preference."""
+    """Position of a hollow router. `relays` holds the names of relays in its order of preference."""
 
     name: str
     region: int
@@ -32,7 +32,9 @@
 
 
 class Cut(msgspec.Struct, frozen=True):
-    """From `since` to `until` nothing of other regions reaches `region`, nor, unless `one_way`, the other way round."""
+    """A network cut from `since` to `until`: `region` receives nothing from other regions, and unless the cut is
+    `one_way`, other regions receive nothing from it.
+    """
 
     region: int
     since: float
@@ -41,8 +43,8 @@
 
 
 class Schedule(msgspec.Struct, frozen=True):
-    """`quiet_until`: no fault before it. Changes are proposed from `start` to `last_change`, `rate` purges a second;
-    hollow routers report at `end`.
+    """Times of one run. Changes are proposed from `start` to `last_change`, at `rate` purges a second. The first fault
+    comes after `quiet_until`. Hollow routers write their reports at `end`.
     """
 
     start: float
@@ -54,9 +56,11 @@
 
 
 class Plan(msgspec.Struct, frozen=True):
-    """What every process of a run is told before its start. `block`: of its addresses. `groups`: the routers of each
-    hollow process. `plant`: a fault put in on purpose, "" for none. `service`: host and port of the flat design's.
-    `caches_port`: the first one of fleet_caches.
+    """Configuration that every process of a run reads at its start.
+
+    `block` is the second part of the run's addresses. `groups` holds the routers of each hollow process. `plant` names
+    a fault planted on purpose, or is "". `service_host` and `service_port` are the address of the flat design's
+    endpoint list service. `caches_port` is the base port of the cache stand-ins (fleet_caches).
     """
 
     folder: str
@@ -76,8 +80,9 @@
 
 
 class ZoneTimes(msgspec.Struct):
-    """Of the routers of one zone in one process, by number of the change: the latest time at which one applied it, and
-    how many did.
+    """Applied changes of one zone's routers in one process.
+
+    By the change's number, `latest` holds the time at which the last router applied it, and `counts` how many did.
     """
 
     zone: int
@@ -88,8 +93,8 @@
 
 
 class AgeLimitSample(msgspec.Struct, frozen=True):
-    """At `time`, `routers` routers had applied all up to `number` and let copies pass up to the age `limit` (seconds);
-    None: of any age.
+    """Sample of the age limit for copies: at `time`, `routers` routers had applied all changes up to `number` and would
+    serve copies up to the age `limit` in seconds, or of any age where `limit` is None.
     """
 
     time: float
@@ -99,8 +104,9 @@
 
 
 class TrafficSample(msgspec.Struct, frozen=True):
-    """Of the routers of one zone in one process, up to `time`: messages and bytes with their headers; `worst`: the most
-    bytes that one router had in the last PEAK_RATE_WINDOW_S.
+    """Traffic of one zone's routers in one process up to `time`: messages, and bytes with headers.
+
+    `worst` is the greatest number of bytes of one router in the last PEAK_RATE_WINDOW_S.
     """
 
     time: float
@@ -110,7 +116,11 @@
 
 
 class HollowReport(msgspec.Struct):
-    """What one hollow process saw. `changes`: what each number held. `last`, `digests`: of each router at the end."""
+    """Report of one hollow process.
+
+    `changes` holds the identity of each change by its number. `last` and `digests` hold each router's last change
+    number and the digest of its changes at the end.
+    """
 
     zones: list[ZoneTimes]
     vouched: list[AgeLimitSample]
@@ -128,8 +138,10 @@
 
 
 class Change(msgspec.Struct, frozen=True):
-    """A change as its proposer knows it. `identity`: the key of a purge, or the negative serial of a setting. `asked`
-    is when it was first proposed, `stamped` when the order counted it, `acknowledged` when the proposer was told.
+    """A change as its proposer knows it.
+
+    `identity` is the key of a purge, or the negative serial number of a setting. `asked` is the time of its first
+    request, `stamped` the time in its log entry, and `acknowledged` the time at which the proposer received the answer.
     """
 
     number: int
@@ -140,7 +152,7 @@
 
 
 def write(path: Path, record: object) -> None:
-    """Whole or not at all."""
+    """Write the record as JSON by replacing the file, so that a reader never sees an incomplete one."""
     new = path.with_suffix(".new")
     new.write_bytes(msgspec.json.encode(record))
     os.replace(new, path)
--- a/bench/scale/fleet_report.py
+++ b/bench/scale/fleet_report.py
@@ -1,4 +1,4 @@
-"""The figures of a fleet run and the checks on them: the last line of `python -m bench.scale fleet`."""
+"""Figures of a fleet run and the checks on them, as in the last line of `python -m bench.scale fleet`."""
 
 from __future__ import annotations
 
@@ -17,9 +17,13 @@
 
 
 class Figures(msgspec.Struct, omit_defaults=False):
-    """Of one design. `_faults`: while faults were played, from reunion for those cut off; without it: before them.
-    Delays are from the first asking, of hollow and real routers, to the last router. Bytes and messages: of a hollow
-    router, both ways, with headers. Core and memory: a real router with the design's control less one without.
+    """Figures of one design.
+
+    Names with `_faults` hold figures from the time of the faults; the same names without it, from the quiet time
+    before. A delay runs from the first request for a change to the last router, hollow or real, that applied it; for
+    routers that were cut off it runs from the end of the cut. Bytes and messages are those of one hollow router in both
+    directions, with headers. Core share and memory are those of a real router with the design's control, less those of
+    a router without.
     """
 
     purge_max_s: float
@@ -54,7 +58,10 @@
 
 
 class RoleFigures(msgspec.Struct):
-    """The worst machine of a role in the quiet time. Bytes, with headers, and messages are both ways."""
+    """Greatest figures over all machines of a role in the quiet time.
+
+    Bytes (with headers) and messages count both directions.
+    """
 
     role: str
     bytes_per_s: float | None
@@ -68,13 +75,14 @@
 
 
 def core_shares(moments: list[Measurement], place: int, prefix: str) -> list[float]:
-    """Parts of a core of the processes whose names begin so, from moment `place` to the next one."""
+    """Return the shares of a core that processes named `prefix`... used from measurement `place` to the next one."""
     before, after = moments[place].usages, moments[place + 1].usages
     found = [core_share(before, after, name) for name in before if name.startswith(prefix)]
     return [share for share in found if share is not None]
 
 
 def mean_difference(values: list[float], without: list[float]) -> float | None:
+    """Return the mean of `values` less the mean of the baseline `without`; None if either is empty."""
     return round(mean(values) - mean(without), 5) if values and without else None
 
 
@@ -85,8 +93,10 @@
 def compute_figures(
     run: LogRun | FlatRun, real: str, hollow: str, plain: list[Measurement], machines: int, routers: int
 ) -> Figures:
-    """`real` and `hollow`: how the names of these processes begin. `plain`: moments of a run with routers that have
-    no control, whose names begin with "plain".
+    """Compute the figures of a run.
+
+    `real` and `hollow` are the name prefixes of the real routers and hollow processes. `plain` holds the measurements
+    of a run with baseline routers, which have no control and whose names begin with "plain".
     """
     verdict, moments, found = run.verdict, run.moments, run.schedule
     with_control, without = core_shares(moments, 0, real), core_shares(plain, 0, "plain")
@@ -130,12 +140,12 @@
 
 
 def value_or_infinity(value: float | None) -> float:
-    """What was not measured passes no check."""
+    """Return infinity for a figure that was not measured, so that it passes no check."""
     return float("inf") if value is None else value
 
 
 def failed_checks(figures: Figures) -> list[str]:
-    """Names of the checks of the change log that its figures do not pass."""
+    """Return the names of the change log's checks that its figures fail."""
     bounds = [
         ("purge_max_s", figures.purge_max_s, PURGE_BOUND_S),
         ("purge_max_faults_s", figures.purge_max_faults_s, PURGE_BOUND_S),
@@ -157,7 +167,7 @@
 
 
 def role_figures(run: LogRun, role: str, prefix: str) -> RoleFigures:
-    """The worst of each figure over the machines of the role."""
+    """Return the maximum of each figure over the machines of the role."""
     first, second = run.moments[0], run.moments[1]
     span_s = second.time - first.time
     names = [name for name in first.statuses if name in second.statuses and name.startswith(prefix)]
@@ -177,7 +187,7 @@
 
 
 def service_figures(run: FlatRun) -> RoleFigures:
-    """The one service of the present design; its messages are those of all its watchers."""
+    """Return the figures of the flat design's one endpoint list service; its messages are those of all its watchers."""
     found = run.schedule
     messages = message_rate(run.reports, found.start, found.quiet_until, found.cuts[0].until).ordinary
     core, memory = core_shares(run.moments, 0, SERVICE), resident_mb(run.moments[1], SERVICE)
