--- a/bench/scale/fleet.py
+++ b/bench/scale/fleet.py
@@ -93,9 +93,9 @@
 
 
 def change_log_results(options: FleetOptions, run: LogRun) -> dict[str, Any]:
-    hollow = options.routers - options.real_routers
+    hollow_routers = options.routers - options.real_routers
     machines = fleet_layout.REPLICA_COUNT + fleet_layout.RELAY_COUNT
-    figures = compute_figures(run, "real", "hollow-process", run.moments, machines, hollow)
+    figures = compute_figures(run, "real", "hollow-process", run.moments, machines, hollow_routers)
     failed = failed_checks(figures) + failed_checks_without_bound(run)
     roles = [role_figures(run, "relay", "relay-"), role_figures(run, "control", "replica-")]
     return {
@@ -118,8 +118,8 @@
 
 
 def flat_results(options: FleetOptions, run: FlatRun, log: LogRun) -> dict[str, Any]:
-    hollow = options.routers - options.real_routers
-    figures: Figures = compute_figures(run, "flat-real", "flat-process", log.moments, 1, hollow)
+    hollow_routers = options.routers - options.real_routers
+    figures: Figures = compute_figures(run, "flat-real", "flat-process", log.moments, 1, hollow_routers)
     results = {f"{name}_flat": value for name, value in msgspec.to_builtins(figures).items()}
     return {
         **results,
--- a/bench/scale/fleet_caches.py
+++ b/bench/scale/fleet_caches.py
@@ -60,22 +60,22 @@
     def __init__(self, path: Path, caches: CacheStandIns) -> None:
         host, port = orjson.loads(path.read_bytes())["listen"].split(":")
         self.name, self._address, self._caches = path.stem, (host, int(port)), caches
-        self._asker: ClientConnection | None = None
-        self._connecting = False
+        self._connection: ClientConnection | None = None
+        self._is_connecting = False
 
     def _connect(self) -> None:
-        self._connecting = True
+        self._is_connecting = True
         connect(self._address, self._on_connected, self._on_connection_lost, self._connect)
 
-    def _on_connected(self, asker: ClientConnection) -> None:
-        self._asker, self._connecting = asker, False
+    def _on_connected(self, connection: ClientConnection) -> None:
+        self._connection, self._is_connecting = connection, False
 
-    def _on_connection_lost(self, asker: ClientConnection) -> None:
-        self._asker = None
+    def _on_connection_lost(self, connection: ClientConnection) -> None:
+        self._connection = None
 
     def request_object(self, key: int) -> None:
-        if self._asker is None:
-            if not self._connecting:
+        if self._connection is None:
+            if not self._is_connecting:
                 self._connect()
             return
         self._caches.report.requests += 1
@@ -87,7 +87,7 @@
             "block": "0",
             "family": FAMILY,
         }
-        self._asker.ask(REQUEST_CLASS, fields, lambda error, data, told: self._on_answer(key, error))
+        self._connection.ask(REQUEST_CLASS, fields, lambda error, data, answer_fields: self._on_answer(key, error))
 
     def _on_answer(self, key: int, error: object) -> None:
         self._caches.router_by_key.pop(key, None)
@@ -105,7 +105,7 @@
         self._clients: list[RouterClient] = []
         self._turn_count = 0
         self._world = World(lambda key, part: BODY_BYTES)
-        self._world.on_request = self._on_machine_request
+        self._world.on_request = self._on_cache_request
         print(self._world.listen(), flush=True)
         self._await_schedule()
 
@@ -115,8 +115,8 @@
             reactor.callLater(POLL_INTERVAL_S, self._await_schedule)
             return
         self._schedule = read(path, Schedule)
-        names = [*self._folder.glob("*real-*.json"), *self._folder.glob("plain-*.json")]
-        self._clients = [RouterClient(name, self) for name in sorted(names)]
+        config_paths = [*self._folder.glob("*real-*.json"), *self._folder.glob("plain-*.json")]
+        self._clients = [RouterClient(config_path, self) for config_path in sorted(config_paths)]
         LoopingCall(self._send_next_request).start(REQUEST_INTERVAL_S / max(len(self._clients), 1))
 
     def _send_next_request(self) -> None:
@@ -132,7 +132,7 @@
         if key > 0 and key not in self.router_by_key and now < self._schedule.last_change and self._clients:
             self._clients[self._turn_count % len(self._clients)].request_object(key)
 
-    def _on_machine_request(self, place: int, fields: dict[str, str], data: bytes) -> None:
+    def _on_cache_request(self, cache_index: int, fields: dict[str, str], data: bytes) -> None:
         key = int(fields.get("path", "0"), 16)
         if "real" not in self.router_by_key.get(key, ""):
             return
--- a/bench/scale/fleet_faults.py
+++ b/bench/scale/fleet_faults.py
@@ -37,21 +37,21 @@
     def __init__(self, routers: int, seed: int) -> None:
         gc.collect()  # Frees the previous fleet, whose objects form reference cycles.
         super().__init__(Schedule(seed, routers, min(routers, ZONE_COUNT), (), routers, 0.0, 0.0), (without_budgets,))
-        self.sends = self.bytes = 0
+        self.datagrams = self.bytes = 0
         self.watch = Watch()
-        self.since = 0.0
+        self.counted_since = 0.0
 
     def demand(self, process: simulation.Process, number: int) -> float:
         return 0.0
 
     def send_datagram(self, process: simulation.Process, to: int | None, data: bytes) -> None:
-        self.sends += 1
+        self.datagrams += 1
         self.bytes += len(data)
         super().send_datagram(process, to, data)
 
     def start_all(self) -> None:
-        for place in range(self.schedule.routers):
-            self.start_process(place)
+        for router_index in range(self.schedule.routers):
+            self.start_process(router_index)
 
     def start_acquainted(self) -> None:
         """Start all routers as if each had known every other one for a long time."""
@@ -66,8 +66,8 @@
                 member.state_since = member.last_evidence_at = process.clock
 
     def reset_counts(self) -> None:
-        self.sends = self.bytes = 0
-        self.watch.spent, self.since = 0.0, self.now
+        self.datagrams = self.bytes = 0
+        self.watch.spent, self.counted_since = 0.0, self.now
 
     def run_for(self, seconds: float) -> None:
         with self.watch:
@@ -75,8 +75,10 @@
 
     def load_per_router(self, routers: int, time: float) -> RouterLoad:
         """Return the load since `reset_counts`, divided by `routers` and by the elapsed time."""
-        each = routers * max(self.now - self.since, simulation.TICK_S)
-        return RouterLoad(self.sends / each, self.bytes / each, self.watch.spent / each, time)
+        router_seconds = routers * max(self.now - self.counted_since, simulation.TICK_S)
+        return RouterLoad(
+            self.datagrams / router_seconds, self.bytes / router_seconds, self.watch.spent / router_seconds, time
+        )
 
     def min_alive_fraction(self) -> float:
         """Return the smallest share of the roster that any router sees alive."""
@@ -107,16 +109,21 @@
     fleet.start_acquainted()
     fleet.run_for(CALM_S)
     fleet.reset_counts()
-    began = fleet.now
-    fleet.begin_fault(Fault("kill", began, 1e6, tuple(dead)))
+    started_at = fleet.now
+    fleet.begin_fault(Fault("kill", started_at, 1e6, tuple(dead)))
     fleet.run_for(WATCH_AFTER_DEATH_S)
-    known: dict[tuple[str, str], float] = {}
-    for when, name, _, event, more in fleet.history:
-        if event == "member_state" and more["state"] == "gone" and when > began and int(more["name"][1:]) in dead:
-            known.setdefault((name, more["name"]), when - began)
-    missing = len(dead) * (size - len(dead)) - len(known)
-    spans = sorted([*known.values(), *[WATCH_AFTER_DEATH_S] * missing])
-    return fleet.load_per_router(size - len(dead), spans[int(0.99 * (len(spans) - 1))])
+    delay_by_pair: dict[tuple[str, str], float] = {}
+    for time, name, _, event, details in fleet.history:
+        if (
+            event == "member_state"
+            and details["state"] == "gone"
+            and time > started_at
+            and int(details["name"][1:]) in dead
+        ):
+            delay_by_pair.setdefault((name, details["name"]), time - started_at)
+    missing = len(dead) * (size - len(dead)) - len(delay_by_pair)
+    delays_s = sorted([*delay_by_pair.values(), *[WATCH_AFTER_DEATH_S] * missing])
+    return fleet.load_per_router(size - len(dead), delays_s[int(0.99 * (len(delays_s) - 1))])
 
 
 def cut_in_halves(size: int, seed: int) -> tuple[RouterLoad, RouterLoad]:
@@ -127,25 +134,25 @@
     fleet.reset_counts()
     fleet.begin_fault(Fault("cut", fleet.now, CUT_S, tuple(range(size // 2)), tuple(range(size // 2, size))))
     fleet.run_for(CUT_S)
-    meanwhile = fleet.load_per_router(size, CUT_S)
+    load_during_cut = fleet.load_per_router(size, CUT_S)
     fleet.reset_counts()
-    healed = fleet.now
-    while fleet.min_alive_fraction() < 1.0 and fleet.now < healed + MAX_REUNION_S:
+    healed_at = fleet.now
+    while fleet.min_alive_fraction() < 1.0 and fleet.now < healed_at + MAX_REUNION_S:
         fleet.run_for(0.5)
-    return meanwhile, fleet.load_per_router(size, fleet.now - healed)
+    return load_during_cut, fleet.load_per_router(size, fleet.now - healed_at)
 
 
-def load_rows(mechanism: str, sizes: list[int], told: list[RouterLoad], method: str) -> list[Row]:
+def load_rows(mechanism: str, sizes: list[int], loads: list[RouterLoad], method: str) -> list[Row]:
     """Return rows of the messages, bytes and CPU time of one router per second."""
 
-    def one(resource: str, unit: str, take: Callable[[RouterLoad], float], how: str) -> Row:
-        values = [take(each) for each in told]
-        return row(mechanism, "router", resource, "routers", sizes, values, unit, "virtual", f"{method}: {how}")
+    def load_row(resource: str, unit: str, get_value: Callable[[RouterLoad], float], detail: str) -> Row:
+        values = [get_value(load) for load in loads]
+        return row(mechanism, "router", resource, "routers", sizes, values, unit, "virtual", f"{method}: {detail}")
 
     return [
-        one("messages", "1/s", lambda each: each.messages, "datagrams sent"),
-        one("bytes", "B/s", lambda each: each.bytes, "sent, without headers"),
-        one("cpu", "core", lambda each: each.cpu, "thread CPU of the whole fleet and its network, a router"),
+        load_row("messages", "1/s", lambda load: load.messages, "datagrams sent"),
+        load_row("bytes", "B/s", lambda load: load.bytes, "sent, without headers"),
+        load_row("cpu", "core", lambda load: load.cpu, "thread CPU of the whole fleet and its network, a router"),
     ]
 
 
@@ -153,10 +160,10 @@
     starts = [20, 30, 40, 50] if meter.quick else [100, 200, 400, 800]
     deaths = [10, 20, 30, 40] if meter.quick else [10, 50, 100, 200, 400]
     cuts = [6, 8, 12, 16] if meter.quick else [50, 100, 200, 400]
-    heard = [joint_start(size, meter.seed) for size in starts]
-    ended = [death(size, meter.seed) for size in deaths]
-    apart = [cut_in_halves(size, meter.seed) for size in cuts]
-    reunions = [one[1] for one in apart]
+    known_counts = [joint_start(size, meter.seed) for size in starts]
+    death_loads = [death(size, meter.seed) for size in deaths]
+    cut_loads = [cut_in_halves(size, meter.seed) for size in cuts]
+    reunions = [one[1] for one in cut_loads]
     return [
         row(
             "joint_start",
@@ -164,7 +171,7 @@
             "state",
             "routers",
             starts,
-            heard,
+            known_counts,
             "others heard",
             "virtual",
             f"mean, {JOINT_START_S:g} s after all started together",
@@ -175,13 +182,13 @@
             "time",
             "routers",
             deaths,
-            [one.time for one in ended],
+            [one.time for one in death_loads],
             "s",
             "virtual",
             f"a tenth ends: 99th percentile until another knows, {WATCH_AFTER_DEATH_S:g} s at most",
         ),
-        *load_rows("death", deaths, ended, f"a tenth ends, the {WATCH_AFTER_DEATH_S:g} s after"),
-        *load_rows("parted", cuts, [one[0] for one in apart], f"halves cut for {CUT_S:g} s, meanwhile"),
+        *load_rows("death", deaths, death_loads, f"a tenth ends, the {WATCH_AFTER_DEATH_S:g} s after"),
+        *load_rows("parted", cuts, [one[0] for one in cut_loads], f"halves cut for {CUT_S:g} s, meanwhile"),
         *load_rows("reunion", cuts, reunions, "from the healing until all hear all"),
         row(
             "reunion",
--- a/bench/scale/fleet_flat.py
+++ b/bench/scale/fleet_flat.py
@@ -1,10 +1,9 @@
-"""The present design: hollow routers that each watch one service by TCP.
+"""Runs hollow routers of the flat design in one process: python -m bench.scale.fleet_flat PLAN INDEX
 
-    python -m bench.scale.fleet_flat PLAN PLACE    hollow routers, on the router's own `net.control.endpoint_watch`
-
-A region's cut is played at the routers: its connections stand still, and no new one comes up, until the reunion. A
-setting is a list change of one machine. Headers: 20 bytes of IP, 32 of TCP with time stamps, each segment either way as
-the kernel counted it.
+Every router watches one endpoint list service over TCP with the product's own `net.control.endpoint_watch`. INDEX is
+the index of the process in Plan.groups. The cut of a region is played at its routers: until it ends, their connections
+read nothing, and no new connection is made. A list change of one endpoint stands in for a setting. Bytes with headers
+count 20 bytes of IP and 32 bytes of TCP with timestamps for each segment that the kernel counted in either direction.
 """
 
 from __future__ import annotations
@@ -25,16 +24,17 @@
 from wickhinge.net.runtime.loop import install
 
 CONNECT_TIMEOUT_S = 0.4
-IP_AND_TCP_HEADER_BYTES = 52  # bytes of a segment's headers
+IP_AND_TCP_HEADER_BYTES = 52  # Headers of one segment.
 HANDSHAKE_SEGMENTS = 3
 SERVICE_REGION = 0
 TCP_INFO_BYTES = 144
-TCP_INFO_COUNTERS = Struct("=QII")  # of struct tcp_info: tcpi_bytes_received, tcpi_segs_out, tcpi_segs_in
+# Fields tcpi_bytes_received, tcpi_segs_out and tcpi_segs_in of the kernel's struct tcp_info.
+TCP_INFO_COUNTERS = Struct("=QII")
 TCP_INFO_COUNTERS_OFFSET = 128
 
 
 class TcpTotals:
-    """Messages and bytes of a connection, as the kernel counts them."""
+    """Bytes of a connection: payload received, and headers of the segments of both directions, as the kernel counts."""
 
     def __init__(self, connection: socket.socket) -> None:
         info = connection.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, TCP_INFO_BYTES)
@@ -43,13 +43,13 @@
 
 
 class CutWatch(EndpointWatch):
-    """A watch whose connection stands still, and does not come up again, while `cut()`."""
+    """Endpoint watch that reads nothing and makes no new connection while its region is cut off."""
 
     def __init__(self, *arguments: Any, group: FlatGroup, router: Router) -> None:
         super().__init__(*arguments)
         self._group, self._router = group, router
         self.frame_count = self.connection_count = 0
-        self._ended_connections_bytes = 0  # of connections that ended
+        self._ended_connections_bytes = 0
 
     def is_cut_off(self) -> bool:
         schedule = self._group.network.schedule
@@ -99,11 +99,11 @@
 
 
 class RecordingListener:
-    """Records when a router heard of each event."""
+    """Records the time at which a router received each event."""
 
-    def __init__(self, recorder: Recorder, place: int) -> None:
-        self._recorder, self._place = recorder, place
-        self.watch: CutWatch | None = None  # known once it is made
+    def __init__(self, recorder: Recorder, index: int) -> None:
+        self._recorder, self._index = recorder, index
+        self.watch: CutWatch | None = None  # Set by the creator of the watch, which needs the listener first.
 
     def endpoints_changed(self, records: list[EndpointRecord], *, complete: bool) -> None:
         self._record_applied(-records[0].endpoint_id)
@@ -115,29 +115,29 @@
         pass
 
     def _record_applied(self, identity: int | None) -> None:
-        self._recorder.record_applied(self._place, self.watch.last_number + 1, identity, time.monotonic())
+        self._recorder.record_applied(self._index, self.watch.last_number + 1, identity, time.monotonic())
 
 
 class FlatGroup:
-    """The routers of one process, sampled every SAMPLE_INTERVAL_S until the schedule's end."""
+    """The hollow routers of one process. It samples them every SAMPLE_INTERVAL_S until the schedule's end."""
 
-    def __init__(self, plan: Plan, place: int, reactor: Any) -> None:
+    def __init__(self, plan: Plan, index: int, reactor: Any) -> None:
         self._plan, self._reactor = plan, reactor
         self.network = Network(plan)
-        self._path = Path(plan.folder) / f"flat-{place}.json"
-        self._recorder = Recorder(plan.groups[place])
-        self._has_started = [False] * len(plan.groups[place])
+        self._path = Path(plan.folder) / f"flat-{index}.json"
+        self._recorder = Recorder(plan.groups[index])
+        self._has_started = [False] * len(plan.groups[index])
         deadlines = Deadlines(reactor, lambda text: print(text, file=sys.stderr))
-        self._watches = [self._make_watch(number, one, deadlines) for number, one in enumerate(plan.groups[place])]
+        self._watches = [self._make_watch(number, one, deadlines) for number, one in enumerate(plan.groups[index])]
         self._is_ready = False
 
-    def _make_watch(self, place: int, router: Router, deadlines: Deadlines) -> CutWatch:
+    def _make_watch(self, index: int, router: Router, deadlines: Deadlines) -> CutWatch:
         settings = WatchSettings((self._plan.service_host, self._plan.service_port), 0, CONNECT_TIMEOUT_S)
-        recording = RecordingListener(self._recorder, place)
+        listener = RecordingListener(self._recorder, index)
         watch = CutWatch(
-            self._reactor, deadlines, settings, recording, lambda event, **fields: None, group=self, router=router
+            self._reactor, deadlines, settings, listener, lambda event, **fields: None, group=self, router=router
         )
-        recording.watch = watch
+        listener.watch = watch
         return watch
 
     def start(self) -> None:
@@ -158,9 +158,9 @@
             print(READY_LINE, flush=True)
         if schedule is not None:
             messages = [watch.frame_count + watch.connection_count for watch in self._watches]
-            sizes = [watch.total_bytes() for watch in self._watches]
-            # The present design sets no limit where it has heard nothing for long: any copy passes.
-            self._recorder.record_sample(now, [None] * len(sizes), messages, sizes)
+            byte_counts = [watch.total_bytes() for watch in self._watches]
+            # The flat design sets no age limit however long a router has received nothing: it serves copies of any age.
+            self._recorder.record_sample(now, [None] * len(byte_counts), messages, byte_counts)
 
 
 def main() -> None:
--- a/bench/scale/fleet_flat_run.py
+++ b/bench/scale/fleet_flat_run.py
@@ -1,4 +1,4 @@
-"""One run of the present design: a service, hollow and real routers that watch it, a region cut off and reunited."""
+"""One run of the flat design: a service, hollow and real routers that watch it, and the cut of a region."""
 
 from __future__ import annotations
 
@@ -25,7 +25,10 @@
 
 
 class FlatRun(msgspec.Struct):
-    """As LogRun. `lag_max_s`: how late the service was at most with telling one event to all."""
+    """Result of a run, with fields as in LogRun.
+
+    `lag_max_s` is the greatest time from when an event was due until the service had sent it to all watchers.
+    """
 
     schedule: Schedule
     reports: list[HollowReport]
@@ -40,21 +43,23 @@
 
 
 class FlatFleet:
+    """The processes of one run of the flat design. Call `start`, then `run`, once each."""
+
     def __init__(self, processes: Processes, folder: Path, plan: Plan, real_routers: int) -> None:
         self._processes, self._folder, self._plan = processes, folder, plan
         self._plan_path = folder / "plan.json"
-        self._hollow = [f"flat-process-{place}" for place in range(len(plan.groups))]
-        self._real = [f"flat-real-{place}" for place in range(real_routers)]
+        self._hollow = [f"flat-process-{index}" for index in range(len(plan.groups))]
+        self._real = [f"flat-real-{index}" for index in range(real_routers)]
         self._moments: list[Measurement] = []
 
     def start(self) -> None:
-        """Returns when all routers watch the service."""
+        """Start all processes; return when every hollow router watches the service and every real router is open."""
         write(self._plan_path, self._plan)
         start_service(self._processes, self._plan_path)
-        for place, name in enumerate(self._hollow):
-            self._processes.start(name, "-m", "bench.scale.fleet_flat", str(self._plan_path), str(place))
-        for place, name in enumerate(self._real):
-            fleet_real.start_router(self._processes, self._folder, self._plan, name, place, with_log=False)
+        for index, name in enumerate(self._hollow):
+            self._processes.start(name, "-m", "bench.scale.fleet_flat", str(self._plan_path), str(index))
+        for index, name in enumerate(self._real):
+            fleet_real.start_router(self._processes, self._folder, self._plan, name, index, with_log=False)
         self._processes.wait_for_output(self._hollow, READY_LINE.encode())
         self._processes.wait_for_output(self._real, fleet_real.LISTENER_OPENED_EVENT)
 
@@ -83,7 +88,7 @@
 
     def _result(self, schedule: Schedule, pauses: list[Pause]) -> FlatRun:
         changes = read(self._folder / CHANGES_FILE, list[Change])
-        reports = [read(self._folder / f"flat-{place}.json", HollowReport) for place in range(len(self._hollow))]
+        reports = [read(self._folder / f"flat-{index}.json", HollowReport) for index in range(len(self._hollow))]
         outputs = [self._processes.output(name) for name in self._real]
         return FlatRun(
             schedule,
@@ -100,12 +105,13 @@
 
 
 def start_caches(processes: Processes, folder: Path) -> int:
-    """The port of its machines."""
+    """Start the cache stand-ins and return their base port."""
     processes.start(CACHES, "-m", "bench.scale.fleet_caches", str(folder))
     processes.wait_for_output([CACHES], b"\n")
     return int(processes.output(CACHES).read_text().split()[0])
 
 
 def start_service(processes: Processes, plan_path: Path) -> None:
+    """Start the endpoint list service; return when it listens."""
     processes.start(SERVICE, "-m", "bench.scale.fleet_service", str(plan_path))
     processes.wait_for_output([SERVICE], b"\n")
--- a/bench/scale/fleet_hollow.py
+++ b/bench/scale/fleet_hollow.py
@@ -1,7 +1,8 @@
-"""Hollow routers, many in a process: python -m bench.scale.fleet_hollow PLAN PLACE
+"""Runs many hollow routers in one process: python -m bench.scale.fleet_hollow PLAN INDEX
 
-Each follows the change log by the product's own deciding code, codec and socket, and serves no requests. The first line
-of output says that all are informed. PLACE is the process's place among the plan's groups.
+A hollow router follows the change log with the product's own protocol logic, codec and socket, and serves no requests.
+The first output line is READY_LINE, written when all routers are informed. INDEX is the index of the process in
+Plan.groups.
 """
 
 from __future__ import annotations
@@ -25,10 +26,11 @@
 
 READY_LINE = "ready"
 KEY_FILE = "key"
-SKIPPED_ENTRY_INTERVAL = 50  # by the planted fault "skip"
+SKIPPED_ENTRY_INTERVAL = 50  # The planted fault "skip" drops each entry whose number is a multiple of this.
 
 
 def change_identity(change: Change) -> int | None:
+    """Return the identity of a change as in fleet_records.Change; None for kinds that the run does not propose."""
     if isinstance(change, Purge):
         return change.key
     if isinstance(change, Setting):
@@ -37,17 +39,17 @@
 
 
 class HollowRouter:
-    """One follower whose changes go to the recorder."""
+    """A hollow router: a follower of the change log that passes each change to the recorder."""
 
-    def __init__(self, place: int, router: Router, group: HollowGroup) -> None:
-        self._place, self._region, self._group, self._has_snapshot = place, router.region, group, False
+    def __init__(self, index: int, router: Router, group: HollowGroup) -> None:
+        self._index, self._region, self._group, self._has_snapshot = index, router.region, group, False
         plan = group.plan
-        known = {relay.name: (relay.host, relay.port) for relay in plan.relays}
+        relay_addresses = {relay.name: (relay.host, relay.port) for relay in plan.relays}
         self.node = FollowerEndpoint(
             EndpointConfig(
                 router.name,
                 (address(plan.block, router.region, 1), 0),
-                {name: known[name] for name in router.relays},
+                {name: relay_addresses[name] for name in router.relays},
                 [group.key],
             ),
             Runtime(group.reactor),
@@ -56,37 +58,37 @@
         )
 
     def max_copy_age_s(self) -> float | None:
-        """The greatest age of a copy that it would let pass; None: any."""
+        """Return the greatest age in seconds of a copy that the router would serve; None for any age."""
         if self._group.plan.plant == "vouch" and self._region == CUT_REGION:
             return None
         return self.node.max_copy_age_s(self._group.plan.grace_s)
 
     def apply_entry(self, entry: Entry) -> None:
-        if self._group.plan.plant == "skip" and self._place == 0 and entry.number % SKIPPED_ENTRY_INTERVAL == 0:
+        if self._group.plan.plant == "skip" and self._index == 0 and entry.number % SKIPPED_ENTRY_INTERVAL == 0:
             return
-        self._group.recorder.record_applied(self._place, entry.number, change_identity(entry.change), time.monotonic())
+        self._group.recorder.record_applied(self._index, entry.number, change_identity(entry.change), time.monotonic())
 
     def after_tick(self) -> None:
-        """Nothing is done at a tick."""
+        """Do nothing; the follower's interface requires this method."""
 
     def load_snapshot(self, snapshot: Snapshot) -> None:
         if self._has_snapshot:
             identities = {purge.key for purge in snapshot.purges if purge.key is not None}
-            self._group.recorder.record_reset(self._place, snapshot.number, identities, time.monotonic())
+            self._group.recorder.record_reset(self._index, snapshot.number, identities, time.monotonic())
         else:
             self._has_snapshot = True
-            self._group.recorder.start_at(self._place, snapshot.number)
+            self._group.recorder.start_at(self._index, snapshot.number)
 
 
 class HollowGroup:
-    """The routers of one process, sampled every SAMPLE_INTERVAL_S until the schedule's end."""
+    """The hollow routers of one process. It samples them every SAMPLE_INTERVAL_S until the schedule's end."""
 
-    def __init__(self, plan: Plan, place: int, reactor: Any, network: Network) -> None:
+    def __init__(self, plan: Plan, index: int, reactor: Any, network: Network) -> None:
         self.plan, self.reactor, self._network = plan, reactor, network
-        self._path = Path(plan.folder) / f"hollow-{place}.json"
+        self._path = Path(plan.folder) / f"hollow-{index}.json"
         self.key = (Path(plan.folder) / KEY_FILE).read_bytes().strip()
-        self.recorder = Recorder(plan.groups[place])
-        self.routers = [HollowRouter(number, one, self) for number, one in enumerate(plan.groups[place])]
+        self.recorder = Recorder(plan.groups[index])
+        self.routers = [HollowRouter(number, one, self) for number, one in enumerate(plan.groups[index])]
         self._is_ready = False
 
     def start(self) -> None:
@@ -111,11 +113,11 @@
     def _record_sample(self, now: float, limits: list[float | None]) -> None:
         counters = [router.node.counters for router in self.routers]
         messages = [one.received + one.sent for one in counters]
-        sizes = [
+        byte_counts = [
             one.received_bytes + one.sent_bytes + IP_AND_UDP_HEADER_BYTES * count
             for one, count in zip(counters, messages, strict=True)
         ]
-        self.recorder.record_sample(now, limits, messages, sizes)
+        self.recorder.record_sample(now, limits, messages, byte_counts)
 
     def _finish(self) -> None:
         nodes = [router.node for router in self.routers]
--- a/bench/scale/fleet_judge.py
+++ b/bench/scale/fleet_judge.py
@@ -87,7 +87,7 @@
         result.missed += report.missed
         result.out_of_order += report.out_of_order + report.different
         result.late_resets += report.late_resets
-        if all(one.group != group for one in self._pauses):
+        if all(pause.group != group for pause in self._pauses):
             result.sample_late_max_s = max(result.sample_late_max_s, report.late_max_s)
         for change in self._changes:
             result.out_of_order += report.changes.get(change.number, change.identity) != change.identity
@@ -97,13 +97,15 @@
                     delay_s = zone.latest[change.number] - self._delay_start(change, group, zone)
                     self._delays_of_phase(result, change).add(change.identity, delay_s)
         result.stale_seen += len(report.vouched)
-        result.stale_served += sum(one.routers for one in report.vouched if self._is_stale(one))
+        result.stale_served += sum(sample.routers for sample in report.vouched if self._is_stale(sample))
 
     def _delay_start(self, change: Change, group: int, zone: ZoneTimes) -> float:
         bound_s = PURGE_BOUND_S if change.identity >= 0 else SETTING_BOUND_S
         times = [change.asked]
         times += [cut.until for cut in self._cuts if cut.region == zone.region and overlaps_fault(cut, change, bound_s)]
-        times += [one.until for one in self._pauses if one.group == group and overlaps_fault(one, change, bound_s)]
+        times += [
+            pause.until for pause in self._pauses if pause.group == group and overlaps_fault(pause, change, bound_s)
+        ]
         return max(times)
 
     def _earliest_missing_stamps(self) -> dict[int, float]:
@@ -116,17 +118,19 @@
         self._earliest_purge_stamp = earliest
         return found
 
-    def _is_stale(self, one: AgeLimitSample) -> bool:
+    def _is_stale(self, sample: AgeLimitSample) -> bool:
         """Whether the age limit admits a copy from before a missing purge whose grace time is over."""
-        known = self._changes[self._changes_up_to(one.number) - 1].number if self._changes_up_to(one.number) else None
+        known = (
+            self._changes[self._changes_up_to(sample.number) - 1].number if self._changes_up_to(sample.number) else None
+        )
         stamped = self._earliest_purge_stamp if known is None else self._missing_stamp_by_number[known]
-        if one.time - stamped < self._grace_s:
+        if sample.time - stamped < self._grace_s:
             return False
-        if one.limit is None:
+        if sample.limit is None:
             return True
-        lacking = self._changes[self._changes_up_to(one.number) :]
-        ages = [one.time - change.stamped for change in lacking if change.identity >= 0]
-        return any(self._grace_s <= age <= one.limit for age in ages)
+        lacking = self._changes[self._changes_up_to(sample.number) :]
+        ages = [sample.time - change.stamped for change in lacking if change.identity >= 0]
+        return any(self._grace_s <= age <= sample.limit for age in ages)
 
     def _changes_up_to(self, number: int) -> int:
         """Return how many changes have numbers up to this one."""
@@ -162,15 +166,15 @@
     """Return the message rate of one region's routers; None for `region` means all routers."""
     bins: dict[int, int] = {}
     for report in reports:
-        wanted = [zone.zone for zone in report.zones if region in (None, zone.region)]
-        for zone in wanted:
+        zone_numbers = [zone.zone for zone in report.zones if region in (None, zone.region)]
+        for zone in zone_numbers:
             samples = report.traffic[zone]
             for former, sample in zip(samples, samples[1:], strict=False):
-                place = int((sample.time - start) / RATE_BIN_S)
-                bins[place] = bins.get(place, 0) + sample.messages - former.messages
-    quiet = [bins.get(place, 0) for place in range(1, int((quiet_until - start) / RATE_BIN_S))]
+                bin_index = int((sample.time - start) / RATE_BIN_S)
+                bins[bin_index] = bins.get(bin_index, 0) + sample.messages - former.messages
+    quiet = [bins.get(bin_index, 0) for bin_index in range(1, int((quiet_until - start) / RATE_BIN_S))]
     first = int((reunion - start) / RATE_BIN_S)
-    after = [bins.get(place, 0) for place in range(first, first + int(REUNION_PEAK_WINDOW_S / RATE_BIN_S))]
+    after = [bins.get(bin_index, 0) for bin_index in range(first, first + int(REUNION_PEAK_WINDOW_S / RATE_BIN_S))]
     ordinary = sum(quiet) / len(quiet) / RATE_BIN_S if quiet else 0.0
     return MessageRate(ordinary, max(after) / RATE_BIN_S)
 
@@ -187,10 +191,10 @@
     total, router_seconds, worst = 0.0, 0.0, 0
     for report in reports:
         for zone in report.zones:
-            samples = [one for one in report.traffic[zone.zone] if since <= one.time <= until]
+            samples = [sample for sample in report.traffic[zone.zone] if since <= sample.time <= until]
             if len(samples) < 2:
                 continue
             total += samples[-1].bytes - samples[0].bytes
             router_seconds += (samples[-1].time - samples[0].time) * zone.routers
-            worst = max([worst, *(one.worst for one in samples if one.time >= since + span_s)])
+            worst = max([worst, *(sample.worst for sample in samples if sample.time >= since + span_s)])
     return ByteRate(round(total / router_seconds, 1) if router_seconds else 0.0, round(worst / span_s, 1))
--- a/bench/scale/fleet_keep.py
+++ b/bench/scale/fleet_keep.py
@@ -1,4 +1,6 @@
-"""Keeps what a fleet run gave: bench/records/fleet-ROUTERS.json for docs/CAPACITY.md, and all figures beside it."""
+"""Saves the results of a fleet run: the figures for docs/CAPACITY.md in bench/records/fleet-ROUTERS.json, and the whole
+result in bench/records/fleet/ROUTERS.json.
+"""
 
 from __future__ import annotations
 
@@ -10,10 +12,10 @@
 from bench.scale.meter import reference
 from bench.scale.records import FOLDER, Measured, Record, Resource, Role, write
 
-RESULTS_FOLDER = FOLDER / "fleet"  # the last lines of the runs, whole
-NETWORK_SEED = 7  # fleet_network.Network
+RESULTS_FOLDER = FOLDER / "fleet"  # Holds the last output line of each run, unabridged.
+NETWORK_SEED = 7  # The seed of fleet_network.Network.
 
-# Key of the answer, role, resource, situation, unit.
+# Each tuple holds the key of a figure in the results, its role, resource, situation and unit.
 ROUTER_FIGURES: list[tuple[str, Role, Resource, str, str]] = [
     ("control_core_share", "router", "cpu", "ordinary", "core"),
     ("control_bytes_per_s", "router", "bytes", "ordinary", "B/s"),
@@ -32,14 +34,14 @@
 ]
 
 
-def measured_figures(answer: dict[str, Any], mechanism: str, suffix: str) -> list[Measured]:
-    def one(role: Role, resource: Resource, situation: str, value: float, unit: str, method: str) -> Measured:
+def measured_figures(results: dict[str, Any], mechanism: str, suffix: str) -> list[Measured]:
+    def make_figure(role: Role, resource: Resource, situation: str, value: float, unit: str, method: str) -> Measured:
         return Measured(
             mechanism=mechanism,
             role=role,
             resource=resource,
             situation=situation,
-            size=float(answer["routers"]),
+            size=float(results["routers"]),
             axis="routers",
             value=value,
             unit=unit,
@@ -47,30 +49,30 @@
             method=method,
         )
 
-    found = []
+    figures = []
     for key, role, resource, situation, unit in ROUTER_FIGURES:
-        if answer.get(key + suffix) is not None:
-            found.append(one(role, resource, situation, answer[key + suffix], unit, key))
-    for machine in answer.get("roles" + suffix, []):
+        if results.get(key + suffix) is not None:
+            figures.append(make_figure(role, resource, situation, results[key + suffix], unit, key))
+    for machine in results.get("roles" + suffix, []):
         for key, resource, unit in ROLE_FIGURES:
             if machine[key] is not None:
                 method = "the worst machine of the role"
-                found.append(one(machine["role"], resource, "ordinary", machine[key], unit, method))
-    return found
+                figures.append(make_figure(machine["role"], resource, "ordinary", machine[key], unit, method))
+    return figures
 
 
-def save_records(answer: dict[str, Any]) -> None:
-    name = f"fleet-{answer['routers']}"
+def save_records(results: dict[str, Any]) -> None:
+    name = f"fleet-{results['routers']}"
     record = Record(
-        run=f"python -m bench.scale fleet --routers {answer['routers']}",
+        run=f"python -m bench.scale fleet --routers {results['routers']}",
         date=time.strftime("%Y-%m-%d"),
         seed=NETWORK_SEED,
         rounds=1,
         reference_s=round(reference(), 4),
         rows=[],
-        figures=measured_figures(answer, "change_log", "") + measured_figures(answer, "flat_watch", "_flat"),
+        figures=measured_figures(results, "change_log", "") + measured_figures(results, "flat_watch", "_flat"),
     )
     write(FOLDER / f"{name}.json", record)
     RESULTS_FOLDER.mkdir(exist_ok=True)
-    whole = msgspec.json.format(msgspec.json.encode(answer), indent=1)
-    (RESULTS_FOLDER / f"{answer['routers']}.json").write_bytes(whole + b"\n")
+    whole = msgspec.json.format(msgspec.json.encode(results), indent=1)
+    (RESULTS_FOLDER / f"{results['routers']}.json").write_bytes(whole + b"\n")
--- a/bench/scale/fleet_launch.py
+++ b/bench/scale/fleet_launch.py
@@ -1,4 +1,4 @@
-"""A replica or relay behind the stand-in for the network: python -m bench.scale.fleet_launch PLAN replica ..."""
+"""Runs a replica or relay behind the simulated network: python -m bench.scale.fleet_launch PLAN replica ..."""
 
 from __future__ import annotations
 
--- a/bench/scale/fleet_log_run.py
+++ b/bench/scale/fleet_log_run.py
@@ -63,10 +63,10 @@
     def __init__(self, processes: Processes, folder: Path, plan: Plan, real_routers: int, rate: float) -> None:
         self._processes, self._folder, self._plan, self._rate = processes, folder, plan, rate
         self._plan_path = folder / "plan.json"
-        self._real = [f"real-{place}" for place in range(real_routers)]
+        self._real = [f"real-{index}" for index in range(real_routers)]
         self._not_following = self._real[:1] if plan.plant == "deaf" else []
-        self._baselines = [f"plain-{place}" for place in range(BASELINE_ROUTERS if real_routers else 0)]
-        self._hollow = [f"hollow-process-{place}" for place in range(len(plan.groups))]
+        self._baselines = [f"plain-{index}" for index in range(BASELINE_ROUTERS if real_routers else 0)]
+        self._hollow = [f"hollow-process-{index}" for index in range(len(plan.groups))]
         self._killed: list[str] = []
         self._pauses: list[Pause] = []
         self._moments: list[Measurement] = []
@@ -86,11 +86,11 @@
         self._start_routers()
 
     def _start_routers(self) -> None:
-        for place, name in enumerate(self._hollow):
-            self._processes.start(name, "-m", "bench.scale.fleet_hollow", str(self._plan_path), str(place))
-        for place, name in enumerate([*self._real, *self._baselines]):
+        for index, name in enumerate(self._hollow):
+            self._processes.start(name, "-m", "bench.scale.fleet_hollow", str(self._plan_path), str(index))
+        for index, name in enumerate([*self._real, *self._baselines]):
             follows = name in self._real and name not in self._not_following
-            fleet_real.start_router(self._processes, self._folder, self._plan, name, place, follows)
+            fleet_real.start_router(self._processes, self._folder, self._plan, name, index, follows)
         self._processes.wait_for_output(self._hollow, READY_LINE.encode())
         self._processes.wait_for_output([*self._real, *self._baselines], fleet_real.LISTENER_OPENED_EVENT)
         followers = [name for name in self._real if name not in self._not_following]
@@ -146,6 +146,7 @@
         self._moments.append(Measurement(time.monotonic(), process_usages(self._processes.pids()), statuses))
 
     def _running_replicas(self, leads: bool) -> list[str]:
+        """Return the names of running replicas that lead, or of those that do not."""
         names = [one.name for one in self._plan.replicas if one.name in self._processes.running]
         found = [one.status for one in self._client.query_servers(names) if one.status is not None]
         return [status.name for status in found if (status.state == "leader") is leads]
@@ -160,12 +161,12 @@
         self._processes.kill(name)
         self._killed.append(name)
 
-    def _restart_running_replicas(self) -> None:
+    def _restart_killed_replicas(self) -> None:
         for name in self._killed:
             self._start_machine("replica", name)
 
     def _result(self, schedule: Schedule, proposer: Proposer) -> LogRun:
-        reports = [read(self._folder / f"hollow-{place}.json", HollowReport) for place in range(len(self._hollow))]
+        reports = [read(self._folder / f"hollow-{index}.json", HollowReport) for index in range(len(self._hollow))]
         judge = Judge(proposer.accepted_changes, schedule.cuts, self._pauses, schedule.quiet_until, self._plan.grace_s)
         outputs = [self._processes.output(name) for name in self._real]
         return LogRun(
@@ -182,13 +183,13 @@
         )
 
     def _write_options(self) -> Path:
-        def listed(machines: list[Machine]) -> str:
+        def machine_list(machines: list[Machine]) -> str:
             return ", ".join(f'{{name: "{one.name}", address: "{one.host}:{one.port}"}}' for one in machines)
 
         path = self._folder / "fleet.cue"
         path.write_text(
             f'changelog: {{mode: "on", key_file: "{self._folder}/{KEY_FILE}", dir: "{self._folder}/state"\n'
-            f"grace_s: {self._plan.grace_s}, replicas: [{listed(self._plan.replicas)}]\n"
-            f"relays: [{listed(self._plan.relays)}]}}\n"
+            f"grace_s: {self._plan.grace_s}, replicas: [{machine_list(self._plan.replicas)}]\n"
+            f"relays: [{machine_list(self._plan.relays)}]}}\n"
         )
         return path
--- a/bench/scale/fleet_measure.py
+++ b/bench/scale/fleet_measure.py
@@ -1,4 +1,4 @@
-"""CPU seconds, memory and load, as the kernel tells of processes by their ids."""
+"""CPU seconds, memory and load of processes, read from the kernel."""
 
 from __future__ import annotations
 
@@ -15,8 +15,10 @@
 
 
 class ProcessUsage(msgspec.Struct, frozen=True):
-    """Of one process at `time`: CPU seconds so far, resident bytes, and its share of them (pages shared with others in
-    parts).
+    """CPU and memory of one process at `time`.
+
+    `cpu_s` holds the CPU seconds so far and `resident` the resident bytes. In `proportional`, each shared page is
+    divided by the number of processes that share it.
     """
 
     time: float
@@ -26,7 +28,7 @@
 
 
 def smaps_rollup_bytes(pid: int) -> dict[str, int]:
-    """Bytes by the names of /proc/PID/smaps_rollup."""
+    """Return the fields of /proc/PID/smaps_rollup in bytes, by name."""
     lines = Path(f"/proc/{pid}/smaps_rollup").read_text().splitlines()[1:]
     fields = [line.split() for line in lines]
     return {field[0].rstrip(":"): int(field[1]) * KB for field in fields if len(field) >= 2}
@@ -38,7 +40,7 @@
 
 
 def process_usages(pids: dict[str, int]) -> dict[str, ProcessUsage]:
-    """By name; without those that have ended."""
+    """Return the usage of each process by name, without processes that have ended."""
     found = {}
     for name, pid in pids.items():
         try:
@@ -49,24 +51,24 @@
 
 
 def core_share(before: dict[str, ProcessUsage], after: dict[str, ProcessUsage], name: str) -> float | None:
-    """The part of a core that a process used between two looks; None where it was not there."""
+    """Return the share of a core that a process used between two measurements; None if one lacks the process."""
     if name not in before or name not in after:
         return None
-    one, other = before[name], after[name]
-    return max(other.cpu_s - one.cpu_s, 0.0) / (other.time - one.time)
+    former, latter = before[name], after[name]
+    return max(latter.cpu_s - former.cpu_s, 0.0) / (latter.time - former.time)
 
 
 def total_memory_bytes() -> int:
     return os.sysconf("SC_PHYS_PAGES") * os.sysconf("SC_PAGE_SIZE")
 
 
-def memory_share(found: dict[str, ProcessUsage]) -> float:
-    """Of the machine's memory, of these processes and this one."""
+def memory_share(processes: dict[str, ProcessUsage]) -> float:
+    """Return the share of the machine's memory that these processes and this one use."""
     return (
-        sum(one.proportional for one in found.values()) + process_usage(os.getpid()).proportional
+        sum(usage.proportional for usage in processes.values()) + process_usage(os.getpid()).proportional
     ) / total_memory_bytes()
 
 
 def load_average() -> float:
-    """The machine's load average over a minute, whoever causes it."""
+    """Return the machine's load average over a minute, including the load of unrelated processes."""
     return round(os.getloadavg()[0], 2)
--- a/bench/scale/fleet_network.py
+++ b/bench/scale/fleet_network.py
@@ -1,7 +1,6 @@
-"""A stand-in for the network between regions, inside each process: what arrives is delayed, or dropped by a schedule.
+"""Simulates the network between regions in each process: delays datagrams that arrive, or drops them by a schedule.
 
-It takes the place of `Endpoint.datagramReceived`, so the product knows nothing of it. Its cost counts as the process's
-own.
+It replaces `Endpoint.datagramReceived`, so the product's code is unchanged. Its CPU time counts as the process's own.
 """
 
 from __future__ import annotations
@@ -20,6 +19,7 @@
 
 
 def is_link_cut(cuts: list[Cut], sender: int, receiver: int, now: float) -> bool:
+    """Whether a cut keeps traffic of region `sender` from region `receiver`."""
     for cut in cuts:
         if not cut.since <= now < cut.until:
             continue
@@ -29,7 +29,11 @@
 
 
 class Network:
-    """Delay `delay_s` to `delay_s + jitter_s` each way between two regions, none within one."""
+    """Network between regions.
+
+    Each datagram between two regions is delayed by `delay_s` to `delay_s + jitter_s`. Datagrams within a region, and
+    those from or to an address outside of all regions, are neither delayed nor dropped.
+    """
 
     def __init__(self, plan: Plan) -> None:
         self._plan = plan
@@ -44,17 +48,19 @@
         return self._regions[host]
 
     def arrival_delay_s(self, sender: str, receiver: str) -> float | None:
-        """Seconds until it arrives; None: it does not."""
-        one, other = self.region(sender), self.region(receiver)
-        if one == other or OUTSIDE_REGIONS in (one, other):
+        """Return the seconds until a datagram arrives; None if it is dropped."""
+        sender_region, receiver_region = self.region(sender), self.region(receiver)
+        if sender_region == receiver_region or OUTSIDE_REGIONS in (sender_region, receiver_region):
             return 0.0
-        if self.schedule is not None and is_link_cut(self.schedule.cuts, one, other, time.monotonic()):
+        if self.schedule is not None and is_link_cut(
+            self.schedule.cuts, sender_region, receiver_region, time.monotonic()
+        ):
             self.dropped += 1
             return None
         return self._plan.delay_s + self._random.random() * self._plan.jitter_s
 
     def watch_for_schedule(self, reactor: Any) -> None:
-        """Reads the schedule once it is there."""
+        """Read the schedule as soon as its file exists."""
         path = Path(self._plan.folder) / SCHEDULE_FILE
         if path.exists():
             self.schedule = read(path, Schedule)
@@ -63,16 +69,16 @@
 
 
 def intercept_datagrams(network: Network) -> None:
-    """From now on each node of this process receives by `network`."""
-    received = Endpoint.datagramReceived
+    """Pass all datagrams that endpoints of this process receive through `network` from now on."""
+    deliver = Endpoint.datagramReceived
 
     def datagram_received(node: Endpoint, datagram: bytes, sender: tuple[str, int]) -> None:
         delay_s = network.arrival_delay_s(sender[0], node.address[0])
         if delay_s is None:
             return
         if delay_s:
-            node.reactor.callLater(delay_s, received, node, datagram, sender)
+            node.reactor.callLater(delay_s, deliver, node, datagram, sender)
         else:
-            received(node, datagram, sender)
+            deliver(node, datagram, sender)
 
     Endpoint.datagramReceived = datagram_received  # type: ignore[method-assign]
--- a/bench/scale/fleet_processes.py
+++ b/bench/scale/fleet_processes.py
@@ -1,6 +1,6 @@
-"""Processes of the fleet run: started, waited for, measured, and each ended by its own id, however the run ends.
+"""Starts and awaits the processes of a fleet run, and ends each by its own id, however the run ends.
 
-The kernel ends them, too, where the run itself is killed.
+If the run itself is killed, the kernel kills its child processes.
 """
 
 from __future__ import annotations
@@ -19,22 +19,29 @@
 POLL_INTERVAL_S = 0.05
 MAX_PROCESSES = 60
 PR_SET_PDEATHSIG = 1
-INTERRUPTS = (signal.SIGINT, signal.SIGTERM)
+INTERRUPT_SIGNALS = (signal.SIGINT, signal.SIGTERM)
 LIBC = ctypes.CDLL(None)
 
 
 class ProcessError(Exception):
-    """A process ended, or did not say in time that it was ready; the text names it and its last lines."""
+    """A process could not be started, ended early, or was not ready or did not end in time.
+
+    The message names the process and quotes the end of its output.
+    """
 
 
 def end_with_parent() -> None:
+    """Ask the kernel to kill this process when its parent ends."""
     LIBC.prctl(PR_SET_PDEATHSIG, signal.SIGKILL)
 
 
 class Processes:
-    """A context manager. `folder`: for their output, a file each. Within it SIGTERM is like SIGINT: KeyboardInterrupt,
-    so that all are ended. While a process is started or ended the exception waits: raised in a callback of fork it
-    would be lost, and the process with it. To be used by the main thread.
+    """Context manager that owns the processes of a run and kills all of them at its end.
+
+    Each process writes its output to a file of its own in `folder`. Within the context, SIGTERM raises
+    KeyboardInterrupt as SIGINT does, so that all processes are killed. The exception is deferred while a process is
+    started or killed: if it were raised in a callback of fork it would be lost, and the new process would never be
+    killed. Only the main thread may use this class.
     """
 
     def __init__(self, folder: Path) -> None:
@@ -45,7 +52,7 @@
         self._defers_interrupts = self._interrupted = False
 
     def __enter__(self) -> Processes:
-        self._former_handlers = {number: signal.signal(number, self._on_signal) for number in INTERRUPTS}
+        self._former_handlers = {number: signal.signal(number, self._on_signal) for number in INTERRUPT_SIGNALS}
         return self
 
     def _on_signal(self, number: int, frame: FrameType | None) -> None:
@@ -64,11 +71,13 @@
             raise KeyboardInterrupt
 
     def start(self, name: str, *arguments: str, environment: dict[str, str] | None = None) -> None:
-        """`python WORDS`; of an earlier process of that name the output is kept."""
-        alive = sum(child.poll() is None for child in self.running.values()) + 1
-        if alive > MAX_PROCESSES:
-            raise ProcessError(f"{name}: would be process {alive} of {MAX_PROCESSES}")
-        self.peak_running = max(self.peak_running, alive)
+        """Start `python ARGUMENTS`. Output is appended to that of an earlier process of the same name."""
+        process_count = sum(child.poll() is None for child in self.running.values()) + 1
+        if process_count > MAX_PROCESSES:
+            raise ProcessError(
+                f"{name} was not started: it would be process {process_count}, and the limit is {MAX_PROCESSES}"
+            )
+        self.peak_running = max(self.peak_running, process_count)
         self._defers_interrupts = True
         try:
             child = self._spawn(name, arguments, environment or {})
@@ -95,16 +104,24 @@
         return self._folder / f"{name}.log"
 
     def wait_for_output(self, names: list[str], text_to_find: bytes) -> None:
-        """Until the output of each holds the text. Raises ProcessError."""
+        """Wait until the output of each process contains the text.
+
+        Raises:
+            ProcessError: A process ended or did not write the text in time.
+        """
         deadline = time.monotonic() + START_TIMEOUT_S
         for name in names:
             while text_to_find not in (text := self.output(name).read_bytes()):
                 if self.running[name].poll() is not None or time.monotonic() > deadline:
-                    raise ProcessError(f"{name}: {text[-600:].decode(errors='replace')}")
+                    raise ProcessError(f"{name} ended or was not ready in time: {text[-600:].decode(errors='replace')}")
                 time.sleep(POLL_INTERVAL_S)
 
     def wait_for_end(self, names: list[str], within_s: float) -> None:
-        """Raises ProcessError where one does not end by itself."""
+        """Wait until each process ends by itself.
+
+        Raises:
+            ProcessError: A process ended with an exit code other than 0, or did not end in time.
+        """
         deadline = time.monotonic() + within_s
         for name in names:
             try:
@@ -112,7 +129,9 @@
             except subprocess.TimeoutExpired:
                 code = -1
             if code != 0:
-                raise ProcessError(f"{name}: ended with {code}: {self.output(name).read_text()[-600:]}")
+                raise ProcessError(
+                    f"{name} has exit code {code}, not 0 (-1: still running): {self.output(name).read_text()[-600:]}"
+                )
             del self.running[name]
 
     def send_signal(self, name: str, number: signal.Signals) -> None:
@@ -124,6 +143,7 @@
         child.wait()
 
     def pids(self) -> dict[str, int]:
+        """Return the ids of the running processes by name."""
         return {name: child.pid for name, child in self.running.items() if child.poll() is None}
 
     def end_all(self) -> None:
--- a/bench/scale/fleet_proposer.py
+++ b/bench/scale/fleet_proposer.py
@@ -1,4 +1,6 @@
-"""Asks the replicas for purges and settings at a steady rate, and keeps the accepted ones."""
+"""Requests purges and settings from the replicas at a steady rate, as an operator's program does, and records those
+that were accepted.
+"""
 
 from __future__ import annotations
 
@@ -22,7 +24,7 @@
 
 
 class LeaderFirstClient(Client):
-    """A client that asks first whoever took the last change. After `stopped.set()` it asks nobody any more."""
+    """Client that first asks the replica that accepted the last change. Once `stopped` is set it sends no requests."""
 
     def __init__(self, options: Changelog) -> None:
         super().__init__(options)
@@ -31,7 +33,7 @@
 
     def _ask(self, name: str, word: str, more: bytes, attempts: int) -> bytes:
         if self.stopped.is_set():
-            raise NotAppendedError("stopped")
+            raise NotAppendedError("the proposer was stopped")
         data = super()._ask(name, word, more, attempts)
         if word == APPEND_COMMAND and name != next(iter(self.replicas)):
             if msgspec.json.decode(data, type=AppendAnswer).state in ACCEPTED_STATES:
@@ -41,7 +43,7 @@
 
 
 class Proposer:
-    """`rate`: purges a second. `settings_rate`: settings a second. `run` in a thread of its own, once."""
+    """Proposes `rate` purges and `settings_rate` settings a second. Call `run` once, in a thread of its own."""
 
     def __init__(self, client: LeaderFirstClient, rate: float, settings_rate: float) -> None:
         self._client, self._rate, self._settings_rate = client, rate, settings_rate
@@ -49,26 +51,29 @@
         self.failures: list[str] = []
 
     def stop(self) -> None:
-        """What waits for an answer is given up, so that `run` returns within a second."""
+        """Give up all open requests, so that `run` returns within a second."""
         self._client.stopped.set()
 
     def run(self, start: float, until: float) -> None:
-        """From `start` to `until`; returns when all that was asked for is answered."""
-        purges = settings = 0
+        """Propose changes from `start` to `until`; return when every request is answered or has failed."""
+        purge_count = setting_count = 0
         with ThreadPoolExecutor(MAX_CONCURRENT_APPENDS) as executor:
             while (now := time.monotonic()) < until and not self._client.stopped.is_set():
-                if now >= start + purges / self._rate:
-                    purges += 1
-                    executor.submit(self._append, purges, entries.Purge(purges, 0, 0), now)
-                if now >= start + settings / self._settings_rate:
-                    settings += 1
-                    name = f"bench.{settings % SETTING_NAME_COUNT}"
-                    change = entries.Setting(name, str(settings).encode(), 0)
-                    executor.submit(self._append, -settings, change, now)
+                if now >= start + purge_count / self._rate:
+                    purge_count += 1
+                    executor.submit(self._append, purge_count, entries.Purge(purge_count, 0, 0), now)
+                if now >= start + setting_count / self._settings_rate:
+                    setting_count += 1
+                    name = f"bench.{setting_count % SETTING_NAME_COUNT}"
+                    change = entries.Setting(name, str(setting_count).encode(), 0)
+                    executor.submit(self._append, -setting_count, change, now)
                 time.sleep(TICK_S)
 
     def _append(self, identity: int, change: entries.Change, asked: float) -> None:
-        """`asked` counts also where all threads were busy."""
+        """Append a change.
+
+        `asked` is when the change was due, even if all threads were busy then, so that the wait counts as delay.
+        """
         wall_clock_offset_s = time.time() - time.monotonic()
         try:
             answer = self._client.append(change, APPEND_TIMEOUT_S)
--- a/bench/scale/fleet_real.py
+++ b/bench/scale/fleet_real.py
@@ -1,4 +1,4 @@
-"""Real routers of the fleet run: `python -m wickhinge`, seen from outside by their log lines and by the kernel."""
+"""Real routers of a fleet run: starts `python -m wickhinge` and judges the purges in its log lines."""
 
 from __future__ import annotations
 
@@ -27,8 +27,8 @@
         return int(probe.getsockname()[1])
 
 
-def write_configuration(folder: Path, name: str, place: int, service: str) -> Path:
-    host = f"{LISTEN_NETWORK}.{place + 1}"
+def write_configuration(folder: Path, name: str, index: int, service: str) -> Path:
+    host = f"{LISTEN_NETWORK}.{index + 1}"
     configuration = json.loads((ROOT / "example/config.json").read_text())
     configuration |= {"listen": f"{host}:{free_port(host)}", "journal": service, "name": name, "settings": SETTINGS}
     path = folder / f"{name}.json"
@@ -36,29 +36,31 @@
     return path
 
 
-def write_options(folder: Path, plan: Plan, name: str, place: int) -> Path:
-    known = {relay.name: relay for relay in plan.relays}
-    relays = [known[relay] for relay in relay_order(REAL_REGION)]
-    listed = ", ".join(f'{{name: "{one.name}", address: "{one.host}:{one.port}"}}' for one in relays)
-    bind = f"{address(plan.block, REAL_REGION, FIRST_HOST_PART + place)}:{PORT}"
+def write_options(folder: Path, plan: Plan, name: str, index: int) -> Path:
+    relays_by_name = {relay.name: relay for relay in plan.relays}
+    relays = [relays_by_name[relay] for relay in relay_order(REAL_REGION)]
+    relay_list = ", ".join(f'{{name: "{one.name}", address: "{one.host}:{one.port}"}}' for one in relays)
+    bind = f"{address(plan.block, REAL_REGION, FIRST_HOST_PART + index)}:{PORT}"
     path = folder / f"{name}.cue"
     path.write_text(
         f'changelog: {{mode: "on", key_file: "{folder}/key", bind: "{bind}", grace_s: {plan.grace_s}\n'
-        f"relays: [{listed}]}}\n"
+        f"relays: [{relay_list}]}}\n"
     )
     return path
 
 
-def start_router(processes: Processes, folder: Path, plan: Plan, name: str, place: int, with_log: bool) -> None:
-    """A router that follows the change log, or one that knows nothing of it. Returns before it is open."""
+def start_router(processes: Processes, folder: Path, plan: Plan, name: str, index: int, with_log: bool) -> None:
+    """Start a router, with the change log or without; return before its listener is open."""
     service = f"{plan.service_host}:{plan.service_port}"
-    environment = {"RELAY_CONFIG": str(write_configuration(folder, name, place, service))}
+    environment = {"RELAY_CONFIG": str(write_configuration(folder, name, index, service))}
     if with_log:
-        environment["WICKHINGE_OPTIONS"] = str(write_options(folder, plan, name, place))
+        environment["WICKHINGE_OPTIONS"] = str(write_options(folder, plan, name, index))
     processes.start(name, "-m", "wickhinge", environment=environment)
 
 
 class RealVerdict(msgspec.Struct):
+    """Result of judging the real routers; `faults_logged` counts router faults and tracebacks in their logs."""
+
     quiet: Delays
     faults: Delays
     missed: int = 0
@@ -67,8 +69,10 @@
 
 
 def parse_purge_times(output: Path, wall_clock_offset_s: float) -> tuple[dict[int, float], int]:
-    """By key the time at which the router had the purge, in order, and how many faults it logged. Of a purge that
-    is in the log twice, as its proposer had no answer to the first, the later one counts.
+    """Return the time at which the router applied each purge, by key and in order, and the number of logged faults.
+
+    A purge may be in the change log twice, because its proposer received no answer to the first request. Then the later
+    one counts.
     """
     times: dict[int, float] = {}
     faults = 0
@@ -84,7 +88,7 @@
 
 
 def judge_routers(outputs: list[Path], changes: list[Change], quiet_until: float) -> RealVerdict:
-    """Purges alone: a router's log tells of settings, too, but not of each one's value."""
+    """Judge the purges only: a router also logs settings, but not the value of each one."""
     found = RealVerdict(Delays(), Delays())
     wall_clock_offset_s = time.time() - time.monotonic()
     purges = sorted((change for change in changes if change.identity >= 0), key=lambda change: change.number)
--- a/bench/scale/fleet_recorder.py
+++ b/bench/scale/fleet_recorder.py
@@ -1,6 +1,7 @@
-"""What a hollow process notes about its routers, whichever design they follow: order, times, what they would vouch for.
+"""Records the applied changes, age limits and traffic of a hollow process's routers, for either design.
 
-Numbers are to come once each and in order, from the first one a router had. What the truth was, the driver knows.
+Each router must apply every change number once and in order, from the number of its first state on. The recorder does
+not know which changes were accepted; fleet_judge compares its report with them.
 """
 
 from __future__ import annotations
@@ -22,28 +23,35 @@
 
 
 class Recorder:
+    """Recorder of one hollow process. `index` is always the index of a router in `routers`."""
+
     def __init__(self, routers: list[Router]) -> None:
         self._routers = routers
         self._zones: dict[int, ZoneTimes] = {}
-        for one in routers:
-            self._zones.setdefault(one.zone, ZoneTimes(one.zone, one.region, 0)).routers += 1
-        self._last = [0] * len(routers)
-        self._digests = [0] * len(routers)  # over the run's changes in the order in which they were applied
+        for router in routers:
+            self._zones.setdefault(router.zone, ZoneTimes(router.zone, router.region, 0)).routers += 1
+        self._last_numbers = [0] * len(routers)
+        self._digests = [0] * len(routers)  # Checksum of each router's changes in the order of application.
         self._changes: dict[int, int] = {}
         self._out_of_order = self._different = self._missed = self._late_resets = 0
         self._vouched: list[AgeLimitSample] = []
         self._traffic: dict[int, list[TrafficSample]] = {zone: [] for zone in self._zones}
-        self._recent: list[deque[int]] = [deque(maxlen=SAMPLES_PER_WINDOW + 1) for _ in routers]
+        self._recent_bytes: list[deque[int]] = [deque(maxlen=SAMPLES_PER_WINDOW + 1) for _ in routers]
         self._last_sample_at = 0.0
-        self.late_max_s = 0.0  # of a sample: how busy the process, or the machine, was
+        self._max_sample_delay_s = (
+            0.0  # Greatest delay of a sample, which shows how busy the process or the machine was.
+        )
 
-    def start_at(self, place: int, number: int) -> None:
-        """The router's first state holds all up to `number`."""
-        self._last[place] = number
+    def start_at(self, index: int, number: int) -> None:
+        """Record that the router's first state holds all changes up to `number`."""
+        self._last_numbers[index] = number
 
-    def record_applied(self, place: int, number: int, identity: int | None, now: float) -> None:
-        """`identity` of the change as in Change; None: of a kind that the run does not propose."""
-        last, self._last[place] = self._last[place], max(number, self._last[place])
+    def record_applied(self, index: int, number: int, identity: int | None, now: float) -> None:
+        """Record that a router applied a change.
+
+        `identity` is as in fleet_records.Change, or None for a kind of change that the run does not propose.
+        """
+        last, self._last_numbers[index] = self._last_numbers[index], max(number, self._last_numbers[index])
         if number <= last:
             self._out_of_order += 1
             return
@@ -51,33 +59,38 @@
         if identity is not None and self._changes.setdefault(number, identity) != identity:
             self._different += 1
         if identity is not None:
-            self._digests[place] = crc32(f"{number} {identity};".encode(), self._digests[place])
-        zone = self._zones[self._routers[place].zone]
+            self._digests[index] = crc32(f"{number} {identity};".encode(), self._digests[index])
+        zone = self._zones[self._routers[index].zone]
         zone.latest[number] = now
         zone.counts[number] = zone.counts.get(number, 0) + 1
 
-    def record_reset(self, place: int, number: int, identities: set[int], now: float) -> None:
-        """A later state replaced the log up to `number`: its purges must hold each one that others had."""
+    def record_reset(self, index: int, number: int, identities: set[int], now: float) -> None:
+        """Record that a later snapshot replaced a router's log up to `number`.
+
+        The snapshot's purges (`identities`) must include every purge that other routers applied up to there.
+        """
         self._late_resets += 1
-        for skipped in range(self._last[place] + 1, number + 1):
+        for skipped in range(self._last_numbers[index] + 1, number + 1):
             identity = self._changes.get(skipped)
             if identity is None or (identity >= 0 and identity not in identities):
                 self._missed += 1
-            self.record_applied(place, skipped, identity, now)
+            self.record_applied(index, skipped, identity, now)
 
-    def record_sample(self, now: float, limits: list[float | None], messages: list[int], sizes: list[int]) -> None:
-        """Every SAMPLE_INTERVAL_S: what each router would let pass, its messages and bytes so far."""
+    def record_sample(
+        self, now: float, limits: list[float | None], messages: list[int], byte_counts: list[int]
+    ) -> None:
+        """Record each router's age limit for copies, messages and bytes so far, once every SAMPLE_INTERVAL_S."""
         if self._last_sample_at:
-            self.late_max_s = max(self.late_max_s, now - self._last_sample_at - SAMPLE_INTERVAL_S)
+            self._max_sample_delay_s = max(self._max_sample_delay_s, now - self._last_sample_at - SAMPLE_INTERVAL_S)
         self._last_sample_at = now
-        seen = Counter(zip(self._last, limits, strict=True))
-        self._vouched += [AgeLimitSample(now, number, limit, count) for (number, limit), count in seen.items()]
+        sample_counts = Counter(zip(self._last_numbers, limits, strict=True))
+        self._vouched += [AgeLimitSample(now, number, limit, count) for (number, limit), count in sample_counts.items()]
         totals = {zone: [0, 0, 0] for zone in self._zones}
-        for place, router in enumerate(self._routers):
-            recent, total = self._recent[place], totals[router.zone]
-            recent.append(sizes[place])
-            total[0] += messages[place]
-            total[1] += sizes[place]
+        for index, router in enumerate(self._routers):
+            recent, total = self._recent_bytes[index], totals[router.zone]
+            recent.append(byte_counts[index])
+            total[0] += messages[index]
+            total[1] += byte_counts[index]
             if len(recent) > SAMPLES_PER_WINDOW:
                 total[2] = max(total[2], recent[-1] - recent[0])
         for zone, (count, size, worst) in totals.items():
@@ -93,9 +106,9 @@
             self._different,
             self._missed,
             self._late_resets,
-            list(self._last),
+            list(self._last_numbers),
             list(self._digests),
             dropped,
             unsent,
-            self.late_max_s,
+            self._max_sample_delay_s,
         )
--- a/bench/scale/fleet_report.py
+++ b/bench/scale/fleet_report.py
@@ -74,9 +74,9 @@
     return statistics.fmean(values) if values else 0.0
 
 
-def core_shares(moments: list[Measurement], place: int, prefix: str) -> list[float]:
-    """Return the shares of a core that processes named `prefix`... used from measurement `place` to the next one."""
-    before, after = moments[place].usages, moments[place + 1].usages
+def core_shares(moments: list[Measurement], index: int, prefix: str) -> list[float]:
+    """Return core shares of processes whose names begin with `prefix`, from measurement `index` to the next."""
+    before, after = moments[index].usages, moments[index + 1].usages
     found = [core_share(before, after, name) for name in before if name.startswith(prefix)]
     return [share for share in found if share is not None]
 
@@ -87,7 +87,7 @@
 
 
 def resident_mb(moment: Measurement, prefix: str) -> list[float]:
-    return [one.resident / MB for name, one in moment.usages.items() if name.startswith(prefix)]
+    return [usage.resident / MB for name, usage in moment.usages.items() if name.startswith(prefix)]
 
 
 def compute_figures(
@@ -98,14 +98,14 @@
     `real` and `hollow` are the name prefixes of the real routers and hollow processes. `plain` holds the measurements
     of a run with baseline routers, which have no control and whose names begin with "plain".
     """
-    verdict, moments, found = run.verdict, run.moments, run.schedule
+    verdict, moments, schedule = run.verdict, run.moments, run.schedule
     with_control, without = core_shares(moments, 0, real), core_shares(plain, 0, "plain")
     memory = mean_difference(resident_mb(moments[-1], real), resident_mb(plain[-1], "plain"))
-    quiet = byte_rate(run.reports, found.start, found.quiet_until, PEAK_RATE_WINDOW_S)
-    faults = byte_rate(run.reports, found.quiet_until, found.end, PEAK_RATE_WINDOW_S)
-    reunion = found.cuts[0].until
-    everywhere = message_rate(run.reports, found.start, found.quiet_until, reunion)
-    region = message_rate(run.reports, found.start, found.quiet_until, reunion, CUT_REGION)
+    quiet = byte_rate(run.reports, schedule.start, schedule.quiet_until, PEAK_RATE_WINDOW_S)
+    faults = byte_rate(run.reports, schedule.quiet_until, schedule.end, PEAK_RATE_WINDOW_S)
+    reunion = schedule.cuts[0].until
+    everywhere = message_rate(run.reports, schedule.start, schedule.quiet_until, reunion)
+    region = message_rate(run.reports, schedule.start, schedule.quiet_until, reunion, CUT_REGION)
     return Figures(
         purge_max_s=round(max(verdict.quiet.purge_max_s, run.real.quiet.purge_max_s), 3),
         purge_max_faults_s=round(max(verdict.faults.purge_max_s, run.real.faults.purge_max_s), 3),
@@ -162,7 +162,7 @@
         ("memory_share", figures.memory_share, MAX_MEMORY_SHARE),
         ("machines", figures.machines, MAX_MACHINES),
     ]
-    failed = [name for name, value, most in bounds if value > most]
+    failed = [name for name, value, bound in bounds if value > bound]
     return failed + ["nothing was played"] * (figures.purges == 0 or figures.stale_samples == 0)
 
 
@@ -171,16 +171,16 @@
     first, second = run.moments[0], run.moments[1]
     span_s = second.time - first.time
     names = [name for name in first.statuses if name in second.statuses and name.startswith(prefix)]
-    moved, messages = [], []
+    byte_counts, message_counts = [], []
     for name in names:
-        one, other = first.statuses[name], second.statuses[name]
-        moved.append(other.received_bytes + other.sent_bytes - one.received_bytes - one.sent_bytes)
-        counted = [status.counters.received + status.counters.sent for status in (one, other)]
-        messages.append(counted[1] - counted[0])
+        before, after = first.statuses[name], second.statuses[name]
+        byte_counts.append(after.received_bytes + after.sent_bytes - before.received_bytes - before.sent_bytes)
+        counted = [status.counters.received + status.counters.sent for status in (before, after)]
+        message_counts.append(counted[1] - counted[0])
     return RoleFigures(
         role,
-        round(max(moved, default=0) / span_s, 1),
-        round(max(messages, default=0) / span_s, 1),
+        round(max(byte_counts, default=0) / span_s, 1),
+        round(max(message_counts, default=0) / span_s, 1),
         round(max(core_shares(run.moments, 0, prefix), default=0.0), 4),
         round(max(resident_mb(second, prefix), default=0.0), 1),
     )
@@ -188,7 +188,7 @@
 
 def service_figures(run: FlatRun) -> RoleFigures:
     """Return the figures of the flat design's one endpoint list service; its messages are those of all its watchers."""
-    found = run.schedule
-    messages = message_rate(run.reports, found.start, found.quiet_until, found.cuts[0].until).ordinary
+    schedule = run.schedule
+    messages = message_rate(run.reports, schedule.start, schedule.quiet_until, schedule.cuts[0].until).ordinary
     core, memory = core_shares(run.moments, 0, SERVICE), resident_mb(run.moments[1], SERVICE)
     return RoleFigures("list_service", None, round(messages, 1), round(max(core), 4), round(max(memory), 1))
--- a/bench/scale/fleet_schedule.py
+++ b/bench/scale/fleet_schedule.py
@@ -1,4 +1,4 @@
-"""When what happens in a run, as offsets from the end of its quiet time; seconds."""
+"""Times of changes and faults in a run, in seconds from the end of its quiet time."""
 
 from __future__ import annotations
 
@@ -9,9 +9,19 @@
 
 
 class Timing(msgspec.Struct, frozen=True):
-    """`quiet_s`: without faults. Offsets from its end: a region cut off, a hollow process stopped, a relay killed and
-    started again, a replica and then the leader killed, both started again, a region that hears nothing, the last
-    change, the end. None: not played.
+    """Times of a run in seconds. A fault whose time is None is not played.
+
+    Attributes:
+        quiet_s: Length of the quiet time, in which no fault is played. All other times count from its end.
+        cut: Start and end of the cut between CUT_REGION and all other regions.
+        end: End of the run.
+        last_change: Time of the last change.
+        leader_killed: Time at which the leader is killed.
+        stopped: Times at which a hollow process is stopped and continued.
+        relay_killed: Times at which a relay is killed and started again.
+        replica_killed: Time at which a replica that does not lead is killed.
+        replicas_back: Time at which the killed replicas are started again.
+        one_way: Start and end of a cut by which ONE_WAY_REGION receives nothing from other regions.
     """
 
     quiet_s: float
--- a/bench/scale/fleet_service.py
+++ b/bench/scale/fleet_service.py
@@ -1,8 +1,9 @@
-"""The one service of the present design, as a stand-in: python -m bench.scale.fleet_service PLAN
+"""Runs a stand-in for the flat design's endpoint list service: python -m bench.scale.fleet_service PLAN
 
-Tells each watcher, over its TCP connection, the events from the number that it names on, and once a second that there
-is nothing more. By the schedule it makes purges and list changes itself and writes when each was made. Without one
-it only keeps its watchers, which are real routers then. The first line of output says that it listens.
+The service sends each watcher, over its TCP connection, all events after the number that the watcher names, and once a
+second a frame that says that there are no more. It makes purges and list changes itself, as the schedule says, and
+records their times in a file. Without a schedule it makes none and only serves its watchers, which are the real routers
+of the change log's run. The first output line is its port, written once it listens.
 """
 
 from __future__ import annotations
@@ -30,7 +31,16 @@
 TICK_S = 0.005
 CHANGES_FILE = "flat-truth.json"
 LISTEN_BACKLOG = 4096
-UNUSED_ENDPOINT_FIELDS = (0, 0, 3, 0, 0, 0, 1000, 0)  # of a machine in a list change: nobody asks it
+UNUSED_ENDPOINT_FIELDS = (
+    0,
+    0,
+    3,
+    0,
+    0,
+    0,
+    1000,
+    0,
+)  # Fields of an endpoint in a list change; no router sends requests to it.
 
 
 def encode_frame(number: int, kind: int, payload: bytes = b"") -> bytes:
@@ -38,7 +48,7 @@
 
 
 class WatcherConnection(Protocol):
-    """One connection: eight bytes name the last number had, then events go out."""
+    """Connection of one watcher: it sends the number of its last event in eight bytes, then receives events."""
 
     def __init__(self, service: EndpointListService) -> None:
         self._service, self._buffer = service, b""
@@ -57,6 +67,8 @@
 
 
 class EndpointListService(Factory):
+    """Makes events by the schedule and sends them to all watchers."""
+
     noisy = False
 
     def __init__(self, plan: Plan, reactor: Any) -> None:
@@ -64,7 +76,7 @@
         self.watchers: set[WatcherConnection] = set()
         self._frames = [encode_frame(1, FrameKind.ALL_ENDPOINTS, endpoint_records(plan.caches_port))]
         self._changes: list[Change] = []
-        self._purges = self._settings = 0
+        self._purge_count = self._setting_count = 0
 
     def buildProtocol(self, addr: Any) -> WatcherConnection:
         return WatcherConnection(self)
@@ -92,7 +104,7 @@
             watcher.transport.write(data)
 
     def _make_due_changes(self) -> None:
-        """Makes what is due by the schedule."""
+        """Publish the purge and the list change that are due; at the schedule's end, write all changes and stop."""
         now, schedule = time.monotonic(), self._network.schedule
         if schedule is not None and now >= schedule.end:
             write(Path(self._plan.folder) / CHANGES_FILE, self._changes)
@@ -102,22 +114,25 @@
         if schedule is None or not schedule.start <= now < schedule.last_change:
             return
         elapsed = now - schedule.start
-        if self._purges < elapsed * self._plan.rate_flat:
-            self._purges += 1
-            due = schedule.start + self._purges / self._plan.rate_flat
-            payload = OBJECT_PURGE.pack(self._purges, int(time.time() * 1000))
-            self._publish_change(FrameKind.OBJECT_PURGED, payload, self._purges, min(due, now))
-        if self._settings < elapsed * self._plan.settings_rate:
-            self._settings += 1
+        if self._purge_count < elapsed * self._plan.rate_flat:
+            self._purge_count += 1
+            due = schedule.start + self._purge_count / self._plan.rate_flat
+            payload = OBJECT_PURGE.pack(self._purge_count, int(time.time() * 1000))
+            self._publish_change(FrameKind.OBJECT_PURGED, payload, self._purge_count, min(due, now))
+        if self._setting_count < elapsed * self._plan.settings_rate:
+            self._setting_count += 1
             self._publish_change(
                 FrameKind.CHANGED_ENDPOINTS,
-                ENDPOINT_RECORD.pack(self._settings, *UNUSED_ENDPOINT_FIELDS),
-                -self._settings,
+                ENDPOINT_RECORD.pack(self._setting_count, *UNUSED_ENDPOINT_FIELDS),
+                -self._setting_count,
                 now,
             )
 
     def _publish_change(self, kind: int, payload: bytes, identity: int, asked: float) -> None:
-        """`asked`: when it was due, so that a service that can't keep up shows it."""
+        """Send a change to all watchers and record it.
+
+        `asked` is the time at which the change was due, so that the delay of a service that cannot keep up is measured.
+        """
         number = len(self._frames) + 1
         data = encode_frame(number, kind, payload)
         self._frames.append(data)
--- a/tests/bench/test_fleet_judge.py
+++ b/tests/bench/test_fleet_judge.py
@@ -89,9 +89,9 @@
 
 def test_recorder_tells_gaps_repeats_and_differences():
     recorder = Recorder(TWO_ROUTERS)
-    for place in (0, 1):
-        recorder.start_at(place, 5)
-        recorder.record_applied(place, 6, 60, 1.0)
+    for index in (0, 1):
+        recorder.start_at(index, 5)
+        recorder.record_applied(index, 6, 60, 1.0)
     recorder.record_applied(0, 8, 80, 2.0)  # without 7
     recorder.record_applied(0, 6, 60, 3.0)  # again
     recorder.record_applied(1, 7, 70, 4.0)
