--- a/bench/scale/fleet.py
+++ b/bench/scale/fleet.py
@@ -161,9 +161,9 @@
     help="Number of routers, real and hollow.",
 )
 @click.option("--real-routers", default=8, show_default=True, type=click.IntRange(1, 20))
-@click.option("--rate", default=PURGES_PER_S, show_default=True, help="Purges a second in the run of the change log.")
+@click.option("--rate", default=PURGES_PER_S, show_default=True, help="Purges per second in the run of the change log.")
 @click.option(
-    "--rate-flat", default=PURGES_PER_S, show_default=True, help="Purges a second in the run of the flat design."
+    "--rate-flat", default=PURGES_PER_S, show_default=True, help="Purges per second in the run of the flat design."
 )
 @click.option("--quick", is_flag=True, help="Play fewer faults in a quarter of the time, for CI.")
 @click.option("--flat/--no-flat", default=True, help="Also play the flat design: one endpoint list service.")
--- a/bench/scale/fleet_caches.py
+++ b/bench/scale/fleet_caches.py
@@ -18,7 +18,7 @@
 from twisted.internet.task import LoopingCall
 
 from bench.fleet import ClientConnection, World, connect
-from bench.scale.fleet_judge import PURGE_BOUND_S
+from bench.scale.fleet_judge import MAX_PURGE_DELAY_S
 from bench.scale.fleet_network import POLL_INTERVAL_S, SCHEDULE_FILE
 from bench.scale.fleet_records import Schedule, read, write
 
@@ -26,7 +26,7 @@
 BODY_BYTES = 2000
 REQUEST_INTERVAL_S = 0.5  # Time between two requests to one router.
 # A purge of an age between these is in force at every router and has not expired.
-MIN_PURGE_AGE_S, MAX_PURGE_AGE_S = PURGE_BOUND_S + 0.1, 5.0
+MIN_PURGE_AGE_S, MAX_PURGE_AGE_S = MAX_PURGE_DELAY_S + 0.1, 5.0
 MAX_STAMP_DELAY_S = 0.3  # Greatest delay of a purge's stamp behind the time at which the purge was due.
 REQUEST_CLASS, FAMILY = "clips", "0"  # This class and family have no age limit of their own.
 BUDGET_MS = 3000
@@ -42,8 +42,9 @@
 class CachesReport(msgspec.Struct):
     """Counts of the clients' requests and their results.
 
-    `judged` counts requests for purged objects from routers with control to caches. Of these, `unlimited` had no age
-    limit, and `too_loose` admitted copies from before the purge.
+    `judged` counts the requests for purged objects that caches received from routers with the measured design's
+    control; baseline routers are left out. Of these, `unlimited` had no age limit, and `too_loose` admitted copies from
+    before the purge.
     """
 
     requests: int = 0
--- a/bench/scale/fleet_faults.py
+++ b/bench/scale/fleet_faults.py
@@ -38,7 +38,7 @@
         gc.collect()  # Frees the previous fleet, whose objects form reference cycles.
         super().__init__(Schedule(seed, routers, min(routers, ZONE_COUNT), (), routers, 0.0, 0.0), (without_budgets,))
         self.datagrams = self.bytes = 0
-        self.watch = Watch()
+        self.cpu_watch = Watch()
         self.counted_since = 0.0
 
     def demand(self, process: simulation.Process, number: int) -> float:
@@ -67,17 +67,17 @@
 
     def reset_counts(self) -> None:
         self.datagrams = self.bytes = 0
-        self.watch.spent, self.counted_since = 0.0, self.now
+        self.cpu_watch.spent, self.counted_since = 0.0, self.now
 
     def run_for(self, seconds: float) -> None:
-        with self.watch:
+        with self.cpu_watch:
             self.event_queue.run(self.now + seconds)
 
     def load_per_router(self, routers: int, time: float) -> RouterLoad:
         """Return the load since `reset_counts`, divided by `routers` and by the elapsed time."""
         router_seconds = routers * max(self.now - self.counted_since, simulation.TICK_S)
         return RouterLoad(
-            self.datagrams / router_seconds, self.bytes / router_seconds, self.watch.spent / router_seconds, time
+            self.datagrams / router_seconds, self.bytes / router_seconds, self.cpu_watch.spent / router_seconds, time
         )
 
     def min_alive_fraction(self) -> float:
@@ -91,7 +91,7 @@
     process.detector.attach_piggyback(lambda name: b"", lambda name, data, now: None)
 
 
-def joint_start(size: int, seed: int) -> float:
+def measure_joint_start(size: int, seed: int) -> float:
     """Return the mean number of other routers that each router knows JOINT_START_S after all started together."""
     fleet = CountedFleet(size, seed)
     fleet.start_all()
@@ -99,7 +99,7 @@
     return statistics.mean(size * one.detector.view(one.clock).alive_fraction - 1 for one in fleet.processes)
 
 
-def death(size: int, seed: int) -> RouterLoad:
+def measure_death(size: int, seed: int) -> RouterLoad:
     """Measure the load after a tenth of the fleet ended.
 
     `time` is the 99th percentile of the delays until a surviving router declared an ended one gone.
@@ -113,20 +113,20 @@
     fleet.begin_fault(Fault("kill", started_at, 1e6, tuple(dead)))
     fleet.run_for(WATCH_AFTER_DEATH_S)
     delay_by_pair: dict[tuple[str, str], float] = {}
-    for time, name, _, event, details in fleet.history:
+    for event_time, name, _, event, details in fleet.history:
         if (
             event == "member_state"
             and details["state"] == "gone"
-            and time > started_at
+            and event_time > started_at
             and int(details["name"][1:]) in dead
         ):
-            delay_by_pair.setdefault((name, details["name"]), time - started_at)
+            delay_by_pair.setdefault((name, details["name"]), event_time - started_at)
     missing = len(dead) * (size - len(dead)) - len(delay_by_pair)
     delays_s = sorted([*delay_by_pair.values(), *[WATCH_AFTER_DEATH_S] * missing])
     return fleet.load_per_router(size - len(dead), delays_s[int(0.99 * (len(delays_s) - 1))])
 
 
-def cut_in_halves(size: int, seed: int) -> tuple[RouterLoad, RouterLoad]:
+def measure_cut(size: int, seed: int) -> tuple[RouterLoad, RouterLoad]:
     """Measure the load during a cut into two halves, and from its end until every router sees every other one alive."""
     fleet = CountedFleet(size, seed)
     fleet.start_acquainted()
@@ -160,9 +160,9 @@
     starts = [20, 30, 40, 50] if meter.quick else [100, 200, 400, 800]
     deaths = [10, 20, 30, 40] if meter.quick else [10, 50, 100, 200, 400]
     cuts = [6, 8, 12, 16] if meter.quick else [50, 100, 200, 400]
-    known_counts = [joint_start(size, meter.seed) for size in starts]
-    death_loads = [death(size, meter.seed) for size in deaths]
-    cut_loads = [cut_in_halves(size, meter.seed) for size in cuts]
+    known_counts = [measure_joint_start(size, meter.seed) for size in starts]
+    death_loads = [measure_death(size, meter.seed) for size in deaths]
+    cut_loads = [measure_cut(size, meter.seed) for size in cuts]
     reunions = [one[1] for one in cut_loads]
     return [
         row(
--- a/bench/scale/fleet_flat.py
+++ b/bench/scale/fleet_flat.py
@@ -33,7 +33,7 @@
 TCP_INFO_COUNTERS_OFFSET = 128
 
 
-class TcpTotals:
+class ConnectionBytes:
     """Bytes of a connection: payload received, and headers of the segments of both directions, as the kernel counts."""
 
     def __init__(self, connection: socket.socket) -> None:
@@ -93,7 +93,7 @@
 
     def _connection_bytes(self, connection: WatchConnection) -> int:
         try:
-            return TcpTotals(connection.transport.getHandle()).bytes
+            return ConnectionBytes(connection.transport.getHandle()).bytes
         except OSError:
             return 0
 
@@ -149,7 +149,7 @@
     def _sample(self) -> None:
         now, schedule = time.monotonic(), self.network.schedule
         if schedule is not None and now >= schedule.end:
-            write(self._path, self._recorder.report(0, 0))
+            write(self._path, self._recorder.make_report(0, 0))
             self._reactor.stop()
             return
         self._reactor.callLater(SAMPLE_INTERVAL_S, self._sample)
--- a/bench/scale/fleet_flat_run.py
+++ b/bench/scale/fleet_flat_run.py
@@ -48,20 +48,20 @@
     def __init__(self, processes: Processes, folder: Path, plan: Plan, real_routers: int) -> None:
         self._processes, self._folder, self._plan = processes, folder, plan
         self._plan_path = folder / "plan.json"
-        self._hollow = [f"flat-process-{index}" for index in range(len(plan.groups))]
-        self._real = [f"flat-real-{index}" for index in range(real_routers)]
+        self._hollow_names = [f"flat-process-{index}" for index in range(len(plan.groups))]
+        self._real_names = [f"flat-real-{index}" for index in range(real_routers)]
         self._moments: list[Measurement] = []
 
     def start(self) -> None:
         """Start all processes; return when every hollow router watches the service and every real router is open."""
         write(self._plan_path, self._plan)
         start_service(self._processes, self._plan_path)
-        for index, name in enumerate(self._hollow):
+        for index, name in enumerate(self._hollow_names):
             self._processes.start(name, "-m", "bench.scale.fleet_flat", str(self._plan_path), str(index))
-        for index, name in enumerate(self._real):
+        for index, name in enumerate(self._real_names):
             fleet_real.start_router(self._processes, self._folder, self._plan, name, index, with_log=False)
-        self._processes.wait_for_output(self._hollow, READY_LINE.encode())
-        self._processes.wait_for_output(self._real, fleet_real.LISTENER_OPENED_EVENT)
+        self._processes.wait_for_output(self._hollow_names, READY_LINE.encode())
+        self._processes.wait_for_output(self._real_names, fleet_real.LISTENER_OPENED_EVENT)
 
     def run(self, timing: Timing) -> FlatRun:
         schedule = make_schedule(timing, time.monotonic() + SCHEDULE_LEAD_S, self._plan.rate_flat)
@@ -74,13 +74,13 @@
         ]
         if timing.stopped is not None:
             since, until = (schedule.quiet_until + offset for offset in timing.stopped)
-            actions.append((since, lambda: self._processes.send_signal(self._hollow[-1], signal.SIGSTOP)))
-            actions.append((until, lambda: self._processes.send_signal(self._hollow[-1], signal.SIGCONT)))
-            pauses.append(Pause(len(self._hollow) - 1, since, until))
-        for when, act in sorted(actions, key=lambda action: action[0]):
-            time.sleep(max(when - time.monotonic(), 0.0))
-            act()
-        self._processes.wait_for_end([*self._hollow, SERVICE, CACHES], timing.end + END_TIMEOUT_S)
+            actions.append((since, lambda: self._processes.send_signal(self._hollow_names[-1], signal.SIGSTOP)))
+            actions.append((until, lambda: self._processes.send_signal(self._hollow_names[-1], signal.SIGCONT)))
+            pauses.append(Pause(len(self._hollow_names) - 1, since, until))
+        for due, action in sorted(actions, key=lambda timed: timed[0]):
+            time.sleep(max(due - time.monotonic(), 0.0))
+            action()
+        self._processes.wait_for_end([*self._hollow_names, SERVICE, CACHES], timing.end + END_TIMEOUT_S)
         return self._result(schedule, pauses)
 
     def _measure(self) -> None:
@@ -88,12 +88,12 @@
 
     def _result(self, schedule: Schedule, pauses: list[Pause]) -> FlatRun:
         changes = read(self._folder / CHANGES_FILE, list[Change])
-        reports = [read(self._folder / f"flat-{index}.json", HollowReport) for index in range(len(self._hollow))]
-        outputs = [self._processes.output(name) for name in self._real]
+        reports = [read(self._folder / f"flat-{index}.json", HollowReport) for index in range(len(self._hollow_names))]
+        outputs = [self._processes.output_path(name) for name in self._real_names]
         return FlatRun(
             schedule,
             reports,
-            Judge(changes, schedule.cuts, pauses, schedule.quiet_until, self._plan.grace_s).verdict(reports),
+            Judge(changes, schedule.cuts, pauses, schedule.quiet_until, self._plan.grace_s).judge_reports(reports),
             fleet_real.judge_routers(outputs, changes, schedule.quiet_until),
             read(self._folder / REPORT_FILE, CachesReport),
             self._moments,
@@ -108,7 +108,7 @@
     """Start the cache stand-ins and return their base port."""
     processes.start(CACHES, "-m", "bench.scale.fleet_caches", str(folder))
     processes.wait_for_output([CACHES], b"\n")
-    return int(processes.output(CACHES).read_text().split()[0])
+    return int(processes.output_path(CACHES).read_text().split()[0])
 
 
 def start_service(processes: Processes, plan_path: Path) -> None:
--- a/bench/scale/fleet_hollow.py
+++ b/bench/scale/fleet_hollow.py
@@ -122,7 +122,7 @@
     def _finish(self) -> None:
         nodes = [router.node for router in self.routers]
         unsent = sum(node.counters.unsent + node.counters.over_limit for node in nodes)
-        write(self._path, self.recorder.report(self._network.dropped, unsent))
+        write(self._path, self.recorder.make_report(self._network.dropped, unsent))
         self.reactor.stop()
 
 
--- a/bench/scale/fleet_judge.py
+++ b/bench/scale/fleet_judge.py
@@ -10,7 +10,7 @@
 
 from bench.scale.fleet_records import AgeLimitSample, Change, Cut, HollowReport, ZoneTimes
 
-PURGE_BOUND_S, SETTING_BOUND_S = 3.1, 7.0
+MAX_PURGE_DELAY_S, MAX_SETTING_DELAY_S = 3.1, 7.0
 RATE_BIN_S = 1.0
 REUNION_PEAK_WINDOW_S = 6.0
 
@@ -68,7 +68,7 @@
         self._quiet_until, self._grace_s = quiet_until, grace_s
         self._missing_stamp_by_number = self._earliest_missing_stamps()
 
-    def verdict(self, reports: list[HollowReport]) -> Verdict:
+    def judge_reports(self, reports: list[HollowReport]) -> Verdict:
         result = Verdict(Delays(), Delays(), 0, 0, 0, 0, 0, 0, 0.0)
         for change in self._changes:
             delays = self._delays_of_phase(result, change)
@@ -100,7 +100,7 @@
         result.stale_served += sum(sample.routers for sample in report.vouched if self._is_stale(sample))
 
     def _delay_start(self, change: Change, group: int, zone: ZoneTimes) -> float:
-        bound_s = PURGE_BOUND_S if change.identity >= 0 else SETTING_BOUND_S
+        bound_s = MAX_PURGE_DELAY_S if change.identity >= 0 else MAX_SETTING_DELAY_S
         times = [change.asked]
         times += [cut.until for cut in self._cuts if cut.region == zone.region and overlaps_fault(cut, change, bound_s)]
         times += [
@@ -119,7 +119,7 @@
         return found
 
     def _is_stale(self, sample: AgeLimitSample) -> bool:
-        """Whether the age limit admits a copy from before a missing purge whose grace time is over."""
+        """Return whether the age limit admits a copy from before a missing purge whose grace time is over."""
         known = (
             self._changes[self._changes_up_to(sample.number) - 1].number if self._changes_up_to(sample.number) else None
         )
@@ -145,12 +145,12 @@
 
 
 def overlaps_fault(fault: Cut | Pause, change: Change, bound_s: float) -> bool:
-    """Whether the change was requested during the fault, or at most `bound_s` before its start."""
+    """Return whether the change was requested during the fault, or at most `bound_s` before its start."""
     return fault.since - bound_s <= change.asked < fault.until
 
 
 class MessageRate(msgspec.Struct):
-    """Messages a second of all hollow routers: mean of the quiet time, and maximum of one second after the cut ends."""
+    """Messages per second of all hollow routers: the mean of the quiet time, and the peak after the cut ends."""
 
     ordinary: float
     peak: float
@@ -180,14 +180,14 @@
 
 
 class ByteRate(msgspec.Struct):
-    """Bytes a second of a hollow router, with headers: the mean, and the maximum over all routers and 10 s windows."""
+    """Bytes per second of a hollow router, with headers: the mean, and the greatest of any router and time window."""
 
     mean: float
     worst: float
 
 
 def byte_rate(reports: list[HollowReport], since: float, until: float, span_s: float) -> ByteRate:
-    """Return the byte rate between two times; the maximum counts only windows that lie wholly between them."""
+    """Return the byte rate between two times; windows of `span_s` count only if they lie wholly between them."""
     total, router_seconds, worst = 0.0, 0.0, 0
     for report in reports:
         for zone in report.zones:
--- a/bench/scale/fleet_keep.py
+++ b/bench/scale/fleet_keep.py
@@ -1,5 +1,7 @@
-"""Saves the results of a fleet run: the figures for docs/CAPACITY.md in bench/records/fleet-ROUTERS.json, and the whole
-result in bench/records/fleet/ROUTERS.json.
+"""Saves the results of a fleet run.
+
+The figures for docs/CAPACITY.md go to bench/records/fleet-ROUTERS.json, and all results go to
+bench/records/fleet/ROUTERS.json.
 """
 
 from __future__ import annotations
--- a/bench/scale/fleet_layout.py
+++ b/bench/scale/fleet_layout.py
@@ -11,7 +11,7 @@
 REPLICA_COUNT, RELAY_COUNT = 5, 6
 FIRST_BLOCK, BLOCK_COUNT = 100, 100  # Range of the second part of addresses; each run uses one value.
 OUTSIDE_REGIONS = -1  # Region of addresses outside of all blocks, whose traffic is neither delayed nor cut.
-PORT = 7400
+CHANGELOG_PORT = 7400
 CUT_REGION, ONE_WAY_REGION, REAL_REGION = 3, 16, 10
 REPLICA_REGIONS = (0, 5, 9, 13, 17)  # Regions of the replicas; none of them is cut off.
 RELAY_REGIONS = (0, 3, 7, 11, 14, 18)  # Regions of the relays; the relay in CUT_REGION is cut off from all replicas.
@@ -35,14 +35,14 @@
 
 def replica_machines(block: int) -> list[Machine]:
     return [
-        Machine(f"replica-{index}", region, address(block, region, 10), PORT)
+        Machine(f"replica-{index}", region, address(block, region, 10), CHANGELOG_PORT)
         for index, region in enumerate(REPLICA_REGIONS)
     ]
 
 
 def relay_machines(block: int) -> list[Machine]:
     return [
-        Machine(f"relay-{index}", region, address(block, region, 20), PORT)
+        Machine(f"relay-{index}", region, address(block, region, 20), CHANGELOG_PORT)
         for index, region in enumerate(RELAY_REGIONS)
     ]
 
--- a/bench/scale/fleet_log_run.py
+++ b/bench/scale/fleet_log_run.py
@@ -63,11 +63,11 @@
     def __init__(self, processes: Processes, folder: Path, plan: Plan, real_routers: int, rate: float) -> None:
         self._processes, self._folder, self._plan, self._rate = processes, folder, plan, rate
         self._plan_path = folder / "plan.json"
-        self._real = [f"real-{index}" for index in range(real_routers)]
-        self._not_following = self._real[:1] if plan.plant == "deaf" else []
-        self._baselines = [f"plain-{index}" for index in range(BASELINE_ROUTERS if real_routers else 0)]
-        self._hollow = [f"hollow-process-{index}" for index in range(len(plan.groups))]
-        self._killed: list[str] = []
+        self._real_names = [f"real-{index}" for index in range(real_routers)]
+        self._names_without_log = self._real_names[:1] if plan.plant == "deaf" else []
+        self._baseline_names = [f"plain-{index}" for index in range(BASELINE_ROUTERS if real_routers else 0)]
+        self._hollow_names = [f"hollow-process-{index}" for index in range(len(plan.groups))]
+        self._killed_names: list[str] = []
         self._pauses: list[Pause] = []
         self._moments: list[Measurement] = []
 
@@ -86,14 +86,14 @@
         self._start_routers()
 
     def _start_routers(self) -> None:
-        for index, name in enumerate(self._hollow):
+        for index, name in enumerate(self._hollow_names):
             self._processes.start(name, "-m", "bench.scale.fleet_hollow", str(self._plan_path), str(index))
-        for index, name in enumerate([*self._real, *self._baselines]):
-            follows = name in self._real and name not in self._not_following
+        for index, name in enumerate([*self._real_names, *self._baseline_names]):
+            follows = name in self._real_names and name not in self._names_without_log
             fleet_real.start_router(self._processes, self._folder, self._plan, name, index, follows)
-        self._processes.wait_for_output(self._hollow, READY_LINE.encode())
-        self._processes.wait_for_output([*self._real, *self._baselines], fleet_real.LISTENER_OPENED_EVENT)
-        followers = [name for name in self._real if name not in self._not_following]
+        self._processes.wait_for_output(self._hollow_names, READY_LINE.encode())
+        self._processes.wait_for_output([*self._real_names, *self._baseline_names], fleet_real.LISTENER_OPENED_EVENT)
+        followers = [name for name in self._real_names if name not in self._names_without_log]
         self._processes.wait_for_output(followers, b'"event":"changelog_informed"')
 
     def run(self, timing: Timing) -> LogRun:
@@ -103,13 +103,13 @@
         thread = threading.Thread(target=proposer.run, args=(schedule.start, schedule.last_change), daemon=True)
         thread.start()
         try:
-            for when, act in sorted(self._actions(timing, schedule), key=lambda action: action[0]):
-                time.sleep(max(when - time.monotonic(), 0.0))
-                act()
+            for due, action in sorted(self._actions(timing, schedule), key=lambda timed: timed[0]):
+                time.sleep(max(due - time.monotonic(), 0.0))
+                action()
             thread.join(END_TIMEOUT_S)
         finally:
             proposer.stop()
-        self._processes.wait_for_end([*self._hollow, CACHES], END_TIMEOUT_S)
+        self._processes.wait_for_end([*self._hollow_names, CACHES], END_TIMEOUT_S)
         return self._result(schedule, proposer)
 
     def _actions(self, timing: Timing, schedule: Schedule) -> list[tuple[float, Callable[[], None]]]:
@@ -122,9 +122,13 @@
         ]
         if timing.stopped is not None:
             since, until = timing.stopped
-            actions.append((quiet_until + since, lambda: self._processes.send_signal(self._hollow[-1], signal.SIGSTOP)))
-            actions.append((quiet_until + until, lambda: self._processes.send_signal(self._hollow[-1], signal.SIGCONT)))
-            self._pauses.append(Pause(len(self._hollow) - 1, quiet_until + since, quiet_until + until))
+            actions.append(
+                (quiet_until + since, lambda: self._processes.send_signal(self._hollow_names[-1], signal.SIGSTOP))
+            )
+            actions.append(
+                (quiet_until + until, lambda: self._processes.send_signal(self._hollow_names[-1], signal.SIGCONT))
+            )
+            self._pauses.append(Pause(len(self._hollow_names) - 1, quiet_until + since, quiet_until + until))
         if timing.relay_killed is not None:
             since, until = timing.relay_killed
             actions.append((quiet_until + since, lambda: self._processes.kill(KILLED_RELAY)))
@@ -148,8 +152,8 @@
     def _running_replicas(self, leads: bool) -> list[str]:
         """Return the names of running replicas that lead, or of those that do not."""
         names = [one.name for one in self._plan.replicas if one.name in self._processes.running]
-        found = [one.status for one in self._client.query_servers(names) if one.status is not None]
-        return [status.name for status in found if (status.state == "leader") is leads]
+        statuses = [one.status for one in self._client.query_servers(names) if one.status is not None]
+        return [status.name for status in statuses if (status.state == "leader") is leads]
 
     def _kill_leader(self) -> None:
         self._kill_replica(self._running_replicas(leads=True)[0])
@@ -159,20 +163,22 @@
 
     def _kill_replica(self, name: str) -> None:
         self._processes.kill(name)
-        self._killed.append(name)
+        self._killed_names.append(name)
 
     def _restart_killed_replicas(self) -> None:
-        for name in self._killed:
+        for name in self._killed_names:
             self._start_machine("replica", name)
 
     def _result(self, schedule: Schedule, proposer: Proposer) -> LogRun:
-        reports = [read(self._folder / f"hollow-{index}.json", HollowReport) for index in range(len(self._hollow))]
+        reports = [
+            read(self._folder / f"hollow-{index}.json", HollowReport) for index in range(len(self._hollow_names))
+        ]
         judge = Judge(proposer.accepted_changes, schedule.cuts, self._pauses, schedule.quiet_until, self._plan.grace_s)
-        outputs = [self._processes.output(name) for name in self._real]
+        outputs = [self._processes.output_path(name) for name in self._real_names]
         return LogRun(
             schedule,
             reports,
-            judge.verdict(reports),
+            judge.judge_reports(reports),
             fleet_real.judge_routers(outputs, proposer.accepted_changes, schedule.quiet_until),
             read(self._folder / REPORT_FILE, CachesReport),
             self._moments,
--- a/bench/scale/fleet_network.py
+++ b/bench/scale/fleet_network.py
@@ -19,7 +19,7 @@
 
 
 def is_link_cut(cuts: list[Cut], sender: int, receiver: int, now: float) -> bool:
-    """Whether a cut keeps traffic of region `sender` from region `receiver`."""
+    """Return whether a cut keeps traffic of region `sender` from region `receiver`."""
     for cut in cuts:
         if not cut.since <= now < cut.until:
             continue
@@ -42,14 +42,14 @@
         self.schedule: Schedule | None = None
         self.dropped = 0
 
-    def region(self, host: str) -> int:
+    def region_of_host(self, host: str) -> int:
         if host not in self._regions:
             self._regions[host] = region_of_address(host)
         return self._regions[host]
 
     def arrival_delay_s(self, sender: str, receiver: str) -> float | None:
         """Return the seconds until a datagram arrives; None if it is dropped."""
-        sender_region, receiver_region = self.region(sender), self.region(receiver)
+        sender_region, receiver_region = self.region_of_host(sender), self.region_of_host(receiver)
         if sender_region == receiver_region or OUTSIDE_REGIONS in (sender_region, receiver_region):
             return 0.0
         if self.schedule is not None and is_link_cut(
--- a/bench/scale/fleet_processes.py
+++ b/bench/scale/fleet_processes.py
@@ -89,7 +89,7 @@
             raise KeyboardInterrupt
 
     def _spawn(self, name: str, arguments: tuple[str, ...], environment: dict[str, str]) -> subprocess.Popen[bytes]:
-        with open(self.output(name), "ab") as output:
+        with open(self.output_path(name), "ab") as output:
             return subprocess.Popen(
                 [sys.executable, *arguments],
                 cwd=ROOT,
@@ -100,7 +100,7 @@
                 preexec_fn=end_with_parent,
             )
 
-    def output(self, name: str) -> Path:
+    def output_path(self, name: str) -> Path:
         return self._folder / f"{name}.log"
 
     def wait_for_output(self, names: list[str], text_to_find: bytes) -> None:
@@ -111,7 +111,7 @@
         """
         deadline = time.monotonic() + START_TIMEOUT_S
         for name in names:
-            while text_to_find not in (text := self.output(name).read_bytes()):
+            while text_to_find not in (text := self.output_path(name).read_bytes()):
                 if self.running[name].poll() is not None or time.monotonic() > deadline:
                     raise ProcessError(f"{name} ended or was not ready in time: {text[-600:].decode(errors='replace')}")
                 time.sleep(POLL_INTERVAL_S)
@@ -130,7 +130,7 @@
                 code = -1
             if code != 0:
                 raise ProcessError(
-                    f"{name} has exit code {code}, not 0 (-1: still running): {self.output(name).read_text()[-600:]}"
+                    f"{name} has exit code {code}, not 0 (-1: running): {self.output_path(name).read_text()[-600:]}"
                 )
             del self.running[name]
 
--- a/bench/scale/fleet_proposer.py
+++ b/bench/scale/fleet_proposer.py
@@ -1,5 +1,6 @@
-"""Requests purges and settings from the replicas at a steady rate, as an operator's program does, and records those
-that were accepted.
+"""Requests purges and settings from the replicas at a steady rate and records the accepted ones.
+
+The requests are those that an operator's program sends.
 """
 
 from __future__ import annotations
@@ -43,7 +44,7 @@
 
 
 class Proposer:
-    """Proposes `rate` purges and `settings_rate` settings a second. Call `run` once, in a thread of its own."""
+    """Proposes `rate` purges and `settings_rate` settings per second. Call `run` once, in a thread of its own."""
 
     def __init__(self, client: LeaderFirstClient, rate: float, settings_rate: float) -> None:
         self._client, self._rate, self._settings_rate = client, rate, settings_rate
--- a/bench/scale/fleet_real.py
+++ b/bench/scale/fleet_real.py
@@ -12,7 +12,7 @@
 
 from bench.fleet import SETTINGS
 from bench.scale.fleet_judge import Delays
-from bench.scale.fleet_layout import PORT, REAL_REGION, address, relay_order
+from bench.scale.fleet_layout import CHANGELOG_PORT, REAL_REGION, address, relay_order
 from bench.scale.fleet_processes import ROOT, Processes
 from bench.scale.fleet_records import Change, Plan
 
@@ -40,7 +40,7 @@
     relays_by_name = {relay.name: relay for relay in plan.relays}
     relays = [relays_by_name[relay] for relay in relay_order(REAL_REGION)]
     relay_list = ", ".join(f'{{name: "{one.name}", address: "{one.host}:{one.port}"}}' for one in relays)
-    bind = f"{address(plan.block, REAL_REGION, FIRST_HOST_PART + index)}:{PORT}"
+    bind = f"{address(plan.block, REAL_REGION, FIRST_HOST_PART + index)}:{CHANGELOG_PORT}"
     path = folder / f"{name}.cue"
     path.write_text(
         f'changelog: {{mode: "on", key_file: "{folder}/key", bind: "{bind}", grace_s: {plan.grace_s}\n'
--- a/bench/scale/fleet_recorder.py
+++ b/bench/scale/fleet_recorder.py
@@ -34,13 +34,12 @@
         self._digests = [0] * len(routers)  # Checksum of each router's changes in the order of application.
         self._changes: dict[int, int] = {}
         self._out_of_order = self._different = self._missed = self._late_resets = 0
-        self._vouched: list[AgeLimitSample] = []
+        self._age_limit_samples: list[AgeLimitSample] = []
         self._traffic: dict[int, list[TrafficSample]] = {zone: [] for zone in self._zones}
         self._recent_bytes: list[deque[int]] = [deque(maxlen=SAMPLES_PER_WINDOW + 1) for _ in routers]
         self._last_sample_at = 0.0
-        self._max_sample_delay_s = (
-            0.0  # Greatest delay of a sample, which shows how busy the process or the machine was.
-        )
+        # A late sample shows that the process or the machine was busy.
+        self._max_sample_delay_s = 0.0
 
     def start_at(self, index: int, number: int) -> None:
         """Record that the router's first state holds all changes up to `number`."""
@@ -84,7 +83,9 @@
             self._max_sample_delay_s = max(self._max_sample_delay_s, now - self._last_sample_at - SAMPLE_INTERVAL_S)
         self._last_sample_at = now
         sample_counts = Counter(zip(self._last_numbers, limits, strict=True))
-        self._vouched += [AgeLimitSample(now, number, limit, count) for (number, limit), count in sample_counts.items()]
+        self._age_limit_samples += [
+            AgeLimitSample(now, number, limit, count) for (number, limit), count in sample_counts.items()
+        ]
         totals = {zone: [0, 0, 0] for zone in self._zones}
         for index, router in enumerate(self._routers):
             recent, total = self._recent_bytes[index], totals[router.zone]
@@ -96,10 +97,10 @@
         for zone, (count, size, worst) in totals.items():
             self._traffic[zone].append(TrafficSample(now, count, size, worst))
 
-    def report(self, dropped: int, unsent: int) -> HollowReport:
+    def make_report(self, dropped: int, unsent: int) -> HollowReport:
         return HollowReport(
             list(self._zones.values()),
-            self._vouched,
+            self._age_limit_samples,
             self._traffic,
             self._changes,
             self._out_of_order,
--- a/bench/scale/fleet_records.py
+++ b/bench/scale/fleet_records.py
@@ -32,8 +32,10 @@
 
 
 class Cut(msgspec.Struct, frozen=True):
-    """A network cut from `since` to `until`: `region` receives nothing from other regions, and unless the cut is
-    `one_way`, other regions receive nothing from it.
+    """A network cut between `region` and all others from `since` to `until`.
+
+    During the cut `region` receives nothing from other regions. Unless the cut is `one_way`, other regions receive
+    nothing from `region` either.
     """
 
     region: int
@@ -43,8 +45,10 @@
 
 
 class Schedule(msgspec.Struct, frozen=True):
-    """Times of one run. Changes are proposed from `start` to `last_change`, at `rate` purges a second. The first fault
-    comes after `quiet_until`. Hollow routers write their reports at `end`.
+    """Times of one run.
+
+    Changes are proposed from `start` to `last_change`, at `rate` purges per second. No fault comes before
+    `quiet_until`. Hollow routers write their reports at `end`.
     """
 
     start: float
@@ -93,8 +97,10 @@
 
 
 class AgeLimitSample(msgspec.Struct, frozen=True):
-    """Sample of the age limit for copies: at `time`, `routers` routers had applied all changes up to `number` and would
-    serve copies up to the age `limit` in seconds, or of any age where `limit` is None.
+    """Sample of the greatest age up to which routers serve copies.
+
+    At `time`, `routers` routers had applied all changes up to `number` and would serve copies up to the age `limit` in
+    seconds, or of any age where `limit` is None.
     """
 
     time: float
--- a/bench/scale/fleet_report.py
+++ b/bench/scale/fleet_report.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from bench.scale.fleet_flat_run import SERVICE, FlatRun
-from bench.scale.fleet_judge import PURGE_BOUND_S, SETTING_BOUND_S, byte_rate, message_rate
+from bench.scale.fleet_judge import MAX_PURGE_DELAY_S, MAX_SETTING_DELAY_S, byte_rate, message_rate
 from bench.scale.fleet_layout import CUT_REGION
 from bench.scale.fleet_log_run import LogRun, Measurement
 from bench.scale.fleet_measure import MB, core_share
@@ -70,7 +70,7 @@
     memory_mb: float
 
 
-def mean(values: list[float]) -> float:
+def mean_or_zero(values: list[float]) -> float:
     return statistics.fmean(values) if values else 0.0
 
 
@@ -83,7 +83,7 @@
 
 def mean_difference(values: list[float], without: list[float]) -> float | None:
     """Return the mean of `values` less the mean of the baseline `without`; None if either is empty."""
-    return round(mean(values) - mean(without), 5) if values and without else None
+    return round(mean_or_zero(values) - mean_or_zero(without), 5) if values and without else None
 
 
 def resident_mb(moment: Measurement, prefix: str) -> list[float]:
@@ -91,16 +91,22 @@
 
 
 def compute_figures(
-    run: LogRun | FlatRun, real: str, hollow: str, plain: list[Measurement], machines: int, routers: int
+    run: LogRun | FlatRun,
+    real_prefix: str,
+    hollow_prefix: str,
+    baseline_moments: list[Measurement],
+    machines: int,
+    routers: int,
 ) -> Figures:
     """Compute the figures of a run.
 
-    `real` and `hollow` are the name prefixes of the real routers and hollow processes. `plain` holds the measurements
-    of a run with baseline routers, which have no control and whose names begin with "plain".
+    `real_prefix` and `hollow_prefix` are the name prefixes of the real routers and hollow processes.
+    `baseline_moments` holds the measurements of a run with baseline routers, which have no control and whose names
+    begin with "plain".
     """
     verdict, moments, schedule = run.verdict, run.moments, run.schedule
-    with_control, without = core_shares(moments, 0, real), core_shares(plain, 0, "plain")
-    memory = mean_difference(resident_mb(moments[-1], real), resident_mb(plain[-1], "plain"))
+    with_control, without = core_shares(moments, 0, real_prefix), core_shares(baseline_moments, 0, "plain")
+    memory = mean_difference(resident_mb(moments[-1], real_prefix), resident_mb(baseline_moments[-1], "plain"))
     quiet = byte_rate(run.reports, schedule.start, schedule.quiet_until, PEAK_RATE_WINDOW_S)
     faults = byte_rate(run.reports, schedule.quiet_until, schedule.end, PEAK_RATE_WINDOW_S)
     reunion = schedule.cuts[0].until
@@ -121,8 +127,10 @@
         stale_samples=verdict.stale_seen,
         control_core_share=mean_difference(with_control, without),
         control_core_share_worst=mean_difference([max(with_control, default=0.0)], without),
-        control_core_share_faults=mean_difference(core_shares(moments, 1, real), core_shares(plain, 1, "plain")),
-        hollow_core_share=round(sum(core_shares(moments, 0, hollow)) / max(routers, 1), 5),
+        control_core_share_faults=mean_difference(
+            core_shares(moments, 1, real_prefix), core_shares(baseline_moments, 1, "plain")
+        ),
+        hollow_core_share=round(sum(core_shares(moments, 0, hollow_prefix)) / max(routers, 1), 5),
         control_bytes_per_s=quiet.mean,
         control_bytes_per_s_worst_10s=quiet.worst,
         control_bytes_per_s_faults=faults.mean,
@@ -147,10 +155,10 @@
 def failed_checks(figures: Figures) -> list[str]:
     """Return the names of the change log's checks that its figures fail."""
     bounds = [
-        ("purge_max_s", figures.purge_max_s, PURGE_BOUND_S),
-        ("purge_max_faults_s", figures.purge_max_faults_s, PURGE_BOUND_S),
-        ("config_max_s", figures.config_max_s, SETTING_BOUND_S),
-        ("config_max_faults_s", figures.config_max_faults_s, SETTING_BOUND_S),
+        ("purge_max_s", figures.purge_max_s, MAX_PURGE_DELAY_S),
+        ("purge_max_faults_s", figures.purge_max_faults_s, MAX_PURGE_DELAY_S),
+        ("config_max_s", figures.config_max_s, MAX_SETTING_DELAY_S),
+        ("config_max_faults_s", figures.config_max_faults_s, MAX_SETTING_DELAY_S),
         ("missed", figures.missed, 0),
         ("out_of_order", figures.out_of_order, 0),
         ("unequal", figures.unequal, 0),
--- a/bench/scale/fleet_service.py
+++ b/bench/scale/fleet_service.py
@@ -31,16 +31,8 @@
 TICK_S = 0.005
 CHANGES_FILE = "flat-truth.json"
 LISTEN_BACKLOG = 4096
-UNUSED_ENDPOINT_FIELDS = (
-    0,
-    0,
-    3,
-    0,
-    0,
-    0,
-    1000,
-    0,
-)  # Fields of an endpoint in a list change; no router sends requests to it.
+# Fields of the endpoint in a list change; no router sends requests to it.
+UNUSED_ENDPOINT_FIELDS = (0, 0, 3, 0, 0, 0, 1000, 0)
 
 
 def encode_frame(number: int, kind: int, payload: bytes = b"") -> bytes:
@@ -91,8 +83,8 @@
         self._make_due_changes()
 
     def add_watcher(self, watcher: WatcherConnection, number: int) -> None:
-        missed = self._frames[number:]
-        watcher.transport.write(b"".join(missed) + encode_frame(len(self._frames), FrameKind.NO_MORE_EVENTS))
+        missed_frames = self._frames[number:]
+        watcher.transport.write(b"".join(missed_frames) + encode_frame(len(self._frames), FrameKind.NO_MORE_EVENTS))
         self.watchers.add(watcher)
 
     def _send_heartbeat(self) -> None:
--- a/tests/bench/test_flat_routers.py
+++ b/tests/bench/test_flat_routers.py
@@ -1,4 +1,4 @@
-"""The hollow routers of the flat design, on the router's own endpoint watch and event loop."""
+"""Hollow routers of the flat design connect with the product's own endpoint watch and event loop."""
 
 import subprocess
 import sys
@@ -11,15 +11,15 @@
 from bench.scale.fleet_records import Plan, write
 
 ROOT = Path(__file__).parents[2]
-MAX_WAIT_S = 60.0  # only a failing test waits so long
+MAX_WAIT_S = 60.0  # Only a failing test waits this long.
 
 
 @pytest.fixture
-def start():
-    """Starts a program of bench.scale; each is killed at the end."""
+def start_program():
+    """Return a function that starts a program of bench.scale; the programs are killed at the test's end."""
     processes = []
 
-    def start_program(name, *arguments):
+    def start(name, *arguments):
         process = subprocess.Popen(
             [sys.executable, "-m", f"bench.scale.{name}", *arguments],
             cwd=ROOT,
@@ -30,13 +30,13 @@
         processes.append(process)
         return process
 
-    yield start_program
+    yield start
     for process in processes:
         process.kill()
         process.communicate(timeout=MAX_WAIT_S)
 
 
-def plan_at(folder, service_port):
+def make_plan(folder, service_port):
     return Plan(
         folder=str(folder),
         block=0,
@@ -55,11 +55,11 @@
     )
 
 
-def test_hollow_router_when_started_connects_to_the_service(start, tmp_path):
-    write(tmp_path / "service.json", plan_at(tmp_path, 0))
-    service = start("fleet_service", str(tmp_path / "service.json"))
+def test_hollow_router_when_started_connects_to_the_service(start_program, tmp_path):
+    write(tmp_path / "service.json", make_plan(tmp_path, 0))
+    service = start_program("fleet_service", str(tmp_path / "service.json"))
     port = int(service.stdout.readline())
-    write(tmp_path / "routers.json", plan_at(tmp_path, port))
-    routers = start("fleet_flat", str(tmp_path / "routers.json"), "0")
+    write(tmp_path / "routers.json", make_plan(tmp_path, port))
+    routers = start_program("fleet_flat", str(tmp_path / "routers.json"), "0")
     line = routers.stdout.readline()
     assert line.strip() == READY_LINE, routers.stderr.read()
