--- a/bench/scale/fleet_faults.py
+++ b/bench/scale/fleet_faults.py
@@ -1,4 +1,4 @@
-"""Whole fleets in virtual time, of some hundred routers: a joint start, a tenth that ends, a cut in halves."""
+"""Measures fleets of some hundred routers in virtual time: a joint start, a tenth that ends, a cut into two halves."""
 
 from __future__ import annotations
 
@@ -13,17 +13,17 @@
 from wickhinge.lab.many import simulation
 from wickhinge.lab.many.schedule import Fault, Schedule
 
-JOINT_START = 15.0  # seconds after which it is asked how much of the fleet each has heard
-CALM = 3.0  # seconds before a fault
-WATCHED = 20.0  # seconds after a death
-CUT = 12.0  # seconds of a cut in two halves
-PATIENCE = 100.0  # seconds for which a reunion is waited for
-ZONES = 4
+JOINT_START_S = 15.0  # Time from the joint start to the count of known routers.
+CALM_S = 3.0  # Time without faults before each fault.
+WATCH_AFTER_DEATH_S = 20.0  # Time for which a fleet is observed after a tenth of it ended.
+CUT_S = 12.0  # Length of the cut between the two halves.
+MAX_REUNION_S = 100.0  # Longest wait for all routers to know each other after a cut.
+ZONE_COUNT = 4
 
 
 @dataclass(frozen=True, slots=True)
-class Told:
-    """What one router sent and computed a second, and the seconds that the matter took."""
+class RouterLoad:
+    """Messages, bytes and CPU seconds of one router per second, and the duration of the observed event in seconds."""
 
     messages: float
     bytes: float
@@ -32,54 +32,56 @@
 
 
 class CountedFleet(simulation.Fleet):
-    """A fleet that spends nothing; what it sends and computes is counted, the virtual network among it."""
+    """A fleet without quota demand, whose datagrams, bytes and CPU time (with the virtual network's) are counted."""
 
     def __init__(self, routers: int, seed: int) -> None:
-        gc.collect()  # the fleet before, which is bound in circles
-        super().__init__(Schedule(seed, routers, min(routers, ZONES), (), routers, 0.0, 0.0), (without_budgets,))
-        self.sends = self.bytes = 0
-        self.watch = Watch()
-        self.since = 0.0
+        gc.collect()  # Frees the previous fleet, whose objects form reference cycles.
+        super().__init__(Schedule(seed, routers, min(routers, ZONE_COUNT), (), routers, 0.0, 0.0), (without_budgets,))
+        self.datagrams = self.bytes = 0
+        self.cpu_watch = Watch()
+        self.counted_since = 0.0
 
     def demand(self, process: simulation.Process, number: int) -> float:
         return 0.0
 
     def send_datagram(self, process: simulation.Process, to: int | None, data: bytes) -> None:
-        self.sends += 1
+        self.datagrams += 1
         self.bytes += len(data)
         super().send_datagram(process, to, data)
 
     def start_all(self) -> None:
-        for place in range(self.schedule.routers):
-            self.start_process(place)
+        for router_index in range(self.schedule.routers):
+            self.start_process(router_index)
 
-    def start_known(self) -> None:
-        """All have known each other for long."""
+    def start_acquainted(self) -> None:
+        """Start all routers as if each had known every other one for a long time."""
         self.start_all()
         for process in self.processes:
             process.detector.identity.epoch = 1
         for one in self.processes:
             for other in self.processes[: one.router_index]:
                 introduce(one.detector, other.detector)
-        for process in self.processes:  # clocks have zeros of their own
+        for process in self.processes:  # Each process's clock has its own zero, so times are set per process.
             for member in process.detector.members.values():
                 member.state_since = member.last_evidence_at = process.clock
 
-    def count_from_here(self) -> None:
-        self.sends = self.bytes = 0
-        self.watch.spent, self.since = 0.0, self.now
+    def reset_counts(self) -> None:
+        self.datagrams = self.bytes = 0
+        self.cpu_watch.spent, self.counted_since = 0.0, self.now
 
-    def play_on(self, seconds: float) -> None:
-        with self.watch:
+    def run_for(self, seconds: float) -> None:
+        with self.cpu_watch:
             self.event_queue.run(self.now + seconds)
 
-    def told(self, routers: int, time: float) -> Told:
-        """Since `count_from_here`, for each of so many routers."""
-        each = routers * max(self.now - self.since, simulation.TICK_S)
-        return Told(self.sends / each, self.bytes / each, self.watch.spent / each, time)
+    def load_per_router(self, routers: int, time: float) -> RouterLoad:
+        """Return the load since `reset_counts`, divided by `routers` and by the elapsed time."""
+        router_seconds = routers * max(self.now - self.counted_since, simulation.TICK_S)
+        return RouterLoad(
+            self.datagrams / router_seconds, self.bytes / router_seconds, self.cpu_watch.spent / router_seconds, time
+        )
 
-    def least_share(self) -> float:
-        """The least that any hears of the roster."""
+    def min_alive_fraction(self) -> float:
+        """Return the smallest share of the roster that any router sees alive."""
         return min(one.detector.view(one.clock).alive_fraction for one in self.processes)
 
 
@@ -89,60 +91,68 @@
     process.detector.attach_piggyback(lambda name: b"", lambda name, data, now: None)
 
 
-def joint_start(size: int, seed: int) -> float:
-    """How many others each has heard, in the mean, so long after all started together."""
+def measure_joint_start(size: int, seed: int) -> float:
+    """Return the mean number of other routers that each router knows JOINT_START_S after all started together."""
     fleet = CountedFleet(size, seed)
     fleet.start_all()
-    fleet.event_queue.run(JOINT_START)
+    fleet.event_queue.run(JOINT_START_S)
     return statistics.mean(size * one.detector.view(one.clock).alive_fraction - 1 for one in fleet.processes)
 
 
-def death(size: int, seed: int) -> Told:
-    """A tenth of the fleet ends; time: the 99th percentile until another knows of one."""
+def measure_death(size: int, seed: int) -> RouterLoad:
+    """Measure the load after a tenth of the fleet ended.
+
+    `time` is the 99th percentile of the delays until a surviving router declared an ended one gone.
+    """
     dead = range(max(size // 10, 1))
     fleet = CountedFleet(size, seed)
-    fleet.start_known()
-    fleet.play_on(CALM)
-    fleet.count_from_here()
-    began = fleet.now
-    fleet.begin_fault(Fault("kill", began, 1e6, tuple(dead)))
-    fleet.play_on(WATCHED)
-    known: dict[tuple[str, str], float] = {}
-    for when, name, _, event, more in fleet.history:
-        if event == "member_state" and more["state"] == "gone" and when > began and int(more["name"][1:]) in dead:
-            known.setdefault((name, more["name"]), when - began)
-    missing = len(dead) * (size - len(dead)) - len(known)
-    spans = sorted([*known.values(), *[WATCHED] * missing])
-    return fleet.told(size - len(dead), spans[int(0.99 * (len(spans) - 1))])
-
-
-def cut_in_halves(size: int, seed: int) -> tuple[Told, Told]:
-    """While two halves are cut off from each other, and from the healing until all hear all."""
+    fleet.start_acquainted()
+    fleet.run_for(CALM_S)
+    fleet.reset_counts()
+    started_at = fleet.now
+    fleet.begin_fault(Fault("kill", started_at, 1e6, tuple(dead)))
+    fleet.run_for(WATCH_AFTER_DEATH_S)
+    delay_by_pair: dict[tuple[str, str], float] = {}
+    for event_time, name, _, event, details in fleet.history:
+        if (
+            event == "member_state"
+            and details["state"] == "gone"
+            and event_time > started_at
+            and int(details["name"][1:]) in dead
+        ):
+            delay_by_pair.setdefault((name, details["name"]), event_time - started_at)
+    missing = len(dead) * (size - len(dead)) - len(delay_by_pair)
+    delays_s = sorted([*delay_by_pair.values(), *[WATCH_AFTER_DEATH_S] * missing])
+    return fleet.load_per_router(size - len(dead), delays_s[int(0.99 * (len(delays_s) - 1))])
+
+
+def measure_cut(size: int, seed: int) -> tuple[RouterLoad, RouterLoad]:
+    """Measure the load during a cut into two halves, and from its end until every router sees every other one alive."""
     fleet = CountedFleet(size, seed)
-    fleet.start_known()
-    fleet.play_on(CALM)
-    fleet.count_from_here()
-    fleet.begin_fault(Fault("cut", fleet.now, CUT, tuple(range(size // 2)), tuple(range(size // 2, size))))
-    fleet.play_on(CUT)
-    meanwhile = fleet.told(size, CUT)
-    fleet.count_from_here()
-    healed = fleet.now
-    while fleet.least_share() < 1.0 and fleet.now < healed + PATIENCE:
-        fleet.play_on(0.5)
-    return meanwhile, fleet.told(size, fleet.now - healed)
-
-
-def told_rows(mechanism: str, sizes: list[int], told: list[Told], method: str) -> list[Row]:
-    """Messages, bytes and processor time a router and second."""
-
-    def one(resource: str, unit: str, take: Callable[[Told], float], how: str) -> Row:
-        values = [take(each) for each in told]
-        return row(mechanism, "router", resource, "routers", sizes, values, unit, "virtual", f"{method}: {how}")
+    fleet.start_acquainted()
+    fleet.run_for(CALM_S)
+    fleet.reset_counts()
+    fleet.begin_fault(Fault("cut", fleet.now, CUT_S, tuple(range(size // 2)), tuple(range(size // 2, size))))
+    fleet.run_for(CUT_S)
+    load_during_cut = fleet.load_per_router(size, CUT_S)
+    fleet.reset_counts()
+    healed_at = fleet.now
+    while fleet.min_alive_fraction() < 1.0 and fleet.now < healed_at + MAX_REUNION_S:
+        fleet.run_for(0.5)
+    return load_during_cut, fleet.load_per_router(size, fleet.now - healed_at)
+
+
+def load_rows(mechanism: str, sizes: list[int], loads: list[RouterLoad], method: str) -> list[Row]:
+    """Return rows of the messages, bytes and CPU time of one router per second."""
+
+    def load_row(resource: str, unit: str, get_value: Callable[[RouterLoad], float], detail: str) -> Row:
+        values = [get_value(load) for load in loads]
+        return row(mechanism, "router", resource, "routers", sizes, values, unit, "virtual", f"{method}: {detail}")
 
     return [
-        one("messages", "1/s", lambda each: each.messages, "datagrams sent"),
-        one("bytes", "B/s", lambda each: each.bytes, "sent, without headers"),
-        one("cpu", "core", lambda each: each.cpu, "thread CPU of the whole fleet and its network, a router"),
+        load_row("messages", "1/s", lambda load: load.messages, "datagrams sent"),
+        load_row("bytes", "B/s", lambda load: load.bytes, "sent, without headers"),
+        load_row("cpu", "core", lambda load: load.cpu, "thread CPU of the whole fleet and its network, a router"),
     ]
 
 
@@ -150,10 +160,10 @@
     starts = [20, 30, 40, 50] if meter.quick else [100, 200, 400, 800]
     deaths = [10, 20, 30, 40] if meter.quick else [10, 50, 100, 200, 400]
     cuts = [6, 8, 12, 16] if meter.quick else [50, 100, 200, 400]
-    heard = [joint_start(size, meter.seed) for size in starts]
-    ended = [death(size, meter.seed) for size in deaths]
-    apart = [cut_in_halves(size, meter.seed) for size in cuts]
-    reunions = [one[1] for one in apart]
+    known_counts = [measure_joint_start(size, meter.seed) for size in starts]
+    death_loads = [measure_death(size, meter.seed) for size in deaths]
+    cut_loads = [measure_cut(size, meter.seed) for size in cuts]
+    reunions = [one[1] for one in cut_loads]
     return [
         row(
             "joint_start",
@@ -161,10 +171,10 @@
             "state",
             "routers",
             starts,
-            heard,
+            known_counts,
             "others heard",
             "virtual",
-            f"mean, {JOINT_START:g} s after all started together",
+            f"mean, {JOINT_START_S:g} s after all started together",
         ),
         row(
             "death",
@@ -172,14 +182,14 @@
             "time",
             "routers",
             deaths,
-            [one.time for one in ended],
+            [one.time for one in death_loads],
             "s",
             "virtual",
-            f"a tenth ends: 99th percentile until another knows, {WATCHED:g} s at most",
+            f"a tenth ends: 99th percentile until another knows, {WATCH_AFTER_DEATH_S:g} s at most",
         ),
-        *told_rows("death", deaths, ended, f"a tenth ends, the {WATCHED:g} s after"),
-        *told_rows("parted", cuts, [one[0] for one in apart], f"halves cut for {CUT:g} s, meanwhile"),
-        *told_rows("reunion", cuts, reunions, "from the healing until all hear all"),
+        *load_rows("death", deaths, death_loads, f"a tenth ends, the {WATCH_AFTER_DEATH_S:g} s after"),
+        *load_rows("parted", cuts, [one[0] for one in cut_loads], f"halves cut for {CUT_S:g} s, meanwhile"),
+        *load_rows("reunion", cuts, reunions, "from the healing until all hear all"),
         row(
             "reunion",
             "router",
@@ -189,6 +199,6 @@
             [one.time for one in reunions],
             "s",
             "virtual",
-            f"from the healing until all hear all, {PATIENCE:g} s at most",
+            f"from the healing until all hear all, {MAX_REUNION_S:g} s at most",
         ),
     ]
--- a/bench/scale/fleet_judge.py
+++ b/bench/scale/fleet_judge.py
@@ -1,22 +1,22 @@
-"""What the hollow routers reported against what the proposer knows: delay, completeness, order, stale copies.
+"""Judges the hollow routers' reports against the accepted changes: delay, completeness, order, stale copies.
 
-A change asked for while routers were cut off, or so shortly before that it was still on its way, counts for them from
-the moment of their reunion.
+If a change was requested while a router was cut off, or so shortly before the cut that it was still in transit, its
+delay at that router counts from the end of the cut.
 """
 
 from __future__ import annotations
 
 import msgspec
 
-from bench.scale.fleet_records import Change, Cut, HollowReport, Vouched, ZoneTimes
+from bench.scale.fleet_records import AgeLimitSample, Change, Cut, HollowReport, ZoneTimes
 
-PURGE_BOUND_S, SETTING_BOUND_S = 3.1, 7.0
-BIN_S = 1.0
-PEAK_WITHIN_S = 6.0
+MAX_PURGE_DELAY_S, MAX_SETTING_DELAY_S = 3.1, 7.0
+RATE_BIN_S = 1.0
+REUNION_PEAK_WINDOW_S = 6.0
 
 
 class Pause(msgspec.Struct, frozen=True):
-    """The hollow process at `group` stood still."""
+    """A time during which a hollow process was stopped. `group` is its index in Plan.groups."""
 
     group: int
     since: float
@@ -24,7 +24,7 @@
 
 
 class Delays(msgspec.Struct):
-    """Seconds from asking to the last router, of purges and of settings, and how many there were."""
+    """Greatest seconds from a change's request to its last router, and the numbers of purges and settings."""
 
     purge_max_s: float = 0.0
     config_max_s: float = 0.0
@@ -39,8 +39,11 @@
 
 
 class Verdict(msgspec.Struct):
-    """`stale_served`: times that a router would have let a copy pass that a purge, over its grace, had voided.
-    `unequal`: routers whose changes at the end differ from the others'.
+    """Result of judging one run.
+
+    `stale_served` counts the samples of routers that would have served a copy from before a purge whose grace time was
+    over. `stale_seen` counts the records of age limits that were judged. `unequal` counts the routers whose changes at
+    the end differ from those of the largest group of equal routers.
     """
 
     quiet: Delays
@@ -48,98 +51,106 @@
     missed: int
     out_of_order: int
     stale_served: int
-    stale_seen: int  # samples that were judged
+    stale_seen: int
     unequal: int
     late_resets: int
     sample_late_max_s: float
 
 
 class Judge:
+    """Judges the reports of one run; `changes` are all changes that were accepted in it."""
+
     def __init__(
-        self, truth: list[Change], cuts: list[Cut], pauses: list[Pause], quiet_until: float, grace_s: float
+        self, changes: list[Change], cuts: list[Cut], pauses: list[Pause], quiet_until: float, grace_s: float
     ) -> None:
-        self._truth = sorted(truth, key=lambda change: change.number)
+        self._changes = sorted(changes, key=lambda change: change.number)
         self._cuts, self._pauses = cuts, pauses
         self._quiet_until, self._grace_s = quiet_until, grace_s
-        self._earliest = self._earliest_after()
+        self._missing_stamp_by_number = self._earliest_missing_stamps()
 
-    def verdict(self, reports: list[HollowReport]) -> Verdict:
-        found = Verdict(Delays(), Delays(), 0, 0, 0, 0, 0, 0, 0.0)
-        for change in self._truth:
-            delays = self._phase(found, change)
+    def judge_reports(self, reports: list[HollowReport]) -> Verdict:
+        result = Verdict(Delays(), Delays(), 0, 0, 0, 0, 0, 0, 0.0)
+        for change in self._changes:
+            delays = self._delays_of_phase(result, change)
             delays.purges += change.identity >= 0
             delays.settings += change.identity < 0
         for group, report in enumerate(reports):
-            self._judge_report(found, group, report)
+            self._judge_report(result, group, report)
         digests = [digest for report in reports for digest in report.digests]
-        found.unequal = len(digests) - max(digests.count(digest) for digest in set(digests)) if digests else 0
-        return found
-
-    def _phase(self, found: Verdict, change: Change) -> Delays:
-        return found.quiet if change.asked < self._quiet_until else found.faults
-
-    def _judge_report(self, found: Verdict, group: int, report: HollowReport) -> None:
-        found.missed += report.missed
-        found.out_of_order += report.out_of_order + report.different
-        found.late_resets += report.late_resets
-        if all(one.group != group for one in self._pauses):
-            found.sample_late_max_s = max(found.sample_late_max_s, report.late_max_s)
-        for change in self._truth:
-            found.out_of_order += report.changes.get(change.number, change.identity) != change.identity
+        result.unequal = len(digests) - max(digests.count(digest) for digest in set(digests)) if digests else 0
+        return result
+
+    def _delays_of_phase(self, result: Verdict, change: Change) -> Delays:
+        return result.quiet if change.asked < self._quiet_until else result.faults
+
+    def _judge_report(self, result: Verdict, group: int, report: HollowReport) -> None:
+        result.missed += report.missed
+        result.out_of_order += report.out_of_order + report.different
+        result.late_resets += report.late_resets
+        if all(pause.group != group for pause in self._pauses):
+            result.sample_late_max_s = max(result.sample_late_max_s, report.late_max_s)
+        for change in self._changes:
+            result.out_of_order += report.changes.get(change.number, change.identity) != change.identity
             for zone in report.zones:
-                found.missed += zone.routers - zone.counts.get(change.number, 0)
+                result.missed += zone.routers - zone.counts.get(change.number, 0)
                 if change.number in zone.latest:
-                    delay_s = zone.latest[change.number] - self._counts_from(change, group, zone)
-                    self._phase(found, change).add(change.identity, delay_s)
-        found.stale_seen += len(report.vouched)
-        found.stale_served += sum(one.routers for one in report.vouched if self._stale(one))
+                    delay_s = zone.latest[change.number] - self._delay_start(change, group, zone)
+                    self._delays_of_phase(result, change).add(change.identity, delay_s)
+        result.stale_seen += len(report.vouched)
+        result.stale_served += sum(sample.routers for sample in report.vouched if self._is_stale(sample))
 
-    def _counts_from(self, change: Change, group: int, zone: ZoneTimes) -> float:
-        bound_s = PURGE_BOUND_S if change.identity >= 0 else SETTING_BOUND_S
+    def _delay_start(self, change: Change, group: int, zone: ZoneTimes) -> float:
+        bound_s = MAX_PURGE_DELAY_S if change.identity >= 0 else MAX_SETTING_DELAY_S
         times = [change.asked]
-        times += [cut.until for cut in self._cuts if cut.region == zone.region and within(cut, change, bound_s)]
-        times += [one.until for one in self._pauses if one.group == group and within(one, change, bound_s)]
+        times += [cut.until for cut in self._cuts if cut.region == zone.region and overlaps_fault(cut, change, bound_s)]
+        times += [
+            pause.until for pause in self._pauses if pause.group == group and overlaps_fault(pause, change, bound_s)
+        ]
         return max(times)
 
-    def _earliest_after(self) -> dict[int, float]:
-        """By the number after which a router stands: when the earliest purge that it lacks was stamped."""
+    def _earliest_missing_stamps(self) -> dict[int, float]:
+        """Return, by change number, the stamp of the earliest purge that a router at this number still lacks."""
         earliest, found = float("inf"), {}
-        for change in reversed(self._truth):
+        for change in reversed(self._changes):
             found[change.number] = earliest
             if change.identity >= 0:
                 earliest = min(earliest, change.stamped)
-        self._before_all = earliest
+        self._earliest_purge_stamp = earliest
         return found
 
-    def _stale(self, one: Vouched) -> bool:
-        known = self._truth[self._place(one.number) - 1].number if self._place(one.number) else None
-        stamped = self._before_all if known is None else self._earliest[known]
-        if one.time - stamped < self._grace_s:
+    def _is_stale(self, sample: AgeLimitSample) -> bool:
+        """Return whether the age limit admits a copy from before a missing purge whose grace time is over."""
+        known = (
+            self._changes[self._changes_up_to(sample.number) - 1].number if self._changes_up_to(sample.number) else None
+        )
+        stamped = self._earliest_purge_stamp if known is None else self._missing_stamp_by_number[known]
+        if sample.time - stamped < self._grace_s:
             return False
-        if one.limit is None:
+        if sample.limit is None:
             return True
-        lacking = self._truth[self._place(one.number) :]
-        ages = [one.time - change.stamped for change in lacking if change.identity >= 0]
-        return any(self._grace_s <= age <= one.limit for age in ages)
+        lacking = self._changes[self._changes_up_to(sample.number) :]
+        ages = [sample.time - change.stamped for change in lacking if change.identity >= 0]
+        return any(self._grace_s <= age <= sample.limit for age in ages)
 
-    def _place(self, number: int) -> int:
-        """How many changes have numbers up to this one."""
-        low, high = 0, len(self._truth)
+    def _changes_up_to(self, number: int) -> int:
+        """Return how many changes have numbers up to this one."""
+        low, high = 0, len(self._changes)
         while low < high:
             middle = (low + high) // 2
-            if self._truth[middle].number <= number:
+            if self._changes[middle].number <= number:
                 low = middle + 1
             else:
                 high = middle
         return low
 
 
-def within(fault: Cut | Pause, change: Change, bound_s: float) -> bool:
+def overlaps_fault(fault: Cut | Pause, change: Change, bound_s: float) -> bool:
+    """Return whether the change was requested during the fault, or at most `bound_s` before its start."""
     return fault.since - bound_s <= change.asked < fault.until
 
 
 class MessageRate(msgspec.Struct):
-    """Messages a second of all hollow routers: in the quiet time, and at most in a second after the reunion."""
+    """Messages per second of all hollow routers: the mean of the quiet time, and the peak after the cut ends."""
 
     ordinary: float
     peak: float
@@ -152,38 +163,38 @@
 def message_rate(
     reports: list[HollowReport], start: float, quiet_until: float, reunion: float, region: int | None = None
 ) -> MessageRate:
-    """Of one region's routers, or of all."""
+    """Return the message rate of one region's routers; None for `region` means all routers."""
     bins: dict[int, int] = {}
     for report in reports:
-        wanted = [zone.zone for zone in report.zones if region in (None, zone.region)]
-        for zone in wanted:
+        zone_numbers = [zone.zone for zone in report.zones if region in (None, zone.region)]
+        for zone in zone_numbers:
             samples = report.traffic[zone]
             for former, sample in zip(samples, samples[1:], strict=False):
-                place = int((sample.time - start) / BIN_S)
-                bins[place] = bins.get(place, 0) + sample.messages - former.messages
-    quiet = [bins.get(place, 0) for place in range(1, int((quiet_until - start) / BIN_S))]
-    first = int((reunion - start) / BIN_S)
-    after = [bins.get(place, 0) for place in range(first, first + int(PEAK_WITHIN_S / BIN_S))]
-    ordinary = sum(quiet) / len(quiet) / BIN_S if quiet else 0.0
-    return MessageRate(ordinary, max(after) / BIN_S)
+                bin_index = int((sample.time - start) / RATE_BIN_S)
+                bins[bin_index] = bins.get(bin_index, 0) + sample.messages - former.messages
+    quiet = [bins.get(bin_index, 0) for bin_index in range(1, int((quiet_until - start) / RATE_BIN_S))]
+    first = int((reunion - start) / RATE_BIN_S)
+    after = [bins.get(bin_index, 0) for bin_index in range(first, first + int(REUNION_PEAK_WINDOW_S / RATE_BIN_S))]
+    ordinary = sum(quiet) / len(quiet) / RATE_BIN_S if quiet else 0.0
+    return MessageRate(ordinary, max(after) / RATE_BIN_S)
 
 
 class ByteRate(msgspec.Struct):
-    """Bytes a second of a hollow router with headers: the mean, and the worst router's worst 10 s."""
+    """Bytes per second of a hollow router, with headers: the mean, and the greatest of any router and time window."""
 
     mean: float
     worst: float
 
 
 def byte_rate(reports: list[HollowReport], since: float, until: float, span_s: float) -> ByteRate:
-    """Between two times; the worst span counts where it lies whole between them."""
+    """Return the byte rate between two times; windows of `span_s` count only if they lie wholly between them."""
     total, router_seconds, worst = 0.0, 0.0, 0
     for report in reports:
         for zone in report.zones:
-            samples = [one for one in report.traffic[zone.zone] if since <= one.time <= until]
+            samples = [sample for sample in report.traffic[zone.zone] if since <= sample.time <= until]
             if len(samples) < 2:
                 continue
             total += samples[-1].bytes - samples[0].bytes
             router_seconds += (samples[-1].time - samples[0].time) * zone.routers
-            worst = max([worst, *(one.worst for one in samples if one.time >= since + span_s)])
+            worst = max([worst, *(sample.worst for sample in samples if sample.time >= since + span_s)])
     return ByteRate(round(total / router_seconds, 1) if router_seconds else 0.0, round(worst / span_s, 1))
