--- a/wickhinge/lab/many/harness.py
+++ b/wickhinge/lab/many/harness.py
@@ -239,7 +239,7 @@
         self.processes.append(process)
         return process
 
-    # The relays.
+    # Relaying datagrams.
 
     def open_relays(self) -> None:
         for sender in range(len(self.router_names)):
@@ -277,7 +277,7 @@
                 except OSError:
                     pass  # A datagram that cannot be sent counts as lost.
 
-    # The schedule.
+    # Running the schedule.
 
     def run(self) -> Harness:
         """Run the schedule; return when its time for recovery is over."""
--- a/wickhinge/lab/many/schedule.py
+++ b/wickhinge/lab/many/schedule.py
@@ -8,9 +8,10 @@
 
 CUT_KINDS = ("cut", "one_way", "flap")  # Faults that block datagrams between two groups of routers.
 DATAGRAM_KINDS = ("loss", "delay", "double", "reorder")  # Faults on every datagram from or to the affected routers.
+# Faults of processes: "twin" starts a second process under a router's name, "starve" leaves a process little CPU time.
 PROCESS_KINDS = ("kill", "pause", "twin", "starve")
 CLOCK_KINDS = ("fast", "slow", "jump")
-BYZANTINE_KINDS = ("replay", "lie")
+BYZANTINE_KINDS = ("replay", "lie")  # "replay" sends recorded datagrams again; "lie" falsifies sent datagrams.
 ROSTER_KINDS = ("roster",)  # The routers in `one` have a roster that lacks the routers in `other`.
 KINDS = CUT_KINDS + DATAGRAM_KINDS + PROCESS_KINDS + CLOCK_KINDS + BYZANTINE_KINDS + ROSTER_KINDS
 
--- a/wickhinge/lab/many/simulation.py
+++ b/wickhinge/lab/many/simulation.py
@@ -39,7 +39,7 @@
     def __init__(self, fleet: Fleet, router_index: int, number: int) -> None:
         self.fleet, self.router_index, self.number = fleet, router_index, number
         self.name = fleet.router_names[router_index]
-        # The clock's reading at a random start, since the clocks of different processes have no common zero.
+        # Each clock starts at a random reading, since the clocks of different processes have no common zero.
         self.clock_rate, self.clock_base = 1.0, fleet.random.uniform(0.0, 1e6)
         self.clock_base_at = fleet.now
         self.is_paused = self.is_dead = False
@@ -66,9 +66,8 @@
             for server_id in (router_index % fleet.schedule.zones, -1)
         ]
         self.pending_amounts = [0.0] * len(BUDGETS)  # Amount of each budget that is in demand and not yet requested.
-        self.pending_work = [0.0] * len(
-            self.servers
-        )  # Seconds of work for each server, in demand and not yet requested.
+        # Seconds of work for each server that are in demand and not yet requested.
+        self.pending_work = [0.0] * len(self.servers)
         for planted_fault in fleet.planted_faults:
             planted_fault(self)
         fleet.processes.append(self)
@@ -186,7 +185,9 @@
         self.event_queue = EventQueue()
         self.index_by_name = {name: index for index, name in enumerate(self.router_names)}
         self.history: list[tuple[float, str, int, str, dict[str, Any]]] = []
+        # For each budget, what was spent: rows are (time, router's name, amount).
         self.spent: list[list[tuple[float, str, float]]] = [[] for _ in BUDGETS]
+        # For each router and each budget, the demand as a multiple of the whole budget.
         self.demands = [[self.random.choice((0.0, 0.1, 0.5, 1.3)) for _ in BUDGETS] for _ in self.router_names]
         # By server ID, the work sent to each server: rows are (time, router's name, seconds of work).
         self.sent: dict[int, list[tuple[float, str, float]]] = defaultdict(list)
@@ -241,7 +242,7 @@
     def running_processes(self, router_index: int) -> list[Process]:
         return [process for process in self.processes if process.router_index == router_index and not process.is_dead]
 
-    # The network.
+    # Sending and delivering datagrams.
 
     def send_datagram(self, process: Process, receiver: int | None, data: bytes) -> None:
         self.datagram_count += 1
@@ -260,7 +261,7 @@
             for process in self.running_processes(receiver):  # Two processes of one router share its address.
                 process.receive(data)
 
-    # The schedule.
+    # Running the schedule.
 
     def call_at(self, when: float, call: Any, *args: Any) -> None:
         self.event_queue.call_at(when, call, *args)
--- a/wickhinge/lab/many/stand_ins.py
+++ b/wickhinge/lab/many/stand_ins.py
@@ -23,7 +23,8 @@
 
 HOST = "127.0.0.1"
 REQUEST_WORK_S = 0.1  # Seconds of work of each request.
-CACHE_WEIGHT = 10.0  # A parent weighs twice as much, since a parent is overloaded at half the factor of a cache.
+# A parent weighs twice as much as a cache: its overload factor is half that of a cache, so both have the same limit.
+CACHE_WEIGHT = 10.0
 WARM_UP_S = 600.0
 # Age of the slow-starting servers at the harness's time 0. Only their age makes them slow-starting: they are not filled
 # by the requests, but have every object from the start.
@@ -176,7 +177,7 @@
         self.stand_ins.harness.call_at(self.stand_ins.harness.now + 0.1, self.connect)
 
     def plan_request(self) -> None:
-        """Draw the time until the next request; if that is over 0.2 s, look at the demand again after 0.2 s."""
+        """Draw the time until the next request; if it is over 0.2 s, draw again after 0.2 s by the demand then."""
         rate = self.stand_ins.requests_per_s(self.process)
         wait = self.random.expovariate(rate) if rate > 0 else 0.2
         self.stand_ins.harness.call_at(
@@ -258,7 +259,7 @@
             * SLOW_START.window
         )
 
-    window_s = SLOW_START.window
+    window_s = SLOW_START.window  # Length of the window that `overload_limit` holds for, in seconds.
 
     def sent_to_slow_starting(self) -> dict[int, list[tuple[float, str, float]]]:
         """Return the requests that reached the caches and the parent, as in `sent`."""
--- a/wickhinge/lab/many/trial.py
+++ b/wickhinge/lab/many/trial.py
@@ -18,7 +18,7 @@
     """The result of one run of a schedule."""
 
     violations: list[str]  # A message for each violation of an invariant.
-    peaks: list[float]  # For each budget, the highest ratio of the amount spent in a window to the budget.
+    peaks: list[float]  # Highest usage of each budget and each server's overload limit, as a multiple of it.
     unfounded_gone_reports: int  # Number of reports of a router as gone that no fault of that router explains.
     datagrams: int  # Number of datagrams that the routers sent each other.
 
