--- a/bench/scale/fleet_log_run.py
+++ b/bench/scale/fleet_log_run.py
@@ -136,7 +136,7 @@
         if timing.replica_killed is not None:
             actions.append((quiet_until + timing.replica_killed, self._kill_follower))
         if timing.replicas_back is not None:
-            actions.append((quiet_until + timing.replicas_back, self._restart_replicas))
+            actions.append((quiet_until + timing.replicas_back, self._restart_killed_replicas))
         return actions
 
     def _start_machine(self, role: str, name: str, *words: str) -> None:
--- a/bench/scale/fleet_proposer.py
+++ b/bench/scale/fleet_proposer.py
@@ -32,14 +32,14 @@
         self._lock = threading.Lock()
         self.stopped = threading.Event()
 
-    def _ask(self, name: str, word: str, more: bytes, attempts: int) -> bytes:
+    def _ask(self, name: str, command: str, payload: bytes, attempts: int) -> bytes:
         if self.stopped.is_set():
             raise NotAppendedError("the proposer was stopped")
-        data = super()._ask(name, word, more, attempts)
-        if word == APPEND_COMMAND and name != next(iter(self.replicas)):
+        data = super()._ask(name, command, payload, attempts)
+        if command == APPEND_COMMAND and name != next(iter(self.replica_addresses)):
             if msgspec.json.decode(data, type=AppendAnswer).state in ACCEPTED_STATES:
                 with self._lock:
-                    self.replicas = {name: self.replicas[name], **self.replicas}
+                    self.replica_addresses = {name: self.replica_addresses[name], **self.replica_addresses}
         return data
 
 
