--- a/bench/scale/__main__.py
+++ b/bench/scale/__main__.py
@@ -19,7 +19,7 @@
 from bench.scale.design import ROUTERS
 from bench.scale.fleet import fleet
 from bench.scale.meter import Meter
-from bench.scale.records import FOLDER, Known, Record, Unusable, write
+from bench.scale.records import RECORDS_FOLDER, Record, RecordedRows, UnusableRecordError, write_record
 
 
 def told(answer: dict[str, object]) -> None:
@@ -55,7 +55,7 @@
     command = "python -m bench.scale slopes" + " --quick" * quick
     record = measure(Meter(quick, 1 if quick else rounds, seed), command)
     if name:
-        write(FOLDER / f"{name}.json", record)
+        write_record(RECORDS_FOLDER / f"{name}.json", record)
     told(summary(record))
 
 
@@ -65,14 +65,14 @@
 def capacity(check: bool, _: bool) -> None:
     """Writes the tables of docs/CAPACITY.md."""
     try:
-        known = Known()
-        new = page.generated(page.PAGE.read_text(), known)
-    except Unusable as problem:
+        known = RecordedRows()
+        new = page.with_generated_parts(page.PAGE.read_text(), known)
+    except UnusableRecordError as problem:
         raise click.ClickException(str(problem)) from None
     same = new == page.PAGE.read_text()
     if not check:
         page.PAGE.write_text(new)
-    told({"records": known.digests, "over": page.over(known), "page_as_records": same})
+    told({"records": known.digests, "over": page.exceeded_allowances(known), "page_as_records": same})
     sys.exit(1 if check and not same else 0)
 
 
--- a/bench/scale/change_log.py
+++ b/bench/scale/change_log.py
@@ -9,7 +9,7 @@
 import random
 from collections import deque
 
-from bench.scale.meter import Meter, Watch, memory
+from bench.scale.meter import CpuStopwatch, Meter, memory
 from bench.scale.records import Row, row
 from wickhinge.changelog.codec import IP_AND_UDP_HEADER_BYTES, Codec
 from wickhinge.changelog.context import ProcessContext
@@ -36,7 +36,7 @@
 
     def __init__(self, name: str, machine: Feed | Relay | Follower) -> None:
         self.name, self.machine = name, machine
-        self.codec, self.watch = Codec(KEY, name), Watch()
+        self.codec, self.watch = Codec(KEY, name), CpuStopwatch()
         self.count_from_here()
 
     def count_from_here(self) -> None:
--- a/bench/scale/claims.py
+++ b/bench/scale/claims.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-from bench.scale.records import Known
+from bench.scale.records import RecordedRows
 
 
 @dataclass(frozen=True, slots=True)
@@ -18,10 +18,10 @@
     unit: str
     factor: float = 1.0
 
-    def measured(self, known: Known) -> float:
+    def measured(self, known: RecordedRows) -> float:
         return known[self.row].at(self.size) * self.factor
 
-    def extrapolated(self, known: Known) -> bool:
+    def extrapolated(self, known: RecordedRows) -> bool:
         return known[self.row].extrapolated(self.size)
 
 
--- a/bench/scale/deciding.py
+++ b/bench/scale/deciding.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 from bench.scale.judgements import fleet
-from bench.scale.meter import Meter, Watch, memory
+from bench.scale.meter import CpuStopwatch, Meter, memory
 from bench.scale.records import Row, row
 from wickhinge.interface import Capabilities
 from wickhinge.routing.object_counts import ObjectCounts
@@ -28,7 +28,7 @@
 
 def cpu_of_k(size: int) -> float:
     """CPU seconds a request, half of them for objects that are in the table."""
-    shelf, watch = filled(size), Watch()
+    shelf, watch = filled(size), CpuStopwatch()
     with watch:
         for number in range(VISITS // 2):
             shelf.record_request((size - 1 - number % size) * 7919 % KEYS, 0, 0.1)
@@ -38,7 +38,7 @@
 
 def cpu_of_order(caches: int) -> float:
     """CPU seconds to order all caches of a zone for one request."""
-    one, watch = fleet(caches), Watch()
+    one, watch = fleet(caches), CpuStopwatch()
     turns = max(VISITS // (10 * caches), 5)
     with watch:
         for number in range(turns):
@@ -60,7 +60,7 @@
 
 def rounds_of_probes(caches: int, routers: int) -> tuple[float, float]:
     """Probes a second of one router, CPU seconds a second of its rounds."""
-    outside, watch = Outside(), Watch()
+    outside, watch = Outside(), CpuStopwatch()
     allowed = Capabilities(True, True, True, True, True, True, False)
     settings = RouterSettings(allowed, transfer_kb_per_s=1e5, max_attempts=3, max_list_age=1.0, max_retry_after=3.0)
     router = Router(outside, fleet(caches, routers), ObjectCounts(), Purges(3.0), settings)
--- a/bench/scale/detector.py
+++ b/bench/scale/detector.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from bench.scale.meter import Meter, memory
-from bench.scale.one_router import OneRouter, introduce, places
+from bench.scale.one_router import OneRouter, make_mutually_known, places
 from bench.scale.records import Row, row
 from wickhinge.net.control.peer_transport import VIEW_INTERVAL_S
 from wickhinge.peers.detector import FailureDetector
@@ -22,7 +22,7 @@
     detector = FailureDetector(Roster(all_places, all_places[0].name), RandomSource(seed), 0.0, lambda message: None)
     for name in detector.roster.peer_names:
         peer = Roster([detector.roster.local, detector.roster.entries[name]], name)
-        introduce(detector, FailureDetector(peer, RandomSource(seed), 0.0, lambda message: None))
+        make_mutually_known(detector, FailureDetector(peer, RandomSource(seed), 0.0, lambda message: None))
     return detector
 
 
--- a/bench/scale/findings.py
+++ b/bench/scale/findings.py
@@ -3,20 +3,20 @@
 from __future__ import annotations
 
 from bench.scale import design
-from bench.scale.records import Known
+from bench.scale.records import RecordedRows
 from bench.scale.roles import ROUTER_CONTROL
 from bench.scale.tables import EXTRAPOLATED, ROUTERS, amount, at_design, number
 from wickhinge.routing.object_counts import MAX_OBJECTS
 from wickhinge.store.purges import MAX_PURGES
 
 
-def cannot(known: Known) -> str:
+def limitations(known: RecordedRows) -> str:
     """Five lines, worst first."""
     lines = (lending_ends, leases_last, rosters_of_all, one_service, a_routers_part)
     return "\n".join(f"{place}. {one(known)}" for place, one in enumerate(lines, 1))
 
 
-def lending_ends(known: Known) -> str:
+def lending_ends(known: RecordedRows) -> str:
     left = at_design(known, "router.lending_usable.share")
     few = known["router.lending_used.share"]
     used = ", ".join(f"{number(value)} by {size:g}" for size, value in zip(few.sizes, few.values, strict=True))
@@ -26,7 +26,7 @@
     )
 
 
-def leases_last(known: Known) -> str:
+def leases_last(known: RecordedRows) -> str:
     term, new, joint = (at_design(known, f"router.name_lease_{one}.time") for one in ("term", "new", "joint"))
     restart = known["router.name_lease_restart.time"].at(ROUTERS)
     without_share = restart * design.RESTARTS_A_DAY / design.DAY
@@ -37,7 +37,7 @@
     )
 
 
-def rosters_of_all(known: Known) -> str:
+def rosters_of_all(known: RecordedRows) -> str:
     heard = at_design(known, "router.joint_start.state")
     join, reunion, death = (at_design(known, f"router.{one}.time") for one in ("join", "reunion", "death"))
     return (
@@ -47,7 +47,7 @@
     )
 
 
-def one_service(known: Known) -> str:
+def one_service(known: RecordedRows) -> str:
     messages, cores = (at_design(known, f"list_service.watch.{one}") for one in ("messages", "cpu"))
     settings = number(known["control.settings.bytes"].at(ROUTERS) / 1e6)
     return (
@@ -56,7 +56,7 @@
     )
 
 
-def a_routers_part(known: Known) -> str:
+def a_routers_part(known: RecordedRows) -> str:
     cpu, sent = (ROUTER_CONTROL.total("ordinary", kind, known).value for kind in ("cpu", "bytes"))
     purges = known["router.purges_lasting.memory"]
     lasting, kept = purges.at(design.PURGES * design.DAY), amount("memory", purges.at(MAX_PURGES))
--- a/bench/scale/fleet_faults.py
+++ b/bench/scale/fleet_faults.py
@@ -7,8 +7,8 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from bench.scale.meter import Meter, Watch
-from bench.scale.one_router import introduce
+from bench.scale.meter import CpuStopwatch, Meter
+from bench.scale.one_router import make_mutually_known
 from bench.scale.records import Row, row
 from wickhinge.lab.many import play
 from wickhinge.lab.many.schedule import Fault, Schedule
@@ -38,7 +38,7 @@
         gc.collect()  # the fleet before, which is bound in circles
         super().__init__(Schedule(seed, routers, min(routers, ZONES), (), routers, 0.0, 0.0), (without_budgets,))
         self.sends = self.bytes = 0
-        self.watch = Watch()
+        self.watch = CpuStopwatch()
         self.since = 0.0
 
     def wants(self, process: play.Process, number: int) -> float:
@@ -60,7 +60,7 @@
             process.detector.identity.epoch = 1
         for one in self.processes:
             for other in self.processes[: one.place]:
-                introduce(one.detector, other.detector)
+                make_mutually_known(one.detector, other.detector)
         for process in self.processes:  # clocks have zeros of their own
             for member in process.detector.members.values():
                 member.state_since = member.last_evidence_at = process.clock
--- a/bench/scale/fleet_keep.py
+++ b/bench/scale/fleet_keep.py
@@ -7,10 +7,10 @@
 
 import msgspec
 
-from bench.scale.meter import reference
-from bench.scale.records import FOLDER, Measured, Record, Resource, Role, write
+from bench.scale.meter import reference_cpu_s
+from bench.scale.records import RECORDS_FOLDER, Measured, Record, Resource, Role, write_record
 
-WHOLE = FOLDER / "fleet"  # the last lines of the runs, whole
+WHOLE = RECORDS_FOLDER / "fleet"  # the last lines of the runs, whole
 NETWORK_SEED = 7  # fleet_network.Network
 
 # Key of the answer, role, resource, situation, unit.
@@ -66,11 +66,11 @@
         date=time.strftime("%Y-%m-%d"),
         seed=NETWORK_SEED,
         rounds=1,
-        reference_s=round(reference(), 4),
+        reference_s=round(reference_cpu_s(), 4),
         rows=[],
         figures=figures(answer, "change_log", "") + figures(answer, "flat_watch", "_flat"),
     )
-    write(FOLDER / f"{name}.json", record)
+    write_record(RECORDS_FOLDER / f"{name}.json", record)
     WHOLE.mkdir(exist_ok=True)
     whole = msgspec.json.format(msgspec.json.encode(answer), indent=1)
     (WHOLE / f"{answer['routers']}.json").write_bytes(whole + b"\n")
--- a/bench/scale/judgements.py
+++ b/bench/scale/judgements.py
@@ -5,7 +5,7 @@
 from types import SimpleNamespace
 from typing import Any
 
-from bench.scale.meter import Meter, Watch, memory
+from bench.scale.meter import CpuStopwatch, Meter, memory
 from bench.scale.records import Row, row
 from wickhinge.interface import Endpoint
 from wickhinge.peers.messages import MemberState
@@ -65,7 +65,7 @@
 
 def judge_cpu(caches: int) -> float:
     """CPU seconds a second while all tell of all machines: looks, riders read and written."""
-    one, watch, now = judge_with_words(caches), Watch(), 1.0
+    one, watch, now = judge_with_words(caches), CpuStopwatch(), 1.0
     told = verdicts.encode(
         [
             verdicts.Verdict(mark + 1, verdicts.Health.UNREACHABLE, 0.0, 0.1)
@@ -102,7 +102,7 @@
 
 def counts_cpu(mates: int, caches: int) -> float:
     """CPU seconds a second: beats, and the riders of DATAGRAMS_HEARD datagrams read and written."""
-    one, watch, beats = counting(mates, caches), Watch(), 16
+    one, watch, beats = counting(mates, caches), CpuStopwatch(), 16
     names = one.detector.roster.peer_names
     for beat in range(2, beats + 2):
         now = beat * request_tallies.TALLY_INTERVAL_S
--- a/bench/scale/meter.py
+++ b/bench/scale/meter.py
@@ -41,13 +41,13 @@
 
 
 @dataclass
-class Watch:
+class CpuStopwatch:
     """CPU seconds of this thread within `with` blocks, added up."""
 
     spent: float = 0.0
     began: float = field(default=0.0, repr=False)
 
-    def __enter__(self) -> Watch:
+    def __enter__(self) -> CpuStopwatch:
         self.began = time.thread_time()
         return self
 
@@ -55,7 +55,7 @@
         self.spent += time.thread_time() - self.began
 
 
-def reference(runs: int = 5) -> float:
+def reference_cpu_s(runs: int = 5) -> float:
     """CPU seconds of a loop that does the same everywhere, for comparing machines and moments: the median of so many
     runs.
     """
--- a/bench/scale/model.py
+++ b/bench/scale/model.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field
 from typing import Literal
 
-from bench.scale.records import Known
+from bench.scale.records import RecordedRows
 
 Situation = Literal["ordinary", "peak", "zone_lost", "regions_lost", "reunion"]
 SITUATIONS: tuple[Situation, ...] = ("ordinary", "peak", "zone_lost", "regions_lost", "reunion")
@@ -28,10 +28,10 @@
     size: float
     factor: float = 1.0
 
-    def value(self, known: Known) -> float:
+    def value(self, known: RecordedRows) -> float:
         return known[self.row].at(self.size) * self.factor
 
-    def is_extrapolated(self, known: Known) -> bool:
+    def is_extrapolated(self, known: RecordedRows) -> bool:
         return known[self.row].extrapolated(self.size)
 
 
@@ -56,7 +56,7 @@
     cpu: tuple[Term, ...] = ()
     memory: tuple[Term, ...] = ()
 
-    def figure(self, kind: Kind, known: Known) -> Figure:
+    def figure(self, kind: Kind, known: RecordedRows) -> Figure:
         terms: tuple[Term, ...] = getattr(self, kind)
         if not terms:
             return NONE
@@ -92,7 +92,7 @@
     mechanisms: tuple[Mechanism, ...]
     allowed: dict[Kind, float] = field(default_factory=dict)
 
-    def total(self, situation: Situation, kind: Kind, known: Known) -> Figure:
+    def total(self, situation: Situation, kind: Kind, known: RecordedRows) -> Figure:
         figures = [one.costs(situation).figure(kind, known) for one in self.mechanisms]
         return Figure(
             sum(one.value for one in figures),
@@ -100,6 +100,6 @@
             any(one.told for one in figures),
         )
 
-    def over(self, situation: Situation, kind: Kind, known: Known) -> bool:
+    def is_over_allowance(self, situation: Situation, kind: Kind, known: RecordedRows) -> bool:
         limit = self.allowed.get(kind)
         return limit is not None and self.total(situation, kind, known).value > limit
--- a/bench/scale/one_router.py
+++ b/bench/scale/one_router.py
@@ -12,7 +12,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from bench.scale.meter import Watch
+from bench.scale.meter import CpuStopwatch
 from wickhinge.net.control.peer_transport import TICK_INTERVAL_S, VIEW_INTERVAL_S
 from wickhinge.peers import wire
 from wickhinge.peers.detector import FailureDetector
@@ -43,7 +43,7 @@
     detector.members.names_to_gossip.discard(name)
 
 
-def introduce(one: FailureDetector, other: FailureDetector) -> None:
+def make_mutually_known(one: FailureDetector, other: FailureDetector) -> None:
     believe(one, other.roster.local.name, other.incarnation)
     believe(other, one.roster.local.name, one.incarnation)
 
@@ -61,7 +61,7 @@
     ) -> None:
         """joined: it knows all others already; else it starts among peers that know nothing of it."""
         self.now, self.random = 0.0, random.Random(seed)
-        self.watch = Watch()
+        self.watch = CpuStopwatch()
         self.sent = self.received = self.bytes_sent = self.bytes_received = 0
         self.outbox: deque[Message] = deque()
         self.inbox: deque[bytes] = deque()
@@ -79,7 +79,7 @@
         if joined:
             self.detector.identity.epoch = EPOCH
             for peer in self.peers.values():
-                introduce(self.detector, peer)
+                make_mutually_known(self.detector, peer)
         self.ticks = attach(self.detector, 0.0) if attach else []
         if attach_peer:
             for peer in self.peers.values():
--- a/bench/scale/records.py
+++ b/bench/scale/records.py
@@ -11,7 +11,7 @@
 
 from bench.scale.fits import fit
 
-FOLDER = Path(__file__).parent.parent / "records"
+RECORDS_FOLDER = Path(__file__).parent.parent / "records"
 LEAST_SIZES = 4
 DIGEST_BYTES = 6
 
@@ -21,7 +21,7 @@
 Played = Literal["virtual", "sockets", "computed"]
 
 
-class Unusable(Exception):
+class UnusableRecordError(Exception):
     """A record that does not fit its schema; the text names file and place."""
 
 
@@ -136,21 +136,21 @@
     return "" if one.model == found.model else f"{one.model} is not what its values fit ({found.model})"
 
 
-def parse(data: bytes, name: str) -> Record:
+def parse_record(data: bytes, name: str) -> Record:
     """Raises Unusable, naming the file and the place in it."""
     try:
         record = msgspec.json.decode(data, type=Record)
     except msgspec.ValidationError as problem:
-        raise Unusable(f"{name}: {problem}") from None
+        raise UnusableRecordError(f"{name}: {problem}") from None
     except msgspec.DecodeError as problem:
-        raise Unusable(f"{name}: is no JSON: {problem}") from None
+        raise UnusableRecordError(f"{name}: is no JSON: {problem}") from None
     for place, one in enumerate(record.rows):
         if why := fault(one):
-            raise Unusable(f"{name}: rows[{place}] {one.name}: {why}")
+            raise UnusableRecordError(f"{name}: rows[{place}] {one.name}: {why}")
     return record
 
 
-def write(path: Path, record: Record) -> None:
+def write_record(path: Path, record: Record) -> None:
     path.write_bytes(msgspec.json.format(msgspec.json.encode(record), indent=1) + b"\n")
 
 
@@ -159,25 +159,25 @@
     return blake2b(data, digest_size=DIGEST_BYTES).hexdigest()
 
 
-class Known:
+class RecordedRows:
     """All rows of a folder's records. Raises Unusable, also where two records hold the same row."""
 
-    def __init__(self, folder: Path = FOLDER) -> None:
+    def __init__(self, folder: Path = RECORDS_FOLDER) -> None:
         self.rows: dict[str, Row] = {}
         self.sources: dict[str, str] = {}  # which record a row is from
         self.digests: dict[str, str] = {}
         self.records: dict[str, Record] = {}
         for path in sorted(folder.glob("*.json")):
             data = path.read_bytes()
-            record = parse(data, path.name)
+            record = parse_record(data, path.name)
             self.records[path.stem], self.digests[path.stem] = record, digest(data)
             for one in record.rows:
                 if one.name in self.rows:
-                    raise Unusable(f"{path.name}: {one.name} stands in {self.sources[one.name]}.json, too")
+                    raise UnusableRecordError(f"{path.name}: {one.name} stands in {self.sources[one.name]}.json, too")
                 self.rows[one.name], self.sources[one.name] = one, path.stem
 
     def __getitem__(self, name: str) -> Row:
         try:
             return self.rows[name]
         except KeyError:
-            raise Unusable(f"no record holds {name}") from None
+            raise UnusableRecordError(f"no record holds {name}") from None
--- a/bench/scale/run.py
+++ b/bench/scale/run.py
@@ -21,7 +21,7 @@
     spread,
     watching,
 )
-from bench.scale.meter import Meter, reference
+from bench.scale.meter import Meter, reference_cpu_s
 from bench.scale.records import Record, Row
 
 PARTS: dict[str, Callable[[Meter], list[Row]]] = {
@@ -45,7 +45,7 @@
     gc.disable()  # as a router does
     references: list[float] = []
     for name, part in PARTS.items():
-        references.append(reference(1) if meter.quick else reference())
+        references.append(reference_cpu_s(1) if meter.quick else reference_cpu_s())
         began = time.monotonic()
         rows += part(meter)
         gc.collect()
--- a/bench/scale/tables.py
+++ b/bench/scale/tables.py
@@ -9,7 +9,7 @@
 from bench.scale.design import Assumption
 from bench.scale.model import KINDS, SITUATIONS, TITLES, Figure, Kind, Mechanism, RoleModel
 from bench.scale.planned_roles import NEEDED, PLANNED
-from bench.scale.records import Known, Measured, Row
+from bench.scale.records import Measured, RecordedRows, Row
 from bench.scale.roles import ROLES
 
 ROUTERS = design.ROUTERS
@@ -54,12 +54,12 @@
     )
 
 
-def runs(mechanism: Mechanism, known: Known) -> str:
+def runs(mechanism: Mechanism, known: RecordedRows) -> str:
     names = {name for situation in SITUATIONS for name in mechanism.costs(situation).rows()}
     return ", ".join(sorted({known.sources[name] for name in names}))
 
 
-def mechanisms(role: RoleModel, known: Known) -> str:
+def mechanisms_table(role: RoleModel, known: RecordedRows) -> str:
     """By mechanism, where it differs between situations a line each."""
     rows = []
     for mechanism in role.mechanisms:
@@ -74,12 +74,12 @@
     return table([*heads, *TITLES_OF_KINDS.values(), "run"], rows)
 
 
-def total(role: RoleModel, situation: str, kind: Kind, known: Known) -> str:
+def total(role: RoleModel, situation: str, kind: Kind, known: RecordedRows) -> str:
     text = shown(kind, role.total(situation, kind, known))
-    return f"**OVER** {text}" if role.over(situation, kind, known) else text
+    return f"**OVER** {text}" if role.is_over_allowance(situation, kind, known) else text
 
 
-def totals(role: RoleModel, known: Known) -> str:
+def totals_table(role: RoleModel, known: RecordedRows) -> str:
     rows = [
         [
             TITLES_OF_KINDS[kind],
@@ -91,22 +91,22 @@
     return table(["computed, all mechanisms", "allowed", *(TITLES[one] for one in SITUATIONS)], rows)
 
 
-def role_tables(role: RoleModel, known: Known) -> str:
-    return f"### {role.title}\n\n{totals(role, known)}\n\n{mechanisms(role, known)}"
+def role_tables(role: RoleModel, known: RecordedRows) -> str:
+    return f"### {role.title}\n\n{totals_table(role, known)}\n\n{mechanisms_table(role, known)}"
 
 
-def roles(known: Known) -> str:
+def roles(known: RecordedRows) -> str:
     return "\n\n".join(role_tables(role, known) for role in ROLES)
 
 
-def over(known: Known) -> list[str]:
+def exceeded_allowances(known: RecordedRows) -> list[str]:
     """What is over its allowance, as "role: situation: kind"."""
     return [
         f"{role.title}: {TITLES[situation]}: {kind}"
         for role in (*ROLES, *PLANNED)
         for situation in SITUATIONS
         for kind in KINDS
-        if role.over(situation, kind, known)
+        if role.is_over_allowance(situation, kind, known)
     ]
 
 
@@ -116,7 +116,7 @@
     return f"{number(one.offset)} + {number(one.slope)} x"
 
 
-def slope_row(one: Row, known: Known) -> list[str]:
+def slope_row(one: Row, known: RecordedRows) -> list[str]:
     points = ", ".join(f"{size:g}: {value:.4g}" for size, value in zip(one.sizes, one.values, strict=True))
     at_design = "-"
     if one.axis == "routers":
@@ -138,11 +138,11 @@
 HEADS = ["row", "x", "measured", "unit", "fit", "residual", "at 1,600 routers", "how, run", "method"]
 
 
-def slopes(known: Known) -> str:
+def slopes_table(known: RecordedRows) -> str:
     return table(HEADS, (slope_row(one, known) for one in known.rows.values() if known.sources[one.name] == SLOPES))
 
 
-def planned(known: Known) -> str:
+def planned_tables(known: RecordedRows) -> str:
     """What other runs recorded of the mechanisms that are to replace the flat ones."""
     rows = [one for one in known.rows.values() if known.sources[one.name] != SLOPES]
     figures = [(name, one) for name, record in known.records.items() for one in record.figures]
@@ -161,7 +161,7 @@
     return [one.role, one.mechanism, one.resource, one.situation, size, value, one.unit, source, one.method]
 
 
-def claims(known: Known) -> str:
+def claims(known: RecordedRows) -> str:
     rows = []
     for one in CLAIMS:
         measured = number(one.measured(known)) + EXTRAPOLATED * one.extrapolated(known)
@@ -169,12 +169,12 @@
     return table(["matter", "known before", "measured", "unit", "row"], rows)
 
 
-def records(known: Known) -> str:
+def records(known: RecordedRows) -> str:
     heads = ["record", "run", "date", "seed", "rounds", "reference s", "rows", "BLAKE2b"]
     return table(heads, (record_row(name, known) for name in known.records))
 
 
-def record_row(name: str, known: Known) -> list[object]:
+def record_row(name: str, known: RecordedRows) -> list[object]:
     one = known.records[name]
     told = [
         one.run,
@@ -187,6 +187,6 @@
     return [f"`{name}.json`", *told, known.digests[name]]
 
 
-def at_design(known: Known, name: str) -> str:
+def at_design(known: RecordedRows, name: str) -> str:
     one = known[name]
     return number(one.at(ROUTERS)) + EXTRAPOLATED * one.extrapolated(ROUTERS)
--- a/bench/scale/watching.py
+++ b/bench/scale/watching.py
@@ -6,7 +6,7 @@
 from types import SimpleNamespace
 from typing import Any
 
-from bench.scale.meter import Meter, Watch, memory
+from bench.scale.meter import CpuStopwatch, Meter, memory
 from bench.scale.records import Row, row
 from wickhinge.net.control import endpoint_watch
 from wickhinge.routing.purges import Purges
@@ -42,7 +42,7 @@
 def cpu_of_a_second(purges: int) -> float:
     """CPU seconds of so many purges, each of them read alone."""
     one, reading = watching()
-    watch = Watch()
+    watch = CpuStopwatch()
     frames = [frame(number + 1) for number in range(purges)]
     with watch:
         for data in frames:
@@ -100,7 +100,7 @@
 
 def cpu_of_telling(count: int, rounds: int) -> float:
     """CPU seconds of the service a frame told to all. System time of its sends is among it."""
-    watchers, watch = Watchers(count), Watch()
+    watchers, watch = Watchers(count), CpuStopwatch()
     try:
         for number in range(rounds):
             with watch:
--- a/tests/bench/test_scale.py
+++ b/tests/bench/test_scale.py
@@ -12,7 +12,7 @@
 from bench.scale import fits, leases, lending, spread
 from bench.scale.change_log import RELAYS, Tree, counted
 from bench.scale.one_router import OneRouter
-from bench.scale.records import Known, Record, Unusable, parse, row, write
+from bench.scale.records import Record, RecordedRows, UnusableRecordError, parse_record, row, write_record
 
 ROOT = Path(__file__).parents[2]
 SIZES = [10, 50, 200, 800]
@@ -76,8 +76,8 @@
     ],
 )
 def test_a_row_that_does_not_fit_is_refused_by_place(change, said):
-    with pytest.raises(Unusable, match=r"one.json: rows\[0\] router.it.cpu: ") as problem:
-        parse(msgspec.json.encode(made(**change)), "one.json")
+    with pytest.raises(UnusableRecordError, match=r"one.json: rows\[0\] router.it.cpu: ") as problem:
+        parse_record(msgspec.json.encode(made(**change)), "one.json")
     assert said in str(problem.value)
 
 
@@ -93,15 +93,15 @@
 def test_a_record_of_another_schema_is_refused_by_place(old, new, said):
     text = msgspec.json.encode(made()).decode()
     assert old in text
-    with pytest.raises(Unusable, match=said):
-        parse(text.replace(old, new).encode(), "one.json")
+    with pytest.raises(UnusableRecordError, match=said):
+        parse_record(text.replace(old, new).encode(), "one.json")
 
 
 def test_a_row_stands_in_one_record_only(tmp_path):
     for name in ("one", "two"):
-        write(tmp_path / f"{name}.json", made())
-    with pytest.raises(Unusable, match="two.json: router.it.cpu stands in one.json, too"):
-        Known(tmp_path)
+        write_record(tmp_path / f"{name}.json", made())
+    with pytest.raises(UnusableRecordError, match="two.json: router.it.cpu stands in one.json, too"):
+        RecordedRows(tmp_path)
 
 
 def test_one_router_among_peers_hears_them_all_and_sends_what_a_fleet_sends():
@@ -158,6 +158,6 @@
     answer = json.loads(output.splitlines()[-1])
     assert len(answer["roles"]) >= 3
     told = {f"{one['role']}.{one['mechanism']}.{one['resource']}" for one in answer["rows"]}
-    assert told == set(Known().rows) & told and len(told) >= 40
+    assert told == set(RecordedRows().rows) & told and len(told) >= 40
     assert all(len(one["sizes"]) >= 4 for one in answer["rows"])
     assert "router.failure_detector.cpu" in answer["extrapolated"]  # it says how far it saw
