--- a/bench/scale/change_log.py
+++ b/bench/scale/change_log.py
@@ -9,7 +9,7 @@
 import random
 from collections import deque
 
-from bench.scale.meter import CpuStopwatch, Meter, memory
+from bench.scale.meter import CpuStopwatch, Meter, memory_bytes
 from bench.scale.records import Row, row
 from wickhinge.changelog.codec import IP_AND_UDP_HEADER_BYTES, Codec
 from wickhinge.changelog.context import ProcessContext
@@ -149,7 +149,7 @@
         tree = Tree(2, rate, meter.seed)
         tree.run(SETTLED)
         routers.append(counted(tree, "router-0000", seconds))
-    held = [memory(lambda size=size: relay_log(size)) for size in entries]
+    held = [memory_bytes(lambda size=size: relay_log(size)) for size in entries]
     by_relay = f"{PURGES:g} purges/s, as many more routers that watch; both ways, with headers"
     by_router = "a router's side, two relays; both ways, with headers"
     axis = "routers that follow it"
--- a/bench/scale/claims.py
+++ b/bench/scale/claims.py
@@ -1,4 +1,4 @@
-"""What was known of growth before these runs, beside what they measured."""
+"""Earlier claims about how costs grow, each with the recorded row that measured it."""
 
 from __future__ import annotations
 
@@ -9,7 +9,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Claim:
-    """A figure that was told before, and the recorded row at the size that it speaks of, times a factor."""
+    """A value that was claimed before the runs, and the recorded row that measured it.
+
+    Attributes:
+        what: Description printed in the capacity page.
+        before: The claimed value.
+        row: Name of the recorded row.
+        size: The size that the claim is about.
+        unit: Unit of both values.
+        factor: Converts the row's unit to the claim's unit.
+    """
 
     what: str
     before: str
@@ -19,34 +28,41 @@
     factor: float = 1.0
 
     def measured(self, known: RecordedRows) -> float:
-        return known[self.row].at(self.size) * self.factor
+        return known[self.row].value_at(self.size) * self.factor
 
-    def extrapolated(self, known: RecordedRows) -> bool:
-        return known[self.row].extrapolated(self.size)
+    def is_extrapolated(self, known: RecordedRows) -> bool:
+        return known[self.row].is_extrapolated(self.size)
 
 
-MICRO = 1e6
-KILO = 1e-3
-CPU = "router.failure_detector.cpu"
-DEATH = "router.death.time"
-SENT = "router.failure_detector.bytes"
+MICROSECONDS_PER_S = 1e6
+KB_PER_BYTE = 1e-3
+DETECTOR_CPU_ROW = "router.failure_detector.cpu"
+DEATH_TIME_ROW = "router.death.time"
+DETECTOR_BYTES_ROW = "router.failure_detector.bytes"
 
 CLAIMS = (
     *(
-        Claim(f"knowing {size} routers, with view and codec here", before, CPU, size, "us/s", MICRO)
+        Claim(
+            f"knowing {size} routers, with view and codec here",
+            before,
+            DETECTOR_CPU_ROW,
+            size,
+            "us/s",
+            MICROSECONDS_PER_S,
+        )
         for size, before in ((50, "73"), (100, "112"), (200, "188"), (400, "350"))
     ),
-    Claim("memory of knowing 400", "421", "router.failure_detector.memory", 400, "KB", KILO),
+    Claim("memory of knowing 400", "421", "router.failure_detector.memory", 400, "KB", KB_PER_BYTE),
     *(
         Claim(f"others heard 15 s after a joint start of {size}", before, "router.joint_start.state", size, "routers")
         for size, before in ((100, "82 (0.83)"), (200, "86 (0.43)"), (400, "80 (0.20)"))
     ),
     *(
-        Claim(f"a death is known, 99th percentile, {size}", before, DEATH, size, "s")
+        Claim(f"a death is known, 99th percentile, {size}", before, DEATH_TIME_ROW, size, "s")
         for size, before in ((10, "3.1"), (50, "6.0"), (200, "8.6"), (500, "12.6"))
     ),
     *(
-        Claim(f"bytes a router sends, {size}", before, SENT, size, "B/s")
+        Claim(f"bytes a router sends, {size}", before, DETECTOR_BYTES_ROW, size, "B/s")
         for size, before in ((50, "279"), (200, "306"), (500, "441"))
     ),
     Claim("all hear all again after a cut, 400", "bound 412 (12 + n)", "router.reunion.time", 400, "s"),
--- a/bench/scale/connections.py
+++ b/bench/scale/connections.py
@@ -6,7 +6,7 @@
 from types import SimpleNamespace
 from typing import Any
 
-from bench.scale.meter import Meter, memory
+from bench.scale.meter import Meter, memory_bytes
 from bench.scale.records import Row, row
 from wickhinge.net.downstream import descriptors
 from wickhinge.net.runtime.buffers import BufferPool
@@ -33,7 +33,7 @@
 
 def connections(meter: Meter) -> list[Row]:
     caches = meter.sizes(5, 14, 60, 200, 710)
-    held = [memory(lambda size=size: lines(size)) for size in caches]
+    held = [memory_bytes(lambda size=size: lines(size)) for size in caches]
     state = [float(MAX_CONNECTIONS_PER_SERVER * size) for size in caches]
     needed = [float(descriptors_needed(size)) for size in caches]
     return [
@@ -84,10 +84,10 @@
             for _ in range(count):
                 log.event("told", **LINE_OF_LOG)
 
-        cpu = [meter.cpu(lambda size=size: write(size), 1) for size in sizes]
+        cpu = [meter.cpu_s_per_call(lambda size=size: write(size), 1) for size in sizes]
     length = len(unread(1).lines[0])
     sent = [float(length * size) for size in sizes]
-    held = [memory(lambda size=size: unread(size)) for size in sizes]
+    held = [memory_bytes(lambda size=size: unread(size)) for size in sizes]
     return [
         row("log", "router", "cpu", "lines/s", sizes, cpu, "core", "virtual", "thread CPU, written to /dev/null"),
         row("log", "router", "bytes", "lines/s", sizes, sent, "B/s", "virtual", "lines of told"),
--- a/bench/scale/day.py
+++ b/bench/scale/day.py
@@ -10,7 +10,7 @@
 from bench.scale.day_budgets import BudgetsDay
 from bench.scale.day_change_log import ChangeLogDay
 from bench.scale.day_faults import Counts
-from bench.scale.design import DAY, PURGES, REGIONS, ROUTERS, ZONES
+from bench.scale.design import DAY_S, PURGES_PER_S, REGIONS, ROUTERS, ZONES
 from wickhinge.changelog.settings import ReplicaSettings
 from wickhinge.lab.changelog.world import RETAIN
 
@@ -31,7 +31,7 @@
     """Seconds played of the day's."""
 
     played_s: float
-    of_s: int = DAY
+    of_s: int = DAY_S
 
 
 class Lowered(msgspec.Struct, frozen=True):
@@ -82,9 +82,9 @@
 
 def lowered(size: Size) -> list[Lowered]:
     return [
-        Lowered("seconds", size.seconds, DAY),
+        Lowered("seconds", size.seconds, DAY_S),
         Lowered("followers of the change log", size.followers, ROUTERS),
-        Lowered("changes a second", size.changes_s, PURGES),
+        Lowered("changes a second", size.changes_s, PURGES_PER_S),
         Lowered("entries in a log", RETAIN, DESIGN_RETAIN),
         Lowered("routers with budgets", size.routers, ROUTERS),
         Lowered("zones of the routers with budgets", day_budgets.ZONES, ZONES),
@@ -98,10 +98,10 @@
     change_log = day_change_log.play(seed, size.followers, size.seconds, size.changes_s, counts)
     budgets = day_budgets.play(seed, size.routers, size.seconds, counts)
     rates = Rates(
-        failures_an_hour(Counts(), ROUTERS, DAY),
+        failures_an_hour(Counts(), ROUTERS, DAY_S),
         failures_an_hour(counts, size.followers, size.seconds),
         failures_an_hour(counts, size.routers, size.seconds),
-        PURGES,
+        PURGES_PER_S,
         size.changes_s,
     )
     return Result(
--- a/bench/scale/day_faults.py
+++ b/bench/scale/day_faults.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from bench.scale.design import RESTARTS_A_DAY
+from bench.scale.design import RESTARTS_PER_DAY
 
 LOST_A_DAY = 9  # machines
 START_S = 8.0  # until the first failure
@@ -40,7 +40,7 @@
 class Counts(msgspec.Struct, frozen=True):
     """Failures of single machines of a day."""
 
-    restarts: int = RESTARTS_A_DAY
+    restarts: int = RESTARTS_PER_DAY
     lost: int = LOST_A_DAY
 
 
--- a/bench/scale/deciding.py
+++ b/bench/scale/deciding.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 from bench.scale.judgements import fleet
-from bench.scale.meter import CpuStopwatch, Meter, memory
+from bench.scale.meter import CpuStopwatch, Meter, memory_bytes
 from bench.scale.records import Row, row
 from wickhinge.interface import Capabilities
 from wickhinge.routing.object_counts import ObjectCounts
@@ -75,9 +75,9 @@
     objects = meter.sizes(1000, 4000, 10_000, 20_000, 80_000, 320_000)
     caches = meter.sizes(5, 14, 60, 200, 710)
     k_cpu = [meter.median(lambda size=size: cpu_of_k(size)) for size in objects]
-    k_memory = [memory(lambda size=size: filled(size)) for size in objects]
+    k_memory = [memory_bytes(lambda size=size: filled(size)) for size in objects]
     order = [meter.median(lambda size=size: cpu_of_order(size)) for size in caches]
-    listed = [memory(lambda size=size: fleet(size)) for size in caches]
+    listed = [memory_bytes(lambda size=size: fleet(size)) for size in caches]
     probes = [rounds_of_probes(size, 31) for size in caches]
     routers = meter.sizes(4, 15, 31, 100, 400, 1600)
     of_one_cache = [count * rounds_of_probes(14, count)[0] / 14 for count in routers]
--- a/bench/scale/detector.py
+++ b/bench/scale/detector.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from bench.scale.meter import Meter, memory
+from bench.scale.meter import Meter, memory_bytes
 from bench.scale.one_router import OneRouter, make_mutually_known, places
 from bench.scale.records import Row, row
 from wickhinge.net.control.peer_transport import VIEW_INTERVAL_S
@@ -37,12 +37,13 @@
         router.sent = router.bytes_sent = 0
         cpu.append(meter.median(lambda router=router: router.cpu(seconds)))
         views.append(
-            meter.cpu(lambda router=router: router.detector.view(router.now).summary(), VIEWS) / VIEW_INTERVAL_S
+            meter.cpu_s_per_call(lambda router=router: router.detector.view(router.now).summary(), VIEWS)
+            / VIEW_INTERVAL_S
         )
         passed = meter.rounds * seconds
         messages.append(router.sent / passed)
         sent.append(router.bytes_sent / passed)
-    held = [memory(lambda size=size: standing(size, meter.seed)) for size in sizes]
+    held = [memory_bytes(lambda size=size: standing(size, meter.seed)) for size in sizes]
     return [
         row("failure_detector", "router", "cpu", "routers", sizes, cpu, "core", "virtual", CPU),
         row(
--- a/bench/scale/judgements.py
+++ b/bench/scale/judgements.py
@@ -5,7 +5,7 @@
 from types import SimpleNamespace
 from typing import Any
 
-from bench.scale.meter import CpuStopwatch, Meter, memory
+from bench.scale.meter import CpuStopwatch, Meter, memory_bytes
 from bench.scale.records import Row, row
 from wickhinge.interface import Endpoint
 from wickhinge.peers.messages import MemberState
@@ -122,7 +122,7 @@
     mates = meter.sizes(5, 15, 30, 120, 480)
     caches_here = 14
     judged = [meter.median(lambda size=size: judge_cpu(size)) for size in caches]
-    judged_memory = [memory(lambda size=size: judge_with_words(size)) for size in caches]
+    judged_memory = [memory_bytes(lambda size=size: judge_with_words(size)) for size in caches]
     rider = [
         DATAGRAMS_HEARD
         * len(
@@ -133,7 +133,7 @@
         for size in caches
     ]
     counted = [meter.median(lambda size=size: counts_cpu(size, caches_here)) for size in mates]
-    counted_memory = [memory(lambda size=size: counting(size, caches_here)) for size in mates]
+    counted_memory = [memory_bytes(lambda size=size: counting(size, caches_here)) for size in mates]
     said = [DATAGRAMS_HEARD * len(counting(size, caches_here).payload("mate-0000")) for size in mates]
     told = f"{WITNESSES} witnesses say that each machine is lost"
     return [
--- a/bench/scale/leases.py
+++ b/bench/scale/leases.py
@@ -4,7 +4,7 @@
 
 import random
 
-from bench.scale.meter import Meter, memory
+from bench.scale.meter import Meter, memory_bytes
 from bench.scale.records import Row, row
 from wickhinge.peers.health import PROBE_PERIOD_S
 from wickhinge.shared.name_lease import MAX_CLOCK_DRIFT, NameLeases, lease_term_s
@@ -70,8 +70,8 @@
     again = [restarted(size, meter.seed) for size in sizes]
     joint = [after_joint_start(size, meter.seed) for size in sizes]
     tables = [held(size) for size in sizes]
-    cpu = [LOOK * meter.cpu(lambda lease=lease: lease.held_until(1.0), 20) for lease in tables]
-    memories = [memory(lambda size=size: held(size)) for size in sizes]
+    cpu = [LOOK * meter.cpu_s_per_call(lambda lease=lease: lease.held_until(1.0), 20) for lease in tables]
+    memories = [memory_bytes(lambda size=size: held(size)) for size in sizes]
     asked = f"one voter asked each {PROBE_PERIOD_S} s; drift {MAX_CLOCK_DRIFT}"
     return [
         row("name_lease_term", "router", "time", "routers", sizes, longest, "s", "computed", "name_lease.term"),
--- a/bench/scale/meter.py
+++ b/bench/scale/meter.py
@@ -1,4 +1,4 @@
-"""Taking a cost: medians of CPU time over rounds, and memory by tracemalloc."""
+"""Measurement of costs: medians of CPU time over rounds, and memory by tracemalloc."""
 
 from __future__ import annotations
 
@@ -10,26 +10,33 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-REFERENCE_TURNS = 1_000_000
+REFERENCE_LOOP_PASSES = 1_000_000
 
 
 @dataclass
 class Meter:
-    """How much is played: quick for CI, else as recorded."""
+    """How much of the bench is run.
+
+    Attributes:
+        quick: Whether only small sizes are run, for CI.
+        rounds: How often each CPU time is taken; the median counts.
+        seed: Seed of the bench's random numbers.
+    """
 
     quick: bool
     rounds: int
     seed: int = 7
 
     def sizes(self, *all_sizes: int) -> list[int]:
-        """All of them, or the four least."""
+        """Return all sizes, or the first four in a quick run."""
         return list(all_sizes[:4] if self.quick else all_sizes)
 
     def median(self, run: Callable[[], float]) -> float:
+        """Return the median of what `run` returns over the rounds."""
         return statistics.median(run() for _ in range(self.rounds))
 
-    def cpu(self, call: Callable[[], Any], times: int) -> float:
-        """CPU seconds of one call, the median over the rounds. This thread's alone."""
+    def cpu_s_per_call(self, call: Callable[[], Any], times: int) -> float:
+        """Return the CPU seconds of one call in this thread: a mean over `times` calls, the median over the rounds."""
 
         def once() -> float:
             began = time.thread_time()
@@ -42,7 +49,12 @@
 
 @dataclass
 class CpuStopwatch:
-    """CPU seconds of this thread within `with` blocks, added up."""
+    """Adds up the CPU seconds that this thread spends in `with` blocks.
+
+    Attributes:
+        spent: CPU seconds so far.
+        began: CPU time of the thread when the last block began.
+    """
 
     spent: float = 0.0
     began: float = field(default=0.0, repr=False)
@@ -56,21 +68,23 @@
 
 
 def reference_cpu_s(runs: int = 5) -> float:
-    """CPU seconds of a loop that does the same everywhere, for comparing machines and moments: the median of so many
-    runs.
+    """Return the median CPU seconds of a fixed loop.
+
+    The loop does the same work everywhere, so that the speeds of machines, and of one machine at different times, can
+    be compared.
     """
 
     def once() -> float:
         began, total = time.thread_time(), 0
-        for number in range(REFERENCE_TURNS):
+        for number in range(REFERENCE_LOOP_PASSES):
             total += number & 7
         return time.thread_time() - began
 
     return statistics.median(once() for _ in range(runs))
 
 
-def memory(build: Callable[[], Any]) -> int:
-    """Bytes that Python holds for what `build` returns, by tracemalloc."""
+def memory_bytes(build: Callable[[], Any]) -> int:
+    """Return the bytes that Python allocates for what `build` returns, by tracemalloc."""
     gc.collect()
     tracemalloc.start()
     try:
--- a/bench/scale/planned_roles.py
+++ b/bench/scale/planned_roles.py
@@ -1,52 +1,57 @@
-"""The roles with the change log, which is to carry purges and settings: its rows in place of the flat ones."""
+"""The planned design, role by role: the change log carries purges and settings in place of the flat mechanisms."""
 
 from __future__ import annotations
 
 from bench.scale import design
 from bench.scale.model import Costs, Mechanism, RoleModel, Term
-from bench.scale.roles import ROUTER_CONTROL, SETTINGS, WATCH
+from bench.scale.roles import ENDPOINT_WATCH, ROUTER_CONTROL, SETTINGS_FILES
 
 RELAYS = 6
-FOLLOWERS = design.ROUTERS / RELAYS
-RETAINED = 16_384  # entries, as settings.RelaySettings
+ROUTERS_PER_RELAY = design.ROUTERS / RELAYS
+# Entries that a relay retains by default, as in wickhinge.changelog.settings.RelaySettings.
+RETAINED_ENTRIES = 16_384
 
-FOLLOWING = Mechanism(
+CHANGE_LOG_FOLLOWER = Mechanism(
     "change log: purges and settings",
     "the last number, 1,024 digests, 4,096 early entries at most",
     "changelog/follower over UDP",
     "uninformed after 3.1 s, and copies' ages are limited by their grace",
     Costs(
-        messages=(Term("router.change_log.messages", design.PURGES),),
-        bytes=(Term("router.change_log.bytes", design.PURGES),),
-        cpu=(Term("router.change_log.cpu", design.PURGES),),
+        messages=(Term("router.change_log.messages", design.PURGES_PER_S),),
+        bytes=(Term("router.change_log.bytes", design.PURGES_PER_S),),
+        cpu=(Term("router.change_log.cpu", design.PURGES_PER_S),),
     ),
 )
-RELAYING = Mechanism(
+CHANGE_LOG_RELAY = Mechanism(
     "change log, handed down",
-    f"{RETAINED:,} entries, a subscriber each for {FOLLOWERS:.0f} routers and as many that watch",
+    f"{RETAINED_ENTRIES:,} entries, a subscriber each for {ROUTERS_PER_RELAY:.0f} routers and as many that watch",
     "changelog/relay over UDP",
     "goes on with what it has; its routers see that it is behind, and take another after 0.7 s",
     Costs(
-        messages=(Term("relay.change_log.messages", FOLLOWERS),),
-        bytes=(Term("relay.change_log.bytes", FOLLOWERS),),
-        cpu=(Term("relay.change_log.cpu", FOLLOWERS),),
-        memory=(Term("relay.change_log.memory", RETAINED),),
+        messages=(Term("relay.change_log.messages", ROUTERS_PER_RELAY),),
+        bytes=(Term("relay.change_log.bytes", ROUTERS_PER_RELAY),),
+        cpu=(Term("relay.change_log.cpu", ROUTERS_PER_RELAY),),
+        memory=(Term("relay.change_log.memory", RETAINED_ENTRIES),),
     ),
     {
         "zone_lost": Costs(
-            messages=(Term("relay.change_log.messages", FOLLOWERS * RELAYS / (RELAYS - 1)),),
-            bytes=(Term("relay.change_log.bytes", FOLLOWERS * RELAYS / (RELAYS - 1)),),
-            cpu=(Term("relay.change_log.cpu", FOLLOWERS * RELAYS / (RELAYS - 1)),),
-            memory=(Term("relay.change_log.memory", RETAINED),),
+            messages=(Term("relay.change_log.messages", ROUTERS_PER_RELAY * RELAYS / (RELAYS - 1)),),
+            bytes=(Term("relay.change_log.bytes", ROUTERS_PER_RELAY * RELAYS / (RELAYS - 1)),),
+            cpu=(Term("relay.change_log.cpu", ROUTERS_PER_RELAY * RELAYS / (RELAYS - 1)),),
+            memory=(Term("relay.change_log.memory", RETAINED_ENTRIES),),
         )
     },
 )
-PLANNED = (
+PLANNED_ROLES = (
     RoleModel(
         "Router, for control, with the change log in place of watch and settings files",
-        (FOLLOWING, *(one for one in ROUTER_CONTROL.mechanisms if one not in (WATCH, SETTINGS))),
+        (
+            CHANGE_LOG_FOLLOWER,
+            *(one for one in ROUTER_CONTROL.mechanisms if one not in (ENDPOINT_WATCH, SETTINGS_FILES)),
+        ),
         ROUTER_CONTROL.allowed,
     ),
-    RoleModel(f"Relay, one of {RELAYS} (a zone lost: one of them with it)", (RELAYING,)),
+    RoleModel(f"Relay, one of {RELAYS} (a zone lost: one of them with it)", (CHANGE_LOG_RELAY,)),
 )
-NEEDED = "relay.change_log.cpu"  # without which there is nothing to tell
+# The row without which the planned roles cannot be computed; without it their tables are left out.
+REQUIRED_ROW = "relay.change_log.cpu"
--- a/bench/scale/records.py
+++ b/bench/scale/records.py
@@ -1,4 +1,4 @@
-"""Recorded measurements: one JSON file a run, checked against its schema and its own fits when it is read."""
+"""Recorded measurements: one JSON file per run, checked against its schema and against its own fits when read."""
 
 from __future__ import annotations
 
@@ -12,78 +12,122 @@
 from bench.scale.fits import fit
 
 RECORDS_FOLDER = Path(__file__).parent.parent / "records"
-LEAST_SIZES = 4
-DIGEST_BYTES = 6
+# Fewest sizes that a row has to be measured at for its fit to be accepted.
+MIN_SIZES = 4
+SHORT_DIGEST_BYTES = 6
 
 Role = Literal["router", "relay", "control", "list_service"]
 Resource = Literal["cpu", "messages", "bytes", "memory", "state", "time", "share"]
-COSTS = ("cpu", "messages", "bytes", "memory", "time")
-Played = Literal["virtual", "sockets", "computed"]
+# Resources that cost something, unlike "state" and "share": beyond the measured sizes they are not taken to fall.
+COST_RESOURCES = ("cpu", "messages", "bytes", "memory", "time")
+HowMeasured = Literal["virtual", "sockets", "computed"]
 
 
 class UnusableRecordError(Exception):
-    """A record that does not fit its schema; the text names file and place."""
+    """A record that cannot be used, or a row that no record has; the message names the file and the place in it."""
 
 
 class Row(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """One cost measured at several sizes, and its fit (fits.Fit)."""
+    """One cost measured at several sizes, with the fit of fits.Fit.
+
+    Attributes:
+        mechanism: Name of the mechanism ("failure_detector"); with role and resource it is unique over all records.
+        role: The kind of process that pays the cost.
+        resource: The kind of cost.
+        axis: What the sizes count ("routers").
+        sizes: The measured sizes, ascending.
+        values: The cost at each size, the median over the rounds.
+        unit: Unit of the values.
+        model: Shape of the fitted curve.
+        offset: The fit's offset.
+        slope: The fit's slope.
+        residual: The fit's residual.
+        seen_up_to: The largest measured size; beyond it the cost is extrapolated.
+        played: Measured in virtual time, measured on real sockets, or computed by the program's own formula.
+        method: How the values were taken.
+    """
 
-    mechanism: str  # "failure_detector"; with role and resource unique over all records
+    mechanism: str
     role: Role
     resource: Resource
-    axis: str  # what the sizes count
+    axis: str
     sizes: list[float]
-    values: list[float]  # medians over the rounds
+    values: list[float]
     unit: str
     model: Literal["linear", "power"]
     offset: float
     slope: float
     residual: float
     seen_up_to: float
-    played: Played  # virtual time, real sockets, or computed by the program's own formula
+    played: HowMeasured
     method: str
 
     @property
     def name(self) -> str:
         return f"{self.role}.{self.mechanism}.{self.resource}"
 
-    def at(self, size: float) -> float:
-        """The cost at a size: between two measured ones by interpolation, beyond them by the fit. A cost that fell with
-        the size is not taken to fall further than was seen.
+    def value_at(self, size: float) -> float:
+        """Return the cost at a size, interpolated between the measured sizes and by the fit beyond them.
+
+        A cost that fell with the size is not taken to fall below its value at the largest measured size.
         """
         if self.sizes[0] <= size <= self.sizes[-1]:
             return float(numpy.interp(size, self.sizes, self.values))
-        fitted = fit(self.sizes, self.values).at(size)
-        return max(fitted, self.values[-1]) if self.resource in COSTS and size > self.sizes[-1] else fitted
+        fitted = fit(self.sizes, self.values).value_at(size)
+        return max(fitted, self.values[-1]) if self.resource in COST_RESOURCES and size > self.sizes[-1] else fitted
 
-    def extrapolated(self, size: float) -> bool:
+    def is_extrapolated(self, size: float) -> bool:
         return size > self.seen_up_to
 
 
 class Measured(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """One figure at one size, of a run that plays the design itself: `python -m bench.scale fleet`."""
+    """One value at one size, from a run of the planned design itself (`python -m bench.scale fleet`).
+
+    Attributes:
+        mechanism: Name of the mechanism.
+        role: The kind of process that pays the cost.
+        resource: The kind of cost.
+        situation: One of model.SITUATIONS.
+        size: The size at which the value was taken.
+        axis: What the size counts.
+        value: The measured value.
+        unit: Unit of the value.
+        played: Measured in virtual time, measured on real sockets, or computed.
+        method: How the value was taken.
+    """
 
     mechanism: str
     role: Role
     resource: Resource
-    situation: str  # as model.SITUATIONS
+    situation: str
     size: float
-    axis: str  # what the size counts
+    axis: str
     value: float
     unit: str
-    played: Played
+    played: HowMeasured
     method: str
 
 
 class Record(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """One run."""
-
-    run: str  # the command
+    """The record of one run.
+
+    Attributes:
+        run: The command line.
+        date: The day of the run, ISO 8601.
+        seed: Seed of the run's random numbers.
+        rounds: How often each CPU time was taken; the median counts.
+        reference_s: Least CPU seconds of meter.reference_cpu_s during the run, which tells how fast the machine is.
+        reference_most_s: Most CPU seconds of meter.reference_cpu_s, which tells how much other work slowed the machine.
+        rows: Costs measured at several sizes.
+        figures: Values measured at one size.
+    """
+
+    run: str
     date: str
     seed: int
     rounds: int
-    reference_s: float = 0.0  # CPU seconds of meter.reference on that machine, the least during the run
-    reference_most_s: float = 0.0  # the most: how much other work took of the machine
+    reference_s: float = 0.0
+    reference_most_s: float = 0.0
     rows: list[Row] = []
     figures: list[Measured] = []
 
@@ -96,10 +140,10 @@
     sizes: list[float],
     values: list[float],
     unit: str,
-    played: Played,
+    played: HowMeasured,
     method: str,
 ) -> Row:
-    """A measurement with its fit."""
+    """Return a row of measured values with its fit; values are rounded to six significant digits."""
     sizes = [float(size) for size in sizes]
     values = [float(f"{value:.6g}") for value in values]
     found = fit(sizes, values)
@@ -121,32 +165,40 @@
     )
 
 
-def fault(one: Row) -> str:
-    """What is wrong with a row by itself, "" for nothing."""
-    if len(one.sizes) != len(one.values) or len(one.sizes) < LEAST_SIZES:
-        return f"{len(one.sizes)} sizes and {len(one.values)} values; {LEAST_SIZES} of each at least"
+def row_problem(one: Row) -> str:
+    """Return why a row contradicts itself, or "" if it does not."""
+    if len(one.sizes) != len(one.values) or len(one.sizes) < MIN_SIZES:
+        return (
+            f"{len(one.sizes)} sizes and {len(one.values)} values;"
+            f" expected as many values as sizes, at least {MIN_SIZES} of each"
+        )
     if sorted(set(one.sizes)) != one.sizes:
-        return "sizes must rise"
+        return "sizes must be in strictly ascending order"
     if one.seen_up_to != one.sizes[-1]:
         return f"seen_up_to {one.seen_up_to:g} is not the largest size"
     found = fit(one.sizes, one.values)
-    for told, computed in ((one.offset, found.offset), (one.slope, found.slope), (one.residual, found.residual)):
-        if abs(told - computed) > 1e-3 * abs(computed) + 1e-9:
-            return f"{told:g} is not what its values fit ({computed:g})"
+    for recorded, computed in ((one.offset, found.offset), (one.slope, found.slope), (one.residual, found.residual)):
+        if abs(recorded - computed) > 1e-3 * abs(computed) + 1e-9:
+            return f"{recorded:g} is not what its values fit ({computed:g})"
     return "" if one.model == found.model else f"{one.model} is not what its values fit ({found.model})"
 
 
 def parse_record(data: bytes, name: str) -> Record:
-    """Raises Unusable, naming the file and the place in it."""
+    """Decode a record and check each of its rows.
+
+    Raises:
+        UnusableRecordError: The data do not fit the schema, or a row contradicts itself. The message names the file
+            and the place in it.
+    """
     try:
         record = msgspec.json.decode(data, type=Record)
     except msgspec.ValidationError as problem:
         raise UnusableRecordError(f"{name}: {problem}") from None
     except msgspec.DecodeError as problem:
-        raise UnusableRecordError(f"{name}: is no JSON: {problem}") from None
+        raise UnusableRecordError(f"{name}: is not valid JSON: {problem}") from None
     for place, one in enumerate(record.rows):
-        if why := fault(one):
-            raise UnusableRecordError(f"{name}: rows[{place}] {one.name}: {why}")
+        if problem_text := row_problem(one):
+            raise UnusableRecordError(f"{name}: rows[{place}] {one.name}: {problem_text}")
     return record
 
 
@@ -154,30 +206,40 @@
     path.write_bytes(msgspec.json.format(msgspec.json.encode(record), indent=1) + b"\n")
 
 
-def digest(data: bytes) -> str:
-    """A short name of a record's contents."""
-    return blake2b(data, digest_size=DIGEST_BYTES).hexdigest()
+def short_digest(data: bytes) -> str:
+    """Return a short BLAKE2b digest that identifies a record's contents."""
+    return blake2b(data, digest_size=SHORT_DIGEST_BYTES).hexdigest()
 
 
 class RecordedRows:
-    """All rows of a folder's records. Raises Unusable, also where two records hold the same row."""
+    """All rows of the records in a folder.
+
+    Attributes:
+        rows: The rows by name.
+        sources: The name of the record that each row is from, by the row's name.
+        digests: A short digest of each record's file, by the record's name.
+        records: The records by name, which is the file's name without its suffix.
+
+    Raises:
+        UnusableRecordError: A record is not valid, or two records have the same row.
+    """
 
     def __init__(self, folder: Path = RECORDS_FOLDER) -> None:
         self.rows: dict[str, Row] = {}
-        self.sources: dict[str, str] = {}  # which record a row is from
+        self.sources: dict[str, str] = {}
         self.digests: dict[str, str] = {}
         self.records: dict[str, Record] = {}
         for path in sorted(folder.glob("*.json")):
             data = path.read_bytes()
             record = parse_record(data, path.name)
-            self.records[path.stem], self.digests[path.stem] = record, digest(data)
+            self.records[path.stem], self.digests[path.stem] = record, short_digest(data)
             for one in record.rows:
                 if one.name in self.rows:
-                    raise UnusableRecordError(f"{path.name}: {one.name} stands in {self.sources[one.name]}.json, too")
+                    raise UnusableRecordError(f"{path.name}: row {one.name} is also in {self.sources[one.name]}.json")
                 self.rows[one.name], self.sources[one.name] = one, path.stem
 
     def __getitem__(self, name: str) -> Row:
         try:
             return self.rows[name]
         except KeyError:
-            raise UnusableRecordError(f"no record holds {name}") from None
+            raise UnusableRecordError(f"no record has a row {name}") from None
--- a/bench/scale/run.py
+++ b/bench/scale/run.py
@@ -1,4 +1,4 @@
-"""All measurements of slopes in turn, as one record."""
+"""Runs all measurements of `slopes` one after the other and returns them as one record."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 from bench.scale.meter import Meter, reference_cpu_s
 from bench.scale.records import Record, Row
 
-PARTS: dict[str, Callable[[Meter], list[Row]]] = {
+MEASUREMENTS: dict[str, Callable[[Meter], list[Row]]] = {
     "detector": detector.rows,
     "faults": fleet_faults.rows,
     "leases": leases.rows,
@@ -40,12 +40,12 @@
 
 
 def measure(meter: Meter, command: str) -> Record:
-    """Every part; says on standard error how long each took."""
+    """Run every measurement, printing to standard error how long each took."""
     rows: list[Row] = []
-    gc.disable()  # as a router does
-    references: list[float] = []
-    for name, part in PARTS.items():
-        references.append(reference_cpu_s(1) if meter.quick else reference_cpu_s())
+    gc.disable()  # A router runs without the garbage collector, too.
+    reference_times_s: list[float] = []
+    for name, part in MEASUREMENTS.items():
+        reference_times_s.append(reference_cpu_s(1) if meter.quick else reference_cpu_s())
         began = time.monotonic()
         rows += part(meter)
         gc.collect()
@@ -56,7 +56,7 @@
         date=today,
         seed=meter.seed,
         rounds=meter.rounds,
-        reference_s=round(min(references), 4),
-        reference_most_s=round(max(references), 4),
+        reference_s=round(min(reference_times_s), 4),
+        reference_most_s=round(max(reference_times_s), 4),
         rows=rows,
     )
--- a/bench/scale/settings_file.py
+++ b/bench/scale/settings_file.py
@@ -27,7 +27,10 @@
     texts = {size: settings(size) for size in sizes}
     a_second = CHANGES_A_DAY / SECONDS_A_DAY
     parse_options(texts[sizes[0]], "settings.cue")  # the grammar is built once
-    cpu = [a_second * meter.cpu(lambda size=size: parse_options(texts[size], "settings.cue"), 1) for size in sizes]
+    cpu = [
+        a_second * meter.cpu_s_per_call(lambda size=size: parse_options(texts[size], "settings.cue"), 1)
+        for size in sizes
+    ]
     read = [a_second * len(texts[size]) for size in sizes]
     written = [a_second * size * len(texts[size]) for size in sizes]
     messages = [a_second * size for size in sizes]
--- a/bench/scale/tables.py
+++ b/bench/scale/tables.py
@@ -7,19 +7,21 @@
 from bench.scale import design
 from bench.scale.claims import CLAIMS
 from bench.scale.design import Assumption
-from bench.scale.model import KINDS, SITUATIONS, TITLES, Figure, Kind, Mechanism, RoleModel
-from bench.scale.planned_roles import NEEDED, PLANNED
+from bench.scale.model import KINDS, SITUATION_TITLES, SITUATIONS, Figure, Kind, Mechanism, RoleModel
+from bench.scale.planned_roles import PLANNED_ROLES, REQUIRED_ROW
 from bench.scale.records import Measured, RecordedRows, Row
 from bench.scale.roles import ROLES
 
 ROUTERS = design.ROUTERS
-SLOPES = "slopes"  # the record of today's design; others are of what is to come
-TITLES_OF_KINDS: dict[Kind, str] = {"messages": "messages/s", "bytes": "bytes/s", "cpu": "core", "memory": "memory"}
-EXTRAPOLATED = "\\*"
+# Name of the record of the flat design; the other records measure the planned design.
+FLAT_DESIGN_RECORD = "slopes"
+KIND_TITLES: dict[Kind, str] = {"messages": "messages/s", "bytes": "bytes/s", "cpu": "core", "memory": "memory"}
+# Follows each value that lies beyond the largest measured size; the backslash escapes the asterisk in Markdown.
+EXTRAPOLATED_MARK = "\\*"
 
 
-def number(value: float) -> str:
-    """Three digits, thousands apart."""
+def format_number(value: float) -> str:
+    """Format a number with three significant digits and commas between thousands."""
     if value == 0:
         return "0"
     if abs(value) < 0.001:
@@ -29,105 +31,107 @@
     return f"{float(f'{value:.3g}'):,.0f}"
 
 
-def amount(kind: Kind, value: float) -> str:
+def format_amount(kind: Kind, value: float) -> str:
     if kind == "cpu":
-        return f"{number(100 * value)}%"
-    return f"{number(value / 1e6)} MB" if kind == "memory" else number(value)
+        return f"{format_number(100 * value)}%"
+    return f"{format_number(value / 1e6)} MB" if kind == "memory" else format_number(value)
 
 
-def shown(kind: Kind, figure: Figure) -> str:
-    return amount(kind, figure.value) + EXTRAPOLATED * figure.extrapolated if figure.told else "-"
+def format_figure(kind: Kind, figure: Figure) -> str:
+    """Format a computed cost, marked if it is extrapolated; "-" stands for an unknown one."""
+    return format_amount(kind, figure.value) + EXTRAPOLATED_MARK * figure.extrapolated if figure.told else "-"
 
 
-def line(cells: Iterable[object]) -> str:
+def markdown_row(cells: Iterable[object]) -> str:
     return "| " + " | ".join(str(cell) for cell in cells) + " |"
 
 
-def table(heads: list[str], rows: Iterable[Iterable[object]]) -> str:
-    return "\n".join([line(heads), line("---" for _ in heads), *map(line, rows)])
+def markdown_table(heads: list[str], rows: Iterable[Iterable[object]]) -> str:
+    return "\n".join([markdown_row(heads), markdown_row("---" for _ in heads), *map(markdown_row, rows)])
 
 
-def assumptions(all_of_them: Iterable[Assumption]) -> str:
-    return table(
+def assumptions_table(all_of_them: Iterable[Assumption]) -> str:
+    return markdown_table(
         ["assumption", "value", "unit", "source"],
-        ([one.name, number(one.value), one.unit or "-", one.source] for one in all_of_them),
+        ([one.name, format_number(one.value), one.unit or "-", one.source] for one in all_of_them),
     )
 
 
-def runs(mechanism: Mechanism, known: RecordedRows) -> str:
-    names = {name for situation in SITUATIONS for name in mechanism.costs(situation).rows()}
+def record_names(mechanism: Mechanism, known: RecordedRows) -> str:
+    """Return the names of the records that a mechanism's costs are from."""
+    names = {name for situation in SITUATIONS for name in mechanism.costs(situation).row_names()}
     return ", ".join(sorted({known.sources[name] for name in names}))
 
 
 def mechanisms_table(role: RoleModel, known: RecordedRows) -> str:
-    """By mechanism, where it differs between situations a line each."""
+    """Return a row per mechanism, and one more for each situation in which its costs differ from an ordinary day."""
     rows = []
     for mechanism in role.mechanisms:
         for situation in SITUATIONS:
             if situation != "ordinary" and situation not in mechanism.others:
                 continue
             costs = mechanism.costs(situation)
-            figures = [shown(kind, costs.figure(kind, known)) for kind in KINDS]
-            told = [mechanism.state, mechanism.carried_by, mechanism.bound] if situation == "ordinary" else [""] * 3
-            rows.append([mechanism.name, TITLES[situation], *told, *figures, runs(mechanism, known)])
+            figures = [format_figure(kind, costs.figure(kind, known)) for kind in KINDS]
+            texts = [mechanism.state, mechanism.carried_by, mechanism.bound] if situation == "ordinary" else [""] * 3
+            rows.append([mechanism.name, SITUATION_TITLES[situation], *texts, *figures, record_names(mechanism, known)])
     heads = ["mechanism", "when", "state", "carried by", "bound when it hears nothing"]
-    return table([*heads, *TITLES_OF_KINDS.values(), "run"], rows)
+    return markdown_table([*heads, *KIND_TITLES.values(), "run"], rows)
 
 
-def total(role: RoleModel, situation: str, kind: Kind, known: RecordedRows) -> str:
-    text = shown(kind, role.total(situation, kind, known))
+def total_cell(role: RoleModel, situation: str, kind: Kind, known: RecordedRows) -> str:
+    text = format_figure(kind, role.total(situation, kind, known))
     return f"**OVER** {text}" if role.is_over_allowance(situation, kind, known) else text
 
 
 def totals_table(role: RoleModel, known: RecordedRows) -> str:
     rows = [
         [
-            TITLES_OF_KINDS[kind],
-            amount(kind, role.allowed[kind]) if kind in role.allowed else "-",
-            *(total(role, situation, kind, known) for situation in SITUATIONS),
+            KIND_TITLES[kind],
+            format_amount(kind, role.allowed[kind]) if kind in role.allowed else "-",
+            *(total_cell(role, situation, kind, known) for situation in SITUATIONS),
         ]
         for kind in KINDS
     ]
-    return table(["computed, all mechanisms", "allowed", *(TITLES[one] for one in SITUATIONS)], rows)
+    return markdown_table(["computed, all mechanisms", "allowed", *(SITUATION_TITLES[one] for one in SITUATIONS)], rows)
 
 
 def role_tables(role: RoleModel, known: RecordedRows) -> str:
     return f"### {role.title}\n\n{totals_table(role, known)}\n\n{mechanisms_table(role, known)}"
 
 
-def roles(known: RecordedRows) -> str:
+def roles_tables(known: RecordedRows) -> str:
     return "\n\n".join(role_tables(role, known) for role in ROLES)
 
 
 def exceeded_allowances(known: RecordedRows) -> list[str]:
-    """What is over its allowance, as "role: situation: kind"."""
+    """Return each total that is over its allowance, as "role: situation: kind"."""
     return [
-        f"{role.title}: {TITLES[situation]}: {kind}"
-        for role in (*ROLES, *PLANNED)
+        f"{role.title}: {SITUATION_TITLES[situation]}: {kind}"
+        for role in (*ROLES, *PLANNED_ROLES)
         for situation in SITUATIONS
         for kind in KINDS
         if role.is_over_allowance(situation, kind, known)
     ]
 
 
-def fitted(one: Row) -> str:
+def format_fit(one: Row) -> str:
     if one.model == "power":
-        return f"{number(one.offset)} x ^ {number(one.slope)}"
-    return f"{number(one.offset)} + {number(one.slope)} x"
+        return f"{format_number(one.offset)} x ^ {format_number(one.slope)}"
+    return f"{format_number(one.offset)} + {format_number(one.slope)} x"
 
 
 def slope_row(one: Row, known: RecordedRows) -> list[str]:
     points = ", ".join(f"{size:g}: {value:.4g}" for size, value in zip(one.sizes, one.values, strict=True))
     at_design = "-"
     if one.axis == "routers":
-        at_design = number(one.at(ROUTERS)) + EXTRAPOLATED * one.extrapolated(ROUTERS)
+        at_design = format_number(one.value_at(ROUTERS)) + EXTRAPOLATED_MARK * one.is_extrapolated(ROUTERS)
     source = f"{one.played}, {known.sources[one.name]}"
     return [
         f"`{one.name}`",
         one.axis,
         points,
         one.unit,
-        fitted(one),
+        format_fit(one),
         f"{one.residual:.3f}",
         at_design,
         source,
@@ -135,48 +139,53 @@
     ]
 
 
-HEADS = ["row", "x", "measured", "unit", "fit", "residual", "at 1,600 routers", "how, run", "method"]
+SLOPE_HEADS = ["row", "x", "measured", "unit", "fit", "residual", "at 1,600 routers", "how, run", "method"]
 
 
 def slopes_table(known: RecordedRows) -> str:
-    return table(HEADS, (slope_row(one, known) for one in known.rows.values() if known.sources[one.name] == SLOPES))
+    """Return the measured rows of the flat design with their fits."""
+    return markdown_table(
+        SLOPE_HEADS,
+        (slope_row(one, known) for one in known.rows.values() if known.sources[one.name] == FLAT_DESIGN_RECORD),
+    )
 
 
 def planned_tables(known: RecordedRows) -> str:
-    """What other runs recorded of the mechanisms that are to replace the flat ones."""
-    rows = [one for one in known.rows.values() if known.sources[one.name] != SLOPES]
+    """Return what the other records hold about the mechanisms that are planned to replace the flat design."""
+    rows = [one for one in known.rows.values() if known.sources[one.name] != FLAT_DESIGN_RECORD]
     figures = [(name, one) for name, record in known.records.items() for one in record.figures]
-    parts = [role_tables(role, known) for role in PLANNED] if NEEDED in known.rows else []
+    parts = [role_tables(role, known) for role in PLANNED_ROLES] if REQUIRED_ROW in known.rows else []
     if rows:
-        parts.append(table(HEADS, (slope_row(one, known) for one in rows)))
+        parts.append(markdown_table(SLOPE_HEADS, (slope_row(one, known) for one in rows)))
     if figures:
         heads = ["role", "mechanism", "resource", "when", "size", "figure", "unit", "how, run", "method"]
-        parts.append(table(heads, (figure_row(name, one) for name, one in figures)))
+        parts.append(markdown_table(heads, (figure_row(name, one) for name, one in figures)))
     return "\n\n".join(parts) or "No record holds rows of relays or of control machines with the change log yet."
 
 
 def figure_row(record: str, one: Measured) -> list[str]:
     size, source = f"{one.size:g} {one.axis}", f"{one.played}, {record}"
-    value = number(one.value)
+    value = format_number(one.value)
     return [one.role, one.mechanism, one.resource, one.situation, size, value, one.unit, source, one.method]
 
 
-def claims(known: RecordedRows) -> str:
+def claims_table(known: RecordedRows) -> str:
+    """Return earlier claims about growth beside the values that were measured."""
     rows = []
     for one in CLAIMS:
-        measured = number(one.measured(known)) + EXTRAPOLATED * one.extrapolated(known)
+        measured = format_number(one.measured(known)) + EXTRAPOLATED_MARK * one.is_extrapolated(known)
         rows.append([one.what, one.before, measured, one.unit, f"`{one.row}`"])
-    return table(["matter", "known before", "measured", "unit", "row"], rows)
+    return markdown_table(["matter", "known before", "measured", "unit", "row"], rows)
 
 
-def records(known: RecordedRows) -> str:
+def records_table(known: RecordedRows) -> str:
     heads = ["record", "run", "date", "seed", "rounds", "reference s", "rows", "BLAKE2b"]
-    return table(heads, (record_row(name, known) for name in known.records))
+    return markdown_table(heads, (record_row(name, known) for name in known.records))
 
 
 def record_row(name: str, known: RecordedRows) -> list[object]:
     one = known.records[name]
-    told = [
+    cells = [
         one.run,
         one.date,
         one.seed,
@@ -184,9 +193,10 @@
         f"{one.reference_s:g} to {one.reference_most_s:g}",
         len(one.rows) + len(one.figures),
     ]
-    return [f"`{name}.json`", *told, known.digests[name]]
+    return [f"`{name}.json`", *cells, known.digests[name]]
 
 
-def at_design(known: RecordedRows, name: str) -> str:
+def value_at_design(known: RecordedRows, name: str) -> str:
+    """Format the value of a row at the design's number of routers."""
     one = known[name]
-    return number(one.at(ROUTERS)) + EXTRAPOLATED * one.extrapolated(ROUTERS)
+    return format_number(one.value_at(ROUTERS)) + EXTRAPOLATED_MARK * one.is_extrapolated(ROUTERS)
--- a/bench/scale/watching.py
+++ b/bench/scale/watching.py
@@ -6,7 +6,7 @@
 from types import SimpleNamespace
 from typing import Any
 
-from bench.scale.meter import CpuStopwatch, Meter, memory
+from bench.scale.meter import CpuStopwatch, Meter, memory_bytes
 from bench.scale.records import Row, row
 from wickhinge.net.control import endpoint_watch
 from wickhinge.routing.purges import Purges
@@ -147,7 +147,7 @@
 def cpu_of_purge(count: int, meter: Meter) -> float:
     """CPU seconds of one purge more, where so many are held."""
     purges = held_for_a_while(count)
-    return meter.cpu(lambda: purges.record_purge(1, 0, 1.0, 1.0), 20)
+    return meter.cpu_s_per_call(lambda: purges.record_purge(1, 0, 1.0, 1.0), 20)
 
 
 def lasting(count: int) -> PurgeTable:
@@ -162,8 +162,8 @@
     held = meter.sizes(100, 400, 1000, 4000, 16000)
     kept = meter.sizes(1000, 4000, 16000, 64000, 100_000)
     cpu = [cpu_of_purge(size, meter) for size in held]
-    state = [memory(lambda size=size: held_for_a_while(size)) for size in held]
-    state_lasting = [memory(lambda size=size: lasting(size)) for size in kept]
+    state = [memory_bytes(lambda size=size: held_for_a_while(size)) for size in held]
+    state_lasting = [memory_bytes(lambda size=size: lasting(size)) for size in kept]
     return [
         row(
             "purges",
--- a/tests/bench/test_scale.py
+++ b/tests/bench/test_scale.py
@@ -22,13 +22,13 @@
     found = fits.fit(SIZES, [3 + 2 * size for size in SIZES])
     assert (found.model, found.residual) == ("linear", pytest.approx(0, abs=1e-6))
     assert (found.offset, found.slope) == (pytest.approx(3), pytest.approx(2))
-    assert found.at(1600) == pytest.approx(3203)
+    assert found.value_at(1600) == pytest.approx(3203)
 
 
 def test_a_power_is_found_where_it_fits_better():
     found = fits.fit(SIZES, [0.5 * size**2 for size in SIZES])
     assert (found.model, found.slope, found.offset) == ("power", pytest.approx(2), pytest.approx(0.5))
-    assert found.at(1600) == pytest.approx(0.5 * 1600**2)
+    assert found.value_at(1600) == pytest.approx(0.5 * 1600**2)
 
 
 def test_the_residual_tells_of_a_poor_fit():
@@ -37,7 +37,7 @@
 
 
 def test_no_cost_is_below_zero():
-    assert fits.fit(SIZES, [0.9, 0.7, 0.4, 0.0]).at(1600) == 0
+    assert fits.fit(SIZES, [0.9, 0.7, 0.4, 0.0]).value_at(1600) == 0
 
 
 def made(**changes):
@@ -55,21 +55,24 @@
 
 def test_an_extrapolation_says_so():
     one = made().rows[0]
-    assert one.extrapolated(1600) and not one.extrapolated(800)
-    assert one.at(200) == 400 and one.at(125) == 250 and one.at(1600) == pytest.approx(3200)
+    assert one.is_extrapolated(1600) and not one.is_extrapolated(800)
+    assert one.value_at(200) == 400 and one.value_at(125) == 250 and one.value_at(1600) == pytest.approx(3200)
 
 
 def test_a_cost_that_falls_is_not_taken_below_what_was_seen():
     falling = [5.0, 4.0, 3.0, 2.0]
-    assert row("it", "router", "cpu", "routers", [1, 2, 3, 4], falling, "core", "virtual", "how").at(10) == 2.0
-    assert row("it", "router", "share", "routers", [1, 2, 3, 4], falling, "share", "virtual", "how").at(10) == 0.0
+    assert row("it", "router", "cpu", "routers", [1, 2, 3, 4], falling, "core", "virtual", "how").value_at(10) == 2.0
+    assert row("it", "router", "share", "routers", [1, 2, 3, 4], falling, "share", "virtual", "how").value_at(10) == 0.0
 
 
 @pytest.mark.parametrize(
     "change, said",
     [
-        ({"sizes": [10.0, 50.0], "values": [20.0, 100.0]}, "2 sizes and 2 values; 4 of each at least"),
-        ({"sizes": [10.0, 200.0, 50.0, 800.0]}, "sizes must rise"),
+        (
+            {"sizes": [10.0, 50.0], "values": [20.0, 100.0]},
+            "2 sizes and 2 values; expected as many values as sizes, at least 4 of each",
+        ),
+        ({"sizes": [10.0, 200.0, 50.0, 800.0]}, "sizes must be in strictly ascending order"),
         ({"seen_up_to": 1600.0}, "seen_up_to 1600 is not the largest size"),
         ({"values": [20.0, 100.0, 400.0, 1700.0]}, "is not what its values fit"),
         ({"slope": 1.9}, "1.9 is not what its values fit"),
@@ -87,7 +90,7 @@
         ('"role":"router"', '"role":"cook"', r"one.json: Invalid enum value 'cook' - at `\$.rows\[0\].role`"),
         ('"unit":"core",', "", r"missing required field `unit` - at `\$.rows\[0\]`"),
         ('"seed":1', '"sed":1', "one.json: Object contains unknown field `sed`"),
-        ('{"run"', "{run", "one.json: is no JSON"),
+        ('{"run"', "{run", "one.json: is not valid JSON"),
     ],
 )
 def test_a_record_of_another_schema_is_refused_by_place(old, new, said):
@@ -100,7 +103,7 @@
 def test_a_row_stands_in_one_record_only(tmp_path):
     for name in ("one", "two"):
         write_record(tmp_path / f"{name}.json", made())
-    with pytest.raises(UnusableRecordError, match="two.json: router.it.cpu stands in one.json, too"):
+    with pytest.raises(UnusableRecordError, match="two.json: row router.it.cpu is also in one.json"):
         RecordedRows(tmp_path)
 
 
