--- a/bench/scale/leases.py
+++ b/bench/scale/leases.py
@@ -1,4 +1,7 @@
-"""Quorum leases of names: how long until a name's own share is held, by the program's own tables at any size."""
+"""Name leases granted by a quorum: the time until a process holds its name's lease, by fleet size.
+
+The lease tables of the program itself are used.
+"""
 
 from __future__ import annotations
 
@@ -9,24 +12,31 @@
 from wickhinge.peers.health import PROBE_PERIOD_S
 from wickhinge.shared.name_lease import MAX_CLOCK_DRIFT, NameLeases, lease_term_s
 
-LATE = 1e6  # seconds that the voters have been there already
-LOOK = 20  # times a second that a router asks for the end of its lease: once a tick
+# Seconds for which the voters have been running already.
+VOTER_UPTIME_S = 1e6
+# A router reads the end of its lease once per tick.
+LEASE_CHECKS_PER_S = 20
+
 
+def long_running_voters(routers: int) -> dict[str, NameLeases]:
+    """Return the lease tables of the other routers of the roster, all of which have been running for long."""
+    return {f"voter-{number:04}": NameLeases(routers, -VOTER_UPTIME_S) for number in range(routers - 1)}
 
-def voters(routers: int) -> dict[str, NameLeases]:
-    """The others of the roster, all there for long."""
-    return {f"voter-{number:04}": NameLeases(routers, -LATE) for number in range(routers - 1)}
 
+def time_until_held(
+    holder: NameLeases, voters_by_name: dict[str, NameLeases], incarnation: int, seed: int, limit_s: float
+) -> float:
+    """Return the time at which the holder has its lease, at the latest `limit_s`.
 
-def asked_in_turn(holder: NameLeases, others: dict[str, NameLeases], life: int, seed: int, until: float) -> float:
-    """One voter a PROBE_PERIOD_S, in a shuffled order of all, again and again: when the lease is held, or `until`."""
+    One voter is asked each PROBE_PERIOD_S, in a shuffled order of all that is drawn anew after each round.
+    """
     rand, now, order = random.Random(seed), 0.0, []
-    while now < until:
+    while now < limit_s:
         if not order:
-            order = list(others)
+            order = list(voters_by_name)
             rand.shuffle(order)
         name = order.pop()
-        if others[name].grant("holder", life, now):
+        if voters_by_name[name].grant("holder", incarnation, now):
             holder.receive(name, now, now)
         if holder.held_until(now) > now:
             return now
@@ -34,29 +44,34 @@
     return now
 
 
-def first(routers: int, seed: int) -> float:
-    """Seconds until a name that is new holds its lease among routers that run for long."""
-    return max(asked_in_turn(NameLeases(routers, 0.0), voters(routers), 1, seed, 10.0 * routers), PROBE_PERIOD_S)
+def new_name_wait_s(routers: int, seed: int) -> float:
+    """Return the seconds until a process with a new name holds its lease among long-running routers."""
+    return max(
+        time_until_held(NameLeases(routers, 0.0), long_running_voters(routers), 1, seed, 10.0 * routers), PROBE_PERIOD_S
+    )
+
 
+def restart_wait_s(routers: int, seed: int) -> float:
+    """Return the seconds until a restarted process holds its name's lease; its earlier grants have to end first."""
+    voters_by_name, rand = long_running_voters(routers), random.Random(seed)
+    asking_round_s = (routers - 1) * PROBE_PERIOD_S
+    for voter in voters_by_name.values():
+        voter.grant("holder", 1, -rand.uniform(0.0, asking_round_s))
+    return time_until_held(NameLeases(routers, 0.0), voters_by_name, 2, seed, 10.0 * routers)
 
-def restarted(routers: int, seed: int) -> float:
-    """Seconds until a restarted process holds its name's lease: earlier grants have to end first."""
-    others, rand = voters(routers), random.Random(seed)
-    asked_each = (routers - 1) * PROBE_PERIOD_S
-    for voter in others.values():
-        voter.grant("holder", 1, -rand.uniform(0.0, asked_each))
-    return asked_in_turn(NameLeases(routers, 0.0), others, 2, seed, 10.0 * routers)
 
+def joint_start_wait_s(routers: int, seed: int) -> float:
+    """Return the seconds until a lease is held after a joint start.
 
-def after_joint_start(routers: int, seed: int) -> float:
-    """Seconds until a lease is held where all processes start together: voters wait a term before they grant."""
-    others = {f"voter-{number:04}": NameLeases(routers, 0.0) for number in range(routers - 1)}
-    return asked_in_turn(NameLeases(routers, 0.0), others, 1, seed, 10.0 * routers)
+    A voter that has just started waits one lease term before it grants.
+    """
+    voters_by_name = {f"voter-{number:04}": NameLeases(routers, 0.0) for number in range(routers - 1)}
+    return time_until_held(NameLeases(routers, 0.0), voters_by_name, 1, seed, 10.0 * routers)
 
 
-def held(routers: int) -> NameLeases:
-    """A holder's and voter's tables when all are held."""
-    lease = NameLeases(routers, -LATE)
+def full_lease_tables(routers: int) -> NameLeases:
+    """Return the lease tables of a router that has been granted by all others and has granted to all others."""
+    lease = NameLeases(routers, -VOTER_UPTIME_S)
     for number in range(routers - 1):
         lease.receive(f"voter-{number:04}", 0.0, 0.0)
         lease.grant(f"voter-{number:04}", number, 0.0)
@@ -65,19 +80,52 @@
 
 def rows(meter: Meter) -> list[Row]:
     sizes = meter.sizes(10, 50, 200, 400, 800, 1600)
-    longest = [lease_term_s(size) for size in sizes]
-    new = [first(size, meter.seed) for size in sizes]
-    again = [restarted(size, meter.seed) for size in sizes]
-    joint = [after_joint_start(size, meter.seed) for size in sizes]
-    tables = [held(size) for size in sizes]
-    cpu = [LOOK * meter.cpu_s_per_call(lambda lease=lease: lease.held_until(1.0), 20) for lease in tables]
-    memories = [memory_bytes(lambda size=size: held(size)) for size in sizes]
-    asked = f"one voter asked each {PROBE_PERIOD_S} s; drift {MAX_CLOCK_DRIFT}"
+    term_times_s = [lease_term_s(size) for size in sizes]
+    new_name_times_s = [new_name_wait_s(size, meter.seed) for size in sizes]
+    restart_times_s = [restart_wait_s(size, meter.seed) for size in sizes]
+    joint_start_times_s = [joint_start_wait_s(size, meter.seed) for size in sizes]
+    lease_tables = [full_lease_tables(size) for size in sizes]
+    cpu = [
+        LEASE_CHECKS_PER_S * meter.cpu_s_per_call(lambda lease=lease: lease.held_until(1.0), 20)
+        for lease in lease_tables
+    ]
+    table_memory = [memory_bytes(lambda size=size: full_lease_tables(size)) for size in sizes]
+    asking_text = f"one voter asked each {PROBE_PERIOD_S} s; drift {MAX_CLOCK_DRIFT}"
     return [
-        row("name_lease_term", "router", "time", "routers", sizes, longest, "s", "computed", "name_lease.term"),
-        row("name_lease_new", "router", "time", "routers", sizes, new, "s", "virtual", f"a new name; {asked}"),
-        row("name_lease_restart", "router", "time", "routers", sizes, again, "s", "virtual", f"a restart; {asked}"),
-        row("name_lease_joint", "router", "time", "routers", sizes, joint, "s", "virtual", f"all start; {asked}"),
+        row("name_lease_term", "router", "time", "routers", sizes, term_times_s, "s", "computed", "name_lease.term"),
+        row(
+            "name_lease_new",
+            "router",
+            "time",
+            "routers",
+            sizes,
+            new_name_times_s,
+            "s",
+            "virtual",
+            f"a new name; {asking_text}",
+        ),
+        row(
+            "name_lease_restart",
+            "router",
+            "time",
+            "routers",
+            sizes,
+            restart_times_s,
+            "s",
+            "virtual",
+            f"a restart; {asking_text}",
+        ),
+        row(
+            "name_lease_joint",
+            "router",
+            "time",
+            "routers",
+            sizes,
+            joint_start_times_s,
+            "s",
+            "virtual",
+            f"all start; {asking_text}",
+        ),
         row(
             "name_lease",
             "router",
@@ -87,7 +135,9 @@
             cpu,
             "core",
             "virtual",
-            f"thread CPU time of NameLeases.held_until, {LOOK} a second",
+            f"thread CPU time of NameLeases.held_until, {LEASE_CHECKS_PER_S} a second",
+        ),
+        row(
+            "name_lease", "router", "memory", "routers", sizes, table_memory, "B", "virtual", "tracemalloc, both tables"
         ),
-        row("name_lease", "router", "memory", "routers", sizes, memories, "B", "virtual", "tracemalloc, both tables"),
     ]
--- a/bench/scale/lending.py
+++ b/bench/scale/lending.py
@@ -1,4 +1,4 @@
-"""Lending of budgets: its cost at one router, and how much of a budget can be used by how many."""
+"""Quota lending: its cost at one router, and the share of a budget that a number of routers can use."""
 
 from __future__ import annotations
 
@@ -16,66 +16,75 @@
 from wickhinge.shared.quota_bucket import Quota, QuotaBucket
 from wickhinge.shared.quota_lending import LendingLimiter
 
-SPARE = 2  # processes more than names
-LONG_AGO = -1e6
+# Processes that a budget is divided for beyond the number of names.
+SPARE_PROCESSES = 2
+# Start time of a peer that has been running since long before the bench.
+STARTED_LONG_AGO_S = -1e6
 
 
-def division(routers: int) -> BudgetDivision:
-    return BudgetDivision(routers, routers + SPARE)
+def budget_division(routers: int) -> BudgetDivision:
+    return BudgetDivision(routers, routers + SPARE_PROCESSES)
 
 
-def attach(routers: int) -> Callable[[FailureDetector, float], list[Callable[[float], None]]]:
-    def to_router(detector: FailureDetector, now: float) -> list[Callable[[float], None]]:
+def lending_attacher(routers: int) -> Callable[[FailureDetector, float], list[Callable[[float], None]]]:
+    """Return a function that attaches a lending limiter to the measured router's failure detector."""
+
+    def attach_to_router(detector: FailureDetector, now: float) -> list[Callable[[float], None]]:
         zone = detector.roster.local.zone
-        return [LendingLimiter(detector, division(routers), slow_start_quota.budget_scopes(zone), now).tick]
+        return [LendingLimiter(detector, budget_division(routers), slow_start_quota.budget_scopes(zone), now).tick]
+
+    return attach_to_router
 
-    return to_router
 
+def peer_attacher(routers: int) -> Callable[[FailureDetector, float], None]:
+    """Return a function that attaches a lending limiter to a peer.
 
-def attach_peer(routers: int) -> Callable[[FailureDetector, float], None]:
-    """A peer that has been there for long, and votes as in the whole fleet."""
+    The peer has been running for long and votes on leases as in a fleet of `routers`.
+    """
 
-    def to_peer(detector: FailureDetector, now: float) -> None:
+    def attach_to_peer(detector: FailureDetector, now: float) -> None:
         limiter = LendingLimiter(
-            detector, division(routers), slow_start_quota.budget_scopes(detector.roster.local.zone), now
+            detector, budget_division(routers), slow_start_quota.budget_scopes(detector.roster.local.zone), now
         )
         limiter.leases.roster_size, limiter.leases.term_s, limiter.leases.started_at = (
             routers,
             lease_term_s(routers),
-            LONG_AGO,
+            STARTED_LONG_AGO_S,
         )
 
-    return to_peer
+    return attach_to_peer
 
 
 def router_with_lending(routers: int, seed: int) -> OneRouter:
-    return OneRouter(routers, seed, True, attach(routers), attach_peer(routers))
+    return OneRouter(routers, seed, True, lending_attacher(routers), peer_attacher(routers))
 
 
-def usable(routers: int) -> float:
-    """The part of a budget that is left when each process may spend one piece at the same moment."""
-    most, window, unit = BUDGETS[0]
-    return QuotaBucket(Quota(most, window, unit), routers, BURST_S, 0.0).total_rate * window / most
+def usable_share(routers: int) -> float:
+    """Return the share of a budget that remains usable when each process may spend one unit at the same moment."""
+    budget, window, unit = BUDGETS[0]
+    return QuotaBucket(Quota(budget, window, unit), routers, BURST_S, 0.0).total_rate * window / budget
 
 
 def rows(meter: Meter) -> list[Row]:
     sizes = meter.sizes(50, 100, 200, 400, 800, 1600)
     seconds = 3.0 if meter.quick else 20.0
-    more_cpu, more_bytes = [], []
+    added_cpu, added_bytes_per_s = [], []
     for size in sizes:
-        plain, lending = OneRouter(size, meter.seed), router_with_lending(size, meter.seed)
-        # The lease is held once a majority has been asked; until then the tables are smaller.
-        lending.run(1.0 if meter.quick else min(0.3 * size, 150.0))
-        differences = [lending.cpu(seconds) - plain.cpu(seconds) for _ in range(meter.rounds)]
-        more_cpu.append(max(sorted(differences)[len(differences) // 2], 1e-7))
-        plain.bytes_sent = lending.bytes_sent = 0
-        plain.run(10.0)
-        lending.run(10.0)
-        more_bytes.append((lending.bytes_sent - plain.bytes_sent) / 10.0)
-    few = meter.sizes(2, 3, 4, 5) if meter.quick else [2, 4, 8, 16, 32]
-    shares = [used(size, meter.seed, ()) for size in few]
-    many = meter.sizes(2, 16, 60, 100, 400, 1600)
-    left = [usable(size) for size in many]
+        without_lending, with_lending = OneRouter(size, meter.seed), router_with_lending(size, meter.seed)
+        # The router holds its lease once a majority has been asked; until then its tables are smaller.
+        with_lending.run(1.0 if meter.quick else min(0.3 * size, 150.0))
+        differences = [
+            with_lending.cpu_per_s(seconds) - without_lending.cpu_per_s(seconds) for _ in range(meter.rounds)
+        ]
+        added_cpu.append(max(sorted(differences)[len(differences) // 2], 1e-7))
+        without_lending.bytes_sent = with_lending.bytes_sent = 0
+        without_lending.run(10.0)
+        with_lending.run(10.0)
+        added_bytes_per_s.append((with_lending.bytes_sent - without_lending.bytes_sent) / 10.0)
+    borrowers = meter.sizes(2, 3, 4, 5) if meter.quick else [2, 4, 8, 16, 32]
+    used_shares = [used(size, meter.seed, ()) for size in borrowers]
+    processes = meter.sizes(2, 16, 60, 100, 400, 1600)
+    usable_shares = [usable_share(size) for size in processes]
     return [
         row(
             "lending",
@@ -83,7 +92,7 @@
             "cpu",
             "routers",
             sizes,
-            more_cpu,
+            added_cpu,
             "core",
             "virtual",
             f"thread CPU time with lending less without, two budgets, {ZONES} zones, nothing cold",
@@ -94,7 +103,7 @@
             "bytes",
             "routers",
             sizes,
-            more_bytes,
+            added_bytes_per_s,
             "B/s",
             "virtual",
             "datagrams sent with lending less without",
@@ -104,8 +113,8 @@
             "router",
             "share",
             "routers",
-            few,
-            shares,
+            borrowers,
+            used_shares,
             "share",
             "virtual",
             "of a budget of 120 in 3 s by pieces of 1, one router in need",
@@ -115,8 +124,8 @@
             "router",
             "share",
             "processes",
-            many,
-            left,
+            processes,
+            usable_shares,
             "share",
             "computed",
             "Bucket.rate of a budget of 120 in 3 s by pieces of 1",
--- a/bench/scale/watching.py
+++ b/bench/scale/watching.py
@@ -1,4 +1,4 @@
-"""The watch of lists and purges: one router's side, the service's side on sockets, and purges remembered."""
+"""Costs of watching lists and purges: a router's side, the list service's side on sockets, and remembered purges."""
 
 from __future__ import annotations
 
@@ -12,21 +12,22 @@
 from wickhinge.routing.purges import Purges
 from wickhinge.store.purges import Purge, PurgeTable
 
-PURGES_A_SECOND = 27
-DONE_WITHIN = 3.1  # seconds, of the design
+PURGES_PER_S = 27
+# The design's bound within which a purge is done on every router.
+PURGE_BOUND_S = 3.1
 HOST = "127.0.0.1"
-BUFFER = 1 << 16  # bytes read at once
+RECEIVE_BYTES = 1 << 16
 
 
-def frame(number: int) -> bytes:
-    """A purge of one object, as the service writes it."""
+def purge_frame(number: int) -> bytes:
+    """Return the frame with which the service announces the purge of one object."""
     payload = endpoint_watch.OBJECT_PURGE.pack(number * 7919, 1_700_000_000_000 + number)
     return endpoint_watch.FRAME_HEADER.pack(9 + len(payload), number, endpoint_watch.FrameKind.OBJECT_PURGED) + payload
 
 
-def watching() -> tuple[endpoint_watch.EndpointWatch, Any]:
-    """A router's watch without a socket, and the connection that hands it bytes."""
-    purges, clock = Purges(DONE_WITHIN), SimpleNamespace(now=lambda: 0.0, call_after=lambda *told: None)
+def endpoint_watch_without_socket() -> tuple[endpoint_watch.EndpointWatch, Any]:
+    """Return a router's endpoint watch without a socket, and the connection from which it receives bytes."""
+    purges, clock = Purges(PURGE_BOUND_S), SimpleNamespace(now=lambda: 0.0, call_after=lambda *arguments: None)
     listener = SimpleNamespace(
         endpoints_changed=lambda records, *, complete: None,
         purged=lambda key, group, stamp: purges.record_purge(key, group, stamp / 1000, stamp / 1000),
@@ -39,21 +40,21 @@
     return watch, connection
 
 
-def cpu_of_a_second(purges: int) -> float:
-    """CPU seconds of so many purges, each of them read alone."""
-    one, reading = watching()
-    watch = CpuStopwatch()
-    frames = [frame(number + 1) for number in range(purges)]
-    with watch:
+def cpu_of_reading(purges: int) -> float:
+    """Return the CPU seconds for reading purges whose frames arrive one by one."""
+    watch, connection = endpoint_watch_without_socket()
+    stopwatch = CpuStopwatch()
+    frames = [purge_frame(number + 1) for number in range(purges)]
+    with stopwatch:
         for data in frames:
-            one.receive_data(reading, data)
-    return watch.spent
+            watch.receive_data(connection, data)
+    return stopwatch.spent
 
 
-def router_side(meter: Meter) -> list[Row]:
+def router_rows(meter: Meter) -> list[Row]:
     rates = meter.sizes(1, 9, 27, 81, 243)
-    cpu = [meter.median(lambda rate=rate: cpu_of_a_second(rate)) for rate in rates]
-    sent = [rate * len(frame(1)) for rate in rates]
+    cpu = [meter.median(lambda rate=rate: cpu_of_reading(rate)) for rate in rates]
+    bytes_per_s = [rate * len(purge_frame(1)) for rate in rates]
     return [
         row(
             "watch",
@@ -67,12 +68,14 @@
             "thread CPU of reading and telling, a frame a read",
         ),
         row("watch", "router", "messages", "purges/s", rates, rates, "1/s", "computed", "a frame a purge"),
-        row("watch", "router", "bytes", "purges/s", rates, sent, "B/s", "computed", "payload of frames over TCP"),
+        row(
+            "watch", "router", "bytes", "purges/s", rates, bytes_per_s, "B/s", "computed", "payload of frames over TCP"
+        ),
     ]
 
 
-class Watchers:
-    """So many connections over loopback to one that writes each frame to all, as one service does today."""
+class WatchConnections:
+    """Loopback connections of routers to one list service, which writes each frame to all of them."""
 
     def __init__(self, count: int) -> None:
         listener = socket.create_server((HOST, 0), backlog=count + 1)
@@ -85,39 +88,39 @@
         finally:
             listener.close()
 
-    def tell(self, data: bytes) -> None:
+    def send_to_all(self, data: bytes) -> None:
         for writer in self.writers:
             writer.send(data)
 
-    def drain(self) -> None:
+    def read_all(self) -> None:
         for reader in self.readers:
-            reader.recv(BUFFER)
+            reader.recv(RECEIVE_BYTES)
 
     def close(self) -> None:
         for one in (*self.readers, *self.writers):
             one.close()
 
 
-def cpu_of_telling(count: int, rounds: int) -> float:
-    """CPU seconds of the service a frame told to all. System time of its sends is among it."""
-    watchers, watch = Watchers(count), CpuStopwatch()
+def cpu_of_sending(count: int, rounds: int) -> float:
+    """Return the service's CPU seconds for sending one frame to all connections, system time included."""
+    connections, watch = WatchConnections(count), CpuStopwatch()
     try:
         for number in range(rounds):
             with watch:
-                watchers.tell(frame(number + 1))
-            watchers.drain()
+                connections.send_to_all(purge_frame(number + 1))
+            connections.read_all()
     finally:
-        watchers.close()
+        connections.close()
     return watch.spent / rounds
 
 
-def service_side(meter: Meter) -> list[Row]:
+def service_rows(meter: Meter) -> list[Row]:
     sizes = meter.sizes(10, 25, 50, 100, 400, 1600)
-    turns = 5 if meter.quick else 50
-    cost = [PURGES_A_SECOND * meter.median(lambda size=size: cpu_of_telling(size, turns)) for size in sizes]
-    messages = [float(PURGES_A_SECOND * size) for size in sizes]
-    sent = [count * len(frame(1)) for count in messages]
-    told = f"{PURGES_A_SECOND} purges/s"
+    frames = 5 if meter.quick else 50
+    cpu = [PURGES_PER_S * meter.median(lambda size=size: cpu_of_sending(size, frames)) for size in sizes]
+    messages = [float(PURGES_PER_S * size) for size in sizes]
+    bytes_per_s = [count * len(purge_frame(1)) for count in messages]
+    rate_text = f"{PURGES_PER_S} purges/s"
     return [
         row(
             "watch",
@@ -125,64 +128,69 @@
             "cpu",
             "routers",
             sizes,
-            cost,
+            cpu,
             "core",
             "sockets",
-            f"thread CPU of one send a frame and router, the least of any service; {told}",
+            f"thread CPU of one send a frame and router, the least of any service; {rate_text}",
+        ),
+        row("watch", "list_service", "messages", "routers", sizes, messages, "1/s", "computed", rate_text),
+        row(
+            "watch", "list_service", "bytes", "routers", sizes, bytes_per_s, "B/s", "computed", f"payload; {rate_text}"
         ),
-        row("watch", "list_service", "messages", "routers", sizes, messages, "1/s", "computed", told),
-        row("watch", "list_service", "bytes", "routers", sizes, sent, "B/s", "computed", f"payload; {told}"),
         row("watch", "list_service", "state", "routers", sizes, sizes, "connections", "computed", "one a router"),
     ]
 
 
-def held_for_a_while(count: int) -> Purges:
-    """So many purges that are all within their time."""
-    purges = Purges(DONE_WITHIN)
+def recent_purges(count: int) -> Purges:
+    """Return purges that are all recent enough to be remembered."""
+    purges = Purges(PURGE_BOUND_S)
     for number in range(count):
         purges.objects[number] = 1.0
     return purges
 
 
-def cpu_of_purge(count: int, meter: Meter) -> float:
-    """CPU seconds of one purge more, where so many are held."""
-    purges = held_for_a_while(count)
+def cpu_of_recording(count: int, meter: Meter) -> float:
+    """Return the CPU seconds for recording one more purge when `count` purges are remembered."""
+    purges = recent_purges(count)
     return meter.cpu_s_per_call(lambda: purges.record_purge(1, 0, 1.0, 1.0), 20)
 
 
-def lasting(count: int) -> PurgeTable:
-    """So many purges that outlive copies on disk. max_purges: beyond the program's own bound."""
-    purged = PurgeTable(count + 1)
+def lasting_purges(count: int) -> PurgeTable:
+    """Return a table of `count` purges that must outlast copies on disk.
+
+    The table's limit is set above `count`, which may exceed the router's own limit.
+    """
+    table = PurgeTable(count + 1)
     for number in range(count):
-        purged.record(Purge(number, 0, float(number), 1, number))
-    return purged
+        table.record(Purge(number, 0, float(number), 1, number))
+    return table
 
 
-def remembered(meter: Meter) -> list[Row]:
-    held = meter.sizes(100, 400, 1000, 4000, 16000)
-    kept = meter.sizes(1000, 4000, 16000, 64000, 100_000)
-    cpu = [cpu_of_purge(size, meter) for size in held]
-    state = [memory_bytes(lambda size=size: held_for_a_while(size)) for size in held]
-    state_lasting = [memory_bytes(lambda size=size: lasting(size)) for size in kept]
+def purge_rows(meter: Meter) -> list[Row]:
+    recent_counts = meter.sizes(100, 400, 1000, 4000, 16000)
+    lasting_counts = meter.sizes(1000, 4000, 16000, 64000, 100_000)
+    cpu = [cpu_of_recording(size, meter) for size in recent_counts]
+    state = [memory_bytes(lambda size=size: recent_purges(size)) for size in recent_counts]
+    state_lasting = [memory_bytes(lambda size=size: lasting_purges(size)) for size in lasting_counts]
     return [
         row(
             "purges",
             "router",
             "cpu",
             "purges held",
-            held,
+            recent_counts,
             cpu,
             "s a purge",
             "virtual",
             "thread CPU of Purges.told; past 500 held each purge walks all",
         ),
-        row("purges", "router", "memory", "purges held", held, state, "B", "virtual", "tracemalloc, Purges"),
+        row("purges", "router", "memory", "purges held", recent_counts, state, "B", "virtual", "tracemalloc, Purges"),
         row(
             "purges_lasting",
             "router",
             "memory",
             "purges held",
-            kept,
+            lasting_counts,
             state_lasting,
             "B",
             "virtual",
@@ -192,4 +200,4 @@
 
 
 def rows(meter: Meter) -> list[Row]:
-    return [*router_side(meter), *service_side(meter), *remembered(meter)]
+    return [*router_rows(meter), *service_rows(meter), *purge_rows(meter)]
