--- a/bench/scale/__main__.py
+++ b/bench/scale/__main__.py
@@ -86,9 +86,9 @@
 @click.option("--json", "_", is_flag=True)
 def day(seed: int, _: bool) -> None:
     """Play a day of the fleet in virtual time: the change log, then name leases and budgets."""
-    from bench.scale.day import Size, play
+    from bench.scale.day import DaySize, play
 
-    result = play(seed, Size())
+    result = play(seed, DaySize())
     click.echo(msgspec.json.encode(result).decode())
     sys.exit(0 if result.passed else 1)
 
--- a/bench/scale/day_budgets.py
+++ b/bench/scale/day_budgets.py
@@ -1,4 +1,4 @@
-"""Routers with name leases and lent budgets over a day of failures in virtual time, played by lab.many."""
+"""Routers with name leases and quota lending over a day of failures in virtual time, played by wickhinge.lab.many."""
 
 from __future__ import annotations
 
@@ -8,58 +8,81 @@
 
 import msgspec
 
-from bench.scale.day_faults import Counts, Outages, times
+from bench.scale.day_faults import FailureCounts, Outages, fault_times
 from wickhinge.lab.many import judges
 from wickhinge.lab.many.play import BUDGETS, COLD, Fleet, Process
 from wickhinge.lab.many.schedule import Fault, Schedule
 
-ZONES = 8  # of the routers played
-REGIONS = 2  # the first third of the routers, and the others
-TWINS = 3  # of the lost machines are taken for lost, and run on beside the one that replaces them,
-TWIN_S = 10.0  # for so long, one after the other
-TWIN_NEED = 0.5  # of a whole budget, wanted by such a name at least, so that both lives would spend
+# Zones that the played routers are in.
+PLAYED_ZONES = 8
+# Regions that the played routers are in: the first third of the routers, and the others.
+PLAYED_REGIONS = 2
+# Lost machines that only seem lost: each runs on beside the machine that replaces it, under the same name.
+TWIN_COUNT = 3
+# Time for which a machine runs beside its replacement; the machines do so one after the other.
+TWIN_S = 10.0
+# Least demand of a name that two processes run under, in units of the budget; thus both processes try to spend.
+MIN_TWIN_DEMAND = 0.5
 
-Spent = list[tuple[float, str, float]]
+SpendList = list[tuple[float, str, float]]
 
 
 class BudgetsDay(msgspec.Struct, frozen=True):
-    """What came of it. `peaks`: the worst window of each budget and each cold machine, as a share of it."""
+    """Result of the part of the day that plays name leases and budgets.
+
+    Attributes:
+        routers: Routers played.
+        restarts: Restarts of single routers.
+        lost: Machines lost, including those that only seemed lost.
+        spends: Successful spends.
+        under_lease: Spends by a process that held the lease of its name.
+        peaks: The fullest window of each budget and of each cold server, as a share of its limit.
+        over_budget: Windows in which more than the budget was spent.
+        lease_violations: Spends while two running processes held the lease of one name.
+        lives_confused: Faults that the lab's judge of incarnations found.
+    """
 
     routers: int
     restarts: int
     lost: int
     spends: int
-    under_lease: int  # of them, by a life that held its name's lease
+    under_lease: int
     peaks: list[float]
-    over_budget: int  # windows
-    lease_violations: int  # spends
-    lives_confused: int  # of judges.lives
+    over_budget: int
+    lease_violations: int
+    lives_confused: int
+
 
+class SpendCounter:
+    """Checks at each spend that no two processes hold the lease of one name.
 
-class Spends:
-    """Looks at each spend whether the name's lease is held once; a plant of `play.Fleet`, the last one.
+    It is passed to `play.Fleet` as the last planted fault, so that it wraps the limiter of every process. Without the
+    lease a process spends its floor, which the division of budgets provides for two processes of one name; with the
+    lease it spends the name's own share, which only one process may have.
 
-    Without the lease a life spends its floor, which is dealt for two lives of a name, too (lending); with it the
-    name's own share, which one life may have.
+    Attributes:
+        count: Successful spends.
+        under_lease: Spends by a process that held the lease of its name.
+        violations: Spends while two running processes held the lease of one name.
     """
 
     def __init__(self) -> None:
         self.count = 0
         self.under_lease = 0
-        self.violations = 0  # spends while two lives that run held the lease of one name
+        self.violations = 0
 
     def __call__(self, process: Process) -> None:
         take = process.limiter.take
 
-        def noting(number: int, amount: float, now: float) -> bool:
+        def counting_take(number: int, amount: float, now: float) -> bool:
             taken = take(number, amount, now)
             if taken:
-                self._note(process)
+                self._count_spend(process)
             return taken
 
-        process.limiter.take = noting
+        process.limiter.take = counting_take
 
-    def _note(self, process: Process) -> None:
+    def _count_spend(self, process: Process) -> None:
         self.count += 1
         if not holds_lease(process):
             return
@@ -69,74 +92,79 @@
 
 
 def holds_lease(process: Process) -> bool:
-    """Whether it may spend its name's own share now."""
+    """Return whether the process may spend its name's own share now."""
     return process.clock < process.limiter.lease_until
 
 
 class DayFleet(Fleet):
-    """A fleet in which the names that two lives hold always want something."""
+    """A fleet in which names that two processes run under always demand quota."""
 
     def __init__(self, schedule: Schedule, plants: tuple[Any, ...]) -> None:
         super().__init__(schedule, plants)
-        self.twins = {fault.one[0] for fault in schedule.faults if fault.kind == "twin"}
+        self.twin_places = {fault.one[0] for fault in schedule.faults if fault.kind == "twin"}
 
     def wants(self, process: Process, number: int) -> float:
         wanted = super().wants(process, number)
-        return max(wanted, TWIN_NEED) if process.place in self.twins else wanted
+        return max(wanted, MIN_TWIN_DEMAND) if process.place in self.twin_places else wanted
 
 
-def windows_over(spent: Spent, most: float | Callable[[float], float], window_s: float) -> int:
-    """Windows ending with a spend in which more than the budget was spent."""
-    found, first, total = 0, 0, 0.0
+def count_exceeded_windows(spent: SpendList, budget: float | Callable[[float], float], window_s: float) -> int:
+    """Count the windows, each ending with a spend, in which more than the budget was spent."""
+    exceeded, oldest, total = 0, 0, 0.0
     for when_s, _, amount in spent:
         total += amount
-        while spent[first][0] <= when_s - window_s:
-            total -= spent[first][2]
-            first += 1
-        limit = most(when_s) if callable(most) else most
-        found += total > limit * (1.0 + 1e-9)
-    return found
+        while spent[oldest][0] <= when_s - window_s:
+            total -= spent[oldest][2]
+            oldest += 1
+        limit = budget(when_s) if callable(budget) else budget
+        exceeded += total > limit * (1.0 + 1e-9)
+    return exceeded
+
 
+def draw_schedule(seed: int, routers: int, seconds: float, counts: FailureCounts) -> Schedule:
+    """Draw the faults of the day.
 
-def draw(seed: int, routers: int, seconds: float, counts: Counts) -> Schedule:
-    """TWINS of the lost machines run on under their names beside the ones that replace them."""
+    TWIN_COUNT of the lost machines run on under their names beside the machines that replace them.
+    """
     names = tuple(str(place) for place in range(routers))
-    when = times(seconds)
+    fault_at = fault_times(seconds)
     outages = Outages(random.Random(seed * 6007 + 9), seconds)
-    zone = tuple(place for place in range(routers) if place % ZONES == 0)
+    zone = tuple(place for place in range(routers) if place % PLAYED_ZONES == 0)
     twins = []
-    for turn in range(TWINS):
-        place = routers - 1 - turn
-        twins.append(Fault("twin", when.zone_end_s + turn * TWIN_S, TWIN_S, (place,)))
+    for twin in range(TWIN_COUNT):
+        place = routers - 1 - twin
+        twins.append(Fault("twin", fault_at.zone_end_s + twin * TWIN_S, TWIN_S, (place,)))
         outages.reserve(names[place], twins[-1].at_s, twins[-1].at_s + TWIN_S)
     for place in zone:
-        outages.reserve(names[place], when.zone_at_s, when.zone_end_s)
-    outages.lose(names, counts.lost - TWINS, when.cut_end_s)
+        outages.reserve(names[place], fault_at.zone_at_s, fault_at.zone_end_s)
+    outages.lose(names, counts.lost - TWIN_COUNT, fault_at.cut_end_s)
     outages.restart(names, counts.restarts)
-    apart = tuple(range(routers // 3))
-    rest = tuple(range(routers // 3, routers))
+    cut_routers = tuple(range(routers // 3))
+    other_routers = tuple(range(routers // 3, routers))
     faults = [Fault("kill", one.at_s, one.for_s, (int(one.name),)) for one in outages.drawn]
-    faults.append(Fault("kill", when.zone_at_s, when.zone_for_s, zone))
+    faults.append(Fault("kill", fault_at.zone_at_s, fault_at.zone_for_s, zone))
     faults += twins
-    faults.append(Fault("cut", when.cut_at_s, when.cut_for_s, apart, rest))
+    faults.append(Fault("cut", fault_at.cut_at_s, fault_at.cut_for_s, cut_routers, other_routers))
     faults.sort(key=lambda fault: fault.at_s)
-    return Schedule(seed, routers, ZONES, tuple(faults), routers + 1, when.cut_end_s, seconds - when.cut_end_s)
+    return Schedule(
+        seed, routers, PLAYED_ZONES, tuple(faults), routers + 1, fault_at.cut_end_s, seconds - fault_at.cut_end_s
+    )
 
 
-def play(seed: int, routers: int, seconds: float, counts: Counts, plants: tuple[Any, ...] = ()) -> BudgetsDay:
-    """Plays and judges the part of the budgets."""
-    spends = Spends()
-    fleet = DayFleet(draw(seed, routers, seconds, counts), (*plants, spends)).run()
-    limits = [(spent, most, window_s) for spent, (most, window_s, _) in zip(fleet.spent, BUDGETS, strict=True)]
+def play(seed: int, routers: int, seconds: float, counts: FailureCounts, plants: tuple[Any, ...] = ()) -> BudgetsDay:
+    """Play and judge the part of the day with name leases and budgets."""
+    spend_counter = SpendCounter()
+    fleet = DayFleet(draw_schedule(seed, routers, seconds, counts), (*plants, spend_counter)).run()
+    limits = [(spent, budget, window_s) for spent, (budget, window_s, _) in zip(fleet.spent, BUDGETS, strict=True)]
     limits += [(sent, fleet.bears, COLD.window) for sent in fleet.sent.values()]
     return BudgetsDay(
         routers,
         counts.restarts,
         counts.lost,
-        spends.count,
-        spends.under_lease,
+        spend_counter.count,
+        spend_counter.under_lease,
         [round(judges.peak(*limit), 4) for limit in limits],
-        sum(windows_over(*limit) for limit in limits),
-        spends.violations,
+        sum(count_exceeded_windows(*limit) for limit in limits),
+        spend_counter.violations,
         len(judges.lives(fleet.history)),
     )
