--- a/bench/scale/day.py
+++ b/bench/scale/day.py
@@ -12,7 +12,7 @@
 from bench.scale.day_faults import FailureCounts
 from bench.scale.design import DAY_S, PURGES_PER_S, REGIONS, ROUTERS, ZONES
 from wickhinge.changelog.settings import ReplicaSettings
-from wickhinge.lab.changelog.world import RETAIN
+from wickhinge.lab.changelog.world import RETAINED_ENTRIES
 
 DESIGN_RETAINED_ENTRIES = ReplicaSettings().retain
 
--- a/bench/scale/day_budgets.py
+++ b/bench/scale/day_budgets.py
@@ -12,6 +12,7 @@
 from wickhinge.lab.many import judges
 from wickhinge.lab.many.play import BUDGETS, COLD, Fleet, Process
 from wickhinge.lab.many.schedule import Fault, Schedule
+from wickhinge.lab.many.simulation import BUDGETS, SLOW_START, Fleet, Process
 
 # Zones that the played routers are in.
 PLAYED_ZONES = 8
@@ -87,7 +88,7 @@
         if not holds_lease(process):
             return
         self.under_lease += 1
-        others = (other for other in process.fleet.alive(process.place) if other is not process)
+        others = (other for other in process.fleet.running_processes(process.router_index) if other is not process)
         self.violations += any(holds_lease(other) for other in others)
 
 
--- a/bench/scale/day_change_log.py
+++ b/bench/scale/day_change_log.py
@@ -12,10 +12,16 @@
 from bench.scale.day_faults import FailureCounts, Outages, fault_times
 from bench.scale.design import CONTROL_MACHINES, REGIONS, ROUTERS, ZONES
 from wickhinge.changelog.effects import Apply, Reset
-from wickhinge.lab.changelog.oracle import Model, Oracle
+from wickhinge.lab.changelog.oracle import FollowerState, Oracle
 from wickhinge.lab.changelog.planted_faults import NO_FAULT, PlantedFault
 from wickhinge.lab.changelog.schedule import RELAYS, REPLICAS, Fault, FaultKind, Schedule
-from wickhinge.lab.changelog.walk import BOUND_S, SETTLED_S, STARTED_S, UNINFORMED_S, Walk
+from wickhinge.lab.changelog.walk import (
+    MAX_DELIVERY_DELAY_S,
+    MAX_UNINFORMED_DELAY_S,
+    RECOVERY_TIME_S,
+    START_TIME_S,
+    Walk,
+)
 
 # The network: share of datagrams that are lost, share that are duplicated, and most random delay.
 LOSS_RATE, DUPLICATION_RATE, JITTER_S = 0.005, 0.01, 0.005
@@ -81,9 +87,9 @@
         self.counts: Counter[str] = Counter()
         self._invariant = "other"
 
-    def fault(self, text: str) -> None:
+    def add_fault(self, text: str) -> None:
         self.counts[self._invariant] += 1
-        super().fault(text)
+        super().add_fault(text)
 
     @contextmanager
     def counting_as(self, invariant: str) -> Iterator[None]:
@@ -170,7 +176,7 @@
         for fault in sorted(self.schedule.faults, key=lambda fault: fault.at_s):
             if fault.kind is FaultKind.CUT or not set(fault.names) <= set(self.schedule.followers):
                 spans.append((start_s, fault.at_s))
-                start_s = max(start_s, fault.end_s + SETTLED_S)
+                start_s = max(start_s, fault.end_s + RECOVERY_TIME_S)
         return [*spans, (start_s, self.schedule.end_s)]
 
     def _spans(self) -> dict[str, Spans]:
@@ -203,7 +209,7 @@
         An entry that had not arrived when its span ended counts with the time until the end of the span.
         """
         worst_s = 0.0
-        for epoch, times_s in self.oracle.stored_s.items():
+        for epoch, times_s in self.oracle.majority_times_s.items():
             for number, stored_s in times_s.items():
                 end_s = next((end_s for start_s, end_s in spans if start_s <= stored_s <= end_s), stored_s)
                 arrived_s = arrivals.get((epoch, number), end_s)
