--- a/bench/scale/claims.py
+++ b/bench/scale/claims.py
@@ -27,11 +27,11 @@
     unit: str
     factor: float = 1.0
 
-    def measured(self, known: RecordedRows) -> float:
-        return known[self.row].value_at(self.size) * self.factor
+    def measured(self, recorded: RecordedRows) -> float:
+        return recorded[self.row].value_at(self.size) * self.factor
 
-    def is_extrapolated(self, known: RecordedRows) -> bool:
-        return known[self.row].is_extrapolated(self.size)
+    def is_extrapolated(self, recorded: RecordedRows) -> bool:
+        return recorded[self.row].is_extrapolated(self.size)
 
 
 MICROSECONDS_PER_S = 1e6
--- a/bench/scale/day.py
+++ b/bench/scale/day.py
@@ -48,7 +48,7 @@
 
 
 class ReducedQuantity(msgspec.Struct, frozen=True):
-    """A quantity that is smaller in the run than in the design; the checks are the same.
+    """A quantity that is smaller in the run than in the design, while the checks are the same.
 
     Attributes:
         name: What is reduced.
@@ -134,7 +134,7 @@
         ReducedQuantity("seconds", size.seconds, DAY_S),
         ReducedQuantity("followers of the change log", size.followers, ROUTERS),
         ReducedQuantity("changes a second", size.changes_s, PURGES_PER_S),
-        ReducedQuantity("entries in a log", RETAIN, DESIGN_RETAINED_ENTRIES),
+        ReducedQuantity("entries in a log", RETAINED_ENTRIES, DESIGN_RETAINED_ENTRIES),
         ReducedQuantity("routers with budgets", size.routers, ROUTERS),
         ReducedQuantity("zones of the routers with budgets", day_budgets.PLAYED_ZONES, ZONES),
         ReducedQuantity("regions of the routers with budgets", day_budgets.PLAYED_REGIONS, REGIONS),
--- a/bench/scale/day_budgets.py
+++ b/bench/scale/day_budgets.py
@@ -9,8 +9,7 @@
 import msgspec
 
 from bench.scale.day_faults import FailureCounts, Outages, fault_times
-from wickhinge.lab.many import judges
-from wickhinge.lab.many.play import BUDGETS, COLD, Fleet, Process
+from wickhinge.lab.many import invariants
 from wickhinge.lab.many.schedule import Fault, Schedule
 from wickhinge.lab.many.simulation import BUDGETS, SLOW_START, Fleet, Process
 
@@ -57,9 +56,9 @@
 class SpendCounter:
     """Checks at each spend that no two processes hold the lease of one name.
 
-    It is passed to `play.Fleet` as the last planted fault, so that it wraps the limiter of every process. Without the
-    lease a process spends its floor, which the division of budgets provides for two processes of one name; with the
-    lease it spends the name's own share, which only one process may have.
+    It is passed to `simulation.Fleet` as the last planted fault, so that it wraps the limiter of every process.
+    Without the lease a process spends its floor, which the division of budgets provides for two processes of one name;
+    with the lease it spends the name's own share, which only one process may have.
 
     Attributes:
         count: Successful spends.
@@ -104,9 +103,9 @@
         super().__init__(schedule, plants)
         self.twin_places = {fault.one[0] for fault in schedule.faults if fault.kind == "twin"}
 
-    def wants(self, process: Process, number: int) -> float:
-        wanted = super().wants(process, number)
-        return max(wanted, MIN_TWIN_DEMAND) if process.place in self.twin_places else wanted
+    def demand(self, process: Process, number: int) -> float:
+        wanted = super().demand(process, number)
+        return max(wanted, MIN_TWIN_DEMAND) if process.router_index in self.twin_places else wanted
 
 
 def count_exceeded_windows(spent: SpendList, budget: float | Callable[[float], float], window_s: float) -> int:
@@ -157,15 +156,15 @@
     spend_counter = SpendCounter()
     fleet = DayFleet(draw_schedule(seed, routers, seconds, counts), (*plants, spend_counter)).run()
     limits = [(spent, budget, window_s) for spent, (budget, window_s, _) in zip(fleet.spent, BUDGETS, strict=True)]
-    limits += [(sent, fleet.bears, COLD.window) for sent in fleet.sent.values()]
+    limits += [(sent, fleet.overload_limit, SLOW_START.window) for sent in fleet.sent.values()]
     return BudgetsDay(
         routers,
         counts.restarts,
         counts.lost,
         spend_counter.count,
         spend_counter.under_lease,
-        [round(judges.peak(*limit), 4) for limit in limits],
+        [round(invariants.peak_usage(*limit), 4) for limit in limits],
         sum(count_exceeded_windows(*limit) for limit in limits),
         spend_counter.violations,
-        len(judges.lives(fleet.history)),
+        len(invariants.check_sessions(fleet.history)),
     )
--- a/bench/scale/day_change_log.py
+++ b/bench/scale/day_change_log.py
@@ -48,7 +48,7 @@
         out_of_order: Entries applied out of order, and loaded snapshots that were older than the follower's state.
         stale_vouched: Times that a process counted as informed, or let a copy pass, without the entries required.
         two_leaders: Times that a replica acted as the leader of a term that another replica already led.
-        late: Entries due within BOUND_S that arrived later.
+        late: Entries due within MAX_DELIVERY_DELAY_S that arrived later.
         other: Violations of any other invariant of the oracle.
         worst_delay_s: Longest delay from a majority of the replicas storing an entry until a follower knew it, over
             the followers that ran and were not cut off, whatever happened to replicas and relays.
@@ -98,17 +98,17 @@
         yield
         self._invariant = before
 
-    def leads(self, at_s: float, replica: str, epoch: int, term: int) -> None:
+    def on_leading(self, at_s: float, replica: str, epoch: int, term: int) -> None:
         with self.counting_as("two_leaders"):
-            super().leads(at_s, replica, epoch, term)
+            super().on_leading(at_s, replica, epoch, term)
 
-    def applies(self, at_s: float, name: str, model: Model, effect: Apply) -> None:
+    def on_apply(self, at_s: float, name: str, model: FollowerState, effect: Apply) -> None:
         with self.counting_as("out_of_order"):
-            super().applies(at_s, name, model, effect)
+            super().on_apply(at_s, name, model, effect)
 
-    def reset(self, at_s: float, name: str, model: Model, effect: Reset) -> None:
+    def on_snapshot_load(self, at_s: float, name: str, model: FollowerState, effect: Reset) -> None:
         with self.counting_as("out_of_order"):
-            super().reset(at_s, name, model, effect)
+            super().on_snapshot_load(at_s, name, model, effect)
 
 
 class Day(Walk):
@@ -131,12 +131,12 @@
         with oracle.counting_as("stale_vouched"):
             oracle.judge_claims()
             oracle.judge_copies()
-            oracle.judge_outages(self.outages, UNINFORMED_S)
-        spans = self._spans()
+            oracle.judge_outages(self.outages, MAX_UNINFORMED_DELAY_S)
+        spans = self._follower_spans()
         with oracle.counting_as("late"):
-            self.worst_calm_delay_s = oracle.judge_bound(self._calm_spans(), spans, BOUND_S)
+            self.worst_calm_delay_s = oracle.judge_bound(self._calm_spans(), spans, MAX_DELIVERY_DELAY_S)
         with oracle.counting_as("other"):
-            self._judge_end()
+            self._judge_final_state()
         arrivals = self._arrival_times()
         return max(self._worst_delay(arrivals[name], spans[name]) for name in spans)
 
@@ -147,7 +147,9 @@
         """
         due_entries = self._due_entries()
         return sum(
-            len(due_entries - self._known_entries(name)) for name in self.schedule.followers if self.world.runs(name)
+            len(due_entries - self._known_entries(name))
+            for name in self.schedule.followers
+            if self.world.is_running(name)
         )
 
     def calm_duration_s(self) -> float:
@@ -155,48 +157,48 @@
         return sum(max(end_s - start_s, 0.0) for start_s, end_s in self._calm_spans())
 
     def _due_entries(self) -> set[EntryId]:
-        """Return the entries that a majority of the replicas stored at least BOUND_S before the end."""
-        latest_s = self.world.now_s - BOUND_S
-        stored = self.oracle.stored_s.items()
+        """Return the entries that a majority of the replicas stored at least MAX_DELIVERY_DELAY_S before the end."""
+        latest_s = self.world.now_s - MAX_DELIVERY_DELAY_S
+        stored = self.oracle.majority_times_s.items()
         return {(epoch, number) for epoch, at in stored for number, at_s in at.items() if at_s < latest_s}
 
     def _known_entries(self, name: str) -> set[EntryId]:
         """Return the entries that a follower has got since its last start."""
         started_s = self.world.processes[name].started_s
-        applied = (one for one in self.oracle.applied if one.name == name and one.at_s >= started_s)
+        applied = (one for one in self.oracle.applied_entries if one.name == name and one.at_s >= started_s)
         known_entries = {(one.entry.epoch, one.entry.number) for one in applied}
-        for snapshot in self.oracle.resets:
+        for snapshot in self.oracle.loaded_snapshots:
             if snapshot.name == name and snapshot.at_s >= started_s:
                 known_entries |= {(snapshot.epoch, number) for number in range(1, snapshot.number + 1)}
         return known_entries
 
     def _calm_spans(self) -> Spans:
         """Return the times in which all replicas and relays run and nothing is cut."""
-        spans, start_s = [], STARTED_S
+        spans, start_s = [], START_TIME_S
         for fault in sorted(self.schedule.faults, key=lambda fault: fault.at_s):
             if fault.kind is FaultKind.CUT or not set(fault.names) <= set(self.schedule.followers):
                 spans.append((start_s, fault.at_s))
                 start_s = max(start_s, fault.end_s + RECOVERY_TIME_S)
         return [*spans, (start_s, self.schedule.end_s)]
 
-    def _spans(self) -> dict[str, Spans]:
+    def _follower_spans(self) -> dict[str, Spans]:
         """Return the times in which each follower ran, had had time to start, and was not cut off."""
         cuts = [fault for fault in self.schedule.faults if fault.kind is FaultKind.CUT]
         spans = {}
-        for name, ran in super()._spans().items():
-            remaining = [(start_s + STARTED_S, end_s) for start_s, end_s in ran]
+        for name, ran in super()._follower_spans().items():
+            remaining = [(start_s + START_TIME_S, end_s) for start_s, end_s in ran]
             for cut in cuts:
                 if name in cut.names:
-                    remaining = spans_without(remaining, cut.at_s, cut.end_s + SETTLED_S)
+                    remaining = spans_without(remaining, cut.at_s, cut.end_s + RECOVERY_TIME_S)
             spans[name] = remaining
         return spans
 
     def _arrival_times(self) -> dict[str, dict[EntryId, float]]:
         """Return when each follower first knew each entry, whether it applied the entry or loaded a snapshot."""
         arrivals: dict[str, dict[EntryId, float]] = defaultdict(dict)
-        for one in self.oracle.applied:
+        for one in self.oracle.applied_entries:
             arrivals[one.name].setdefault((one.entry.epoch, one.entry.number), one.at_s)
-        for snapshot in self.oracle.resets:
+        for snapshot in self.oracle.loaded_snapshots:
             known_entries = arrivals[snapshot.name]
             for number in range(1, snapshot.number + 1):
                 entry_id = (snapshot.epoch, number)
@@ -241,7 +243,7 @@
     control_restarts = max(round(counts.restarts * CONTROL_MACHINES / (ROUTERS + CONTROL_MACHINES)), 1)
     outages.lose(REPLICAS, 1, fault_at.cut_at_s)
     outages.lose(RELAYS, 1, fault_at.cut_at_s)
-    outages.lose(names, counts.lost - 2, seconds - SETTLED_S)
+    outages.lose(names, counts.lost - 2, seconds - RECOVERY_TIME_S)
     outages.restart((*REPLICAS, *RELAYS), control_restarts)
     outages.restart(names, counts.restarts - control_restarts)
     cut_names = {*REPLICAS[:CUT_REPLICAS], *RELAYS[:CUT_RELAYS]}
@@ -268,8 +270,8 @@
         counts.restarts,
         counts.lost,
         sum(map(len, oracle.committed.values())),
-        len(oracle.applied),
-        len(oracle.resets),
+        len(oracle.applied_entries),
+        len(oracle.loaded_snapshots),
         day.count_missed(),
         counts_by_invariant["out_of_order"],
         counts_by_invariant["stale_vouched"],
--- a/bench/scale/deciding.py
+++ b/bench/scale/deciding.py
@@ -67,7 +67,7 @@
     allowed = Capabilities(True, True, True, True, True, True, False)
     settings = RouterSettings(allowed, transfer_kb_per_s=1e5, max_attempts=3, max_list_age=1.0, max_retry_after=3.0)
     router = Router(probe_counter, endpoints_with_caches(caches, routers), ObjectCounts(), Purges(3.0), settings)
-    rounds = PROBE_ROUNDS * max(routers // 4, 1)  # The more routers there are, the fewer probes each sends.
+    rounds = PROBE_ROUNDS * max(routers // 4, 1)  # More routers each send fewer probes.
     with watch:
         for number in range(rounds):
             router.round(number * ROUND_INTERVAL_S)
--- a/bench/scale/design.py
+++ b/bench/scale/design.py
@@ -17,7 +17,7 @@
 CONTROL_MACHINES = 11
 # A purge is done on every router within this time.
 PURGE_BOUND_S = 3.1
-# A change of settings is in force on every router within this time.
+# A change of configuration has reached every router within this time.
 CHANGE_BOUND_S = 7.0
 DAY_S = 86_400
 
--- a/bench/scale/fits.py
+++ b/bench/scale/fits.py
@@ -42,6 +42,7 @@
 
 
 def residual(predicted: numpy.ndarray, values: numpy.ndarray) -> float:
+    """Return the root of the mean squared error, divided by the mean of the absolute values."""
     mean = float(numpy.mean(numpy.abs(values)))
     part = float(numpy.sqrt(numpy.mean((predicted - values) ** 2))) / mean if mean else 0.0
     return part if part > ROUNDING_SHARE else 0.0
--- a/bench/scale/fleet_faults.py
+++ b/bench/scale/fleet_faults.py
@@ -59,7 +59,7 @@
         for process in self.processes:
             process.detector.identity.epoch = 1
         for one in self.processes:
-            for other in self.processes[: one.place]:
+            for other in self.processes[: one.router_index]:
                 make_mutually_known(one.detector, other.detector)
         for process in self.processes:  # clocks have zeros of their own
             for member in process.detector.members.values():
--- a/bench/scale/lending.py
+++ b/bench/scale/lending.py
@@ -82,7 +82,7 @@
         with_lending.run(10.0)
         added_bytes_per_s.append((with_lending.bytes_sent - without_lending.bytes_sent) / 10.0)
     borrowers = meter.sizes(2, 3, 4, 5) if meter.quick else [2, 4, 8, 16, 32]
-    used_shares = [used(size, meter.seed, ()) for size in borrowers]
+    used_shares = [used_budget_share(size, meter.seed, ()) for size in borrowers]
     processes = meter.sizes(2, 16, 60, 100, 400, 1600)
     usable_shares = [usable_share(size) for size in processes]
     return [
--- a/bench/scale/meter.py
+++ b/bench/scale/meter.py
@@ -89,10 +89,10 @@
     tracemalloc.start()
     try:
         before = tracemalloc.get_traced_memory()[0]
-        held = build()
+        built = build()
         gc.collect()
         after = tracemalloc.get_traced_memory()[0]
     finally:
         tracemalloc.stop()
-    del held
+    del built
     return after - before
--- a/bench/scale/model.py
+++ b/bench/scale/model.py
@@ -28,11 +28,11 @@
     size: float
     factor: float = 1.0
 
-    def value(self, known: RecordedRows) -> float:
-        return known[self.row].value_at(self.size) * self.factor
+    def value(self, recorded: RecordedRows) -> float:
+        return recorded[self.row].value_at(self.size) * self.factor
 
-    def is_extrapolated(self, known: RecordedRows) -> bool:
-        return known[self.row].is_extrapolated(self.size)
+    def is_extrapolated(self, recorded: RecordedRows) -> bool:
+        return recorded[self.row].is_extrapolated(self.size)
 
 
 @dataclass(frozen=True, slots=True)
@@ -69,13 +69,13 @@
     cpu: tuple[Term, ...] = ()
     memory: tuple[Term, ...] = ()
 
-    def figure(self, kind: Kind, known: RecordedRows) -> Figure:
+    def figure(self, kind: Kind, recorded: RecordedRows) -> Figure:
         """Sum the terms of one kind of cost."""
         terms: tuple[Term, ...] = getattr(self, kind)
         if not terms:
             return NO_FIGURE
         return Figure(
-            sum(term.value(known) for term in terms), any(term.is_extrapolated(known) for term in terms), True
+            sum(term.value(recorded) for term in terms), any(term.is_extrapolated(recorded) for term in terms), True
         )
 
     def row_names(self) -> list[str]:
@@ -122,15 +122,15 @@
     mechanisms: tuple[Mechanism, ...]
     allowed: dict[Kind, float] = field(default_factory=dict)
 
-    def total(self, situation: Situation, kind: Kind, known: RecordedRows) -> Figure:
+    def total(self, situation: Situation, kind: Kind, recorded: RecordedRows) -> Figure:
         """Sum one kind of cost over all mechanisms."""
-        figures = [mechanism.costs(situation).figure(kind, known) for mechanism in self.mechanisms]
+        figures = [mechanism.costs(situation).figure(kind, recorded) for mechanism in self.mechanisms]
         return Figure(
             sum(figure.value for figure in figures),
             any(figure.extrapolated for figure in figures),
             any(figure.told for figure in figures),
         )
 
-    def is_over_allowance(self, situation: Situation, kind: Kind, known: RecordedRows) -> bool:
+    def is_over_allowance(self, situation: Situation, kind: Kind, recorded: RecordedRows) -> bool:
         limit = self.allowed.get(kind)
-        return limit is not None and self.total(situation, kind, known).value > limit
+        return limit is not None and self.total(situation, kind, recorded).value > limit
--- a/bench/scale/page.py
+++ b/bench/scale/page.py
@@ -18,7 +18,7 @@
 # Computes the text of each generated part, by the name in the part's opening marker.
 PART_TEXTS: dict[str, Callable[[RecordedRows], str]] = {
     "cannot": findings.limitations,
-    "assumptions": lambda known: tables.assumptions_table(design.ASSUMPTIONS),
+    "assumptions": lambda recorded: tables.assumptions_table(design.ASSUMPTIONS),
     "roles": tables.roles_tables,
     "planned": tables.planned_tables,
     "claims": tables.claims_table,
@@ -27,7 +27,7 @@
 }
 
 
-def with_generated_parts(text: str, known: RecordedRows) -> str:
+def with_generated_parts(text: str, recorded: RecordedRows) -> str:
     """Return the page with each marked part computed from the records.
 
     Raises:
@@ -38,9 +38,9 @@
         raise UnusableRecordError(
             f"{PAGE.name}: its marked parts are {', '.join(names)}; they must be {', '.join(PART_TEXTS)}"
         )
-    return GENERATED_PART.sub(lambda found: f"{found[1]}{PART_TEXTS[found[2]](known)}\n{found[3]}", text)
+    return GENERATED_PART.sub(lambda found: f"{found[1]}{PART_TEXTS[found[2]](recorded)}\n{found[3]}", text)
 
 
-def exceeded_allowances(known: RecordedRows) -> list[str]:
+def exceeded_allowances(recorded: RecordedRows) -> list[str]:
     """Return each total that is over its allowance, as "role: situation: kind"."""
-    return tables.exceeded_allowances(known)
+    return tables.exceeded_allowances(recorded)
--- a/bench/scale/records.py
+++ b/bench/scale/records.py
@@ -165,22 +165,26 @@
     )
 
 
-def row_problem(one: Row) -> str:
+def row_problem(cost_row: Row) -> str:
     """Return why a row contradicts itself, or "" if it does not."""
-    if len(one.sizes) != len(one.values) or len(one.sizes) < MIN_SIZES:
+    if len(cost_row.sizes) != len(cost_row.values) or len(cost_row.sizes) < MIN_SIZES:
         return (
-            f"{len(one.sizes)} sizes and {len(one.values)} values;"
+            f"{len(cost_row.sizes)} sizes and {len(cost_row.values)} values;"
             f" expected as many values as sizes, at least {MIN_SIZES} of each"
         )
-    if sorted(set(one.sizes)) != one.sizes:
+    if sorted(set(cost_row.sizes)) != cost_row.sizes:
         return "sizes must be in strictly ascending order"
-    if one.seen_up_to != one.sizes[-1]:
-        return f"seen_up_to {one.seen_up_to:g} is not the largest size"
-    found = fit(one.sizes, one.values)
-    for recorded, computed in ((one.offset, found.offset), (one.slope, found.slope), (one.residual, found.residual)):
+    if cost_row.seen_up_to != cost_row.sizes[-1]:
+        return f"seen_up_to {cost_row.seen_up_to:g} is not the largest size"
+    found = fit(cost_row.sizes, cost_row.values)
+    for recorded, computed in (
+        (cost_row.offset, found.offset),
+        (cost_row.slope, found.slope),
+        (cost_row.residual, found.residual),
+    ):
         if abs(recorded - computed) > 1e-3 * abs(computed) + 1e-9:
             return f"{recorded:g} is not what its values fit ({computed:g})"
-    return "" if one.model == found.model else f"{one.model} is not what its values fit ({found.model})"
+    return "" if cost_row.model == found.model else f"{cost_row.model} is not what its values fit ({found.model})"
 
 
 def parse_record(data: bytes, name: str) -> Record:
@@ -196,9 +200,9 @@
         raise UnusableRecordError(f"{name}: {problem}") from None
     except msgspec.DecodeError as problem:
         raise UnusableRecordError(f"{name}: is not valid JSON: {problem}") from None
-    for place, one in enumerate(record.rows):
-        if problem_text := row_problem(one):
-            raise UnusableRecordError(f"{name}: rows[{place}] {one.name}: {problem_text}")
+    for place, cost_row in enumerate(record.rows):
+        if problem_text := row_problem(cost_row):
+            raise UnusableRecordError(f"{name}: rows[{place}] {cost_row.name}: {problem_text}")
     return record
 
 
@@ -233,10 +237,12 @@
             data = path.read_bytes()
             record = parse_record(data, path.name)
             self.records[path.stem], self.digests[path.stem] = record, short_digest(data)
-            for one in record.rows:
-                if one.name in self.rows:
-                    raise UnusableRecordError(f"{path.name}: row {one.name} is also in {self.sources[one.name]}.json")
-                self.rows[one.name], self.sources[one.name] = one, path.stem
+            for cost_row in record.rows:
+                if cost_row.name in self.rows:
+                    raise UnusableRecordError(
+                        f"{path.name}: row {cost_row.name} is also in {self.sources[cost_row.name]}.json"
+                    )
+                self.rows[cost_row.name], self.sources[cost_row.name] = cost_row, path.stem
 
     def __getitem__(self, name: str) -> Row:
         try:
--- a/bench/scale/roles.py
+++ b/bench/scale/roles.py
@@ -228,8 +228,8 @@
     ),
     cpu=(Term("list_service.watch.cpu", ROUTERS),),
 )
-# What the routers that were cut off missed has to be sent within CHANGE_BOUND_S, besides what is new: the seconds of
-# changes that are sent additionally in each second.
+# What the routers that were cut off missed has to be sent within CHANGE_BOUND_S, besides what is new. The factor is
+# the seconds' worth of changes that is sent additionally per second, averaged over all routers.
 BACKLOG_FACTOR = design.REGION_CUT_MINUTES.value * 60 * design.CUT_OFF_SHARE.value / design.CHANGE_BOUND_S
 
 
--- a/bench/scale/settings_file.py
+++ b/bench/scale/settings_file.py
@@ -14,10 +14,10 @@
 def settings_text(routers: int) -> str:
     """Return an operator's settings file whose roster has `routers` entries."""
     lines = []
-    for one in roster_entries(routers):
-        number = one.address[1]
+    for entry in roster_entries(routers):
+        number = entry.address[1]
         address = f"10.0.{number >> 8}.{number & 255}:7071"
-        lines.append(f'{{name: "{one.name}", address: "{address}", zone: "{one.zone}"}},')
+        lines.append(f'{{name: "{entry.name}", address: "{address}", zone: "{entry.zone}"}},')
     roster = "\n\t\t".join(lines)
     return f'peers: {{\n\tmode: "on"\n\tkey_file: "/etc/wickhinge/fleet.key"\n\troster: [\n\t\t{roster}\n\t]\n}}\n'
 
@@ -31,22 +31,22 @@
         changes_per_s * meter.cpu_s_per_call(lambda size=size: parse_options(texts[size], "settings.cue"), 1)
         for size in sizes
     ]
-    read = [changes_per_s * len(texts[size]) for size in sizes]
-    written = [changes_per_s * size * len(texts[size]) for size in sizes]
-    messages = [changes_per_s * size for size in sizes]
+    read_bytes_per_s = [changes_per_s * len(texts[size]) for size in sizes]
+    written_bytes_per_s = [changes_per_s * size * len(texts[size]) for size in sizes]
+    files_per_s = [changes_per_s * size for size in sizes]
     method_text = f"{CHANGES_PER_DAY} changes a day, the whole file each"
     return [
         row(
             "settings", "router", "cpu", "routers", sizes, cpu, "core", "virtual", f"thread CPU of check; {method_text}"
         ),
-        row("settings", "router", "bytes", "routers", sizes, read, "B/s", "virtual", method_text),
+        row("settings", "router", "bytes", "routers", sizes, read_bytes_per_s, "B/s", "virtual", method_text),
         row(
             "settings",
             "control",
             "bytes",
             "routers",
             sizes,
-            written,
+            written_bytes_per_s,
             "B/s",
             "virtual",
             f"to all routers; {method_text}",
@@ -57,7 +57,7 @@
             "messages",
             "routers",
             sizes,
-            messages,
+            files_per_s,
             "1/s",
             "virtual",
             f"files written; {method_text}",
--- a/bench/scale/spread.py
+++ b/bench/scale/spread.py
@@ -62,12 +62,12 @@
         shares = []
         while self.now < PLAYED_S:
             self.now += TALLY_INTERVAL_S
-            for one in self.tallies_by_router.values():
-                one.tick(self.now)
+            for tallies in self.tallies_by_router.values():
+                tallies.tick(self.now)
             if self.now > TALLY_MAX_AGE_S:
                 shares += [
-                    len(one.latest_tallies) / (len(self.tallies_by_router) - 1)
-                    for one in self.tallies_by_router.values()
+                    len(tallies.latest_tallies) / (len(self.tallies_by_router) - 1)
+                    for tallies in self.tallies_by_router.values()
                 ]
         return sum(shares) / len(shares)
 
@@ -79,13 +79,13 @@
     detector.send = lambda to, kind, serial, now: informed.add(to)
     endpoints = endpoints_with_caches(CACHES_PER_ZONE, routers)
     endpoints.update([Endpoint(PARENT_ID, LOCAL_ZONE, "parent", 0, "ready", 1.0, None)], 0.0, complete=False)
-    one: Any = outlier_detection.OutlierDetector(detector, endpoints, lambda cache: None)
-    one.tick(0.0, 0.0)
+    outlier_detector: Any = outlier_detection.OutlierDetector(detector, endpoints, lambda cache: None)
+    outlier_detector.tick(0.0, 0.0)
     endpoints.parents[0].lost = True
     names, rand, now = detector.roster.peer_names, random.Random(seed), 0.0
     while now < evidence.VERDICT_MAX_AGE_S:
         now += evidence.EVALUATION_INTERVAL_S
-        one.tick(now, now)
+        outlier_detector.tick(now, now)
         for _ in range(int(DETECTOR_DATAGRAMS_PER_S * evidence.EVALUATION_INTERVAL_S)):
             informed.add(rand.choice(names))
     return len(informed) / len(names)
