--- a/bench/scale/fleet_faults.py
+++ b/bench/scale/fleet_faults.py
@@ -7,8 +7,8 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from bench.scale.meter import Meter, Watch
-from bench.scale.one_router import introduce
+from bench.scale.meter import CpuStopwatch, Meter
+from bench.scale.one_router import make_mutually_known
 from bench.scale.records import Row, row
 from wickhinge.lab.many import simulation
 from wickhinge.lab.many.schedule import Fault, Schedule
@@ -38,7 +38,7 @@
         gc.collect()  # Frees the previous fleet, whose objects form reference cycles.
         super().__init__(Schedule(seed, routers, min(routers, ZONE_COUNT), (), routers, 0.0, 0.0), (without_budgets,))
         self.datagrams = self.bytes = 0
-        self.cpu_watch = Watch()
+        self.cpu_watch = CpuStopwatch()
         self.counted_since = 0.0
 
     def demand(self, process: simulation.Process, number: int) -> float:
@@ -60,7 +60,7 @@
             process.detector.identity.epoch = 1
         for one in self.processes:
             for other in self.processes[: one.router_index]:
-                introduce(one.detector, other.detector)
+                make_mutually_known(one.detector, other.detector)
         for process in self.processes:  # Each process's clock has its own zero, so times are set per process.
             for member in process.detector.members.values():
                 member.state_since = member.last_evidence_at = process.clock
--- a/bench/scale/fleet_keep.py
+++ b/bench/scale/fleet_keep.py
@@ -11,10 +11,10 @@
 
 import msgspec
 
-from bench.scale.meter import reference
-from bench.scale.records import FOLDER, Measured, Record, Resource, Role, write
+from bench.scale.meter import reference_cpu_s
+from bench.scale.records import RECORDS_FOLDER, Measured, Record, Resource, Role, write_record
 
-RESULTS_FOLDER = FOLDER / "fleet"  # Holds the last output line of each run, unabridged.
+RESULTS_FOLDER = RECORDS_FOLDER / "fleet"  # Holds the last output line of each run, unabridged.
 NETWORK_SEED = 7  # The seed of fleet_network.Network.
 
 # Each tuple holds the key of a figure in the results, its role, resource, situation and unit.
@@ -70,11 +70,11 @@
         date=time.strftime("%Y-%m-%d"),
         seed=NETWORK_SEED,
         rounds=1,
-        reference_s=round(reference(), 4),
+        reference_s=round(reference_cpu_s(), 4),
         rows=[],
         figures=measured_figures(results, "change_log", "") + measured_figures(results, "flat_watch", "_flat"),
     )
-    write(FOLDER / f"{name}.json", record)
+    write_record(RECORDS_FOLDER / f"{name}.json", record)
     RESULTS_FOLDER.mkdir(exist_ok=True)
     whole = msgspec.json.format(msgspec.json.encode(results), indent=1)
     (RESULTS_FOLDER / f"{results['routers']}.json").write_bytes(whole + b"\n")
