--- a/wickhinge/shared/outlier_detection.py
+++ b/wickhinge/shared/outlier_detection.py
@@ -316,7 +316,11 @@
         return self._lower_limit(evidence, agreement.observations)
 
     def _eject(self, evidence: Evidence, observations: list[Observation], policy_now: float) -> bool:
-        """Eject a server for EJECTION_S; return False where it has failed here or own evidence is newer."""
+        """Eject a server for EJECTION_S.
+
+        Returns:
+            False where the server has failed here already, or own evidence is at least as new as the oldest verdict.
+        """
         server = evidence.server
         if server.has_failed or evidence.observed_at >= min(observation.observed_at for observation in observations):
             return False
--- a/wickhinge/shared/quota_loans.py
+++ b/wickhinge/shared/quota_loans.py
@@ -118,7 +118,8 @@
     def expire_requests(self, now: float) -> None:
         """Forget requests that were not answered in time.
 
-        A grant that arrives later is ignored: a new request has another serial number, or for a renewal a later time.
+        A request for a new loan gets another serial number when it is repeated. The repeated request for a renewal
+        keeps the loan's serial number and has a later time.
         """
         expired = [
             serial
