--- a/bench/fleet.py
+++ b/bench/fleet.py
@@ -29,8 +29,8 @@
 
 ROOT = Path(__file__).parent.parent
 HOST = "127.0.0.1"
-KINDS = ("box", "box", "parent", "origin")
-SHAPES = ("box", "parent", "origin")
+KINDS = ("box", "box", "parent", "origin")  # The kind of each server of the default deployment.
+SHAPES = ("box", "parent", "origin")  # The kinds of servers in the setting `shapes`.
 # Magic bytes, object key, part, version, Unix time of creation in ms, serial number and length of a body.
 STAMP = Struct(">4sQIIQQI")
 GROUPS = 8  # Number of purge groups; an object's group is its key modulo this.
@@ -59,15 +59,18 @@
         """Prepare servers of the given kinds; `size` returns the size of a body by object key and part."""
         self.kinds, self.states = kinds, [0] * len(kinds)
         self.marks = [0xA0 + place for place in range(1, len(kinds) + 1)]
+        # Called when a server receives a request, with its place and the request's fields and body, or a health check.
         self.on_request: Callable[[int, dict[str, str], bytes], None] = lambda place, fields, data: None
         self.size = size
         self.versions: dict[int, int] = {}
         self.serial = self.bodies_sent = self.not_modified_count = 0
         # When the newest version of an object's part was last sent or confirmed as current, in Unix seconds.
         self.newest_sent_at: dict[tuple[int, int], float] = {}
+        # Object key and part of what each server keeps, by the server's place.
         self.kept_parts: dict[str, set[tuple[int, int]]] = {}
         self.frames: list[bytes] = []
         self.readers: set[JournalConnection] = set()
+        # Object key or None, group, time, and the new versions by object key of each purge.
         self.purges: list[tuple[int | None, int, float, dict[int, int]]] = []
         self.ports: list[Any] = []
         self.on_watch_begun: Callable[[], None] = lambda: None  # Called when a router begins to read the journal.
@@ -226,6 +229,7 @@
         self.world, self.data, self.heartbeat = world, b"", None
 
     def dataReceived(self, data: bytes) -> None:
+        """Send the events after the number that the router asks for, then heartbeats; called by Twisted."""
         self.data += data
         if len(self.data) >= 8 and self.heartbeat is None:
             last = int.from_bytes(self.data[:8])
@@ -240,6 +244,7 @@
         self.transport.write(FRAME_HEADER.pack(9, len(self.world.frames), 0))
 
     def connectionLost(self, reason: Any = None) -> None:
+        """Stop the events and heartbeats; called by Twisted."""
         self.world.readers.discard(self)
         if self.heartbeat is not None and self.heartbeat.running:
             self.heartbeat.stop()
@@ -255,6 +260,7 @@
         self.stream = resp.ReplyDecoder(BufferPool(1 << 20, lambda: None, lambda: None))
 
     def dataReceived(self, data: bytes) -> None:
+        """Answer requests and health checks; called by Twisted."""
         for items in self.stream.feed(data):
             items = [b"".join(item.views()) if isinstance(item, Body) else item for item in items]
             if items[0] == b"REQ":
@@ -346,6 +352,7 @@
         "oneFlowKbPerS": 30000,
     },
 }
+# Freshness lifetime and stale grace of each class in SETTINGS together, in seconds.
 FRESHNESS_S = {"clips": float("inf"), "pages": 3.0}
 
 
@@ -408,6 +415,7 @@
         self.stream, self.calls, self.open = msgpack.MessageDecoder(300_000), 0, {}
 
     def connectionMade(self) -> None:
+        """Report that the connection is made; called by Twisted."""
         self.transport.setTcpNoDelay(True)
         self.up(self)
 
@@ -424,12 +432,14 @@
         self.transport.write(msgpack.pack([0, self.calls, "ping", [{}]]))
 
     def dataReceived(self, data: bytes) -> None:
+        """Call back for each answer; called by Twisted."""
         for _, call, error, result in self.stream.feed(data):
             then = self.open.pop(call, None)
             if then is not None:
                 then(error, *(result or (b"", {})))
 
     def connectionLost(self, reason: Any = None) -> None:
+        """Report that the connection ended; called by Twisted."""
         self.lost(self)
 
 
--- a/bench/soak/__main__.py
+++ b/bench/soak/__main__.py
@@ -18,9 +18,9 @@
 from bench.soak.served_share import Share, pooled_share_violations, pooled_shares
 
 FAILED_PLAYS_FOLDER = Path("found/soak")
-MAX_PLAYS_PER_SEED = 4  # A seed is played again while its play can't be judged because of lag.
+MAX_PLAYS_PER_SEED = 4  # The most plays of a seed; a play with too much lag can't be judged and is repeated.
 PLAY_TIMEOUT_S = 120.0  # Timeout of one play, which normally takes about twelve seconds.
-MAX_PRINTED_FAULTS = 5
+MAX_PRINTED_VIOLATIONS = 5  # Of each failed seed; record.json allows a look at the rest.
 
 
 def play_in_this_process(seed: int, plant: str, folder: Path) -> dict[str, object]:
@@ -104,20 +104,20 @@
     else:
         results = list(play_all(list(range(first, first + seeds)), plant, jobs))
     failed = [result for result in results if result["faults"] or not result.get("is_judged", True)]
-    pooled_faults = list(pooled_share_violations(judged_shares(results)))
+    pooled_violations = list(pooled_share_violations(judged_shares(results)))
     if not as_json:
         for result in failed:
             click.echo(
                 f"seed {result['seed']}: {len(result['faults'])} violations; {replay_command(result['seed'], plant)}"
             )
-            for fault in result["faults"][:MAX_PRINTED_FAULTS]:
-                click.echo(f"  {fault}")
+            for violation in result["faults"][:MAX_PRINTED_VIOLATIONS]:
+                click.echo(f"  {violation}")
             if not result.get("is_judged", True):
                 click.echo(f"  not judged: the soak process had a lag of {result['max_lag_s']} s")
-        for fault in pooled_faults:
-            click.echo(fault)
+        for violation in pooled_violations:
+            click.echo(violation)
     print_result(results[0] if seed is not None else summary(results))
-    sys.exit(bool(failed or pooled_faults))
+    sys.exit(bool(failed or pooled_violations))
 
 
 def judged_shares(results: list[dict[str, object]]) -> list[dict[str, Share]]:
@@ -129,13 +129,13 @@
     ]
 
 
-def move_folder(folder: Path, place: Path) -> None:
-    """Move a play's folder to `place`, replacing an older folder there."""
+def move_folder(folder: Path, target: Path) -> None:
+    """Move a play's folder to `target`, replacing an older folder there."""
     import shutil
 
-    shutil.rmtree(place, ignore_errors=True)
-    place.parent.mkdir(parents=True, exist_ok=True)
-    shutil.move(folder, place)
+    shutil.rmtree(target, ignore_errors=True)
+    target.parent.mkdir(parents=True, exist_ok=True)
+    shutil.move(folder, target)
 
 
 def summary(results: list[dict[str, object]]) -> dict[str, object]:
--- a/bench/soak/clients.py
+++ b/bench/soak/clients.py
@@ -22,7 +22,7 @@
 CANCELLATION_SHARE, CONNECTION_CLOSE_SHARE = 0.1, 0.01  # Probabilities after each batch of requests.
 RECONNECT_DELAY_S = 0.05
 CONNECT_TIMEOUT_S = 2
-MAX_MESSAGE_BYTES = 300_000
+MAX_MESSAGE_BYTES = 300_000  # A longer message from a router is an error.
 
 
 class SoakConnection(protocol.Protocol):
@@ -32,7 +32,7 @@
         """Report to `client` when the connection begins and ends."""
         self.client, self.call_count = client, 0
         self.stream = msgpack.MessageDecoder(MAX_MESSAGE_BYTES)
-        self.open: dict[int, Request] = {}
+        self.open_requests: dict[int, Request] = {}
         self.pings: dict[int, Callable[[bool], None]] = {}
         self.cancelled: set[int] = set()  # Ids of cancelled requests, whose answers may still arrive.
         self.is_up = False
@@ -62,12 +62,12 @@
         self.call_count += 1
         if self.send([0, self.call_count, request.method, [fields, request.body]]):
             request.written_at = time.monotonic()
-            self.open[self.call_count] = request
+            self.open_requests[self.call_count] = request
             self.client.record.requests[request.rid] = request
 
     def cancel(self, call: int) -> None:
         """Cancel an open request."""
-        request = self.open.pop(call, None)
+        request = self.open_requests.pop(call, None)
         if request is not None and self.send([2, "abort", [call]]):
             request.left_at = time.monotonic()
             self.cancelled.add(call)
@@ -75,9 +75,9 @@
     def close_abruptly(self) -> None:
         """Close the connection, with its requests open."""
         now = time.monotonic()
-        for request in self.open.values():
+        for request in self.open_requests.values():
             request.left_at = now
-        self.open = {}
+        self.open_requests = {}
         self.transport.abortConnection()
 
     def dataReceived(self, data: bytes) -> None:
@@ -86,8 +86,8 @@
         for _, call, error, result in self.stream.feed(data):
             if call in self.pings:
                 self.pings.pop(call)(error is None and result[0] is True)
-            elif call in self.open:
-                request = self.open.pop(call)
+            elif call in self.open_requests:
+                request = self.open_requests.pop(call)
                 content, fields = result or (b"", {})
                 answer = Answer(now, error is None, error[0] if error else "", content, fields.get("keep") == "1")
                 request.answers.append(answer)
@@ -100,9 +100,9 @@
         """Record that the open requests lost their connection; called by Twisted."""
         self.is_up = False
         now = time.monotonic()
-        for request in self.open.values():
+        for request in self.open_requests.values():
             request.lost_at = now
-        self.open = {}
+        self.open_requests = {}
         self.client.connection_ended(self)
 
 
@@ -151,11 +151,11 @@
         if connection is None or self.is_idle:
             return
         for _ in range(self.rng.randint(1, self.pipelining)):
-            if len(connection.open) >= MAX_OPEN_REQUESTS - 1:
+            if len(connection.open_requests) >= MAX_OPEN_REQUESTS - 1:
                 return
             self.send_request(self.rng.choice(budgets_ms))
-        if self.rng.random() < CANCELLATION_SHARE and connection.open:
-            call = self.rng.choice(list(connection.open))
+        if self.rng.random() < CANCELLATION_SHARE and connection.open_requests:
+            call = self.rng.choice(list(connection.open_requests))
             reactor.callLater(self.rng.uniform(0.0, 0.2), connection.cancel, call)
         if self.rng.random() < CONNECTION_CLOSE_SHARE:
             reactor.callLater(self.rng.uniform(0.0, 0.1), connection.close_abruptly)
--- a/bench/soak/disturbances.py
+++ b/bench/soak/disturbances.py
@@ -31,7 +31,7 @@
         settings: dict[str, Any],
         rng: random.Random,
     ) -> None:
-        """Work on the parts of one play; `settings` are those of the deployment."""
+        """Keep the routers, stand-ins and record of one play; `settings` are those of the deployment."""
         self._schedule, self._record, self._world, self._routers = schedule, record, world, routers
         self._settings, self._rng = settings, rng
         self.service = SERVICE_NAMES[0]  # The discovery service that the newest configuration file names.
@@ -87,8 +87,8 @@
 
     def _select_next_service(self) -> None:
         """Let the next configuration files name another discovery service."""
-        place = SERVICE_NAMES.index(self.service)
-        self.service = SERVICE_NAMES[(place + 1) % len(SERVICE_NAMES)]
+        index = SERVICE_NAMES.index(self.service)
+        self.service = SERVICE_NAMES[(index + 1) % len(SERVICE_NAMES)]
         self._note_reload_time()
 
     def _note_reload_time(self) -> None:
@@ -156,10 +156,10 @@
 
     def _on_service_request(self, name: str) -> None:
         """Record a router that contacts an outdated service although the newest configuration has to be in force."""
-        since = time.monotonic() - self.reloaded_at
-        if name != self.service and self.reloaded_at and since > RELOAD_SETTLE_S and not self.is_shutting_down:
+        since_reload_s = time.monotonic() - self.reloaded_at
+        if name != self.service and self.reloaded_at and since_reload_s > RELOAD_SETTLE_S and not self.is_shutting_down:
             self._record.old_watches.append(
-                f"{name} was contacted instead of service {self.service}, {since:.1f} s after the reload"
+                f"{name} was contacted instead of service {self.service}, {since_reload_s:.1f} s after the reload"
             )
 
     # Stops and restarts of routers.
@@ -181,6 +181,5 @@
         router.write(self.configuration(router))
         router.launch()
         self._record.starts.append(Span(router.number, killed_at, killed_at + MAX_RESTART_S))
-        self.reloaded_at = (
-            time.monotonic() + MAX_RESTART_S
-        )  # The router starts with the newest file, which has to be in force after the restart.
+        # The router starts with the newest file, whose settle time begins when the restart has to be over.
+        self.reloaded_at = time.monotonic() + MAX_RESTART_S
--- a/bench/soak/planted.py
+++ b/bench/soak/planted.py
@@ -11,7 +11,7 @@
 import time
 from collections.abc import Callable
 
-HARM_INTERVAL = 40  # One of this many answers is harmed.
+HARM_INTERVAL = 40  # One of this many answers is dropped, repeated, delayed or changed.
 
 
 def _every_nth_call(count: int) -> Callable[[], bool]:
--- a/bench/soak/play.py
+++ b/bench/soak/play.py
@@ -31,10 +31,8 @@
 TICK_S = 0.02  # Interval at which each client draws whether it sends requests.
 PING_INTERVAL_S = 0.25
 LATE_CONNECTION_TIMES_S = (0.0, 0.1, 0.2, 0.3, 0.38)  # PROTOCOL: new connections come for 0.2 to 0.4 s after SIGTERM.
-LATE_REQUEST_METHOD, LATE_REQUEST_BUDGET_MS = (
-    "results",
-    3000,
-)  # Non-idempotent requests with a long budget, which an early exit would lose first.
+# The request on a late connection is non-idempotent and has a long budget, as an early exit harms those most.
+LATE_REQUEST_METHOD, LATE_REQUEST_BUDGET_MS = "results", 3000
 ROUTER_SOCKET_LIMIT, IDLE_CLIENTS_SOCKET_LIMIT = 256, 128  # The second applies in plays with idle clients.
 
 
@@ -52,7 +50,7 @@
         self.world = SoakWorld(schedule, self.record, SLOW_START if has_many_routers else None)
         start_with = ["-m", "bench.soak.planted", plant] if plant else ["-m", "wickhinge"]
         sockets = IDLE_CLIENTS_SOCKET_LIMIT if schedule.crowd is Crowd.IDLE_CLIENTS else ROUTER_SOCKET_LIMIT
-        base = self._listen()
+        base = self._open_stand_ins()
         library = build(folder)
         self.routers = [
             SoakRouter(folder / f"n{number}", number, base + len(SERVERS) + 1 + number, library, start_with, sockets)
@@ -66,7 +64,7 @@
     def run(self) -> Record:
         """Run the reactor until the play is over, and return its record."""
         LagMonitor(self.record).start()
-        reactor.callLater(0, self._start)
+        reactor.callLater(0, self._launch_routers)
         reactor.run(installSignalHandlers=False)
         for router in self.routers:
             router.kill()
@@ -74,7 +72,7 @@
 
     # Start of the stand-ins and routers, until all routers are ready.
 
-    def _listen(self) -> int:
+    def _open_stand_ins(self) -> int:
         """Open the servers and discovery services, and return the base of the servers' ports."""
         self.world.kinds = (
             SERVERS + ("",) * self.schedule.routers
@@ -85,7 +83,7 @@
             self.world.open_service(name)
         return base
 
-    def _start(self) -> None:
+    def _launch_routers(self) -> None:
         """Launch all routers, with the failing calls of the schedule, and wait until they are ready."""
         schedule = self.schedule
         known = {"pos": 0, "entries": [{"pos": 0, "hosts": {"seq": 1, "whole": True, "hosts": self.world.known()}}]}
@@ -116,8 +114,8 @@
         """Begin the load once all routers have answered `ping` with true."""
         waiting = {router.number for router in self.routers}
 
-        def on_ping_answer(number: int, client: SoakClient, *, yes: bool) -> None:
-            if yes and number in waiting:
+        def on_ping_answer(number: int, client: SoakClient, *, accepts_clients: bool) -> None:
+            if accepts_clients and number in waiting:
                 waiting.discard(number)
                 client.is_stopped = True
                 client.stop()
@@ -135,7 +133,7 @@
                 number: int = router.number,
             ) -> None:
                 base(connection)
-                connection.ping(lambda yes: on_ping_answer(number, probe, yes=yes))
+                connection.ping(lambda is_yes: on_ping_answer(number, probe, accepts_clients=is_yes))
 
             probe.connection_made = connection_made
             probe.connect()
@@ -169,11 +167,11 @@
                 self.clients.append(client)
         if schedule.crowd is Crowd.IDLE_CLIENTS:
             self._add_idle_clients()
-        reactor.callLater(0.1, self._tick)
+        reactor.callLater(0.1, self._send_batches)
         for event in schedule.events:
             reactor.callLater(event.at, self.disturbances.act, event)
         reactor.callLater(schedule.load_s, self._end_load)
-        reactor.callLater(PING_INTERVAL_S, self._ping)
+        reactor.callLater(PING_INTERVAL_S, self._ping_routers)
 
     def _add_idle_clients(self) -> None:
         """Connect as many idle clients as PROTOCOL allows connections of clients."""
@@ -185,7 +183,7 @@
             client.connect()
             self.idle_clients.append(client)
 
-    def _tick(self) -> None:
+    def _send_batches(self) -> None:
         """Let each client send a batch of requests with the probability that gives the rate of the schedule."""
         has_ended = all(router.has_ended() for router in self.routers)
         if has_ended or (self._sigterm_at and time.monotonic() - self._sigterm_at > EARLIEST_KILL_AFTER_SIGTERM_S):
@@ -196,9 +194,9 @@
         for client in self.clients:
             if self.rng.random() < batch_probability:
                 client.send_batch(BUDGETS_MS)
-        reactor.callLater(TICK_S, self._tick)
+        reactor.callLater(TICK_S, self._send_batches)
 
-    def _ping(self) -> None:
+    def _ping_routers(self) -> None:
         """Let one client of each router send a ping, at intervals until EARLIEST_KILL_AFTER_SIGTERM_S after SIGTERM."""
         if self._sigterm_at and time.monotonic() - self._sigterm_at > EARLIEST_KILL_AFTER_SIGTERM_S:
             return
@@ -206,14 +204,14 @@
             client = next((one for one in self.clients if one.router == router.number and one.connection), None)
             if client is not None:
                 self._send_ping(client)
-        reactor.callLater(PING_INTERVAL_S, self._ping)
+        reactor.callLater(PING_INTERVAL_S, self._ping_routers)
 
     def _send_ping(self, client: SoakClient) -> None:
         """Send one ping and record it with its answer."""
         ping = Ping(client.router, client.life, time.monotonic())
 
-        def on_answer(yes: bool) -> None:
-            ping.answered_at, ping.is_yes = time.monotonic(), yes
+        def on_answer(is_yes: bool) -> None:
+            ping.answered_at, ping.is_yes = time.monotonic(), is_yes
 
         self.record.pings.append(ping)
         client.connection.ping(on_answer)
--- a/bench/soak/record.py
+++ b/bench/soak/record.py
@@ -13,9 +13,9 @@
 class Answer:
     """A final answer that a client read."""
 
-    at: float
-    is_served: bool
-    error: str
+    at: float  # When the client read the answer.
+    is_served: bool  # False for a rejection or an error.
+    error: str  # Name of the error; empty for a served answer.
     body: bytes
     is_current: bool  # The answer says that the copy in the client is still current.
 
@@ -24,14 +24,14 @@
 class Request:
     """A request that a client wrote completely to its connection."""
 
-    rid: str
-    method: str
-    key: int
-    part: int
+    rid: str  # Id that the client gave the request.
+    method: str  # Class of the request: clips, pages or results.
+    key: int  # Key of the requested object.
+    part: int  # Number of the requested part of the object.
     budget_s: float
-    written_at: float
+    written_at: float  # When the last byte was written.
     body: bytes
-    router: int
+    router: int  # Number of the router.
     life: int  # Number of starts of the router until the connection was made.
     answers: list[Answer] = field(default_factory=list)
     left_at: float | None = None  # When the client closed its connection or cancelled the request.
@@ -42,10 +42,10 @@
 class Attempt:
     """An attempt of a request that a server received completely."""
 
-    rid: str
+    rid: str  # Id that the client gave the request.
     place: int  # Index of the server in SERVERS.
     at: float  # When the server had received the whole request.
-    fields: dict[str, str]
+    fields: dict[str, str]  # Fields of the message from the router.
     outcome: str = "none"  # Status word of the answer, "reset", "hang" or "pending".
     is_harmed: bool = False  # The server misbehaved in this attempt.
     cut_at: float | None = None  # When the connection ended, if the server had not answered by then.
@@ -67,7 +67,7 @@
 class RouterEnd:
     """The end of a router process."""
 
-    router: int
+    router: int  # Number of the router.
     life: int  # Number of starts of the router until this process.
     how: str  # What ended the process: a kill by the schedule, SIGTERM, or the process itself.
     code: int  # Exit code of the process; negative for the number of a signal.
@@ -79,7 +79,7 @@
 class Usage:
     """The resources of a router process at the end of the load."""
 
-    router: int
+    router: int  # Number of the router.
     descriptors: int
     clients: int  # Number of clients that the soak connected to the router.
     rss_kb: int
@@ -98,29 +98,29 @@
 class Ping:
     """A client's `ping` request, which asks whether the router accepts clients."""
 
-    router: int
-    life: int
-    at: float
+    router: int  # Number of the router.
+    life: int  # Number of starts of the router when the ping was sent.
+    at: float  # When the ping was sent.
     answered_at: float | None = None
-    is_yes: bool = False
+    is_yes: bool = False  # The router answered that it accepts clients.
 
 
 @dataclass(slots=True)
 class Refusal:
     """A client's attempt to connect that the router did not accept."""
 
-    router: int
-    at: float
+    router: int  # Number of the router.
+    at: float  # When the client learned that the connection failed.
 
 
 @dataclass(slots=True)
 class LateConnection:
     """A connection that a client began to open after SIGTERM."""
 
-    router: int
-    life: int
-    at: float
-    up_at: float | None = None
+    router: int  # Number of the router.
+    life: int  # Number of starts of the router when the connection was begun.
+    at: float  # When the client began to connect.
+    up_at: float | None = None  # When the connection was made.
     rid: str = ""  # Id of the single request on the connection.
 
 
@@ -135,8 +135,9 @@
     is_killed: bool = False  # The play sends SIGKILL at the earliest time that PROTOCOL allows.
     requests: dict[str, Request] = field(default_factory=dict)
     attempts: list[Attempt] = field(default_factory=list)
+    # Drains, purges and cold restarts that the discovery services announced.
     told: list[Announcement] = field(default_factory=list)
-    ends: list[RouterEnd] = field(default_factory=list)
+    ends: list[RouterEnd] = field(default_factory=list)  # Ends of router processes.
     usages: list[Usage] = field(default_factory=list)
     # Time and id of each answer that belongs to no open request.
     stray_answers: list[tuple[float, int]] = field(default_factory=list)
@@ -146,11 +147,10 @@
     old_watches: list[str] = field(default_factory=list)
     unready: list[str] = field(default_factory=list)  # Names of the routers that did not become ready.
     max_lag_s: float = 0.0  # Greatest lag of the soak process's own reactor.
-    lags: list[tuple[float, float]] = field(
-        default_factory=list
-    )  # Time and length of each lag of the soak process's reactor.
-    load_began_at: float = 0.0
-    sigterm_at: float = 0.0
+    # Time and length of each lag of the soak process's reactor.
+    lags: list[tuple[float, float]] = field(default_factory=list)
+    load_began_at: float = 0.0  # When the first client connected; 0 before.
+    sigterm_at: float = 0.0  # When SIGTERM was sent to the routers; 0 before.
     unwell: list[Span] = field(default_factory=list)  # Time spans in which a server misbehaved.
     stops: list[Span] = field(default_factory=list)  # Time spans in which a router was stopped by SIGSTOP.
     # From each kill of a router, the time that its restart may take.
--- a/bench/soak/stand_ins.py
+++ b/bench/soak/stand_ins.py
@@ -22,12 +22,10 @@
 MAX_DELIVERY_DELAY_S = 7.0  # PROTOCOL: routers count as informed of an event at most 7 s after it.
 MAX_UNREAD_FRAME_AGE_S = 0.3  # The longest time for which a router may leave a received frame unread.
 WORK_PER_ANSWER_S = 0.1  # Time that a server takes for an answer in plays that judge slow start.
-OBJECT_BYTES = 3000
+OBJECT_BYTES = 3000  # Size of the body of each part.
 NEVER_RAN = ("MISS", "BUSY", "VOID")  # Status words which prove that the attempt never ran.
-FRESHNESS_LIFETIME_S = {
-    "clips": float("inf"),
-    "pages": 2.0,
-}  # SETTINGS: maxAgeMs by class, where 0 means without limit.
+# SETTINGS: maxAgeMs by class, where 0 means without limit.
+FRESHNESS_LIFETIME_S = {"clips": float("inf"), "pages": 2.0}
 READY, DRAINING = 0, 1  # States of a server on the wire of the discovery service.
 
 
@@ -49,15 +47,15 @@
         self.rng = random.Random(schedule.seed ^ 0x50AB)
         self.weight = 1000 if slow_start else 40000  # Capacity of each server, in thousandths.
         self.started_at_ms = [0] * len(SERVERS)
+        # The servers' copies, by index of the server, object key and part.
         self.copies: dict[tuple[int, int, int], Copy] = {}
         self.began_at = 0.0  # When the load began; 0 before.
         self.port_numbers: dict[str, int] = {}  # Port number of each discovery service, also while it is closed.
         self.open_ports: dict[str, Any] = {}  # Listening port of each open discovery service.
         self.is_silent = False  # The discovery services accept connections and write nothing.
         self.answer_work_s = WORK_PER_ANSWER_S if slow_start else 0.0
-        self.on_service_request: Callable[[str], None] = (
-            lambda name: None
-        )  # Called with a service's name when a router writes to it.
+        # Called with the name of a discovery service when a router writes to it.
+        self.on_service_request: Callable[[str], None] = lambda name: None
 
     # Discovery services: each has its own address, and a reload switches the routers to another one.
 
@@ -156,8 +154,8 @@
             return "well"
         now = time.monotonic() - self.began_at
         for misbehaviour in self.schedule.misbehaviours:
-            is_in_force = misbehaviour.place == place and misbehaviour.since <= now < misbehaviour.until
-            if is_in_force and self.rng.random() < misbehaviour.share:
+            is_active = misbehaviour.place == place and misbehaviour.since <= now < misbehaviour.until
+            if is_active and self.rng.random() < misbehaviour.share:
                 return misbehaviour.how
         return "well"
 
@@ -231,10 +229,10 @@
             return
         made_ms = int(copy.made_at * 1000)
         world.serial += 1
-        note = f"etag={key:08x}{copy.version:08x},made={made_ms},detail=h,ttfb=1".encode()
+        info = f"etag={key:08x}{copy.version:08x},made={made_ms},detail=h,ttfb=1".encode()
         data = body_in or make_body(key, part, copy.version, made_ms, world.serial, OBJECT_BYTES)
         attempt.outcome = "OK"
-        self.transport.write(resp.pack(tag, b"OK", note, data))
+        self.transport.write(resp.pack(tag, b"OK", info, data))
 
     def connectionLost(self, reason: Any = None) -> None:
         """Record when the connection ended under unanswered attempts; called by Twisted."""
@@ -244,17 +242,17 @@
     def find_copy(self, key: int, part: int, fields: dict[str, str]) -> Copy | None:
         """Return the held copy if it is fresh, else a new one; None for a cache without a source to fill from."""
         world, now = self.world, time.time()
-        place = (self.server, key, part)
+        copy_key = (self.server, key, part)
         max_age_ms = float(fields.get("maxage", "0"))
         max_age_s = max_age_ms / 1000 if max_age_ms else FRESHNESS_LIFETIME_S.get(fields.get("queue", ""), 0.0)
-        held_copy = world.copies.get(place)
+        held_copy = world.copies.get(copy_key)
         if held_copy is not None and now - held_copy.made_at <= max_age_s:
             return held_copy
         if self.kind != "origin" and "src" not in fields:
             return None
         new_copy = Copy(world.version(key), now)
         if self.kind != "origin":
-            world.copies[place] = new_copy
+            world.copies[copy_key] = new_copy
         return new_copy
 
 
