--- a/bench/soak/disturbances.py
+++ b/bench/soak/disturbances.py
@@ -16,7 +16,7 @@
 
 SERVICE_NAMES = tuple("abcdefghijklmnop")  # Each reload names the next one; a name repeats only after all others.
 MAX_RESTART_S = 10.0  # STANDING: nine in ten restarted routers are ready within 10 s.
-MAX_DRAINED_SERVERS = 2  # The most servers that one play drains.
+MAX_DRAINED_SERVERS = 2  # Greatest number of servers that one play drains.
 
 
 class Disturbances:
--- a/bench/soak/judge.py
+++ b/bench/soak/judge.py
@@ -64,6 +64,7 @@
 
 
 def _request_violations(record: Record, request: Request, attempts: list[Attempt]) -> Iterator[str]:
+    """Run all checks of a single request."""
     yield from _answer_violations(record, request)
     yield from _body_violations(record, request, attempts)
     yield from _attempt_violations(record, request, attempts)
@@ -122,7 +123,7 @@
 def _freshness_violations(
     record: Record, request: Request, attempts: list[Attempt], *, version: int, made_at_ms: int
 ) -> Iterator[str]:
-    """Check that a served version is newer than each purge in force, and that its age is within the limits."""
+    """Check that no purge in force demands a newer version than the one served, and that the copy is fresh enough."""
     first_attempt_at = min((attempt.at for attempt in attempts), default=request.written_at)
     for announcement in record.told:
         is_purge_of_newer_version = (
--- a/bench/soak/planted.py
+++ b/bench/soak/planted.py
@@ -136,7 +136,7 @@
 
 
 def drain_ignored() -> None:
-    """Keep using draining servers: their state in an endpoint list is ignored."""
+    """Drop each endpoint update that marks a server as draining, so that the server stays in use."""
     from wickhinge.routing.endpoints import Endpoints
 
     update = Endpoints.update
@@ -206,7 +206,7 @@
 
 
 def early_end() -> None:
-    """End the shutdown up to a second before the deadline of the last requests."""
+    """End the shutdown a second before the deadline of the last requests."""
     from wickhinge.net.control import graceful_shutdown
 
     graceful_shutdown.GIVE_UP_AFTER_DEADLINE_S = -0.4
