--- a/bench/scale/fleet_faults.py
+++ b/bench/scale/fleet_faults.py
@@ -17,7 +17,7 @@
 CALM_S = 3.0  # Time without faults before each fault.
 WATCH_AFTER_DEATH_S = 20.0  # Time for which a fleet is observed after a tenth of it ended.
 CUT_S = 12.0  # Length of the cut between the two halves.
-MAX_REUNION_S = 100.0  # Longest wait for all routers to know each other after a cut.
+MAX_RECOVERY_S = 100.0  # Longest wait for all routers to know each other after a cut.
 ZONE_COUNT = 4
 
 
@@ -137,7 +137,7 @@
     load_during_cut = fleet.load_per_router(size, CUT_S)
     fleet.reset_counts()
     healed_at = fleet.now
-    while fleet.min_alive_fraction() < 1.0 and fleet.now < healed_at + MAX_REUNION_S:
+    while fleet.min_alive_fraction() < 1.0 and fleet.now < healed_at + MAX_RECOVERY_S:
         fleet.run_for(0.5)
     return load_during_cut, fleet.load_per_router(size, fleet.now - healed_at)
 
@@ -199,6 +199,6 @@
             [one.time for one in reunions],
             "s",
             "virtual",
-            f"from the healing until all hear all, {MAX_REUNION_S:g} s at most",
+            f"from the healing until all hear all, {MAX_RECOVERY_S:g} s at most",
         ),
     ]
--- a/bench/scale/fleet_judge.py
+++ b/bench/scale/fleet_judge.py
@@ -12,7 +12,7 @@
 
 MAX_PURGE_DELAY_S, MAX_SETTING_DELAY_S = 3.1, 7.0
 RATE_BIN_S = 1.0
-REUNION_PEAK_WINDOW_S = 6.0
+PEAK_WINDOW_AFTER_CUT_S = 6.0
 
 
 class Pause(msgspec.Struct, frozen=True):
@@ -161,7 +161,7 @@
 
 
 def message_rate(
-    reports: list[HollowReport], start: float, quiet_until: float, reunion: float, region: int | None = None
+    reports: list[HollowReport], start: float, quiet_until: float, cut_end: float, region: int | None = None
 ) -> MessageRate:
     """Return the message rate of one region's routers; None for `region` means all routers."""
     bins: dict[int, int] = {}
@@ -173,8 +173,8 @@
                 bin_index = int((sample.time - start) / RATE_BIN_S)
                 bins[bin_index] = bins.get(bin_index, 0) + sample.messages - former.messages
     quiet = [bins.get(bin_index, 0) for bin_index in range(1, int((quiet_until - start) / RATE_BIN_S))]
-    first = int((reunion - start) / RATE_BIN_S)
-    after = [bins.get(bin_index, 0) for bin_index in range(first, first + int(REUNION_PEAK_WINDOW_S / RATE_BIN_S))]
+    first = int((cut_end - start) / RATE_BIN_S)
+    after = [bins.get(bin_index, 0) for bin_index in range(first, first + int(PEAK_WINDOW_AFTER_CUT_S / RATE_BIN_S))]
     ordinary = sum(quiet) / len(quiet) / RATE_BIN_S if quiet else 0.0
     return MessageRate(ordinary, max(after) / RATE_BIN_S)
 
--- a/bench/scale/fleet_keep.py
+++ b/bench/scale/fleet_keep.py
@@ -76,5 +76,5 @@
     )
     write(FOLDER / f"{name}.json", record)
     RESULTS_FOLDER.mkdir(exist_ok=True)
-    whole = msgspec.json.format(msgspec.json.encode(results), indent=1)
-    (RESULTS_FOLDER / f"{results['routers']}.json").write_bytes(whole + b"\n")
+    formatted_results = msgspec.json.format(msgspec.json.encode(results), indent=1)
+    (RESULTS_FOLDER / f"{results['routers']}.json").write_bytes(formatted_results + b"\n")
--- a/bench/scale/fleet_log_run.py
+++ b/bench/scale/fleet_log_run.py
@@ -139,9 +139,9 @@
             actions.append((quiet_until + timing.replicas_back, self._restart_killed_replicas))
         return actions
 
-    def _start_machine(self, role: str, name: str, *words: str) -> None:
+    def _start_machine(self, role: str, name: str, *options: str) -> None:
         command = ["-m", "bench.scale.fleet_launch", str(self._plan_path), role]
-        self._processes.start(name, *command, "--options", str(self._options), "--name", name, *words)
+        self._processes.start(name, *command, "--options", str(self._options), "--name", name, *options)
 
     def _measure(self) -> None:
         names = [machine.name for machine in [*self._plan.replicas, *self._plan.relays]]
--- a/bench/scale/fleet_report.py
+++ b/bench/scale/fleet_report.py
@@ -109,9 +109,9 @@
     memory = mean_difference(resident_mb(moments[-1], real_prefix), resident_mb(baseline_moments[-1], "plain"))
     quiet = byte_rate(run.reports, schedule.start, schedule.quiet_until, PEAK_RATE_WINDOW_S)
     faults = byte_rate(run.reports, schedule.quiet_until, schedule.end, PEAK_RATE_WINDOW_S)
-    reunion = schedule.cuts[0].until
-    everywhere = message_rate(run.reports, schedule.start, schedule.quiet_until, reunion)
-    region = message_rate(run.reports, schedule.start, schedule.quiet_until, reunion, CUT_REGION)
+    cut_end = schedule.cuts[0].until
+    everywhere = message_rate(run.reports, schedule.start, schedule.quiet_until, cut_end)
+    region = message_rate(run.reports, schedule.start, schedule.quiet_until, cut_end, CUT_REGION)
     return Figures(
         purge_max_s=round(max(verdict.quiet.purge_max_s, run.real.quiet.purge_max_s), 3),
         purge_max_faults_s=round(max(verdict.faults.purge_max_s, run.real.faults.purge_max_s), 3),
--- a/tests/bench/test_fleet_judge.py
+++ b/tests/bench/test_fleet_judge.py
@@ -120,7 +120,7 @@
     report.traffic = {7: samples}
     assert byte_rate([report], 0, 10, 2.0).mean == 500.0
     assert byte_rate([report], 0, 11, 2.0).worst == 4500.0
-    rate = message_rate([report], 0.0, 8.0, reunion=10.0)
+    rate = message_rate([report], 0.0, 8.0, cut_end=10.0)
     assert (rate.ordinary, rate.peak, rate.ratio) == (10.0, 100.0, 10.0)
     assert message_rate([report], 0.0, 8.0, 10.0, region=CUT_REGION + 1).ratio is None
 
